--- a/internal/standin/chaos_test.go
+++ b/internal/standin/chaos_test.go
@@ -121,6 +121,7 @@
 	if fleet {
 		o.Fleet, o.Machines, o.Capacity, scale = true, 1000, 300, 100
 	}
+	o.Digest = newDigest(t)
 	c := New(o)
 	c.copies = rng.IntN(2) == 0
 	if rng.IntN(2) == 0 {
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -10,6 +10,7 @@
 import (
 	"container/heap"
 	"fmt"
+	"hash"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -39,6 +40,8 @@
 	// timers fire late, as on a small share of a processor.
 	Cost time.Duration
 	Log  io.Writer
+	// Digest, if any, sums up all that controllers do.
+	Digest hash.Hash
 }
 
 // event is something that happens at a time.
@@ -111,6 +114,7 @@
 	wasted     float64                  // seconds of CPUs that were worked and not kept
 	fetched    float64                  // GB of images, by all workers
 	ceilings   map[string]*ceilingCheck // of teams that are known to surge
+	digest     digest
 }
 
 // node is one controller's host.
@@ -188,6 +192,7 @@
 		now: begin, begin: begin, rng: rand.New(rand.NewPCG(o.Seed, 7)), workers: map[string]*worker{},
 		cost: o.Cost, jobs: map[string]*userJob{}, links: map[link]*cut{}, used: map[string]float64{}, kept: map[string][][]byte{},
 		servers: map[uint64]string{}, gaps: newGaps(), streams: map[link]*stream{}, operator: config.DefaultOperator()}
+	c.digest = digest{o.Digest}
 	c.setShards(o.Shards)
 	c.operator.Balance = o.Balance
 	if o.Headroom > 0 {
@@ -440,6 +445,7 @@
 	}
 	n.run(func() {
 		n.reqID++
+		n.c.digest.request(n, method, target, body)
 		n.open[n.reqID] = respond
 		n.apply(n.core.Request(n.c.now, n.reqID, method, target, body))
 	})
@@ -494,6 +500,7 @@
 // apply does what a step of the core asks for.
 func (n *node) apply(e coordination.Effects) {
 	c, core := n.c, n.core
+	c.digest.effects(n, e)
 	for _, r := range e.Replies {
 		if respond := n.open[r.ID]; respond != nil {
 			delete(n.open, r.ID)
--- /dev/null
+++ b/internal/standin/digest_test.go
@@ -0,0 +1,37 @@
+package standin
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"hash"
+	"os"
+	"sync"
+	"testing"
+)
+
+var digestFile = flag.String("digest", "", "file to which a digest of each played scenario and drawn day is added")
+
+var digestLock sync.Mutex
+
+// newDigest is for the options of a cluster: its sum is written when the test is over, if
+// -digest names a file.
+func newDigest(t *testing.T) hash.Hash {
+	if *digestFile == "" {
+		return nil
+	}
+	sum := sha256.New()
+	t.Cleanup(func() {
+		digestLock.Lock()
+		defer digestLock.Unlock()
+		f, err := os.OpenFile(*digestFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer f.Close()
+		if _, err := fmt.Fprintf(f, "%s %x\n", t.Name(), sum.Sum(nil)); err != nil {
+			t.Fatal(err)
+		}
+	})
+	return sum
+}
--- a/internal/standin/scenario_test.go
+++ b/internal/standin/scenario_test.go
@@ -221,6 +221,7 @@
 		if os.Getenv("SCENARIO_LOG") != "" {
 			o.Log = os.Stderr
 		}
+		o.Digest = newDigest(t)
 		r.c = New(o)
 		return ""
 	case "advance":
