--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -14,11 +14,11 @@
 
 	"github.com/spf13/cobra"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // hottestShown is how many machines are listed unless asked otherwise.
@@ -52,9 +52,9 @@
 type fleetLoad struct {
 	types    map[string]*protocol.MachineType
 	machines map[string]*machineLoad
-	jobs     map[string]*bookkeeping.Job
+	jobs     map[string]*records.Job
 	demand   map[string]float64 // CPUs of unfinished tasks, by team
-	surges   bookkeeping.Surges
+	surges   records.Surges
 	moved    map[string]int // tasks that are on record as moved in the surge under way, by team
 	odd      []string       // keys that can't be read
 }
@@ -69,7 +69,7 @@
 
 func newFleetLoad() *fleetLoad {
 	return &fleetLoad{types: map[string]*protocol.MachineType{}, machines: map[string]*machineLoad{},
-		jobs: map[string]*bookkeeping.Job{}, demand: map[string]float64{}, moved: map[string]int{}}
+		jobs: map[string]*records.Job{}, demand: map[string]float64{}, moved: map[string]int{}}
 }
 
 // readFleet reads the records. They are read one kind after the other while work goes on, so
@@ -80,8 +80,8 @@
 		prefix string
 		take   func(protocol.Item) error
 	}{
-		{bookkeeping.KeyTypes, f.takeTypes}, {bookkeeping.PrefixSurges, f.takeSurges}, {bookkeeping.PrefixActive, f.takeJob},
-		{bookkeeping.PrefixMachines, f.takeMachines}, {bookkeeping.PrefixChunks, f.takeChunk},
+		{records.KeyTypes, f.takeTypes}, {records.PrefixSurges, f.takeSurges}, {records.PrefixActive, f.takeJob},
+		{records.PrefixMachines, f.takeMachines}, {records.PrefixChunks, f.takeChunk},
 	} {
 		err := readKeys(ctx, s, part.prefix, func(it protocol.Item) {
 			if part.take(it) != nil {
@@ -117,7 +117,7 @@
 func (f *fleetLoad) takeSurges(it protocol.Item) error { return protocol.Decode(it.Value, &f.surges) }
 
 func (f *fleetLoad) takeJob(it protocol.Item) error {
-	var r bookkeeping.Job
+	var r records.Job
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 }
 
 func (f *fleetLoad) takeMachines(it protocol.Item) error {
-	var r bookkeeping.Machines
+	var r records.Machines
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
 	}
@@ -140,12 +140,12 @@
 }
 
 func (f *fleetLoad) takeChunk(it protocol.Item) error {
-	id, index, ok := bookkeeping.ParseChunkKey(it.Key)
+	id, index, ok := records.ParseChunkKey(it.Key)
 	job := f.jobs[id]
 	if !ok {
 		return fmt.Errorf("no chunk's key: %q", it.Key)
 	}
-	var r bookkeeping.Chunk
+	var r records.Chunk
 	if err := protocol.Decode(it.Value, &r); err != nil || job == nil {
 		return err // without a job: it has just ended
 	}
--- a/cmd/brasskeel/balance_test.go
+++ b/cmd/brasskeel/balance_test.go
@@ -4,18 +4,18 @@
 	"strings"
 	"testing"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // What operators are shown of loads follows the records: who takes which part of a machine,
 // who surges, and what can't be read.
 func TestBalanceShown(t *testing.T) {
 	f := newFleetLoad()
-	job := func(id, team string, tasks int, cpus float64) bookkeeping.Job {
-		return bookkeeping.Job{Chunk: 96, Spec: &protocol.Job{ID: id, Team: team, Tasks: tasks, CPUs: cpus, MemGB: 1}}
+	job := func(id, team string, tasks int, cpus float64) records.Job {
+		return records.Job{Chunk: 96, Spec: &protocol.Job{ID: id, Team: team, Tasks: tasks, CPUs: cpus, MemGB: 1}}
 	}
-	done := bookkeeping.Chunk{Tasks: []bookkeeping.TaskRecord{{Offset: 1, Attempt: 1, Machine: "vm-1"}, {Offset: 2, Attempt: 2, Machine: "vm-2"}, {Offset: 3, Attempt: 1}}}
+	done := records.Chunk{Tasks: []records.TaskRecord{{Offset: 1, Attempt: 1, Machine: "vm-1"}, {Offset: 2, Attempt: 2, Machine: "vm-2"}, {Offset: 3, Attempt: 1}}}
 	done.SetDone([]bool{true, false, false, false})
 	done.SetMoved(1764680000000, []bool{true, false, true, false})
 	for _, it := range []struct {
@@ -24,18 +24,18 @@
 		value any
 		bad   bool
 	}{
-		{f.takeTypes, bookkeeping.KeyTypes, []protocol.MachineType{{Name: "small", CPUs: 4, MemGB: 16}}, false},
-		{f.takeSurges, bookkeeping.KeySurges, bookkeeping.Surges{"red": {Number: 1764680000000, Level: 2}}, false},
-		{f.takeJob, bookkeeping.KeyActive("run-1"), job("run-1", "red", 4, 2), false},
-		{f.takeJob, bookkeeping.KeyActive("run-2"), job("run-2", "blue", 1, 1), false},
-		{f.takeMachines, bookkeeping.KeyMachines(0, 1, 1), bookkeeping.Machines{Type: "small", Zone: "a", Machines: []bookkeeping.Machine{{Name: "vm-1"}, {Name: "vm-2"}}}, false},
-		{f.takeChunk, bookkeeping.KeyChunk("run-1", 0), done, false},
-		{f.takeChunk, bookkeeping.KeyChunk("run-2", 0), bookkeeping.Chunk{Tasks: []bookkeeping.TaskRecord{{Attempt: 1, Machine: "vm-2"}}}, false},
-		{f.takeChunk, bookkeeping.KeyChunk("run-9", 0), bookkeeping.Chunk{}, false}, // its job has just ended
-		{f.takeChunk, "c/odd", bookkeeping.Chunk{}, true},
+		{f.takeTypes, records.KeyTypes, []protocol.MachineType{{Name: "small", CPUs: 4, MemGB: 16}}, false},
+		{f.takeSurges, records.KeySurges, records.Surges{"red": {Number: 1764680000000, Level: 2}}, false},
+		{f.takeJob, records.KeyActive("run-1"), job("run-1", "red", 4, 2), false},
+		{f.takeJob, records.KeyActive("run-2"), job("run-2", "blue", 1, 1), false},
+		{f.takeMachines, records.KeyMachines(0, 1, 1), records.Machines{Type: "small", Zone: "a", Machines: []records.Machine{{Name: "vm-1"}, {Name: "vm-2"}}}, false},
+		{f.takeChunk, records.KeyChunk("run-1", 0), done, false},
+		{f.takeChunk, records.KeyChunk("run-2", 0), records.Chunk{Tasks: []records.TaskRecord{{Attempt: 1, Machine: "vm-2"}}}, false},
+		{f.takeChunk, records.KeyChunk("run-9", 0), records.Chunk{}, false}, // its job has just ended
+		{f.takeChunk, "c/odd", records.Chunk{}, true},
 		{f.takeMachines, "m/odd", "no record", true},
 	} {
-		if err := it.take(protocol.Item{Key: it.key, Value: bookkeeping.Encode(it.value)}); (err != nil) != it.bad {
+		if err := it.take(protocol.Item{Key: it.key, Value: records.Encode(it.value)}); (err != nil) != it.bad {
 			t.Errorf("%s: %v", it.key, err)
 		}
 	}
--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -37,7 +37,7 @@
 // what the steps ask for is done.
 type control struct {
 	cfg   *config.Settings
-	node  *coordination.Node
+	node  *coordination.Controller
 	loop  *transport.Loop
 	peers *transport.Peers
 	timer *time.Timer
--- a/cmd/brasskeel/shards.go
+++ b/cmd/brasskeel/shards.go
@@ -8,10 +8,10 @@
 
 	"github.com/spf13/cobra"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 func shardsCommand() *cobra.Command {
@@ -38,7 +38,7 @@
 // that can't be read.
 func readShards(ctx context.Context, s *config.Settings) (table *shard.Table, odd []error, err error) {
 	table = shard.NewTable()
-	err = readKeys(ctx, s, bookkeeping.PrefixShards, func(it protocol.Item) {
+	err = readKeys(ctx, s, records.PrefixShards, func(it protocol.Item) {
 		if err := table.Put(it.Key, it.Value, it.Version); err != nil {
 			odd = append(odd, err)
 		}
--- a/cmd/standin/cluster.go
+++ b/cmd/standin/cluster.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"brasskeel/internal/standin"
+	"brasskeel/internal/simulator"
 )
 
 // Errors of a run.
@@ -44,7 +44,7 @@
 }
 
 // run starts a cluster, does something with it once it is ready, and ends it.
-func (f *clusterFlags) run(ctx context.Context, do func(*standin.Live) error) error {
+func (f *clusterFlags) run(ctx context.Context, do func(*simulator.Live) error) error {
 	options, err := f.options()
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 	} else if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return err
 	}
-	live, err := standin.NewLive(options)
+	live, err := simulator.NewLive(options)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 }
 
 // start starts the controllers and waits until they are ready.
-func start(ctx context.Context, live *standin.Live) error {
+func start(ctx context.Context, live *simulator.Live) error {
 	if err := live.StartControllers(); err != nil {
 		return err
 	}
@@ -82,9 +82,9 @@
 	return live.AwaitReady(ctx)
 }
 
-func (f *clusterFlags) options() (standin.LiveOptions, error) {
-	o := standin.LiveOptions{Binary: f.binary, Operator: f.operator, Dir: f.dir,
-		Options: standin.Options{Nodes: f.controllers, Machines: f.machines, Capacity: capacity, Log: os.Stderr}}
+func (f *clusterFlags) options() (simulator.LiveOptions, error) {
+	o := simulator.LiveOptions{Binary: f.binary, Operator: f.operator, Dir: f.dir,
+		Options: simulator.Options{Nodes: f.controllers, Machines: f.machines, Capacity: capacity, Log: os.Stderr}}
 	if f.controllers < 1 || f.machines < 0 {
 		return o, fmt.Errorf("%d controllers and %d machines are no cluster", f.controllers, f.machines)
 	}
@@ -99,7 +99,7 @@
 }
 
 // parseExternal reads the value of --external.
-func parseExternal(text string) (m standin.ExternalMachine, err error) {
+func parseExternal(text string) (m simulator.ExternalMachine, err error) {
 	fields := map[string]*string{"name": &m.Name, "type": &m.Type, "zone": &m.Zone, "endpoint": &m.Endpoint}
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(part, "=")
--- a/cmd/standin/experiment.go
+++ b/cmd/standin/experiment.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"brasskeel/internal/standin"
+	"brasskeel/internal/simulator"
 )
 
 func experimentCommand() *cobra.Command {
@@ -28,7 +28,7 @@
 		if err != nil {
 			return err
 		}
-		e, err := standin.ParseExperiment(raw)
+		e, err := simulator.ParseExperiment(raw)
 		if err != nil {
 			return err
 		}
@@ -51,7 +51,7 @@
 }
 
 // brokenRules is an error if any rule was broken.
-func brokenRules(outcomes []standin.Outcome) error {
+func brokenRules(outcomes []simulator.Outcome) error {
 	for _, o := range outcomes {
 		if len(o.Broken) > 0 {
 			return fmt.Errorf("%d rules broken with the setting %s, first: %s", len(o.Broken), o.Setting, o.Broken[0])
@@ -61,30 +61,30 @@
 }
 
 // showOutcomes prints a column for each setting. All figures are from simulated machines.
-func showOutcomes(out io.Writer, e *standin.Experiment, outcomes []standin.Outcome) {
+func showOutcomes(out io.Writer, e *simulator.Experiment, outcomes []simulator.Outcome) {
 	fmt.Fprintf(out, "%s: %d simulated machines at the start, %d s, %d seeds\n", e.Name, e.Machines, e.Seconds, e.Seeds)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	row := func(name string, value func(*standin.Outcome) string) {
+	row := func(name string, value func(*simulator.Outcome) string) {
 		fmt.Fprint(w, name)
 		for i := range outcomes {
 			fmt.Fprint(w, "\t", value(&outcomes[i]))
 		}
 		fmt.Fprintln(w)
 	}
-	row("", func(o *standin.Outcome) string { return o.Setting })
-	row("jobs done", func(o *standin.Outcome) string { return fmt.Sprintf("%d of %d", o.Done, o.Jobs) })
-	row("hottest machine, mean over time", func(o *standin.Outcome) string { return percent(mean(o.Hottest)) })
-	row("99% of machines below, mean over time", func(o *standin.Outcome) string { return percent(mean(o.High)) })
-	row("all machines, mean", func(o *standin.Outcome) string { return percent(mean(o.Mean)) })
-	row("machine time with a team above its ceiling", func(o *standin.Outcome) string { return percent(o.Above) })
-	row("tasks moved", func(o *standin.Outcome) string { return fmt.Sprint(o.Moves) })
-	row("moves per job", func(o *standin.Outcome) string { return fmt.Sprintf("%.3f", o.MovesPerJob) })
-	row("wasted work, CPU seconds", func(o *standin.Outcome) string { return fmt.Sprintf("%.0f", o.Wasted) })
-	row("placed on holders", func(o *standin.Outcome) string { return percent(o.Held) })
-	row("fetched GB", func(o *standin.Outcome) string { return fmt.Sprintf("%.0f", o.FetchedGB) })
-	row("changes in the state service", func(o *standin.Outcome) string { return fmt.Sprint(o.Changes) })
+	row("", func(o *simulator.Outcome) string { return o.Setting })
+	row("jobs done", func(o *simulator.Outcome) string { return fmt.Sprintf("%d of %d", o.Done, o.Jobs) })
+	row("hottest machine, mean over time", func(o *simulator.Outcome) string { return percent(mean(o.Hottest)) })
+	row("99% of machines below, mean over time", func(o *simulator.Outcome) string { return percent(mean(o.High)) })
+	row("all machines, mean", func(o *simulator.Outcome) string { return percent(mean(o.Mean)) })
+	row("machine time with a team above its ceiling", func(o *simulator.Outcome) string { return percent(o.Above) })
+	row("tasks moved", func(o *simulator.Outcome) string { return fmt.Sprint(o.Moves) })
+	row("moves per job", func(o *simulator.Outcome) string { return fmt.Sprintf("%.3f", o.MovesPerJob) })
+	row("wasted work, CPU seconds", func(o *simulator.Outcome) string { return fmt.Sprintf("%.0f", o.Wasted) })
+	row("placed on holders", func(o *simulator.Outcome) string { return percent(o.Held) })
+	row("fetched GB", func(o *simulator.Outcome) string { return fmt.Sprintf("%.0f", o.FetchedGB) })
+	row("changes in the state service", func(o *simulator.Outcome) string { return fmt.Sprint(o.Changes) })
 	for _, team := range slices.Sorted(maps.Keys(outcomes[0].Waits)) {
-		row("wait of "+team+", median and 99%", func(o *standin.Outcome) string {
+		row("wait of "+team+", median and 99%", func(o *simulator.Outcome) string {
 			return fmt.Sprintf("%.2f s, %.2f s", o.Waits[team].Median, o.Waits[team].Most)
 		})
 	}
@@ -102,14 +102,14 @@
 }
 
 // writeReport writes all outcomes as JSON; without a file's name it does nothing.
-func writeReport(file string, e *standin.Experiment, outcomes []standin.Outcome) error {
+func writeReport(file string, e *simulator.Experiment, outcomes []simulator.Outcome) error {
 	if file == "" {
 		return nil
 	}
 	raw, err := json.MarshalIndent(struct {
-		Experiment *standin.Experiment `json:"experiment"`
-		Simulated  bool                `json:"simulatedMachines"`
-		Outcomes   []standin.Outcome   `json:"outcomes"`
+		Experiment *simulator.Experiment `json:"experiment"`
+		Simulated  bool                  `json:"simulatedMachines"`
+		Outcomes   []simulator.Outcome   `json:"outcomes"`
 	}{e, true, outcomes}, "", "  ")
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 
 // writePlot draws the loads of the hottest machine and of all over time, as a self-contained
 // SVG; without a file's name it does nothing.
-func writePlot(file string, e *standin.Experiment, outcomes []standin.Outcome) error {
+func writePlot(file string, e *simulator.Experiment, outcomes []simulator.Outcome) error {
 	if file == "" {
 		return nil
 	}
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -8,12 +8,12 @@
 
 	"github.com/spf13/cobra"
 
-	"brasskeel/internal/standin"
+	"brasskeel/internal/simulator"
 )
 
 func loadCommand() *cobra.Command {
 	var flags clusterFlags
-	var load standin.Load
+	var load simulator.Load
 	var within time.Duration
 	c := &cobra.Command{Use: "load", Short: "Run controllers under a stream of jobs and say how they did", Args: cobra.NoArgs}
 	flags.add(c)
@@ -25,7 +25,7 @@
 		if load.Jobs < 1 || !(load.Rate > 0) || load.Run <= 0 {
 			return fmt.Errorf("%d jobs of %s at %g per second are no load", load.Jobs, load.Run, load.Rate)
 		}
-		return flags.run(cmd.Context(), func(live *standin.Live) error {
+		return flags.run(cmd.Context(), func(live *simulator.Live) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), within)
 			defer cancel()
 			summary, err := live.Load(ctx, load)
@@ -36,7 +36,7 @@
 	return c
 }
 
-func summarize(out io.Writer, s standin.LoadSummary) {
+func summarize(out io.Writer, s simulator.LoadSummary) {
 	fmt.Fprintf(out, "jobs      %d, accepted %d, done %d\n", s.Jobs, s.Accepted, s.Done)
 	fmt.Fprintf(out, "accepted  p50 %s, p99 %s\n", rounded(s.Submit.P50), rounded(s.Submit.P99))
 	fmt.Fprintf(out, "started   p50 %s, p99 %s\n", rounded(s.Start.P50), rounded(s.Start.P99))
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"brasskeel/internal/protocol"
-	"brasskeel/internal/standin"
+	"brasskeel/internal/simulator"
 )
 
 // commandWithin bounds all that a test waits for, and pollEvery is how often its user asks.
@@ -137,7 +137,7 @@
 		return err
 	}
 	go func() { _, _ = io.Copy(io.Discard, out) }()
-	job := standin.SampleJob("run-000001", 500*time.Millisecond)
+	job := simulator.SampleJob("run-000001", 500*time.Millisecond)
 	if _, err := insist(ctx, "POST", jobs, protocol.EncodeJob(&job)); err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 }
 
 func TestParseExternal(t *testing.T) {
-	want := standin.ExternalMachine{Name: "home-1", Type: "large", Zone: "a", Endpoint: "127.0.0.1:9000"}
+	want := simulator.ExternalMachine{Name: "home-1", Type: "large", Zone: "a", Endpoint: "127.0.0.1:9000"}
 	got, err := parseExternal("name=home-1,type=large,zone=a,endpoint=127.0.0.1:9000")
 	if err != nil || got != want {
 		t.Errorf("%+v, %v, want %+v", got, err, want)
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // Bounds of what admission keeps in memory: a small part of what the smallest controllers
@@ -50,8 +50,8 @@
 	job string
 }
 
-func (a *admission) init(n *Node) {
-	a.bounds, a.maxNews = &n.bounds, n.maxNews()
+func (a *admission) init(c *Controller) {
+	a.bounds, a.maxNews = &c.bounds, c.maxNews()
 	a.finals = map[string]final{}
 	a.known = map[string]struct{}{}
 }
@@ -97,43 +97,43 @@
 }
 
 // route sends a request to whoever serves it.
-func (n *Node) route(id uint64, method, target string, body []byte) {
+func (c *Controller) route(id uint64, method, target string, body []byte) {
 	route, job := protocol.ParseTarget(target)
 	want := "POST"
 	switch route {
 	case protocol.RouteNone:
-		n.reply(id, 404, protocol.ErrorAnswer("no such resource"))
+		c.reply(id, 404, protocol.ErrorAnswer("no such resource"))
 		return
 	case protocol.RouteJob, protocol.RouteHealth:
 		want = "GET"
 	}
 	if method != want {
-		n.reply(id, 405, protocol.ErrorAnswer("use "+want))
+		c.reply(id, 405, protocol.ErrorAnswer("use "+want))
 		return
 	}
 	switch route {
 	case protocol.RouteHealth:
-		n.health(id)
+		c.health(id)
 		return
 	case protocol.RouteReport:
-		n.count.Reports++
-		n.report(id, body)
+		c.count.Reports++
+		c.report(id, body)
 		return
 	}
-	if n.admission.waiting >= n.maxWaiting() {
-		n.bounds.hit(boundWaiting)
-		n.refuse(id, 429, "too many requests at once")
+	if c.admission.waiting >= c.maxWaiting() {
+		c.bounds.hit(boundWaiting)
+		c.refuse(id, 429, "too many requests at once")
 		return
 	}
 	switch route {
 	case protocol.RouteJobs:
-		n.count.Submissions++
-		n.submit(id, body)
+		c.count.Submissions++
+		c.submit(id, body)
 	case protocol.RouteJob:
-		n.count.Polls++
-		n.poll(id, job)
+		c.count.Polls++
+		c.poll(id, job)
 	case protocol.RouteCancel:
-		n.cancel(id, job)
+		c.cancel(id, job)
 	}
 }
 
@@ -141,53 +141,53 @@
 // one can't: the state service refuses it while a peer still reaches it, or it is
 // cut off from both. In an outage that peers confirm, no node is better than
 // another, and leaving the balancer would only cost time when it ends.
-func (n *Node) health(id uint64) {
-	if n.storeDown() && len(n.cfg.Peers) > 0 && (n.peerReachesStore() || !n.hearsPeer()) {
-		n.refuse(id, 503, "the state service refuses this node")
+func (c *Controller) health(id uint64) {
+	if c.storeDown() && len(c.cfg.Peers) > 0 && (c.peerReachesStore() || !c.hearsPeer()) {
+		c.refuse(id, 503, "the state service refuses this node")
 		return
 	}
-	n.reply(id, 200, []byte(`{"ok":true}`))
+	c.reply(id, 200, []byte(`{"ok":true}`))
 }
 
 // refuseWithoutStore refuses what needs the state service. The connection is
 // closed: its user would go on asking this node, perhaps the only one that is cut
 // off, while a new connection may lead to another.
-func (n *Node) refuseWithoutStore(id uint64) {
-	n.out.Replies = append(n.out.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
+func (c *Controller) refuseWithoutStore(id uint64) {
+	c.out.Replies = append(c.out.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
 		Body: protocol.ErrorAnswer("the state service does not answer")})
 }
 
 // refuseForNow sends a user away whose request is one too many at the moment. Not all
 // are told to come back at the same time.
-func (n *Node) refuseForNow(id uint64) {
-	n.out.Replies = append(n.out.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + n.rng.IntN(3),
+func (c *Controller) refuseForNow(id uint64) {
+	c.out.Replies = append(c.out.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + c.rng.IntN(3),
 		Body: protocol.ErrorAnswer("too much at once")})
 }
 
 // lookup reads a job's state afresh: 0 when it was never accepted. The record
 // is read before the outcome: a job whose record is gone by the first read has
 // its outcome by the second.
-func (n *Node) lookup(job string, done func(s protocol.JobState, ok bool)) {
-	n.storeGet(bookkeeping.KeyActive(job), func(_ protocol.Item, active, ok bool) {
+func (c *Controller) lookup(job string, done func(s protocol.JobState, ok bool)) {
+	c.storeGet(records.KeyActive(job), func(_ protocol.Item, active, ok bool) {
 		if !ok {
 			done(0, false)
 			return
 		}
-		n.storeGet(bookkeeping.KeyOutcome(job), func(it protocol.Item, found, ok bool) {
+		c.storeGet(records.KeyOutcome(job), func(it protocol.Item, found, ok bool) {
 			switch {
 			case !ok:
 				done(0, false)
 			case found:
-				s, count, err := bookkeeping.DecodeOutcome(it.Value)
+				s, count, err := records.DecodeOutcome(it.Value)
 				if err != nil {
 					done(0, false)
 					return
 				}
-				n.admission.setFinal(job, s, count)
+				c.admission.setFinal(job, s, count)
 				done(s, true)
 			case active:
-				n.admission.setKnown(job)
-				s, _, _ := n.progress(job)
+				c.admission.setKnown(job)
+				s, _, _ := c.progress(job)
 				done(s, true)
 			default:
 				done(0, true)
@@ -196,54 +196,54 @@
 	})
 }
 
-func (n *Node) cancel(id uint64, job string) {
+func (c *Controller) cancel(id uint64, job string) {
 	if !protocol.ValidID(job) {
-		n.reply(id, 404, protocol.ErrorAnswer("no such job"))
+		c.reply(id, 404, protocol.ErrorAnswer("no such job"))
 		return
 	}
-	if f, ok := n.admission.finals[job]; ok {
-		n.reply(id, 200, protocol.JobAnswer(job, f.state))
+	if f, ok := c.admission.finals[job]; ok {
+		c.reply(id, 200, protocol.JobAnswer(job, f.state))
 		return
 	}
-	if n.storeDown() {
-		n.refuseWithoutStore(id)
+	if c.storeDown() {
+		c.refuseWithoutStore(id)
 		return
 	}
-	n.admission.waiting++
+	c.admission.waiting++
 	finish := func(s protocol.JobState, ok bool) {
-		n.admission.waiting--
+		c.admission.waiting--
 		switch {
 		case !ok || s != 0 && !s.Final():
-			n.refuseWithoutStore(id)
+			c.refuseWithoutStore(id)
 		case s == 0:
-			n.reply(id, 404, protocol.ErrorAnswer("no such job"))
+			c.reply(id, 404, protocol.ErrorAnswer("no such job"))
 		default:
-			n.reply(id, 200, protocol.JobAnswer(job, s))
+			c.reply(id, 200, protocol.JobAnswer(job, s))
 		}
 	}
-	n.storeGet(bookkeeping.KeyActive(job), func(it protocol.Item, found, ok bool) {
+	c.storeGet(records.KeyActive(job), func(it protocol.Item, found, ok bool) {
 		if !ok {
 			finish(0, false)
 			return
 		}
 		if !found {
-			n.lookup(job, finish)
+			c.lookup(job, finish)
 			return
 		}
-		_, done, _ := n.progress(job)
+		_, done, _ := c.progress(job)
 		// The outcome is created at most once, by this or by the leader's
 		// "done"; whoever comes second learns what the first wrote. The user is
 		// told only after that.
-		n.storeTxn(&protocol.Txn{
-			If:   []protocol.Condition{{Key: bookkeeping.KeyActive(job), Version: it.Version}, {Key: bookkeeping.KeyOutcome(job)}},
-			Then: []protocol.Op{{Put: bookkeeping.KeyOutcome(job), Value: bookkeeping.EncodeOutcome(protocol.Cancelled, done)}},
+		c.storeTxn(&protocol.Txn{
+			If:   []protocol.Condition{{Key: records.KeyActive(job), Version: it.Version}, {Key: records.KeyOutcome(job)}},
+			Then: []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
 		}, func(r txnResult, _ uint64, _ []string) {
 			switch r {
 			case txnApplied:
-				n.admission.noteFinal(job, protocol.Cancelled, done)
+				c.admission.noteFinal(job, protocol.Cancelled, done)
 				finish(protocol.Cancelled, true)
 			case txnFailed, txnUnknown:
-				n.lookup(job, finish)
+				c.lookup(job, finish)
 			default:
 				finish(0, false)
 			}
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -10,7 +10,7 @@
 
 // attach makes an attempt count: for its machine, its team's limit and its
 // job's zones, until detach.
-func (l *lead) attach(a *attempt) {
+func (l *leader) attach(a *attempt) {
 	j, m := a.job, a.machine
 	j.task(a.task).live = a
 	j.live++
@@ -41,13 +41,13 @@
 
 // detach ends an attempt's account. It must be called only on proof that the
 // attempt is gone and can't start any more.
-func (l *lead) detach(a *attempt, why string) {
+func (l *leader) detach(a *attempt, why string) {
 	j, m := a.job, a.machine
 	t := j.task(a.task)
 	if t.live != a {
 		return
 	}
-	l.n.log.Debug("attempt gone", "job", j.ID, "task", a.task, "attempt", a.number, "machine", m.Name, "why", why)
+	l.controller.log.Debug("attempt gone", "job", j.ID, "task", a.task, "attempt", a.number, "machine", m.Name, "why", why)
 	l.balance.detached(a)
 	l.setState(a, 0)
 	t.live = nil
@@ -72,7 +72,7 @@
 	if len(m.attempts) == 0 {
 		m.Taken, m.Ending, m.ReplicaCPUs, m.fixed = placement.Resources{}, placement.Resources{}, 0, 0 // no rounding left behind
 		m.kept = [protocol.Critical + 1]float64{}
-		m.emptySince = l.n.now
+		m.emptySince = l.controller.now
 	}
 	u := l.teams[j.Team]
 	u.cpus -= j.CPUs
@@ -89,7 +89,7 @@
 }
 
 // setState notes an attempt's reported state.
-func (l *lead) setState(a *attempt, s protocol.TaskState) {
+func (l *leader) setState(a *attempt, s protocol.TaskState) {
 	if a.state == s {
 		return
 	}
@@ -100,15 +100,15 @@
 		l.runs(a.job)
 		l.balance.runs(a)
 		if !a.inherited {
-			l.n.log.Debug("task runs", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
-				"within", a.job.within, "placed", l.n.now.Sub(a.placed), "age", l.n.now.Round(0).Sub(a.job.submitted))
+			l.controller.log.Debug("task runs", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
+				"within", a.job.within, "placed", l.controller.now.Sub(a.placed), "age", l.controller.now.Round(0).Sub(a.job.submitted))
 		}
 	}
-	a.state, a.since = s, l.n.now
+	a.state, a.since = s, l.controller.now
 }
 
 // taskDone notes that a task has completed, whichever attempt did it.
-func (l *lead) taskDone(j *job, i int) {
+func (l *leader) taskDone(j *job, i int) {
 	t := j.task(i)
 	if t.done || j.Kind == protocol.Service {
 		return
@@ -127,7 +127,7 @@
 
 // jobProgressed writes the outcome of a complete job and removes the records
 // of one that is over and has no attempt left.
-func (l *lead) jobProgressed(j *job) {
+func (l *leader) jobProgressed(j *job) {
 	if l.phase == loading {
 		return
 	}
@@ -143,20 +143,20 @@
 
 // jobOver notes a recorded outcome. No task of the job starts any more, and
 // those that run are stopped.
-func (l *lead) jobOver(j *job, s protocol.JobState) {
+func (l *leader) jobOver(j *job, s protocol.JobState) {
 	if j.outcome != 0 {
 		return
 	}
 	j.outcome = s
-	l.n.log.Debug("job over", "job", j.ID, "cancelled", s == protocol.Cancelled, "done", j.doneCount, "live", j.live)
+	l.controller.log.Debug("job over", "job", j.ID, "cancelled", s == protocol.Cancelled, "done", j.doneCount, "live", j.live)
 	j.waiting = nil
 	j.next = j.Tasks
-	for _, c := range j.chunks {
-		if c == nil {
+	for _, chunk := range j.chunks {
+		if chunk == nil {
 			continue
 		}
-		for i := range c.tasks {
-			if a := c.tasks[i].live; a != nil {
+		for i := range chunk.tasks {
+			if a := chunk.tasks[i].live; a != nil {
 				l.stopAttempt(a, 0)
 			}
 		}
@@ -166,7 +166,7 @@
 }
 
 // forgetJob drops a job whose records are removed.
-func (l *lead) forgetJob(j *job) {
+func (l *leader) forgetJob(j *job) {
 	delete(l.jobs, j.ID)
 	if i := slices.Index(l.order, j); i >= 0 {
 		l.order = slices.Delete(l.order, i, i+1)
@@ -175,7 +175,7 @@
 
 // stopAttempt wants an attempt ended. One whose start never left is gone at
 // once.
-func (l *lead) stopAttempt(a *attempt, grace time.Duration) {
+func (l *leader) stopAttempt(a *attempt, grace time.Duration) {
 	if a.stop && a.grace <= grace {
 		return
 	}
@@ -193,7 +193,7 @@
 
 // beingRecorded reports whether a write that holds the attempt may be under
 // way; it is dealt with when that ends.
-func (l *lead) beingRecorded(a *attempt) bool {
+func (l *leader) beingRecorded(a *attempt) bool {
 	return !a.recorded && a.job.chunk(a.task).inFlight
 }
 
@@ -201,7 +201,7 @@
 // Whoever looks for room needs the sums of a machine or a team, for every job and
 // task: found anew each time they cost a leader with thousands of waiting tasks
 // seconds at a time, more than its lease.
-func (l *lead) noteStop(a *attempt, by int) {
+func (l *leader) noteStop(a *attempt, by int) {
 	j, m, sign := a.job, a.machine, float64(by)
 	m.stops += by
 	if by > 0 {
--- a/internal/coordination/balance_ceiling.go
+++ b/internal/coordination/balance_ceiling.go
@@ -22,42 +22,42 @@
 	if b.surge(j) == 0 || j.Priority == protocol.Critical || j.within || j.Kind == protocol.Gang {
 		return nil
 	}
-	return &balance.Judge{Settings: b.settings, Now: b.l.n.now, Team: b.teams[j.Team].id, Task: j.wants()}
+	return &balance.Judge{Settings: b.settings, Now: b.l.controller.now, Team: b.teams[j.Team].id, Task: j.wants()}
 }
 
 // apply lets a judge change what ranks a machine.
 func (b *balancer) apply(g *balance.Judge, m *machine, k *candidate) {
 	k.Above = g.Above(&m.Machine, m.load)
-	k.Score -= g.Penalty(&m.Machine, m.load, b.l.n.op.ImageWeight)
+	k.Score -= g.Penalty(&m.Machine, m.load, b.l.controller.op.ImageWeight)
 }
 
 // yields reports whether a job's tasks may go above the ceiling, as nothing else will do in
 // time.
 func (b *balancer) yields(j *job) bool {
-	n, surge := b.l.n, b.surge(j)
+	c, surge := b.l.controller, b.surge(j)
 	if j.yieldedIn == surge {
 		return true
 	}
 	if j.heldIn != surge {
-		j.heldIn, j.heldSince, j.heldAsked = surge, n.now, false
+		j.heldIn, j.heldSince, j.heldAsked = surge, c.now, false
 	}
 	most := b.patience(j)
 	until := j.heldSince.Add(most)
-	if n.now.Before(until) && b.comesInTime(j, until) {
+	if c.now.Before(until) && b.comesInTime(j, until) {
 		if !j.heldAsked {
 			j.heldAsked = true
-			n.after(until.Sub(n.now)+time.Millisecond, b.l.askPlaceAlive)
+			c.after(until.Sub(c.now)+time.Millisecond, b.l.askPlaceAlive)
 		}
 		return false
 	}
 	j.yieldedIn = surge
-	n.bounds.hit(boundCeiling)
-	n.log.Debug("placing above the ceiling", "job", j.ID, "team", j.Team, "tasks", j.toStart(), "after", n.now.Sub(j.heldSince))
+	c.bounds.hit(boundCeiling)
+	c.log.Debug("placing above the ceiling", "job", j.ID, "team", j.Team, "tasks", j.toStart(), "after", c.now.Sub(j.heldSince))
 	return true
 }
 
 // roomAbove is how many more tasks of a job the machines that are left would take.
-func (l *lead) roomAbove(c *candidates, j *job) int {
+func (l *leader) roomAbove(c *candidates, j *job) int {
 	count := 0
 	for k := range c.All {
 		m := l.roomy[k.Machine]
@@ -80,8 +80,8 @@
 	if j.HasDeadline {
 		least = min(least, max(0, j.Deadline-j.Estimate))
 	}
-	for i := range b.l.n.cfg.Objectives {
-		o := &b.l.n.cfg.Objectives[i]
+	for i := range b.l.controller.cfg.Objectives {
+		o := &b.l.controller.cfg.Objectives[i]
 		if (o.Kind == "wait" || o.Kind == "finished") && o.Class == j.Class && o.Within > 0 {
 			least = min(least, o.Within)
 		}
@@ -97,7 +97,7 @@
 		b.boots = l.likelyUp()
 	}
 	for kind, up := range b.boots {
-		t := l.n.types[kind.typ]
+		t := l.controller.types[kind.typ]
 		if t != nil && !up.After(until) && (offer{t, kind.zone, kind.spot}).allows(j.Job) && j.zoneAllows(kind.zone) {
 			return true
 		}
@@ -107,7 +107,7 @@
 
 // likelyUp is when the first of the machines of a kind that boot is likely to be up. Those
 // that are late count for nothing.
-func (l *lead) likelyUp() map[offerKey]time.Time {
+func (l *leader) likelyUp() map[offerKey]time.Time {
 	list := map[offerKey]time.Time{}
 	for _, m := range l.fleetList {
 		if !l.booting(m) || l.lateBoot(m) {
--- a/internal/coordination/balance_moves.go
+++ b/internal/coordination/balance_moves.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // Running work of surging teams that is moved off hot machines. A move goes by the steps of a
@@ -52,7 +52,7 @@
 		return
 	}
 	for _, r := range b.moves.sorted() {
-		if !b.l.n.now.Before(r.until) || !b.l.open(r.to) {
+		if !b.l.controller.now.Before(r.until) || !b.l.open(r.to) {
 			b.giveUp(r, "its target is lost, or too late")
 		}
 	}
@@ -74,19 +74,19 @@
 // mayMove reports whether moves may begin: this leader has heard its machines, its right lasts,
 // and neither it nor the state service has more to do than it can.
 func (b *balancer) mayMove() bool {
-	l, n := b.l, b.l.n
-	if l.n.op.Balance == nil || !l.n.op.Balance.Moves || l.phase != active || n.storeDown() || l.fleet.partly {
+	l, c := b.l, b.l.controller
+	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != active || c.storeDown() || l.fleet.partly {
 		return false
 	}
-	if n.now.Sub(l.settled) < n.comeByThemselves() || l.right.validUntil.Sub(n.now) < l.right.ttl/2 {
+	if c.now.Sub(l.settled) < c.comeByThemselves() || l.lease.validUntil.Sub(c.now) < l.lease.ttl/2 {
 		return false
 	}
-	return !n.behind() && !n.strained() && len(l.journal.urgent) <= n.cfg.TxnOps
+	return !c.behind() && !c.strained() && len(l.journal.urgent) <= c.cfg.TxnOps
 }
 
 // plan begins the moves that pay.
 func (b *balancer) plan() {
-	l, n := b.l, b.l.n
+	l, c := b.l, b.l.controller
 	most := max(movesLeast, len(l.fleetList)/movesPart) - len(b.moves.under) - len(b.moves.gone)
 	if most <= 0 || !b.surging() {
 		return
@@ -95,8 +95,8 @@
 	if len(sources) == 0 {
 		return
 	}
-	terms := balance.Terms{Settings: b.settings, Now: n.now, Gone: gonePart, Margin: n.op.Balance.MoveMargin, Most: most,
-		Change: time.Duration(float64(time.Second) / n.cfg.StateWriteRPS)}
+	terms := balance.Terms{Settings: b.settings, Now: c.now, Gone: gonePart, Margin: c.op.Balance.MoveMargin, Most: most,
+		Change: time.Duration(float64(time.Second) / c.cfg.StateWriteRPS)}
 	moves := l.newPlanner().Cool(terms, sources)
 	if len(moves) == 0 {
 		return
@@ -106,7 +106,7 @@
 		saving, cost = saving+moves[i].Saving, cost+moves[i].Cost
 		b.begin(moves[i].Work.Of.(*attempt), l.machines[moves[i].To.Name])
 	}
-	n.log.Info("moving running work", "tasks", len(moves), "saves", saving.Round(time.Millisecond), "costs", cost.Round(time.Millisecond),
+	c.log.Info("moving running work", "tasks", len(moves), "saves", saving.Round(time.Millisecond), "costs", cost.Round(time.Millisecond),
 		"inAll", b.moves.begun, "done", b.moves.done, "lost", b.moves.lost)
 }
 
@@ -155,7 +155,7 @@
 	w := balance.Work{Task: j.wants(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Saves: j.Checkpoint > 0,
 		MayUse: j.zoneAllows, Of: a}
 	if w.Running {
-		w.Ran = b.l.n.now.Sub(a.since)
+		w.Ran = b.l.controller.now.Sub(a.since)
 	}
 	likely := time.Duration(float64(j.Estimate) * b.l.biasOf(j.Class) * m.load.Speed.Slowness())
 	w.Remaining = max(0, likely-w.Ran) // one that is overdue may end at any moment
@@ -167,14 +167,14 @@
 	l := b.l
 	t := a.job.task(a.task)
 	t.moved = b.surge(a.job)
-	r := &relocation{attempt: a, to: to, needs: placement.Needs(a.job.Job), until: l.n.now.Add(l.n.cfg.WorkerLease + a.job.Save + gonePart)}
+	r := &relocation{attempt: a, to: to, needs: placement.Needs(a.job.Job), until: l.controller.now.Add(l.controller.cfg.WorkerLease + a.job.Save + gonePart)}
 	to.holdRoom(r.needs)
 	b.moves.under[a] = r
 	b.moves.begun++
-	c := a.job.chunk(a.task)
-	c.marks = append(c.marks, a)
-	l.journal.touch(c)
-	l.n.log.Debug("task moves", "job", a.job.ID, "task", a.task, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
+	chunk := a.job.chunk(a.task)
+	chunk.marks = append(chunk.marks, a)
+	l.journal.touch(chunk)
+	l.controller.log.Debug("task moves", "job", a.job.ID, "task", a.task, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
 }
 
 // holdRoom keeps room for a task that is to move here.
@@ -215,7 +215,7 @@
 	delete(b.moves.under, r.attempt)
 	r.to.freeRoom(r.needs)
 	b.moves.lost++
-	b.l.n.log.Debug("a move came to nothing", "job", r.attempt.job.ID, "task", r.attempt.task, "to", r.to.Name, "why", why)
+	b.l.controller.log.Debug("a move came to nothing", "job", r.attempt.job.ID, "task", r.attempt.task, "to", r.to.Name, "why", why)
 }
 
 // land starts tasks whose old attempts are proven gone on their targets, before anything else
@@ -237,10 +237,10 @@
 }
 
 // lands starts a moved task on its target if it still may.
-func (l *lead) lands(r *relocation) bool {
+func (l *leader) lands(r *relocation) bool {
 	j, i, m := r.attempt.job, r.attempt.task, r.to
 	t := j.task(i)
-	if j.outcome != 0 || t.done || t.live != nil || m.removed || !l.open(m) || l.n.now.Before(j.notBefore) || l.journal.full() {
+	if j.outcome != 0 || t.done || t.live != nil || m.removed || !l.open(m) || l.controller.now.Before(j.notBefore) || l.journal.full() {
 		return false
 	}
 	if !l.takes(m, j) || !j.zoneAllows(m.Zone) || !l.underLimit(j) {
@@ -256,33 +256,33 @@
 }
 
 // setMoved puts the marks of a chunk's tasks into its record: those of the latest surge.
-func (c *chunk) setMoved(r *bookkeeping.Chunk) {
+func (chunk *chunk) setMoved(r *records.Chunk) {
 	surge := uint64(0)
-	for i := range c.tasks {
-		surge = max(surge, c.tasks[i].moved)
+	for i := range chunk.tasks {
+		surge = max(surge, chunk.tasks[i].moved)
 	}
 	if surge == 0 {
 		return
 	}
-	moved := make([]bool, len(c.tasks))
-	for i := range c.tasks {
-		moved[i] = c.tasks[i].moved == surge
+	moved := make([]bool, len(chunk.tasks))
+	for i := range chunk.tasks {
+		moved[i] = chunk.tasks[i].moved == surge
 	}
 	r.SetMoved(surge, moved)
 }
 
 // loadMoved takes the marks of a record. Where they can't be read, all tasks count as moved.
-func (c *chunk) loadMoved(r *bookkeeping.Chunk, log *slog.Logger) {
+func (chunk *chunk) loadMoved(r *records.Chunk, log *slog.Logger) {
 	if r.Surge == 0 && r.Moved == "" {
 		return
 	}
-	moved, err := r.IsMoved(len(c.tasks))
+	moved, err := r.IsMoved(len(chunk.tasks))
 	if err != nil {
-		log.Error("unreadable marks of moves", "job", c.job.ID, "chunk", c.index, "err", err)
+		log.Error("unreadable marks of moves", "job", chunk.job.ID, "chunk", chunk.index, "err", err)
 	}
-	for i := range c.tasks {
+	for i := range chunk.tasks {
 		if err != nil || moved[i] {
-			c.tasks[i].moved = r.Surge
+			chunk.tasks[i].moved = r.Surge
 		}
 	}
 }
--- a/internal/coordination/balance_moves_test.go
+++ b/internal/coordination/balance_moves_test.go
@@ -4,22 +4,22 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // movingLead is a leader with a surging team, whose task moves from one machine to another and
 // is told to stop.
-func movingLead(t *testing.T) (l *lead, a *attempt, to *machine) {
+func movingLead(t *testing.T) (l *leader, a *attempt, to *machine) {
 	t.Helper()
-	n, l, a := balancedLead(t)
-	n.op.Balance.Moves, n.op.Balance.MoveMargin = true, 1.5
-	l.settled, l.right = n.now.Add(-time.Minute), right{lease: 5, ttl: 2 * time.Second, validUntil: n.now.Add(2 * time.Second)}
-	l.balance.teams["red"].surge.Restore(n.now, balance.SurgeRecord{Number: 7, Level: 1})
+	c, l, a := balancedLead(t)
+	c.op.Balance.Moves, c.op.Balance.MoveMargin = true, 1.5
+	l.settled, l.lease = c.now.Add(-time.Minute), lease{id: 5, ttl: 2 * time.Second, validUntil: c.now.Add(2 * time.Second)}
+	l.balance.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
 	to = l.newMachine("vm-2", "small", "a", false)
-	to.up, to.recorded, to.heard, to.answered, to.reached = true, true, n.now, n.now, n.now
+	to.up, to.recorded, to.heard, to.answered, to.reached = true, true, c.now, c.now, c.now
 	a.seen = true
 	l.setState(a, protocol.Running)
 	l.balance.begin(a, to)
@@ -34,7 +34,7 @@
 	if !a.stop || to.HasRoom(whole) {
 		t.Fatalf("told to stop: %t, room for others: %t", a.stop, to.HasRoom(whole))
 	}
-	l.n.now = l.balance.moves.under[a].until
+	l.controller.now = l.balance.moves.under[a].until
 	l.balance.moveStep()
 	if len(l.balance.moves.under) != 0 || to.Held != (placement.Resources{}) || !to.HasRoom(whole) {
 		t.Errorf("held %+v although the move took too long", to.Held)
@@ -59,23 +59,23 @@
 // A task whose old attempt is gone starts on its target if everything still allows it, and
 // waits like others otherwise. Either way the room isn't held any more.
 func TestMoveLands(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
-		change func(l *lead, a *attempt, to *machine)
+		change func(l *leader, a *attempt, to *machine)
 		lands  bool
 		waits  bool
 	}{
 		{name: "all is well", lands: true},
-		{name: "the target is gone", change: func(l *lead, _ *attempt, to *machine) { to.removed = true }, waits: true},
-		{name: "the target is silent", change: func(l *lead, _ *attempt, to *machine) { to.heard = l.n.now.Add(-time.Minute) }, waits: true},
-		{name: "the target is to be taken", change: func(l *lead, _ *attempt, to *machine) { to.noticeAt = l.n.now }, waits: true},
-		{name: "the target is full", change: func(_ *lead, _ *attempt, to *machine) { to.Taken.CPUs = 4 }, waits: true},
-		{name: "the team is at its limit", change: func(l *lead, _ *attempt, _ *machine) { l.teams["red"].cpus = 16 }, waits: true},
-		{name: "its zone is closed", change: func(_ *lead, a *attempt, _ *machine) { a.job.OneZone, a.job.zones["b"] = true, 1 }, waits: true},
-		{name: "the target failed the job", change: func(_ *lead, a *attempt, to *machine) { to.failures[a.job.ID] = 1 }, waits: true},
-		{name: "the job is over", change: func(l *lead, a *attempt, _ *machine) { l.jobOver(a.job, protocol.Cancelled) }},
-		{name: "the task is done", change: func(l *lead, a *attempt, _ *machine) { l.taskDone(a.job, a.task) }},
-		{name: "it was started elsewhere", change: func(l *lead, a *attempt, _ *machine) {
+		{name: "the target is gone", change: func(l *leader, _ *attempt, to *machine) { to.removed = true }, waits: true},
+		{name: "the target is silent", change: func(l *leader, _ *attempt, to *machine) { to.heard = l.controller.now.Add(-time.Minute) }, waits: true},
+		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.noticeAt = l.controller.now }, waits: true},
+		{name: "the target is full", change: func(_ *leader, _ *attempt, to *machine) { to.Taken.CPUs = 4 }, waits: true},
+		{name: "the team is at its limit", change: func(l *leader, _ *attempt, _ *machine) { l.teams["red"].cpus = 16 }, waits: true},
+		{name: "its zone is closed", change: func(_ *leader, a *attempt, _ *machine) { a.job.OneZone, a.job.zones["b"] = true, 1 }, waits: true},
+		{name: "the target failed the job", change: func(_ *leader, a *attempt, to *machine) { to.failures[a.job.ID] = 1 }, waits: true},
+		{name: "the job is over", change: func(l *leader, a *attempt, _ *machine) { l.jobOver(a.job, protocol.Cancelled) }},
+		{name: "the task is done", change: func(l *leader, a *attempt, _ *machine) { l.taskDone(a.job, a.task) }},
+		{name: "it was started elsewhere", change: func(l *leader, a *attempt, _ *machine) {
 			other := l.newMachine("vm-3", "small", "a", false)
 			a.job.waiting = nil
 			l.start(a.job, a.task, other)
@@ -83,47 +83,47 @@
 	} {
 		l, a, to := movingLead(t)
 		l.detach(a, "exited")
-		if c.change != nil {
-			c.change(l, a, to)
+		if test.change != nil {
+			test.change(l, a, to)
 		}
 		l.balance.land()
 		live := a.job.task(a.task).live
-		if landed := live != nil && live.machine == to; landed != c.lands {
-			t.Errorf("%s: lands %t", c.name, landed)
+		if landed := live != nil && live.machine == to; landed != test.lands {
+			t.Errorf("%s: lands %t", test.name, landed)
 		}
-		if waits := len(a.job.waiting) == 1; waits != c.waits {
-			t.Errorf("%s: waits %t", c.name, waits)
+		if waits := len(a.job.waiting) == 1; waits != test.waits {
+			t.Errorf("%s: waits %t", test.name, waits)
 		}
 		if to.Held != (placement.Resources{}) {
-			t.Errorf("%s: %+v is still held", c.name, to.Held)
+			t.Errorf("%s: %+v is still held", test.name, to.Held)
 		}
 	}
 }
 
 // Moves begin only while this leader can stand behind them.
 func TestMayMove(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
-		change func(n *Node, l *lead)
+		change func(c *Controller, l *leader)
 		may    bool
 	}{
 		{name: "all is well", may: true},
-		{name: "moves are off", change: func(n *Node, _ *lead) { n.op.Balance.Moves = false }},
-		{name: "the state service is away", change: func(n *Node, _ *lead) { n.storeBad = n.now.Add(-time.Minute) }},
-		{name: "machines are still to be heard", change: func(n *Node, l *lead) { l.settled = n.now }},
-		{name: "the leader still settles", change: func(_ *Node, l *lead) { l.phase = settling }},
-		{name: "the right is near its end", change: func(n *Node, l *lead) { l.right.validUntil = n.now.Add(500 * time.Millisecond) }},
-		{name: "timers are late", change: func(n *Node, _ *lead) { n.lag = lagBehind + 1 }},
-		{name: "more to serve than the share allows", change: func(n *Node, _ *lead) { n.lateAt, n.lateSince = n.now, n.now.Add(-time.Minute) }},
-		{name: "the last round ended early", change: func(_ *Node, l *lead) { l.fleet.partly = true }},
-		{name: "records are behind", change: func(n *Node, l *lead) { l.journal.urgent = make([]*chunk, n.cfg.TxnOps+1) }},
+		{name: "moves are off", change: func(c *Controller, _ *leader) { c.op.Balance.Moves = false }},
+		{name: "the state service is away", change: func(c *Controller, _ *leader) { c.storeBad = c.now.Add(-time.Minute) }},
+		{name: "machines are still to be heard", change: func(c *Controller, l *leader) { l.settled = c.now }},
+		{name: "the leader still settles", change: func(_ *Controller, l *leader) { l.phase = settling }},
+		{name: "the right is near its end", change: func(c *Controller, l *leader) { l.lease.validUntil = c.now.Add(500 * time.Millisecond) }},
+		{name: "timers are late", change: func(c *Controller, _ *leader) { c.lag = lagBehind + 1 }},
+		{name: "more to serve than the share allows", change: func(c *Controller, _ *leader) { c.lateAt, c.lateSince = c.now, c.now.Add(-time.Minute) }},
+		{name: "the last round ended early", change: func(_ *Controller, l *leader) { l.fleet.partly = true }},
+		{name: "records are behind", change: func(c *Controller, l *leader) { l.journal.urgent = make([]*chunk, c.cfg.TxnOps+1) }},
 	} {
 		l, _, _ := movingLead(t)
-		if c.change != nil {
-			c.change(l.n, l)
+		if test.change != nil {
+			test.change(l.controller, l)
 		}
-		if got := l.balance.mayMove(); got != c.may {
-			t.Errorf("%s: %t", c.name, got)
+		if got := l.balance.mayMove(); got != test.may {
+			t.Errorf("%s: %t", test.name, got)
 		}
 	}
 }
@@ -132,12 +132,12 @@
 // counts for all tasks of the record.
 func TestMarksOfMoves(t *testing.T) {
 	l, a, _ := movingLead(t)
-	c := a.job.chunk(a.task)
-	var r bookkeeping.Chunk
-	c.setMoved(&r)
-	load := func(r bookkeeping.Chunk) (moved int) {
-		tasks := &chunk{job: a.job, tasks: make([]task, len(c.tasks))}
-		tasks.loadMoved(&r, l.n.log)
+	record := a.job.chunk(a.task)
+	var r records.Chunk
+	record.setMoved(&r)
+	load := func(r records.Chunk) (moved int) {
+		tasks := &chunk{job: a.job, tasks: make([]task, len(record.tasks))}
+		tasks.loadMoved(&r, l.controller.log)
 		for i := range tasks.tasks {
 			if tasks.tasks[i].moved == 7 {
 				moved++
@@ -149,8 +149,8 @@
 		t.Errorf("%d tasks are marked in surge %d", got, r.Surge)
 	}
 	r.Moved = "!"
-	if got := load(r); got != len(c.tasks) {
-		t.Errorf("%d tasks of %d count as moved where the mark can't be read", got, len(c.tasks))
+	if got := load(r); got != len(record.tasks) {
+		t.Errorf("%d tasks of %d count as moved where the mark can't be read", got, len(record.tasks))
 	}
 	if l.balance.movable(a) {
 		t.Error("it may be moved once more in the surge")
--- a/internal/coordination/balance_teams.go
+++ b/internal/coordination/balance_teams.go
@@ -3,17 +3,17 @@
 import (
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // balancer is the leader's part in balance: it tells the loads of machines what happens, and
 // bounds what surging teams may put on one. It is nil where operators didn't turn balance on;
 // its methods then do nothing.
 type balancer struct {
-	l        *lead
+	l        *leader
 	settings balance.Settings
 	teams    map[string]*balancedTeam
 	classes  map[classOnType]*balance.Runs
@@ -30,16 +30,16 @@
 // classOnType is a kind of tasks whose run times are compared.
 type classOnType struct{ class, machineType string }
 
-func newBalancer(l *lead) *balancer {
-	o := l.n.op.Balance
+func newBalancer(l *leader) *balancer {
+	o := l.controller.op.Balance
 	if o == nil {
 		return nil
 	}
 	settings := balance.Settings{CeilingShare: o.CeilingShare, FetchQueue: o.FetchQueue(), Trade: o.Trade()}
 	b := &balancer{l: l, settings: settings, teams: map[string]*balancedTeam{}, classes: map[classOnType]*balance.Runs{}}
 	b.moves.under = map[*attempt]*relocation{}
-	for i := range l.n.cfg.Teams {
-		b.teams[l.n.cfg.Teams[i].Name] = &balancedTeam{id: balance.Team(i)}
+	for i := range l.controller.cfg.Teams {
+		b.teams[l.controller.cfg.Teams[i].Name] = &balancedTeam{id: balance.Team(i)}
 	}
 	return b
 }
@@ -63,7 +63,7 @@
 	}
 	// What an earlier leader's attempts wait for isn't known.
 	if !a.inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.Bytes(a.job.image) == 0 {
-		m.load.Fetches.Want(b.l.n.now, a.job.image, a.job.ImageGB, m.Spec.FetchRate)
+		m.load.Fetches.Want(b.l.controller.now, a.job.image, a.job.ImageGB, m.Spec.FetchRate)
 	}
 }
 
@@ -77,14 +77,14 @@
 		m.load.Free(t.id, placement.Needs(a.job.Job))
 	}
 	if a.state != protocol.Running && a.state != protocol.Saving && m.Spec != nil {
-		m.load.Fetches.GiveUp(b.l.n.now, a.job.image, m.Spec.FetchRate)
+		m.load.Fetches.GiveUp(b.l.controller.now, a.job.image, m.Spec.FetchRate)
 	}
 }
 
 // runs notes that an attempt has its image.
 func (b *balancer) runs(a *attempt) {
 	if b != nil && a.machine.Spec != nil {
-		a.machine.load.Fetches.Done(b.l.n.now, a.job.image, a.machine.Spec.FetchRate)
+		a.machine.load.Fetches.Done(b.l.controller.now, a.job.image, a.machine.Spec.FetchRate)
 	}
 }
 
@@ -124,15 +124,15 @@
 	}
 	changed := false
 	worth := b.smallestMachine()
-	for i := range b.l.n.cfg.Teams {
-		name := b.l.n.cfg.Teams[i].Name
+	for i := range b.l.controller.cfg.Teams {
+		name := b.l.controller.cfg.Teams[i].Name
 		t := b.teams[name]
-		switch t.surge.Observe(b.l.n.now.Round(0), demand[name], worth) {
+		switch t.surge.Observe(b.l.controller.now.Round(0), demand[name], worth) {
 		case balance.Begun:
-			b.l.n.log.Info("surge begins", "team", name, "surge", t.surge.Number(), "cpus", demand[name])
+			b.l.controller.log.Info("surge begins", "team", name, "surge", t.surge.Number(), "cpus", demand[name])
 			changed = true
 		case balance.Ended:
-			b.l.n.log.Info("surge ends", "team", name, "cpus", demand[name])
+			b.l.controller.log.Info("surge ends", "team", name, "cpus", demand[name])
 			changed = true
 		}
 	}
@@ -144,7 +144,7 @@
 // smallestMachine is the CPUs of the smallest machine type.
 func (b *balancer) smallestMachine() float64 {
 	least := 0.0
-	for _, t := range b.l.n.types {
+	for _, t := range b.l.controller.types {
 		if least == 0 || t.CPUs < least {
 			least = t.CPUs
 		}
@@ -154,27 +154,27 @@
 
 // record keeps the surges under way for the next leader.
 func (b *balancer) record() {
-	surges := bookkeeping.Surges{}
+	surges := records.Surges{}
 	for name, t := range b.teams {
 		if r, under := t.surge.Record(); under {
-			surges[name] = bookkeeping.Surge(r)
+			surges[name] = records.Surge(r)
 		}
 	}
-	b.l.journal.extra = append(b.l.journal.extra, protocol.Op{Put: bookkeeping.KeySurges, Value: bookkeeping.Encode(surges)})
+	b.l.journal.extra = append(b.l.journal.extra, protocol.Op{Put: records.KeySurges, Value: records.Encode(surges)})
 }
 
 // restore takes the surges on record.
 func (b *balancer) restore(items []protocol.Item) {
 	for _, it := range items {
-		var surges bookkeeping.Surges
+		var surges records.Surges
 		if err := protocol.Decode(it.Value, &surges); err != nil {
-			b.l.n.log.Error("unreadable record of surges", "key", it.Key, "err", err)
+			b.l.controller.log.Error("unreadable record of surges", "key", it.Key, "err", err)
 			continue
 		}
 		for name, r := range surges {
 			if t := b.teams[name]; t != nil && r.Number > 0 {
-				t.surge.Restore(b.l.n.now.Round(0), balance.SurgeRecord(r))
-				b.l.n.log.Info("surge under way", "team", name, "surge", r.Number)
+				t.surge.Restore(b.l.controller.now.Round(0), balance.SurgeRecord(r))
+				b.l.controller.log.Info("surge under way", "team", name, "surge", r.Number)
 			}
 		}
 	}
--- a/internal/coordination/balance_teams_test.go
+++ b/internal/coordination/balance_teams_test.go
@@ -4,28 +4,28 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // balancedLead is a leader with balance on, and a task on a machine that reported once.
-func balancedLead(t *testing.T) (*Node, *lead, *attempt) {
+func balancedLead(t *testing.T) (*Controller, *leader, *attempt) {
 	t.Helper()
-	n, l := leading(active)
-	n.op.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
+	c, l := leading(active)
+	c.op.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
 	l.balance = newBalancer(l)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	m.recorded, m.reached = true, n.now
+	m.recorded, m.reached = true, c.now
 	s := spec("run-000001")
 	s.Image, s.ImageGB = "img-1", 2
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 8, Spec: s})
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: s})
 	l.assign(l.order[0], 0, m)
 	a := l.order[0].task(0).live
 	a.recorded = true
-	return n, l, a
+	return c, l, a
 }
 
 // stateReport is a report that shows an attempt in a state.
@@ -36,27 +36,27 @@
 
 // Load follows what workers show, and nothing that is a copy or older.
 func TestLoadFollowsReports(t *testing.T) {
-	n, l, a := balancedLead(t)
+	c, l, a := balancedLead(t)
 	m := a.machine
-	queued := func() time.Duration { return m.load.Fetches.Queued(n.now, m.Spec.FetchRate) }
+	queued := func() time.Duration { return m.load.Fetches.Queued(c.now, m.Spec.FetchRate) }
 	if r, tasks := m.load.Reserved(l.balance.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
 		t.Fatalf("reserved %+v by %d, %s queued", r, tasks, queued())
 	}
-	n.Request(n.now, 2, "POST", protocol.PathReport, stateReport(a, 1, 5, protocol.Fetching))
-	n.Request(n.now, 3, "POST", protocol.PathReport, stateReport(a, 1, 4, protocol.Running)) // a copy, or held up
+	c.Request(c.now, 2, "POST", protocol.PathReport, stateReport(a, 1, 5, protocol.Fetching))
+	c.Request(c.now, 3, "POST", protocol.PathReport, stateReport(a, 1, 4, protocol.Running)) // a copy, or held up
 	if queued() != 2*time.Second {
 		t.Errorf("%s queued after an older report", queued())
 	}
-	n.Request(n.now, 4, "POST", protocol.PathReport, stateReport(a, 1, 6, protocol.Running))
+	c.Request(c.now, 4, "POST", protocol.PathReport, stateReport(a, 1, 6, protocol.Running))
 	if queued() != 0 {
 		t.Errorf("%s queued while the task runs", queued())
 	}
-	m.load.Fetches.Want(n.now, 99, 5, m.Spec.FetchRate)
-	n.Request(n.now, 5, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 2, Seq: 7, Token: 1 << 16}))
+	m.load.Fetches.Want(c.now, 99, 5, m.Spec.FetchRate)
+	c.Request(c.now, 5, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 2, Seq: 7, Token: 1 << 16}))
 	if _, tasks := m.load.Reserved(l.balance.teams["red"].id); tasks != 0 || queued() != 0 {
 		t.Errorf("%d tasks and %s queued in a new session", tasks, queued())
 	}
-	n.Request(n.now, 6, "POST", protocol.PathReport, stateReport(a, 1, 9, protocol.Running))
+	c.Request(c.now, 6, "POST", protocol.PathReport, stateReport(a, 1, 9, protocol.Running))
 	if _, tasks := m.load.Reserved(l.balance.teams["red"].id); tasks != 0 {
 		t.Errorf("%d tasks after a report of an earlier session", tasks)
 	}
@@ -65,11 +65,11 @@
 // Surges that can't be read are told of and count as none.
 func TestUnreadableSurges(t *testing.T) {
 	_, l, a := balancedLead(t)
-	l.balance.restore([]protocol.Item{{Key: bookkeeping.KeySurges, Value: []byte(`{"red": "soon"}`)}})
+	l.balance.restore([]protocol.Item{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
 	if l.balance.surge(a.job) != 0 {
 		t.Error("a surge was guessed at")
 	}
-	l.balance.restore([]protocol.Item{{Key: bookkeeping.KeySurges, Value: bookkeeping.Encode(bookkeeping.Surges{"red": {Number: 5, Level: 1}, "nobody": {Number: 6}})}})
+	l.balance.restore([]protocol.Item{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, Level: 1}, "nobody": {Number: 6}})}})
 	if l.balance.surge(a.job) != 5 {
 		t.Error("the surge on record isn't under way")
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // benchSizes are the fleets of the benchmarks, in machines. What an event costs must not grow
@@ -29,21 +29,21 @@
 func benchJobs(machines int) int { return machines * 3 / 8 }
 
 // largeLead is a leader of a large, empty fleet with many waiting jobs.
-func largeLead(machines, jobs int) (*Node, *lead) {
-	n, l := leading(active)
-	n.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
-	n.teams["blue"] = &config.Team{Name: "blue", CPUs: 3000, CPUsMax: 1e6}
+func largeLead(machines, jobs int) (*Controller, *leader) {
+	c, l := leading(active)
+	c.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
+	c.teams["blue"] = &config.Team{Name: "blue", CPUs: 3000, CPUsMax: 1e6}
 	l.teams["blue"] = &usage{}
-	n.setTypes([]protocol.MachineType{{Name: "small", CPUs: 16, MemGB: 128, CacheGB: 35, FetchRate: 1, Price: 1, SpotPrice: 0.5,
+	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 16, MemGB: 128, CacheGB: 35, FetchRate: 1, Price: 1, SpotPrice: 0.5,
 		Boot: 10 * time.Second, Zones: []string{"a"}}})
 	for i := range machines {
 		m := l.newMachine(fmt.Sprintf("vm-%06d", i), "small", "a", false)
-		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, n.now, n.now, n.now, 1, "x"
+		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 	}
 	for i := range jobs {
-		l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: benchJob(i)})
+		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(i)})
 	}
-	return n, l
+	return c, l
 }
 
 func benchJob(i int) *protocol.Job {
@@ -60,7 +60,7 @@
 }
 
 // fill places what has room, as often as records allow.
-func fill(l *lead) {
+func fill(l *leader) {
 	for range 10 + len(l.fleetList)/25 {
 		l.place()
 		l.journal.unsaved, l.journal.urgent = 0, nil
@@ -69,10 +69,10 @@
 }
 
 // runAll takes all that was placed for running.
-func runAll(l *lead) {
+func runAll(l *leader) {
 	for _, m := range l.fleetList {
 		for _, a := range m.attempts {
-			a.recorded, a.seen, a.state, a.since = true, true, protocol.Running, l.n.now
+			a.recorded, a.seen, a.state, a.since = true, true, protocol.Running, l.controller.now
 		}
 	}
 }
@@ -97,7 +97,7 @@
 			for i := range machines {
 				j := benchJob(2 + i%8)
 				j.ID, j.Tasks = fmt.Sprintf("run-%06d", i), 1
-				l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(l.n.now), Chunk: 96, Spec: j})
+				l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: j})
 			}
 			b.StartTimer()
 			l.place()
@@ -118,9 +118,9 @@
 
 func BenchmarkReport(b *testing.B) {
 	atSizes(b, func(b *testing.B, machines int) {
-		n, l := largeLead(machines, benchJobs(machines))
+		c, l := largeLead(machines, benchJobs(machines))
 		fill(l)
-		n.take()
+		c.take()
 		m := l.fleetList[0]
 		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Token: l.tenure.token()}
 		for _, a := range m.sorted() {
@@ -133,7 +133,7 @@
 			r.Seq++
 			body := protocol.EncodeReport(r)
 			b.StartTimer()
-			n.Request(n.now, id, "POST", protocol.PathReport, body)
+			c.Request(c.now, id, "POST", protocol.PathReport, body)
 		}
 	})
 }
@@ -145,10 +145,10 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		n, l := largeLead(1000, 0)
+		c, l := largeLead(1000, 0)
 		spec := benchJob(2)
 		spec.Tasks, spec.CPUs, spec.MemGB = 15000, 0.05, 0.05
-		l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: spec})
+		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 		m, j := l.fleetList[0], l.order[0]
 		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: l.tenure.token()}
 		for i := range exits {
@@ -159,9 +159,9 @@
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Job: j.ID, Index: i, Attempt: 1, State: protocol.Exited, Why: protocol.ExitDone})
 		}
 		body := protocol.EncodeReport(r)
-		n.take()
+		c.take()
 		b.StartTimer()
-		n.Request(n.now, 1, "POST", protocol.PathReport, body)
+		c.Request(c.now, 1, "POST", protocol.PathReport, body)
 	}
 }
 
@@ -169,22 +169,22 @@
 func BenchmarkTimers(b *testing.B) {
 	for _, step := range []struct {
 		name string
-		run  func(l *lead)
+		run  func(l *leader)
 	}{
-		{"watch", (*lead).watchMachines},
-		{"grow", (*lead).grow},
-		{"shrink", (*lead).shrink},
-		{"consolidate", (*lead).consolidate},
-		{"explain", func(l *lead) { l.told.at = time.Time{}; l.explain() }},
-		{"publish", func(l *lead) { l.n.publish(); l.n.out = Effects{} }},
+		{"watch", (*leader).watchMachines},
+		{"grow", (*leader).grow},
+		{"shrink", (*leader).shrink},
+		{"consolidate", (*leader).consolidate},
+		{"explain", func(l *leader) { l.told.at = time.Time{}; l.explain() }},
+		{"publish", func(l *leader) { l.controller.publish(); l.controller.out = Effects{} }},
 	} {
 		b.Run(step.name, func(b *testing.B) {
 			atSizes(b, func(b *testing.B, machines int) {
 				_, l := largeLead(machines, benchJobs(machines))
 				fill(l)
-				l.n.take()
+				l.controller.take()
 				for b.Loop() {
-					l.fleet.budget.Take(l.n.now, l.fleet.budget.Available(l.n.now)) // nothing is asked of the cloud
+					l.fleet.budget.Take(l.controller.now, l.fleet.budget.Available(l.controller.now)) // nothing is asked of the cloud
 					step.run(l)
 				}
 			})
@@ -193,7 +193,7 @@
 }
 
 // bootingFleet boots as a whole, and twice as much waits as it will hold.
-func bootingFleet(machines int) *lead {
+func bootingFleet(machines int) *leader {
 	_, l := largeLead(machines, 2*benchJobs(machines))
 	for _, m := range l.fleetList {
 		m.up = false
@@ -211,7 +211,7 @@
 	atSizes(b, func(b *testing.B, machines int) {
 		l := bootingFleet(machines)
 		for b.Loop() {
-			l.fleet.budget.Take(l.n.now, l.fleet.budget.Available(l.n.now))
+			l.fleet.budget.Take(l.controller.now, l.fleet.budget.Available(l.controller.now))
 			l.grow()
 		}
 	})
@@ -219,20 +219,20 @@
 
 // loneReplicas is a fleet where each machine holds one replica, whose image others hold that
 // have no room for it.
-func loneReplicas(machines int) *lead {
+func loneReplicas(machines int) *leader {
 	_, l := largeLead(machines, 0)
 	for i, m := range l.fleetList {
 		j := benchJob(0)
 		j.ID, j.Tasks, j.CPUs = fmt.Sprintf("run-%06d", i), 1, 7
 		j.Image = fmt.Sprintf("img-%d", i%20)
-		l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(l.n.now), Chunk: 96, Spec: j})
+		l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: j})
 		l.assign(l.order[i], 0, m)
 		l.order[i].next = 1
 		m.Images.Add(l.order[i].image, 1.5, 35)
-		m.rented = l.n.now.Add(-time.Hour)
+		m.rented = l.controller.now.Add(-time.Hour)
 		big := benchJob(2)
 		big.ID, big.Tasks, big.CPUs = fmt.Sprintf("run-%06d", machines+i), 1, 3
-		l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(l.n.now), Chunk: 96, Spec: big})
+		l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: big})
 		if i%2 == 0 {
 			l.assign(l.order[len(l.order)-1], 0, m)
 			l.order[len(l.order)-1].next = 1
@@ -262,13 +262,13 @@
 func BenchmarkLoad(b *testing.B) {
 	atSizes(b, func(b *testing.B, machines int) {
 		r := fleetRecords(machines)
-		var l *lead
+		var l *leader
 		for b.Loop() {
 			b.StopTimer()
 			l = nil
-			n, _ := leading(active)
+			c, _ := leading(active)
 			b.StartTimer()
-			if l = r.lead(n); l.phase != settling {
+			if l = r.lead(c); l.phase != settling {
 				b.Fatal("not loaded")
 			}
 		}
@@ -278,7 +278,7 @@
 }
 
 // heldBy is how much memory is freed once a leader is given up.
-func heldBy(l **lead) uint64 {
+func heldBy(l **leader) uint64 {
 	inUse := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -296,61 +296,61 @@
 	const perRecord, perMachine, perJob = 48, 16, 96
 	name := func(i int) string { return fmt.Sprintf("vm-%06d", i) }
 	for g := range (machines + perRecord - 1) / perRecord {
-		group := bookkeeping.Machines{Type: "small", Zone: "a"}
+		group := records.Machines{Type: "small", Zone: "a"}
 		for i := g * perRecord; i < min(machines, (g+1)*perRecord); i++ {
-			group.Machines = append(group.Machines, bookkeeping.Machine{Name: name(i), Addr: "10.1.0.1:9000"})
+			group.Machines = append(group.Machines, records.Machine{Name: name(i), Addr: "10.1.0.1:9000"})
 		}
-		r.put(bookkeeping.KeyMachines(0, 1, uint64(g+1)), group)
+		r.put(records.KeyMachines(0, 1, uint64(g+1)), group)
 	}
 	for i := range machines * perMachine / perJob {
 		job := benchJob(10*i + 2)
 		job.Tasks = perJob
-		r.put(bookkeeping.KeyActive(job.ID), bookkeeping.Job{Chunk: perJob, Spec: job})
-		chunk := bookkeeping.Chunk{}
+		r.put(records.KeyActive(job.ID), records.Job{Chunk: perJob, Spec: job})
+		chunk := records.Chunk{}
 		for task := range perJob {
-			chunk.Tasks = append(chunk.Tasks, bookkeeping.TaskRecord{Offset: task, Attempt: 1, Machine: name((i*perJob + task) / perMachine)})
+			chunk.Tasks = append(chunk.Tasks, records.TaskRecord{Offset: task, Attempt: 1, Machine: name((i*perJob + task) / perMachine)})
 		}
-		r.put(bookkeeping.KeyChunk(job.ID, 0), chunk)
+		r.put(records.KeyChunk(job.ID, 0), chunk)
 	}
 	return r
 }
 
 // BenchmarkSubmit takes a submission in and the answer of the state service.
 func BenchmarkSubmit(b *testing.B) {
-	n, _ := largeLead(1000, 40)
+	c, _ := largeLead(1000, 40)
 	body := protocol.EncodeJob(benchJob(2))
 	committed := protocol.EncodeRevision(7)
 	id := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		e := n.Request(n.now, id, "POST", protocol.PathJobs, body)
-		for _, c := range e.Calls {
-			n.Result(n.now, c.ID, Outcome{Answered: true, Status: 200, Body: committed})
+		e := c.Request(c.now, id, "POST", protocol.PathJobs, body)
+		for _, call := range e.Calls {
+			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: committed})
 		}
 	}
 }
 
 // BenchmarkPolls takes forty polls in, which one transaction checks.
 func BenchmarkPolls(b *testing.B) {
-	n, _ := largeLead(1000, 40)
+	c, _ := largeLead(1000, 40)
 	committed := protocol.EncodeRevision(7)
 	for i := range 40 {
-		n.admission.setKnown(benchJob(i).ID)
+		c.admission.setKnown(benchJob(i).ID)
 	}
 	id := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range 40 {
 			id++
-			e := n.Request(n.now, id, "GET", fmt.Sprintf("%s/%s", protocol.PathJobs, benchJob(i).ID), nil)
-			for _, c := range e.Calls {
-				n.Result(n.now, c.ID, Outcome{Answered: true, Status: 200, Body: committed})
+			e := c.Request(c.now, id, "GET", fmt.Sprintf("%s/%s", protocol.PathJobs, benchJob(i).ID), nil)
+			for _, call := range e.Calls {
+				c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: committed})
 			}
 		}
-		e := n.Tick(n.now.Add(2 * n.checkPause()))
-		for _, c := range e.Calls {
-			n.Result(n.now, c.ID, Outcome{Answered: true, Status: 200, Body: committed})
+		e := c.Tick(c.now.Add(2 * c.checkPause()))
+		for _, call := range e.Calls {
+			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: committed})
 		}
 	}
 }
--- a/internal/coordination/boots.go
+++ b/internal/coordination/boots.go
@@ -24,22 +24,22 @@
 	next *machine   // the one that boots for longest
 }
 
-func (l *lead) booting(m *machine) bool {
+func (l *leader) booting(m *machine) bool {
 	return !m.up && !m.draining && !m.releasing && m.Spec != nil && !l.unheard(m)
 }
 
-func (l *lead) lateBoot(m *machine) bool {
-	return l.n.now.Sub(m.rented) >= m.Spec.Boot*bootLate+bootLateMargin
+func (l *leader) lateBoot(m *machine) bool {
+	return l.controller.now.Sub(m.rented) >= m.Spec.Boot*bootLate+bootLateMargin
 }
 
 // unheard reports whether a machine that should be up by now may have reported to an
 // earlier leader, and merely not to this one yet: new leaders returned such machines as
 // if they had never come up.
-func (l *lead) unheard(m *machine) bool {
-	return m.inherited && l.lateBoot(m) && l.n.now.Sub(l.loadedAt) < l.unheardAfter()
+func (l *leader) unheard(m *machine) bool {
+	return m.inherited && l.lateBoot(m) && l.controller.now.Sub(l.loadedAt) < l.unheardAfter()
 }
 
-func (l *lead) boots() boots {
+func (l *leader) boots() boots {
 	var b boots
 	for _, m := range l.fleetList {
 		switch {
@@ -50,7 +50,7 @@
 			if l.lateBoot(m) {
 				b.late = append(b.late, m)
 			}
-		case m.up && m.Spec != nil && l.n.now.Sub(m.rented) < max(m.Spec.Boot*bootPatience, m.Spec.Boot+bootPatienceAt):
+		case m.up && m.Spec != nil && l.controller.now.Sub(m.rented) < max(m.Spec.Boot*bootPatience, m.Spec.Boot+bootPatienceAt):
 			b.came++
 		}
 	}
@@ -70,7 +70,7 @@
 
 // coming lists the room of machines that boot, leaving out those that are replaced:
 // some never come up, and work doesn't wait for them.
-func (l *lead) coming() []*bin {
+func (l *leader) coming() []*bin {
 	b := l.boots()
 	without := b.replaced()
 	var bins []*bin
@@ -88,7 +88,7 @@
 }
 
 // endBoots gives up machines that don't come up, at once those that nothing waits for.
-func (l *lead) endBoots() {
+func (l *leader) endBoots() {
 	b := l.boots()
 	idle := len(l.fleet.unmet) == 0 && len(l.fleet.held) == 0 && !l.fleet.partly
 	for _, m := range b.late {
@@ -96,7 +96,7 @@
 		if b.slow() {
 			patience = m.Spec.Boot * slowPatience
 		}
-		switch age := l.n.now.Sub(m.rented); {
+		switch age := l.controller.now.Sub(m.rented); {
 		case len(m.attempts) > 0: // it was up for an earlier leader
 		case age > patience:
 			l.release(m, "never came up")
--- a/internal/coordination/bounds.go
+++ b/internal/coordination/bounds.go
@@ -93,41 +93,41 @@
 // Sockets tells how often bounds of the sockets were reached since it was last told:
 // answers that ended their connection, connections that were shed, and calls that got no
 // socket.
-func (n *Node) Sockets(crowded, shed, busy int) {
-	n.bounds.hits(boundCrowded, crowded)
-	n.bounds.hits(boundShed, shed)
-	n.bounds.hits(boundNoSockets, busy)
+func (c *Controller) Sockets(crowded, shed, busy int) {
+	c.bounds.hits(boundCrowded, crowded)
+	c.bounds.hits(boundShed, shed)
+	c.bounds.hits(boundNoSockets, busy)
 }
 
 // PeerLinesLost tells how many lines peers missed since it was last told.
-func (n *Node) PeerLinesLost(lines int) { n.bounds.hits(boundLost, lines) }
+func (c *Controller) PeerLinesLost(lines int) { c.bounds.hits(boundLost, lines) }
 
 // maxWaiting bounds the requests that wait for the state service. A check of polls serves
 // half as many questions as a transaction has conditions, so those that wait are answered
 // within about a second; half of the sockets are left for workers in any case.
-func (n *Node) maxWaiting() int {
-	perCheck := n.maxConditions() / 2
-	perSecond := int(time.Second / n.checkPause())
-	return max(minWaiting, min(perCheck*perSecond, n.cfg.Sockets/2))
+func (c *Controller) maxWaiting() int {
+	perCheck := c.maxConditions() / 2
+	perSecond := int(time.Second / c.checkPause())
+	return max(minWaiting, min(perCheck*perSecond, c.cfg.Sockets/2))
 }
 
 // minWaiting is allowed to wait however small the state service is.
 const minWaiting = 400
 
 // maxHeld bounds the reports that are held for a leader: each takes a socket.
-func (n *Node) maxHeld() int { return n.cfg.Sockets / 2 }
+func (c *Controller) maxHeld() int { return c.cfg.Sockets / 2 }
 
 // maxUnsaved bounds the placements that wait to be recorded, so that one round keeps
 // nothing else waiting for long: two transactions full of chunk records, and as many as
 // a small one's when transactions are small.
-func (g *journal) maxUnsaved() int { return max(minUnsaved, 2*g.l.n.cfg.TxnOps*g.chunkTasks) }
+func (g *journal) maxUnsaved() int { return max(minUnsaved, 2*g.l.controller.cfg.TxnOps*g.chunkTasks) }
 
 // minUnsaved is the least that maxUnsaved is.
 const minUnsaved = 2000
 
 // maxNews bounds the final states that wait to be told to peers: those of some seconds of
 // all changes that the state service takes.
-func (n *Node) maxNews() int { return max(minNews, int(newsSeconds*n.cfg.StateWriteRPS)) }
+func (c *Controller) maxNews() int { return max(minNews, int(newsSeconds*c.cfg.StateWriteRPS)) }
 
 const (
 	minNews     = 5000
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -5,9 +5,9 @@
 // open reports whether a machine takes new tasks: it has reported to this
 // leader and been reached by it, is not on its way out, and isn't silent. One whose reports don't come
 // while it answers calls loses all that runs there once its lease is over.
-func (l *lead) open(m *machine) bool {
+func (l *leader) open(m *machine) bool {
 	return m.up && !m.reached.IsZero() && m.recorded && m.Spec != nil && !m.draining && !m.releasing && m.noticeAt.IsZero() && m.probeFails == 0 &&
-		l.n.now.Sub(m.heard) <= l.suspectAfter() && l.unreported(m) <= l.suspectAfter()+lostReport
+		l.controller.now.Sub(m.heard) <= l.suspectAfter() && l.unreported(m) <= l.suspectAfter()+lostReport
 }
 
 // candidate and candidates are machines that may take tasks of a job.
@@ -17,7 +17,7 @@
 )
 
 // imageID numbers an image for this leadership.
-func (l *lead) imageID(name string) placement.ImageID {
+func (l *leader) imageID(name string) placement.ImageID {
 	id, ok := l.imageIDs[name]
 	if !ok {
 		id = placement.ImageID(len(l.imageIDs))
@@ -38,12 +38,12 @@
 }
 
 // weights are those that operators set.
-func (l *lead) weights() placement.Weights {
-	return placement.Weights{Image: l.n.op.ImageWeight, Room: l.n.op.RoomWeight}
+func (l *leader) weights() placement.Weights {
+	return placement.Weights{Image: l.controller.op.ImageWeight, Room: l.controller.op.RoomWeight}
 }
 
 // candidates finds the machines that a job's tasks may be placed on now.
-func (l *lead) candidates(j *job) candidates {
+func (l *leader) candidates(j *job) candidates {
 	l.ranked = l.ranked[:0]
 	l.judging = l.balance.judge(j)
 	s := placement.ShapeOf(j.Job)
@@ -74,21 +74,21 @@
 
 // takes reports whether an open machine may take one more task of a job, zones
 // aside.
-func (l *lead) takes(m *machine, j *job) bool {
+func (l *leader) takes(m *machine, j *job) bool {
 	if !m.RoomInReport(j.Job) {
-		l.n.bounds.hit(boundTasks)
+		l.controller.bounds.hit(boundTasks)
 	}
 	return m.HasRoom(j.Job) && m.Allows(j.Job) && !l.avoids(j, m)
 }
 
 // avoids reports whether a job stays away from a machine that failed it.
-func (l *lead) avoids(j *job, m *machine) bool {
+func (l *leader) avoids(j *job, m *machine) bool {
 	return m.failures[j.ID] > 0 && len(j.failedOn) < 3
 }
 
 // best is the machine with the highest score that a job's rules about zones allow, nil
 // without any. Machines that are being emptied come only after all others.
-func (l *lead) best(c *candidates, j *job) *machine {
+func (l *leader) best(c *candidates, j *job) *machine {
 	for k := c.Best(); k != nil; k = c.Best() {
 		if m := l.roomy[k.Machine]; j.zoneAllows(m.Zone) {
 			return m
@@ -100,7 +100,7 @@
 }
 
 // again looks anew at the best machine after it was given a task.
-func (l *lead) again(c *candidates, j *job) {
+func (l *leader) again(c *candidates, j *job) {
 	k := c.Best()
 	m := l.roomy[k.Machine]
 	if !l.takes(m, j) {
@@ -111,7 +111,7 @@
 }
 
 // rate gives what ranks a machine, by its place among those with room, for a job.
-func (l *lead) rate(m *machine, j *job, place int32) candidate {
+func (l *leader) rate(m *machine, j *job, place int32) candidate {
 	k := candidate{Machine: place, Last: m.Emptying, Score: l.weights().Score(&m.Machine, j.wants()),
 		Room: m.Spec.CPUs - m.Taken.CPUs}
 	if l.judging != nil {
--- a/internal/coordination/node.go
+++ b/internal/coordination/controller.go
@@ -10,9 +10,9 @@
 	"math/rand/v2"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // Service is whom a call goes to.
@@ -86,8 +86,8 @@
 // traffic counts requests in and calls out, for the log.
 type traffic struct{ Reports, Polls, Submissions, ToState, ToCloud, ToWorkers int }
 
-// Node is one controller.
-type Node struct {
+// Controller is one controller.
+type Controller struct {
 	cfg  *config.Settings
 	op   config.Operator
 	log  *slog.Logger
@@ -111,7 +111,7 @@
 
 	storeOK   time.Time // when the state service last answered as it should
 	storeBad  time.Time // when it first failed since; zero while it works
-	storeCost *bookkeeping.Budget
+	storeCost *records.Budget
 
 	told         told   // to operators, of this node
 	trouble      string // as it is now; empty without any
@@ -124,7 +124,7 @@
 	election  election
 	admission admission
 	peers     map[string]*peerView
-	lead      *lead     // nil while following
+	leader    *leader   // nil while following
 	sharding  *sharding // nil while the leader serves all machines
 
 	local     []shardLine // between this controller's own roles
@@ -141,90 +141,90 @@
 }
 
 // Processor tells how much processor time this process has used in all.
-func (n *Node) Processor(now time.Time, used time.Duration) {
-	p := &n.processor
-	if elapsed := now.Sub(p.at); !p.at.IsZero() && elapsed > 0 && n.cfg.CPUShare > 0 {
-		p.share = float64(used-p.used) / (float64(elapsed) * n.cfg.CPUShare)
+func (c *Controller) Processor(now time.Time, used time.Duration) {
+	p := &c.processor
+	if elapsed := now.Sub(p.at); !p.at.IsZero() && elapsed > 0 && c.cfg.CPUShare > 0 {
+		p.share = float64(used-p.used) / (float64(elapsed) * c.cfg.CPUShare)
 	}
 	p.used, p.at = used, now
 }
 
 // lagLately is by how much timers were late at the most since it was last asked.
-func (n *Node) lagLately() time.Duration {
-	lag := n.lagMost
-	n.lagMost = 0
+func (c *Controller) lagLately() time.Duration {
+	lag := c.lagMost
+	c.lagMost = 0
 	return lag
 }
 
 // New makes a node that is about to start at now. boot must differ from every
 // earlier process's.
-func New(cfg *config.Settings, op config.Operator, log *slog.Logger, boot uint64, now time.Time) *Node {
-	n := &Node{cfg: cfg, op: op, log: log, boot: boot, now: now,
+func New(cfg *config.Settings, op config.Operator, log *slog.Logger, boot uint64, now time.Time) *Controller {
+	c := &Controller{cfg: cfg, op: op, log: log, boot: boot, now: now,
 		rng:   rand.New(rand.NewPCG(boot, uint64(len(cfg.Name)))),
 		calls: map[uint64]func(Outcome){}, teams: map[string]*config.Team{}, peers: map[string]*peerView{}}
 	for i := range cfg.Teams {
-		n.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
+		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
-	n.storeCost = bookkeeping.NewBudget(cfg.StateRPS*0.8, cfg.StateRPS*0.6, now)
-	n.admission.init(n)
-	return n
+	c.storeCost = records.NewBudget(cfg.StateRPS*0.8, cfg.StateRPS*0.6, now)
+	c.admission.init(c)
+	return c
 }
 
 // Start makes the first step.
-func (n *Node) Start(now time.Time) Effects {
-	n.now = now
-	n.storeOK = now
-	for _, t := range n.cfg.Teams {
-		n.log.Info("team", "team", t.Name, "guaranteed", t.CPUs, "limited", t.CPUsMax < config.NoLimit, "most", t.CPUsMax)
+func (c *Controller) Start(now time.Time) Effects {
+	c.now = now
+	c.storeOK = now
+	for _, t := range c.cfg.Teams {
+		c.log.Info("team", "team", t.Name, "guaranteed", t.CPUs, "limited", t.CPUsMax < config.NoLimit, "most", t.CPUsMax)
 	}
-	n.startElection()
-	if sh := n.op.Sharding; sh != nil {
-		n.startSharding(sh.Drain)
+	c.startElection()
+	if sh := c.op.Sharding; sh != nil {
+		c.startSharding(sh.Drain)
 	}
-	n.loadTypes()
-	n.every(time.Second, n.publish)
-	n.every(time.Second, n.checkStore)
-	n.every(time.Second, n.explainNode)
-	return n.take()
+	c.loadTypes()
+	c.every(time.Second, c.publish)
+	c.every(time.Second, c.checkStore)
+	c.every(time.Second, c.explainNode)
+	return c.take()
 }
 
 // Request takes a request that came in.
-func (n *Node) Request(now time.Time, id uint64, method, target string, body []byte) Effects {
-	n.now = now
-	n.route(id, method, target, body)
-	return n.take()
+func (c *Controller) Request(now time.Time, id uint64, method, target string, body []byte) Effects {
+	c.now = now
+	c.route(id, method, target, body)
+	return c.take()
 }
 
 // Result takes the outcome of a call.
-func (n *Node) Result(now time.Time, id uint64, o Outcome) Effects {
-	n.now = now
-	if done := n.calls[id]; done != nil {
-		delete(n.calls, id)
+func (c *Controller) Result(now time.Time, id uint64, o Outcome) Effects {
+	c.now = now
+	if done := c.calls[id]; done != nil {
+		delete(c.calls, id)
 		done(o)
 	}
-	return n.take()
+	return c.take()
 }
 
 // Tick runs the timers that are due.
-func (n *Node) Tick(now time.Time) Effects {
-	n.now = now
-	if next := n.Next(); !next.IsZero() {
-		n.lag = max(0, now.Sub(next))
-		n.lagMost = max(n.lagMost, n.lag)
-		if n.late() {
-			if now.Sub(n.lateAt) > lateGap {
-				n.lateSince = now
+func (c *Controller) Tick(now time.Time) Effects {
+	c.now = now
+	if next := c.Next(); !next.IsZero() {
+		c.lag = max(0, now.Sub(next))
+		c.lagMost = max(c.lagMost, c.lag)
+		if c.late() {
+			if now.Sub(c.lateAt) > lateGap {
+				c.lateSince = now
 			}
-			n.lateAt = now
+			c.lateAt = now
 		}
 	}
-	for len(n.timers) > 0 && !n.timers[0].at.After(now) {
-		t := heap.Pop(&n.timers).(*timer)
+	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
+		t := heap.Pop(&c.timers).(*timer)
 		if t.run != nil {
 			t.run()
 		}
 	}
-	return n.take()
+	return c.take()
 }
 
 // Lags that tell that the process has more to do than its share of the processor
@@ -252,57 +252,57 @@
 
 // strained reports whether this process has been late for so long that more machines would
 // only make it answer all of them less often.
-func (n *Node) strained() bool {
-	return !n.lateAt.IsZero() && n.now.Sub(n.lateAt) <= lateGap && n.now.Sub(n.lateSince) > strainedAfter
+func (c *Controller) strained() bool {
+	return !c.lateAt.IsZero() && c.now.Sub(c.lateAt) <= lateGap && c.now.Sub(c.lateSince) > strainedAfter
 }
 
-func (n *Node) behind() bool { return n.lag > lagBehind }
-func (n *Node) late() bool   { return n.lag > lagLate }
+func (c *Controller) behind() bool { return c.lag > lagBehind }
+func (c *Controller) late() bool   { return c.lag > lagLate }
 
 // Next is when Tick is due; zero when nothing is planned.
-func (n *Node) Next() time.Time {
-	if len(n.timers) == 0 {
+func (c *Controller) Next() time.Time {
+	if len(c.timers) == 0 {
 		return time.Time{}
 	}
-	return n.timers[0].at
+	return c.timers[0].at
 }
 
-func (n *Node) take() Effects {
-	for again := true; again; again = len(n.local) > 0 {
-		n.deliverLocal()
-		if n.lead != nil {
-			n.lead.settleStep()
+func (c *Controller) take() Effects {
+	for again := true; again; again = len(c.local) > 0 {
+		c.deliverLocal()
+		if c.leader != nil {
+			c.leader.settleStep()
 		}
-		if s := n.sharding; s != nil && s.own != nil {
+		if s := c.sharding; s != nil && s.own != nil {
 			s.own.sendStep()
 		}
 	}
-	out := n.out
-	n.out = Effects{}
+	out := c.out
+	c.out = Effects{}
 	return out
 }
 
-func (n *Node) reply(id uint64, status int, body []byte) {
-	n.out.Replies = append(n.out.Replies, Reply{ID: id, Status: status, Body: body})
+func (c *Controller) reply(id uint64, status int, body []byte) {
+	c.out.Replies = append(c.out.Replies, Reply{ID: id, Status: status, Body: body})
 }
 
 // refuse tells a client to come back.
-func (n *Node) refuse(id uint64, status int, reason string) {
-	n.out.Replies = append(n.out.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.ErrorAnswer(reason)})
+func (c *Controller) refuse(id uint64, status int, reason string) {
+	c.out.Replies = append(c.out.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.ErrorAnswer(reason)})
 }
 
-func (n *Node) call(to Service, addr, method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
-	n.lastID++
-	n.calls[n.lastID] = done
+func (c *Controller) call(to Service, addr, method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
+	c.lastID++
+	c.calls[c.lastID] = done
 	switch to {
 	case State:
-		n.count.ToState++
+		c.count.ToState++
 	case Cloud:
-		n.count.ToCloud++
+		c.count.ToCloud++
 	case Worker:
-		n.count.ToWorkers++
+		c.count.ToWorkers++
 	}
-	n.out.Calls = append(n.out.Calls, Call{ID: n.lastID, To: to, Addr: addr, Method: method, Target: target,
+	c.out.Calls = append(c.out.Calls, Call{ID: c.lastID, To: to, Addr: addr, Method: method, Target: target,
 		Body: body, Timeout: timeout})
 }
 
@@ -331,22 +331,22 @@
 }
 
 // after runs f once d has passed. Setting the timer's run to nil cancels it.
-func (n *Node) after(d time.Duration, f func()) *timer {
-	n.seq++
-	t := &timer{at: n.now.Add(d), seq: n.seq, run: f}
-	heap.Push(&n.timers, t)
+func (c *Controller) after(d time.Duration, f func()) *timer {
+	c.seq++
+	t := &timer{at: c.now.Add(d), seq: c.seq, run: f}
+	heap.Push(&c.timers, t)
 	return t
 }
 
 // every runs f each d for the life of the process.
-func (n *Node) every(d time.Duration, f func()) {
-	n.after(d, func() { f(); n.every(d, f) })
+func (c *Controller) every(d time.Duration, f func()) {
+	c.after(d, func() { f(); c.every(d, f) })
 }
 
 // jitter is a random duration below d.
-func (n *Node) jitter(d time.Duration) time.Duration {
+func (c *Controller) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
-	return time.Duration(n.rng.Int64N(int64(d)))
+	return time.Duration(c.rng.Int64N(int64(d)))
 }
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -7,7 +7,7 @@
 )
 
 // drain takes a machine out of use.
-func (l *lead) drain(m *machine) {
+func (l *leader) drain(m *machine) {
 	if m.draining {
 		return
 	}
@@ -19,7 +19,7 @@
 
 // drainNoticed saves what can be saved on a machine that will be taken. Tasks
 // that can't save go on: they may still complete.
-func (l *lead) drainNoticed(m *machine) {
+func (l *leader) drainNoticed(m *machine) {
 	for _, a := range m.sorted() {
 		if a.job.Checkpoint > 0 {
 			l.stopAttempt(a, l.saveGrace(a))
@@ -30,7 +30,7 @@
 }
 
 // saveGrace is the time a stopped attempt needs to save.
-func (l *lead) saveGrace(a *attempt) time.Duration {
+func (l *leader) saveGrace(a *attempt) time.Duration {
 	if a.job.Checkpoint == 0 || a.state != protocol.Running {
 		return 0
 	}
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -37,31 +37,31 @@
 
 // explainNode tells of a node that knows no leader, follows another one, or can't reach
 // the state service.
-func (n *Node) explainNode() {
+func (c *Controller) explainNode() {
 	what := ""
 	switch {
-	case n.storeDown():
+	case c.storeDown():
 		what = "the state service does not answer"
-	case n.lead != nil && n.lead.phase == loading && n.now.Sub(n.lead.elected) > explainAfter:
+	case c.leader != nil && c.leader.phase == loading && c.now.Sub(c.leader.elected) > explainAfter:
 		what = "records are being loaded"
-	case n.lead != nil && !n.lead.known.IsZero() && !n.lead.entitled():
+	case c.leader != nil && !c.leader.known.IsZero() && !c.leader.holdsLease():
 		what = "the leader lease has ended"
-	case n.lead == nil && n.leaderName() == "":
+	case c.leader == nil && c.leaderName() == "":
 		what = "no leader is known"
 	}
-	if what != n.trouble {
-		n.troubleSince = n.now
+	if what != c.trouble {
+		c.troubleSince = c.now
 	}
 	if what == "" {
-		if n.told.due(n.now, "") {
-			n.log.Info("in order again")
+		if c.told.due(c.now, "") {
+			c.log.Info("in order again")
 		}
-		n.trouble = ""
+		c.trouble = ""
 		return
 	}
-	n.trouble = what
-	if n.now.Sub(n.troubleSince) >= 2*time.Second && n.told.due(n.now, what) {
-		n.log.Warn("nothing can be placed or promised here", "why", what, "for", n.now.Sub(n.troubleSince).Round(time.Second))
+	c.trouble = what
+	if c.now.Sub(c.troubleSince) >= 2*time.Second && c.told.due(c.now, what) {
+		c.log.Warn("nothing can be placed or promised here", "why", what, "for", c.now.Sub(c.troubleSince).Round(time.Second))
 	}
 }
 
@@ -88,7 +88,7 @@
 }
 
 // whyWaits tells why a job's tasks wait.
-func (l *lead) whyWaits(j *job, booting bool, open []offer) reason {
+func (l *leader) whyWaits(j *job, booting bool, open []offer) reason {
 	switch {
 	case l.phase != active:
 		return reasonReports
@@ -121,9 +121,9 @@
 }
 
 // explain tells why work waits.
-func (l *lead) explain() {
-	n := l.n
-	if n.now.Sub(l.told.at) < explainChange {
+func (l *leader) explain() {
+	c := l.controller
+	if c.now.Sub(l.told.at) < explainChange {
 		return
 	}
 	b := l.boots()
@@ -132,7 +132,7 @@
 	var longest *job
 	for _, j := range l.order {
 		left := j.toStart()
-		if left == 0 || n.now.Round(0).Sub(j.submitted) < explainAfter {
+		if left == 0 || c.now.Round(0).Sub(j.submitted) < explainAfter {
 			continue
 		}
 		if open == nil {
@@ -156,11 +156,11 @@
 		kinds = append(kinds, "late boots")
 	}
 	slices.Sort(kinds)
-	if !l.told.due(n.now, strings.Join(kinds, "; ")) {
+	if !l.told.due(c.now, strings.Join(kinds, "; ")) {
 		return
 	}
 	if len(kinds) == 0 {
-		n.log.Info("no work waits")
+		c.log.Info("no work waits")
 		return
 	}
 	args := []any{"why", strings.Join(counts, "; ")}
@@ -171,10 +171,10 @@
 				booting++
 			}
 		}
-		args = append(args, "booting", booting, "longest", n.now.Sub(b.next.rented).Round(time.Second), "late", len(b.late))
+		args = append(args, "booting", booting, "longest", c.now.Sub(b.next.rented).Round(time.Second), "late", len(b.late))
 	}
 	if longest != nil {
-		args = append(args, "job", longest.ID, "waits", n.now.Round(0).Sub(longest.submitted).Round(time.Second))
+		args = append(args, "job", longest.ID, "waits", c.now.Round(0).Sub(longest.submitted).Round(time.Second))
 	}
-	n.log.Info("work waits", args...)
+	c.log.Info("work waits", args...)
 }
--- a/internal/coordination/faults.go
+++ b/internal/coordination/faults.go
@@ -36,12 +36,12 @@
 
 // suspect reports whether a job seems to fail everywhere. All of its tasks at once,
 // again and again, cost records, fetches and its team's room until its user cancels it.
-func (l *lead) suspect(j *job) bool {
-	return j.errors >= suspectErrors && len(j.failedOn) >= min(suspectMachines, len(l.fleetList)) && !j.proven(l.n.now)
+func (l *leader) suspect(j *job) bool {
+	return j.errors >= suspectErrors && len(j.failedOn) >= min(suspectMachines, len(l.fleetList)) && !j.proven(l.controller.now)
 }
 
 // trial bounds how many tasks of a suspect job may be placed.
-func (l *lead) trial(j *job, most int) int {
+func (l *leader) trial(j *job, most int) int {
 	if j.Kind == protocol.Gang || !l.suspect(j) {
 		return most
 	}
@@ -49,24 +49,24 @@
 }
 
 // failed notes an attempt that ended in an error.
-func (l *lead) failed(m *machine, a *attempt) {
-	j, n := a.job, l.n
-	if j.proven(n.now) {
+func (l *leader) failed(m *machine, a *attempt) {
+	j, c := a.job, l.controller
+	if j.proven(c.now) {
 		j.errors, j.trials = 0, 0
 	}
 	before := l.suspect(j)
 	j.errors++
 	j.failedOn[m.Name] = struct{}{}
 	if a.state == protocol.Running {
-		j.brokeAt = n.now
+		j.brokeAt = c.now
 	}
 	m.failures[j.ID]++
-	n.log.Debug("task failed", "job", j.ID, "task", a.task, "machine", m.Name, "failures", j.errors)
+	c.log.Debug("task failed", "job", j.ID, "task", a.task, "machine", m.Name, "failures", j.errors)
 	pause := time.Duration(0)
 	switch {
 	case l.suspect(j):
 		if !before {
-			n.log.Warn("job keeps failing", "job", j.ID, "class", j.Class, "team", j.Team, "failures", j.errors, "machines", len(j.failedOn))
+			c.log.Warn("job keeps failing", "job", j.ID, "class", j.Class, "team", j.Team, "failures", j.errors, "machines", len(j.failedOn))
 		} else if j.live <= 1 {
 			j.trials++
 		}
@@ -74,39 +74,39 @@
 	case len(j.failedOn) >= suspectMachines:
 		pause = failedPause
 	}
-	if until := n.now.Add(pause); until.After(j.notBefore) {
+	if until := c.now.Add(pause); until.After(j.notBefore) {
 		j.notBefore = until
-		n.after(pause+10*time.Millisecond, l.askPlaceAlive)
+		c.after(pause+10*time.Millisecond, l.askPlaceAlive)
 	}
 	l.judge(m, j)
 }
 
 // judge decides whether a machine on which a task just failed is faulty: two jobs that
 // work failed on it since the last success there, or one did twice and hardly elsewhere.
-func (l *lead) judge(m *machine, j *job) {
+func (l *leader) judge(m *machine, j *job) {
 	if m.sick {
 		return
 	}
 	good := 0
 	for id := range m.failures {
-		if k := l.jobs[id]; k != nil && k.proven(l.n.now) {
+		if k := l.jobs[id]; k != nil && k.proven(l.controller.now) {
 			good++
 		}
 	}
-	if good >= 2 || good == 1 && j.proven(l.n.now) && m.failures[j.ID] >= 2 && len(j.failedOn) < suspectMachines {
+	if good >= 2 || good == 1 && j.proven(l.controller.now) && m.failures[j.ID] >= 2 && len(j.failedOn) < suspectMachines {
 		m.sick = true
-		l.n.log.Warn("machine fails its tasks", "machine", m.Name, "jobs", len(m.failures))
+		l.controller.log.Warn("machine fails its tasks", "machine", m.Name, "jobs", len(m.failures))
 		l.drain(m)
 	}
 }
 
 // runs notes that a task of a job runs.
-func (l *lead) runs(j *job) {
+func (l *leader) runs(j *job) {
 	j.running++
 	if j.running == 1 {
-		j.runsSince = l.n.now
+		j.runsSince = l.controller.now
 		if l.suspect(j) { // a trial that may succeed
-			l.n.after(provenAfter+10*time.Millisecond, l.askPlaceAlive)
+			l.controller.after(provenAfter+10*time.Millisecond, l.askPlaceAlive)
 		}
 	}
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -5,8 +5,8 @@
 	"sort"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // Times of the fleet's dealings with the cloud.
@@ -35,7 +35,7 @@
 
 // fleet rents and returns machines.
 type fleet struct {
-	budget    *bookkeeping.Budget
+	budget    *records.Budget
 	unmet     []demand
 	held      map[*job]int // replicas that silent machines are kept for, until there is room
 	partly    bool         // the last round ended early: unmet isn't all there is
@@ -53,19 +53,19 @@
 	fixedNeed float64 // CPUs of the largest job seen that may not use spot machines
 }
 
-func (f *fleet) init(l *lead) {
-	rps := l.n.cfg.CloudRPS
-	f.budget = bookkeeping.NewBudget(rps*0.9, rps*1.5, l.n.now)
+func (f *fleet) init(l *leader) {
+	rps := l.controller.cfg.CloudRPS
+	f.budget = records.NewBudget(rps*0.9, rps*1.5, l.controller.now)
 	f.blocked, f.renting = map[offerKey]time.Time{}, map[offerKey]int{}
 }
 
 // fleetSoon wants the fleet looked at before its next turn.
-func (l *lead) fleetSoon() {
+func (l *leader) fleetSoon() {
 	if l.fleet.asked {
 		return
 	}
 	l.fleet.asked = true
-	l.n.after(100*time.Millisecond, func() {
+	l.controller.after(100*time.Millisecond, func() {
 		l.fleet.asked = false
 		if l.alive() {
 			l.grow()
@@ -74,10 +74,10 @@
 }
 
 // fleetStep is the fleet's regular turn.
-func (l *lead) fleetStep() {
-	n, f := l.n, &l.fleet
+func (l *leader) fleetStep() {
+	c, f := l.controller, &l.fleet
 	for name, at := range l.gone {
-		if n.now.Sub(at) > 5*time.Minute {
+		if c.now.Sub(at) > 5*time.Minute {
 			delete(l.gone, name)
 		}
 	}
@@ -88,12 +88,12 @@
 		l.shards.step()
 	}
 	l.explain()
-	if n.now.Sub(f.typesAt) > typesInterval && f.budget.Take(n.now, 1) {
-		f.typesAt = n.now
-		n.fetchTypes(func(ok bool) {
+	if c.now.Sub(f.typesAt) > typesInterval && f.budget.Take(c.now, 1) {
+		f.typesAt = c.now
+		c.fetchTypes(func(ok bool) {
 			if ok && l.alive() {
 				for _, m := range l.fleetList {
-					m.Spec = n.types[m.Type]
+					m.Spec = c.types[m.Type]
 				}
 				l.saveTypes()
 			}
@@ -118,12 +118,12 @@
 
 // logFleet tells now and then what the machines are used for, and what came in and
 // went out since the last time.
-func (l *lead) logFleet() {
-	n, f := l.n, &l.fleet
-	if n.now.Sub(f.loggedAt) < 5*time.Second {
+func (l *leader) logFleet() {
+	c, f := l.controller, &l.fleet
+	if c.now.Sub(f.loggedAt) < 5*time.Second {
 		return
 	}
-	f.loggedAt = n.now
+	f.loggedAt = c.now
 	type use struct{ machines, emptying, pinned, cpus, services, used float64 }
 	var spot, fixed use
 	for _, m := range l.fleetList {
@@ -145,23 +145,23 @@
 			u.pinned++
 		}
 	}
-	n.log.Debug("fleet", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "fixed", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmet), "lag", n.lag.Round(time.Millisecond),
-		"traffic", fmt.Sprintf("%+v", n.count))
-	n.count = traffic{}
+	c.log.Debug("fleet", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "fixed", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmet), "lag", c.lag.Round(time.Millisecond),
+		"traffic", fmt.Sprintf("%+v", c.count))
+	c.count = traffic{}
 }
 
 // choosePlace keeps the leader in the zone that holds most machines, so that
 // a cut between zones parts it from as few of them as can be. It hands over
 // only to a zone with a node that lately said it can lead.
-func (l *lead) choosePlace() {
-	n := l.n
-	if !n.otherZone() || n.storeDown() {
+func (l *leader) choosePlace() {
+	c := l.controller
+	if !c.otherZone() || c.storeDown() {
 		return
 	}
 	count := map[string]int{}
 	up := 0
 	for _, m := range l.fleetList {
-		if m.up && n.now.Sub(m.heard) < l.suspectAfter() {
+		if m.up && c.now.Sub(m.heard) < l.suspectAfter() {
 			count[m.Zone]++
 			up++
 		}
@@ -170,27 +170,27 @@
 		if k*3 <= up*2 || up < 3 {
 			continue
 		}
-		if n.election.prefer != zone && l.preferred != zone {
+		if c.election.prefer != zone && l.preferred != zone {
 			l.preferred = zone
-			l.journal.extra = append(l.journal.extra, protocol.Op{Put: bookkeeping.KeyPrefer,
-				Value: bookkeeping.Encode(bookkeeping.Prefer{Zone: zone})})
+			l.journal.extra = append(l.journal.extra, protocol.Op{Put: records.KeyPrefer,
+				Value: records.Encode(records.Prefer{Zone: zone})})
 		}
-		if zone == n.cfg.Zone || n.election.prefer != zone || n.now.Sub(l.elected) < 10*time.Second {
+		if zone == c.cfg.Zone || c.election.prefer != zone || c.now.Sub(l.elected) < 10*time.Second {
 			continue
 		}
-		for i := range n.cfg.Peers {
-			p := &n.cfg.Peers[i]
-			if v := n.peers[p.Name]; p.Zone == zone && v != nil && v.storeOK && !v.unfit && n.now.Sub(v.at) < 2500*time.Millisecond {
-				n.resign("most machines are in zone "+zone, 3*time.Second)
+		for i := range c.cfg.Peers {
+			p := &c.cfg.Peers[i]
+			if v := c.peers[p.Name]; p.Zone == zone && v != nil && v.storeOK && !v.unfit && c.now.Sub(v.at) < 2500*time.Millisecond {
+				c.resign("most machines are in zone "+zone, 3*time.Second)
 				return
 			}
 		}
 	}
 }
 
-func (l *lead) saveTypes() {
+func (l *leader) saveTypes() {
 	var list []protocol.MachineType
-	for _, t := range l.n.types {
+	for _, t := range l.controller.types {
 		list = append(list, *t)
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i].Name < list[k].Name })
--- a/internal/coordination/groups.go
+++ b/internal/coordination/groups.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // group is machines of one kind that share a record. A fleet comes by the hundred,
@@ -45,7 +45,7 @@
 	g.groups++
 	id := g.l.shardFor(m)
 	// Never used again: terms are unique, and so is the counter within one.
-	k := &group{key: bookkeeping.KeyMachines(int(id), g.l.term, g.groups), shard: id, typ: m.Type, zone: m.Zone, spot: m.Spot}
+	k := &group{key: records.KeyMachines(int(id), g.l.term, g.groups), shard: id, typ: m.Type, zone: m.Zone, spot: m.Spot}
 	k.add(m)
 	g.puts = append(g.puts, k)
 }
@@ -58,7 +58,7 @@
 // machinesPerGroup is how many machines share a record: fewer where shards are to have
 // about as many machines each.
 func (g *journal) machinesPerGroup() int {
-	most := bookkeeping.MachinesPerRecord(g.l.n.cfg.ValueBytes)
+	most := records.MachinesPerRecord(g.l.controller.cfg.ValueBytes)
 	if g.l.shards != nil {
 		return min(most, shardedGroup)
 	}
@@ -88,7 +88,7 @@
 // changeGroup wants a group's record written again some time.
 func (g *journal) changeGroup(k *group) {
 	if k != nil && k.written && !k.changed {
-		k.changed, k.due = true, g.l.n.now.Add(groupDelay)
+		k.changed, k.due = true, g.l.controller.now.Add(groupDelay)
 		g.changed = append(g.changed, k)
 	}
 }
@@ -103,7 +103,7 @@
 			return k
 		}
 	}
-	for len(g.changed) > 0 && !g.l.n.now.Before(g.changed[0].due) {
+	for len(g.changed) > 0 && !g.l.controller.now.Before(g.changed[0].due) {
 		k := g.changed[0]
 		g.changed = g.changed[1:]
 		k.changed = false
@@ -115,15 +115,15 @@
 }
 
 func (k *group) record() json.RawMessage {
-	r := bookkeeping.Machines{Type: k.typ, Zone: k.zone, Spot: k.spot}
+	r := records.Machines{Type: k.typ, Zone: k.zone, Spot: k.spot}
 	for _, m := range k.machines {
-		r.Machines = append(r.Machines, bookkeeping.Machine{Name: m.Name, Rented: bookkeeping.Millis(m.rented), Addr: m.addr})
+		r.Machines = append(r.Machines, records.Machine{Name: m.Name, Rented: records.Millis(m.rented), Addr: m.addr})
 	}
-	return bookkeeping.Encode(r)
+	return records.Encode(r)
 }
 
 // groupWritten notes that a group's record was applied.
-func (l *lead) groupWritten(k *group) {
+func (l *leader) groupWritten(k *group) {
 	first := !k.applied
 	k.applied = true
 	for _, m := range k.machines {
@@ -138,16 +138,16 @@
 }
 
 // loadGroup takes in a record of machines.
-func (l *lead) loadGroup(it protocol.Item) {
-	var r bookkeeping.Machines
+func (l *leader) loadGroup(it protocol.Item) {
+	var r records.Machines
 	if err := protocol.Decode(it.Value, &r); err != nil {
-		l.n.log.Error("unreadable record of machines", "key", it.Key, "err", err)
+		l.controller.log.Error("unreadable record of machines", "key", it.Key, "err", err)
 		return
 	}
-	if name, ok := cutPrefix(it.Key, bookkeeping.PrefixMachines); ok && len(r.Machines) == 0 {
-		r.Machines = []bookkeeping.Machine{{Name: name, Rented: r.Rented}}
+	if name, ok := cutPrefix(it.Key, records.PrefixMachines); ok && len(r.Machines) == 0 {
+		r.Machines = []records.Machine{{Name: name, Rented: r.Rented}}
 	}
-	k := &group{key: it.Key, shard: shard.ID(bookkeeping.ShardOfMachines(it.Key)), written: true, applied: true, typ: r.Type, zone: r.Zone, spot: r.Spot}
+	k := &group{key: it.Key, shard: shard.ID(records.ShardOfMachines(it.Key)), written: true, applied: true, typ: r.Type, zone: r.Zone, spot: r.Spot}
 	for _, rented := range r.Machines {
 		m := l.machines[rented.Name]
 		if m == nil {
@@ -158,11 +158,11 @@
 			m.addr = rented.Addr
 		}
 		at := time.UnixMilli(rented.Rented)
-		if at.After(l.n.now) {
-			at = l.n.now
+		if at.After(l.controller.now) {
+			at = l.controller.now
 		}
 		// Steady time only from here on.
-		m.rented = l.n.now.Add(-l.n.now.Round(0).Sub(at))
+		m.rented = l.controller.now.Add(-l.controller.now.Round(0).Sub(at))
 		if m.group == nil {
 			k.add(m)
 		}
--- a/internal/coordination/groups_test.go
+++ b/internal/coordination/groups_test.go
@@ -7,21 +7,21 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // records plays the state service for a leader's transactions: it applies those
 // under way, and those that they lead to, and keeps the records of machines.
-func records(n *Node, kept map[string]json.RawMessage) (writes int) {
-	e := n.take()
+func groupRecords(c *Controller, kept map[string]json.RawMessage) (writes int) {
+	e := c.take()
 	for len(e.Calls) > 0 {
 		var next []Call
-		for _, c := range e.Calls {
-			if c.To != State || c.Target != protocol.PathMulti {
+		for _, call := range e.Calls {
+			if call.To != State || call.Target != protocol.PathMulti {
 				continue
 			}
-			t, err := protocol.ParseTxn(c.Body)
+			t, err := protocol.ParseTxn(call.Body)
 			if err != nil {
 				panic(err)
 			}
@@ -29,11 +29,11 @@
 				writes++
 				if op.Delete != "" {
 					delete(kept, op.Delete)
-				} else if _, ok := cutPrefix(op.Put, bookkeeping.PrefixMachines); ok {
+				} else if _, ok := cutPrefix(op.Put, records.PrefixMachines); ok {
 					kept[op.Put] = op.Value
 				}
 			}
-			next = append(next, n.Result(n.now, c.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(20)}).Calls...)
+			next = append(next, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(20)}).Calls...)
 		}
 		e.Calls = next
 	}
@@ -61,7 +61,7 @@
 // record are at any time at least the machines that aren't proven gone: with a write
 // for each machine, the first placements waited four seconds behind them.
 func TestMachinesShareRecords(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	kept := map[string]json.RawMessage{}
 	const count = 320
 	for i := range count {
@@ -69,8 +69,8 @@
 	}
 	writes := 0
 	for range 20 { // the budget of writes is small here
-		n.now = n.now.Add(200 * time.Millisecond)
-		writes += records(n, kept)
+		c.now = c.now.Add(200 * time.Millisecond)
+		writes += groupRecords(c, kept)
 	}
 	if writes > 10 {
 		t.Errorf("%d machines took %d writes", count, writes)
@@ -91,13 +91,13 @@
 			}
 		}
 		if i%100 == 0 {
-			n.now = n.now.Add(200 * time.Millisecond)
-			records(n, kept)
+			c.now = c.now.Add(200 * time.Millisecond)
+			groupRecords(c, kept)
 		}
 	}
 	for range 20 {
-		n.now = n.now.Add(500 * time.Millisecond)
-		records(n, kept)
+		c.now = c.now.Add(500 * time.Millisecond)
+		groupRecords(c, kept)
 	}
 	if got := names(kept); len(got) != 10 {
 		t.Errorf("%d machines on record, want the ten that are left", len(got))
@@ -107,13 +107,13 @@
 // The address of a machine that has come up is on record, so that the next leader can
 // ask it while the cloud's list can't be had.
 func TestAddressesAreRecorded(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	kept := map[string]json.RawMessage{}
 	l.journal.putMachine(l.newMachine("vm-1", "small", "a", false))
-	records(n, kept)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(4))
-	n.now = n.now.Add(groupDelay + time.Second)
-	records(n, kept)
+	groupRecords(c, kept)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(4))
+	c.now = c.now.Add(groupDelay + time.Second)
+	groupRecords(c, kept)
 	next, leader := leading(loading)
 	for key, value := range kept {
 		leader.loadGroup(protocol.Item{Key: key, Value: value})
@@ -125,8 +125,8 @@
 	next.now = next.now.Add(2 * askAfter)
 	leader.watchMachines()
 	asked := false
-	for _, c := range next.take().Calls {
-		asked = asked || c.To == Worker && c.Addr == "x"
+	for _, call := range next.take().Calls {
+		asked = asked || call.To == Worker && call.Addr == "x"
 	}
 	if !asked {
 		t.Error("the next leader doesn't ask the machine without the cloud's list")
@@ -136,7 +136,7 @@
 // A record from before machines shared them is understood.
 func TestLoadsSingleMachine(t *testing.T) {
 	_, l := leading(loading)
-	l.loadGroup(protocol.Item{Key: bookkeeping.PrefixMachines + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
+	l.loadGroup(protocol.Item{Key: records.PrefixMachines + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
 	if m := l.machines["vm-7"]; m == nil || !m.Spot || m.Type != "small" || !m.recorded {
 		t.Errorf("loaded %+v", m)
 	}
--- a/internal/coordination/grow.go
+++ b/internal/coordination/grow.go
@@ -11,7 +11,7 @@
 
 // growth is one look at what has to be rented beyond what boots.
 type growth struct {
-	l      *lead
+	l      *leader
 	offers []offer
 	bins   []*bin // all the room that is coming
 	open   []*bin // of it, what may take more of what waits, in the same order
@@ -30,13 +30,13 @@
 }
 
 // mayGrow reports whether anything may be rented now.
-func (l *lead) mayGrow() bool {
-	n, f := l.n, &l.fleet
-	if l.phase != active || n.storeDown() || len(n.types) == 0 || !n.now.Before(l.right.validUntil) || f.partly {
+func (l *leader) mayGrow() bool {
+	c, f := l.controller, &l.fleet
+	if l.phase != active || c.storeDown() || len(c.types) == 0 || !c.now.Before(l.lease.validUntil) || f.partly {
 		return false
 	}
-	if n.strained() || len(l.fleetList) > l.likelyFleet() && l.overrun() {
-		n.bounds.hit(boundServed)
+	if c.strained() || len(l.fleetList) > l.likelyFleet() && l.overrun() {
+		c.bounds.hit(boundServed)
 		return false
 	}
 	for _, k := range f.renting {
@@ -63,16 +63,16 @@
 // likelyFleet is how many machines are likely to be served in time. Those of shards' owners
 // aren't counted more: how many of them serve, and what that costs the leader, shows as the
 // fleet grows.
-func (l *lead) likelyFleet() int {
-	c := l.n.cfg
+func (l *leader) likelyFleet() int {
+	c := l.controller.cfg
 	return int(min(c.CPUShare*float64(c.ReportInterval)/float64(reportCost), 1e9))
 }
 
 // overrun reports whether the controllers that serve the fleet have been late by now: this
 // one, or the owner of a shard.
-func (l *lead) overrun() bool {
-	n := l.n
-	if !n.lateAt.IsZero() && n.now.Sub(n.lateAt) < carefulFor {
+func (l *leader) overrun() bool {
+	c := l.controller
+	if !c.lateAt.IsZero() && c.now.Sub(c.lateAt) < carefulFor {
 		return true
 	}
 	return l.shards != nil && l.shards.ownersLate()
@@ -87,7 +87,7 @@
 }
 
 // grow rents what the waiting work and the headroom need beyond what boots.
-func (l *lead) grow() {
+func (l *leader) grow() {
 	if !l.mayGrow() {
 		return
 	}
@@ -104,7 +104,7 @@
 	g.ask()
 }
 
-func (l *lead) newGrowth() *growth {
+func (l *leader) newGrowth() *growth {
 	g := &growth{l: l, offers: l.offers(), bins: l.coming(), from: map[placement.ShapeKey]int{}, need: map[offerKey]int{}, rooms: map[string]*usage{}}
 	g.open = slices.Clone(g.bins)
 	for i, d := range l.fleet.unmet {
@@ -115,7 +115,7 @@
 	}
 	// What a team may still start under its limit, over all its jobs: machines
 	// beyond that would stand idle.
-	for name, t := range l.n.teams {
+	for name, t := range l.controller.teams {
 		u := l.teams[name]
 		g.rooms[name] = &usage{t.CPUsMax - u.cpus, t.GPUsMax - u.gpus}
 	}
@@ -138,7 +138,7 @@
 	for left > 0 && g.rented < g.most {
 		o, ok := bestOffer(g.offers, j.Job, left, zones.allows)
 		// One that has waited for too long gets a machine to begin on.
-		if !ok || l.tooDear(j, o) && !(left == wanted && j.overdue(l.n.now.Round(0))) {
+		if !ok || l.tooDear(j, o) && !(left == wanted && j.overdue(l.controller.now.Round(0))) {
 			return
 		}
 		count := g.put(g.rent(o), j, zones, left)
@@ -277,7 +277,7 @@
 	f := &l.fleet
 	for _, o := range g.order {
 		for left := g.need[o.key()]; left > 0; left -= protocol.MaxRent {
-			if f.budget.Available(l.n.now) < 1+returnCalls || !f.budget.Take(l.n.now, 1) {
+			if f.budget.Available(l.controller.now) < 1+returnCalls || !f.budget.Take(l.controller.now, 1) {
 				return
 			}
 			l.rent(o, min(left, protocol.MaxRent))
@@ -313,24 +313,24 @@
 }
 
 // headroom is the free room wanted beyond what is used.
-func (l *lead) headroom(used float64) float64 {
+func (l *leader) headroom(used float64) float64 {
 	if l.quickStarts() {
-		return l.n.op.HeadroomShare * used
+		return l.controller.op.HeadroomShare * used
 	}
 	return 0
 }
 
 // quickStarts reports whether users want work started sooner than a machine
 // boots: only then is room kept for what may come.
-func (l *lead) quickStarts() bool {
+func (l *leader) quickStarts() bool {
 	boot := time.Duration(0)
-	for _, t := range l.n.types {
+	for _, t := range l.controller.types {
 		if boot == 0 || t.Boot < boot {
 			boot = t.Boot
 		}
 	}
-	for i := range l.n.cfg.Objectives {
-		o := &l.n.cfg.Objectives[i]
+	for i := range l.controller.cfg.Objectives {
+		o := &l.controller.cfg.Objectives[i]
 		if (o.Kind == "wait" || o.Kind == "guarantee") && o.Within < boot {
 			return true
 		}
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -4,16 +4,16 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // nextTxn is the transaction that a step sends.
-func nextTxn(t *testing.T, n *Node) *protocol.Txn {
+func nextTxn(t *testing.T, c *Controller) *protocol.Txn {
 	t.Helper()
-	for _, c := range n.take().Calls {
-		if c.To == State && c.Target == protocol.PathMulti {
-			txn, err := protocol.ParseTxn(c.Body)
+	for _, call := range c.take().Calls {
+		if call.To == State && call.Target == protocol.PathMulti {
+			txn, err := protocol.ParseTxn(call.Body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -25,8 +25,8 @@
 }
 
 func demands(txn *protocol.Txn, key string, version uint64) bool {
-	for _, c := range txn.If {
-		if c.Key == key && c.Version == version {
+	for _, condition := range txn.If {
+		if condition.Key == key && condition.Version == version {
 			return true
 		}
 	}
@@ -37,28 +37,28 @@
 // the record is the one it knows: each alone keeps a late copy of the transaction, a
 // cancellation that came first, or an older write of its own from doing harm.
 func TestRecordsAreConditional(t *testing.T) {
-	n, l := leading(active)
-	j, _ := running(n, l, 4)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c, l := leading(active)
+	j, _ := running(c, l, 4)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	m.recorded, m.reached = true, n.now
-	c := j.chunk(0)
-	c.version = 7
+	m.recorded, m.reached = true, c.now
+	chunk := j.chunk(0)
+	chunk.version = 7
 	l.journal.busy = false // with the record of the machine
 	l.assign(j, 0, m)
-	txn := nextTxn(t, n)
-	for key, version := range map[string]uint64{bookkeeping.KeyLeader: l.version, bookkeeping.KeyOutcome(j.ID): 0, bookkeeping.KeyChunk(j.ID, 0): 7} {
+	txn := nextTxn(t, c)
+	for key, version := range map[string]uint64{records.KeyLeader: l.version, records.KeyOutcome(j.ID): 0, records.KeyChunk(j.ID, 0): 7} {
 		if !demands(txn, key, version) {
 			t.Errorf("a placement is recorded whatever %s is: %+v", key, txn.If)
 		}
 	}
 	// So does the outcome: whoever writes it first decides.
-	n, l = leading(active)
-	j, _ = running(n, l, 4)
+	c, l = leading(active)
+	j, _ = running(c, l, 4)
 	l.journal.puts = nil
 	l.taskDone(j, 0)
-	txn = nextTxn(t, n)
-	if !demands(txn, bookkeeping.KeyLeader, l.version) || !demands(txn, bookkeeping.KeyOutcome(j.ID), 0) {
+	txn = nextTxn(t, c)
+	if !demands(txn, records.KeyLeader, l.version) || !demands(txn, records.KeyOutcome(j.ID), 0) {
 		t.Errorf("a job is called done whatever its outcome is: %+v", txn.If)
 	}
 }
@@ -66,23 +66,23 @@
 // A direct start without an answer may be carried out late. That the worker lacks it is
 // proof only under a token above that of the start; until then it counts for its team.
 func TestUnansweredStartIsFenced(t *testing.T) {
-	n, l := leading(active)
-	j, _ := running(n, l, 4)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c, l := leading(active)
+	j, _ := running(c, l, 4)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, recorded: true, directToken: l.machineToken(m), directSession: 1}
 	l.attach(a)
 	m.directToken = a.directToken
 	l.jobOver(j, protocol.Cancelled)
 	below := l.machineToken(m)
-	n.Request(n.now, 2, "POST", protocol.PathReport, report(5))
+	c.Request(c.now, 2, "POST", protocol.PathReport, report(5))
 	if j.task(0).live != a || l.teams["red"].cpus != 1 {
 		t.Fatal("gone while its start may still be carried out")
 	}
 	if l.machineToken(m) <= below {
 		t.Fatal("the start isn't fenced off")
 	}
-	n.Request(n.now, 3, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small",
+	c.Request(c.now, 3, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small",
 		Zone: "a", Session: 1, Seq: 6, Token: l.machineToken(m)}))
 	if j.task(0).live != nil || l.teams["red"].cpus != 0 {
 		t.Error("still there although no start can be carried out any more")
@@ -92,10 +92,10 @@
 // Work that was told to stop counts for its team's limit, and for its job's zones, until
 // it is proven gone: its machine may hang, or be cut off.
 func TestStoppedWorkCounts(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	s := spec("run-000001")
 	s.Tasks, s.CPUs, s.OneZone = 2, 8, true
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 8, Spec: s})
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: s})
 	j := l.jobs[s.ID]
 	m := l.newMachine("vm-1", "small", "a", false)
 	for i := range 2 {
@@ -106,7 +106,7 @@
 		t.Fatal("the team has 16 CPUs and uses them")
 	}
 	l.jobOver(j, protocol.Cancelled)
-	n.now = n.now.Add(time.Hour)
+	c.now = c.now.Add(time.Hour)
 	if l.underLimit(other) {
 		t.Error("tasks count no more once they were told to stop")
 	}
@@ -118,11 +118,11 @@
 // A task is placed only on a machine that is on record: the next leader finds attempts by
 // their machines, and takes those on others for gone.
 func TestWorkOnlyOnRecordedMachines(t *testing.T) {
-	n, l := leading(active)
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 8, Spec: spec("run-000001")})
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c, l := leading(active)
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	m.reached, m.Spec = n.now, n.types["small"]
+	m.reached, m.Spec = c.now, c.types["small"]
 	for _, recorded := range []bool{false, true} {
 		m.recorded = recorded
 		l.place()
@@ -135,23 +135,23 @@
 // A leader whose lease may have ended places nothing, and after its grace it answers no
 // worker, whatever it knows: another may lead, and wait for the end of that grace only.
 func TestRightsEndWithTheLease(t *testing.T) {
-	n, l := leading(active)
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 8, Spec: spec("run-000001")})
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c, l := leading(active)
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	m.recorded, m.reached, m.Spec = true, n.now, n.types["small"]
-	l.right.validUntil = n.now
+	m.recorded, m.reached, m.Spec = true, c.now, c.types["small"]
+	l.lease.validUntil = c.now
 	l.place()
 	if len(m.attempts) > 0 {
 		t.Error("placed without a lease")
 	}
-	l.right.validUntil, l.known = n.now, n.now.Add(time.Hour)
-	n.now = n.now.Add(l.grace())
-	if !l.entitled() {
+	l.lease.validUntil, l.known = c.now, c.now.Add(time.Hour)
+	c.now = c.now.Add(l.grace())
+	if !l.holdsLease() {
 		t.Error("not entitled within its grace")
 	}
-	n.now = n.now.Add(time.Millisecond)
-	e := n.Request(n.now, 2, "POST", protocol.PathReport, report(4))
+	c.now = c.now.Add(time.Millisecond)
+	e := c.Request(c.now, 2, "POST", protocol.PathReport, report(4))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 {
 		t.Errorf("after its grace it answers %+v", e.Replies)
 	}
@@ -160,26 +160,26 @@
 // A candidate is elected only while nobody leads and in the term after the one it read, and
 // its key goes with its lease: a transaction that is carried out late elects nobody.
 func TestElectionIsConditional(t *testing.T) {
-	n, _ := leading(active)
-	n.lead = nil
-	n.take()
-	n.election.term, n.election.termVersion = 4, 33
-	n.stand()
+	c, _ := leading(active)
+	c.leader = nil
+	c.take()
+	c.election.term, c.election.termVersion = 4, 33
+	c.stand()
 	var lease uint64
-	for _, c := range n.take().Calls {
-		if c.Target == protocol.PathLeases {
-			lease = c.ID
+	for _, call := range c.take().Calls {
+		if call.Target == protocol.PathLeases {
+			lease = call.ID
 		}
 	}
-	e := n.Result(n.now, lease, Outcome{Answered: true, Status: 200, Body: protocol.EncodeLease(77)})
+	e := c.Result(c.now, lease, Outcome{Answered: true, Status: 200, Body: protocol.EncodeLease(77)})
 	txn, err := protocol.ParseTxn(e.Calls[0].Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !demands(txn, bookkeeping.KeyLeader, 0) || !demands(txn, bookkeeping.KeyTerm, 33) {
+	if !demands(txn, records.KeyLeader, 0) || !demands(txn, records.KeyTerm, 33) {
 		t.Errorf("elected under %+v", txn.If)
 	}
-	if txn.Then[0].Put != bookkeeping.KeyLeader || txn.Then[0].Lease != 77 {
+	if txn.Then[0].Put != records.KeyLeader || txn.Then[0].Lease != 77 {
 		t.Errorf("the key goes with lease %d", txn.Then[0].Lease)
 	}
 }
@@ -188,9 +188,9 @@
 // never. A response of the worker's may be older than that answer, and so may prove
 // nothing by lacking the task; the next report does, and the start is sent once more.
 func TestStartInAnswer(t *testing.T) {
-	n, l := leading(active)
-	j, _ := running(n, l, 4)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c, l := leading(active)
+	j, _ := running(c, l, 4)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, recorded: true, sentSession: 1, sentSeq: 3}
 	l.attach(a)
@@ -203,7 +203,7 @@
 	if j.task(0).live != a {
 		t.Fatal("a response that may be older than the start proves it gone")
 	}
-	n.Request(n.now, 2, "POST", protocol.PathReport, report(5))
+	c.Request(c.now, 2, "POST", protocol.PathReport, report(5))
 	if j.task(0).live == a {
 		t.Error("the next report lacks it, and it still counts")
 	}
@@ -211,10 +211,10 @@
 
 // A leader that a worker shows a later term's token answers nobody any more.
 func TestLaterTermEndsLeadership(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 4, Token: (l.term + 1) << 16})
-	if e := n.Request(n.now, 1, "POST", protocol.PathReport, body); e.Replies[0].Status != 421 || n.lead != nil {
-		t.Errorf("got %d, leads %t", e.Replies[0].Status, n.lead != nil)
+	if e := c.Request(c.now, 1, "POST", protocol.PathReport, body); e.Replies[0].Status != 421 || c.leader != nil {
+		t.Errorf("got %d, leads %t", e.Replies[0].Status, c.leader != nil)
 	}
 }
 
@@ -223,19 +223,19 @@
 // it then falls silent its tasks go on until that lease is over. Counted from the last
 // answer, in a session before, they were taken for ended and started elsewhere meanwhile.
 func TestSessionHasItsWholeLease(t *testing.T) {
-	n, l := leading(active)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c, l := leading(active)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
 	answered := m.answered
-	n.now = n.now.Add(10 * time.Second)
+	c.now = c.now.Add(10 * time.Second)
 	r, err := protocol.ParseReport(report(5))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Session, r.Token = 2, l.machineToken(m)
 	l.takeReport(m, r, false) // a response: its reports don't come
-	if proof := l.silentProof(m); proof.Before(n.now.Add(n.cfg.WorkerLease)) {
-		t.Errorf("taken for dead %s after its session began, its lease is %s", proof.Sub(n.now), n.cfg.WorkerLease)
+	if proof := l.silentProof(m); proof.Before(c.now.Add(c.cfg.WorkerLease)) {
+		t.Errorf("taken for dead %s after its session began, its lease is %s", proof.Sub(c.now), c.cfg.WorkerLease)
 	}
 	if m.answered != answered {
 		t.Error("a session that began counts as a report that was answered")
--- a/internal/coordination/hold.go
+++ b/internal/coordination/hold.go
@@ -13,20 +13,20 @@
 // and where a third of all ordinary machines is cut off at once, their replicas would
 // be away for as long as new machines take to boot. Those are rented meanwhile.
 type holds struct {
-	l     *lead
+	l     *leader
 	taken map[*machine]usage // room that others' replicas are to have
 	jobs  map[*job]int       // replicas that wait for room, by job
 	full  map[kind]float64   // CPUs for which none was found, by kind of job
 }
 
-func (l *lead) newHolds() *holds {
+func (l *leader) newHolds() *holds {
 	return &holds{l: l, taken: map[*machine]usage{}, jobs: map[*job]int{}, full: map[kind]float64{}}
 }
 
 // keep reports whether a silent machine is to be kept, and takes room for its replicas
 // if it isn't.
 func (h *holds) keep(m *machine, quiet time.Duration) bool {
-	if m.replicas == 0 || quiet > h.l.n.cfg.WorkerLease {
+	if m.replicas == 0 || quiet > h.l.controller.cfg.WorkerLease {
 		return false
 	}
 	plan := map[*machine]usage{}
--- a/internal/coordination/hold_reports.go
+++ b/internal/coordination/hold_reports.go
@@ -25,16 +25,16 @@
 )
 
 // leaderDoubtful reports whether nobody leads, or the leader has just fallen silent.
-func (n *Node) leaderDoubtful() bool {
-	name := n.leaderName()
+func (c *Controller) leaderDoubtful() bool {
+	name := c.leaderName()
 	if name == "" {
 		return true
 	}
-	p := n.peers[name]
+	p := c.peers[name]
 	if p == nil {
 		return false
 	}
-	quiet := n.now.Sub(p.at)
+	quiet := c.now.Sub(p.at)
 	return quiet > leaderQuiet && quiet < leaderForget
 }
 
@@ -58,50 +58,50 @@
 // holdForLeader keeps a report until a leader is known. A worker that is sent to a
 // machine without power waits there for 4 s, and where all controllers but one are
 // silent it went from one to the next until its lease was over.
-func (n *Node) holdForLeader(id uint64, body []byte) {
-	if len(n.held.list) >= n.maxHeld() {
-		n.bounds.hit(boundHeld)
-		n.reply(id, 421, protocol.Redirect(""))
+func (c *Controller) holdForLeader(id uint64, body []byte) {
+	if len(c.held.list) >= c.maxHeld() {
+		c.bounds.hit(boundHeld)
+		c.reply(id, 421, protocol.Redirect(""))
 		return
 	}
-	until := n.held.until
+	until := c.held.until
 	if until.IsZero() {
-		until = n.now.Add(holdReport)
+		until = c.now.Add(holdReport)
 	}
-	n.held.list = append(n.held.list, heldReport{id: id, body: body, until: until})
-	n.wakeHeld()
+	c.held.list = append(c.held.list, heldReport{id: id, body: body, until: until})
+	c.wakeHeld()
 }
 
 // wakeHeld sets the timer for the report that is the first to be given up.
-func (n *Node) wakeHeld() {
-	if n.held.wake != nil || len(n.held.list) == 0 {
+func (c *Controller) wakeHeld() {
+	if c.held.wake != nil || len(c.held.list) == 0 {
 		return
 	}
-	n.held.wake = n.after(n.held.list[0].until.Sub(n.now), func() {
-		n.held.wake = nil
-		n.endHeld()
-		n.wakeHeld()
+	c.held.wake = c.after(c.held.list[0].until.Sub(c.now), func() {
+		c.held.wake = nil
+		c.endHeld()
+		c.wakeHeld()
 	})
 }
 
 // endHeld gives up the reports that were held for long enough.
-func (n *Node) endHeld() {
-	h := &n.held
-	for len(h.list) > 0 && !h.list[0].until.After(n.now) {
-		n.reply(h.list[0].id, 421, protocol.Redirect(n.leaderName()))
+func (c *Controller) endHeld() {
+	h := &c.held
+	for len(h.list) > 0 && !h.list[0].until.After(c.now) {
+		c.reply(h.list[0].id, 421, protocol.Redirect(c.leaderName()))
 		h.list = h.list[1:]
 	}
 }
 
 // releaseHeld takes the reports that were held, now that a leader is known. One that
 // has just been elected knows no cancellation yet, and must not answer.
-func (n *Node) releaseHeld() {
-	if len(n.held.list) == 0 || n.lead == nil && n.leaderDoubtful() || n.lead != nil && n.lead.known.IsZero() {
+func (c *Controller) releaseHeld() {
+	if len(c.held.list) == 0 || c.leader == nil && c.leaderDoubtful() || c.leader != nil && c.leader.known.IsZero() {
 		return
 	}
-	for _, h := range n.held.take() {
-		n.held.until = h.until
-		n.report(h.id, h.body)
+	for _, h := range c.held.take() {
+		c.held.until = h.until
+		c.report(h.id, h.body)
 	}
-	n.held.until = time.Time{}
+	c.held.until = time.Time{}
 }
--- a/internal/coordination/hold_test.go
+++ b/internal/coordination/hold_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // Silent machines that hold replicas are returned once there is room for these, or once
@@ -14,31 +14,31 @@
 // was cut off at once, and its replicas, which went on serving, were ended before new
 // machines had booted.
 func TestReplicasOfSilentMachinesWaitForRoom(t *testing.T) {
-	n, l := leading(active)
-	n.teams["red"].CPUsMax = 100
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
+	c, l := leading(active)
+	c.teams["red"].CPUsMax = 100
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
 	add := func(i int) *machine {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
-		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr, m.tookOver = true, true, n.now, n.now, n.now, 1, "x", n.now
+		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr, m.tookOver = true, true, c.now, c.now, c.now, 1, "x", c.now
 		return m
 	}
 	for i := range 10 {
 		add(i)
 	}
 	l.place()
-	n.take()
+	c.take()
 	cut := l.fleetList[:4:4]
 	pass := func(d time.Duration) {
 		for ; d > 0; d -= watchInterval {
-			n.now = n.now.Add(watchInterval)
+			c.now = c.now.Add(watchInterval)
 			for i, m := range l.fleetList {
 				if i >= len(cut) {
-					m.heard, m.answered, m.reached = n.now, n.now, n.now
+					m.heard, m.answered, m.reached = c.now, c.now, c.now
 				}
 			}
 			l.watchMachines()
-			l.n.out = Effects{}
+			l.controller.out = Effects{}
 		}
 	}
 	releasing := func() (count int) {
@@ -54,7 +54,7 @@
 		t.Errorf("without room %d of 4 are returned, and %d replicas want room", got, l.fleet.held[l.order[0]])
 	}
 	l.grow()
-	if rented := l.fleet.renting[offer{n.types["small"], "a", false}.key()]; rented != 4 {
+	if rented := l.fleet.renting[offer{c.types["small"], "a", false}.key()]; rented != 4 {
 		t.Errorf("%d machines are rented for eight replicas of half a machine", rented)
 	}
 	add(20)
@@ -62,7 +62,7 @@
 	if got := releasing(); got != 1 {
 		t.Errorf("with room for two replicas %d machines are returned", got)
 	}
-	pass(n.cfg.WorkerLease)
+	pass(c.cfg.WorkerLease)
 	if got := releasing(); got != 4 {
 		t.Errorf("once the leases have ended %d of 4 are returned", got)
 	}
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -5,33 +5,33 @@
 	"slices"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // jobRecorded implements observer.
-func (l *lead) jobRecorded(id string, value json.RawMessage, live bool) {
-	var r bookkeeping.Job
+func (l *leader) jobRecorded(id string, value json.RawMessage, live bool) {
+	var r records.Job
 	if err := protocol.Decode(value, &r); err != nil || r.Spec == nil || r.Chunk <= 0 || r.Spec.Tasks <= 0 {
-		l.n.log.Error("unreadable job record", "job", id, "err", err)
+		l.controller.log.Error("unreadable job record", "job", id, "err", err)
 		return
 	}
 	l.addJob(&r)
 	if live {
 		// Its record took a change, too: where users submit many jobs a second, the
 		// leader's own records leave them what the state service takes.
-		l.journal.budget.Spend(l.n.now, 1)
+		l.journal.budget.Spend(l.controller.now, 1)
 		l.askPlace()
 	}
 }
 
 // jobEnded implements observer.
-func (l *lead) jobEnded(j *job, s protocol.JobState) { l.jobOver(j, s) }
+func (l *leader) jobEnded(j *job, s protocol.JobState) { l.jobOver(j, s) }
 
 // jobRemoved implements observer: the leader removes records itself.
-func (l *lead) jobRemoved(string) {}
+func (l *leader) jobRemoved(string) {}
 
-func (l *lead) addJob(r *bookkeeping.Job) {
+func (l *leader) addJob(r *records.Job) {
 	if l.jobs[r.Spec.ID] != nil {
 		return
 	}
@@ -47,7 +47,7 @@
 		at--
 	}
 	l.order = slices.Insert(l.order, at, j)
-	if f, ok := l.n.admission.finals[j.ID]; ok {
+	if f, ok := l.controller.admission.finals[j.ID]; ok {
 		l.jobOver(j, f.state)
 	}
 }
--- a/internal/coordination/journal.go
+++ b/internal/coordination/journal.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // lazyDelay is how long a record that nobody waits for may stay unwritten, so
@@ -18,9 +18,9 @@
 // turn comes. A record holds what was placed of a chunk of a job's tasks, so the
 // bound is the records of about half a second, a few transactions at the least.
 func (g *journal) full() bool {
-	c := g.l.n.cfg
+	c := g.l.controller.cfg
 	if g.unsaved >= g.maxUnsaved() {
-		g.l.n.bounds.hit(boundUnsaved)
+		g.l.controller.bounds.hit(boundUnsaved)
 		return true
 	}
 	return len(g.urgent) >= max(4*c.TxnOps, int(c.StateWriteRPS/2))
@@ -32,8 +32,8 @@
 // fails; and every record on its own version, so one that is applied after we
 // gave it up can't overwrite a newer one.
 type journal struct {
-	l       *lead
-	budget  *bookkeeping.Budget
+	l       *leader
+	budget  *records.Budget
 	urgent  []*chunk
 	lazy    []*chunk
 	ends    []*job   // to be recorded as done
@@ -57,35 +57,35 @@
 	job *job
 }
 
-func (g *journal) init(l *lead) {
+func (g *journal) init(l *leader) {
 	g.l = l
-	g.chunkTasks = bookkeeping.ChunkSize(l.n.cfg.ValueBytes)
-	w := l.n.cfg.StateWriteRPS
-	g.budget = bookkeeping.NewBudget(w*0.75, w*0.6, l.n.now)
+	g.chunkTasks = records.ChunkSize(l.controller.cfg.ValueBytes)
+	w := l.controller.cfg.StateWriteRPS
+	g.budget = records.NewBudget(w*0.75, w*0.6, l.controller.now)
 }
 
 // touch wants a chunk written soon.
-func (g *journal) touch(c *chunk) {
-	if !c.dirty || c.lazy {
-		c.dirty, c.lazy = true, false
-		g.urgent = append(g.urgent, c)
+func (g *journal) touch(chunk *chunk) {
+	if !chunk.dirty || chunk.lazy {
+		chunk.dirty, chunk.lazy = true, false
+		g.urgent = append(g.urgent, chunk)
 	}
 }
 
 // touchLazy wants a chunk written some time.
-func (g *journal) touchLazy(c *chunk) {
-	if !c.dirty {
-		c.dirty, c.lazy, c.due = true, true, g.l.n.now.Add(lazyDelay)
-		g.lazy = append(g.lazy, c)
+func (g *journal) touchLazy(chunk *chunk) {
+	if !chunk.dirty {
+		chunk.dirty, chunk.lazy, chunk.due = true, true, g.l.controller.now.Add(lazyDelay)
+		g.lazy = append(g.lazy, chunk)
 	}
 }
 
 // start wants a placement recorded; its start is sent after that.
 func (g *journal) start(a *attempt) {
-	c := a.job.chunk(a.task)
-	c.starts = append(c.starts, a)
+	chunk := a.job.chunk(a.task)
+	chunk.starts = append(chunk.starts, a)
 	g.unsaved++
-	g.touch(c)
+	g.touch(chunk)
 }
 
 func (g *journal) finish(j *job)     { g.ends = append(g.ends, j) }
@@ -94,12 +94,12 @@
 // removeJob removes a job's records, the job's own last: by it a later leader
 // finds the others.
 func (g *journal) removeJob(j *job) {
-	for _, c := range j.chunks {
-		if c != nil && (c.version > 0 || c.inFlight || !c.known) {
-			g.remove(bookkeeping.KeyChunk(j.ID, c.index))
+	for _, chunk := range j.chunks {
+		if chunk != nil && (chunk.version > 0 || chunk.inFlight || !chunk.known) {
+			g.remove(records.KeyChunk(j.ID, chunk.index))
 		}
 	}
-	key := bookkeeping.KeyActive(j.ID)
+	key := records.KeyActive(j.ID)
 	g.remove(key)
 	g.after = append(g.after, afterRemoval{key, j})
 }
@@ -124,8 +124,8 @@
 }
 
 func (b *batch) when(key string, version uint64) {
-	for _, c := range b.txn.If {
-		if c.Key == key {
+	for _, condition := range b.txn.If {
+		if condition.Key == key {
 			return
 		}
 	}
@@ -136,20 +136,20 @@
 // flush sends the next transaction if there is something to write, none is
 // under way, and the budget allows.
 func (g *journal) flush() {
-	l, n := g.l, g.l.n
+	l, c := g.l, g.l.controller
 	if g.busy || !l.alive() || l.phase == loading {
 		return
 	}
-	if n.now.Before(g.pause) {
-		g.wakeIn(g.pause.Sub(n.now))
+	if c.now.Before(g.pause) {
+		g.wakeIn(g.pause.Sub(c.now))
 		return
 	}
 	lazyDue := time.Duration(-1)
 	if len(g.lazy) > 0 {
-		lazyDue = max(0, g.lazy[0].due.Sub(n.now))
+		lazyDue = max(0, g.lazy[0].due.Sub(c.now))
 	}
 	if len(g.changed) > 0 {
-		if due := max(0, g.changed[0].due.Sub(n.now)); lazyDue < 0 || due < lazyDue {
+		if due := max(0, g.changed[0].due.Sub(c.now)); lazyDue < 0 || due < lazyDue {
 			lazyDue = due
 		}
 	}
@@ -159,13 +159,13 @@
 		}
 		return
 	}
-	room := min(n.cfg.TxnOps, int(g.budget.Available(n.now)))
+	room := min(c.cfg.TxnOps, int(g.budget.Available(c.now)))
 	if room < 1 {
-		g.wakeIn(g.budget.Wait(n.now, 1) + time.Millisecond)
+		g.wakeIn(g.budget.Wait(c.now, 1) + time.Millisecond)
 		return
 	}
 	b := &batch{}
-	b.when(bookkeeping.KeyLeader, l.version)
+	b.when(records.KeyLeader, l.version)
 	fits := func() bool { return len(b.txn.Then) < room && b.bytes < 48<<10 }
 	for len(g.ends) > 0 && fits() {
 		j := g.ends[0]
@@ -174,8 +174,8 @@
 			continue
 		}
 		b.ends = append(b.ends, j)
-		b.when(bookkeeping.KeyOutcome(j.ID), 0)
-		b.op(protocol.Op{Put: bookkeeping.KeyOutcome(j.ID), Value: bookkeeping.EncodeOutcome(protocol.Done, j.Tasks)})
+		b.when(records.KeyOutcome(j.ID), 0)
+		b.op(protocol.Op{Put: records.KeyOutcome(j.ID), Value: records.EncodeOutcome(protocol.Done, j.Tasks)})
 	}
 	for fits() {
 		k := g.nextGroup()
@@ -189,15 +189,15 @@
 		slices.SortStableFunc(g.urgent, func(a, b *chunk) int { return int(b.job.Priority) - int(a.job.Priority) })
 	}
 	for len(g.urgent) > 0 && fits() {
-		c := g.urgent[0]
+		chunk := g.urgent[0]
 		g.urgent = g.urgent[1:]
-		g.add(b, c)
+		g.add(b, chunk)
 	}
 	for len(g.lazy) > 0 && fits() {
-		c := g.lazy[0]
+		chunk := g.lazy[0]
 		g.lazy = g.lazy[1:]
-		if c.lazy { // else it became urgent and is in the other list
-			g.add(b, c)
+		if chunk.lazy { // else it became urgent and is in the other list
+			g.add(b, chunk)
 		}
 	}
 	for len(g.extra) > 0 && fits() {
@@ -214,8 +214,8 @@
 		return
 	}
 	g.busy = true
-	g.budget.Spend(n.now, float64(len(b.txn.Then)))
-	n.storeTxn(&b.txn, func(r txnResult, revision uint64, failed []string) {
+	g.budget.Spend(c.now, float64(len(b.txn.Then)))
+	c.storeTxn(&b.txn, func(r txnResult, revision uint64, failed []string) {
 		if !l.alive() {
 			return
 		}
@@ -226,12 +226,12 @@
 
 // add puts a chunk's record into a batch. Placements that were given up by now
 // are dropped here, before anything of them is recorded or sent.
-func (g *journal) add(b *batch, c *chunk) {
+func (g *journal) add(b *batch, chunk *chunk) {
 	l := g.l
-	j := c.job
-	c.dirty, c.lazy = false, false
-	starts, marks := c.starts, c.marks
-	c.starts, c.marks = nil, nil
+	j := chunk.job
+	chunk.dirty, chunk.lazy = false, false
+	starts, marks := chunk.starts, chunk.marks
+	chunk.starts, chunk.marks = nil, nil
 	g.unsaved -= len(starts)
 	keep := starts[:0]
 	for _, a := range starts {
@@ -244,22 +244,22 @@
 		}
 		keep = append(keep, a)
 	}
-	c.dirty, c.lazy = false, false // detach may have asked for a lazy write
+	chunk.dirty, chunk.lazy = false, false // detach may have asked for a lazy write
 	if j.removed || j.outcome != 0 {
 		return
 	}
 	if j.finishing && len(keep) == 0 {
 		return // the outcome says it all
 	}
-	c.inFlight = true
-	b.chunks = append(b.chunks, c)
+	chunk.inFlight = true
+	b.chunks = append(b.chunks, chunk)
 	b.starts = append(b.starts, keep)
 	b.marks = append(b.marks, marks)
 	var saved []*task
-	r := bookkeeping.Chunk{}
-	done := make([]bool, len(c.tasks))
-	for i := range c.tasks {
-		t := &c.tasks[i]
+	r := records.Chunk{}
+	done := make([]bool, len(chunk.tasks))
+	for i := range chunk.tasks {
+		t := &chunk.tasks[i]
 		done[i] = t.done
 		if t.done {
 			if !t.saved {
@@ -268,7 +268,7 @@
 			continue
 		}
 		if t.attempt > 0 {
-			tr := bookkeeping.TaskRecord{Offset: i, Attempt: t.attempt}
+			tr := records.TaskRecord{Offset: i, Attempt: t.attempt}
 			if t.live != nil {
 				tr.Machine = t.live.machine.Name
 			}
@@ -276,27 +276,27 @@
 		}
 	}
 	r.SetDone(done)
-	c.setMoved(&r)
+	chunk.setMoved(&r)
 	b.saved = append(b.saved, saved)
-	key := bookkeeping.KeyChunk(j.ID, c.index)
-	b.when(key, c.version)
+	key := records.KeyChunk(j.ID, chunk.index)
+	b.when(key, chunk.version)
 	// A start is never recorded, and so never sent, once the job is over.
-	b.when(bookkeeping.KeyOutcome(j.ID), 0)
-	b.op(protocol.Op{Put: key, Value: bookkeeping.Encode(r)})
+	b.when(records.KeyOutcome(j.ID), 0)
+	b.op(protocol.Op{Put: key, Value: records.Encode(r)})
 }
 
 // settle acts on what came of a transaction.
 func (g *journal) settle(b *batch, r txnResult, revision uint64, failed []string) {
-	l, n := g.l, g.l.n
+	l, c := g.l, g.l.controller
 	switch r {
 	case txnApplied:
-		for i, c := range b.chunks {
-			c.version, c.known, c.inFlight = revision, true, false
+		for i, chunk := range b.chunks {
+			chunk.version, chunk.known, chunk.inFlight = revision, true, false
 			for _, t := range b.saved[i] {
 				l.resultSaved(t)
 			}
 			for _, a := range b.starts[i] {
-				if c.job.task(a.task).live != a {
+				if chunk.job.task(a.task).live != a {
 					continue
 				}
 				a.recorded = true
@@ -314,7 +314,7 @@
 			l.groupWritten(k)
 		}
 		for _, j := range b.ends {
-			n.admission.noteFinal(j.ID, protocol.Done, j.Tasks)
+			c.admission.noteFinal(j.ID, protocol.Done, j.Tasks)
 			l.jobOver(j, protocol.Done)
 		}
 		for _, key := range b.removes {
@@ -328,30 +328,30 @@
 		}
 		return
 	case txnFailed:
-		if slices.Contains(failed, bookkeeping.KeyLeader) {
-			n.stepDown("the leader key has changed")
+		if slices.Contains(failed, records.KeyLeader) {
+			c.stepDown("the leader key has changed")
 			return
 		}
-		g.requeue(b, func(c *chunk) bool { return slices.Contains(failed, bookkeeping.KeyChunk(c.job.ID, c.index)) })
+		g.requeue(b, func(chunk *chunk) bool { return slices.Contains(failed, records.KeyChunk(chunk.job.ID, chunk.index)) })
 		for _, key := range failed {
-			if id, ok := cutPrefix(key, bookkeeping.PrefixOutcome); ok {
+			if id, ok := cutPrefix(key, records.PrefixOutcome); ok {
 				g.readOutcome(id)
 			}
 		}
 	case txnRefused:
-		g.pause = n.now.Add(150*time.Millisecond + n.jitter(100*time.Millisecond))
+		g.pause = c.now.Add(150*time.Millisecond + c.jitter(100*time.Millisecond))
 		g.requeue(b, nil)
 	default:
 		// It may have been applied or may yet be: read what each record is
 		// now. If the transaction comes later after all, its conditions fail
 		// as soon as the records were written again.
-		n.log.Info("a transaction got no answer", "ops", len(b.txn.Then))
+		c.log.Info("a transaction got no answer", "ops", len(b.txn.Then))
 		g.requeue(b, func(*chunk) bool { return true })
 	}
 }
 
 // resultSaved notes that a task's result is recorded.
-func (l *lead) resultSaved(t *task) {
+func (l *leader) resultSaved(t *task) {
 	t.saved = true
 	if t.exit != nil && l.shards != nil {
 		l.shards.tellForget(*t.exit)
@@ -363,21 +363,21 @@
 // the records that reread picks first.
 func (g *journal) requeue(b *batch, reread func(*chunk) bool) {
 	var unsure []*chunk
-	for i, c := range b.chunks {
+	for i, chunk := range b.chunks {
 		for _, a := range b.starts[i] {
-			if c.job.task(a.task).live == a {
-				c.starts = append(c.starts, a)
+			if chunk.job.task(a.task).live == a {
+				chunk.starts = append(chunk.starts, a)
 				g.unsaved++
 			}
 		}
-		c.marks = append(c.marks, b.marks[i]...)
-		if reread != nil && reread(c) {
-			c.known = false
-			unsure = append(unsure, c)
+		chunk.marks = append(chunk.marks, b.marks[i]...)
+		if reread != nil && reread(chunk) {
+			chunk.known = false
+			unsure = append(unsure, chunk)
 			continue
 		}
-		c.inFlight = false
-		g.touch(c)
+		chunk.inFlight = false
+		g.touch(chunk)
 	}
 	g.ends = append(b.ends, g.ends...)
 	g.puts = append(b.puts, g.puts...)
@@ -388,35 +388,35 @@
 	}
 	g.busy = true
 	left := len(unsure)
-	for _, c := range unsure {
-		g.readVersion(c, func() {
+	for _, chunk := range unsure {
+		g.readVersion(chunk, func() {
 			if left--; left == 0 {
 				g.busy = false
 			}
-			c.inFlight = false
-			g.touch(c)
+			chunk.inFlight = false
+			g.touch(chunk)
 		})
 	}
 }
 
 // readVersion learns a chunk record's version, however often it must ask.
-func (g *journal) readVersion(c *chunk, done func()) {
-	l, n := g.l, g.l.n
-	n.storeGet(bookkeeping.KeyChunk(c.job.ID, c.index), func(it protocol.Item, found, ok bool) {
+func (g *journal) readVersion(chunk *chunk, done func()) {
+	l, c := g.l, g.l.controller
+	c.storeGet(records.KeyChunk(chunk.job.ID, chunk.index), func(it protocol.Item, found, ok bool) {
 		if !l.alive() {
 			return
 		}
 		if !ok {
-			n.after(200*time.Millisecond+n.jitter(100*time.Millisecond), func() {
+			c.after(200*time.Millisecond+c.jitter(100*time.Millisecond), func() {
 				if l.alive() {
-					g.readVersion(c, done)
+					g.readVersion(chunk, done)
 				}
 			})
 			return
 		}
-		c.version, c.known = 0, true
+		chunk.version, chunk.known = 0, true
 		if found {
-			c.version = it.Version
+			chunk.version = it.Version
 		}
 		done()
 	})
@@ -424,15 +424,15 @@
 
 // readOutcome learns how a job ended that another node ended.
 func (g *journal) readOutcome(id string) {
-	l, n := g.l, g.l.n
-	n.storeGet(bookkeeping.KeyOutcome(id), func(it protocol.Item, found, ok bool) {
+	l, c := g.l, g.l.controller
+	c.storeGet(records.KeyOutcome(id), func(it protocol.Item, found, ok bool) {
 		if !l.alive() {
 			return
 		}
 		if ok && found {
 			l.jobKey(it.Key, it.Value, true)
 		} else {
-			n.after(200*time.Millisecond, func() {
+			c.after(200*time.Millisecond, func() {
 				if l.alive() && l.jobs[id] != nil && l.jobs[id].outcome == 0 {
 					g.readOutcome(id)
 				}
@@ -440,11 +440,11 @@
 		}
 	})
 	// Until it is known, nothing of the job is written: its condition fails.
-	g.pause = n.now.Add(50 * time.Millisecond)
+	g.pause = c.now.Add(50 * time.Millisecond)
 }
 
 func (g *journal) wakeIn(d time.Duration) {
-	at := g.l.n.now.Add(max(d, time.Millisecond))
+	at := g.l.controller.now.Add(max(d, time.Millisecond))
 	if g.wake != nil && !g.wake.at.After(at) {
 		return
 	}
@@ -452,7 +452,7 @@
 		g.wake.run = nil
 	}
 	var t *timer
-	t = g.l.n.after(max(d, time.Millisecond), func() {
+	t = g.l.controller.after(max(d, time.Millisecond), func() {
 		if g.wake == t {
 			g.wake = nil
 		}
@@ -462,10 +462,10 @@
 
 // saveTypes keeps the machine types for nodes that can't reach the cloud.
 func (g *journal) saveTypes(types []protocol.MachineType) {
-	raw := bookkeeping.Encode(types)
-	if len(raw) > g.l.n.cfg.ValueBytes {
-		g.l.n.bounds.hit(boundTypes)
+	raw := records.Encode(types)
+	if len(raw) > g.l.controller.cfg.ValueBytes {
+		g.l.controller.bounds.hit(boundTypes)
 		return
 	}
-	g.extra = append(g.extra, protocol.Op{Put: bookkeeping.KeyTypes, Value: json.RawMessage(raw)})
+	g.extra = append(g.extra, protocol.Op{Put: records.KeyTypes, Value: json.RawMessage(raw)})
 }
--- a/internal/coordination/lead.go
+++ b/internal/coordination/leader.go
@@ -26,9 +26,9 @@
 	askTwice = 2 // times without an answer, and the leader waits no longer for it
 )
 
-// lead is what a leader keeps in memory. All of it is rebuilt from the state
+// leader is what a leader keeps in memory. All of it is rebuilt from the state
 // service and from reports by the next one. It serves all workers itself, as their owner.
-type lead struct {
+type leader struct {
 	owner
 	tenure   tenure // of all machines
 	term     uint64
@@ -172,29 +172,29 @@
 	task int
 }
 
-func (n *Node) becomeLeader(term, version, lease uint64, ttl time.Duration, validUntil time.Time) {
-	l := &lead{owner: newOwner(n, right{lease, ttl, validUntil}), term: term, version: version, elected: n.now, phase: loading,
+func (c *Controller) becomeLeader(term, version, leaseID uint64, ttl time.Duration, validUntil time.Time) {
+	l := &leader{owner: newOwner(c, lease{leaseID, ttl, validUntil}), term: term, version: version, elected: c.now, phase: loading,
 		teams: map[string]*usage{}, stopped: map[string]usage{}, bias: map[string]float64{},
 		gone: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, searches: map[kind]*search{}, allowance: roundWork}
-	for name := range n.teams {
+	for name := range c.teams {
 		l.teams[name] = &usage{}
 	}
 	l.observer = l
 	l.balance = newBalancer(l)
 	// The leader before may have had the shortest lease, which leaves the longest grace.
-	l.tenure = tenure{term: term, since: n.now, predecessorUntil: n.now.Add(n.graceAfter(n.op.LeaderLease()))}
+	l.tenure = tenure{term: term, since: c.now, predecessorUntil: c.now.Add(c.graceAfter(c.op.LeaderLease()))}
 	l.journal.init(l)
 	l.fleet.init(l)
-	if n.sharding == nil && n.election.sharded {
+	if c.sharding == nil && c.election.sharded {
 		// Other controllers may own shards: this one takes them back first.
-		n.startSharding(false)
+		c.startSharding(false)
 	}
-	if n.sharding != nil {
-		l.shards = newShardLeader(l, n.sharding, n.op.Sharding == nil)
+	if c.sharding != nil {
+		l.shards = newShardLeader(l, c.sharding, c.op.Sharding == nil)
 	}
-	n.lead = l
-	n.log.Info("leading", "term", term)
-	n.publish()
+	c.leader = l
+	c.log.Info("leading", "term", term)
+	c.publish()
 	l.renew()
 	l.load()
 	l.every(watchInterval, l.watchMachines)
@@ -207,7 +207,7 @@
 
 // askPlace wants the placement to run soon. A short delay lets what happens
 // together be placed together.
-func (l *lead) askPlace() {
+func (l *leader) askPlace() {
 	if l.placeAsked || l.phase != active {
 		return
 	}
@@ -215,10 +215,10 @@
 	// The dearer the last round was, the longer until the next, so that rounds take
 	// no more than about half of a small share of a processor.
 	delay := 8*time.Millisecond + time.Duration(len(l.order))*20*time.Microsecond + time.Duration(l.work)*roundPause
-	if l.n.behind() {
-		delay += l.n.lag / 2
+	if l.controller.behind() {
+		delay += l.controller.lag / 2
 	}
-	l.n.after(delay, func() {
+	l.controller.after(delay, func() {
 		if l.alive() {
 			l.placeAsked = false
 			l.place()
@@ -228,13 +228,13 @@
 
 // settleStep runs at the end of each step: it sends what the step left to be
 // written and ordered.
-func (l *lead) settleStep() {
+func (l *leader) settleStep() {
 	l.journal.flush()
 	l.sendStep()
 }
 
 // orderSoon lets a worker be told what is wanted of an attempt, by its owner.
-func (l *lead) orderSoon(a *attempt) {
+func (l *leader) orderSoon(a *attempt) {
 	if l.shards != nil {
 		l.shards.deliver(a)
 		return
--- a/internal/coordination/leave.go
+++ b/internal/coordination/leave.go
@@ -12,37 +12,37 @@
 // Drain lets the controller give up what it has before a planned end: its shards move to
 // others while jobs run, then the lead passes on. It answers users as before. Nothing is
 // given up that nobody else can take.
-func (n *Node) Drain(now time.Time) Effects {
-	n.now = now
-	if !n.draining {
-		n.draining = true
-		n.log.Info("draining this controller")
-		if n.sharding != nil {
-			n.sharding.drain()
+func (c *Controller) Drain(now time.Time) Effects {
+	c.now = now
+	if !c.draining {
+		c.draining = true
+		c.log.Info("draining this controller")
+		if c.sharding != nil {
+			c.sharding.drain()
 		}
-		n.drainStep()
+		c.drainStep()
 	}
-	return n.take()
+	return c.take()
 }
 
 // Drained reports whether the controller neither leads nor serves workers.
-func (n *Node) Drained() bool {
-	return n.lead == nil && (n.sharding == nil || n.sharding.own == nil || len(n.sharding.own.held) == 0)
+func (c *Controller) Drained() bool {
+	return c.leader == nil && (c.sharding == nil || c.sharding.own == nil || len(c.sharding.own.held) == 0)
 }
 
 // drainStep gives up the lead once there is nothing else to give up.
-func (n *Node) drainStep() {
-	servesShards := n.sharding != nil && n.sharding.own != nil && len(n.sharding.own.held) > 0
-	if n.lead != nil && !servesShards && !n.storeDown() && n.fitPeer() {
-		n.resign("this controller is drained", leavePause)
+func (c *Controller) drainStep() {
+	servesShards := c.sharding != nil && c.sharding.own != nil && len(c.sharding.own.held) > 0
+	if c.leader != nil && !servesShards && !c.storeDown() && c.fitPeer() {
+		c.resign("this controller is drained", leavePause)
 	}
-	n.after(leaveStep, n.drainStep)
+	c.after(leaveStep, c.drainStep)
 }
 
 // fitPeer reports whether a peer was heard lately that may lead.
-func (n *Node) fitPeer() bool {
-	for _, p := range n.peers {
-		if p.storeOK && !p.unfit && n.now.Sub(p.at) < 2500*time.Millisecond {
+func (c *Controller) fitPeer() bool {
+	for _, p := range c.peers {
+		if p.storeOK && !p.unfit && c.now.Sub(p.at) < 2500*time.Millisecond {
 			return true
 		}
 	}
@@ -61,7 +61,7 @@
 func (s *sharding) tellDraining(own *shardOwner) {
 	s.writeMember(own, func(applied bool) {
 		if !applied {
-			s.n.after(300*time.Millisecond, func() {
+			s.controller.after(300*time.Millisecond, func() {
 				if s.own == own {
 					s.tellDraining(own)
 				}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -8,31 +8,31 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // Tests of bounds that a fleet of thousands of machines reaches.
 
 // follower is another controller that hears a leader.
-func follower(n *Node) *Node {
-	cfg := *n.cfg
+func follower(c *Controller) *Controller {
+	cfg := *c.cfg
 	cfg.Name = "n1"
 	cfg.Peers = append(cfg.Peers[:0:0], cfg.Peers...)
-	cfg.Peers = append(cfg.Peers, config.Peer{Name: n.cfg.Name, Zone: n.cfg.Zone})
-	f := New(&cfg, n.op, slog.New(slog.DiscardHandler), 2, n.now)
-	f.election.leader.Node = n.cfg.Name
+	cfg.Peers = append(cfg.Peers, config.Peer{Name: c.cfg.Name, Zone: c.cfg.Zone})
+	f := New(&cfg, c.op, slog.New(slog.DiscardHandler), 2, c.now)
+	f.election.leader.Node = c.cfg.Name
 	return f
 }
 
 // tellPeer hands a turn of a leader's lines to a follower, and reports the longest one.
-func tellPeer(n, f *Node) (longest int) {
-	n.out = Effects{}
-	n.publish()
-	for _, p := range n.take().Publishes {
+func tellPeer(c, f *Controller) (longest int) {
+	c.out = Effects{}
+	c.publish()
+	for _, p := range c.take().Publishes {
 		longest = max(longest, len(p.Body))
-		f.Peer(n.now, p.Body)
+		f.Peer(c.now, p.Body)
 	}
 	return longest
 }
@@ -42,13 +42,13 @@
 // queued for ever.
 func TestProgressOfAllJobsIsTold(t *testing.T) {
 	const jobs = 9000
-	n, l := largeLead(10, jobs)
+	c, l := largeLead(10, jobs)
 	for _, j := range l.order {
 		j.running = 3
 	}
-	f := follower(n)
+	f := follower(c)
 	for turn := range 3 {
-		if longest := tellPeer(n, f); longest > MaxPeerLine {
+		if longest := tellPeer(c, f); longest > MaxPeerLine {
 			t.Fatalf("turn %d: a line of %d bytes", turn, longest)
 		}
 	}
@@ -60,7 +60,7 @@
 	// One that went back to nothing is told of once more.
 	l.order[0].running = 0
 	for range 3 {
-		tellPeer(n, f)
+		tellPeer(c, f)
 	}
 	if _, _, running := f.progress(l.order[0].ID); running != 0 {
 		t.Errorf("%d tasks run that were stopped", running)
@@ -70,16 +70,16 @@
 // Thousands of jobs that end within a second are told to peers within seconds, each at
 // least once: 500 of them were told a second, and what came beyond 5,000 was dropped.
 func TestManyFinalStatesAreTold(t *testing.T) {
-	n, _ := leading(active)
-	n.cfg.StateWriteRPS = 1000
-	n.admission.maxNews = n.maxNews()
+	c, _ := leading(active)
+	c.cfg.StateWriteRPS = 1000
+	c.admission.maxNews = c.maxNews()
 	const jobs = 12_000
 	for i := range jobs {
-		n.admission.noteFinal(fmt.Sprintf("run-%06d", i), protocol.Done, 1)
+		c.admission.noteFinal(fmt.Sprintf("run-%06d", i), protocol.Done, 1)
 	}
-	f := follower(n)
+	f := follower(c)
 	for range 5 {
-		if longest := tellPeer(n, f); longest > MaxPeerLine {
+		if longest := tellPeer(c, f); longest > MaxPeerLine {
 			t.Fatalf("a line of %d bytes", longest)
 		}
 	}
@@ -89,9 +89,9 @@
 }
 
 // listedMachines answers calls for the cloud's list with machines from 0 to count.
-func listedMachines(c Call, count int) []byte {
+func listedMachines(call Call, count int) []byte {
 	first := 0
-	if _, after, found := strings.Cut(c.Target, "=vm-"); found {
+	if _, after, found := strings.Cut(call.Target, "=vm-"); found {
 		if _, err := fmt.Sscanf(after, "%d", &first); err != nil {
 			panic(err)
 		}
@@ -105,28 +105,28 @@
 }
 
 // readList lets a leader read a list of machines once, refusing one call in every refuse.
-func readList(n *Node, l *lead, count, refuse int) (calls int) {
-	n.out = Effects{}
+func readList(c *Controller, l *leader, count, refuse int) (calls int) {
+	c.out = Effects{}
 	l.listMachines()
 	for range 10_000 {
-		e := n.take()
-		for _, c := range e.Calls {
-			if c.To != Cloud || !strings.HasPrefix(c.Target, protocol.PathHosts+"?") {
+		e := c.take()
+		for _, call := range e.Calls {
+			if call.To != Cloud || !strings.HasPrefix(call.Target, protocol.PathHosts+"?") {
 				continue
 			}
 			calls++
-			o := Outcome{Answered: true, Status: 200, Body: listedMachines(c, count)}
+			o := Outcome{Answered: true, Status: 200, Body: listedMachines(call, count)}
 			if refuse > 0 && calls%refuse == 0 {
 				o = Outcome{Answered: true, Status: 429}
 			}
-			n.out.Calls = append(n.out.Calls, n.Result(n.now, c.ID, o).Calls...)
+			c.out.Calls = append(c.out.Calls, c.Result(c.now, call.ID, o).Calls...)
 		}
 		if !l.fleet.listing {
 			return calls
 		}
-		if len(n.out.Calls) == 0 {
-			n.now = n.now.Add(100 * time.Millisecond)
-			n.out.Calls = append(n.out.Calls, n.Tick(n.now).Calls...)
+		if len(c.out.Calls) == 0 {
+			c.now = c.now.Add(100 * time.Millisecond)
+			c.out.Calls = append(c.out.Calls, c.Tick(c.now).Calls...)
 		}
 	}
 	return calls
@@ -137,11 +137,11 @@
 // one refused page cost all before it.
 func TestLongListsAreReadToTheEnd(t *testing.T) {
 	const count = 25_000
-	n, l := leading(active)
+	c, l := leading(active)
 	last := l.newMachine(fmt.Sprintf("vm-%06d", count-1), "small", "a", false)
-	last.recorded, last.rented = true, n.now.Add(-time.Hour)
-	l.fleet.budget = bookkeeping.NewBudget(1000, 1000, n.now)
-	if calls := readList(n, l, count, 7); !l.fleet.listed || calls < count/protocol.MaxListed {
+	last.recorded, last.rented = true, c.now.Add(-time.Hour)
+	l.fleet.budget = records.NewBudget(1000, 1000, c.now)
+	if calls := readList(c, l, count, 7); !l.fleet.listed || calls < count/protocol.MaxListed {
 		t.Fatalf("not read in %d calls", calls)
 	}
 	if len(l.machines) != count || !last.missing.IsZero() {
@@ -153,13 +153,13 @@
 // every six seconds, those of 4,000 machines took two thirds of two calls a second.
 func TestListsLeaveCallsForOthers(t *testing.T) {
 	_, l := largeLead(4000, 0)
-	l.n.cfg.CloudRPS, l.n.cfg.ListLag = 2, 12*time.Second
+	l.controller.cfg.CloudRPS, l.controller.cfg.ListLag = 2, 12*time.Second
 	pages := float64(1 + 4000/protocol.MaxListed)
-	if share := pages / l.listInterval().Seconds() / l.n.cfg.CloudRPS; share > 0.26 {
+	if share := pages / l.listInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
 		t.Errorf("lists take %.2f of the calls", share)
 	}
 	_, small := largeLead(250, 0)
-	small.n.cfg.CloudRPS, small.n.cfg.ListLag = 2, 12*time.Second
+	small.controller.cfg.CloudRPS, small.controller.cfg.ListLag = 2, 12*time.Second
 	if i := small.listInterval(); i != 6*time.Second {
 		t.Errorf("a small fleet's list is read every %s", i)
 	}
@@ -167,19 +167,19 @@
 
 // A list that repeats its pages isn't read without end.
 func TestEndlessListIsGivenUp(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	l.listMachines()
 	again := protocol.EncodeList([]protocol.ListedMachine{{Name: "vm-000001", Type: "small", Zone: "a", State: protocol.Up}}, true)
 	calls := 0
 	for range 20 {
-		for _, c := range n.take().Calls {
-			if c.To == Cloud {
+		for _, call := range c.take().Calls {
+			if call.To == Cloud {
 				calls++
-				n.out.Calls = append(n.out.Calls, n.Result(n.now, c.ID, Outcome{Answered: true, Status: 200, Body: again}).Calls...)
+				c.out.Calls = append(c.out.Calls, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: again}).Calls...)
 			}
 		}
-		n.now = n.now.Add(100 * time.Millisecond)
-		n.out.Calls = append(n.out.Calls, n.Tick(n.now).Calls...)
+		c.now = c.now.Add(100 * time.Millisecond)
+		c.out.Calls = append(c.out.Calls, c.Tick(c.now).Calls...)
 	}
 	if calls > 4 || l.fleet.listed {
 		t.Errorf("%d calls, taken for read: %t", calls, l.fleet.listed)
@@ -187,38 +187,38 @@
 }
 
 // crowded is a machine that runs very many small tasks.
-func crowded(tasks int) (*Node, *lead, *machine) {
-	n, l := largeLead(1, 0)
+func crowded(tasks int) (*Controller, *leader, *machine) {
+	c, l := largeLead(1, 0)
 	spec := benchJob(2)
 	spec.Tasks, spec.CPUs, spec.MemGB = tasks, 0.001, 0.001
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: spec})
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 	m := l.fleetList[0]
 	for i := range tasks {
 		l.assign(l.order[0], i, m)
 		l.order[0].next = i + 1
 	}
 	runAll(l)
-	n.take()
-	return n, l, m
+	c.take()
+	return c, l, m
 }
 
 // Messages to a worker hold what fits 64 KiB, and what doesn't goes out with the next.
 func TestOrdersFitMessages(t *testing.T) {
 	const tasks = 3000
-	n, l, m := crowded(tasks)
+	c, l, m := crowded(tasks)
 	l.jobOver(l.order[0], protocol.Cancelled)
 	stopped := map[int]bool{}
-	calls := n.take().Calls
+	calls := c.take().Calls
 	for range 20 {
 		var next []Call
-		for _, c := range calls {
-			if c.To != Worker {
+		for _, call := range calls {
+			if call.To != Worker {
 				continue
 			}
-			if len(c.Body) > protocol.MaxBody {
-				t.Fatalf("a message of %d bytes", len(c.Body))
+			if len(call.Body) > protocol.MaxBody {
+				t.Fatalf("a message of %d bytes", len(call.Body))
 			}
-			_, _, orders, err := protocol.ParseOrders(c.Body)
+			_, _, orders, err := protocol.ParseOrders(call.Body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -228,7 +228,7 @@
 			m.seq++
 			body := protocol.EncodeReport(&protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: m.seq, Token: l.tenure.token(),
 				Tasks: reported(m)})
-			next = append(next, n.Result(n.now, c.ID, Outcome{Answered: true, Status: 200, Body: body}).Calls...)
+			next = append(next, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body}).Calls...)
 		}
 		calls = next
 	}
@@ -238,14 +238,14 @@
 	// The same by the answer of a report.
 	m.seq++
 	r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: m.seq, Token: l.tenure.token(), Tasks: reported(m)}
-	e := n.Request(n.now, 99, "POST", protocol.PathReport, protocol.EncodeReport(r))
+	e := c.Request(c.now, 99, "POST", protocol.PathReport, protocol.EncodeReport(r))
 	if len(e.Replies) != 1 || len(e.Replies[0].Body) > protocol.MaxBody {
 		t.Fatalf("answers: %d", len(e.Replies))
 	}
 	if _, _, orders, err := protocol.ParseOrders(e.Replies[0].Body); err != nil || len(orders) < 300 {
 		t.Errorf("%d orders, %v", len(orders), err)
 	}
-	if n.bounds.total[boundOrders] == 0 {
+	if c.bounds.total[boundOrders] == 0 {
 		t.Error("nothing was counted")
 	}
 }
@@ -262,10 +262,10 @@
 // A machine gets no more tasks than its worker's report can name: a request of more than
 // 64 KiB is refused, and the worker would lose all of them with its lease.
 func TestTasksFitReports(t *testing.T) {
-	n, l := largeLead(1, 0)
+	c, l := largeLead(1, 0)
 	spec := benchJob(2)
 	spec.Tasks, spec.CPUs, spec.MemGB = 5000, 0.001, 0.001
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: spec})
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 	fill(l)
 	m := l.fleetList[0]
 	r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Tasks: reported(m)}
@@ -277,51 +277,51 @@
 // What may wait follows the state service and the sockets: 400 requests were fewer than the
 // polls of a large fleet's users within a second.
 func TestWaitingFollowsSettings(t *testing.T) {
-	n, _ := leading(active)
-	n.cfg.StateRPS, n.cfg.TxnOps, n.cfg.Sockets = 2000, 16, 15_000
+	c, _ := leading(active)
+	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 16, 15_000
 	for i := range 2000 {
-		n.Request(n.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
+		c.Request(c.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
 	}
-	if n.bounds.total[boundWaiting] != 0 || n.admission.waiting != 2000 {
-		t.Errorf("%d wait, %d were refused", n.admission.waiting, n.bounds.total[boundWaiting])
+	if c.bounds.total[boundWaiting] != 0 || c.admission.waiting != 2000 {
+		t.Errorf("%d wait, %d were refused", c.admission.waiting, c.bounds.total[boundWaiting])
 	}
-	n.cfg.StateRPS, n.cfg.Sockets = 120, 900
-	if most := n.maxWaiting(); most < minWaiting || most > 450 {
+	c.cfg.StateRPS, c.cfg.Sockets = 120, 900
+	if most := c.maxWaiting(); most < minWaiting || most > 450 {
 		t.Errorf("a small controller lets %d wait", most)
 	}
 }
 
 // A check of polls fits a transaction's 64 KiB however many changes one takes.
 func TestChecksFitTransactions(t *testing.T) {
-	n, _ := leading(active)
-	n.cfg.StateRPS, n.cfg.TxnOps, n.cfg.Sockets = 2000, 4096, 15_000
+	c, _ := leading(active)
+	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 4096, 15_000
 	for i := range 5000 {
-		n.admission.polls = append(n.admission.polls, poll{uint64(i), fmt.Sprintf("run-%018d", i)})
+		c.admission.polls = append(c.admission.polls, poll{uint64(i), fmt.Sprintf("run-%018d", i)})
 	}
-	n.checkPolls()
-	for _, c := range n.take().Calls {
-		if len(c.Body) > protocol.MaxBody {
-			t.Errorf("%s %s: %d bytes", c.Method, c.Target, len(c.Body))
+	c.checkPolls()
+	for _, call := range c.take().Calls {
+		if len(call.Body) > protocol.MaxBody {
+			t.Errorf("%s %s: %d bytes", call.Method, call.Target, len(call.Body))
 		}
 	}
 }
 
 // Thousands of reports that are held are all answered, in the time that they are held for.
 func TestManyHeldReports(t *testing.T) {
-	n, _ := leading(active)
-	n.lead = nil
-	n.cfg.Sockets = 12_000
+	c, _ := leading(active)
+	c.leader = nil
+	c.cfg.Sockets = 12_000
 	const reports = 6000
 	for i := range reports {
-		n.now = n.now.Add(100 * time.Microsecond)
-		n.holdForLeader(uint64(i+1), nil)
+		c.now = c.now.Add(100 * time.Microsecond)
+		c.holdForLeader(uint64(i+1), nil)
 	}
-	if e := n.holdOne(reports + 1); len(e) != 1 || n.bounds.total[boundHeld] != 1 {
+	if e := c.holdOne(reports + 1); len(e) != 1 || c.bounds.total[boundHeld] != 1 {
 		t.Errorf("one beyond the bound: %d answers", len(e))
 	}
 	answered := 0
-	for end := n.now.Add(holdReport); !n.now.After(end); n.now = n.now.Add(20 * time.Millisecond) {
-		answered += len(n.Tick(n.now).Replies)
+	for end := c.now.Add(holdReport); !c.now.After(end); c.now = c.now.Add(20 * time.Millisecond) {
+		answered += len(c.Tick(c.now).Replies)
 	}
 	if answered != reports {
 		t.Errorf("%d of %d were answered", answered, reports)
@@ -329,23 +329,23 @@
 }
 
 // holdOne holds a report and gives what is answered at once.
-func (n *Node) holdOne(id uint64) []Reply {
-	n.out = Effects{}
-	n.holdForLeader(id, nil)
-	return n.take().Replies
+func (c *Controller) holdOne(id uint64) []Reply {
+	c.out = Effects{}
+	c.holdForLeader(id, nil)
+	return c.take().Replies
 }
 
 // A leader renews its lease between the records of a large fleet: taken in one step, they
 // kept a small share of a processor from it for longer than the lease.
 func TestRecordsAreTakenInSteps(t *testing.T) {
-	n, l := leading(loading)
+	c, l := leading(loading)
 	r := fleetRecords(1000)
 	var machines, chunks []protocol.Item
 	for key, it := range r.items {
 		switch {
-		case strings.HasPrefix(key, bookkeeping.PrefixChunks):
+		case strings.HasPrefix(key, records.PrefixChunks):
 			chunks = append(chunks, it)
-		case strings.HasPrefix(key, bookkeeping.PrefixMachines):
+		case strings.HasPrefix(key, records.PrefixMachines):
 			machines = append(machines, it)
 		default:
 			l.jobKey(key, it.Value, false)
@@ -354,7 +354,7 @@
 	l.takeRecords(machines, chunks)
 	steps := 1
 	for l.phase == loading && steps < 1000 {
-		n.Tick(n.now.Add(chunksPause))
+		c.Tick(c.now.Add(chunksPause))
 		steps++
 	}
 	if steps < 5 || l.phase != settling {
@@ -366,19 +366,19 @@
 // before is up, and not while timers are late. Thousands of machines were rented at once
 // before the first of them had shown what it costs to serve it.
 func TestCarefulGrowthBeyondShare(t *testing.T) {
-	n, l := largeLead(600, 4000)
-	n.cfg.CPUShare = 0.025
+	c, l := largeLead(600, 4000)
+	c.cfg.CPUShare = 0.025
 	for _, j := range l.order {
 		l.fleet.unmet = append(l.fleet.unmet, demand{j, j.toStart()})
 	}
 	rented := func() (count int) {
-		l.fleet.budget = bookkeeping.NewBudget(1000, 1000, n.now)
+		l.fleet.budget = records.NewBudget(1000, 1000, c.now)
 		clear(l.fleet.renting)
-		n.out = Effects{}
+		c.out = Effects{}
 		l.grow()
-		for _, c := range n.take().Calls {
-			if c.To == Cloud {
-				r, err := protocol.ParseRent(c.Body)
+		for _, call := range c.take().Calls {
+			if call.To == Cloud {
+				r, err := protocol.ParseRent(call.Body)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -390,7 +390,7 @@
 	boot := func(count int, up bool) {
 		for range count {
 			m := l.newMachine(fmt.Sprintf("vm-b%06d", len(l.fleetList)), "small", "a", false)
-			m.up, m.recorded, m.heard, m.answered, m.reached = up, true, n.now, n.now, n.now
+			m.up, m.recorded, m.heard, m.answered, m.reached = up, true, c.now, c.now, c.now
 		}
 	}
 	first := rented()
@@ -404,11 +404,11 @@
 	if got := rented(); got < 50 || got > 100 {
 		t.Errorf("%d rented once they were up", got)
 	}
-	n.lateAt, n.lateSince = n.now.Add(-time.Second), n.now.Add(-time.Second)
-	if got := rented(); got != 0 || n.bounds.total[boundServed] == 0 {
+	c.lateAt, c.lateSince = c.now.Add(-time.Second), c.now.Add(-time.Second)
+	if got := rented(); got != 0 || c.bounds.total[boundServed] == 0 {
 		t.Errorf("%d rented while timers are late", got)
 	}
-	n.cfg.CPUShare = 0.8
+	c.cfg.CPUShare = 0.8
 	if got := rented(); got != rentAtOnce {
 		t.Errorf("%d rented within the share", got)
 	}
@@ -416,17 +416,17 @@
 
 // A process that is late for seconds on end rents nothing, whatever its sockets.
 func TestStrainedProcessRentsNothing(t *testing.T) {
-	n, l := leading(active)
-	start := n.now
+	c, l := leading(active)
+	start := c.now
 	for i := range 20 {
-		n.after(0, func() {})
-		n.Tick(start.Add(time.Duration(i)*500*time.Millisecond + lagLate + time.Millisecond))
+		c.after(0, func() {})
+		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + lagLate + time.Millisecond))
 	}
-	if !n.strained() || l.mayGrow() {
-		t.Errorf("strained: %t", n.strained())
+	if !c.strained() || l.mayGrow() {
+		t.Errorf("strained: %t", c.strained())
 	}
-	n.now = n.now.Add(lateGap + time.Second)
-	if n.strained() {
+	c.now = c.now.Add(lateGap + time.Second)
+	if c.strained() {
 		t.Error("strained after it kept up")
 	}
 }
@@ -456,14 +456,14 @@
 
 // The adoption of a fleet is told of in a few lines.
 func TestBurstsOfLinesAreCounted(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	var out bytes.Buffer
-	n.log = slog.New(slog.NewTextHandler(&out, nil))
+	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	for i := range 4000 {
 		l.adopt(fmt.Sprintf("vm-%06d", i), "small", "a", false, 0)
 	}
-	n.now = n.now.Add(2 * time.Second)
-	n.tellBursts()
+	c.now = c.now.Add(2 * time.Second)
+	c.tellBursts()
 	if lines := strings.Count(out.String(), "\n"); lines > linesAtOnceLogged+1 || !strings.Contains(out.String(), "count=3980") {
 		t.Errorf("%d lines", lines)
 	}
@@ -471,14 +471,14 @@
 
 // Bounds are told once in a while, with what is done.
 func TestBoundsAreTold(t *testing.T) {
-	n, _ := leading(active)
+	c, _ := leading(active)
 	var out bytes.Buffer
-	n.log = slog.New(slog.NewTextHandler(&out, nil))
+	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	for range 100 {
-		n.bounds.hit(boundShed)
-		n.bounds.tell(n.log, n.now)
+		c.bounds.hit(boundShed)
+		c.bounds.tell(c.log, c.now)
 	}
-	n.bounds.tell(n.log, n.now.Add(boundsEvery))
+	c.bounds.tell(c.log, c.now.Add(boundsEvery))
 	if lines := strings.Count(out.String(), "\n"); lines != 2 || !strings.Contains(out.String(), "times=99 inAll=100") {
 		t.Errorf("%d lines: %s", lines, out.String())
 	}
--- a/internal/coordination/listing.go
+++ b/internal/coordination/listing.go
@@ -22,34 +22,34 @@
 )
 
 // listInterval is how often the cloud's list is read.
-func (l *lead) listInterval() time.Duration {
+func (l *leader) listInterval() time.Duration {
 	pages := 1 + len(l.fleetList)/protocol.MaxListed
-	calls := time.Duration(float64(pages*listShare) / l.n.cfg.CloudRPS * float64(time.Second))
-	return max(l.n.cfg.ListLag/2, 3*time.Second, calls)
+	calls := time.Duration(float64(pages*listShare) / l.controller.cfg.CloudRPS * float64(time.Second))
+	return max(l.controller.cfg.ListLag/2, 3*time.Second, calls)
 }
 
 // listing is one reading of the cloud's list, page by page.
 type listing struct {
-	l     *lead
+	l     *leader
 	all   []protocol.ListedMachine
 	after string // the last machine read
 	tries int    // of the next page
 }
 
 // listMachines reads the cloud's list and compares it with what is known.
-func (l *lead) listMachines() {
-	n, f := l.n, &l.fleet
-	if f.listing || n.now.Sub(f.listedAt) < l.listInterval() || !f.budget.Take(n.now, 1) {
+func (l *leader) listMachines() {
+	c, f := l.controller, &l.fleet
+	if f.listing || c.now.Sub(f.listedAt) < l.listInterval() || !f.budget.Take(c.now, 1) {
 		return
 	}
-	f.listing, f.listedAt = true, n.now
+	f.listing, f.listedAt = true, c.now
 	(&listing{l: l}).read()
 }
 
 // read asks for the next page.
 func (r *listing) read() {
 	r.tries++
-	r.l.n.call(Cloud, "", "GET", protocol.ListTarget(r.after), nil, cloudTimeout, func(out Outcome) {
+	r.l.controller.call(Cloud, "", "GET", protocol.ListTarget(r.after), nil, cloudTimeout, func(out Outcome) {
 		if r.l.alive() {
 			r.take(out)
 		}
@@ -76,7 +76,7 @@
 		l.compareList(r.all)
 		l.checkHeard()
 	case len(r.all) >= maxListed:
-		l.n.bounds.hit(boundList)
+		l.controller.bounds.hit(boundList)
 		r.end()
 	default:
 		r.after, r.tries = list[len(list)-1].Name, 0
@@ -90,7 +90,7 @@
 		r.end()
 		return
 	}
-	r.l.n.after(listRetry, func() {
+	r.l.controller.after(listRetry, func() {
 		if r.l.alive() {
 			r.whenAffordable()
 		}
@@ -101,11 +101,11 @@
 // rentals, which go out when there is something to rent or return, have their turns between.
 func (r *listing) whenAffordable() {
 	l := r.l
-	if l.fleet.budget.Take(l.n.now, 1) {
+	if l.fleet.budget.Take(l.controller.now, 1) {
 		r.read()
 		return
 	}
-	l.n.after(l.fleet.budget.Wait(l.n.now, 1)+time.Millisecond, func() {
+	l.controller.after(l.fleet.budget.Wait(l.controller.now, 1)+time.Millisecond, func() {
 		if l.alive() {
 			r.whenAffordable()
 		}
@@ -114,15 +114,15 @@
 
 func (r *listing) end() { r.l.fleet.listing = false }
 
-func (l *lead) compareList(list []protocol.ListedMachine) {
-	n := l.n
+func (l *leader) compareList(list []protocol.ListedMachine) {
+	c := l.controller
 	seen := make(map[string]bool, len(list))
 	for i := range list {
 		it := &list[i]
 		seen[it.Name] = true
 		m := l.machines[it.Name]
 		if m == nil {
-			if at, ok := l.gone[it.Name]; ok && n.now.Sub(at) < 3*n.cfg.ListLag+10*time.Second {
+			if at, ok := l.gone[it.Name]; ok && c.now.Sub(at) < 3*c.cfg.ListLag+10*time.Second {
 				continue // the list is older than its end
 			}
 			if it.State == protocol.Failed {
@@ -151,23 +151,23 @@
 		// A list may be as old as twice its lag. One that should show the
 		// machine and doesn't proves that it is gone, once that holds for
 		// longer than any list can lag.
-		if seen[m.Name] || m.releasing || n.now.Sub(m.rented) < 3*n.cfg.ListLag+10*time.Second {
+		if seen[m.Name] || m.releasing || c.now.Sub(m.rented) < 3*c.cfg.ListLag+10*time.Second {
 			continue
 		}
-		if m.up && n.now.Sub(m.heard) < 3*n.cfg.ListLag {
+		if m.up && c.now.Sub(m.heard) < 3*c.cfg.ListLag {
 			continue
 		}
 		if m.missing.IsZero() {
-			m.missing = n.now
-		} else if n.now.Sub(m.missing) > 2*n.cfg.ListLag+5*time.Second {
+			m.missing = c.now
+		} else if c.now.Sub(m.missing) > 2*c.cfg.ListLag+5*time.Second {
 			l.release(m, "not listed")
 		}
 	}
 }
 
 // releaseFailed takes a failed machine that nobody knows off the list.
-func (l *lead) releaseFailed(name string) {
-	if l.fleet.budget.Take(l.n.now, 1) {
-		l.n.call(Cloud, "", "POST", protocol.PathRelease, protocol.ReleaseBody([]string{name}), cloudTimeout, func(Outcome) {})
+func (l *leader) releaseFailed(name string) {
+	if l.fleet.budget.Take(l.controller.now, 1) {
+		l.controller.call(Cloud, "", "POST", protocol.PathRelease, protocol.ReleaseBody([]string{name}), cloudTimeout, func(Outcome) {})
 	}
 }
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // load reads the records, all kinds of them at the same time: since this node was elected
 // nobody else writes those of machines and attempts, so that it doesn't matter which is
 // read first, and one slow answer of the state service costs no more than itself.
-func (l *lead) load() {
+func (l *leader) load() {
 	var machines, chunks []protocol.Item
 	left := 3
 	if l.balance != nil {
@@ -25,16 +25,16 @@
 		l.watchJobs(revision)
 		part()
 	})
-	l.n.storeList(bookkeeping.PrefixMachines, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
+	l.controller.storeList(records.PrefixMachines, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
 		machines = items
 		part()
 	})
-	l.n.storeList(bookkeeping.PrefixChunks, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
+	l.controller.storeList(records.PrefixChunks, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
 		chunks = items
 		part()
 	})
 	if l.balance != nil {
-		l.n.storeList(bookkeeping.PrefixSurges, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
+		l.controller.storeList(records.PrefixSurges, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
 			l.balance.restore(items)
 			part()
 		})
@@ -50,7 +50,7 @@
 const chunksPause = time.Millisecond
 
 // takeRecords takes what was read: attempts belong to jobs and machines.
-func (l *lead) takeRecords(machines, chunks []protocol.Item) {
+func (l *leader) takeRecords(machines, chunks []protocol.Item) {
 	for _, it := range machines {
 		l.loadGroup(it)
 	}
@@ -58,7 +58,7 @@
 }
 
 // takeChunks takes chunk records, some of them in each step, and then goes on.
-func (l *lead) takeChunks(chunks []protocol.Item) {
+func (l *leader) takeChunks(chunks []protocol.Item) {
 	now := min(chunksAtOnce, len(chunks))
 	for _, it := range chunks[:now] {
 		l.loadChunk(it)
@@ -67,20 +67,20 @@
 		l.settle()
 		return
 	}
-	l.n.after(chunksPause, func() {
+	l.controller.after(chunksPause, func() {
 		if l.alive() {
 			l.takeChunks(chunks[now:])
 		}
 	})
 }
 
-func (l *lead) settle() {
-	n := l.n
-	l.phase, l.loadedAt = settling, n.now
+func (l *leader) settle() {
+	c := l.controller
+	l.phase, l.loadedAt = settling, c.now
 	l.loaded = true
-	wait := n.comeByThemselves()
+	wait := c.comeByThemselves()
 	if len(l.machines) == 0 {
-		wait = n.cfg.ReportInterval / 2
+		wait = c.cfg.ReportInterval / 2
 	}
 	l.settled = l.elected.Add(wait)
 	for _, m := range l.fleetList {
@@ -93,24 +93,24 @@
 		live += j.live
 		l.jobProgressed(j)
 	}
-	n.log.Info("records loaded", "term", l.term, "jobs", len(l.order), "machines", len(l.machines), "attempts", live)
+	c.log.Info("records loaded", "term", l.term, "jobs", len(l.order), "machines", len(l.machines), "attempts", live)
 	l.listMachines() // it has the addresses of those that are to be asked
 	if l.shards != nil {
 		l.shardMachines()
 		l.shards.changed()
 	}
-	n.after(l.settled.Sub(n.now), l.activate)
+	c.after(l.settled.Sub(c.now), l.activate)
 }
 
 // activate ends the wait for reports.
-func (l *lead) activate() {
+func (l *leader) activate() {
 	if !l.alive() || l.phase != settling {
 		return
 	}
 	l.phase = active
 	l.asksNew = true
-	l.settled = l.n.now
-	l.n.log.Info("placing", "term", l.term, "after", l.n.now.Sub(l.elected))
+	l.settled = l.controller.now
+	l.controller.log.Info("placing", "term", l.term, "after", l.controller.now.Sub(l.elected))
 	l.fleetStep()
 	l.askPlace()
 }
@@ -123,7 +123,7 @@
 // are those that nothing of ours has reached yet: a report alone brings their tasks and
 // images, and waiting for a second one to show our token took a small share of a
 // processor half a second more.
-func (l *lead) enoughHeard() bool {
+func (l *leader) enoughHeard() bool {
 	if len(l.fleetList) == 0 {
 		return false
 	}
@@ -131,7 +131,7 @@
 	missing, known := 0, 0
 	for _, m := range l.fleetList {
 		// One that only a lagging list tells of may be gone already.
-		booted := m.inherited && (m.Spec == nil || l.n.now.Sub(m.rented) > 2*m.Spec.Boot)
+		booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.rented) > 2*m.Spec.Boot)
 		if len(m.attempts) == 0 && !booted {
 			continue
 		}
@@ -151,49 +151,49 @@
 // a hundred thousand tasks of which few run at a time.
 func (j *job) chunk(index int) *chunk {
 	i := index / j.size
-	c := j.chunks[i]
-	if c == nil {
-		c = &chunk{job: j, index: i, known: true, tasks: make([]task, min(j.size, j.Tasks-i*j.size))}
-		j.chunks[i] = c
+	added := j.chunks[i]
+	if added == nil {
+		added = &chunk{job: j, index: i, known: true, tasks: make([]task, min(j.size, j.Tasks-i*j.size))}
+		j.chunks[i] = added
 	}
-	return c
+	return added
 }
 
 func (j *job) task(i int) *task { return &j.chunk(i).tasks[i%j.size] }
 
-func (l *lead) loadChunk(it protocol.Item) {
-	id, index, ok := bookkeeping.ParseChunkKey(it.Key)
+func (l *leader) loadChunk(it protocol.Item) {
+	id, index, ok := records.ParseChunkKey(it.Key)
 	j := l.jobs[id]
 	if !ok || j == nil || index >= len(j.chunks) {
 		// Left behind by a job that is over: its removal was cut short.
 		l.journal.remove(it.Key)
 		return
 	}
-	var r bookkeeping.Chunk
+	var r records.Chunk
 	if err := protocol.Decode(it.Value, &r); err != nil {
-		l.n.log.Error("unreadable chunk record", "job", id, "chunk", index, "err", err)
+		l.controller.log.Error("unreadable chunk record", "job", id, "chunk", index, "err", err)
 		return
 	}
-	c := j.chunk(index * j.size)
-	c.version = it.Version
-	done, err := r.IsDone(len(c.tasks))
+	chunk := j.chunk(index * j.size)
+	chunk.version = it.Version
+	done, err := r.IsDone(len(chunk.tasks))
 	if err != nil {
-		l.n.log.Error("unreadable chunk record", "job", id, "chunk", index, "err", err)
+		l.controller.log.Error("unreadable chunk record", "job", id, "chunk", index, "err", err)
 		return
 	}
-	c.loadMoved(&r, l.n.log)
+	chunk.loadMoved(&r, l.controller.log)
 	base := index * j.size
 	for i, d := range done {
 		if d {
-			c.tasks[i].done, c.tasks[i].saved = true, true
+			chunk.tasks[i].done, chunk.tasks[i].saved = true, true
 			j.doneCount++
 		}
 	}
 	for _, t := range r.Tasks {
-		if t.Offset < 0 || t.Offset >= len(c.tasks) {
+		if t.Offset < 0 || t.Offset >= len(chunk.tasks) {
 			continue
 		}
-		tk := &c.tasks[t.Offset]
+		tk := &chunk.tasks[t.Offset]
 		tk.attempt = t.Attempt
 		if t.Machine == "" || tk.done {
 			continue
@@ -204,15 +204,15 @@
 			// removed only after the machine is.
 			continue
 		}
-		a := &attempt{job: j, task: base + t.Offset, number: t.Attempt, machine: m, placed: l.n.now,
-			recorded: true, inherited: true, since: l.n.now}
+		a := &attempt{job: j, task: base + t.Offset, number: t.Attempt, machine: m, placed: l.controller.now,
+			recorded: true, inherited: true, since: l.controller.now}
 		// Outcomes are read before chunks: a job that was cancelled just
 		// before the leadership changed still has attempts to be stopped.
 		a.stop = j.outcome != 0
 		l.attach(a)
 	}
 	// Tasks up to the last touched chunk that aren't live or done start again.
-	end := min(j.Tasks, base+len(c.tasks))
+	end := min(j.Tasks, base+len(chunk.tasks))
 	for i := j.next; i < end; i++ {
 		if t := j.task(i); !t.done && t.live == nil {
 			j.waiting = append(j.waiting, i)
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // outcomeChecksAtOnce is how many checks of outcomes are under way at a time.
@@ -18,14 +18,14 @@
 // the jobs whose records are still there are asked for one by one; a job without a
 // record has no attempt left.
 func (o *owner) loadJobs(done func(revision uint64)) {
-	o.n.storeList(bookkeeping.PrefixActive, o.alive, func(items []protocol.Item, revision uint64, asked time.Time) {
+	o.controller.storeList(records.PrefixActive, o.alive, func(items []protocol.Item, revision uint64, asked time.Time) {
 		for _, it := range items {
 			o.jobKey(it.Key, it.Value, false)
 		}
 		o.checkOutcomes(o.unfinished(), func() {
 			// Every outcome written before the list was asked for is known by now.
 			o.learned(asked)
-			o.n.releaseHeld()
+			o.controller.releaseHeld()
 			done(revision)
 		})
 	})
@@ -45,7 +45,7 @@
 
 // checkOutcomes learns which of the jobs are over.
 func (o *owner) checkOutcomes(ids []string, done func()) {
-	batches := slices.Collect(slices.Chunk(ids, o.n.maxConditions()))
+	batches := slices.Collect(slices.Chunk(ids, o.controller.maxConditions()))
 	left := len(batches)
 	if left == 0 {
 		done()
@@ -77,9 +77,9 @@
 func (o *owner) checkBatch(ids []string, done func()) {
 	t := &protocol.Txn{}
 	for _, id := range ids {
-		t.If = append(t.If, protocol.Condition{Key: bookkeeping.KeyOutcome(id)})
+		t.If = append(t.If, protocol.Condition{Key: records.KeyOutcome(id)})
 	}
-	o.n.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
+	o.controller.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
 		switch {
 		case !o.alive():
 		case r == txnApplied:
@@ -104,7 +104,7 @@
 }
 
 func (o *owner) readOutcomeKey(key string, done func()) {
-	o.n.storeGet(key, func(it protocol.Item, found, ok bool) {
+	o.controller.storeGet(key, func(it protocol.Item, found, ok bool) {
 		switch {
 		case !o.alive():
 		case !ok:
@@ -120,7 +120,7 @@
 
 // retryRead runs f after a short pause, if this leadership lasts.
 func (o *owner) retryRead(f func()) {
-	o.n.after(200*time.Millisecond+o.n.jitter(100*time.Millisecond), func() {
+	o.controller.after(200*time.Millisecond+o.controller.jitter(100*time.Millisecond), func() {
 		if o.alive() {
 			f()
 		}
@@ -129,8 +129,8 @@
 
 // watchJobs learns of submissions and of outcomes from a revision on.
 func (o *owner) watchJobs(after uint64) {
-	asked := o.n.now
-	o.n.storeWatch(bookkeeping.PrefixJobs, after, o.n.jobsWatchWait(), func(out Outcome) {
+	asked := o.controller.now
+	o.controller.storeWatch(records.PrefixJobs, after, o.controller.jobsWatchWait(), func(out Outcome) {
 		if !o.alive() {
 			return
 		}
@@ -157,27 +157,27 @@
 		o.jobKey(ev.Key, ev.Value, true)
 		return
 	}
-	if id, ok := cutPrefix(ev.Key, bookkeeping.PrefixActive); ok {
+	if id, ok := cutPrefix(ev.Key, records.PrefixActive); ok {
 		o.observer.jobRemoved(id)
 	}
 }
 
 // jobKey takes a record under PrefixJobs; live says that it was just written.
 func (o *owner) jobKey(key string, value json.RawMessage, live bool) {
-	if id, ok := cutPrefix(key, bookkeeping.PrefixActive); ok {
+	if id, ok := cutPrefix(key, records.PrefixActive); ok {
 		o.observer.jobRecorded(id, value, live)
 		return
 	}
-	id, ok := cutPrefix(key, bookkeeping.PrefixOutcome)
+	id, ok := cutPrefix(key, records.PrefixOutcome)
 	if !ok {
 		return
 	}
-	s, done, err := bookkeeping.DecodeOutcome(value)
+	s, done, err := records.DecodeOutcome(value)
 	if err != nil {
-		o.n.log.Error("unreadable outcome", "job", id, "err", err)
+		o.controller.log.Error("unreadable outcome", "job", id, "err", err)
 		return
 	}
-	o.n.admission.setFinal(id, s, done) // who wrote it told the peers
+	o.controller.admission.setFinal(id, s, done) // who wrote it told the peers
 	if j := o.jobs[id]; j != nil {
 		o.observer.jobEnded(j, s)
 	}
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // fakeStore answers a new leader's reads.
@@ -19,18 +19,18 @@
 }
 
 func (r *fakeStore) put(key string, value any) {
-	r.items[key] = protocol.Item{Key: key, Value: bookkeeping.Encode(value), Version: 3}
+	r.items[key] = protocol.Item{Key: key, Value: records.Encode(value), Version: 3}
 }
 
 // answer gives the response to a call; status 0 for none.
-func (r *fakeStore) answer(c Call) (status int, body []byte) {
-	if c.To != State {
+func (r *fakeStore) answer(call Call) (status int, body []byte) {
+	if call.To != State {
 		return 0, nil
 	}
-	path, query := protocol.Query(c.Target)
+	path, query := protocol.Query(call.Target)
 	switch {
 	case path == protocol.PathMulti:
-		return r.compare(c.Body)
+		return r.compare(call.Body)
 	case path == protocol.PathKeys:
 		prefix, after, limit, _ := protocol.RangeQuery(query)
 		r.asked = append(r.asked, prefix)
@@ -51,10 +51,10 @@
 		return 0, nil
 	}
 	var failed []string
-	for _, c := range t.If {
-		r.asked = append(r.asked, c.Key)
-		if r.items[c.Key].Version != c.Version {
-			failed = append(failed, c.Key)
+	for _, condition := range t.If {
+		r.asked = append(r.asked, condition.Key)
+		if r.items[condition.Key].Version != condition.Version {
+			failed = append(failed, condition.Key)
 		}
 	}
 	if failed != nil {
@@ -79,21 +79,21 @@
 }
 
 // lead lets a node that nobody leads become the leader, and answers what it reads.
-func (r *fakeStore) lead(n *Node) *lead {
-	n.becomeLeader(2, 20, 5, 2*time.Second, n.now.Add(2*time.Second))
-	calls := n.take().Calls
+func (r *fakeStore) lead(c *Controller) *leader {
+	c.becomeLeader(2, 20, 5, 2*time.Second, c.now.Add(2*time.Second))
+	calls := c.take().Calls
 	for len(calls) > 0 {
-		c := calls[0]
+		call := calls[0]
 		calls = calls[1:]
-		if status, body := r.answer(c); status != 0 {
-			calls = append(calls, n.Result(n.now, c.ID, Outcome{Answered: true, Status: status, Body: body}).Calls...)
+		if status, body := r.answer(call); status != 0 {
+			calls = append(calls, c.Result(c.now, call.ID, Outcome{Answered: true, Status: status, Body: body}).Calls...)
 		}
 	}
 	// Records are taken in steps with pauses between.
-	for n.lead.phase == loading && !n.Next().After(n.now.Add(chunksPause)) {
-		n.Tick(n.now.Add(chunksPause))
+	for c.leader.phase == loading && !c.Next().After(c.now.Add(chunksPause)) {
+		c.Tick(c.now.Add(chunksPause))
 	}
-	return n.lead
+	return c.leader
 }
 
 // unfinishedJobs are records of jobs, of which the second is cancelled, and of many more
@@ -102,23 +102,23 @@
 	r := &fakeStore{items: map[string]protocol.Item{}}
 	for i := range 3 {
 		id := fmt.Sprintf("run-%06d", i+1)
-		r.put(bookkeeping.KeyActive(id), bookkeeping.Job{Chunk: 8, Spec: spec(id)})
+		r.put(records.KeyActive(id), records.Job{Chunk: 8, Spec: spec(id)})
 	}
 	for i := range 3000 {
-		r.put(bookkeeping.KeyOutcome(fmt.Sprintf("run-%06d", 100000+i)), bookkeeping.Outcome{State: "done", Done: 1})
+		r.put(records.KeyOutcome(fmt.Sprintf("run-%06d", 100000+i)), records.Outcome{State: "done", Done: 1})
 	}
-	r.put(bookkeeping.KeyOutcome("run-000002"), bookkeeping.Outcome{State: "cancelled"})
+	r.put(records.KeyOutcome("run-000002"), records.Outcome{State: "cancelled"})
 	return r
 }
 
 // A new leader asks for the outcomes of unfinished jobs alone: outcomes are kept for
 // ever, and reading all of them made each election of a long-lived deployment longer.
 func TestLoadReadsOutcomesOfUnfinishedJobs(t *testing.T) {
-	n, _ := leading(active)
+	c, _ := leading(active)
 	r := unfinishedJobs()
-	l := r.lead(n)
+	l := r.lead(c)
 	for _, key := range r.asked {
-		if key != bookkeeping.PrefixActive && strings.HasPrefix(bookkeeping.KeyOutcome("run-1"), key) || strings.HasPrefix(key, bookkeeping.KeyOutcome("run-1")) {
+		if key != records.PrefixActive && strings.HasPrefix(records.KeyOutcome("run-1"), key) || strings.HasPrefix(key, records.KeyOutcome("run-1")) {
 			t.Fatalf("%s was read", key)
 		}
 	}
@@ -133,14 +133,14 @@
 // It knows nothing, and answers no worker, before each outcome is read: the answer could
 // renew the lease of a task whose job was cancelled.
 func TestLoadKnowsNothingBeforeOutcomes(t *testing.T) {
-	n, _ := leading(active)
+	c, _ := leading(active)
 	r := unfinishedJobs()
-	r.hold = bookkeeping.KeyOutcome("run-000002")
-	l := r.lead(n)
-	if !l.known.IsZero() || l.entitled() {
+	r.hold = records.KeyOutcome("run-000002")
+	l := r.lead(c)
+	if !l.known.IsZero() || l.holdsLease() {
 		t.Fatalf("known as of %s", l.known)
 	}
-	if e := n.Request(n.now, 1, "POST", protocol.PathReport, report(4)); len(e.Replies) != 0 {
+	if e := c.Request(c.now, 1, "POST", protocol.PathReport, report(4)); len(e.Replies) != 0 {
 		t.Errorf("answered: %+v", e.Replies)
 	}
 }
--- a/internal/coordination/log_bursts.go
+++ b/internal/coordination/log_bursts.go
@@ -22,18 +22,18 @@
 }
 
 // logEach logs what happened to one of many.
-func (n *Node) logEach(message string, args ...any) {
-	if n.bursts == nil {
-		n.bursts = logBursts{}
+func (c *Controller) logEach(message string, args ...any) {
+	if c.bursts == nil {
+		c.bursts = logBursts{}
 	}
-	b := n.bursts[message]
+	b := c.bursts[message]
 	if b == nil {
 		b = &logBurst{}
-		n.bursts[message] = b
+		c.bursts[message] = b
 	}
-	if n.now.Sub(b.at) >= time.Second {
-		b.tell(n.log, message)
-		b.at, b.lines = n.now, 0
+	if c.now.Sub(b.at) >= time.Second {
+		b.tell(c.log, message)
+		b.at, b.lines = c.now, 0
 	}
 	b.lines++
 	level := slog.LevelInfo
@@ -41,7 +41,7 @@
 		level = slog.LevelDebug
 		b.more++
 	}
-	n.log.Log(context.Background(), level, message, args...)
+	c.log.Log(context.Background(), level, message, args...)
 }
 
 // tell logs how many lines were left out, if any were.
@@ -53,10 +53,10 @@
 }
 
 // tellBursts logs what was left out of bursts that are over.
-func (n *Node) tellBursts() {
-	for message, b := range n.bursts {
-		if n.now.Sub(b.at) >= time.Second {
-			b.tell(n.log, message)
+func (c *Controller) tellBursts() {
+	for message, b := range c.bursts {
+		if c.now.Sub(b.at) >= time.Second {
+			b.tell(c.log, message)
 		}
 	}
 }
