--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -80,9 +80,9 @@
 	missing   time.Time // since when lists that should show it don't
 }
 
-func (l *lead) newMachine(name, typ, zone string, spot bool) *machine {
-	m := &machine{Machine: placement.Machine{Name: name, Type: typ, Zone: zone, Spot: spot, Spec: l.n.types[typ]}, rented: l.n.now,
-		attempts: map[taskKey]*attempt{}, emptySince: l.n.now, failures: map[string]int{}}
+func (l *leader) newMachine(name, typ, zone string, spot bool) *machine {
+	m := &machine{Machine: placement.Machine{Name: name, Type: typ, Zone: zone, Spot: spot, Spec: l.controller.types[typ]}, rented: l.controller.now,
+		attempts: map[taskKey]*attempt{}, emptySince: l.controller.now, failures: map[string]int{}}
 	m.load = l.balance.newLoad()
 	if l.shards == nil {
 		m.tenure = &l.tenure
@@ -94,47 +94,47 @@
 
 // adopt takes in a machine that no record tells of: rented by a request whose
 // answer was lost, or by one that was carried out late.
-func (l *lead) adopt(name, typ, zone string, spot bool, age time.Duration) *machine {
+func (l *leader) adopt(name, typ, zone string, spot bool, age time.Duration) *machine {
 	m := l.newMachine(name, typ, zone, spot)
-	m.rented = l.n.now.Add(-age)
+	m.rented = l.controller.now.Add(-age)
 	if l.phase != loading { // else its record may be read yet
-		l.n.logEach("unexpected machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
+		l.controller.logEach("unexpected machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
 		l.journal.putMachine(m)
 	}
 	return m
 }
 
 // report answers a worker.
-func (n *Node) report(id uint64, body []byte) {
-	if n.sharding != nil {
-		n.sharding.report(id, body)
+func (c *Controller) report(id uint64, body []byte) {
+	if c.sharding != nil {
+		c.sharding.report(id, body)
 		return
 	}
-	l := n.lead
-	if (l == nil && n.leaderDoubtful() || l != nil && l.known.IsZero()) && !n.storeDown() {
-		n.holdForLeader(id, body)
+	l := c.leader
+	if (l == nil && c.leaderDoubtful() || l != nil && l.known.IsZero()) && !c.storeDown() {
+		c.holdForLeader(id, body)
 		return
 	}
-	if l == nil || !l.entitled() {
+	if l == nil || !l.holdsLease() {
 		// Never 200 here: it would hold the worker while its lease runs out.
-		n.reply(id, 421, protocol.Redirect(n.leaderName()))
+		c.reply(id, 421, protocol.Redirect(c.leaderName()))
 		return
 	}
 	r, err := protocol.ParseReport(body)
 	if err != nil {
-		n.reply(id, 400, protocol.ErrorAnswer("not a worker's report"))
+		c.reply(id, 400, protocol.ErrorAnswer("not a worker's report"))
 		return
 	}
 	if r.Token>>fenceBits > l.term {
 		// A later leader has already spoken to this worker.
-		n.stepDown("a worker has seen a later term")
-		n.reply(id, 421, protocol.Redirect(""))
+		c.stepDown("a worker has seen a later term")
+		c.reply(id, 421, protocol.Redirect(""))
 		return
 	}
 	if _, ok := l.gone[r.Machine]; ok && l.machines[r.Machine] == nil {
 		// Proven gone, and names are not used again: a copy that comes late,
 		// however much, brings no machine back.
-		n.reply(id, 503, protocol.ErrorAnswer("the machine was returned"))
+		c.reply(id, 503, protocol.ErrorAnswer("the machine was returned"))
 		return
 	}
 	m := l.machines[r.Machine]
@@ -162,13 +162,13 @@
 }
 
 // machineGone ends a machine on proof: all that was on it is gone.
-func (l *lead) machineGone(m *machine, why string) {
+func (l *leader) machineGone(m *machine, why string) {
 	if m.removed {
 		return
 	}
 	m.removed = true
-	l.n.logEach("machine gone", "machine", m.Name, "why", why, "attempts", len(m.attempts))
-	l.gone[m.Name] = l.n.now
+	l.controller.logEach("machine gone", "machine", m.Name, "why", why, "attempts", len(m.attempts))
+	l.gone[m.Name] = l.controller.now
 	delete(l.machines, m.Name)
 	if i := slices.Index(l.fleetList, m); i >= 0 {
 		l.fleetList = slices.Delete(l.fleetList, i, i+1)
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machines_test.go
@@ -11,19 +11,19 @@
 )
 
 // leading makes a node that leads in the given phase, with nothing running.
-func leading(p phase) (*Node, *lead) {
+func leading(p phase) (*Controller, *leader) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	cfg := &config.Settings{Name: "n0", Zone: "a", ReportInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
 		CancelWithin: 40 * time.Second, CPUShare: 0.3, Sockets: 900, StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 4,
 		Teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}}
-	n := New(cfg, config.DefaultOperator(), slog.New(slog.DiscardHandler), 1, now)
-	n.setTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 3, FetchRate: 1, Price: 1, SpotPrice: 0.5,
+	c := New(cfg, config.DefaultOperator(), slog.New(slog.DiscardHandler), 1, now)
+	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 3, FetchRate: 1, Price: 1, SpotPrice: 0.5,
 		Boot: 10 * time.Second, Zones: []string{"a"}}})
-	n.becomeLeader(1, 10, 5, 2*time.Second, now.Add(time.Hour))
-	n.lead.phase, n.lead.known = p, now.Add(time.Hour)
-	n.lead.loaded, n.lead.asksNew = p != loading, p == active
-	n.take()
-	return n, n.lead
+	c.becomeLeader(1, 10, 5, 2*time.Second, now.Add(time.Hour))
+	c.leader.phase, c.leader.known = p, now.Add(time.Hour)
+	c.leader.loaded, c.leader.asksNew = p != loading, p == active
+	c.take()
+	return c, c.leader
 }
 
 func report(seq uint64) []byte {
@@ -33,9 +33,9 @@
 // The answer to a report that a response of the worker's has overtaken renews
 // the worker's lease: not counting it would take the worker for dead too soon.
 func TestOvertakenReportRenewsLease(t *testing.T) {
-	n, l := leading(active)
-	start := n.now
-	n.Request(start, 1, "POST", protocol.PathReport, report(4))
+	c, l := leading(active)
+	start := c.now
+	c.Request(start, 1, "POST", protocol.PathReport, report(4))
 	m := l.machines["vm-1"]
 	r, err := protocol.ParseReport(report(6))
 	if err != nil {
@@ -43,20 +43,20 @@
 	}
 	l.takeReport(m, r, false)
 	later := start.Add(3 * time.Second)
-	e := n.Request(later, 2, "POST", protocol.PathReport, report(5))
+	e := c.Request(later, 2, "POST", protocol.PathReport, report(5))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Fatalf("got %+v", e.Replies)
 	}
-	if proof := l.silentProof(m); proof.Before(later.Add(n.cfg.WorkerLease)) {
-		t.Errorf("taken for dead %s after the answer, its lease is %s", proof.Sub(later), n.cfg.WorkerLease)
+	if proof := l.silentProof(m); proof.Before(later.Add(c.cfg.WorkerLease)) {
+		t.Errorf("taken for dead %s after the answer, its lease is %s", proof.Sub(later), c.cfg.WorkerLease)
 	}
 }
 
 // A machine that first reports while the records are read gets its own record
 // afterwards; without it nothing would ever be placed there.
 func TestMachineMetWhileLoadingIsRecorded(t *testing.T) {
-	n, l := leading(loading)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(1))
+	c, l := leading(loading)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(1))
 	m := l.machines["vm-1"]
 	if m == nil || len(l.journal.puts) != 0 {
 		t.Fatalf("machine %v, %d records to write while loading", m, len(l.journal.puts))
@@ -70,14 +70,14 @@
 // The score prefers the machine that holds the image, then the one with more
 // free room; one that is being emptied comes last.
 func TestBest(t *testing.T) {
-	n, l := leading(active)
-	n.op.ImageWeight, n.op.RoomWeight = 1, 1
+	c, l := leading(active)
+	c.op.ImageWeight, c.op.RoomWeight = 1, 1
 	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemGB: 1, Image: "a", ImageGB: 1},
 		zones: map[string]int{}, failedOn: map[string]struct{}{}, image: l.imageID("a")}
 	var list []*machine
 	for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
 		m := l.newMachine(name, "small", "a", false)
-		m.up, m.recorded, m.heard, m.answered, m.reached = true, true, l.n.now, l.n.now, l.n.now
+		m.up, m.recorded, m.heard, m.answered, m.reached = true, true, l.controller.now, l.controller.now, l.controller.now
 		list = append(list, m)
 	}
 	list[0].Taken.CPUs, list[1].Taken.CPUs, list[2].Taken.CPUs = 2, 0, 1
@@ -107,8 +107,8 @@
 // reach, less so the longer it waits. What is left of a late job may be small
 // and then isn't last.
 func TestWeight(t *testing.T) {
-	n, l := leading(active)
-	wall := n.now
+	c, l := leading(active)
+	wall := c.now
 	jobOf := func(tasks, done int, age time.Duration) *job {
 		return &job{Job: &protocol.Job{Class: "c", Kind: protocol.Batch, Tasks: tasks, CPUs: 1, Estimate: 10 * time.Second,
 			Deadline: 40 * time.Second, HasDeadline: true}, submitted: wall.Add(-age), doneCount: done}
@@ -134,13 +134,13 @@
 // What a worker says in its reports, in order of arrival: only newer ones count,
 // copies that come late renew and prove nothing.
 func TestLateReports(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	id := uint64(0)
 	report := func(session, seq, token uint64) Reply {
 		id++
 		body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a",
 			Session: session, Seq: seq, Token: token})
-		e := n.Request(n.now.Add(time.Second), id, "POST", protocol.PathReport, body)
+		e := c.Request(c.now.Add(time.Second), id, "POST", protocol.PathReport, body)
 		for _, r := range e.Replies {
 			if r.ID == id {
 				return r
@@ -178,7 +178,7 @@
 		t.Errorf("a copy of the session before: status %d, session %d", r.Status, m.session)
 	}
 	l.machineGone(m, "returned")
-	n.now = n.now.Add(10 * time.Minute)
+	c.now = c.now.Add(10 * time.Minute)
 	if r := report(2, 15, 0); r.Status != 503 || l.machines["vm-1"] != nil {
 		t.Errorf("a copy long after the machine's end: status %d", r.Status)
 	}
@@ -189,17 +189,17 @@
 // says nothing of the kind.
 func TestWorkerBeganAnew(t *testing.T) {
 	for _, lost := range []bool{true, false} {
-		n, l := leading(active)
+		c, l := leading(active)
 		m := l.newMachine("vm-1", "small", "a", false)
-		m.up, m.recorded, m.addr, m.reached, m.session, m.seq = true, true, "x", n.now, 2, 50
+		m.up, m.recorded, m.addr, m.reached, m.session, m.seq = true, true, "x", c.now, 2, 50
 		if !lost {
 			m.session = 1
 		}
 		l.probe(m)
-		call := n.take().Calls[0]
+		call := c.take().Calls[0]
 		m.session = 2
 		body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: 60})
-		n.Result(n.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
+		c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		if m.releasing != lost || m.session != 2 {
 			t.Errorf("lost %t: to be returned %t, session %d", lost, m.releasing, m.session)
 		}
@@ -210,7 +210,7 @@
 // may have taken the return. While the cloud is away, every machine that was cut off
 // for a moment was lost once it came back.
 func TestGivenUpAndHeardAgain(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		out  Outcome
 		kept bool
@@ -218,24 +218,24 @@
 		{"refused", Outcome{Answered: true, Status: 503}, true},
 		{"unanswered", Outcome{}, false},
 	} {
-		n, l := leading(active)
+		c, l := leading(active)
 		m := l.newMachine("vm-1", "small", "a", false)
-		m.up, m.recorded, m.addr, m.reached, m.session, m.seq = true, true, "x", n.now, 1, 50
-		n.take()
+		m.up, m.recorded, m.addr, m.reached, m.session, m.seq = true, true, "x", c.now, 1, 50
+		c.take()
 		l.release(m, whySilent)
-		call := n.take().Calls[0]
-		l.reached(m, n.now)
+		call := c.take().Calls[0]
+		l.reached(m, c.now)
 		if !m.releasing {
-			t.Errorf("%s: kept while the call was under way", c.name)
+			t.Errorf("%s: kept while the call was under way", test.name)
 		}
-		n.Result(n.now, call.ID, c.out)
+		c.Result(c.now, call.ID, test.out)
 		l.probe(m)
-		for _, call := range n.take().Calls {
+		for _, call := range c.take().Calls {
 			body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: 60})
-			n.Result(n.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
+			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		}
-		if m.releasing == c.kept {
-			t.Errorf("%s: to be returned %t after it answered", c.name, m.releasing)
+		if m.releasing == test.kept {
+			t.Errorf("%s: to be returned %t after it answered", test.name, m.releasing)
 		}
 	}
 }
@@ -243,19 +243,19 @@
 // Without the cloud's list a new leader knows no addresses and can only wait for
 // reports: it doesn't place as if it had heard everybody.
 func TestSettlingWithoutTheCloud(t *testing.T) {
-	n, l := leading(settling)
+	c, l := leading(settling)
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
-		m.inherited, m.rented = true, n.now.Add(-time.Hour)
+		m.inherited, m.rented = true, c.now.Add(-time.Hour)
 	}
 	l.listMachines()
-	n.Result(n.now, n.take().Calls[0].ID, Outcome{Answered: true, Status: 503})
+	c.Result(c.now, c.take().Calls[0].ID, Outcome{Answered: true, Status: 503})
 	if l.enoughHeard() {
 		t.Error("nobody was heard and the list is unknown")
 	}
 	for i, m := range l.fleetList {
 		if i < 8 {
-			m.reconciled, m.reached = true, n.now
+			m.reconciled, m.reached = true, c.now
 		}
 	}
 	if !l.enoughHeard() {
@@ -267,25 +267,25 @@
 // new starts there, since its lease isn't renewed, and it is given up once that has
 // lasted for two leases.
 func TestMuteMachine(t *testing.T) {
-	n, l := leading(active)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(4))
+	c, l := leading(active)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(4))
 	m := l.machines["vm-1"]
-	m.recorded, m.Spec = true, n.types["small"]
-	begin := n.now
+	m.recorded, m.Spec = true, c.types["small"]
+	begin := c.now
 	l.watchMachines()
-	for seq := uint64(5); n.now.Sub(begin) <= 2*n.cfg.WorkerLease; seq++ {
-		n.now = n.now.Add(time.Second)
+	for seq := uint64(5); c.now.Sub(begin) <= 2*c.cfg.WorkerLease; seq++ {
+		c.now = c.now.Add(time.Second)
 		r, err := protocol.ParseReport(report(seq))
 		if err != nil {
 			t.Fatal(err)
 		}
 		l.takeReport(m, r, false) // an answer to a call
 		l.watchMachines()
-		if open := l.open(m); open != (n.now.Sub(begin) <= l.suspectAfter()+lostReport) {
-			t.Fatalf("open %t after %s without a report", open, n.now.Sub(begin))
+		if open := l.open(m); open != (c.now.Sub(begin) <= l.suspectAfter()+lostReport) {
+			t.Fatalf("open %t after %s without a report", open, c.now.Sub(begin))
 		}
-		if m.releasing && n.now.Sub(begin) <= 2*n.cfg.WorkerLease {
-			t.Fatalf("given up after %s", n.now.Sub(begin))
+		if m.releasing && c.now.Sub(begin) <= 2*c.cfg.WorkerLease {
+			t.Fatalf("given up after %s", c.now.Sub(begin))
 		}
 	}
 	l.watchMachines()
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -14,9 +14,9 @@
 // their images, where all of them find room, so that these can be returned.
 // Services stay for long, and what they were spread over when the cluster was
 // busy would stay with them. A move takes a moment: the image is there.
-func (l *lead) consolidate() {
-	n := l.n
-	if len(l.fleet.unmet) > 0 || l.fleet.partly || n.storeDown() || n.now.Sub(l.fleet.movedAt) < movePause {
+func (l *leader) consolidate() {
+	c := l.controller
+	if len(l.fleet.unmet) > 0 || l.fleet.partly || c.storeDown() || c.now.Sub(l.fleet.movedAt) < movePause {
 		return
 	}
 	fixedRoom := 0.0
@@ -28,7 +28,7 @@
 		if !m.Emptying {
 			fixedRoom += l.fixedRoom(m)
 		}
-		if m.onlyServices() && (m.Emptying || m.Taken.CPUs <= m.Spec.CPUs/2+protocol.Epsilon) && n.now.Sub(m.rented) > 2*minimumCharge {
+		if m.onlyServices() && (m.Emptying || m.Taken.CPUs <= m.Spec.CPUs/2+protocol.Epsilon) && c.now.Sub(m.rented) > 2*minimumCharge {
 			candidates = append(candidates, m)
 		}
 	}
@@ -48,11 +48,11 @@
 		if !m.emptied(plan.get(), false) {
 			continue
 		}
-		n.logEach("moving replicas", "machine", m.Name, "attempts", len(m.attempts))
+		c.logEach("moving replicas", "machine", m.Name, "attempts", len(m.attempts))
 		if !m.Emptying {
 			fixedRoom -= l.fixedRoom(m)
 		}
-		l.fleet.movedAt = n.now
+		l.fleet.movedAt = c.now
 		m.Emptying = true
 		left--
 		for _, a := range m.sorted() {
@@ -62,7 +62,7 @@
 }
 
 // newPlanner is a planner for the fleet as it is now.
-func (l *lead) newPlanner() *balance.Planner {
+func (l *leader) newPlanner() *balance.Planner {
 	sites := make([]balance.Site, len(l.fleetList))
 	for i, m := range l.fleetList {
 		sites[i] = balance.Site{Machine: &m.Machine, Load: m.load}
@@ -95,7 +95,7 @@
 
 // lazyPlanner makes a planner on first use: most looks at the fleet need none.
 type lazyPlanner struct {
-	l *lead
+	l *leader
 	p *balance.Planner
 }
 
--- a/internal/coordination/observe.go
+++ b/internal/coordination/observe.go
@@ -9,25 +9,25 @@
 // What a leader makes of what workers show.
 
 // machineUp implements observer.
-func (l *lead) machineUp(*machine) { l.askPlace() }
+func (l *leader) machineUp(*machine) { l.askPlace() }
 
 // sessionBegan implements observer.
-func (l *lead) sessionBegan(m *machine) {
+func (l *leader) sessionBegan(m *machine) {
 	m.Images.Reset()
 	l.balance.sessionBegan(m)
 }
 
 // addressChanged implements observer.
-func (l *lead) addressChanged(m *machine) { l.journal.changeGroup(m.group) }
+func (l *leader) addressChanged(m *machine) { l.journal.changeGroup(m.group) }
 
 // noticeCame implements observer.
-func (l *lead) noticeCame(m *machine) { l.drainNoticed(m) }
+func (l *leader) noticeCame(m *machine) { l.drainNoticed(m) }
 
 // tasksCompared implements observer.
-func (l *lead) tasksCompared(*machine) { l.checkHeard() }
+func (l *leader) tasksCompared(*machine) { l.checkHeard() }
 
 // machineReached implements observer.
-func (l *lead) machineReached(m *machine) {
+func (l *leader) machineReached(m *machine) {
 	l.keep(m)
 	if m.reached.IsZero() {
 		l.askPlace()
@@ -36,17 +36,17 @@
 }
 
 // probeFailed implements observer.
-func (l *lead) probeFailed(*machine) { l.checkHeard() }
+func (l *leader) probeFailed(*machine) { l.checkHeard() }
 
 // beganAnew implements observer: the worker's sessions and numbers say no more which of
 // its messages is the newer one.
-func (l *lead) beganAnew(m *machine) {
+func (l *leader) beganAnew(m *machine) {
 	m.draining = true
 	l.release(m, "its worker began anew")
 }
 
 // stateReported implements observer.
-func (l *lead) stateReported(a *attempt, s protocol.TaskState) {
+func (l *leader) stateReported(a *attempt, s protocol.TaskState) {
 	m := a.machine
 	if s == protocol.Running && a.state != protocol.Running {
 		m.Images.Add(a.job.image, a.job.ImageGB, m.CacheGB())
@@ -55,16 +55,16 @@
 }
 
 // attemptGone implements observer.
-func (l *lead) attemptGone(a *attempt, why string) { l.detach(a, why) }
+func (l *leader) attemptGone(a *attempt, why string) { l.detach(a, why) }
 
 // strayReported implements observer: not a task of ours on this machine, or not any more.
-func (l *lead) strayReported(*machine, *protocol.TaskReport) bool { return true }
+func (l *leader) strayReported(*machine, *protocol.TaskReport) bool { return true }
 
 // laterToken implements observer.
-func (l *lead) laterToken(*machine) { l.n.stepDown("a worker has seen a later term") }
+func (l *leader) laterToken(*machine) { l.controller.stepDown("a worker has seen a later term") }
 
 // checkHeard ends the new leader's wait once nobody is left to be heard.
-func (l *lead) checkHeard() {
+func (l *leader) checkHeard() {
 	if l.phase != settling {
 		return
 	}
@@ -72,7 +72,7 @@
 		return
 	}
 	l.checkAsked = true
-	l.n.after(10*time.Millisecond, func() {
+	l.controller.after(10*time.Millisecond, func() {
 		l.checkAsked = false
 		if l.alive() && l.phase == settling && l.enoughHeard() {
 			l.activate()
@@ -81,7 +81,7 @@
 }
 
 // exitReported implements observer.
-func (l *lead) exitReported(m *machine, a *attempt, t *protocol.TaskReport) bool {
+func (l *leader) exitReported(m *machine, a *attempt, t *protocol.TaskReport) bool {
 	j := l.jobs[t.Job]
 	if t.Why == protocol.ExitDone && j != nil && t.Index < j.Tasks {
 		if a != nil && a.state != 0 {
@@ -98,9 +98,9 @@
 			l.failed(m, a)
 		}
 		if t.Why == protocol.ExitNoRoom || t.Why == protocol.ExitBusy || t.Why == protocol.ExitUnknown {
-			l.n.logEach("start refused", "machine", m.Name, "job", t.Job, "task", t.Index, "why", t.Why)
-			j.notBefore = l.n.now.Add(500 * time.Millisecond)
-			l.n.after(510*time.Millisecond, func() {
+			l.controller.logEach("start refused", "machine", m.Name, "job", t.Job, "task", t.Index, "why", t.Why)
+			j.notBefore = l.controller.now.Add(500 * time.Millisecond)
+			l.controller.after(510*time.Millisecond, func() {
 				if l.alive() {
 					l.askPlace()
 				}
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -50,19 +50,19 @@
 }
 
 // offers lists what can be rented now, cheapest per CPU first.
-func (l *lead) offers() []offer {
+func (l *leader) offers() []offer {
 	var list []offer
-	for _, t := range l.n.types {
+	for _, t := range l.controller.types {
 		for _, z := range t.Zones {
 			list = append(list, offer{t, z, false})
-			if l.n.op.Spot && t.SpotPrice > 0 {
+			if l.controller.op.Spot && t.SpotPrice > 0 {
 				list = append(list, offer{t, z, true})
 			}
 		}
 	}
 	open := list[:0]
 	for _, o := range list {
-		if !l.n.now.Before(l.fleet.blocked[o.key()]) {
+		if !l.controller.now.Before(l.fleet.blocked[o.key()]) {
 			open = append(open, o)
 		}
 	}
@@ -105,14 +105,14 @@
 
 // tooDear reports whether a machine isn't rented for a job at the price: teams without
 // a guarantee take what is idle, and what is cheap.
-func (l *lead) tooDear(j *job, o offer) bool {
-	t := l.n.teams[j.Team]
+func (l *leader) tooDear(j *job, o offer) bool {
+	t := l.controller.teams[j.Team]
 	if t == nil || t.CPUs > 0 || t.GPUs > 0 || j.Priority == protocol.Critical {
 		return false
 	}
 	lowest := 0.0
-	for _, t := range l.n.types {
-		for _, spot := range []bool{false, l.n.op.Spot && t.SpotPrice > 0 && j.Spot} {
+	for _, t := range l.controller.types {
+		for _, spot := range []bool{false, l.controller.op.Spot && t.SpotPrice > 0 && j.Spot} {
 			k := offer{spec: t, spot: spot}
 			if p := k.price() / t.CPUs; j.AllowsType(t.Name) && t.Fits(j.Job) && (lowest == 0 || p < lowest) {
 				lowest = p
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -9,32 +9,32 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // What on-call met: jobs with a mistake, boots that are late, polls by the thousand,
 // guests, and a service that said nothing.
 
-func addTestJob(l *lead, id string, change func(*protocol.Job)) *job {
+func addTestJob(l *leader, id string, change func(*protocol.Job)) *job {
 	spec := &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 10, CPUs: 1,
 		MemGB: 1, Image: "a", ImageGB: 1, Spot: true, Estimate: 30 * time.Second}
 	change(spec)
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(l.n.now), Chunk: 96, Spec: spec})
+	l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: spec})
 	return l.jobs[id]
 }
 
-func addTestMachine(l *lead, name string, up bool) *machine {
+func addTestMachine(l *leader, name string, up bool) *machine {
 	m := l.newMachine(name, "small", "a", true)
 	if up {
-		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, l.n.now, l.n.now, l.n.now, 1, "x"
+		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, l.controller.now, l.controller.now, l.controller.now, 1, "x"
 	}
 	return m
 }
 
 // fail lets one task of a job fail on a machine.
-func fail(l *lead, m *machine, j *job) {
+func fail(l *leader, m *machine, j *job) {
 	a := &attempt{job: j, task: j.peekTask(), machine: m, recorded: true}
 	j.takeTask()
 	l.attach(a)
@@ -46,7 +46,7 @@
 // known to work do when they fail there.
 func TestFaultyMachineOrFaultyJobs(t *testing.T) {
 	for _, works := range []bool{false, true} {
-		n, l := leading(active)
+		c, l := leading(active)
 		m := addTestMachine(l, "vm-1", true)
 		addTestMachine(l, "vm-2", true)
 		for i := range 5 {
@@ -59,7 +59,7 @@
 			j := addTestJob(l, fmt.Sprintf("run-%06d", 10+i), func(*protocol.Job) {})
 			if works { // tasks of it run elsewhere
 				l.runs(j)
-				n.now = n.now.Add(provenAfter)
+				c.now = c.now.Add(provenAfter)
 			}
 			fail(l, m, j)
 		}
@@ -72,18 +72,18 @@
 // A job that fails everywhere is tried with one task at a time, ever more slowly, and
 // all of it once a task runs for a while.
 func TestTrialOfFailingJob(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	l.teams["red"] = &usage{}
-	n.teams["red"].CPUsMax = 100
+	c.teams["red"].CPUsMax = 100
 	j := addTestJob(l, "run-000001", func(*protocol.Job) {})
 	for i := range 4 {
 		fail(l, addTestMachine(l, fmt.Sprintf("vm-%d", i), true), j)
 	}
 	var last time.Duration
 	for range 12 {
-		n.now = j.notBefore
+		c.now = j.notBefore
 		for _, m := range l.fleetList {
-			m.heard, m.answered = n.now, n.now
+			m.heard, m.answered = c.now, c.now
 		}
 		l.place()
 		if j.live != 1 {
@@ -94,18 +94,18 @@
 			l.detach(a, "test")
 		}
 		j.chunk(0).starts = nil
-		last = j.notBefore.Sub(n.now)
+		last = j.notBefore.Sub(c.now)
 	}
 	if last != trialPauseMax {
 		t.Errorf("after 12 trials %s until the next", last)
 	}
-	n.now = j.notBefore
+	c.now = j.notBefore
 	for _, m := range l.fleetList {
-		m.heard, m.answered = n.now, n.now
+		m.heard, m.answered = c.now, c.now
 	}
 	l.place()
 	l.runs(j)
-	n.now = n.now.Add(provenAfter)
+	c.now = c.now.Add(provenAfter)
 	l.place()
 	if j.live != j.Tasks {
 		t.Errorf("%d of %d tasks placed after one has run", j.live, j.Tasks)
@@ -115,8 +115,8 @@
 // Replicas that faulty machines ended are started again although others of their job
 // run: a service is never done, and what failed in its long life doesn't add up.
 func TestServiceIsNoTrial(t *testing.T) {
-	n, l := leading(active)
-	n.teams["red"].CPUsMax = 100
+	c, l := leading(active)
+	c.teams["red"].CPUsMax = 100
 	l.teams["red"] = &usage{}
 	for i := range 8 {
 		addTestMachine(l, fmt.Sprintf("vm-%d", i), true)
@@ -137,9 +137,9 @@
 				l.setState(a, protocol.Running)
 			}
 		}
-		n.now = n.now.Add(unbrokenAfter + time.Second)
+		c.now = c.now.Add(unbrokenAfter + time.Second)
 		for _, m := range l.fleetList {
-			m.heard, m.answered = n.now, n.now
+			m.heard, m.answered = c.now, c.now
 		}
 		l.place()
 		if j.live != j.Tasks {
@@ -151,20 +151,20 @@
 // Boots that are late are replaced once; when most are, only a part is, and none is
 // given up soon. A new leader doesn't judge machines that may have been up for long.
 func TestLateBoots(t *testing.T) {
-	count := func(late, came int, inherited bool) (*Node, *lead) {
-		n, l := leading(active)
-		n.teams["red"].CPUsMax = 1000
-		l.loadedAt = n.now
+	count := func(late, came int, inherited bool) (*Controller, *leader) {
+		c, l := leading(active)
+		c.teams["red"].CPUsMax = 1000
+		l.loadedAt = c.now
 		for i := range late {
 			m := addTestMachine(l, fmt.Sprintf("vm-%d", i), false)
-			m.rented, m.inherited = n.now.Add(-45*time.Second), inherited
+			m.rented, m.inherited = c.now.Add(-45*time.Second), inherited
 		}
 		for i := range came {
 			addTestMachine(l, fmt.Sprintf("vm-up-%d", i), true)
 		}
-		return n, l
+		return c, l
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		late, came int
 		inherited  bool
 		coming     int
@@ -175,10 +175,10 @@
 		{late: 2, came: 8, inherited: true, coming: 0, returned: 0},
 		{late: 8, came: 2, inherited: true, coming: 0, returned: 0},
 	} {
-		_, l := count(c.late, c.came, c.inherited)
+		_, l := count(test.late, test.came, test.inherited)
 		l.fleet.unmet = []demand{{job: addTestJob(l, "run-000001", func(*protocol.Job) {}), left: 1}}
-		if got := len(l.coming()); got != c.coming {
-			t.Errorf("%+v: %d counted as room to come", c, got)
+		if got := len(l.coming()); got != test.coming {
+			t.Errorf("%+v: %d counted as room to come", test, got)
 		}
 		l.endBoots()
 		returned := 0
@@ -187,8 +187,8 @@
 				returned++
 			}
 		}
-		if returned != c.returned {
-			t.Errorf("%+v: %d returned", c, returned)
+		if returned != test.returned {
+			t.Errorf("%+v: %d returned", test, returned)
 		}
 	}
 }
@@ -196,19 +196,19 @@
 // However many users ask, a node asks the state service a bounded number of times, and
 // what another node has told it to be over costs nothing.
 func TestPollsShareChecks(t *testing.T) {
-	n, _ := leading(active)
-	n.stepDown("test")
-	n.take()
+	c, _ := leading(active)
+	c.stepDown("test")
+	c.take()
 	checks, answered := 0, 0
 	for i := range 2000 {
-		n.now = n.now.Add(5 * time.Millisecond)
-		e := n.Request(n.now, uint64(i), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i%30), nil)
-		t := n.Tick(n.now)
+		c.now = c.now.Add(5 * time.Millisecond)
+		e := c.Request(c.now, uint64(i), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i%30), nil)
+		t := c.Tick(c.now)
 		e.Calls, e.Replies = append(e.Calls, t.Calls...), append(e.Replies, t.Replies...)
 		for k := 0; k < len(e.Calls); k++ {
-			if c := e.Calls[k]; c.Target == protocol.PathMulti {
+			if call := e.Calls[k]; call.Target == protocol.PathMulti {
 				checks++
-				r := n.Result(n.now, c.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(1)})
+				r := c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(1)})
 				e.Replies, e.Calls = append(e.Replies, r.Replies...), append(e.Calls, r.Calls...)
 			}
 		}
@@ -218,20 +218,20 @@
 			}
 		}
 	}
-	if most := int(n.cfg.StateRPS*10/checksShare) + 2; checks > most || checks == 0 {
+	if most := int(c.cfg.StateRPS*10/checksShare) + 2; checks > most || checks == 0 {
 		t.Errorf("%d checks in 10 s, want at most %d", checks, most)
 	}
 	if answered < 1900 {
 		t.Errorf("%d of 2000 questions answered", answered)
 	}
 
-	n.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
+	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
 	raw, err := json.Marshal(peerMessage{Node: "n1", Done: map[string]int{"run-000999": 3}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Peer(n.now, raw)
-	e := n.Request(n.now, 9999, "GET", protocol.PathJobs+"/run-000999", nil)
+	c.Peer(c.now, raw)
+	e := c.Request(c.now, 9999, "GET", protocol.PathJobs+"/run-000999", nil)
 	if len(e.Calls) != 0 || len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Errorf("a job that a peer has told to be done: %+v", e)
 	}
@@ -239,11 +239,11 @@
 
 // Each job that comes leaves the leader's own records a change less.
 func TestSubmissionsCount(t *testing.T) {
-	n, l := leading(active)
-	before := l.journal.budget.Available(n.now)
-	record := bookkeeping.Encode(bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: benchJob(2)})
-	l.jobKey(bookkeeping.KeyActive(benchJob(2).ID), record, true)
-	if after := l.journal.budget.Available(n.now); after != before-1 {
+	c, l := leading(active)
+	before := l.journal.budget.Available(c.now)
+	record := records.Encode(records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
+	l.jobKey(records.KeyActive(benchJob(2).ID), record, true)
+	if after := l.journal.budget.Available(c.now); after != before-1 {
 		t.Errorf("%g changes are left of %g", after, before)
 	}
 }
@@ -251,26 +251,26 @@
 // Submissions that come together share a transaction; one that is known already doesn't
 // keep the others from being accepted.
 func TestSubmissionsShareTransactions(t *testing.T) {
-	n, _ := leading(active)
-	n.take()
+	c, _ := leading(active)
+	c.take()
 	var calls []Call
 	for i := range 5 {
-		e := n.Request(n.now, uint64(i), "POST", protocol.PathJobs, protocol.EncodeJob(benchJob(2+i)))
+		e := c.Request(c.now, uint64(i), "POST", protocol.PathJobs, protocol.EncodeJob(benchJob(2+i)))
 		calls = append(calls, e.Calls...)
 	}
 	if len(calls) != 1 {
 		t.Fatalf("%d calls for five submissions at once", len(calls))
 	}
-	e := n.Result(n.now, calls[0].ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(7)})
+	e := c.Result(c.now, calls[0].ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(7)})
 	if len(e.Replies) != 1 || len(e.Calls) != 1 || bytes.Count(e.Calls[0].Body, []byte(`"write"`)) != 4 {
 		t.Fatalf("the rest in one: %d answers, %d calls", len(e.Replies), len(e.Calls))
 	}
-	failed := protocol.EncodeFailed([]string{bookkeeping.KeyActive(benchJob(4).ID)}, 8)
-	e = n.Result(n.now, e.Calls[0].ID, Outcome{Answered: true, Status: 409, Body: failed})
+	failed := protocol.EncodeFailed([]string{records.KeyActive(benchJob(4).ID)}, 8)
+	e = c.Result(c.now, e.Calls[0].ID, Outcome{Answered: true, Status: 409, Body: failed})
 	again := 0
-	for _, c := range e.Calls {
-		if c.Target == protocol.PathMulti {
-			again = bytes.Count(c.Body, []byte(`"write"`))
+	for _, call := range e.Calls {
+		if call.Target == protocol.PathMulti {
+			again = bytes.Count(call.Body, []byte(`"write"`))
 		}
 	}
 	if again != 3 {
@@ -281,35 +281,35 @@
 // Teams without a guarantee don't have dear machines rented, but one to begin on once
 // they have waited for long.
 func TestGuestsPay(t *testing.T) {
-	n, l := leading(active)
-	n.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
+	c, l := leading(active)
+	c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 	l.teams["guest"] = &usage{}
 	guest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Team = "guest" })
 	other := addTestJob(l, "run-000002", func(*protocol.Job) {})
-	dear := offer{spec: n.types["small"], zone: "a"} // twice the price of a spot machine
+	dear := offer{spec: c.types["small"], zone: "a"} // twice the price of a spot machine
 	if !l.tooDear(guest, dear) || l.tooDear(other, dear) || l.tooDear(guest, offer{spec: dear.spec, zone: "a", spot: true}) {
 		t.Error("prices are judged wrongly")
 	}
 	// Spot machines have run out.
-	l.fleet.blocked[offer{spec: dear.spec, zone: "a", spot: true}.key()] = n.now.Add(time.Hour)
-	for _, c := range []struct {
+	l.fleet.blocked[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
+	for _, test := range []struct {
 		job   *job
 		rents bool
 	}{{guest, false}, {other, true}} {
-		n.take()
-		l.fleet.unmet = []demand{{c.job, 4}}
+		c.take()
+		l.fleet.unmet = []demand{{test.job, 4}}
 		l.grow()
-		if rents := len(n.take().Calls) > 0; rents != c.rents {
-			t.Errorf("%s: dear machines rented %t", c.job.Team, rents)
+		if rents := len(c.take().Calls) > 0; rents != test.rents {
+			t.Errorf("%s: dear machines rented %t", test.job.Team, rents)
 		}
 	}
-	n.now = n.now.Add(overdueAfter)
+	c.now = c.now.Add(overdueAfter)
 	clear(l.fleet.renting)
 	l.fleet.unmet = []demand{{guest, guest.Tasks}}
-	l.fleet.blocked[offer{spec: dear.spec, zone: "a", spot: true}.key()] = n.now.Add(time.Hour)
-	n.take()
+	l.fleet.blocked[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
+	c.take()
 	l.grow()
-	if calls := n.take().Calls; len(calls) != 1 || !bytes.Contains(calls[0].Body, []byte(`"howMany":1}`)) {
+	if calls := c.take().Calls; len(calls) != 1 || !bytes.Contains(calls[0].Body, []byte(`"howMany":1}`)) {
 		t.Errorf("for a guest's job that is overdue: %d calls, want one machine", len(calls))
 	}
 }
@@ -317,38 +317,38 @@
 // Guests' work that saves leaves a dear machine that is to be returned once nothing else is
 // on it, and isn't placed there again; other teams' work stays to its end.
 func TestGuestsLeaveDearMachines(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		team   string
 		spot   bool
 		leaves bool
 	}{{"guest", false, true}, {"guest", true, false}, {"red", false, false}} {
-		n, l := leading(active)
-		n.teams["red"].CPUsMax = 100
-		n.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
+		c, l := leading(active)
+		c.teams["red"].CPUsMax = 100
+		c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 		l.teams["guest"], l.teams["red"] = &usage{}, &usage{}
-		m := l.newMachine("vm-1", "small", "a", c.spot)
-		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, n.now, n.now, n.now, 1, "x"
+		m := l.newMachine("vm-1", "small", "a", test.spot)
+		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 		j := addTestJob(l, "run-000001", func(j *protocol.Job) {
-			j.Team, j.Tasks, j.Checkpoint, j.Save = c.team, 1, 30*time.Second, 3*time.Second
+			j.Team, j.Tasks, j.Checkpoint, j.Save = test.team, 1, 30*time.Second, 3*time.Second
 		})
 		l.place()
 		if len(m.list) != 1 {
-			t.Fatalf("%+v: not placed", c)
+			t.Fatalf("%+v: not placed", test)
 		}
 		a := m.list[0]
 		a.recorded, a.seen = true, true
 		l.setState(a, protocol.Running)
-		n.now = n.now.Add(guestsStay + time.Second)
-		m.heard, m.answered, m.Emptying = n.now, n.now, true
+		c.now = c.now.Add(guestsStay + time.Second)
+		m.heard, m.answered, m.Emptying = c.now, c.now, true
 		l.shrink()
-		if a.stop != c.leaves {
-			t.Errorf("%+v: told to stop %t", c, a.stop)
+		if a.stop != test.leaves {
+			t.Errorf("%+v: told to stop %t", test, a.stop)
 		}
-		if c.leaves {
+		if test.leaves {
 			l.detach(a, "test")
 			l.place()
 			if j.live != 0 {
-				t.Errorf("%+v: placed there again", c)
+				t.Errorf("%+v: placed there again", test)
 			}
 		}
 	}
@@ -357,16 +357,16 @@
 // Why work waits is told at level info: when it changes and from time to time, and no
 // more often.
 func TestWaitsAreTold(t *testing.T) {
-	n, l := leading(active)
+	c, l := leading(active)
 	var out bytes.Buffer
-	n.log = slog.New(slog.NewTextHandler(&out, nil))
-	n.teams["red"].CPUsMax = 4
+	c.log = slog.New(slog.NewTextHandler(&out, nil))
+	c.teams["red"].CPUsMax = 4
 	l.teams["red"] = &usage{}
 	addTestJob(l, "run-000001", func(j *protocol.Job) { j.CPUs = 4 })
 	lines := func(want string) int { return strings.Count(out.String(), want) }
 	step := func(d time.Duration) {
 		for range int(d / time.Second) {
-			n.now = n.now.Add(time.Second)
+			c.now = c.now.Add(time.Second)
 			l.explain()
 		}
 	}
@@ -379,11 +379,11 @@
 	if k := lines("the team's limit"); k < 2 || k > 4 {
 		t.Errorf("the limit is told %d times in a minute: %s", k, out.String())
 	}
-	n.stepDown("test")
-	n.election.leaderVersion = 0
+	c.stepDown("test")
+	c.election.leaderVersion = 0
 	for range 20 {
-		n.now = n.now.Add(time.Second)
-		n.explainNode()
+		c.now = c.now.Add(time.Second)
+		c.explainNode()
 	}
 	if k := lines("no leader is known"); k != 1 {
 		t.Errorf("a missing leader is told %d times in 20 s: %s", k, out.String())
@@ -393,14 +393,14 @@
 // A large task finds room although small ones would take each bit that frees: a machine
 // is kept for it once its job has waited for too long.
 func TestOverdueJobGetsRoom(t *testing.T) {
-	n, l := leading(active)
-	n.teams["red"].CPUsMax = 100
+	c, l := leading(active)
+	c.teams["red"].CPUsMax = 100
 	l.teams["red"] = &usage{}
 	m := addTestMachine(l, "vm-1", true)
 	first := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks, j.CPUs = 1, 3 })
 	l.place()
 	large := addTestJob(l, "run-000002", func(j *protocol.Job) { j.Tasks, j.CPUs, j.Priority = 1, 4, protocol.Low })
-	large.submitted = n.now.Add(-overdueAfter)
+	large.submitted = c.now.Add(-overdueAfter)
 	small := addTestJob(l, "run-000003", func(*protocol.Job) {})
 	l.place()
 	if first.live != 1 || small.live != 0 {
@@ -417,33 +417,33 @@
 // A leader that is late starts what is critical and leaves the rest for later; once it
 // has lost its lease for that, it asks for a longer one.
 func TestLateLeader(t *testing.T) {
-	n, l := leading(active)
-	n.teams["red"].CPUsMax = 100
+	c, l := leading(active)
+	c.teams["red"].CPUsMax = 100
 	l.teams["red"] = &usage{}
 	for i := range 4 {
 		addTestMachine(l, fmt.Sprintf("vm-%d", i), true)
 	}
 	rest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks = 12 })
 	critical := addTestJob(l, "run-000002", func(j *protocol.Job) { j.Tasks, j.Priority = 2, protocol.Critical })
-	n.lag = 2 * lagLate
+	c.lag = 2 * lagLate
 	l.place()
 	if critical.live != 2 || rest.live != 0 {
 		t.Errorf("while late: %d critical tasks and %d others placed", critical.live, rest.live)
 	}
-	n.lag = 0
+	c.lag = 0
 	l.place()
 	if rest.live != 12 {
 		t.Errorf("%d of 12 tasks placed once it isn't late", rest.live)
 	}
-	base := n.op.LeaderLease()
-	n.lateAt = n.now
-	n.stepDown("test")
-	n.election.changes = nil
-	if got := n.leaseTime(); got != 4*base {
+	base := c.op.LeaderLease()
+	c.lateAt = c.now
+	c.stepDown("test")
+	c.election.changes = nil
+	if got := c.leaseTime(); got != 4*base {
 		t.Errorf("after a lease lost for being late %s, want %s", got, 4*base)
 	}
-	n.now = n.now.Add(lostCounts)
-	if got := n.leaseTime(); got != base {
+	c.now = c.now.Add(lostCounts)
+	if got := c.leaseTime(); got != base {
 		t.Errorf("after %s %s, want %s", lostCounts, got, base)
 	}
 }
--- a/internal/coordination/order.go
+++ b/internal/coordination/order.go
@@ -12,13 +12,13 @@
 // job that came beyond it stays so: to let each of a backlog in as the ones
 // before it end would stop other teams' work again and again, although the
 // guarantee holds only while all of the team's unfinished jobs fit.
-func (l *lead) markGuarantees() {
+func (l *leader) markGuarantees() {
 	sums := map[string]*usage{}
 	for _, j := range l.order {
 		if j.outcome != 0 {
 			continue
 		}
-		team := l.n.teams[j.Team]
+		team := l.controller.teams[j.Team]
 		if team == nil {
 			continue
 		}
@@ -46,14 +46,14 @@
 //
 // Owners' estimates are often wrong by half, so a goal is given up only when
 // half of the estimate is too long for it.
-func (l *lead) weight(j *job, wall time.Time) float64 {
+func (l *leader) weight(j *job, wall time.Time) float64 {
 	est := max(time.Duration(float64(j.Estimate)*l.biasOf(j.Class)), time.Second)
 	var goals []time.Duration
 	if j.HasDeadline {
 		goals = append(goals, j.Deadline, j.Deadline*3/2)
 	} else {
-		for i := range l.n.cfg.Objectives {
-			if o := &l.n.cfg.Objectives[i]; o.Kind == "finished" && o.Class == j.Class {
+		for i := range l.controller.cfg.Objectives {
+			if o := &l.controller.cfg.Objectives[i]; o.Kind == "finished" && o.Class == j.Class {
 				goals = append(goals, o.Within)
 			}
 		}
@@ -74,7 +74,7 @@
 
 // biasOf is how long tasks of a class run, as a multiple of their estimates:
 // on some days those are mostly too high or too low.
-func (l *lead) biasOf(class string) float64 {
+func (l *leader) biasOf(class string) float64 {
 	if b, ok := l.bias[class]; ok {
 		return b
 	}
@@ -82,11 +82,11 @@
 }
 
 // learn takes a completed task's run time into its class's bias.
-func (l *lead) learn(a *attempt) {
+func (l *leader) learn(a *attempt) {
 	if a.state != protocol.Running || a.inherited || a.job.Estimate <= 0 {
 		return
 	}
-	run := l.n.now.Sub(a.since)
+	run := l.controller.now.Sub(a.since)
 	l.balance.completed(a, run)
 	ratio := float64(run) / float64(a.job.Estimate)
 	l.bias[a.job.Class] = l.biasOf(a.job.Class)*0.95 + min(max(ratio, 0.2), 5)*0.05
@@ -95,9 +95,9 @@
 // waitingOrder lists the jobs with waiting tasks in the order they are served:
 // critical ones, then those within their team's guarantee, then by priority,
 // then by weight.
-func (l *lead) waitingOrder() []*job {
+func (l *leader) waitingOrder() []*job {
 	var list []*job
-	wall := l.n.now.Round(0)
+	wall := l.controller.now.Round(0)
 	weights := map[*job]float64{}
 	for _, j := range l.order {
 		if j.toStart() > 0 {
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -29,11 +29,11 @@
 
 // callable reports whether orders can be sent to a worker without waiting for its report.
 func (o *owner) callable(m *machine) bool {
-	if !o.alive() || m.directBusy || m.removed || !m.up || m.addr == "" || !o.loaded && !m.listed || !o.serves(m) || !o.entitled() {
+	if !o.alive() || m.directBusy || m.removed || !m.up || m.addr == "" || !o.loaded && !m.listed || !o.serves(m) || !o.holdsLease() {
 		return false
 	}
 	// One that is unreachable gets its orders when it reports.
-	return !o.n.now.Before(m.directPause) && o.n.now.Sub(m.heard) <= o.n.cfg.ReportInterval*3/2
+	return !o.controller.now.Before(m.directPause) && o.controller.now.Sub(m.heard) <= o.controller.cfg.ReportInterval*3/2
 }
 
 // sendDirect sends a worker what it must do without waiting for its report.
@@ -55,7 +55,7 @@
 	}
 	m.directBusy = true
 	body := protocol.DirectOrders(token, session, orders)
-	o.n.call(Worker, m.addr, "POST", protocol.PathOrders, body, directTimeout, func(out Outcome) {
+	o.controller.call(Worker, m.addr, "POST", protocol.PathOrders, body, directTimeout, func(out Outcome) {
 		if o.alive() {
 			o.directAnswered(m, session, starts, out)
 		}
@@ -76,12 +76,12 @@
 			o.withhold(m)
 			continue
 		case !room.Take(a.job.ID):
-			o.n.bounds.hit(boundOrders)
+			o.controller.bounds.hit(boundOrders)
 			return orders, starts
 		case order.Kind == protocol.Start:
 			starts = append(starts, a)
 		default:
-			a.stopSent = o.n.now
+			a.stopSent = o.controller.now
 		}
 		orders = append(orders, order)
 	}
@@ -152,7 +152,7 @@
 			a.directToken = 0
 		}
 	}
-	m.directPause = o.n.now.Add(o.n.cfg.ReportInterval)
+	m.directPause = o.controller.now.Add(o.controller.cfg.ReportInterval)
 }
 
 // newer reports whether a report is newer than what is known of the machine.
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -5,35 +5,35 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // Leaders of a large fleet that lost a short lease for being busy left the same
 // work to the next one, and none ever got through with it.
 func TestLeaseGrowsWithChanges(t *testing.T) {
-	n, l := leading(active)
-	base := n.op.LeaderLease()
-	n.stepDown("test")
-	n.election.changes = nil
-	if got := n.leaseTime(); got != base {
+	c, l := leading(active)
+	base := c.op.LeaderLease()
+	c.stepDown("test")
+	c.election.changes = nil
+	if got := c.leaseTime(); got != base {
 		t.Errorf("after a calm time %s, want %s", got, base)
 	}
 	for i, want := range []time.Duration{2 * base, 2 * base, 4 * base, 4 * base} {
-		n.noteChange()
-		if got := n.leaseTime(); got != want {
+		c.noteChange()
+		if got := c.leaseTime(); got != want {
 			t.Errorf("after %d changes %s, want %s", i+1, got, want)
 		}
 	}
-	n.now = n.now.Add(changesCount + time.Second)
-	if got := n.leaseTime(); got != base {
+	c.now = c.now.Add(changesCount + time.Second)
+	if got := c.leaseTime(); got != base {
 		t.Errorf("after a calm time again %s, want %s", got, base)
 	}
 	// The longer a leader's lease, the shorter its grace: together with a worker's
 	// lease they stay within the time that a cancellation has.
-	l.right.ttl = 4 * base
-	if sum := l.right.ttl + l.grace() + n.cfg.WorkerLease; sum > n.cfg.CancelWithin {
-		t.Errorf("lease, grace and worker's lease take %s of %s", sum, n.cfg.CancelWithin)
+	l.lease.ttl = 4 * base
+	if sum := l.lease.ttl + l.grace() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
+		t.Errorf("lease, grace and worker's lease take %s of %s", sum, c.cfg.CancelWithin)
 	}
 }
 
@@ -45,9 +45,9 @@
 func TestProbesArePaced(t *testing.T) {
 	_, l := largeLead(overloadMachines, 0)
 	for turn := range 1 + probesShare {
-		before := len(l.n.out.Calls)
+		before := len(l.controller.out.Calls)
 		l.probeSome(l.fleetList)
-		if asked := len(l.n.out.Calls) - before; asked > overloadMachines/probesShare {
+		if asked := len(l.controller.out.Calls) - before; asked > overloadMachines/probesShare {
 			t.Fatalf("turn %d: %d machines asked at once", turn, asked)
 		}
 	}
@@ -60,14 +60,14 @@
 
 // A node that is far behind sends away users who only ask, and serves the rest.
 func TestFarBehindShedsPolls(t *testing.T) {
-	n, _ := leading(active)
-	n.admission.setKnown("run-000001")
-	n.lag = 2 * lagFar
-	e := n.Request(n.now, 1, "GET", protocol.PathJobs+"/run-000001", nil)
+	c, _ := leading(active)
+	c.admission.setKnown("run-000001")
+	c.lag = 2 * lagFar
+	e := c.Request(c.now, 1, "GET", protocol.PathJobs+"/run-000001", nil)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 503 || e.Replies[0].RetryAfter == 0 {
 		t.Errorf("a poll: %+v", e.Replies)
 	}
-	e = n.Request(n.now, 2, "POST", protocol.PathJobs, protocol.EncodeJob(benchJob(2)))
+	e = c.Request(c.now, 2, "POST", protocol.PathJobs, protocol.EncodeJob(benchJob(2)))
 	if len(e.Replies) != 0 || len(e.Calls) == 0 {
 		t.Errorf("a submission: %+v, %d calls", e.Replies, len(e.Calls))
 	}
@@ -78,12 +78,12 @@
 	_, l := largeLead(overloadMachines, 20)
 	huge := benchJob(2)
 	huge.ID, huge.Tasks = "run-999999", protocol.MaxTasks
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(l.n.now.Add(-time.Second)), Chunk: 96, Spec: huge})
+	l.addJob(&records.Job{Submitted: records.Millis(l.controller.now.Add(-time.Second)), Chunk: 96, Spec: huge})
 	allocated := testing.AllocsPerRun(1, func() { fill(l) })
 	j := l.jobs[huge.ID]
 	made := 0
-	for _, c := range j.chunks {
-		if c != nil {
+	for _, chunk := range j.chunks {
+		if chunk != nil {
 			made++
 		}
 	}
@@ -108,13 +108,13 @@
 // work that gives way, rounds took seconds and leaders lost their leases to them,
 // one after the other.
 func TestRoundIsBounded(t *testing.T) {
-	n, l := largeLead(overloadMachines, 0)
+	c, l := largeLead(overloadMachines, 0)
 	add := func(from, count int, change func(j *protocol.Job)) {
 		for i := from; i < from+count; i++ {
 			j := benchJob(2)
 			j.ID, j.Image = fmt.Sprintf("run-%06d", i), fmt.Sprintf("img-%d", i%20)
 			change(j)
-			l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: j})
+			l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: j})
 		}
 	}
 	add(0, 600, func(j *protocol.Job) { j.Priority, j.Team, j.CPUs = protocol.Low, "blue", 1 })
@@ -129,9 +129,9 @@
 	add(1000, 400, func(j *protocol.Job) { j.Tasks = 40 })
 	rounds := 0
 	for _, when := range []time.Duration{0, 3 * time.Second, time.Second, time.Second} { // patience passes
-		n.now = n.now.Add(when)
+		c.now = c.now.Add(when)
 		for _, m := range l.fleetList {
-			m.heard, m.answered = n.now, n.now
+			m.heard, m.answered = c.now, c.now
 		}
 		l.place()
 		if l.work > 2*roundWork {
@@ -152,11 +152,11 @@
 // nothing. Every machine was looked at for each of them in every round, which took
 // most of a leader's processor time where the cloud offers one zone of two.
 func TestClosedZonesCostNothing(t *testing.T) {
-	n, l := largeLead(overloadMachines, 0)
+	c, l := largeLead(overloadMachines, 0)
 	for i := range 100 {
 		j := benchJob(0)
 		j.ID, j.Tasks, j.Spread = fmt.Sprintf("run-%06d", i), 6, true
-		l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: j})
+		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: j})
 	}
 	fill(l)
 	waiting := 0
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -11,17 +11,17 @@
 // those that fall silent, and learns which attempts are gone. It places nothing and
 // records nothing; what it learns it tells its observer, who places.
 type owner struct {
-	n        *Node
-	observer observer
-	ended    bool // it serves nobody any more
-	loaded   bool // all attempts that may be on its machines are known
-	asksNew  bool // workers that report for the first time are asked whether calls reach them
+	controller *Controller
+	observer   observer
+	ended      bool // it serves nobody any more
+	loaded     bool // all attempts that may be on its machines are known
+	asksNew    bool // workers that report for the first time are asked whether calls reach them
 
 	jobs      map[string]*job // the unfinished ones
 	known     time.Time       // all that was recorded of jobs before it is known here; zero: nothing is
 	machines  map[string]*machine
 	fleetList []*machine // the same, in the order they became known
-	right     right
+	lease     lease
 
 	deaf       time.Time       // last time that silence of workers said nothing
 	watched    time.Time       // when the machines were last looked at
@@ -86,22 +86,22 @@
 // fenceBits are those of a token below its term.
 const fenceBits = 16
 
-// right is a lease in the state service that an owner's answers rest on.
-type right struct {
-	lease      uint64
+// lease is a lease in the state service that an owner's answers rest on.
+type lease struct {
+	id         uint64
 	ttl        time.Duration
 	validUntil time.Time // until when no one else can have taken over
 }
 
-func newOwner(n *Node, r right) owner {
-	return owner{n: n, right: r, jobs: map[string]*job{}, machines: map[string]*machine{}}
+func newOwner(c *Controller, r lease) owner {
+	return owner{controller: c, lease: r, jobs: map[string]*job{}, machines: map[string]*machine{}}
 }
 
 func (o *owner) alive() bool { return !o.ended }
 
 // every runs f each d while the owner serves.
 func (o *owner) every(d time.Duration, f func()) {
-	o.n.after(d, func() {
+	o.controller.after(d, func() {
 		if o.alive() {
 			f()
 			o.every(d, f)
@@ -114,22 +114,22 @@
 // next waits for its end before it takes silence for a proof. It is never longer than
 // lets lease, grace and worker lease together stay within the time a cancellation has;
 // what the owner knows bounds it further (answersFor).
-func (o *owner) grace() time.Duration { return o.n.graceAfter(o.right.ttl) }
+func (o *owner) grace() time.Duration { return o.controller.graceAfter(o.lease.ttl) }
 
 // graceAfter is the grace of an owner with a lease of the given time.
-func (n *Node) graceAfter(lease time.Duration) time.Duration {
-	c := n.cfg
-	return max(0, c.CancelWithin-c.WorkerLease-drift(2*c.WorkerLease)-lease-2*time.Second)
+func (c *Controller) graceAfter(lease time.Duration) time.Duration {
+	settings := c.cfg
+	return max(0, settings.CancelWithin-settings.WorkerLease-drift(2*settings.WorkerLease)-lease-2*time.Second)
 }
 
-// entitled reports whether this owner may still answer workers: it may hold its lease, or
+// holdsLease reports whether this owner may still answer workers: it may hold its lease, or
 // its grace isn't over, and it knows of every cancellation that is so old that an answer
 // now could keep its tasks beyond their time.
-func (o *owner) entitled() bool {
-	if o.known.IsZero() || o.n.now.After(o.known.Add(o.n.answersFor())) {
+func (o *owner) holdsLease() bool {
+	if o.known.IsZero() || o.controller.now.After(o.known.Add(o.controller.answersFor())) {
 		return false
 	}
-	return !o.n.now.After(o.right.validUntil.Add(o.grace()))
+	return !o.controller.now.After(o.lease.validUntil.Add(o.grace()))
 }
 
 // answersFor is how long after an owner last knew of every cancellation it may go on
@@ -141,9 +141,9 @@
 //
 // Nothing is owed to the delay of the loop: a watch that is read late is as old as when
 // it was asked for, and a report that is read late as when it was sent.
-func (n *Node) answersFor() time.Duration {
-	c := n.cfg
-	return max(0, c.CancelWithin-c.WorkerLease-drift(c.CancelWithin+c.WorkerLease)-proofMargin)
+func (c *Controller) answersFor() time.Duration {
+	settings := c.cfg
+	return max(0, settings.CancelWithin-settings.WorkerLease-drift(settings.CancelWithin+settings.WorkerLease)-proofMargin)
 }
 
 // startsFor is how long after that it may send starts that were recorded before. The
@@ -152,7 +152,7 @@
 
 // mayStart reports whether starts may be sent.
 func (o *owner) mayStart() bool {
-	return !o.known.IsZero() && o.n.now.Sub(o.known) <= startsFor && !o.n.storeDown()
+	return !o.known.IsZero() && o.controller.now.Sub(o.known) <= startsFor && !o.controller.storeDown()
 }
 
 // learned notes that all that was recorded of jobs before at is known.
@@ -175,7 +175,7 @@
 // certainly ended its tasks: whoever served it before may have answered it until its
 // own grace ended.
 func (o *owner) silentProof(m *machine) time.Time {
-	c := o.n.cfg
+	c := o.controller.cfg
 	last := m.tenure.predecessorUntil
 	if !m.tookOver.IsZero() {
 		// It has seen our token and takes no other's answer any more. Until then an
@@ -198,11 +198,11 @@
 		return
 	}
 	if m.fence == 1<<fenceBits-1 {
-		o.n.bounds.hit(boundFence)
+		o.controller.bounds.hit(boundFence)
 		return
 	}
 	m.fence++
-	m.tokenSince, m.tokenSeen = o.n.now, false
+	m.tokenSince, m.tokenSeen = o.controller.now, false
 }
 
 // sendStep runs at the end of each step: it sends the orders that the step left.
--- a/internal/coordination/peer_lines.go
+++ b/internal/coordination/peer_lines.go
@@ -37,53 +37,53 @@
 
 // publish tells the peers how this node is, which jobs are over and, from a leader, how
 // the others go on.
-func (n *Node) publish() {
-	n.bounds.tell(n.log, n.now)
-	n.tellBursts()
-	turn := n.progressTurn()
+func (c *Controller) publish() {
+	c.bounds.tell(c.log, c.now)
+	c.tellBursts()
+	turn := c.progressTurn()
 	var again []toldFinal
 	for line := range linesAtOnce {
-		m := n.peerMessage()
-		room := n.addFinals(&m, lineRoom, &again)
+		m := c.peerMessage()
+		room := c.addFinals(&m, lineRoom, &again)
 		if line < progressLines {
 			turn.fill(&m, room)
 		}
-		n.publishLine(&m)
-		if len(n.admission.news) == 0 && (turn.over() || line+1 >= progressLines) {
+		c.publishLine(&m)
+		if len(c.admission.news) == 0 && (turn.over() || line+1 >= progressLines) {
 			break
 		}
 	}
 	if !turn.over() {
-		n.bounds.hit(boundProgress)
+		c.bounds.hit(boundProgress)
 	}
-	n.admission.news = append(n.admission.news, again...)
+	c.admission.news = append(c.admission.news, again...)
 }
 
 // peerMessage begins a message with what each one tells.
-func (n *Node) peerMessage() peerMessage {
-	m := peerMessage{Node: n.cfg.Name, Unfit: n.unfit(), Blind: n.blind(), StoreOK: !n.storeDown() && n.now.Sub(n.storeOK) < 5*time.Second}
-	if n.lead != nil {
-		m.Term = n.lead.term
+func (c *Controller) peerMessage() peerMessage {
+	m := peerMessage{Node: c.cfg.Name, Unfit: c.unfit(), Blind: c.blind(), StoreOK: !c.storeDown() && c.now.Sub(c.storeOK) < 5*time.Second}
+	if c.leader != nil {
+		m.Term = c.leader.term
 	}
 	return m
 }
 
-func (n *Node) publishLine(m *peerMessage) {
+func (c *Controller) publishLine(m *peerMessage) {
 	raw, err := json.Marshal(m)
 	if err != nil { // messages hold only strings and numbers
 		panic(err)
 	}
 	if len(raw) > MaxPeerLine {
-		n.bounds.hit(boundLine)
+		c.bounds.hit(boundLine)
 		return
 	}
-	n.out.Publishes = append(n.out.Publishes, Publish{Body: raw})
+	c.out.Publishes = append(c.out.Publishes, Publish{Body: raw})
 }
 
 // addFinals puts final states into a message, as far as there is room, and returns the
 // room that is left. Those that are to be told once more are added to again.
-func (n *Node) addFinals(m *peerMessage, room int, again *[]toldFinal) int {
-	a := &n.admission
+func (c *Controller) addFinals(m *peerMessage, room int, again *[]toldFinal) int {
+	a := &c.admission
 	m.Done, m.Ended = map[string]int{}, map[string]int{}
 	told := 0
 	for _, f := range a.news {
@@ -109,15 +109,15 @@
 // progressTurn is one turn of telling how a leader's jobs go on, in which each has its
 // place at most once.
 type progressTurn struct {
-	l    *lead
+	l    *leader
 	left int // jobs that weren't looked at in this turn
 }
 
-func (n *Node) progressTurn() *progressTurn {
-	if n.lead == nil {
+func (c *Controller) progressTurn() *progressTurn {
+	if c.leader == nil {
 		return &progressTurn{}
 	}
-	return &progressTurn{l: n.lead, left: len(n.lead.order)}
+	return &progressTurn{l: c.leader, left: len(c.leader.order)}
 }
 
 func (t *progressTurn) over() bool { return t.left == 0 }
@@ -167,8 +167,8 @@
 		return
 	}
 	p.pruned = now
-	for job, c := range p.progress {
-		if now.Sub(c.at) > progressKept {
+	for job, heard := range p.progress {
+		if now.Sub(heard.at) > progressKept {
 			delete(p.progress, job)
 		}
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -35,60 +35,60 @@
 }
 
 // Peer takes a message from another controller.
-func (n *Node) Peer(now time.Time, body []byte) Effects {
-	n.now = now
+func (c *Controller) Peer(now time.Time, body []byte) Effects {
+	c.now = now
 	if bytes.HasPrefix(body, shardLinePrefix) {
-		n.peerShardLine(body)
-		return n.take()
+		c.peerShardLine(body)
+		return c.take()
 	}
 	var m peerMessage
-	if protocol.Decode(body, &m) == nil && m.Node != "" && m.Node != n.cfg.Name && n.isPeer(m.Node) {
-		p := n.peers[m.Node]
+	if protocol.Decode(body, &m) == nil && m.Node != "" && m.Node != c.cfg.Name && c.isPeer(m.Node) {
+		p := c.peers[m.Node]
 		if p == nil {
 			p = &peerView{}
-			n.peers[m.Node] = p
+			c.peers[m.Node] = p
 		}
 		p.at, p.storeOK, p.unfit, p.blind = now, m.StoreOK, m.Unfit, m.Blind
 		p.takeProgress(&m, now)
 		for job, done := range m.Done {
-			n.admission.setFinal(job, protocol.Done, done)
+			c.admission.setFinal(job, protocol.Done, done)
 		}
 		for job, done := range m.Ended {
-			n.admission.setFinal(job, protocol.Cancelled, done)
+			c.admission.setFinal(job, protocol.Cancelled, done)
 			// A leader that the state service refuses stops its tasks sooner for it.
-			if l := n.lead; l != nil && l.jobs[job] != nil {
+			if l := c.leader; l != nil && l.jobs[job] != nil {
 				l.jobOver(l.jobs[job], protocol.Cancelled)
 			}
 		}
-		if n.lead != nil && m.Term > n.lead.term {
-			n.stepDown("a peer leads with a later term")
+		if c.leader != nil && m.Term > c.leader.term {
+			c.stepDown("a peer leads with a later term")
 		}
 	}
-	return n.take()
+	return c.take()
 }
 
 // peerShardLine takes a line about shards. Those of strangers and those that make no sense
 // are counted, and the first is told of.
-func (n *Node) peerShardLine(body []byte) {
+func (c *Controller) peerShardLine(body []byte) {
 	line, err := parseShardLine(body)
-	if err == nil && !n.isPeer(line.Node) {
+	if err == nil && !c.isPeer(line.Node) {
 		err = errStranger
 	}
 	if err == nil {
-		n.takeShardLine(line)
+		c.takeShardLine(line)
 		return
 	}
-	n.oddLines++
-	if n.oddLines == 1 {
-		n.log.Warn("a peer's line is ignored", "err", err, "line", string(body[:min(len(body), 200)]))
+	c.oddLines++
+	if c.oddLines == 1 {
+		c.log.Warn("a peer's line is ignored", "err", err, "line", string(body[:min(len(body), 200)]))
 	}
 }
 
 var errStranger = errors.New("not from a peer")
 
-func (n *Node) isPeer(name string) bool {
-	for i := range n.cfg.Peers {
-		if n.cfg.Peers[i].Name == name {
+func (c *Controller) isPeer(name string) bool {
+	for i := range c.cfg.Peers {
+		if c.cfg.Peers[i].Name == name {
 			return true
 		}
 	}
@@ -96,9 +96,9 @@
 }
 
 // hearsPeer reports whether another node was heard lately.
-func (n *Node) hearsPeer() bool {
-	for _, p := range n.peers {
-		if n.now.Sub(p.at) < 3*time.Second {
+func (c *Controller) hearsPeer() bool {
+	for _, p := range c.peers {
+		if c.now.Sub(p.at) < 3*time.Second {
 			return true
 		}
 	}
@@ -107,9 +107,9 @@
 
 // peerReachesStore reports whether another node lately said that the state
 // service serves it.
-func (n *Node) peerReachesStore() bool {
-	for _, p := range n.peers {
-		if p.storeOK && n.now.Sub(p.at) < 3*time.Second {
+func (c *Controller) peerReachesStore() bool {
+	for _, p := range c.peers {
+		if p.storeOK && c.now.Sub(p.at) < 3*time.Second {
 			return true
 		}
 	}
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -11,9 +11,9 @@
 
 // place gives machines to waiting tasks: per job in order, per task the
 // highest score among the machines with room.
-func (l *lead) place() {
-	n := l.n
-	if l.phase != active || n.storeDown() || !n.now.Before(l.right.validUntil) {
+func (l *leader) place() {
+	c := l.controller
+	if l.phase != active || c.storeDown() || !c.now.Before(l.lease.validUntil) {
 		return // new placements need the state service
 	}
 	l.markGuarantees()
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, j := range order {
-		if j.turn(n.now.Round(0)) >= rankRest && n.late() {
+		if j.turn(c.now.Round(0)) >= rankRest && c.late() {
 			// Each start makes reports and records to come. A leader alone with thousands
 			// of tasks of a few seconds lost its lease to them again and again.
 			l.fleet.partly = true
@@ -50,7 +50,7 @@
 		left := j.toStart()
 		if l.zoneOpen(j) {
 			left = l.placeJob(j)
-			if left > 0 && j.overdue(n.now.Round(0)) {
+			if left > 0 && j.overdue(c.now.Round(0)) {
 				l.reserve(j)
 			}
 		}
@@ -61,7 +61,7 @@
 			l.fleet.partly = true
 			break
 		}
-		if left > 0 && n.now.Before(j.notBefore) {
+		if left > 0 && c.now.Before(j.notBefore) {
 			continue
 		}
 		left = l.trial(j, left)
@@ -80,7 +80,7 @@
 		l.allowance = roundWork
 	}
 	if l.fleet.partly {
-		l.n.after(recordPause+n.lag/2, l.askPlaceAlive)
+		l.controller.after(recordPause+c.lag/2, l.askPlaceAlive)
 	} else if len(l.fleet.unmet) > 0 {
 		l.fleetSoon()
 	}
@@ -89,7 +89,7 @@
 // reserve keeps the machine with most free room for one task of a job that is overdue.
 // Where small tasks take each bit of room that frees, a large one never finds enough
 // of it in one place, although its turn comes first.
-func (l *lead) reserve(j *job) {
+func (l *leader) reserve(j *job) {
 	var best *machine
 	for _, m := range l.opened {
 		if m.Promised == (placement.Resources{}) && m.Allows(j.Job) && j.zoneAllows(m.Zone) && m.Spec.Fits(j.Job) && !l.avoids(j, m) &&
@@ -112,15 +112,15 @@
 // zoneOpen reports whether a job's rules about zones leave any that has machines.
 // Replicas that wait for ever for another zone would otherwise have every machine
 // looked at for them in every round.
-func (l *lead) zoneOpen(j *job) bool {
+func (l *leader) zoneOpen(j *job) bool {
 	return slices.ContainsFunc(l.zones, func(z string) bool { return (j.Zone == "" || j.Zone == z) && j.zoneAllows(z) })
 }
 
 // placeable reports whether any machine that can be rented would take one more
 // task of the job: where machines can be had in one zone only, a job that may
 // have half of its tasks there waits for ever, and nothing should wait with it.
-func (l *lead) placeable(j *job) bool {
-	for _, t := range l.n.types {
+func (l *leader) placeable(j *job) bool {
+	for _, t := range l.controller.types {
 		if !j.AllowsType(t.Name) || !t.Fits(j.Job) {
 			continue
 		}
@@ -163,8 +163,8 @@
 
 // underLimit reports whether one more task of the job stays within its team's
 // limit, which counts every attempt not proven gone.
-func (l *lead) underLimit(j *job) bool {
-	team, u := l.n.teams[j.Team], l.teams[j.Team]
+func (l *leader) underLimit(j *job) bool {
+	team, u := l.controller.teams[j.Team], l.teams[j.Team]
 	if team == nil || u == nil {
 		return false
 	}
@@ -188,8 +188,8 @@
 }
 
 // placeJob places what it can of a job and returns how many tasks are left.
-func (l *lead) placeJob(j *job) int {
-	if l.n.now.Before(j.notBefore) {
+func (l *leader) placeJob(j *job) int {
+	if l.controller.now.Before(j.notBefore) {
 		return j.toStart()
 	}
 	if j.Kind == protocol.Gang {
@@ -203,7 +203,7 @@
 	}
 	c := l.candidates(j)
 	most := j.toStart()
-	if j.turn(l.n.now.Round(0)) < j.rank() {
+	if j.turn(l.controller.now.Round(0)) < j.rank() {
 		most = min(most, (j.Tasks+9)/10) // it begins; the rest waits in its own turn
 	}
 	most = l.trial(j, most)
@@ -234,7 +234,7 @@
 		l.again(&c, j)
 	}
 	left := j.toStart() - held
-	if u, t := l.teams[j.Team], l.n.teams[j.Team]; j.CPUs > 0 && t != nil {
+	if u, t := l.teams[j.Team], l.controller.teams[j.Team]; j.CPUs > 0 && t != nil {
 		left = min(left, int((t.CPUsMax-u.cpus)/j.CPUs+protocol.Epsilon))
 	}
 	return left
@@ -242,7 +242,7 @@
 
 // placeGang places all tasks of a gang or none: a part of it would only hold
 // room until its workers give up waiting for the rest.
-func (l *lead) placeGang(j *job) int {
+func (l *leader) placeGang(j *job) int {
 	need := j.toStart()
 	if j.live > 0 {
 		return 0 // what is left of the last try ends first
@@ -279,16 +279,16 @@
 	return 0
 }
 
-func (l *lead) assign(j *job, i int, m *machine) {
+func (l *leader) assign(j *job, i int, m *machine) {
 	j.takeTask()
 	l.start(j, i, m)
 }
 
 // start begins a new attempt at a task that waits no more.
-func (l *lead) start(j *job, i int, m *machine) {
+func (l *leader) start(j *job, i int, m *machine) {
 	t := j.task(i)
 	t.attempt++
-	a := &attempt{job: j, task: i, number: t.attempt, machine: m, placed: l.n.now, since: l.n.now}
+	a := &attempt{job: j, task: i, number: t.attempt, machine: m, placed: l.controller.now, since: l.controller.now}
 	l.attach(a)
 	l.journal.start(a)
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -15,7 +15,7 @@
 // tasks of it a machine, and returns how many tasks still have none. The
 // victims' room is free once their exit is reported; the job's tasks are
 // placed then.
-func (l *lead) makeRoom(j *job, left int) int {
+func (l *leader) makeRoom(j *job, left int) int {
 	k := kindOf(j)
 	k.early = !l.patient(j)
 	s := l.searches[k]
@@ -31,9 +31,9 @@
 }
 
 // free stops attempts on a machine and promises the room to a job.
-func (l *lead) free(m *machine, victims []*attempt, j *job) {
+func (l *leader) free(m *machine, victims []*attempt, j *job) {
 	for _, a := range victims {
-		l.n.log.Debug("preempted", "job", a.job.ID, "task", a.task, "machine", m.Name, "for", j.ID, "lost", l.wasted(a))
+		l.controller.log.Debug("preempted", "job", a.job.ID, "task", a.task, "machine", m.Name, "for", j.ID, "lost", l.wasted(a))
 		l.stopAttempt(a, l.saveGrace(a))
 	}
 	m.Promise(j.Job)
@@ -41,13 +41,13 @@
 
 // slowStart reports whether fetching the image on a machine alone would take a
 // critical task past the time in which its users want it started.
-func (l *lead) slowStart(j *job, m *machine) bool {
+func (l *leader) slowStart(j *job, m *machine) bool {
 	if j.Priority != protocol.Critical || m.Spec.FetchRate <= 0 {
 		return false
 	}
 	fetch := time.Duration((1 - m.ImageShare(j.wants())) * j.ImageGB / m.Spec.FetchRate * float64(time.Second))
-	for i := range l.n.cfg.Objectives {
-		if o := &l.n.cfg.Objectives[i]; o.Kind == "wait" && o.Class == j.Class && fetch > o.Within {
+	for i := range l.controller.cfg.Objectives {
+		if o := &l.controller.cfg.Objectives[i]; o.Kind == "wait" && o.Class == j.Class && fetch > o.Within {
 			return true
 		}
 	}
@@ -58,15 +58,15 @@
 // frees by itself before work of others is stopped for it: a part of the time
 // that users allow it. Tasks are short, so most of the room comes by itself,
 // and what is stopped has to run again.
-func (l *lead) patience() time.Duration { return l.guarantee() * 2 / 5 }
+func (l *leader) patience() time.Duration { return l.guarantee() * 2 / 5 }
 
 // patient reports whether a job has waited for as long as its patience lasts.
-func (l *lead) patient(j *job) bool {
-	return j.Priority == protocol.Critical || !j.submitted.Add(l.patience()).After(l.n.now.Round(0))
+func (l *leader) patient(j *job) bool {
+	return j.Priority == protocol.Critical || !j.submitted.Add(l.patience()).After(l.controller.now.Round(0))
 }
 
 // presses reports whether others may be stopped for a job now.
-func (l *lead) presses(j *job) bool {
+func (l *leader) presses(j *job) bool {
 	if j.Priority == protocol.Critical {
 		return true
 	}
@@ -76,7 +76,7 @@
 	if !l.patient(j) {
 		if !j.pressing {
 			j.pressing = true
-			l.n.after(j.submitted.Add(l.patience()).Sub(l.n.now.Round(0))+time.Millisecond, l.askPlaceAlive)
+			l.controller.after(j.submitted.Add(l.patience()).Sub(l.controller.now.Round(0))+time.Millisecond, l.askPlaceAlive)
 		}
 		return l.quickSavers()
 	}
@@ -89,13 +89,13 @@
 // savesInTime reports whether work saves what it did, and ends soon enough for a job
 // within its team's guarantee, if it is stopped at once, though not once that job's
 // patience has ended. Little is lost with it.
-func (l *lead) savesInTime(a *attempt) bool {
+func (l *leader) savesInTime(a *attempt) bool {
 	g := l.guarantee()
 	return a.job.Checkpoint > 0 && a.state == protocol.Running && a.job.Save+saveMargin <= g && a.job.Save+saveMargin > g-l.patience()
 }
 
 // quickSavers reports whether there may be such work.
-func (l *lead) quickSavers() bool {
+func (l *leader) quickSavers() bool {
 	g := l.guarantee()
 	return slices.ContainsFunc(l.order, func(j *job) bool {
 		return j.live > 0 && j.Checkpoint > 0 && j.Save+saveMargin <= g && j.Save+saveMargin > g-l.patience()
@@ -103,16 +103,16 @@
 }
 
 // guarantee is the time in which users want work within a guarantee started.
-func (l *lead) guarantee() time.Duration {
-	for i := range l.n.cfg.Objectives {
-		if o := &l.n.cfg.Objectives[i]; o.Kind == "guarantee" && o.Within > 0 {
+func (l *leader) guarantee() time.Duration {
+	for i := range l.controller.cfg.Objectives {
+		if o := &l.controller.cfg.Objectives[i]; o.Kind == "guarantee" && o.Within > 0 {
 			return o.Within
 		}
 	}
 	return 5 * time.Second
 }
 
-func (l *lead) askPlaceAlive() {
+func (l *leader) askPlaceAlive() {
 	if l.alive() {
 		l.askPlace()
 	}
@@ -121,7 +121,7 @@
 // mayStop tells whether an attempt gives way to a job: work of lower priority
 // does, and so does what another team runs beyond its own guarantee when the
 // job lies within its team's.
-func (l *lead) mayStop(a *attempt, j *job) bool {
+func (l *leader) mayStop(a *attempt, j *job) bool {
 	// What is served before the job would only take its place again.
 	if a.stop || a.job == j || a.job.rank() < j.rank() {
 		return false
@@ -135,8 +135,8 @@
 // beyond reports whether a team runs more than its guarantee, even once what
 // was told to stop is gone. Without counting that, one round would stop far
 // more than what is beyond.
-func (l *lead) beyond(team string) bool {
-	u, t := l.teams[team], l.n.teams[team]
+func (l *leader) beyond(team string) bool {
+	u, t := l.teams[team], l.controller.teams[team]
 	if u == nil || t == nil {
 		return false
 	}
@@ -146,11 +146,11 @@
 
 // wasted is the work lost when an attempt is stopped now, in seconds of its
 // resources.
-func (l *lead) wasted(a *attempt) float64 {
+func (l *leader) wasted(a *attempt) float64 {
 	if a.state != protocol.Running {
 		return 0
 	}
-	d := l.n.now.Sub(a.since)
+	d := l.controller.now.Sub(a.since)
 	if a.job.Checkpoint > 0 {
 		d = a.job.Save // it saves, and only that time is lost
 	}
@@ -200,7 +200,7 @@
 }
 
 // turn makes the search one for a job's tasks.
-func (s *search) turn(l *lead, j *job) {
+func (s *search) turn(l *leader, j *job) {
 	s.options = append(s.options, s.aside...)
 	s.aside = s.aside[:0]
 	switch {
@@ -235,7 +235,7 @@
 }
 
 // turnNext is next for a search that serves one job alone.
-func (s *search) turnNext(l *lead, j *job) bool {
+func (s *search) turnNext(l *leader, j *job) bool {
 	if !s.begun {
 		s.turn(l, j)
 	}
@@ -244,7 +244,7 @@
 
 // next stops work for one more task of the job and promises it the room, if there
 // is any.
-func (s *search) next(l *lead, j *job) bool {
+func (s *search) next(l *leader, j *job) bool {
 	for len(s.options) > 0 {
 		o := s.options[0]
 		if !j.zoneAllows(o.machine.Zone) || o.machine.failures[j.ID] > 0 {
@@ -284,7 +284,7 @@
 // roomFor reports whether stopping some work on a machine makes room for one task
 // of a job, what that would cost, and which work it is. The list is good until the
 // next call.
-func (l *lead) roomFor(j *job, m *machine, s *search) (cost float64, victims []*attempt, ok bool) {
+func (l *leader) roomFor(j *job, m *machine, s *search) (cost float64, victims []*attempt, ok bool) {
 	l.work++
 	free := placement.Capacity(m.Spec).Minus(m.Taken).Plus(m.Ending).Minus(m.Promised).Minus(m.Held)
 	cpus, gpus, mem := free.CPUs, free.GPUs, free.MemGB
@@ -357,12 +357,12 @@
 
 // makeLimitRoom stops work of the job's own team where the team's limit is
 // what keeps a critical job waiting.
-func (l *lead) makeLimitRoom(j *job) {
+func (l *leader) makeLimitRoom(j *job) {
 	if j.Priority != protocol.Critical {
 		return
 	}
 	need := float64(j.toStart()) * j.CPUs
-	need -= l.teams[j.Team].headUnder(l.n.teams[j.Team].CPUsMax)
+	need -= l.teams[j.Team].headUnder(l.controller.teams[j.Team].CPUsMax)
 	need -= l.stopped[j.Team].cpus
 	if need <= protocol.Epsilon {
 		return
@@ -387,7 +387,7 @@
 			return
 		}
 		need -= a.job.CPUs
-		l.n.log.Debug("preempted under the team's limit", "job", a.job.ID, "task", a.task, "for", j.ID)
+		l.controller.log.Debug("preempted under the team's limit", "job", a.job.ID, "task", a.task, "for", j.ID)
 		l.stopAttempt(a, l.saveGrace(a))
 	}
 }
--- a/internal/coordination/probes.go
+++ b/internal/coordination/probes.go
@@ -42,11 +42,11 @@
 // suspectAfter is the silence after which a machine takes nothing new, and
 // releaseAfter the one after which it is given up.
 func (o *owner) suspectAfter() time.Duration {
-	return o.n.cfg.ReportInterval*5/4 + 700*time.Millisecond
+	return o.controller.cfg.ReportInterval*5/4 + 700*time.Millisecond
 }
 
 func (o *owner) releaseAfter() time.Duration {
-	return max(o.n.cfg.ReportInterval*2+time.Second, 4*time.Second)
+	return max(o.controller.cfg.ReportInterval*2+time.Second, 4*time.Second)
 }
 
 // probeAfter is the silence after which a worker is asked. Where reports are further
@@ -57,13 +57,13 @@
 	if o.doubtful[zone] {
 		return minProbeAfter
 	}
-	return max(minProbeAfter, o.n.cfg.ReportInterval)
+	return max(minProbeAfter, o.controller.cfg.ReportInterval)
 }
 
 // A machine that nothing of ours was seen to reach for this long is asked, and
 // given up when that fails for longer still, although its reports arrive.
-func (o *owner) reachAfter() time.Duration { return 2*o.n.cfg.ReportInterval + time.Second }
-func (o *owner) deafAfter() time.Duration  { return 3*o.n.cfg.ReportInterval + 4*time.Second }
+func (o *owner) reachAfter() time.Duration { return 2*o.controller.cfg.ReportInterval + time.Second }
+func (o *owner) deafAfter() time.Duration  { return 3*o.controller.cfg.ReportInterval + 4*time.Second }
 
 // lostAfterFails is how many calls in a row a worker leaves unanswered that counts as lost to
 // who calls it.
@@ -79,7 +79,7 @@
 	if !m.up {
 		return 0
 	}
-	return o.n.now.Sub(latest(m.answered, m.firstHeard, o.deaf))
+	return o.controller.now.Sub(latest(m.answered, m.firstHeard, o.deaf))
 }
 
 // unreached is how long nothing of ours was seen to arrive at a machine.
@@ -87,13 +87,13 @@
 	if !m.up {
 		return 0
 	}
-	return o.n.now.Sub(latest(m.reached, m.firstHeard, o.deaf))
+	return o.controller.now.Sub(latest(m.reached, m.firstHeard, o.deaf))
 }
 
 // stalled reports whether the process did nothing since it last looked at the machines.
 func (o *owner) stalled() bool {
-	stalled := o.n.now.Sub(o.watched) > stallAfter
-	o.watched = o.n.now
+	stalled := o.controller.now.Sub(o.watched) > stallAfter
+	o.watched = o.controller.now
 	return stalled
 }
 
@@ -105,7 +105,7 @@
 // endSilent takes the attempts on a machine for gone whose worker's lease has certainly
 // run out.
 func (o *owner) endSilent(m *machine) {
-	if !o.n.now.After(o.silentProof(m)) {
+	if !o.controller.now.After(o.silentProof(m)) {
 		return
 	}
 	for _, a := range m.sorted() {
@@ -117,7 +117,7 @@
 // asking hundreds at once takes longer than the answers are waited for.
 func (o *owner) probeSome(list []*machine) {
 	most := max(probesAtLeast, len(o.fleetList)/probesShare)
-	if o.n.behind() {
+	if o.controller.behind() {
 		most /= 3
 	}
 	for i := range list {
@@ -140,7 +140,7 @@
 	}
 	m.probing = true
 	session := m.session
-	o.n.call(Worker, m.addr, "GET", protocol.PathShow, nil, probeTimeout, func(out Outcome) {
+	o.controller.call(Worker, m.addr, "GET", protocol.PathShow, nil, probeTimeout, func(out Outcome) {
 		if o.alive() {
 			m.probing = false
 			o.probeAnswered(m, session, out)
@@ -169,13 +169,13 @@
 	case r.Session < session:
 		// This was asked after the newer session was heard of, so the worker has
 		// lost what it knew: it was started anew and counts from the beginning.
-		o.n.log.Warn("worker began anew", "machine", m.Name, "session", r.Session, "before", m.session)
+		o.controller.log.Warn("worker began anew", "machine", m.Name, "session", r.Session, "before", m.session)
 		o.observer.beganAnew(m)
 	case m.newer(r):
 		o.takeReport(m, r, false)
 		o.claim(m)
 	default:
-		o.reached(m, o.n.now) // overtaken by a report of the worker's
+		o.reached(m, o.controller.now) // overtaken by a report of the worker's
 	}
 }
 
@@ -185,12 +185,12 @@
 // for it: on a small share of a processor that cost a new leader a tenth of its first
 // seconds.
 func (o *owner) claim(m *machine) {
-	if !m.tookOver.IsZero() || m.directBusy || !o.loaded && !m.listed || !o.serves(m) || o.n.now.Sub(m.tenure.since) < o.n.comeByThemselves() {
+	if !m.tookOver.IsZero() || m.directBusy || !o.loaded && !m.listed || !o.serves(m) || o.controller.now.Sub(m.tenure.since) < o.controller.comeByThemselves() {
 		return
 	}
 	m.directBusy = true
 	body := protocol.DirectOrders(o.machineToken(m), m.session, nil)
-	o.n.call(Worker, m.addr, "POST", protocol.PathOrders, body, claimTimeout, func(out Outcome) {
+	o.controller.call(Worker, m.addr, "POST", protocol.PathOrders, body, claimTimeout, func(out Outcome) {
 		if !o.alive() {
 			return
 		}
@@ -206,6 +206,6 @@
 // comeByThemselves is when the workers that can have found whoever serves them now: the
 // longest interval between reports, and the second that a worker takes to try the next
 // node.
-func (n *Node) comeByThemselves() time.Duration {
-	return n.cfg.ReportInterval*5/4 + 1200*time.Millisecond
+func (c *Controller) comeByThemselves() time.Duration {
+	return c.cfg.ReportInterval*5/4 + 1200*time.Millisecond
 }
--- a/internal/coordination/rent.go
+++ b/internal/coordination/rent.go
@@ -8,15 +8,15 @@
 )
 
 // rent asks the cloud for machines.
-func (l *lead) rent(o offer, count int) {
-	n, f := l.n, &l.fleet
+func (l *leader) rent(o offer, count int) {
+	c, f := l.controller, &l.fleet
 	f.requests++
 	// Never used again, by this node or another: terms are unique, and so is
 	// the counter within one.
 	name := fmt.Sprintf("t%d-%d", l.term, f.requests)
 	key := o.key()
 	f.renting[key] += count
-	n.call(Cloud, "", "POST", protocol.PathHosts, protocol.RentBody(name, o.spec.Name, o.zone, o.spot, count), cloudTimeout, func(out Outcome) {
+	c.call(Cloud, "", "POST", protocol.PathHosts, protocol.RentBody(name, o.spec.Name, o.zone, o.spot, count), cloudTimeout, func(out Outcome) {
 		if !l.alive() {
 			return
 		}
@@ -32,21 +32,21 @@
 					l.journal.putMachine(l.newMachine(m, o.spec.Name, o.zone, o.spot))
 				}
 			}
-			n.log.Info("machines rented", "type", o.spec.Name, "zone", o.zone, "spot", o.spot, "asked", count, "got", len(names))
+			c.log.Info("machines rented", "type", o.spec.Name, "zone", o.zone, "spot", o.spot, "asked", count, "got", len(names))
 			if len(names) < count {
-				f.blocked[key] = n.now.Add(capacityPause)
+				f.blocked[key] = c.now.Add(capacityPause)
 			}
 			l.fleetSoon()
 		case out.Answered && out.Status == 503 && protocol.NoCapacity(out.Body):
-			if n.now.Sub(f.blocked[key]) > capacityPause { // else it was so the last time, too
-				n.log.Info("no capacity", "type", o.spec.Name, "zone", o.zone, "spot", o.spot)
+			if c.now.Sub(f.blocked[key]) > capacityPause { // else it was so the last time, too
+				c.log.Info("no capacity", "type", o.spec.Name, "zone", o.zone, "spot", o.spot)
 			}
-			f.blocked[key] = n.now.Add(capacityPause)
+			f.blocked[key] = c.now.Add(capacityPause)
 			l.fleetSoon()
 		case out.Answered && out.Status == 429:
 		default:
 			// Maybe carried out; then the machines show in the list.
-			f.blocked[key] = n.now.Add(3 * time.Second)
+			f.blocked[key] = c.now.Add(3 * time.Second)
 		}
 	})
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -8,26 +8,26 @@
 
 // answer answers a report of a machine that this owner serves.
 func (o *owner) answer(m *machine, id uint64, r *protocol.Report) {
-	n := o.n
+	c := o.controller
 	if m.up && (r.Session < m.session || r.Session == m.session && r.Seq <= m.reportSeq) {
 		// A copy, or a report that was held up: a worker has one report in flight,
 		// so it has given this one up, and no answer of it can renew the lease.
-		n.reply(id, 503, protocol.ErrorAnswer("a newer report came before"))
+		c.reply(id, 503, protocol.ErrorAnswer("a newer report came before"))
 		return
 	}
-	m.answered = n.now
+	m.answered = c.now
 	if m.up && r.Session == m.session && r.Seq <= m.seq {
 		// Overtaken by a response of the worker's. It tells nothing new, and orders
 		// in its answer would be judged by the wrong list of tasks. But the answer
 		// renews the lease all the same, so it ends what must not go on.
 		m.reportSeq = r.Seq
-		n.reply(id, 200, protocol.ReportAnswer(o.machineToken(m), o.stopsOfEnded(r)))
+		c.reply(id, 200, protocol.ReportAnswer(o.machineToken(m), o.stopsOfEnded(r)))
 		return
 	}
 	orders := o.takeReport(m, r, true)
-	n.reply(id, 200, protocol.ReportAnswer(o.machineToken(m), orders))
+	c.reply(id, 200, protocol.ReportAnswer(o.machineToken(m), orders))
 	if len(orders) > 0 {
-		n.log.Debug("orders", "machine", m.Name, "count", len(orders), "seq", r.Seq)
+		c.log.Debug("orders", "machine", m.Name, "count", len(orders), "seq", r.Seq)
 	}
 }
 
@@ -38,8 +38,8 @@
 	o.noteWorker(m, r)
 	o.noteReached(m, r, reported)
 	if r.HasNotice && m.noticeAt.IsZero() {
-		m.noticeAt = o.n.now.Add(r.Notice)
-		o.n.logEach("machine will be taken", "machine", m.Name, "in", r.Notice)
+		m.noticeAt = o.controller.now.Add(r.Notice)
+		o.controller.logEach("machine will be taken", "machine", m.Name, "in", r.Notice)
 		o.observer.noticeCame(m)
 	}
 	if !o.loaded && !m.listed {
@@ -67,29 +67,29 @@
 func (o *owner) fitOrders(room *protocol.OrderRoom, orders []protocol.Order) []protocol.Order {
 	fit, cut := room.Cut(orders)
 	if cut {
-		o.n.bounds.hit(boundOrders)
+		o.controller.bounds.hit(boundOrders)
 	}
 	return fit
 }
 
 // noteWorker takes what a report tells of the worker itself.
 func (o *owner) noteWorker(m *machine, r *protocol.Report) {
-	n := o.n
+	c := o.controller
 	if !m.up {
 		m.up = true
 		m.Zone, m.Type, m.Spot = r.Zone, r.Type, r.Spot
-		m.firstHeard = n.now
-		n.log.Debug("machine reports", "machine", m.Name, "type", m.Type, "zone", m.Zone, "session", r.Session)
+		m.firstHeard = c.now
+		c.log.Debug("machine reports", "machine", m.Name, "type", m.Type, "zone", m.Zone, "session", r.Session)
 		o.observer.machineUp(m)
 	}
 	newSession := r.Session != m.session
-	m.session, m.seq, m.token, m.heard = r.Session, r.Seq, r.Token, n.now
+	m.session, m.seq, m.token, m.heard = r.Session, r.Seq, r.Token, c.now
 	if r.Addr != "" && r.Addr != m.addr {
 		m.addr = r.Addr
 		o.observer.addressChanged(m)
 	}
 	if m.tookOver.IsZero() && r.Token >= m.tenure.token() {
-		m.tookOver = n.now
+		m.tookOver = c.now
 	}
 	if newSession {
 		m.reportSeq = 0
@@ -97,7 +97,7 @@
 		// whether or not a report of it is ever answered. A machine whose reports reach
 		// nobody gets its work by direct starts all the same, session after session; when
 		// it then fell silent, its tasks were taken for ended long before they were.
-		m.began = n.now
+		m.began = c.now
 		o.observer.sessionBegan(m)
 	}
 }
@@ -107,7 +107,7 @@
 func (o *owner) noteReached(m *machine, r *protocol.Report, reported bool) {
 	switch {
 	case !reported:
-		o.reached(m, o.n.now)
+		o.reached(m, o.controller.now)
 	case !m.tokenSeen && !m.tokenSince.IsZero() && r.Token >= o.machineToken(m):
 		m.tokenSeen = true
 		o.reached(m, m.tokenSince)
@@ -117,7 +117,7 @@
 	}
 	m.reportSeq = r.Seq
 	if m.tokenSince.IsZero() { // its answer is the first of this owner's
-		m.tokenSince = o.n.now
+		m.tokenSince = o.controller.now
 	}
 	if m.reached.IsZero() && o.asksNew {
 		o.probe(m)
@@ -271,7 +271,7 @@
 		return none, false
 	}
 	if !room.Take(a.job.ID) {
-		o.n.bounds.hit(boundOrders)
+		o.controller.bounds.hit(boundOrders)
 		return none, false // the next report lacks it, too
 	}
 	a.sentSession, a.sentSeq = r.Session, r.Seq
--- a/internal/coordination/returns.go
+++ b/internal/coordination/returns.go
@@ -9,8 +9,8 @@
 
 // shrink returns machines that are not needed: empty ones beyond the headroom,
 // ones that never came up, and ones given up.
-func (l *lead) shrink() {
-	n := l.n
+func (l *leader) shrink() {
+	c := l.controller
 	l.endBoots()
 	used, free, fixedRoom := 0.0, 0.0, 0.0
 	for _, m := range l.fleetList {
@@ -30,15 +30,15 @@
 		if m.releasing {
 			continue
 		}
-		age := n.now.Sub(m.rented)
+		age := c.now.Sub(m.rented)
 		switch {
 		case m.draining && len(m.attempts) == 0:
 			l.release(m, "drained")
 		case m.Spec == nil && m.up && len(m.attempts) == 0:
 			l.release(m, "unknown type")
-		case !m.noticeAt.IsZero() && n.now.After(m.noticeAt.Add(2*time.Second)) && len(m.attempts) == 0:
+		case !m.noticeAt.IsZero() && c.now.After(m.noticeAt.Add(2*time.Second)) && len(m.attempts) == 0:
 			l.release(m, "taken")
-		case m.Emptying && len(m.attempts) == 0 && m.heldFor == 0 && age > minimumCharge && n.now.Sub(m.emptySince) > n.op.Idle():
+		case m.Emptying && len(m.attempts) == 0 && m.heldFor == 0 && age > minimumCharge && c.now.Sub(m.emptySince) > c.op.Idle():
 			l.release(m, "not needed")
 		case m.Emptying && l.sendGuestsOff(m):
 		case m.Emptying && m.onlyServices() && !m.emptied(plan.get(), true):
@@ -66,7 +66,7 @@
 		free -= m.Spec.CPUs - m.Taken.CPUs
 		fixedRoom -= room
 		m.Emptying = true
-		n.log.Debug("emptying machine", "machine", m.Name, "cpus", m.Taken.CPUs)
+		c.log.Debug("emptying machine", "machine", m.Name, "cpus", m.Taken.CPUs)
 	}
 }
 
@@ -76,12 +76,12 @@
 // sendGuestsOff stops work of teams without a guarantee that saves, where it alone keeps a
 // dear machine from being returned, and reports whether it did. Tasks of minutes that had
 // found idle room held a fleet's ordinary machines long after the others' work was done.
-func (l *lead) sendGuestsOff(m *machine) bool {
+func (l *leader) sendGuestsOff(m *machine) bool {
 	if len(m.list) == 0 {
 		return false
 	}
 	for _, a := range m.list {
-		if a.stop || a.job.Checkpoint == 0 || a.state != protocol.Running || l.n.now.Sub(a.since) < guestsStay ||
+		if a.stop || a.job.Checkpoint == 0 || a.state != protocol.Running || l.controller.now.Sub(a.since) < guestsStay ||
 			!l.tooDear(a.job, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
 			return false
 		}
@@ -93,7 +93,7 @@
 }
 
 // fixedNeed is the room kept on ordinary machines for the next service.
-func (l *lead) fixedNeed() float64 {
+func (l *leader) fixedNeed() float64 {
 	if l.quickStarts() {
 		return l.fleet.fixedNeed
 	}
@@ -102,7 +102,7 @@
 
 // fixedRoom is the room on an ordinary machine that work which may not use
 // spot machines can have, other work giving way.
-func (l *lead) fixedRoom(m *machine) float64 {
+func (l *leader) fixedRoom(m *machine) float64 {
 	if m.Spot {
 		return 0
 	}
@@ -136,46 +136,46 @@
 // reached since, if the cloud can't have carried it out. Where the cloud is away as
 // well, machines that were cut off for a moment would otherwise all be lost once it
 // answers.
-func (l *lead) keep(m *machine) {
+func (l *leader) keep(m *machine) {
 	if m.releasing && m.given && !m.inRelease && !m.draining {
 		m.releasing, m.given = false, false
-		l.n.logEach("machine heard before it was returned", "machine", m.Name)
+		l.controller.logEach("machine heard before it was returned", "machine", m.Name)
 		l.askPlace()
 	}
 }
 
 // release returns a machine. The answer proves that it and all on it is gone.
-func (l *lead) release(m *machine, why string) {
+func (l *leader) release(m *machine, why string) {
 	if m.releasing || m.removed {
 		return
 	}
 	m.releasing = true
 	m.given = why == whySilent
-	l.n.logEach("returning machine", "machine", m.Name, "why", why, "attempts", len(m.attempts), "up", m.up, "quiet", l.n.now.Sub(latest(m.heard, m.rented)).Round(time.Millisecond))
+	l.controller.logEach("returning machine", "machine", m.Name, "why", why, "attempts", len(m.attempts), "up", m.up, "quiet", l.controller.now.Sub(latest(m.heard, m.rented)).Round(time.Millisecond))
 	l.sendReleases()
 }
 
-func (l *lead) sendReleases() {
-	n, f := l.n, &l.fleet
+func (l *leader) sendReleases() {
+	c, f := l.controller, &l.fleet
 	if f.releasing {
 		return
 	}
 	var names []string
 	var list []*machine
 	for _, m := range l.fleetList {
-		if m.releasing && n.now.Sub(m.releaseAt) > releaseRetry && len(names) < protocol.MaxRelease {
+		if m.releasing && c.now.Sub(m.releaseAt) > releaseRetry && len(names) < protocol.MaxRelease {
 			names = append(names, m.Name)
 			list = append(list, m)
 		}
 	}
-	if len(names) == 0 || !f.budget.Take(n.now, 1) {
+	if len(names) == 0 || !f.budget.Take(c.now, 1) {
 		return
 	}
 	for _, m := range list {
-		m.releaseAt, m.inRelease = n.now, true
+		m.releaseAt, m.inRelease = c.now, true
 	}
 	f.releasing = true
-	n.call(Cloud, "", "POST", protocol.PathRelease, protocol.ReleaseBody(names), cloudTimeout, func(out Outcome) {
+	c.call(Cloud, "", "POST", protocol.PathRelease, protocol.ReleaseBody(names), cloudTimeout, func(out Outcome) {
 		if !l.alive() {
 			return
 		}
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // running adds a job of one task that runs on vm-1, and gives a report that shows it.
-func running(n *Node, l *lead, seq uint64) (*job, []byte) {
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 8, Spec: spec("run-000001")})
+func running(c *Controller, l *leader, seq uint64) (*job, []byte) {
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	j := l.jobs["run-000001"]
 	return j, protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: 1 << 16,
 		Tasks: []protocol.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, State: protocol.Running}}})
@@ -38,30 +38,30 @@
 // renews end within the time that a cancellation has, whatever the settings and however
 // long the leader's own lease is renewed.
 func TestAnswersEndWithKnowledge(t *testing.T) {
-	for _, c := range []struct{ lease, cancel time.Duration }{
+	for _, test := range []struct{ lease, cancel time.Duration }{
 		{15 * time.Second, 40 * time.Second}, {28 * time.Second, 48 * time.Second}, {22 * time.Second, 47 * time.Second},
 		{60 * time.Second, 63 * time.Second}, {600 * time.Second, 700 * time.Second}} {
-		n, l := leading(active)
-		n.cfg.WorkerLease, n.cfg.CancelWithin = c.lease, c.cancel
-		l.known = n.now
-		l.right.validUntil = n.now.Add(time.Hour) // it is renewed, but no watch is answered
+		c, l := leading(active)
+		c.cfg.WorkerLease, c.cfg.CancelWithin = test.lease, test.cancel
+		l.known = c.now
+		l.lease.validUntil = c.now.Add(time.Hour) // it is renewed, but no watch is answered
 		known, last := l.known, time.Time{}
 		for i := range 8000 {
 			at := known.Add(time.Duration(i) * 100 * time.Millisecond)
-			e := n.Request(at, uint64(i+1), "POST", protocol.PathReport, report(uint64(i+1)))
+			e := c.Request(at, uint64(i+1), "POST", protocol.PathReport, report(uint64(i+1)))
 			if len(e.Replies) == 1 && e.Replies[0].Status == 200 {
 				last = at
 			}
 		}
-		end := last.Add(c.lease + c.lease/2000)
-		if last.IsZero() || end.After(known.Add(c.cancel)) {
+		end := last.Add(test.lease + test.lease/2000)
+		if last.IsZero() || end.After(known.Add(test.cancel)) {
 			t.Errorf("lease %s, cancel_s %s: the last answer comes %s after what the leader knows, tasks end after %s",
-				c.lease, c.cancel, last.Sub(known), end.Sub(known))
+				test.lease, test.cancel, last.Sub(known), end.Sub(known))
 		}
 		// An outage must cost no more than that: all but a second and the clocks' drift
 		// is used.
-		if rest := known.Add(c.cancel).Sub(end); rest > time.Second+drift(c.cancel+c.lease) {
-			t.Errorf("lease %s, cancel_s %s: %s are given away", c.lease, c.cancel, rest)
+		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+drift(test.cancel+test.lease) {
+			t.Errorf("lease %s, cancel_s %s: %s are given away", test.lease, test.cancel, rest)
 		}
 	}
 }
@@ -70,17 +70,17 @@
 // lease before it has read the jobs: refused or in an outage by then, it kept tasks
 // running that were cancelled before its term.
 func TestLeaderAnswersOnceItKnows(t *testing.T) {
-	n, l := leading(loading)
+	c, l := leading(loading)
 	l.known = time.Time{}
-	_, body := running(n, l, 4)
-	if e := n.Request(n.now, 1, "POST", protocol.PathReport, body); len(e.Replies) != 0 {
+	_, body := running(c, l, 4)
+	if e := c.Request(c.now, 1, "POST", protocol.PathReport, body); len(e.Replies) != 0 {
 		t.Fatalf("answered before anything was read: %+v", e.Replies)
 	}
-	asked := n.now.Add(-50 * time.Millisecond)
-	l.jobKey(bookkeeping.KeyOutcome("run-000001"), bookkeeping.EncodeOutcome(protocol.Cancelled, 0), false)
+	asked := c.now.Add(-50 * time.Millisecond)
+	l.jobKey(records.KeyOutcome("run-000001"), records.EncodeOutcome(protocol.Cancelled, 0), false)
 	l.learned(asked)
-	n.releaseHeld()
-	e := n.take()
+	c.releaseHeld()
+	e := c.take()
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
 		t.Fatalf("got %+v, want the lease renewed and the task ended", e.Replies)
 	}
@@ -88,8 +88,8 @@
 		t.Errorf("knows all until %s, want when the list was asked for", l.known)
 	}
 	// While the state service doesn't answer it, the worker is sent away at once.
-	l.known, n.storeBad = time.Time{}, n.now.Add(-time.Minute)
-	if e := n.Request(n.now, 2, "POST", protocol.PathReport, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
+	l.known, c.storeBad = time.Time{}, c.now.Add(-time.Minute)
+	if e := c.Request(c.now, 2, "POST", protocol.PathReport, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
 		t.Errorf("got %+v, want 421", e.Replies)
 	}
 }
@@ -97,20 +97,20 @@
 // A watch counts from when it was asked for: what was recorded later may have been left
 // out of its answer, and the answer may have been read late.
 func TestWatchTellsWhatIsKnown(t *testing.T) {
-	n, l := leading(active)
-	l.known = n.now
-	asked := n.now
+	c, l := leading(active)
+	l.known = c.now
+	asked := c.now
 	l.watchJobs(7)
-	calls := n.take().Calls
+	calls := c.take().Calls
 	call := calls[len(calls)-1]
 	if !strings.HasPrefix(call.Target, protocol.PathChanges) {
 		t.Fatalf("asks %s", call.Target)
 	}
-	if call.Timeout > n.answersFor() {
-		t.Errorf("waits %s for a watch, answers workers for %s", call.Timeout, n.answersFor())
+	if call.Timeout > c.answersFor() {
+		t.Errorf("waits %s for a watch, answers workers for %s", call.Timeout, c.answersFor())
 	}
 	l.known = asked.Add(-10 * time.Second)
-	n.Result(asked.Add(3*time.Second), call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeEvents(nil, 9)})
+	c.Result(asked.Add(3*time.Second), call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeEvents(nil, 9)})
 	if !l.known.Equal(asked) {
 		t.Errorf("knows all until %s after it was asked for, want that very moment", l.known.Sub(asked))
 	}
@@ -119,12 +119,12 @@
 // The answer to an overtaken report renews the lease, so it ends the tasks of jobs that
 // are over, although the list of the report may be out of date.
 func TestOvertakenReportEndsCancelled(t *testing.T) {
-	n, l := leading(active)
-	_, body := running(n, l, 4)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c, l := leading(active)
+	_, body := running(c, l, 4)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	l.machines["vm-1"].seq = 9
 	l.jobOver(l.jobs["run-000001"], protocol.Cancelled)
-	e := n.Request(n.now, 2, "POST", protocol.PathReport, body)
+	e := c.Request(c.now, 2, "POST", protocol.PathReport, body)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
 		t.Errorf("got %+v, want an answer that ends the task", e.Replies)
 	}
@@ -133,22 +133,22 @@
 // Starts that were recorded before are sent only by a leader that knows of every
 // cancellation but the latest: nobody starts tasks of a job that is long over.
 func TestStartsNeedFreshKnowledge(t *testing.T) {
-	n, l := leading(active)
-	l.known = n.now
-	j, _ := running(n, l, 4)
-	n.Request(n.now, 1, "POST", protocol.PathReport, report(3))
+	c, l := leading(active)
+	l.known = c.now
+	j, _ := running(c, l, 4)
+	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	a := &attempt{job: j, number: 1, machine: m, placed: n.now, recorded: true}
+	a := &attempt{job: j, number: 1, machine: m, placed: c.now, recorded: true}
 	l.attach(a)
-	l.right.validUntil = n.now.Add(time.Hour)
-	n.now = n.now.Add(startsFor + time.Millisecond)
+	l.lease.validUntil = c.now.Add(time.Hour)
+	c.now = c.now.Add(startsFor + time.Millisecond)
 	l.sendDirect(m)
-	e := n.Request(n.now, 2, "POST", protocol.PathReport, report(4))
+	e := c.Request(c.now, 2, "POST", protocol.PathReport, report(4))
 	if _, _, orders, _ := protocol.ParseOrders(e.Replies[0].Body); len(orders) != 0 || len(e.Calls) != 0 {
 		t.Fatalf("a start is sent %s after all was known: %+v %+v", startsFor, orders, e.Calls)
 	}
-	l.learned(n.now)
-	calls := n.take().Calls
+	l.learned(c.now)
+	calls := c.take().Calls
 	if len(calls) != 1 || calls[0].To != Worker || calls[0].Target != protocol.PathOrders {
 		t.Fatalf("got %+v, want the start that was withheld", calls)
 	}
@@ -160,15 +160,15 @@
 // A leader that the state service refuses hears of cancellations from its peers, sooner
 // than its grace ends.
 func TestPeersTellOfCancellations(t *testing.T) {
-	n, l := leading(active)
-	n.cfg.Peers = append(n.cfg.Peers, struct{ Name, Zone, Addr string }{Name: "n1", Zone: "a"})
-	_, body := running(n, l, 4)
+	c, l := leading(active)
+	c.cfg.Peers = append(c.cfg.Peers, struct{ Name, Zone, Addr string }{Name: "n1", Zone: "a"})
+	_, body := running(c, l, 4)
 	raw, err := json.Marshal(peerMessage{Node: "n1", Ended: map[string]int{"run-000001": 0}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Peer(n.now, raw)
-	e := n.Request(n.now, 1, "POST", protocol.PathReport, body)
+	c.Peer(c.now, raw)
+	e := c.Request(c.now, 1, "POST", protocol.PathReport, body)
 	if len(e.Replies) != 1 || !stops(e.Replies[0], "run-000001") {
 		t.Errorf("got %+v, want the task ended", e.Replies)
 	}
--- a/internal/coordination/shard/records.go
+++ b/internal/coordination/shard/records.go
@@ -9,8 +9,8 @@
 package shard
 
 import (
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // ID numbers a shard, from 1. 0 is no shard.
@@ -85,7 +85,7 @@
 // newChange begins a change of a leader's.
 func newChange(a Authority) *Change {
 	c := &Change{Term: a.Term, Records: map[ID]Record{}}
-	c.when(bookkeeping.KeyLeader, a.LeaderVersion)
+	c.when(records.KeyLeader, a.LeaderVersion)
 	return c
 }
 
@@ -94,9 +94,9 @@
 }
 
 func (c *Change) put(id ID, version uint64, r Record) {
-	key := bookkeeping.KeyOwner(int(id))
+	key := records.KeyOwner(int(id))
 	c.when(key, version)
-	c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: key, Value: bookkeeping.Encode(r)})
+	c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: key, Value: records.Encode(r)})
 	c.Records[id] = r
 }
 
@@ -109,8 +109,8 @@
 // sealTerm records the terms that were drawn.
 func (c *Change) sealTerm(a Authority) *Change {
 	if c.Term != a.Term {
-		c.when(bookkeeping.KeyTerm, a.TermVersion)
-		c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: bookkeeping.KeyTerm, Value: bookkeeping.Encode(bookkeeping.Term{Term: c.Term})})
+		c.when(records.KeyTerm, a.TermVersion)
+		c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: records.KeyTerm, Value: records.Encode(records.Term{Term: c.Term})})
 	}
 	return c
 }
@@ -140,12 +140,12 @@
 		c.put(as.ID, max(k.version, unreadable), r)
 		if node := k.value.Owner.Node; ok && !owners[node] {
 			owners[node] = true
-			c.when(bookkeeping.KeyMember(node), t.members[node].version)
+			c.when(records.KeyMember(node), t.members[node].version)
 		}
 	}
 	if !a.Marked {
 		// With a term in the same change: who is elected later knows of it.
-		c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: bookkeeping.KeySharded, Value: bookkeeping.Encode(true)})
+		c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: records.KeySharded, Value: records.Encode(true)})
 	}
 	return c.sealTerm(a)
 }
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
+	"brasskeel/internal/records"
 )
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
@@ -18,15 +18,15 @@
 	t.Helper()
 	table := NewTable()
 	put := func(key string, value any, version uint64) {
-		if err := table.Put(key, bookkeeping.Encode(value), version); err != nil {
+		if err := table.Put(key, records.Encode(value), version); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, node := range []string{"a", "b", "c"} {
-		put(bookkeeping.KeyMember(node), MemberRecord{Member: member(node)}, 10)
+		put(records.KeyMember(node), MemberRecord{Member: member(node)}, 10)
 	}
 	for i, node := range owners {
-		put(bookkeeping.KeyOwner(i+1), Record{Owner: Grant{member(node), uint64(i + 1)}, Generation: 1}, 20)
+		put(records.KeyOwner(i+1), Record{Owner: Grant{member(node), uint64(i + 1)}, Generation: 1}, 20)
 	}
 	return table
 }
@@ -48,13 +48,13 @@
 	if c := table.Assign([]Assignment{{1, member("b")}}, leader); len(c.Records) != 0 {
 		t.Errorf("the shard of a member that is alive was given: %+v", c.Records)
 	}
-	table.Remove(bookkeeping.KeyMember("a"), 30)
+	table.Remove(records.KeyMember("a"), 30)
 	c := table.Assign([]Assignment{{1, member("b")}, {2, member("c")}}, leader)
 	when := versions(c)
-	if version, there := when[bookkeeping.KeyMember("a")]; !there || version != 0 {
+	if version, there := when[records.KeyMember("a")]; !there || version != 0 {
 		t.Errorf("its lease may be there: %v", when)
 	}
-	if when[bookkeeping.KeyLeader] != 5 || when[bookkeeping.KeyTerm] != 6 || when[bookkeeping.KeyOwner(1)] != 20 {
+	if when[records.KeyLeader] != 5 || when[records.KeyTerm] != 6 || when[records.KeyOwner(1)] != 20 {
 		t.Errorf("conditions %v", when)
 	}
 	if r := c.Records[1]; r.Released || r.Owner.Term != 10 || c.Records[2].Owner.Term != 11 || c.Term != 11 {
@@ -77,7 +77,7 @@
 		t.Error("released by somebody else")
 	}
 	release := table.Release(1, member("a"), true)
-	if when := versions(release); when[bookkeeping.KeyOwner(1)] != 40 || len(when) != 1 {
+	if when := versions(release); when[records.KeyOwner(1)] != 40 || len(when) != 1 {
 		t.Errorf("conditions %v", when)
 	}
 	table.Applied(release, 41)
@@ -85,7 +85,7 @@
 		t.Errorf("owner %+v", owner)
 	}
 	// What was written before, and is heard later, changes nothing.
-	if err := table.Put(bookkeeping.KeyOwner(1), bookkeeping.Encode(Record{Owner: Grant{member("a"), 1}}), 20); err != nil {
+	if err := table.Put(records.KeyOwner(1), records.Encode(Record{Owner: Grant{member("a"), 1}}), 20); err != nil {
 		t.Fatal(err)
 	}
 	if owner, _ := table.Owner(1); owner.Node != "b" {
@@ -96,7 +96,7 @@
 // A record that can't be read belongs to nobody that is known, and isn't guessed at.
 func TestUnreadableRecord(t *testing.T) {
 	table := tableOf(t, "a")
-	if table.Put(bookkeeping.KeyOwner(1), json.RawMessage(`{"owner":7}`), 50) == nil {
+	if table.Put(records.KeyOwner(1), json.RawMessage(`{"owner":7}`), 50) == nil {
 		t.Error("it was read")
 	}
 	if _, ok := table.Owner(1); ok {
@@ -241,7 +241,7 @@
 		seen.Gone = append(seen.Gone, Gone{Task: k, Why: "no longer reported"})
 		seen.Status.Late = append(seen.Status.Late, Late{Machine: k.Machine, Silent: 5000})
 	}
-	size := func(v any) int { return len(bookkeeping.Encode(v)) }
+	size := func(v any) int { return len(records.Encode(v)) }
 	machines, runs := 0, 0
 	for !in.Empty() {
 		line, _ := in.Cut(room)
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // versioned is a record and the version of its key.
@@ -33,10 +33,10 @@
 // Put takes a record; an error says that it can't be read. Older versions than the one
 // that is known change nothing.
 func (t *Table) Put(key string, value json.RawMessage, version uint64) error {
-	if node, ok := strings.CutPrefix(key, bookkeeping.PrefixMembers); ok {
+	if node, ok := strings.CutPrefix(key, records.PrefixMembers); ok {
 		return t.putMember(node, value, version)
 	}
-	number, ok := bookkeeping.ParseOwnerKey(key)
+	number, ok := records.ParseOwnerKey(key)
 	if !ok {
 		return fmt.Errorf("unknown key %q", key)
 	}
@@ -70,10 +70,10 @@
 
 // Remove takes a key out that was removed at a version.
 func (t *Table) Remove(key string, version uint64) {
-	if node, ok := strings.CutPrefix(key, bookkeeping.PrefixMembers); ok && t.members[node].version <= version {
+	if node, ok := strings.CutPrefix(key, records.PrefixMembers); ok && t.members[node].version <= version {
 		delete(t.members, node)
 	}
-	if number, ok := bookkeeping.ParseOwnerKey(key); ok && t.records[ID(number)].version <= version {
+	if number, ok := records.ParseOwnerKey(key); ok && t.records[ID(number)].version <= version {
 		delete(t.records, ID(number))
 		delete(t.unreadable, ID(number))
 	}
--- a/internal/coordination/shard_feed.go
+++ b/internal/coordination/shard_feed.go
@@ -42,7 +42,7 @@
 }
 
 func newOwnerFeed(o *shardOwner) *ownerFeed {
-	return &ownerFeed{o: o, workers: map[*machine]bool{}, heard: o.n.now}
+	return &ownerFeed{o: o, workers: map[*machine]bool{}, heard: o.controller.now}
 }
 
 func (f *ownerFeed) tellWorker(m *machine) { f.workers[m] = true; f.soon() }
@@ -75,8 +75,8 @@
 		return
 	}
 	f.due = true
-	n := f.o.n
-	n.after(max(0, f.sentAt.Add(lineEvery).Sub(n.now)), func() {
+	c := f.o.controller
+	c.after(max(0, f.sentAt.Add(lineEvery).Sub(c.now)), func() {
 		f.due = false
 		if f.o.alive() {
 			f.flush()
@@ -170,21 +170,21 @@
 		w.Session, w.Compared, w.Reached = m.session, m.reconciled, !m.reached.IsZero()
 	}
 	if !m.noticeAt.IsZero() {
-		w.Notice = max(1, m.noticeAt.Sub(f.o.n.now).Milliseconds())
+		w.Notice = max(1, m.noticeAt.Sub(f.o.controller.now).Milliseconds())
 	}
 	return w
 }
 
 // send sends a line.
 func (f *ownerFeed) send(line shard.Observations) {
-	n := f.o.n
-	line.Header = f.link.Next(n.now, true)
+	c := f.o.controller
+	line.Header = f.link.Next(c.now, true)
 	for i := range line.Gone {
 		f.gone = append(f.gone, toldGone{line.Seq, line.Gone[i]})
 	}
 	line.Grants = f.o.grants()
-	f.sentAt = n.now
-	n.sendShardLine(f.leader, shardLine{Observations: &line})
+	f.sentAt = c.now
+	c.sendShardLine(f.leader, shardLine{Observations: &line})
 }
 
 // follow begins to talk to whoever leads.
@@ -202,7 +202,7 @@
 	if in.Epoch.Member != f.o.sharding.member {
 		return // meant for an earlier life
 	}
-	f.heard = f.o.n.now
+	f.heard = f.o.controller.now
 	f.follow(from, in.Epoch.Term)
 	taken := f.link.Take(in.Header)
 	f.gone = slices.DeleteFunc(f.gone, func(k toldGone) bool { return k.line <= f.link.Acked() })
@@ -270,7 +270,7 @@
 		}
 	}
 	m.listed = true
-	o.n.releaseHeld()
+	o.controller.releaseHeld()
 }
 
 // run takes an attempt that was recorded and told to nobody before.
@@ -304,7 +304,7 @@
 		return
 	}
 	if k := m.exits[taskKey{t.Job, t.Index}]; k != nil && k.exit.Attempt == t.Attempt {
-		k.forget, k.at = true, o.n.now
+		k.forget, k.at = true, o.controller.now
 	}
 }
 
@@ -322,8 +322,8 @@
 	if f.link == nil {
 		return
 	}
-	f.link.Check(o.n.now)
-	s := &shard.Status{Load: shard.Load{Share: o.n.processor.share, Lag: o.n.lagLately(), Reports: float64(o.answered), Machines: len(o.fleetList)}}
+	f.link.Check(o.controller.now)
+	s := &shard.Status{Load: shard.Load{Share: o.controller.processor.share, Lag: o.controller.lagLately(), Reports: float64(o.answered), Machines: len(o.fleetList)}}
 	o.answered = 0
 	for _, m := range o.fleetList {
 		if late, ok := o.late(m); ok {
@@ -350,7 +350,7 @@
 // sweepExits drops exits that were forgotten long ago.
 func (o *shardOwner) sweepExits(m *machine) {
 	for key, k := range m.exits {
-		if k.forget && o.n.now.Sub(k.at) > exitKept {
+		if k.forget && o.controller.now.Sub(k.at) > exitKept {
 			delete(m.exits, key)
 		}
 	}
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -4,28 +4,28 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // shardedLead is a leader of one machine that runs a task, in a shard which n2 owns under term
 // 7 and which n1 owned under term 5.
-func shardedLead(t *testing.T) (*lead, *attempt) {
+func shardedLead(t *testing.T) (*leader, *attempt) {
 	t.Helper()
-	n, l := leading(active)
-	n.op.Sharding = &config.Sharding{ShardsPerController: 1}
-	n.sharding = &sharding{n: n, table: shard.NewTable(), read: true}
+	c, l := leading(active)
+	c.op.Sharding = &config.Sharding{ShardsPerController: 1}
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), read: true}
 	for _, node := range []string{"n1", "n2"} {
-		put(t, n.sharding.table, bookkeeping.KeyMember(node), shard.MemberRecord{Member: shard.Member{Node: node, Incarnation: 1}}, 3)
+		put(t, c.sharding.table, records.KeyMember(node), shard.MemberRecord{Member: shard.Member{Node: node, Incarnation: 1}}, 3)
 	}
-	put(t, n.sharding.table, bookkeeping.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: shard.Member{Node: "n1", Incarnation: 1}, Term: 5}}, 4)
-	l.shards = newShardLeader(l, n.sharding, false)
+	put(t, c.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: shard.Member{Node: "n1", Incarnation: 1}, Term: 5}}, 4)
+	l.shards = newShardLeader(l, c.sharding, false)
 	l.shards.changed()
 	m := l.newMachine("vm-1", "small", "a", false)
 	m.shard, m.recorded, m.up, m.group = 1, true, true, &group{applied: true}
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: benchJob(2)})
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
 	l.assign(l.order[0], 0, m)
 	a := l.order[0].task(0).live
 	a.recorded = true
@@ -34,13 +34,13 @@
 
 func put(t *testing.T, table *shard.Table, key string, value any, version uint64) {
 	t.Helper()
-	if err := table.Put(key, bookkeeping.Encode(value), version); err != nil {
+	if err := table.Put(key, records.Encode(value), version); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // seen is a line of an owner's that tells of a shard under a term.
-func seen(l *lead, node string, term, seq uint64) *shard.Observations {
+func seen(l *leader, node string, term, seq uint64) *shard.Observations {
 	member := shard.Member{Node: node, Incarnation: 1}
 	return &shard.Observations{Header: shard.Header{Epoch: shard.Epoch{Term: l.term, Member: member}, Seq: seq, Reset: seq == 1},
 		Grants: map[shard.ID]uint64{1: term}}
@@ -51,7 +51,7 @@
 func TestObservationsOfEarlierOwners(t *testing.T) {
 	l, a := shardedLead(t)
 	l.shards.take("n1", seen(l, "n1", 5, 1))
-	put(t, l.n.sharding.table, bookkeeping.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: shard.Member{Node: "n2", Incarnation: 1}, Term: 7}}, 6)
+	put(t, l.controller.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: shard.Member{Node: "n2", Incarnation: 1}, Term: 7}}, 6)
 	l.shards.changed()
 	late := seen(l, "n1", 5, 2)
 	late.Gone = []shard.Gone{{Task: attemptTask(a), Why: "never sent"}}
@@ -72,8 +72,8 @@
 func TestSilenceOfAnOwnerIsNoneOfItsWorkers(t *testing.T) {
 	l, a := shardedLead(t)
 	l.shards.take("n1", seen(l, "n1", 5, 1))
-	a.machine.heard, a.machine.answered, a.machine.reached, a.machine.firstHeard = l.n.now, l.n.now, l.n.now, l.n.now
-	l.n.now = l.n.now.Add(time.Minute)
+	a.machine.heard, a.machine.answered, a.machine.reached, a.machine.firstHeard = l.controller.now, l.controller.now, l.controller.now, l.controller.now
+	l.controller.now = l.controller.now.Add(time.Minute)
 	if s := l.survey(); len(s.silent) != 0 {
 		t.Errorf("%s is given up while nobody tells of it", a.machine.Name)
 	}
@@ -86,16 +86,16 @@
 // ownerOf is an owner of shard 1 under a term, with one machine.
 func ownerOf(t *testing.T, term uint64) *shardOwner {
 	t.Helper()
-	n, _ := leading(active)
-	n.lead = nil
-	n.sharding = &sharding{n: n, table: shard.NewTable(), read: true, member: shard.Member{Node: "n0", Incarnation: 1}}
-	o := newShardOwner(n.sharding, right{lease: 3, ttl: 2 * time.Second, validUntil: n.now.Add(time.Hour)})
-	n.sharding.own = o
-	o.known = n.now.Add(time.Hour)
-	o.held[1] = &heldShard{tenure: tenure{term: term, since: n.now, predecessorUntil: n.now}}
+	c, _ := leading(active)
+	c.leader = nil
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), read: true, member: shard.Member{Node: "n0", Incarnation: 1}}
+	o := newShardOwner(c.sharding, lease{id: 3, ttl: 2 * time.Second, validUntil: c.now.Add(time.Hour)})
+	c.sharding.own = o
+	o.known = c.now.Add(time.Hour)
+	o.held[1] = &heldShard{tenure: tenure{term: term, since: c.now, predecessorUntil: c.now}}
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-1", Type: "small", Zone: "a"}, o.held[1])
 	o.feed.follow("n1", 9)
-	n.take()
+	c.take()
 	return o
 }
 
@@ -124,19 +124,19 @@
 // An owner that is asked to release a shard answers none of its workers, and names the next.
 func TestReleasingOwnerIsSilent(t *testing.T) {
 	o := ownerOf(t, 7)
-	put(t, o.sharding.table, bookkeeping.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
+	put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 	next := shard.Grant{Member: shard.Member{Node: "n2", Incarnation: 1}, Term: 8}
 	record := shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}, Next: &next}
-	put(t, o.sharding.table, bookkeeping.KeyOwner(1), record, 4)
+	put(t, o.sharding.table, records.KeyOwner(1), record, 4)
 	o.follow()
-	e := o.n.Request(o.n.now, 1, "POST", protocol.PathReport, report(4))
+	e := o.controller.Request(o.controller.now, 1, "POST", protocol.PathReport, report(4))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 || protocol.ParseRedirect(e.Replies[0].Body) != "n2" {
 		t.Errorf("answers %+v", e.Replies)
 	}
 	record.Next = nil // taken back
-	put(t, o.sharding.table, bookkeeping.KeyOwner(1), record, 5)
+	put(t, o.sharding.table, records.KeyOwner(1), record, 5)
 	o.follow()
-	if e := o.n.Request(o.n.now, 2, "POST", protocol.PathReport, report(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
+	if e := o.controller.Request(o.controller.now, 2, "POST", protocol.PathReport, report(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Errorf("answers %+v", e.Replies)
 	}
 }
@@ -147,11 +147,11 @@
 	l, a := shardedLead(t)
 	l.shards.take("n1", seen(l, "n1", 5, 1))
 	m := a.machine
-	m.probeFails, m.heard, m.answered, m.reached, m.firstHeard = lostAfterFails, l.n.now, l.n.now, l.n.now, l.n.now
+	m.probeFails, m.heard, m.answered, m.reached, m.firstHeard = lostAfterFails, l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	owner, other := l.shards.links["n1"], l.shards.links["n2"]
-	later := l.n.now.Add(l.releaseAfter() + time.Second)
+	later := l.controller.now.Add(l.releaseAfter() + time.Second)
 	silent := func(untried bool) bool {
-		l.n.now = later
+		l.controller.now = later
 		owner.heard, other.heard, l.shards.heard[1] = later, later, later.Add(-time.Minute)
 		owner.blind, owner.untried = true, map[string]bool{m.Zone: untried}
 		return len(l.survey().silent) > 0
@@ -167,26 +167,26 @@
 // A worker that comes back from the leader tries all controllers in turn.
 func TestWorkersThatDoNotReachTheLeader(t *testing.T) {
 	o := ownerOf(t, 7)
-	n, s := o.n, &o.sharding.sendOn
-	*s = newSendOn(n)
-	n.election.leaderVersion, n.election.leader = 1, bookkeeping.Leader{Node: "n1", Term: 9}
-	n.peers["n1"] = &peerView{at: n.now}
+	c, s := o.controller, &o.sharding.sendOn
+	*s = newSendOn(c)
+	c.election.leaderVersion, c.election.leader = 1, records.Leader{Node: "n1", Term: 9}
+	c.peers["n1"] = &peerView{at: c.now}
 	if got := s.to("vm-7"); got != "n1" {
 		t.Fatalf("sent to %q", got)
 	}
-	n.now = n.now.Add(lostReport)
-	n.peers["n1"].at = n.now
+	c.now = c.now.Add(lostReport)
+	c.peers["n1"].at = c.now
 	if got := s.to("vm-7"); got != "" {
 		t.Errorf("sent to %q again", got)
 	}
 	if got := s.to("vm-8"); got != "n1" {
 		t.Errorf("another one is sent to %q", got)
 	}
-	n.peers["n1"].blind = true
+	c.peers["n1"].blind = true
 	if got := s.to("vm-9"); got != "" {
 		t.Errorf("sent to %q, which lost its workers", got)
 	}
-	n.peers["n1"].blind, n.now = false, n.now.Add(leaderHeard+time.Second)
+	c.peers["n1"].blind, c.now = false, c.now.Add(leaderHeard+time.Second)
 	if got := s.to("vm-9"); got != "" {
 		t.Errorf("sent to %q, which isn't heard", got)
 	}
@@ -201,7 +201,7 @@
 	o.attemptGone(o.machines["vm-1"].list[0], "no longer reported")
 	gone := func() (count int, last uint64) {
 		f.flush()
-		for _, s := range o.n.take().Sends {
+		for _, s := range o.controller.take().Sends {
 			line, err := parseShardLine(s.Body)
 			if err != nil {
 				t.Fatal(err)
@@ -216,9 +216,9 @@
 		t.Fatalf("%d proofs told", told)
 	}
 	ask := func(ack uint64, again bool) {
-		o.n.now = o.n.now.Add(time.Second)
+		o.controller.now = o.controller.now.Add(time.Second)
 		f.take("n1", &shard.Instructions{Header: shard.Header{Epoch: f.link.Epoch(), Ack: ack, Again: again}})
-		f.link.Check(o.n.now)
+		f.link.Check(o.controller.now)
 	}
 	ask(last-1, true)
 	told, last = gone()
@@ -244,14 +244,14 @@
 		t.Fatal("the worker may not forget it")
 	}
 	o.feed.flush()
-	o.n.take()
+	o.controller.take()
 	o.feed.follow("n2", 10)
 	o.feed.take("n2", instructions(o, 7))
 	if len(m.list) != 1 {
 		t.Fatal("the next leader's list was not taken")
 	}
 	o.feed.flush()
-	o.n.take()
+	o.controller.take()
 	if o.exitReported(m, m.list[0], &exit) {
 		t.Error("the worker may forget it before the next leader knows")
 	}
@@ -265,12 +265,12 @@
 func TestReleaseWhileAnEarlierOwnerMayAnswer(t *testing.T) {
 	released := func(wait time.Duration) bool {
 		o := ownerOf(t, 7)
-		o.held[1].tenure.predecessorUntil = o.n.now.Add(wait)
-		put(t, o.sharding.table, bookkeeping.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
+		o.held[1].tenure.predecessorUntil = o.controller.now.Add(wait)
+		put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 		next := shard.Grant{Member: shard.Member{Node: "n2", Incarnation: 1}, Term: 8}
-		put(t, o.sharding.table, bookkeeping.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
+		put(t, o.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
 		o.follow()
-		for _, k := range o.n.take().Calls {
+		for _, k := range o.controller.take().Calls {
 			if k.Target != protocol.PathMulti {
 				continue
 			}
@@ -280,7 +280,7 @@
 			}
 			for _, op := range txn.Then {
 				var r shard.Record
-				if op.Put == bookkeeping.KeyOwner(1) && protocol.Decode(op.Value, &r) == nil {
+				if op.Put == records.KeyOwner(1) && protocol.Decode(op.Value, &r) == nil {
 					return r.Released
 				}
 			}
@@ -300,12 +300,12 @@
 // table, read since, shows that nobody took the shard.
 func TestOneWorkerWithALaterToken(t *testing.T) {
 	o := ownerOf(t, 7)
-	put(t, o.sharding.table, bookkeeping.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
-	put(t, o.sharding.table, bookkeeping.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}}, 4)
+	put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
+	put(t, o.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}}, 4)
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-2", Type: "small", Zone: "a"}, o.held[1])
 	status := func(machine string, seq, term uint64) int {
 		body := protocol.EncodeReport(&protocol.Report{Machine: machine, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: term << fenceBits})
-		return o.n.Request(o.n.now, seq, "POST", protocol.PathReport, body).Replies[0].Status
+		return o.controller.Request(o.controller.now, seq, "POST", protocol.PathReport, body).Replies[0].Status
 	}
 	if got := status("vm-1", 1, 9); got != 421 {
 		t.Errorf("a worker with a later token gets %d", got)
--- a/internal/coordination/shard_leader.go
+++ b/internal/coordination/shard_leader.go
@@ -11,7 +11,7 @@
 // shardLeader is the leader's part in shards: it decides who owns them, tells owners what
 // is to run, and takes what they saw.
 type shardLeader struct {
-	l        *lead
+	l        *leader
 	s        *sharding
 	count    int  // of shards that there are to be
 	retiring bool // they are to be given up: the leader is to serve all machines again
@@ -28,10 +28,10 @@
 // nothing.
 const ownerQuiet = 2500 * time.Millisecond
 
-func newShardLeader(l *lead, s *sharding, retiring bool) *shardLeader {
+func newShardLeader(l *leader, s *sharding, retiring bool) *shardLeader {
 	c := 1
-	if sh := l.n.op.Sharding; sh != nil {
-		c = sh.ShardsPerController * (1 + len(l.n.cfg.Peers))
+	if sh := l.controller.op.Sharding; sh != nil {
+		c = sh.ShardsPerController * (1 + len(l.controller.cfg.Peers))
 	}
 	return &shardLeader{l: l, s: s, count: c, retiring: retiring, planner: shard.NewPlanner(), links: map[string]*ownerLink{}, moves: map[shard.ID]*shardMove{},
 		heard: map[shard.ID]time.Time{}, oddSince: map[shard.ID]time.Time{}, oddSeen: map[shard.ID]uint64{}}
@@ -39,16 +39,16 @@
 
 // changed acts on new owners and members.
 func (sl *shardLeader) changed() {
-	n := sl.l.n
+	c := sl.l.controller
 	for _, m := range sl.s.table.Members() {
 		k := sl.links[m.Node]
 		if k == nil || k.member != m.Member {
 			k = &ownerLink{member: m.Member, link: shard.NewLink(shard.Epoch{Term: sl.l.term, Member: m.Member}),
-				listed: map[*machine]bool{}, told: map[shard.ID]uint64{}, heard: n.now}
+				listed: map[*machine]bool{}, told: map[shard.ID]uint64{}, heard: c.now}
 			sl.links[m.Node] = k
 			sl.soon(k)
 		}
-		k.noteReach(n.now, m)
+		k.noteReach(c.now, m)
 		k.reachKnown = true
 	}
 	for node := range sl.links {
@@ -87,7 +87,7 @@
 	k := sl.owner(m.shard)
 	// An owner that has yet to say that it serves the shard has asked nobody: what is known of
 	// its machines is the word of the one before, which may have lost them.
-	if !ok || k == nil || k.told[m.shard] == 0 || sl.l.n.now.Sub(k.heard) > ownerQuiet {
+	if !ok || k == nil || k.told[m.shard] == 0 || sl.l.controller.now.Sub(k.heard) > ownerQuiet {
 		delete(sl.heard, m.shard)
 		return time.Time{}, false
 	}
@@ -96,9 +96,9 @@
 
 // redirect tells a worker who serves it.
 func (sl *shardLeader) redirect(id uint64, r *protocol.Report, body []byte) {
-	l, n := sl.l, sl.l.n
+	l, c := sl.l, sl.l.controller
 	if _, ok := l.gone[r.Machine]; ok && l.machines[r.Machine] == nil {
-		n.reply(id, 503, protocol.ErrorAnswer("the machine was returned"))
+		c.reply(id, 503, protocol.ErrorAnswer("the machine was returned"))
 		return
 	}
 	m := l.machines[r.Machine]
@@ -106,11 +106,11 @@
 		m = l.adopt(r.Machine, r.Type, r.Zone, r.Spot, 0)
 	}
 	name := sl.s.ownerName(m.shard)
-	if name == "" || name == n.cfg.Name {
-		n.holdForLeader(id, body) // it is about to be served
+	if name == "" || name == c.cfg.Name {
+		c.holdForLeader(id, body) // it is about to be served
 		return
 	}
-	n.reply(id, 421, protocol.Redirect(name))
+	c.reply(id, 421, protocol.Redirect(name))
 }
 
 // served reports whether a machine's shard is on record, so that an owner may be told.
@@ -121,7 +121,7 @@
 // ownersLate reports whether an owner told lately that its timers fire too late.
 func (sl *shardLeader) ownersLate() bool {
 	for _, k := range sl.links {
-		if k.status.Load.Lag > lagLate && sl.l.n.now.Sub(k.heard) <= carefulFor {
+		if k.status.Load.Lag > lagLate && sl.l.controller.now.Sub(k.heard) <= carefulFor {
 			return true
 		}
 	}
@@ -136,7 +136,7 @@
 	sl.l.checkHeard()
 	for _, node := range sl.nodes() {
 		k := sl.links[node]
-		k.link.Check(sl.l.n.now)
+		k.link.Check(sl.l.controller.now)
 		if k.link.NeedsReset() || k.link.AckDue() {
 			sl.soon(k)
 		}
--- a/internal/coordination/shard_leader_moves.go
+++ b/internal/coordination/shard_leader_moves.go
@@ -21,7 +21,7 @@
 // beginMove follows a move from here on.
 func (sl *shardLeader) beginMove(d shard.Decision) {
 	owner, _ := sl.s.table.Owner(d.ID)
-	sl.moves[d.ID] = &shardMove{id: d.ID, from: owner.Node, to: d.To.Node, why: d.Why, asked: sl.l.n.now}
+	sl.moves[d.ID] = &shardMove{id: d.ID, from: owner.Node, to: d.To.Node, why: d.Why, asked: sl.l.controller.now}
 }
 
 // followMoves notes which shards were released, and forgets moves that came to nothing.
@@ -33,9 +33,9 @@
 			delete(sl.moves, id)
 		case r.Owner.Node == v.to && r.Next == nil:
 			if v.released.IsZero() {
-				v.released = sl.l.n.now
+				v.released = sl.l.controller.now
 			}
-		case r.Next == nil && sl.l.n.now.Sub(v.asked) > ownerQuiet || r.Owner.Node != v.from:
+		case r.Next == nil && sl.l.controller.now.Sub(v.asked) > ownerQuiet || r.Owner.Node != v.from:
 			delete(sl.moves, id) // taken back, or somebody else's
 		}
 	}
@@ -47,7 +47,7 @@
 	if v == nil || v.to != k.member.Node || v.released.IsZero() {
 		return
 	}
-	v.served = sl.l.n.now
+	v.served = sl.l.controller.now
 	if !sl.hasMachines(id) {
 		sl.endMove(v)
 	}
@@ -71,15 +71,15 @@
 
 // endMove tells of a move that is over.
 func (sl *shardLeader) endMove(v *shardMove) {
-	n := sl.l.n
+	c := sl.l.controller
 	delete(sl.moves, v.id)
-	n.log.Info("shard moved", "shard", v.id, "from", v.from, "to", v.to, "why", v.why.String(),
-		"released", v.released.Sub(v.asked), "served", v.served.Sub(v.asked), "answered", n.now.Sub(v.asked))
-	n.out.Spans = append(n.out.Spans, Span{Name: "shard move", From: v.asked, Until: n.now,
+	c.log.Info("shard moved", "shard", v.id, "from", v.from, "to", v.to, "why", v.why.String(),
+		"released", v.released.Sub(v.asked), "served", v.served.Sub(v.asked), "answered", c.now.Sub(v.asked))
+	c.out.Spans = append(c.out.Spans, Span{Name: "shard move", From: v.asked, Until: c.now,
 		Attributes: []Attribute{{"shard", strconv.Itoa(int(v.id))}, {"from", v.from}, {"to", v.to}, {"why", v.why.String()}},
 		Parts: []Span{
 			{Name: "release", From: v.asked, Until: v.released},
 			{Name: "take over", From: v.released, Until: v.served},
-			{Name: "first report", From: v.served, Until: n.now},
+			{Name: "first report", From: v.served, Until: c.now},
 		}})
 }
--- a/internal/coordination/shard_leader_plan.go
+++ b/internal/coordination/shard_leader_plan.go
@@ -4,22 +4,22 @@
 	"slices"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // plan decides on owners, and writes one change at a time.
 func (sl *shardLeader) plan() {
-	l, n := sl.l, sl.l.n
-	if sl.writing || !sl.s.read || l.phase == loading || n.storeDown() || !n.now.Before(l.right.validUntil) {
+	l, c := sl.l, sl.l.controller
+	if sl.writing || !sl.s.read || l.phase == loading || c.storeDown() || !c.now.Before(l.lease.validUntil) {
 		return
 	}
-	if c := sl.withdrawal(); c != nil {
-		sl.write(c)
+	if change := sl.withdrawal(); change != nil {
+		sl.write(change)
 		return
 	}
-	decisions := sl.planner.Plan(n.now, sl.controllers(), sl.shards())
+	decisions := sl.planner.Plan(c.now, sl.controllers(), sl.shards())
 	var vacant []shard.Assignment
 	for _, d := range decisions {
 		if d.Why == shard.ReasonVacant && len(vacant) < sl.assignAtOnce() {
@@ -31,10 +31,10 @@
 		return
 	}
 	for _, d := range decisions {
-		if c := sl.s.table.Intend(d.ID, d.To, sl.authority()); c != nil {
-			n.log.Info("moving shard", "shard", d.ID, "to", d.To.Node, "why", d.Why.String())
+		if change := sl.s.table.Intend(d.ID, d.To, sl.authority()); change != nil {
+			c.log.Info("moving shard", "shard", d.ID, "to", d.To.Node, "why", d.Why.String())
 			sl.beginMove(d)
-			sl.write(c)
+			sl.write(change)
 			return
 		}
 	}
@@ -42,10 +42,10 @@
 
 // assignAtOnce is how many shards one transaction assigns: each takes a change, as do the
 // terms and the mark that there are shards.
-func (sl *shardLeader) assignAtOnce() int { return max(1, sl.l.n.cfg.TxnOps-2) }
+func (sl *shardLeader) assignAtOnce() int { return max(1, sl.l.controller.cfg.TxnOps-2) }
 
 func (sl *shardLeader) authority() shard.Authority {
-	e := &sl.l.n.election
+	e := &sl.l.controller.election
 	return shard.Authority{LeaderVersion: sl.l.version, Term: e.term, TermVersion: e.termVersion, Marked: e.sharded}
 }
 
@@ -61,37 +61,37 @@
 }
 
 // write carries a change of owners out.
-func (sl *shardLeader) write(c *shard.Change) {
-	l, n := sl.l, sl.l.n
-	if len(c.Txn.Then) == 0 {
+func (sl *shardLeader) write(change *shard.Change) {
+	l, c := sl.l, sl.l.controller
+	if len(change.Txn.Then) == 0 {
 		return
 	}
 	sl.writing = true
-	l.journal.budget.Spend(n.now, float64(len(c.Txn.Then)))
-	n.storeTxn(&c.Txn, func(r txnResult, revision uint64, failed []string) {
+	l.journal.budget.Spend(c.now, float64(len(change.Txn.Then)))
+	c.storeTxn(&change.Txn, func(r txnResult, revision uint64, failed []string) {
 		if !l.alive() {
 			return
 		}
 		if r == txnApplied {
 			sl.writing = false
-			sl.applied(c, revision)
+			sl.applied(change, revision)
 			return
 		}
-		if slices.Contains(failed, bookkeeping.KeyLeader) {
-			n.stepDown("the leader key has changed")
+		if slices.Contains(failed, records.KeyLeader) {
+			c.stepDown("the leader key has changed")
 			return
 		}
 		// It may have been applied, or may yet be: what stands there decides.
-		n.after(200*time.Millisecond, sl.readAgain)
+		c.after(200*time.Millisecond, sl.readAgain)
 	})
 }
 
-func (sl *shardLeader) applied(c *shard.Change, revision uint64) {
-	e := &sl.l.n.election
-	if c.Term > e.term {
-		e.term, e.termVersion = c.Term, revision
+func (sl *shardLeader) applied(change *shard.Change, revision uint64) {
+	e := &sl.l.controller.election
+	if change.Term > e.term {
+		e.term, e.termVersion = change.Term, revision
 	}
-	sl.s.table.Applied(c, revision)
+	sl.s.table.Applied(change, revision)
 	sl.s.changed()
 }
 
@@ -100,15 +100,15 @@
 	if !sl.l.alive() {
 		return
 	}
-	sl.l.n.storeGet(bookkeeping.KeyTerm, func(it protocol.Item, found, ok bool) {
+	sl.l.controller.storeGet(records.KeyTerm, func(it protocol.Item, found, ok bool) {
 		if !sl.l.alive() {
 			return
 		}
 		if !ok || !found {
-			sl.l.n.after(200*time.Millisecond, sl.readAgain)
+			sl.l.controller.after(200*time.Millisecond, sl.readAgain)
 			return
 		}
-		sl.l.n.electionKey(it.Key, it.Value, it.Version)
+		sl.l.controller.electionKey(it.Key, it.Value, it.Version)
 		sl.writing = false
 		sl.s.readTable()
 	})
@@ -116,21 +116,21 @@
 
 // controllers are the members as the planner sees them.
 func (sl *shardLeader) controllers() []shard.Controller {
-	n := sl.l.n
+	c := sl.l.controller
 	var list []shard.Controller
 	for _, m := range sl.s.table.Members() {
-		c := shard.Controller{Member: m.Member, Zone: m.Zone, Draining: m.Draining}
+		member := shard.Controller{Member: m.Member, Zone: m.Zone, Draining: m.Draining}
 		if k := sl.links[m.Node]; k != nil && k.member == m.Member {
-			c.Load, c.Blind, c.Silent = k.status.Load, k.blind, n.now.Sub(k.heard)
-			if vouched, blind, shown := k.reaches(n.now); shown {
-				c.Vouched, c.Blind = vouched, blind
+			member.Load, member.Blind, member.Silent = k.status.Load, k.blind, c.now.Sub(k.heard)
+			if vouched, blind, shown := k.reaches(c.now); shown {
+				member.Vouched, member.Blind = vouched, blind
 			}
-			c.Fit = !c.Blind && c.Silent <= ownerQuiet && c.Load.Lag <= lagLate
+			member.Fit = !member.Blind && member.Silent <= ownerQuiet && member.Load.Lag <= lagLate
 		}
-		if sl.retiring && m.Node != n.cfg.Name {
-			c.Draining = true
+		if sl.retiring && m.Node != c.cfg.Name {
+			member.Draining = true
 		}
-		list = append(list, c)
+		list = append(list, member)
 	}
 	return list
 }
@@ -183,9 +183,9 @@
 // stopped answering: an owner that reads such a record stops at once, and one that can't
 // read it is at the end of what it knows.
 func (sl *shardLeader) surelyEnded(id shard.ID, version uint64) bool {
-	n := sl.l.n
+	c := sl.l.controller
 	if sl.oddSeen[id] != version {
-		sl.oddSeen[id], sl.oddSince[id] = version, n.now
+		sl.oddSeen[id], sl.oddSince[id] = version, c.now
 	}
-	return n.now.Sub(sl.oddSince[id]) > n.answersFor()+drift(n.cfg.CancelWithin)+proofMargin
+	return c.now.Sub(sl.oddSince[id]) > c.answersFor()+drift(c.cfg.CancelWithin)+proofMargin
 }
--- a/internal/coordination/shard_leader_seen.go
+++ b/internal/coordination/shard_leader_seen.go
@@ -9,12 +9,12 @@
 
 // take takes a line of an owner's.
 func (sl *shardLeader) take(from string, seen *shard.Observations) {
-	n := sl.l.n
+	c := sl.l.controller
 	k := sl.links[from]
 	if k == nil || k.member != seen.Epoch.Member || sl.l.phase == loading {
 		return
 	}
-	k.heard = n.now
+	k.heard = c.now
 	taken := k.link.Take(seen.Header)
 	sl.takeGrants(k, seen.Grants)
 	if taken {
@@ -38,13 +38,13 @@
 			continue // it speaks of an earlier time, or ahead of our watch
 		}
 		if _, ok := sl.heard[id]; !ok {
-			sl.heard[id] = sl.l.n.now
+			sl.heard[id] = sl.l.controller.now
 		}
 		if k.told[id] != 0 {
 			continue
 		}
 		// The silence that another owner told of isn't this one's.
-		sl.heard[id] = sl.l.n.now
+		sl.heard[id] = sl.l.controller.now
 		k.told[id] = term
 		sl.moveServed(k, id)
 		for _, m := range sl.l.fleetList {
@@ -120,10 +120,10 @@
 }
 
 func (sl *shardLeader) takeWorker(m *machine, w *shard.Worker) {
-	l, n := sl.l, sl.l.n
+	l, c := sl.l, sl.l.controller
 	if m.Zone != w.Zone || m.Type != w.Type || m.Spot != w.Spot {
 		m.Zone, m.Type, m.Spot = w.Zone, w.Type, w.Spot
-		m.Spec = n.types[m.Type]
+		m.Spec = c.types[m.Type]
 	}
 	if w.Addr != "" && w.Addr != m.addr {
 		m.addr = w.Addr
@@ -133,7 +133,7 @@
 		return // not heard by this owner yet
 	}
 	if !m.up {
-		m.up, m.firstHeard = true, n.now
+		m.up, m.firstHeard = true, c.now
 		l.machineUp(m)
 	}
 	if w.Session != m.session {
@@ -141,13 +141,13 @@
 		l.sessionBegan(m)
 	}
 	sl.moveAnswered(m.shard)
-	m.heard, m.answered = n.now, n.now
+	m.heard, m.answered = c.now, c.now
 	if w.Reached {
 		l.machineReached(m)
-		m.reached = n.now
+		m.reached = c.now
 	}
 	if w.Notice > 0 && m.noticeAt.IsZero() {
-		m.noticeAt = n.now.Add(time.Duration(w.Notice) * time.Millisecond)
+		m.noticeAt = c.now.Add(time.Duration(w.Notice) * time.Millisecond)
 		l.noticeCame(m)
 	}
 	if w.Compared && !m.reconciled {
@@ -174,7 +174,7 @@
 
 // takeStatus takes how an owner's workers are: those that it doesn't name are well.
 func (sl *shardLeader) takeStatus(k *ownerLink, s *shard.Status) {
-	l, n := sl.l, sl.l.n
+	l, c := sl.l, sl.l.controller
 	k.status = *s
 	if s.Part == 0 || k.late == nil {
 		k.late = map[string]*shard.Late{}
@@ -198,23 +198,23 @@
 		w := late[m.Name]
 		if w == nil {
 			if m.up {
-				m.heard, m.answered, m.probeFails = n.now, n.now, 0
+				m.heard, m.answered, m.probeFails = c.now, c.now, 0
 				if !m.reached.IsZero() {
 					l.machineReached(m)
-					m.reached = n.now
+					m.reached = c.now
 				}
 			}
 			continue
 		}
-		if m.up && (w.Fails >= lostAfterFails || time.Duration(w.Unreported)*time.Millisecond > n.unansweredMost()) {
+		if m.up && (w.Fails >= lostAfterFails || time.Duration(w.Unreported)*time.Millisecond > c.unansweredMost()) {
 			lost++
 		}
 		m.probeFails = w.Fails
 		if m.up {
-			m.heard = n.now.Add(-time.Duration(w.Silent) * time.Millisecond)
-			m.answered = n.now.Add(-time.Duration(w.Unreported) * time.Millisecond)
+			m.heard = c.now.Add(-time.Duration(w.Silent) * time.Millisecond)
+			m.answered = c.now.Add(-time.Duration(w.Unreported) * time.Millisecond)
 			if !m.reached.IsZero() {
-				m.reached = n.now.Add(-time.Duration(w.Unreached) * time.Millisecond)
+				m.reached = c.now.Add(-time.Duration(w.Unreached) * time.Millisecond)
 			}
 		}
 		if w.Fails > 0 {
--- a/internal/coordination/shard_leader_tell.go
+++ b/internal/coordination/shard_leader_tell.go
@@ -80,8 +80,8 @@
 		return
 	}
 	k.due = true
-	n := sl.l.n
-	n.after(max(0, k.sentAt.Add(lineEvery).Sub(n.now)), func() {
+	c := sl.l.controller
+	c.after(max(0, k.sentAt.Add(lineEvery).Sub(c.now)), func() {
 		k.due = false
 		if sl.l.alive() && sl.links[k.member.Node] == k {
 			sl.flush(k)
@@ -152,11 +152,11 @@
 }
 
 func (sl *shardLeader) send(k *ownerLink, line shard.Instructions) {
-	n := sl.l.n
+	c := sl.l.controller
 	content := k.link.NeedsReset() || !line.Empty()
-	line.Header = k.link.Next(n.now, content)
-	k.sentAt = n.now
-	n.sendShardLine(k.member.Node, shardLine{Instructions: &line})
+	line.Header = k.link.Next(c.now, content)
+	k.sentAt = c.now
+	c.sendShardLine(k.member.Node, shardLine{Instructions: &line})
 }
 
 // machine is a machine with all attempts that may be on it.
--- a/internal/coordination/shard_lines.go
+++ b/internal/coordination/shard_lines.go
@@ -16,10 +16,10 @@
 }
 
 // sendShardLine sends a line to a controller, or to the other role of this one.
-func (n *Node) sendShardLine(to string, line shardLine) {
-	line.Node = n.cfg.Name
-	if to == n.cfg.Name {
-		n.local = append(n.local, line)
+func (c *Controller) sendShardLine(to string, line shardLine) {
+	line.Node = c.cfg.Name
+	if to == c.cfg.Name {
+		c.local = append(c.local, line)
 		return
 	}
 	raw, err := json.Marshal(line)
@@ -27,31 +27,31 @@
 		panic(err)
 	}
 	if len(raw) > MaxPeerLine {
-		n.bounds.hit(boundLine)
+		c.bounds.hit(boundLine)
 		return
 	}
-	n.out.Sends = append(n.out.Sends, Send{To: to, Body: raw})
+	c.out.Sends = append(c.out.Sends, Send{To: to, Body: raw})
 }
 
 // deliverLocal hands the lines between this controller's own roles over, and those that
 // come of them.
-func (n *Node) deliverLocal() {
-	for len(n.local) > 0 {
-		lines := n.local
-		n.local = nil
+func (c *Controller) deliverLocal() {
+	for len(c.local) > 0 {
+		lines := c.local
+		c.local = nil
 		for i := range lines {
-			n.takeShardLine(&lines[i])
+			c.takeShardLine(&lines[i])
 		}
 	}
 }
 
 // takeShardLine takes a line of another controller's, or of another role of this one.
-func (n *Node) takeShardLine(line *shardLine) {
-	if in := line.Instructions; in != nil && n.sharding != nil && n.sharding.own != nil {
-		n.sharding.own.feed.take(line.Node, in)
+func (c *Controller) takeShardLine(line *shardLine) {
+	if in := line.Instructions; in != nil && c.sharding != nil && c.sharding.own != nil {
+		c.sharding.own.feed.take(line.Node, in)
 	}
-	if seen := line.Observations; seen != nil && n.lead != nil && n.lead.shards != nil {
-		n.lead.shards.take(line.Node, seen)
+	if seen := line.Observations; seen != nil && c.leader != nil && c.leader.shards != nil {
+		c.leader.shards.take(line.Node, seen)
 	}
 }
 
--- a/internal/coordination/shard_members.go
+++ b/internal/coordination/shard_members.go
@@ -9,7 +9,7 @@
 
 // shardFor is the shard that a new machine's record is to be in, 0 for none: the smallest
 // one with machines of its zone only.
-func (l *lead) shardFor(m *machine) shard.ID {
+func (l *leader) shardFor(m *machine) shard.ID {
 	if l.shards == nil {
 		return 0
 	}
@@ -37,7 +37,7 @@
 
 // shardMachines moves machines whose record names no shard to records that do. Where both
 // stand, the one with a shard counts.
-func (l *lead) shardMachines() {
+func (l *leader) shardMachines() {
 	old := map[string]bool{}
 	for _, m := range l.fleetList {
 		if m.group == nil || m.group.shard != 0 {
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // shardOwner serves the workers of shards for a leader that may be another controller. It
@@ -51,8 +51,8 @@
 	h.tenure.paused = !h.served()
 }
 
-func newShardOwner(s *sharding, r right) *shardOwner {
-	o := &shardOwner{owner: newOwner(s.n, r), sharding: s, held: map[shard.ID]*heldShard{}, moved: map[string]shard.ID{}}
+func newShardOwner(s *sharding, r lease) *shardOwner {
+	o := &shardOwner{owner: newOwner(s.controller, r), sharding: s, held: map[shard.ID]*heldShard{}, moved: map[string]shard.ID{}}
 	o.observer, o.asksNew = o, true
 	o.feed = newOwnerFeed(o)
 	o.loadJobs(o.watchJobs)
@@ -86,14 +86,14 @@
 
 // takeShard begins to serve a shard.
 func (o *shardOwner) takeShard(id shard.ID, r shard.Record) {
-	n := o.n
-	t := tenure{term: r.Owner.Term, since: n.now, predecessorUntil: n.now}
+	c := o.controller
+	t := tenure{term: r.Owner.Term, since: c.now, predecessorUntil: c.now}
 	if !r.Released {
 		// Whoever owned it before may go on without the state service for its grace.
-		t.predecessorUntil = n.now.Add(n.graceAfter(n.op.LeaderLease()))
+		t.predecessorUntil = c.now.Add(c.graceAfter(c.op.LeaderLease()))
 	}
 	o.held[id] = &heldShard{tenure: t}
-	n.log.Info("serving shard", "shard", id, "term", t.term, "released", r.Released)
+	c.log.Info("serving shard", "shard", id, "term", t.term, "released", r.Released)
 }
 
 // dropShard forgets a shard that is somebody else's.
@@ -107,7 +107,7 @@
 		o.forgetHeld(m)
 		return true
 	})
-	o.n.log.Info("serving shard no more", "shard", id)
+	o.controller.log.Info("serving shard no more", "shard", id)
 }
 
 // forgetHeld drops what is known of a machine that isn't served any more.
@@ -154,19 +154,19 @@
 	// An owner that took over from one that did not release, and gives the shard away before
 	// that one's grace is over, can't say that nobody answers its workers: the next owner
 	// took their silence for a proof while the first of the three went on answering them.
-	c := s.table.Release(id, s.member, !o.n.now.Before(h.tenure.predecessorUntil))
-	if c == nil {
+	change := s.table.Release(id, s.member, !o.controller.now.Before(h.tenure.predecessorUntil))
+	if change == nil {
 		h.releasing = false
 		return
 	}
-	o.n.storeTxn(&c.Txn, func(res txnResult, revision uint64, _ []string) {
+	o.controller.storeTxn(&change.Txn, func(res txnResult, revision uint64, _ []string) {
 		h := o.held[id]
 		if !o.alive() || h == nil {
 			return
 		}
 		h.releasing = false
 		if res == txnApplied {
-			s.table.Applied(c, revision)
+			s.table.Applied(change, revision)
 			s.changed()
 			return
 		}
@@ -177,27 +177,27 @@
 
 // takes answers a report of a machine that this owner serves, and reports whether it did.
 func (o *shardOwner) takes(id uint64, r *protocol.Report, body []byte) bool {
-	n := o.n
+	c := o.controller
 	m := o.machines[r.Machine]
 	if m == nil || m.tenure == nil {
 		return o.sendOn(id, r)
 	}
 	h := o.held[m.shard]
 	if h == nil || !h.served() {
-		n.reply(id, 421, protocol.Redirect(o.nextOwner(m.shard)))
+		c.reply(id, 421, protocol.Redirect(o.nextOwner(m.shard)))
 		return true
 	}
-	if o.known.IsZero() && !n.storeDown() {
-		n.holdForLeader(id, body)
+	if o.known.IsZero() && !c.storeDown() {
+		c.holdForLeader(id, body)
 		return true
 	}
-	if !o.entitled() {
-		n.reply(id, 421, protocol.Redirect(""))
+	if !o.holdsLease() {
+		c.reply(id, 421, protocol.Redirect(""))
 		return true
 	}
 	if r.Token>>fenceBits > m.tenure.term {
 		o.laterToken(m)
-		n.reply(id, 421, protocol.Redirect(""))
+		c.reply(id, 421, protocol.Redirect(""))
 		return true
 	}
 	o.answered++
@@ -212,16 +212,16 @@
 		return false
 	}
 	name := o.sharding.ownerName(moved)
-	if name == "" || name == o.n.cfg.Name {
+	if name == "" || name == o.controller.cfg.Name {
 		return false
 	}
-	o.n.reply(id, 421, protocol.Redirect(name))
+	o.controller.reply(id, 421, protocol.Redirect(name))
 	return true
 }
 
 // nextOwner is whom a shard moves to, by name.
 func (o *shardOwner) nextOwner(id shard.ID) string {
-	if r, _, ok := o.sharding.table.Record(id); ok && r.Next != nil && r.Next.Node != o.n.cfg.Name {
+	if r, _, ok := o.sharding.table.Record(id); ok && r.Next != nil && r.Next.Node != o.controller.cfg.Name {
 		return r.Next.Node
 	}
 	return ""
@@ -235,12 +235,12 @@
 		return
 	}
 	o.loading, o.again = true, false
-	o.n.storeList(bookkeeping.PrefixMachines, o.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
+	o.controller.storeList(records.PrefixMachines, o.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
 		o.loading = false
 		for _, it := range items {
 			o.loadGroup(it)
 		}
-		o.n.releaseHeld()
+		o.controller.releaseHeld()
 		if o.again {
 			o.loadMachines()
 		}
@@ -248,14 +248,14 @@
 }
 
 func (o *shardOwner) loadGroup(it protocol.Item) {
-	id := shard.ID(bookkeeping.ShardOfMachines(it.Key))
+	id := shard.ID(records.ShardOfMachines(it.Key))
 	h := o.held[id]
 	if h == nil {
 		return
 	}
-	var r bookkeeping.Machines
+	var r records.Machines
 	if err := protocol.Decode(it.Value, &r); err != nil {
-		o.n.log.Error("unreadable record of machines", "key", it.Key, "err", err)
+		o.controller.log.Error("unreadable record of machines", "key", it.Key, "err", err)
 		return
 	}
 	for _, k := range r.Machines {
@@ -276,13 +276,13 @@
 
 // silentFor is how long a worker has been silent, since its shard was taken at the most.
 func (o *shardOwner) silentFor(m *machine) time.Duration {
-	return o.n.now.Sub(latest(m.heard, m.tenure.since, o.deaf))
+	return o.controller.now.Sub(latest(m.heard, m.tenure.since, o.deaf))
 }
 
 // watchWorkers asks workers that fell silent, and proves what silence proves.
 func (o *shardOwner) watchWorkers() {
-	if o.stalled() || o.n.storeDown() || !o.entitled() {
-		o.deaf = o.n.now // workers that got no answer look for another node
+	if o.stalled() || o.controller.storeDown() || !o.holdsLease() {
+		o.deaf = o.controller.now // workers that got no answer look for another node
 		return
 	}
 	var ask []*machine
@@ -344,7 +344,7 @@
 // stateReported implements observer.
 func (o *shardOwner) stateReported(a *attempt, s protocol.TaskState) {
 	if a.state != s {
-		a.state, a.since = s, o.n.now
+		a.state, a.since = s, o.controller.now
 		o.feed.tellState(a)
 	}
 }
@@ -374,8 +374,8 @@
 		// let be forgotten: untold, the attempt counted there for ever.
 		k.forget, k.at = false, time.Time{}
 	}
-	if !k.forget && o.n.now.Sub(k.at) > tellExitAgain {
-		k.at = o.n.now
+	if !k.forget && o.controller.now.Sub(k.at) > tellExitAgain {
+		k.at = o.controller.now
 		o.feed.tellExit(k)
 	}
 	return k.forget
@@ -383,7 +383,7 @@
 
 // attemptGone implements observer.
 func (o *shardOwner) attemptGone(a *attempt, why string) {
-	o.n.log.Debug("attempt gone", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name, "why", why)
+	o.controller.log.Debug("attempt gone", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name, "why", why)
 	o.remove(a)
 	o.feed.tellGone(a, why)
 }
@@ -406,7 +406,7 @@
 // laterToken implements observer: somebody took the shard after this owner, which will
 // see it in the table.
 func (o *shardOwner) laterToken(m *machine) {
-	o.n.log.Info("a worker has seen a later owner", "machine", m.Name, "shard", m.shard)
+	o.controller.log.Info("a worker has seen a later owner", "machine", m.Name, "shard", m.shard)
 	if h := o.held[m.shard]; h != nil && !h.overtaken && !m.disowned {
 		m.disowned = true
 		h.setOvertaken(true)
@@ -439,7 +439,7 @@
 	if j == nil {
 		j = &job{Job: &protocol.Job{ID: id}}
 		o.jobs[id] = j
-		if f, ok := o.n.admission.finals[id]; ok {
+		if f, ok := o.controller.admission.finals[id]; ok {
 			j.outcome = f.state
 		}
 	}
@@ -448,7 +448,7 @@
 
 // add takes an attempt that the leader told of.
 func (o *shardOwner) add(m *machine, r shard.Run, inherited bool) {
-	a := &attempt{job: o.job(r.Job), task: r.Index, number: r.Attempt, machine: m, recorded: true, inherited: inherited, since: o.n.now}
+	a := &attempt{job: o.job(r.Job), task: r.Index, number: r.Attempt, machine: m, recorded: true, inherited: inherited, since: o.controller.now}
 	o.hold(a)
 	if a.job.held == nil {
 		a.job.held = map[*attempt]struct{}{}
--- a/internal/coordination/shard_reach.go
+++ b/internal/coordination/shard_reach.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // An owner that hears no leader shows through the state service, every reachEvery, whether
@@ -19,11 +19,11 @@
 // showReach writes what this owner reaches into its member record, if it hears no leader and
 // the last account is old enough.
 func (o *shardOwner) showReach() {
-	n, s := o.n, o.sharding
-	if s.member.Node == "" || s.writing || n.storeDown() || n.now.Sub(o.feed.heard) <= ownerQuiet || n.now.Sub(o.shownAt) < reachEvery {
+	c, s := o.controller, o.sharding
+	if s.member.Node == "" || s.writing || c.storeDown() || c.now.Sub(o.feed.heard) <= ownerQuiet || c.now.Sub(o.shownAt) < reachEvery {
 		return
 	}
-	o.shownAt = n.now
+	o.shownAt = c.now
 	o.accounts++
 	reach := o.reachNow()
 	reach.Count = o.accounts
@@ -39,7 +39,7 @@
 			continue
 		}
 		reach.Workers++
-		if m.probeFails >= lostAfterFails || o.unreported(m) > o.n.unansweredMost() {
+		if m.probeFails >= lostAfterFails || o.unreported(m) > o.controller.unansweredMost() {
 			reach.Lost++
 		}
 	}
@@ -49,7 +49,7 @@
 // unansweredMost is how long a worker's reports may go unanswered before it counts as lost to
 // its owner, whether or not it answers calls: where links break and come back every few
 // seconds calls get through now and then, and reports, which come rarely, don't.
-func (n *Node) unansweredMost() time.Duration { return n.cfg.WorkerLease / 3 }
+func (c *Controller) unansweredMost() time.Duration { return c.cfg.WorkerLease / 3 }
 
 // blindTold is for how long after it lost most of its workers a controller tells the others
 // not to send workers to it: it doesn't see when they could reach it again.
@@ -58,23 +58,23 @@
 // noteOwnReach notes whether this controller reaches its workers.
 func (s *sharding) noteOwnReach() {
 	if reach := s.own.reachNow(); shard.Blind(reach.Workers, reach.Lost) {
-		s.blindUntil = s.n.now.Add(blindTold)
+		s.blindUntil = s.controller.now.Add(blindTold)
 	}
 }
 
 // blind reports whether this controller lately lost most of its workers.
-func (n *Node) blind() bool { return n.sharding != nil && n.now.Before(n.sharding.blindUntil) }
+func (c *Controller) blind() bool { return c.sharding != nil && c.now.Before(c.sharding.blindUntil) }
 
 // writeMember writes the member's record anew, bound to the same lease.
 func (s *sharding) writeMember(own *shardOwner, done func(applied bool)) {
-	n := s.n
+	c := s.controller
 	s.writing = true
-	key := bookkeeping.KeyMember(n.cfg.Name)
-	_, version := s.table.Member(n.cfg.Name)
-	value := bookkeeping.Encode(shard.MemberRecord{Member: s.member, Zone: n.cfg.Zone, Draining: s.draining, Reach: s.reach})
-	n.storeTxn(&protocol.Txn{
+	key := records.KeyMember(c.cfg.Name)
+	_, version := s.table.Member(c.cfg.Name)
+	value := records.Encode(shard.MemberRecord{Member: s.member, Zone: c.cfg.Zone, Draining: s.draining, Reach: s.reach})
+	c.storeTxn(&protocol.Txn{
 		If:   []protocol.Condition{{Key: key, Version: version}},
-		Then: []protocol.Op{{Put: key, Value: value, Lease: own.right.lease}},
+		Then: []protocol.Op{{Put: key, Value: value, Lease: own.lease.id}},
 	}, func(res txnResult, revision uint64, _ []string) {
 		s.writing = false
 		if s.own != own {
@@ -129,7 +129,7 @@
 	controllers := sl.controllers()
 	for _, m := range sl.l.fleetList {
 		if _, known := k.untried[m.Zone]; !known {
-			k.untried[m.Zone] = sl.planner.Untried(sl.l.n.now, controllers, k.member, m.Zone)
+			k.untried[m.Zone] = sl.planner.Untried(sl.l.controller.now, controllers, k.member, m.Zone)
 		}
 	}
 }
@@ -137,38 +137,38 @@
 // nobodyTells reports whether a machine's owner isn't heard, so that there is no point in
 // waiting for its tasks: with controllers that refuse each other's connections a new leader
 // waited its longest for two thirds of the fleet.
-func (l *lead) nobodyTells(m *machine) bool {
+func (l *leader) nobodyTells(m *machine) bool {
 	if l.shards == nil {
 		return false
 	}
 	k := l.shards.owner(m.shard)
-	return k == nil || l.n.now.Sub(k.heard) > ownerQuiet
+	return k == nil || l.controller.now.Sub(k.heard) > ownerQuiet
 }
 
 // givesWay lets another node lead if this one hears no owner but itself, reaches no workers
 // either, and the state service shows that others do. It reports whether it did.
 func (sl *shardLeader) givesWay() bool {
-	l, n := sl.l, sl.l.n
-	if n.now.Sub(l.settled) <= ownerQuiet {
+	l, c := sl.l, sl.l.controller
+	if c.now.Sub(l.settled) <= ownerQuiet {
 		return false
 	}
 	able := 0
 	for node, k := range sl.links {
-		if node == n.cfg.Name {
+		if node == c.cfg.Name {
 			if k.status.Load.Machines > 0 && !k.blind {
 				return false
 			}
 			continue
 		}
-		vouched, _, shown := k.reaches(n.now)
-		if !shown && n.now.Sub(k.heard) <= unheardOwner {
+		vouched, _, shown := k.reaches(c.now)
+		if !shown && c.now.Sub(k.heard) <= unheardOwner {
 			return false
 		}
 		if vouched {
 			able++
 		}
 	}
-	return able > 0 && n.resignUnfit("neither workers nor their owners are heard")
+	return able > 0 && c.resignUnfit("neither workers nor their owners are heard")
 }
 
 // unheardOwner is after how long without a line an owner counts as one that the leader can't
--- a/internal/coordination/shard_send_on.go
+++ b/internal/coordination/shard_send_on.go
@@ -7,8 +7,8 @@
 // after a time-out, was sent there again, and never tried the controller that serves it until
 // its lease ended. Without a name it tries all of them in turn.
 type sendOn struct {
-	n    *Node
-	sent map[string]time.Time // to the leader, by machine
+	controller *Controller
+	sent       map[string]time.Time // to the leader, by machine
 }
 
 const (
@@ -23,16 +23,16 @@
 	leaderHeard = 3 * time.Second
 )
 
-func newSendOn(n *Node) sendOn { return sendOn{n: n, sent: map[string]time.Time{}} }
+func newSendOn(c *Controller) sendOn { return sendOn{controller: c, sent: map[string]time.Time{}} }
 
 // to names the controller that a machine's worker is to try, empty for the next one in turn.
 func (s *sendOn) to(machine string) string {
-	n := s.n
-	leader := n.leaderName()
-	if p := n.peers[leader]; p != nil && (p.blind || n.now.Sub(p.at) > leaderHeard) {
+	c := s.controller
+	leader := c.leaderName()
+	if p := c.peers[leader]; p != nil && (p.blind || c.now.Sub(p.at) > leaderHeard) {
 		return ""
 	}
-	if at, ok := s.sent[machine]; ok && n.now.Sub(at) < sentFor {
+	if at, ok := s.sent[machine]; ok && c.now.Sub(at) < sentFor {
 		delete(s.sent, machine) // it may be sent there the next time
 		return ""
 	}
@@ -43,10 +43,10 @@
 func (s *sendOn) remember(machine string) {
 	if len(s.sent) >= sentKept {
 		for name, at := range s.sent {
-			if s.n.now.Sub(at) >= sentFor {
+			if s.controller.now.Sub(at) >= sentFor {
 				delete(s.sent, name)
 			}
 		}
 	}
-	s.sent[machine] = s.n.now
+	s.sent[machine] = s.controller.now
 }
--- a/internal/coordination/sharding.go
+++ b/internal/coordination/sharding.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // sharding is a controller's part in serving machines by shards: what the state service
 // tells of owners, this controller's own lease as a member, and what it owns by that.
 type sharding struct {
-	n          *Node
+	controller *Controller
 	table      *shard.Table
 	read       bool // the table was read and is watched
 	generation int  // of the watch; an older one's news is dropped
@@ -27,10 +27,10 @@
 }
 
 // startSharding makes the node one that may own shards.
-func (n *Node) startSharding(draining bool) {
-	n.sharding = &sharding{n: n, table: shard.NewTable(), draining: draining, sendOn: newSendOn(n)}
-	n.sharding.readTable()
-	n.every(time.Second, n.sharding.tellStatus)
+func (c *Controller) startSharding(draining bool) {
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), draining: draining, sendOn: newSendOn(c)}
+	c.sharding.readTable()
+	c.every(time.Second, c.sharding.tellStatus)
 }
 
 // readTable reads who owns what, and watches it from there.
@@ -38,7 +38,7 @@
 	s.generation++
 	generation := s.generation
 	current := func() bool { return s.generation == generation }
-	s.n.storeList(bookkeeping.PrefixShards, current, func(items []protocol.Item, revision uint64, _ time.Time) {
+	s.controller.storeList(records.PrefixShards, current, func(items []protocol.Item, revision uint64, _ time.Time) {
 		s.table = shard.NewTable()
 		for _, it := range items {
 			s.put(it.Key, it)
@@ -51,12 +51,12 @@
 
 func (s *sharding) put(key string, it protocol.Item) {
 	if err := s.table.Put(key, it.Value, it.Version); err != nil {
-		s.n.log.Error("unreadable record of shards", "key", key, "err", err)
+		s.controller.log.Error("unreadable record of shards", "key", key, "err", err)
 	}
 }
 
 func (s *sharding) watch(after uint64, current func() bool) {
-	s.n.storeWatch(bookkeeping.PrefixShards, after, watchWait, func(o Outcome) {
+	s.controller.storeWatch(records.PrefixShards, after, watchWait, func(o Outcome) {
 		if !current() {
 			return
 		}
@@ -71,7 +71,7 @@
 			s.readTable()
 			return
 		}
-		s.n.after(200*time.Millisecond+s.n.jitter(100*time.Millisecond), func() {
+		s.controller.after(200*time.Millisecond+s.controller.jitter(100*time.Millisecond), func() {
 			if current() {
 				s.readTable()
 			}
@@ -105,7 +105,7 @@
 	} else {
 		s.own.follow()
 	}
-	if l := s.n.lead; l != nil && l.shards != nil {
+	if l := s.controller.leader; l != nil && l.shards != nil {
 		l.shards.changed()
 	}
 }
@@ -117,22 +117,22 @@
 		return
 	}
 	s.joining = true
-	n, ttl, sent := s.n, s.n.op.LeaderLease(), s.n.now
-	n.store("POST", protocol.PathLeases, protocol.LeaseBody(ttl), storeTimeout, func(o Outcome) {
-		lease, err := uint64(0), error(nil)
+	c, ttl, sent := s.controller, s.controller.op.LeaderLease(), s.controller.now
+	c.store("POST", protocol.PathLeases, protocol.LeaseBody(ttl), storeTimeout, func(o Outcome) {
+		leaseID, err := uint64(0), error(nil)
 		if o.Answered && o.Status == 200 {
-			lease, err = protocol.ParseLease(o.Body)
+			leaseID, err = protocol.ParseLease(o.Body)
 		}
-		if lease == 0 || err != nil {
+		if leaseID == 0 || err != nil {
 			s.joinAgain()
 			return
 		}
-		s.recordMember(right{lease, ttl, sent.Add(ttl - drift(ttl))})
+		s.recordMember(lease{leaseID, ttl, sent.Add(ttl - drift(ttl))})
 	})
 }
 
 func (s *sharding) joinAgain() {
-	s.n.after(300*time.Millisecond+s.n.jitter(200*time.Millisecond), func() {
+	s.controller.after(300*time.Millisecond+s.controller.jitter(200*time.Millisecond), func() {
 		s.joining = false
 		s.join()
 	})
@@ -140,19 +140,19 @@
 
 // recordMember writes the member's record, on the version of whatever stands there: an
 // earlier life's write that comes late fails.
-func (s *sharding) recordMember(r right) {
-	n := s.n
-	member := shard.MemberRecord{Member: shard.Member{Node: n.cfg.Name, Incarnation: r.lease}, Zone: n.cfg.Zone, Draining: s.draining}
-	_, version := s.table.Member(n.cfg.Name)
-	key := bookkeeping.KeyMember(n.cfg.Name)
-	value := bookkeeping.Encode(member)
-	n.storeTxn(&protocol.Txn{
+func (s *sharding) recordMember(r lease) {
+	c := s.controller
+	member := shard.MemberRecord{Member: shard.Member{Node: c.cfg.Name, Incarnation: r.id}, Zone: c.cfg.Zone, Draining: s.draining}
+	_, version := s.table.Member(c.cfg.Name)
+	key := records.KeyMember(c.cfg.Name)
+	value := records.Encode(member)
+	c.storeTxn(&protocol.Txn{
 		If:   []protocol.Condition{{Key: key, Version: version}},
-		Then: []protocol.Op{{Put: key, Value: value, Lease: r.lease}},
+		Then: []protocol.Op{{Put: key, Value: value, Lease: r.id}},
 	}, func(res txnResult, revision uint64, _ []string) {
 		if res != txnApplied {
 			// Ending the lease also ends what the transaction may have written.
-			n.store("DELETE", protocol.LeaseTarget(r.lease), nil, storeTimeout, func(Outcome) {})
+			c.store("DELETE", protocol.LeaseTarget(r.id), nil, storeTimeout, func(Outcome) {})
 			s.readTable()
 			s.joinAgain()
 			return
@@ -161,7 +161,7 @@
 		s.put(key, protocol.Item{Key: key, Value: value, Version: revision})
 		s.member = member.Member
 		s.own = newShardOwner(s, r)
-		n.log.Info("may own shards", "incarnation", r.lease, "draining", s.draining)
+		c.log.Info("may own shards", "incarnation", r.id, "draining", s.draining)
 		s.renew(s.own)
 		s.changed()
 	})
@@ -169,15 +169,15 @@
 
 // renew keeps the member's lease.
 func (s *sharding) renew(own *shardOwner) {
-	n, ttl, sent := s.n, own.right.ttl, s.n.now
-	n.store("POST", protocol.TouchTarget(own.right.lease), nil, ttl/2, func(o Outcome) {
+	c, ttl, sent := s.controller, own.lease.ttl, s.controller.now
+	c.store("POST", protocol.TouchTarget(own.lease.id), nil, ttl/2, func(o Outcome) {
 		if s.own != own {
 			return
 		}
 		next := ttl * 3 / 10
 		switch {
 		case o.Answered && o.Status == 200:
-			own.right.validUntil = sent.Add(ttl - drift(ttl))
+			own.lease.validUntil = sent.Add(ttl - drift(ttl))
 		case o.Answered && o.Status == 404:
 			s.leave("its lease has ended")
 			s.readTable()
@@ -185,7 +185,7 @@
 		default:
 			next = 200 * time.Millisecond
 		}
-		n.after(next, func() {
+		c.after(next, func() {
 			if s.own == own {
 				s.renew(own)
 			}
@@ -195,31 +195,31 @@
 
 // leave gives up all that the member owned, and what was kept in memory for it.
 func (s *sharding) leave(why string) {
-	s.n.log.Warn("owning no shard any more", "incarnation", s.member.Incarnation, "why", why)
+	s.controller.log.Warn("owning no shard any more", "incarnation", s.member.Incarnation, "why", why)
 	s.own.ended = true
 	s.own, s.member, s.reach = nil, shard.Member{}, nil
 }
 
 // report answers a worker, or tells it who does.
 func (s *sharding) report(id uint64, body []byte) {
-	n := s.n
+	c := s.controller
 	r, err := protocol.ParseReport(body)
 	if err != nil {
-		n.reply(id, 400, protocol.ErrorAnswer("not a worker's report"))
+		c.reply(id, 400, protocol.ErrorAnswer("not a worker's report"))
 		return
 	}
 	if s.own != nil && s.own.takes(id, r, body) {
 		return
 	}
-	if l := n.lead; l != nil && l.shards != nil && !l.known.IsZero() {
+	if l := c.leader; l != nil && l.shards != nil && !l.known.IsZero() {
 		l.shards.redirect(id, r, body)
 		return
 	}
-	if n.lead == nil && !n.leaderDoubtful() || n.storeDown() {
-		n.reply(id, 421, protocol.Redirect(s.sendOn.to(r.Machine)))
+	if c.leader == nil && !c.leaderDoubtful() || c.storeDown() {
+		c.reply(id, 421, protocol.Redirect(s.sendOn.to(r.Machine)))
 		return
 	}
-	n.holdForLeader(id, body)
+	c.holdForLeader(id, body)
 }
 
 // ownerName is who serves a shard, empty when nobody does.
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -7,23 +7,25 @@
 
 // unheardAfter is when every live worker has found this leader: the longest interval
 // between reports, and a report or two that were lost on nodes that are gone.
-func (l *lead) unheardAfter() time.Duration { return l.n.cfg.ReportInterval*5/4 + 6*time.Second }
+func (l *leader) unheardAfter() time.Duration {
+	return l.controller.cfg.ReportInterval*5/4 + 6*time.Second
+}
 
 // watchMachines looks for machines that have fallen silent. Silence proves
 // nothing; releasing the machine does, and takes a moment.
-func (l *lead) watchMachines() {
-	n := l.n
+func (l *leader) watchMachines() {
+	c := l.controller
 	stalled := l.stalled()
-	if l.phase == settling && l.shards == nil && n.now.Sub(l.loadedAt) > askAfter {
+	if l.phase == settling && l.shards == nil && c.now.Sub(l.loadedAt) > askAfter {
 		l.askUnreached()
 	}
 	if l.phase != active {
 		return
 	}
-	if stalled || n.storeDown() || !l.entitled() {
+	if stalled || c.storeDown() || !l.holdsLease() {
 		// Nothing could be moved now, and workers that got no answer from this
 		// node look for another: their silence counts anew from here.
-		l.deaf = n.now
+		l.deaf = c.now
 		return
 	}
 	s := l.survey()
@@ -36,11 +38,11 @@
 }
 
 // askUnreached asks the workers that nothing of ours has reached yet.
-func (l *lead) askUnreached() {
+func (l *leader) askUnreached() {
 	var ask []*machine
 	for _, m := range l.fleetList {
 		// One that came by itself soon shows our token in its next report.
-		if m.reached.IsZero() && (!m.up && m.inherited || m.up && l.n.now.Sub(m.firstHeard) > tokenSoon) {
+		if m.reached.IsZero() && (!m.up && m.inherited || m.up && l.controller.now.Sub(m.firstHeard) > tokenSoon) {
 			ask = append(ask, m)
 		}
 	}
@@ -60,7 +62,7 @@
 	inherited, heard, mute int
 }
 
-func (l *lead) survey() *survey {
+func (l *leader) survey() *survey {
 	s := &survey{groups: map[reachGroup]*reach{}, doubtful: map[string]bool{}}
 	for _, m := range l.fleetList {
 		since, expected := l.silentSince(m)
@@ -68,14 +70,14 @@
 			s.countInherited(m)
 		}
 		if expected {
-			s.add(l, m, l.n.now.Sub(since))
+			s.add(l, m, l.controller.now.Sub(since))
 		}
 	}
 	return s
 }
 
 // silentSince is since when a machine is silent, if its worker should be up.
-func (l *lead) silentSince(m *machine) (since time.Time, expected bool) {
+func (l *leader) silentSince(m *machine) (since time.Time, expected bool) {
 	since = m.heard
 	if !m.up {
 		if len(m.attempts) == 0 {
@@ -91,7 +93,7 @@
 	if l.shards != nil {
 		heard, ok := l.shards.heardSince(m)
 		if !ok {
-			return l.n.now, true // nobody tells of it
+			return l.controller.now, true // nobody tells of it
 		}
 		since = latest(since, heard)
 	}
@@ -109,7 +111,7 @@
 }
 
 // add takes in a machine that was silent for a time.
-func (s *survey) add(l *lead, m *machine, silent time.Duration) {
+func (s *survey) add(l *leader, m *machine, silent time.Duration) {
 	key := l.reachGroup(m)
 	z := s.groups[key]
 	if z == nil {
@@ -150,27 +152,27 @@
 // while another node hasn't tried. Those that don't answer calls either needn't be waited
 // for: with two nodes in a row that were cut off from the workers, all leases were over
 // before the third led.
-func (l *lead) givesWay(s *survey) bool {
-	n := l.n
-	if s.known > 2 && s.lost*2 > s.known && n.now.Sub(l.settled) > 2*time.Second && n.resignUnfit("most machines are out of reach") {
+func (l *leader) givesWay(s *survey) bool {
+	c := l.controller
+	if s.known > 2 && s.lost*2 > s.known && c.now.Sub(l.settled) > 2*time.Second && c.resignUnfit("most machines are out of reach") {
 		return true
 	}
 	unheard := s.inherited > 2 && s.heard*3 < s.inherited
-	waited := s.mute*3 > s.inherited*2 || n.now.Sub(l.loadedAt) > l.unheardAfter()
-	return unheard && waited && n.resignUnfit("few machines are heard")
+	waited := s.mute*3 > s.inherited*2 || c.now.Sub(l.loadedAt) > l.unheardAfter()
+	return unheard && waited && c.resignUnfit("few machines are heard")
 }
 
 // giveUp returns silent machines, but for those whose zone is rather cut off, and those
 // that are kept for their replicas.
-func (l *lead) giveUp(s *survey) {
-	n := l.n
+func (l *leader) giveUp(s *survey) {
+	c := l.controller
 	h := l.newHolds()
 	for _, m := range s.silent {
 		if l.serves(m) {
 			l.endSilent(m)
 		}
-		quiet := n.now.Sub(latest(m.heard, m.reached, l.deaf, l.elected))
-		if s.groups[l.reachGroup(m)].cut() && quiet <= n.cfg.WorkerLease {
+		quiet := c.now.Sub(latest(m.heard, m.reached, l.deaf, l.elected))
+		if s.groups[l.reachGroup(m)].cut() && quiet <= c.cfg.WorkerLease {
 			continue
 		}
 		if m.releasing || !h.keep(m, quiet) {
@@ -184,7 +186,7 @@
 }
 
 // lost reports whether a machine that was silent for a time is to be given up.
-func (l *lead) lost(m *machine, silent time.Duration) bool {
+func (l *leader) lost(m *machine, silent time.Duration) bool {
 	unreached, unreported := l.unreached(m), l.unreported(m)
 	if l.shards != nil {
 		// All of it is the word of who serves the machine: while nobody is heard it says
@@ -193,11 +195,11 @@
 		if !heard {
 			return false
 		}
-		told := l.n.now.Sub(since)
+		told := l.controller.now.Sub(since)
 		unreached, unreported = min(unreached, told), min(unreported, told)
 	}
 	return silent > l.releaseAfter() || silent > giveUpAfter && m.probeFails >= 3 ||
-		unreached > l.deafAfter() && m.probeFails >= 4 || unreported > 2*l.n.cfg.WorkerLease
+		unreached > l.deafAfter() && m.probeFails >= 4 || unreported > 2*l.controller.cfg.WorkerLease
 }
 
 func latest(times ...time.Time) time.Time {
@@ -208,7 +210,7 @@
 // zone that one controller serves.
 type reachGroup struct{ owner, zone string }
 
-func (l *lead) reachGroup(m *machine) reachGroup {
+func (l *leader) reachGroup(m *machine) reachGroup {
 	if l.shards == nil {
 		return reachGroup{zone: m.Zone}
 	}
@@ -223,9 +225,9 @@
 // times, so those that are only late by now count, too.
 func (r *reach) cut() bool { return r.late > 2 && r.late*5 > r.machines*3 }
 
-func (n *Node) otherZone() bool {
-	for i := range n.cfg.Peers {
-		if n.cfg.Peers[i].Zone != n.cfg.Zone {
+func (c *Controller) otherZone() bool {
+	for i := range c.cfg.Peers {
+		if c.cfg.Peers[i].Zone != c.cfg.Zone {
 			return true
 		}
 	}
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -12,17 +12,17 @@
 // at different times of an interval, and gives the first that is given up within span.
 func cutZone(t *testing.T, interval, span time.Duration) (given string, asked int) {
 	t.Helper()
-	n, l := leading(active)
-	n.cfg.ReportInterval = interval
-	start := n.now
+	c, l := leading(active)
+	c.cfg.ReportInterval = interval
+	start := c.now
 	var cut, others []*machine
 	for i := range 30 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "b", false)
 		m.up, m.recorded, m.session, m.addr = true, true, 1, fmt.Sprintf("addr-%02d", i)
-		m.heard, m.reached, m.firstHeard = n.now, n.now, n.now
+		m.heard, m.reached, m.firstHeard = c.now, c.now, c.now
 		if i < 12 {
 			m.Zone = "a"
-			m.heard = n.now.Add(-interval * 5 / 4 * time.Duration(i) / 12) // the longest between reports
+			m.heard = c.now.Add(-interval * 5 / 4 * time.Duration(i) / 12) // the longest between reports
 			cut = append(cut, m)
 		} else {
 			others = append(others, m)
@@ -34,10 +34,10 @@
 	}
 	var open []probe
 	calls := func(e Effects) {
-		for _, c := range e.Calls {
-			if c.To == Worker && c.Target == protocol.PathShow {
+		for _, call := range e.Calls {
+			if call.To == Worker && call.Target == protocol.PathShow {
 				asked++
-				open = append(open, probe{c.ID, n.now.Add(c.Timeout)})
+				open = append(open, probe{call.ID, c.now.Add(call.Timeout)})
 			}
 		}
 	}
@@ -48,9 +48,9 @@
 		for len(open) > 0 && !open[0].at.After(now) {
 			id := open[0].id
 			open = open[1:]
-			calls(n.Result(now, id, Outcome{}))
+			calls(c.Result(now, id, Outcome{}))
 		}
-		calls(n.Tick(now))
+		calls(c.Tick(now))
 		for _, m := range cut {
 			if m.releasing {
 				return m.Name, asked
@@ -71,18 +71,18 @@
 
 // Between reports that come in time nobody is asked.
 func TestNoProbesBetweenReports(t *testing.T) {
-	n, l := leading(active)
-	n.cfg.ReportInterval = 4 * time.Second
+	c, l := leading(active)
+	c.cfg.ReportInterval = 4 * time.Second
 	m := addTestMachine(l, "vm-1", true)
-	m.addr, m.reached, m.firstHeard = "x", n.now, n.now
+	m.addr, m.reached, m.firstHeard = "x", c.now, c.now
 	for since := time.Duration(0); since < 4*time.Second; since += watchInterval {
-		n.now = m.heard.Add(since)
+		c.now = m.heard.Add(since)
 		l.watchMachines()
 	}
 	if m.probing {
 		t.Error("a machine is asked before its report is due")
 	}
-	n.now = m.heard.Add(4*time.Second + watchInterval)
+	c.now = m.heard.Add(4*time.Second + watchInterval)
 	l.watchMachines()
 	if !m.probing {
 		t.Error("a machine that is late isn't asked")
@@ -91,17 +91,17 @@
 
 // Where one worker of a zone doesn't answer, the others of it are asked sooner.
 func TestDoubtfulZoneIsAskedSooner(t *testing.T) {
-	n, l := leading(active)
-	n.cfg.ReportInterval = 4 * time.Second
+	c, l := leading(active)
+	c.cfg.ReportInterval = 4 * time.Second
 	lost, near, far := addTestMachine(l, "vm-1", true), addTestMachine(l, "vm-2", true), addTestMachine(l, "vm-3", true)
 	for _, m := range []*machine{lost, near, far} {
-		m.addr, m.reached, m.firstHeard = "x", n.now, n.now
+		m.addr, m.reached, m.firstHeard = "x", c.now, c.now
 	}
 	lost.probeFails, far.Zone = 1, "b"
-	n.now = n.now.Add(minProbeAfter)
-	l.watched = n.now // it hasn't stood still meanwhile
+	c.now = c.now.Add(minProbeAfter)
+	l.watched = c.now // it hasn't stood still meanwhile
 	l.watchMachines() // sees the doubt
-	n.now = n.now.Add(watchInterval)
+	c.now = c.now.Add(watchInterval)
 	l.watchMachines()
 	if !near.probing || far.probing {
 		t.Errorf("asked: the same zone %t, another %t", near.probing, far.probing)
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // storeTimeout is how long the state service has to answer: now and then it
@@ -22,43 +22,43 @@
 // answered last.
 const watchWait = 8 * time.Second
 
-func (n *Node) jobsWatchWait() time.Duration {
-	return min(max(n.answersFor()/4, 250*time.Millisecond), time.Second)
+func (c *Controller) jobsWatchWait() time.Duration {
+	return min(max(c.answersFor()/4, 250*time.Millisecond), time.Second)
 }
 
 // store sends one request to the state service and notes whether it works.
-func (n *Node) store(method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
-	n.storeCost.Spend(n.now, 1)
-	n.call(State, "", method, target, body, timeout, func(o Outcome) {
-		n.noteStore(o)
+func (c *Controller) store(method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
+	c.storeCost.Spend(c.now, 1)
+	c.call(State, "", method, target, body, timeout, func(o Outcome) {
+		c.noteStore(o)
 		done(o)
 	})
 }
 
 // storeWatch is store for watches, whose silence says nothing.
-func (n *Node) storeWatch(prefix string, after uint64, wait time.Duration, done func(Outcome)) {
-	n.storeCost.Spend(n.now, 1)
-	n.call(State, "", "GET", protocol.WatchTarget(prefix, after, wait), nil, wait+4*time.Second, func(o Outcome) {
+func (c *Controller) storeWatch(prefix string, after uint64, wait time.Duration, done func(Outcome)) {
+	c.storeCost.Spend(c.now, 1)
+	c.call(State, "", "GET", protocol.WatchTarget(prefix, after, wait), nil, wait+4*time.Second, func(o Outcome) {
 		if o.Answered {
-			n.noteStore(o)
+			c.noteStore(o)
 		}
 		done(o)
 	})
 }
 
-func (n *Node) noteStore(o Outcome) {
+func (c *Controller) noteStore(o Outcome) {
 	switch {
 	case o.Answered && o.Status != 503 && o.Status < 500 && o.Status != 429:
-		if !n.storeBad.IsZero() && n.now.Sub(n.storeBad) > time.Second {
-			n.log.Info("state service answers again", "after", n.now.Sub(n.storeBad))
+		if !c.storeBad.IsZero() && c.now.Sub(c.storeBad) > time.Second {
+			c.log.Info("state service answers again", "after", c.now.Sub(c.storeBad))
 		}
-		n.storeOK, n.storeBad = n.now, time.Time{}
+		c.storeOK, c.storeBad = c.now, time.Time{}
 	case o.Answered && o.Status == 429:
 		// It works, and we ask too much.
 	default:
-		if n.storeBad.IsZero() {
-			n.storeBad = n.now
-			n.after(storeProbe, n.askStore)
+		if c.storeBad.IsZero() {
+			c.storeBad = c.now
+			c.after(storeProbe, c.askStore)
 		}
 	}
 }
@@ -66,33 +66,33 @@
 // askStore asks the state service until it answers again. While it is taken
 // for down users are refused without asking it, so that nothing else might ever
 // find out: a follower that sends no requests of its own stayed down for good.
-func (n *Node) askStore() {
-	if n.storeBad.IsZero() {
+func (c *Controller) askStore() {
+	if c.storeBad.IsZero() {
 		return
 	}
-	n.storeGet(bookkeeping.KeyTerm, func(protocol.Item, bool, bool) {
-		n.after(storeProbe, n.askStore)
+	c.storeGet(records.KeyTerm, func(protocol.Item, bool, bool) {
+		c.after(storeProbe, c.askStore)
 	})
 }
 
 // checkStore asks the state service when nothing else has for a while. A watch that
 // is cut says nothing for many seconds, and a node without other requests would
 // still call itself healthy.
-func (n *Node) checkStore() {
-	if n.storeBad.IsZero() && n.now.Sub(n.storeOK) > storeQuiet {
-		n.storeGet(bookkeeping.KeyTerm, func(protocol.Item, bool, bool) {})
+func (c *Controller) checkStore() {
+	if c.storeBad.IsZero() && c.now.Sub(c.storeOK) > storeQuiet {
+		c.storeGet(records.KeyTerm, func(protocol.Item, bool, bool) {})
 	}
 }
 
 // storeDown reports whether the state service has refused or ignored this
 // node for longer than a hiccup.
-func (n *Node) storeDown() bool {
-	return !n.storeBad.IsZero() && n.now.Sub(n.storeBad) > 1200*time.Millisecond
+func (c *Controller) storeDown() bool {
+	return !c.storeBad.IsZero() && c.now.Sub(c.storeBad) > 1200*time.Millisecond
 }
 
 // storeGet reads one key; ok is false when nothing is known.
-func (n *Node) storeGet(key string, done func(it protocol.Item, found, ok bool)) {
-	n.store("GET", protocol.KeyTarget(key), nil, storeTimeout, func(o Outcome) {
+func (c *Controller) storeGet(key string, done func(it protocol.Item, found, ok bool)) {
+	c.store("GET", protocol.KeyTarget(key), nil, storeTimeout, func(o Outcome) {
 		switch {
 		case o.Answered && o.Status == 404:
 			done(protocol.Item{}, false, true)
@@ -108,16 +108,16 @@
 // storeList reads all keys with a prefix, page by page, retrying until it has
 // them or alive says to stop. The revision is that of the first page, so a
 // watch from it misses nothing; all that was written before asked is in the list.
-func (n *Node) storeList(prefix string, alive func() bool, done func(items []protocol.Item, revision uint64, asked time.Time)) {
+func (c *Controller) storeList(prefix string, alive func() bool, done func(items []protocol.Item, revision uint64, asked time.Time)) {
 	var items []protocol.Item
 	var first uint64
 	var asked time.Time
 	var page func(after string)
 	page = func(after string) {
 		if first == 0 {
-			asked = n.now
+			asked = c.now
 		}
-		n.store("GET", protocol.RangeTarget(prefix, after, 500), nil, 2*storeTimeout, func(o Outcome) {
+		c.store("GET", protocol.RangeTarget(prefix, after, 500), nil, 2*storeTimeout, func(o Outcome) {
 			if !alive() {
 				return
 			}
@@ -136,7 +136,7 @@
 					return
 				}
 			}
-			n.after(250*time.Millisecond+n.jitter(100*time.Millisecond), func() {
+			c.after(250*time.Millisecond+c.jitter(100*time.Millisecond), func() {
 				if alive() {
 					page(after)
 				}
@@ -159,11 +159,11 @@
 
 // maxConditions is how many keys one transaction compares: what the state service takes, and
 // what its body holds.
-func (n *Node) maxConditions() int { return min(4*n.cfg.TxnOps, protocol.MaxConditions) }
+func (c *Controller) maxConditions() int { return min(4*c.cfg.TxnOps, protocol.MaxConditions) }
 
 // storeTxn sends a transaction.
-func (n *Node) storeTxn(t *protocol.Txn, done func(r txnResult, revision uint64, failed []string)) {
-	n.store("POST", protocol.PathMulti, protocol.TxnBody(t), storeTimeout, func(o Outcome) {
+func (c *Controller) storeTxn(t *protocol.Txn, done func(r txnResult, revision uint64, failed []string)) {
+	c.store("POST", protocol.PathMulti, protocol.TxnBody(t), storeTimeout, func(o Outcome) {
 		switch {
 		case !o.Answered && o.NotSent:
 			done(txnRefused, 0, nil)
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"slices"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // submission is a job whose record is to be written, and who asked for it.
@@ -15,58 +15,58 @@
 	ids    []uint64
 }
 
-func (n *Node) submit(id uint64, body []byte) {
+func (c *Controller) submit(id uint64, body []byte) {
 	job, err := protocol.ParseJob(body)
 	if err != nil {
-		n.reply(id, 400, protocol.ErrorAnswer(err.Error()))
+		c.reply(id, 400, protocol.ErrorAnswer(err.Error()))
 		return
 	}
-	if f, ok := n.admission.finals[job.ID]; ok {
-		n.reply(id, 200, protocol.JobAnswer(job.ID, f.state))
+	if f, ok := c.admission.finals[job.ID]; ok {
+		c.reply(id, 200, protocol.JobAnswer(job.ID, f.state))
 		return
 	}
-	if len(n.types) == 0 || n.storeDown() {
-		n.refuse(id, 503, "not ready to decide")
+	if len(c.types) == 0 || c.storeDown() {
+		c.refuse(id, 503, "not ready to decide")
 		return
 	}
-	n.admission.waiting++
-	if reason := n.neverRuns(job); reason != "" {
+	c.admission.waiting++
+	if reason := c.neverRuns(job); reason != "" {
 		// A known job gets its state whatever the limits say by now.
-		n.lookup(job.ID, func(s protocol.JobState, ok bool) {
-			n.admission.waiting--
+		c.lookup(job.ID, func(s protocol.JobState, ok bool) {
+			c.admission.waiting--
 			switch {
 			case !ok:
-				n.refuseWithoutStore(id)
+				c.refuseWithoutStore(id)
 			case s == 0:
-				n.reply(id, 422, protocol.ErrorAnswer(reason))
+				c.reply(id, 422, protocol.ErrorAnswer(reason))
 			default:
-				n.reply(id, 200, protocol.JobAnswer(job.ID, s))
+				c.reply(id, 200, protocol.JobAnswer(job.ID, s))
 			}
 		})
 		return
 	}
-	record := bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: bookkeeping.ChunkSize(n.cfg.ValueBytes), Spec: job}
-	raw := bookkeeping.Encode(record)
-	if len(raw) > n.cfg.ValueBytes {
-		n.admission.waiting--
-		n.reply(id, 400, protocol.ErrorAnswer("the job's description is too long"))
+	record := records.Job{Submitted: records.Millis(c.now), Chunk: records.ChunkSize(c.cfg.ValueBytes), Spec: job}
+	raw := records.Encode(record)
+	if len(raw) > c.cfg.ValueBytes {
+		c.admission.waiting--
+		c.reply(id, 400, protocol.ErrorAnswer("the job's description is too long"))
 		return
 	}
-	for _, s := range n.admission.submissions {
+	for _, s := range c.admission.submissions {
 		if s.job.ID == job.ID {
 			s.ids = append(s.ids, id)
 			return
 		}
 	}
-	n.admission.submissions = append(n.admission.submissions, &submission{job, raw, []uint64{id}})
-	n.writeSubmissions()
+	c.admission.submissions = append(c.admission.submissions, &submission{job, raw, []uint64{id}})
+	c.writeSubmissions()
 }
 
 // writeSubmissions writes the records of the jobs that came while the last transaction
 // was under way. Half a transaction at the most: all of it is refused at once when the
 // state service has too little left.
-func (n *Node) writeSubmissions() {
-	a := &n.admission
+func (c *Controller) writeSubmissions() {
+	a := &c.admission
 	if a.inSubmit || len(a.submissions) == 0 {
 		return
 	}
@@ -74,80 +74,80 @@
 	t := &protocol.Txn{}
 	count, size := 0, 0
 	for _, s := range a.submissions {
-		if count == max(1, n.cfg.TxnOps/2) || count > 0 && size+len(s.record) > 32<<10 {
+		if count == max(1, c.cfg.TxnOps/2) || count > 0 && size+len(s.record) > 32<<10 {
 			break
 		}
 		// The job exists once this is applied, and only then is the user told. The
 		// outcome's absence keeps a late copy from reviving a job that is over and
 		// whose record is already gone.
-		t.If = append(t.If, protocol.Condition{Key: bookkeeping.KeyActive(s.job.ID)}, protocol.Condition{Key: bookkeeping.KeyOutcome(s.job.ID)})
-		t.Then = append(t.Then, protocol.Op{Put: bookkeeping.KeyActive(s.job.ID), Value: s.record})
+		t.If = append(t.If, protocol.Condition{Key: records.KeyActive(s.job.ID)}, protocol.Condition{Key: records.KeyOutcome(s.job.ID)})
+		t.Then = append(t.Then, protocol.Op{Put: records.KeyActive(s.job.ID), Value: s.record})
 		count, size = count+1, size+len(s.record)
 	}
 	group := a.submissions[:count:count]
 	a.submissions = append([]*submission(nil), a.submissions[count:]...)
-	n.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
+	c.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
 		a.inSubmit = false
 		var again []*submission
 		for _, s := range group {
 			switch {
 			case r == txnApplied:
-				n.accepted(s)
-			case r == txnFailed && (slices.Contains(failed, bookkeeping.KeyActive(s.job.ID)) || slices.Contains(failed, bookkeeping.KeyOutcome(s.job.ID))):
-				n.knownAlready(s)
+				c.accepted(s)
+			case r == txnFailed && (slices.Contains(failed, records.KeyActive(s.job.ID)) || slices.Contains(failed, records.KeyOutcome(s.job.ID))):
+				c.knownAlready(s)
 			case r == txnFailed && len(failed) > 0:
 				again = append(again, s) // another of the group was known already
 			default:
 				a.waiting -= len(s.ids)
 				for _, id := range s.ids {
-					if r == txnRefused && !n.storeDown() {
-						n.refuseForNow(id) // too much at once
+					if r == txnRefused && !c.storeDown() {
+						c.refuseForNow(id) // too much at once
 					} else {
-						n.refuseWithoutStore(id)
+						c.refuseWithoutStore(id)
 					}
 				}
 			}
 		}
 		a.submissions = append(again, a.submissions...)
-		n.writeSubmissions()
+		c.writeSubmissions()
 	})
 }
 
-func (n *Node) accepted(s *submission) {
-	n.admission.waiting -= len(s.ids)
-	n.admission.setKnown(s.job.ID)
-	n.log.Debug("job accepted", "job", s.job.ID, "class", s.job.Class, "tasks", s.job.Tasks,
+func (c *Controller) accepted(s *submission) {
+	c.admission.waiting -= len(s.ids)
+	c.admission.setKnown(s.job.ID)
+	c.log.Debug("job accepted", "job", s.job.ID, "class", s.job.Class, "tasks", s.job.Tasks,
 		"estimate", s.job.Estimate, "deadline", s.job.Deadline, "image", s.job.Image, "gb", s.job.ImageGB)
 	for i, id := range s.ids {
 		status := 201
 		if i > 0 {
 			status = 200
 		}
-		n.reply(id, status, protocol.JobAnswer(s.job.ID, protocol.Queued))
+		c.reply(id, status, protocol.JobAnswer(s.job.ID, protocol.Queued))
 	}
 }
 
-func (n *Node) knownAlready(s *submission) {
-	n.lookup(s.job.ID, func(state protocol.JobState, ok bool) {
-		n.admission.waiting -= len(s.ids)
+func (c *Controller) knownAlready(s *submission) {
+	c.lookup(s.job.ID, func(state protocol.JobState, ok bool) {
+		c.admission.waiting -= len(s.ids)
 		for _, id := range s.ids {
 			if !ok || state == 0 {
-				n.refuseWithoutStore(id)
+				c.refuseWithoutStore(id)
 				continue
 			}
-			n.reply(id, 200, protocol.JobAnswer(s.job.ID, state))
+			c.reply(id, 200, protocol.JobAnswer(s.job.ID, state))
 		}
 	})
 }
 
 // neverRuns tells why a job can't ever run; empty when it can.
-func (n *Node) neverRuns(j *protocol.Job) string {
-	team := n.teams[j.Team]
+func (c *Controller) neverRuns(j *protocol.Job) string {
+	team := c.teams[j.Team]
 	if team == nil {
 		return "unknown team"
 	}
 	fits := false
-	for _, t := range n.types {
+	for _, t := range c.types {
 		if j.AllowsType(t.Name) && t.Fits(j) {
 			fits = true
 			break
--- a/internal/coordination/unfit_test.go
+++ b/internal/coordination/unfit_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // A leader that never hears most of the machines that ran tasks before gives way to
@@ -17,7 +17,7 @@
 // and nobody hands over to it for its zone meanwhile. A leader that was cut off from its
 // workers had been handed the lead again and returned 1,113 machines that others reached.
 func TestLeaderWithoutWorkersGivesWay(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		heard int
 		peers []bool // whether they are unfit
@@ -30,52 +30,52 @@
 		{"hears nobody, again, and no peer", 0, nil, true},
 		{"hears nobody, again, while another is fit", 0, []bool{false, true}, false},
 	} {
-		n, l := leading(settling)
-		again := strings.Contains(c.name, "again")
+		c, l := leading(settling)
+		again := strings.Contains(test.name, "again")
 		if again {
-			n.election.unfitUntil = n.now.Add(unfitTime)
+			c.election.unfitUntil = c.now.Add(unfitTime)
 		}
-		n.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}, {Name: "n2", Zone: "a"}}
-		n.teams["red"].CPUsMax = 100
-		l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
+		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}, {Name: "n2", Zone: "a"}}
+		c.teams["red"].CPUsMax = 100
+		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 			Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
 		j := l.order[0]
 		for i := range 10 {
 			m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 			m.inherited, m.recorded = true, true
 			j.chunk(i)
-			a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, since: n.now}
+			a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, since: c.now}
 			l.attach(a)
 		}
-		l.phase, l.loadedAt, l.settled = active, n.now, n.now
+		l.phase, l.loadedAt, l.settled = active, c.now, c.now
 		for range 60 { // 15 s, the length of a lease
-			n.now = n.now.Add(watchInterval)
-			for i, unfit := range c.peers {
+			c.now = c.now.Add(watchInterval)
+			for i, unfit := range test.peers {
 				raw, err := json.Marshal(peerMessage{Node: fmt.Sprintf("n%d", i+1), StoreOK: true, Unfit: unfit})
 				if err != nil {
 					t.Fatal(err)
 				}
-				n.Peer(n.now, raw)
+				c.Peer(c.now, raw)
 			}
 			for i, m := range l.fleetList {
-				if i < c.heard {
-					m.up, m.heard, m.reached, m.answered, m.firstHeard = true, n.now, n.now, n.now, n.now
+				if i < test.heard {
+					m.up, m.heard, m.reached, m.answered, m.firstHeard = true, c.now, c.now, c.now, c.now
 				}
 			}
-			if n.lead != nil {
+			if c.leader != nil {
 				l.watchMachines()
 			}
 		}
-		if stays := n.lead == l; stays != c.stays {
-			t.Errorf("a leader that %s stays: %t", c.name, stays)
+		if stays := c.leader == l; stays != test.stays {
+			t.Errorf("a leader that %s stays: %t", test.name, stays)
 		}
 		for _, m := range l.fleetList {
-			if !c.stays && m.releasing {
-				t.Errorf("a leader that %s gave up %s before it gave way", c.name, m.Name)
+			if !test.stays && m.releasing {
+				t.Errorf("a leader that %s gave up %s before it gave way", test.name, m.Name)
 			}
 		}
-		if !again && n.unfit() == c.stays {
-			t.Errorf("a leader that %s calls itself unfit: %t", c.name, n.unfit())
+		if !again && c.unfit() == test.stays {
+			t.Errorf("a leader that %s calls itself unfit: %t", test.name, c.unfit())
 		}
 	}
 }
@@ -83,18 +83,18 @@
 // The lead isn't handed to a node of the better zone that calls itself unfit.
 func TestNoHandOverToUnfit(t *testing.T) {
 	for _, unfit := range []bool{false, true} {
-		n, l := leading(active)
-		n.cfg.Zone = "b"
-		n.cfg.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		n.election.prefer = "a"
-		n.now = n.now.Add(time.Minute)
+		c, l := leading(active)
+		c.cfg.Zone = "b"
+		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
+		c.election.prefer = "a"
+		c.now = c.now.Add(time.Minute)
 		for i := range 5 {
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
-			m.up, m.heard = true, n.now
+			m.up, m.heard = true, c.now
 		}
-		n.peers["n1"] = &peerView{at: n.now, storeOK: true, unfit: unfit}
+		c.peers["n1"] = &peerView{at: c.now, storeOK: true, unfit: unfit}
 		l.choosePlace()
-		if stays := n.lead == l; stays != unfit {
+		if stays := c.leader == l; stays != unfit {
 			t.Errorf("with the peer unfit %t the leader stays: %t", unfit, stays)
 		}
 	}
@@ -103,32 +103,32 @@
 // A leader whose calls to nearly all workers fail doesn't wait for their reports before it
 // gives way: with two such nodes in a row the workers' leases were over.
 func TestLeaderThatReachesNobodyGivesWaySoon(t *testing.T) {
-	n, l := leading(settling)
-	n.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	n.peers["n1"] = &peerView{at: n.now, storeOK: true}
-	n.teams["red"].CPUsMax = 100
-	l.addJob(&bookkeeping.Job{Submitted: bookkeeping.Millis(n.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
+	c, l := leading(settling)
+	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
+	c.peers["n1"] = &peerView{at: c.now, storeOK: true}
+	c.teams["red"].CPUsMax = 100
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
 	j := l.order[0]
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 		m.inherited, m.recorded, m.addr = true, true, "x"
-		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, since: n.now})
+		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, since: c.now})
 	}
-	l.phase, l.loadedAt, l.settled = active, n.now, n.now
-	begin := n.now
-	n.take()
-	for n.lead == l && n.now.Sub(begin) < 15*time.Second {
-		n.now = n.now.Add(watchInterval)
-		n.peers["n1"].at = n.now
+	l.phase, l.loadedAt, l.settled = active, c.now, c.now
+	begin := c.now
+	c.take()
+	for c.leader == l && c.now.Sub(begin) < 15*time.Second {
+		c.now = c.now.Add(watchInterval)
+		c.peers["n1"].at = c.now
 		l.watchMachines()
-		for _, c := range n.take().Calls {
-			if c.To == Worker {
-				n.Result(n.now, c.ID, Outcome{})
+		for _, call := range c.take().Calls {
+			if call.To == Worker {
+				c.Result(c.now, call.ID, Outcome{})
 			}
 		}
 	}
-	if took := n.now.Sub(begin); took > 5*time.Second {
+	if took := c.now.Sub(begin); took > 5*time.Second {
 		t.Errorf("it gave way after %s", took)
 	}
 	for _, m := range l.fleetList {
--- a/internal/bookkeeping/budget.go
+++ b/internal/records/budget.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package records
 
 import "time"
 
--- a/internal/bookkeeping/records.go
+++ b/internal/records/records.go
@@ -1,6 +1,6 @@
-// Package bookkeeping defines what the controllers keep in the state service
+// Package records defines what the controllers keep in the state service
 // and how much they may ask of it: keys, records, and request budgets.
-package bookkeeping
+package records
 
 import (
 	"encoding/base64"
@@ -176,7 +176,7 @@
 	case outcomeCancelled:
 		return protocol.Cancelled, o.Done, nil
 	}
-	return 0, 0, errors.New("bookkeeping: unknown outcome")
+	return 0, 0, errors.New("records: unknown outcome")
 }
 
 // Machines is the record of rented machines of one kind.
