--- a/internal/standin/checks_test.go
+++ b/internal/simulator/checks_test.go
@@ -1,12 +1,12 @@
-package standin
+package simulator
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // breaking starts a cluster with an accepted job of four tasks, lets f bring trouble
@@ -54,10 +54,10 @@
 		c.served(term<<termBits|1, "node-1#1")
 	}, "two_owners")
 	breaking(t, func(c *Cluster, _ *userJob) { // a machine is in two shards
-		r := bookkeeping.Machines{Type: "small", Zone: "a", Machines: []bookkeeping.Machine{{Name: "vm-000000"}}}
+		r := records.Machines{Type: "small", Zone: "a", Machines: []records.Machine{{Name: "vm-000000"}}}
 		for id := range 2 {
-			key := bookkeeping.KeyMachines(id+1, 1, uint64(id+900))
-			c.state.keys[key] = protocol.Item{Key: key, Value: bookkeeping.Encode(r), Version: 1}
+			key := records.KeyMachines(id+1, 1, uint64(id+900))
+			c.state.keys[key] = protocol.Item{Key: key, Value: records.Encode(r), Version: 1}
 		}
 		c.Calm()
 	}, "two_shards")
--- a/internal/standin/cluster.go
+++ b/internal/simulator/cluster.go
@@ -1,11 +1,11 @@
-// Package standin is a deterministic stand-in for everything a controller
+// Package simulator is a deterministic stand-in for everything a controller
 // deals with: the state service, the cloud, workers, users and the network
 // between them, on a simulated clock. It checks the protocol's rules at every
 // step, so that each test of it tests them too.
 //
 // Live serves the same cluster over HTTP on the loopback interface, in real time, to
 // controllers that are processes.
-package standin
+package simulator
 
 import (
 	"container/heap"
@@ -122,8 +122,8 @@
 	c      *Cluster
 	name   string
 	zone   string
-	core   *coordination.Node // nil while it is down, or runs as a process of its own
-	remote process            // nil when the core runs in this process
+	core   *coordination.Controller // nil while it is down, or runs as a process of its own
+	remote process                  // nil when the core runs in this process
 	boots  uint64
 	wake   *event
 	wakeAt time.Time
--- a/internal/standin/moves.go
+++ b/internal/simulator/moves.go
@@ -1,10 +1,10 @@
-package standin
+package simulator
 
 import (
 	"fmt"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // movesCheck follows, by the records alone, which tasks were moved in which surge.
@@ -28,16 +28,16 @@
 // note takes a change in the state service. A mark that is set once more says that a leader
 // moved a task which another one had moved in the same surge.
 func (k *movesCheck) note(c *Cluster, op protocol.Op) {
-	job, chunk, ok := bookkeeping.ParseChunkKey(op.Put)
+	job, chunk, ok := records.ParseChunkKey(op.Put)
 	j := c.jobs[job]
 	if !ok || j == nil {
 		return
 	}
-	var r bookkeeping.Chunk
+	var r records.Chunk
 	if protocol.Decode(op.Value, &r) != nil {
 		return
 	}
-	size := bookkeeping.ChunkSize(c.settings.ValueBytes)
+	size := records.ChunkSize(c.settings.ValueBytes)
 	moved, err := r.IsMoved(size)
 	if err != nil {
 		c.breaks("unreadable_mark", "%s", op.Put)
--- a/internal/standin/owners.go
+++ b/internal/simulator/owners.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 const (
@@ -58,9 +58,9 @@
 // the most and that every worker is served.
 func (c *Cluster) checkOwners() {
 	in := map[string]int{}
-	for _, it := range c.state.under(bookkeeping.PrefixMachines) {
-		id := bookkeeping.ShardOfMachines(it.Key)
-		var r bookkeeping.Machines
+	for _, it := range c.state.under(records.PrefixMachines) {
+		id := records.ShardOfMachines(it.Key)
+		var r records.Machines
 		if id == 0 || protocol.Decode(it.Value, &r) != nil {
 			continue
 		}
@@ -96,7 +96,7 @@
 // Owners lists who owns how many shards, as the state service has it, and which move.
 func (c *Cluster) Owners() []string {
 	owned, moving := map[string]int{}, 0
-	for _, it := range c.state.under(bookkeeping.PrefixOwners) {
+	for _, it := range c.state.under(records.PrefixOwners) {
 		var r shard.Record
 		if protocol.Decode(it.Value, &r) != nil {
 			continue
@@ -120,8 +120,8 @@
 // Members lists the controllers that may own shards, as the state service has it.
 func (c *Cluster) Members() []string {
 	var list []string
-	for _, it := range c.state.under(bookkeeping.PrefixMembers) {
-		list = append(list, strings.TrimPrefix(it.Key, bookkeeping.PrefixMembers))
+	for _, it := range c.state.under(records.PrefixMembers) {
+		list = append(list, strings.TrimPrefix(it.Key, records.PrefixMembers))
 	}
 	return list
 }
@@ -129,10 +129,10 @@
 // ShardOwners lists the shards and who owns them, as the state service has it.
 func (c *Cluster) ShardOwners() []string {
 	var list []string
-	for _, it := range c.state.under(bookkeeping.PrefixOwners) {
+	for _, it := range c.state.under(records.PrefixOwners) {
 		var r shard.Record
 		if protocol.Decode(it.Value, &r) == nil {
-			list = append(list, fmt.Sprintf("%s %s", strings.TrimPrefix(it.Key, bookkeeping.PrefixOwners), r.Owner.Node))
+			list = append(list, fmt.Sprintf("%s %s", strings.TrimPrefix(it.Key, records.PrefixOwners), r.Owner.Node))
 		}
 	}
 	return list
--- a/internal/standin/state.go
+++ b/internal/simulator/state.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // stateService is the stand-in state service.
@@ -31,8 +31,8 @@
 	slowShare      float64
 	slowWatches    time.Duration // watches are answered this much later
 
-	requests, changes *bookkeeping.Budget // what the settings allow a second
-	changed, limited  int                 // changes made, and requests refused for their number
+	requests, changes *records.Budget // what the settings allow a second
+	changed, limited  int             // changes made, and requests refused for their number
 }
 
 // under lists the items whose keys have a prefix, in order.
@@ -70,15 +70,15 @@
 func newStateService(c *Cluster) *stateService {
 	rps, changes := c.settings.StateRPS, c.settings.StateWriteRPS
 	return &stateService{c: c, keys: map[string]protocol.Item{}, leases: map[uint64]*lease{}, refused: map[string]bool{},
-		requests: bookkeeping.NewBudget(rps, rps, c.now), changes: bookkeeping.NewBudget(changes, changes, c.now)}
+		requests: records.NewBudget(rps, rps, c.now), changes: records.NewBudget(changes, changes, c.now)}
 }
 
 func (s *stateService) leader() string {
-	it, ok := s.keys[bookkeeping.KeyLeader]
+	it, ok := s.keys[records.KeyLeader]
 	if !ok {
 		return ""
 	}
-	var l bookkeeping.Leader
+	var l records.Leader
 	_ = json.Unmarshal(it.Value, &l)
 	return l.Node
 }
@@ -360,7 +360,7 @@
 	begins := false
 	for _, op := range t.Then {
 		written = append(written, op.Put+op.Delete)
-		begins = begins || op.Put == bookkeeping.KeyLeader
+		begins = begins || op.Put == records.KeyLeader
 	}
 	s.c.strike(onWrite, written, true)
 	if begins {
--- a/internal/standin/troubles.go
+++ b/internal/simulator/troubles.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // insist repeats a request of a user's every second, at any node, until it is
@@ -114,9 +114,9 @@
 		case 0:
 			cancel()
 		case 1:
-			c.when(onWrite, bookkeeping.KeyOutcome(j.spec.ID), true, cancel)
+			c.when(onWrite, records.KeyOutcome(j.spec.ID), true, cancel)
 		case 2:
-			c.when(onWrite, bookkeeping.KeyOutcome(j.spec.ID), false, cancel)
+			c.when(onWrite, records.KeyOutcome(j.spec.ID), false, cancel)
 		}
 	}
 	c.lookClosely(j)
--- a/internal/standin/users.go
+++ b/internal/simulator/users.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"brasskeel/internal/bookkeeping"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // userJob is a job as its user knows it.
@@ -47,11 +47,11 @@
 // the stand-in's knowledge. The record stands for the description that users upload for
 // workers; a task takes as long as its user estimates.
 func (c *Cluster) recorded(op protocol.Op) {
-	id, active := strings.CutPrefix(op.Put, bookkeeping.PrefixActive)
+	id, active := strings.CutPrefix(op.Put, records.PrefixActive)
 	if !active || c.jobs[id] != nil {
 		return
 	}
-	var record bookkeeping.Job
+	var record records.Job
 	if json.Unmarshal(op.Value, &record) == nil && record.Spec != nil {
 		c.newJob(*record.Spec, record.Spec.Estimate, false)
 	}
