--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -117,7 +117,7 @@
 		return
 	case protocol.RouteReport:
 		c.count.Reports++
-		c.report(id, body)
+		c.heartbeat(id, body)
 		return
 	}
 	if c.admission.waiting >= c.maxWaiting() {
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -15,20 +15,20 @@
 	j.task(a.task).live = a
 	j.live++
 	j.zones[m.Zone]++
-	l.hold(a)
+	l.track(a)
 	l.balance.attached(a)
 	m.Wanted.Add(j.image, 1)
 	m.Taken = m.Taken.Plus(placement.Needs(j.Job))
 	if !j.Spot {
-		m.fixed += j.CPUs
+		m.onDemandCPUs += j.CPUs
 	}
-	m.kept[j.Priority] += j.CPUs
-	if a.stop {
-		l.noteStop(a, 1)
+	m.cpusByPriority[j.Priority] += j.CPUs
+	if a.stopRequested {
+		l.countStop(a, 1)
 	}
 	if j.Kind == protocol.Service {
 		m.ReplicaCPUs += j.CPUs
-		m.replicas++
+		m.replicaCount++
 	}
 	u := l.teams[j.Team]
 	if u == nil {
@@ -49,29 +49,29 @@
 	}
 	l.controller.log.Debug("attempt gone", "job", j.ID, "task", a.task, "attempt", a.number, "machine", m.Name, "why", why)
 	l.balance.detached(a)
-	l.setState(a, 0)
+	l.setTaskState(a, 0)
 	t.live = nil
 	j.live--
 	if j.zones[m.Zone]--; j.zones[m.Zone] == 0 {
 		delete(j.zones, m.Zone)
 	}
-	l.drop(a)
+	l.untrack(a)
 	m.Wanted.Add(j.image, -1)
-	if a.stop {
-		l.noteStop(a, -1)
+	if a.stopRequested {
+		l.countStop(a, -1)
 	}
 	m.Taken = m.Taken.Minus(placement.Needs(j.Job))
-	m.kept[j.Priority] -= j.CPUs
+	m.cpusByPriority[j.Priority] -= j.CPUs
 	if !j.Spot {
-		m.fixed -= j.CPUs
+		m.onDemandCPUs -= j.CPUs
 	}
 	if j.Kind == protocol.Service {
 		m.ReplicaCPUs -= j.CPUs
-		m.replicas--
+		m.replicaCount--
 	}
 	if len(m.attempts) == 0 {
-		m.Taken, m.Ending, m.ReplicaCPUs, m.fixed = placement.Resources{}, placement.Resources{}, 0, 0 // no rounding left behind
-		m.kept = [protocol.Critical + 1]float64{}
+		m.Taken, m.Ending, m.ReplicaCPUs, m.onDemandCPUs = placement.Resources{}, placement.Resources{}, 0, 0 // no rounding left behind
+		m.cpusByPriority = [protocol.Critical + 1]float64{}
 		m.emptySince = l.controller.now
 	}
 	u := l.teams[j.Team]
@@ -88,8 +88,8 @@
 	l.askPlace()
 }
 
-// setState notes an attempt's reported state.
-func (l *leader) setState(a *attempt, s protocol.TaskState) {
+// setTaskState notes an attempt's reported state.
+func (l *leader) setTaskState(a *attempt, s protocol.TaskState) {
 	if a.state == s {
 		return
 	}
@@ -101,10 +101,10 @@
 		l.balance.runs(a)
 		if !a.inherited {
 			l.controller.log.Debug("task runs", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
-				"within", a.job.within, "placed", l.controller.now.Sub(a.placed), "age", l.controller.now.Round(0).Sub(a.job.submitted))
+				"within", a.job.within, "placed", l.controller.now.Sub(a.placedAt), "age", l.controller.now.Round(0).Sub(a.job.submitted))
 		}
 	}
-	a.state, a.since = s, l.controller.now
+	a.state, a.stateSince = s, l.controller.now
 }
 
 // taskDone notes that a task has completed, whichever attempt did it.
@@ -141,9 +141,9 @@
 	}
 }
 
-// jobOver notes a recorded outcome. No task of the job starts any more, and
+// endJob notes a recorded outcome. No task of the job starts any more, and
 // those that run are stopped.
-func (l *leader) jobOver(j *job, s protocol.JobState) {
+func (l *leader) endJob(j *job, s protocol.JobState) {
 	if j.outcome != 0 {
 		return
 	}
@@ -176,35 +176,35 @@
 // stopAttempt wants an attempt ended. One whose start never left is gone at
 // once.
 func (l *leader) stopAttempt(a *attempt, grace time.Duration) {
-	if a.stop && a.grace <= grace {
+	if a.stopRequested && a.stopGrace <= grace {
 		return
 	}
-	if !a.stop {
-		a.stop = true
-		l.noteStop(a, 1)
+	if !a.stopRequested {
+		a.stopRequested = true
+		l.countStop(a, 1)
 	}
-	a.grace, a.stopSent = grace, time.Time{}
-	if a.neverSent() && !l.beingRecorded(a) {
+	a.stopGrace, a.stopSentAt = grace, time.Time{}
+	if a.neverSent() && !l.writeInFlight(a) {
 		l.detach(a, "never sent")
 		return
 	}
 	l.orderSoon(a)
 }
 
-// beingRecorded reports whether a write that holds the attempt may be under
+// writeInFlight reports whether a write that holds the attempt may be under
 // way; it is dealt with when that ends.
-func (l *leader) beingRecorded(a *attempt) bool {
+func (l *leader) writeInFlight(a *attempt) bool {
 	return !a.recorded && a.job.chunk(a.task).inFlight
 }
 
-// noteStop counts an attempt among those that were told to end, or takes it out.
+// countStop counts an attempt among those that were told to end, or takes it out.
 // Whoever looks for room needs the sums of a machine or a team, for every job and
 // task: found anew each time they cost a leader with thousands of waiting tasks
 // seconds at a time, more than its lease.
-func (l *leader) noteStop(a *attempt, by int) {
-	j, m, sign := a.job, a.machine, float64(by)
-	m.stops += by
-	if by > 0 {
+func (l *leader) countStop(a *attempt, delta int) {
+	j, m, sign := a.job, a.machine, float64(delta)
+	m.stopCount += delta
+	if delta > 0 {
 		m.Ending = m.Ending.Plus(placement.Needs(j.Job))
 	} else {
 		m.Ending = m.Ending.Minus(placement.Needs(j.Job))
--- /dev/null
+++ b/internal/coordination/autoscaler.go
@@ -0,0 +1,198 @@
+package coordination
+
+import (
+	"fmt"
+	"sort"
+	"time"
+
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// Times of the fleet's dealings with the cloud.
+const (
+	cloudTimeout       = 4 * time.Second
+	noCapacityPause    = 15 * time.Second // after "no capacity"
+	typesInterval      = 45 * time.Second
+	minimumBilledTime  = 60 * time.Second
+	releaseRetry       = time.Second
+	consolidationPause = 10 * time.Second
+)
+
+// maxPlannedMachines bounds how many machines one turn asks for: its answers show what is
+// still needed. reservedReleaseCalls are those of the cloud's calls at once that renting
+// leaves.
+const (
+	maxPlannedMachines   = 200
+	reservedReleaseCalls = 1
+)
+
+// demand is work without a machine.
+type demand struct {
+	job   *job
+	tasks int
+}
+
+// autoscaler rents and returns machines.
+type autoscaler struct {
+	callBudget           *records.Budget
+	unmetDemand          []demand
+	displacedReplicas    map[*job]int // replicas that silent machines are kept for, until there is room
+	demandIncomplete     bool         // the last round ended early: unmet isn't all there is
+	scaleOutScheduled    bool
+	requestCount         uint64
+	unavailableUntil     map[offerKey]time.Time // offers without capacity
+	requested            map[offerKey]int       // machines asked for, by offer
+	releaseInFlight      bool
+	inventoryInFlight    bool
+	inventoryRequestedAt time.Time // when the list was last asked for
+	inventoryComplete    bool      // it was read in full since this node leads
+	typesRequestedAt     time.Time
+	consolidatedAt       time.Time
+	loggedAt             time.Time
+	largestOnDemand      float64 // CPUs of the largest job seen that may not use spot machines
+}
+
+func (f *autoscaler) init(l *leader) {
+	rps := l.controller.cfg.CloudRPS
+	f.callBudget = records.NewBudget(rps*0.9, rps*1.5, l.controller.now)
+	f.unavailableUntil, f.requested = map[offerKey]time.Time{}, map[offerKey]int{}
+}
+
+// scheduleScaleOut wants the fleet looked at before its next turn.
+func (l *leader) scheduleScaleOut() {
+	if l.autoscaler.scaleOutScheduled {
+		return
+	}
+	l.autoscaler.scaleOutScheduled = true
+	l.controller.after(100*time.Millisecond, func() {
+		l.autoscaler.scaleOutScheduled = false
+		if l.alive() {
+			l.scaleOut()
+		}
+	})
+}
+
+// maintain is the fleet's regular turn.
+func (l *leader) maintain() {
+	c, f := l.controller, &l.autoscaler
+	for name, at := range l.terminated {
+		if c.now.Sub(at) > 5*time.Minute {
+			delete(l.terminated, name)
+		}
+	}
+	if l.phase == loading {
+		return
+	}
+	if l.shards != nil {
+		l.shards.step()
+	}
+	l.explain()
+	if c.now.Sub(f.typesRequestedAt) > typesInterval && f.callBudget.Take(c.now, 1) {
+		f.typesRequestedAt = c.now
+		c.fetchTypes(func(ok bool) {
+			if ok && l.alive() {
+				for _, m := range l.fleetList {
+					m.Spec = c.types[m.Type]
+				}
+				l.saveTypes()
+			}
+		})
+	}
+	l.readInventory()
+	if l.phase != active {
+		return
+	}
+	l.preferMajorityZone()
+	if !l.alive() {
+		return
+	}
+	l.place()
+	l.scaleOut()
+	l.scaleIn()
+	l.consolidate()
+	l.balance.moveStep()
+	l.sendReleases()
+	l.logUtilization()
+}
+
+// logUtilization tells now and then what the machines are used for, and what came in and
+// went out since the last time.
+func (l *leader) logUtilization() {
+	c, f := l.controller, &l.autoscaler
+	if c.now.Sub(f.loggedAt) < 5*time.Second {
+		return
+	}
+	f.loggedAt = c.now
+	type use struct{ machines, emptying, pinned, cpus, services, used float64 }
+	var spot, fixed use
+	for _, m := range l.fleetList {
+		if !m.registered || m.Spec == nil {
+			continue
+		}
+		u := &fixed
+		if m.Spot {
+			u = &spot
+		}
+		u.machines++
+		u.cpus += m.Spec.CPUs
+		u.used += m.Taken.CPUs
+		u.services += m.ReplicaCPUs
+		if m.Emptying {
+			u.emptying++
+		}
+		if m.ReplicaCPUs > 0 {
+			u.pinned++
+		}
+	}
+	c.log.Debug("fleet", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "fixed", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmetDemand), "lag", c.lag.Round(time.Millisecond),
+		"traffic", fmt.Sprintf("%+v", c.count))
+	c.count = traffic{}
+}
+
+// preferMajorityZone keeps the leader in the zone that holds most machines, so that
+// a cut between zones parts it from as few of them as can be. It hands over
+// only to a zone with a node that lately said it can lead.
+func (l *leader) preferMajorityZone() {
+	c := l.controller
+	if !c.hasPeersInOtherZones() || c.storeDown() {
+		return
+	}
+	count := map[string]int{}
+	up := 0
+	for _, m := range l.fleetList {
+		if m.registered && c.now.Sub(m.lastSeen) < l.suspectAfter() {
+			count[m.Zone]++
+			up++
+		}
+	}
+	for zone, k := range count {
+		if k*3 <= up*2 || up < 3 {
+			continue
+		}
+		if c.election.prefer != zone && l.preferred != zone {
+			l.preferred = zone
+			l.journal.extra = append(l.journal.extra, protocol.Op{Put: records.KeyPrefer,
+				Value: records.Encode(records.Prefer{Zone: zone})})
+		}
+		if zone == c.cfg.Zone || c.election.prefer != zone || c.now.Sub(l.elected) < 10*time.Second {
+			continue
+		}
+		for i := range c.cfg.Peers {
+			p := &c.cfg.Peers[i]
+			if v := c.peers[p.Name]; p.Zone == zone && v != nil && v.storeOK && !v.unfit && c.now.Sub(v.at) < 2500*time.Millisecond {
+				c.resign("most machines are in zone "+zone, 3*time.Second)
+				return
+			}
+		}
+	}
+}
+
+func (l *leader) saveTypes() {
+	var list []protocol.MachineType
+	for _, t := range l.controller.types {
+		list = append(list, *t)
+	}
+	sort.Slice(list, func(i, k int) bool { return list[i].Name < list[k].Name })
+	l.journal.saveTypes(list)
+}
--- a/internal/coordination/balance_ceiling.go
+++ b/internal/coordination/balance_ceiling.go
@@ -110,10 +110,10 @@
 func (l *leader) likelyUp() map[offerKey]time.Time {
 	list := map[offerKey]time.Time{}
 	for _, m := range l.fleetList {
-		if !l.booting(m) || l.lateBoot(m) {
+		if !l.booting(m) || l.bootOverdue(m) {
 			continue
 		}
-		key, up := offerKey{m.Type, m.Zone, m.Spot}, m.rented.Add(m.Spec.Boot)
+		key, up := offerKey{m.Type, m.Zone, m.Spot}, m.provisionedAt.Add(m.Spec.Boot)
 		if first, ok := list[key]; !ok || up.Before(first) {
 			list[key] = up
 		}
--- a/internal/coordination/balance_moves.go
+++ b/internal/coordination/balance_moves.go
@@ -75,10 +75,10 @@
 // and neither it nor the state service has more to do than it can.
 func (b *balancer) mayMove() bool {
 	l, c := b.l, b.l.controller
-	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != active || c.storeDown() || l.fleet.partly {
+	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != active || c.storeDown() || l.autoscaler.demandIncomplete {
 		return false
 	}
-	if c.now.Sub(l.settled) < c.comeByThemselves() || l.lease.validUntil.Sub(c.now) < l.lease.ttl/2 {
+	if c.now.Sub(l.settled) < c.reconnectTime() || l.lease.validUntil.Sub(c.now) < l.lease.ttl/2 {
 		return false
 	}
 	return !c.behind() && !c.strained() && len(l.journal.urgent) <= c.cfg.TxnOps
@@ -128,7 +128,7 @@
 			continue
 		}
 		s := balance.Source{Site: balance.Site{Machine: &m.Machine, Load: m.load}}
-		for _, a := range m.sorted() {
+		for _, a := range m.sortedAttempts() {
 			if b.movable(a) {
 				s.Work = append(s.Work, b.work(a))
 			}
@@ -146,7 +146,7 @@
 	j := a.job
 	surge := b.surge(j)
 	return surge != 0 && j.Kind == protocol.Batch && j.outcome == 0 && j.task(a.task).moved != surge &&
-		a.recorded && a.seen && !a.stop && (a.state == protocol.Running || a.state == protocol.Fetching)
+		a.recorded && a.reported && !a.stopRequested && (a.state == protocol.Running || a.state == protocol.Fetching)
 }
 
 // work is an attempt as the planner sees it.
@@ -155,7 +155,7 @@
 	w := balance.Work{Task: j.wants(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Saves: j.Checkpoint > 0,
 		MayUse: j.zoneAllows, Of: a}
 	if w.Running {
-		w.Ran = b.l.controller.now.Sub(a.since)
+		w.Ran = b.l.controller.now.Sub(a.stateSince)
 	}
 	likely := time.Duration(float64(j.Estimate) * b.l.biasOf(j.Class) * m.load.Speed.Slowness())
 	w.Remaining = max(0, likely-w.Ran) // one that is overdue may end at any moment
@@ -180,13 +180,13 @@
 // holdRoom keeps room for a task that is to move here.
 func (m *machine) holdRoom(needs placement.Resources) {
 	m.Held = m.Held.Plus(needs)
-	m.heldFor++
+	m.reservedMoves++
 }
 
 // freeRoom gives such room back.
 func (m *machine) freeRoom(needs placement.Resources) {
 	m.Held = m.Held.Minus(needs)
-	if m.heldFor--; m.heldFor == 0 {
+	if m.reservedMoves--; m.reservedMoves == 0 {
 		m.Held = placement.Resources{} // no rounding left behind
 	}
 }
@@ -196,7 +196,7 @@
 	if b == nil || b.moves.under[a] == nil || a.job.task(a.task).live != a {
 		return
 	}
-	b.l.stopAttempt(a, b.l.saveGrace(a))
+	b.l.stopAttempt(a, b.l.checkpointGrace(a))
 }
 
 // departed notes that an attempt is proven gone.
@@ -210,7 +210,7 @@
 	}
 }
 
-// giveUp gives a target's room back. Its task, if it is told to stop, is placed like others.
+// releaseUnresponsive gives a target's room back. Its task, if it is told to stop, is placed like others.
 func (b *balancer) giveUp(r *relocation, why string) {
 	delete(b.moves.under, r.attempt)
 	r.to.freeRoom(r.needs)
--- a/internal/coordination/balance_moves_test.go
+++ b/internal/coordination/balance_moves_test.go
@@ -19,9 +19,9 @@
 	l.settled, l.lease = c.now.Add(-time.Minute), lease{id: 5, ttl: 2 * time.Second, validUntil: c.now.Add(2 * time.Second)}
 	l.balance.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
 	to = l.newMachine("vm-2", "small", "a", false)
-	to.up, to.recorded, to.heard, to.answered, to.reached = true, true, c.now, c.now, c.now
-	a.seen = true
-	l.setState(a, protocol.Running)
+	to.registered, to.recorded, to.lastSeen, to.lastAnswered, to.lastReached = true, true, c.now, c.now, c.now
+	a.reported = true
+	l.setTaskState(a, protocol.Running)
 	l.balance.begin(a, to)
 	l.balance.marked(a)
 	return l, a, to
@@ -31,8 +31,8 @@
 func TestMoveHoldsRoom(t *testing.T) {
 	whole := &protocol.Job{ID: "run-000009", CPUs: 4, MemGB: 1}
 	l, a, to := movingLead(t)
-	if !a.stop || to.HasRoom(whole) {
-		t.Fatalf("told to stop: %t, room for others: %t", a.stop, to.HasRoom(whole))
+	if !a.stopRequested || to.HasRoom(whole) {
+		t.Fatalf("told to stop: %t, room for others: %t", a.stopRequested, to.HasRoom(whole))
 	}
 	l.controller.now = l.balance.moves.under[a].until
 	l.balance.moveStep()
@@ -51,8 +51,8 @@
 		t.Error("room for others between the proof and the new start")
 	}
 	l.balance.land()
-	if to.Held != (placement.Resources{}) || len(to.list) != 1 {
-		t.Errorf("held %+v, %d attempts", to.Held, len(to.list))
+	if to.Held != (placement.Resources{}) || len(to.attemptList) != 1 {
+		t.Errorf("held %+v, %d attempts", to.Held, len(to.attemptList))
 	}
 }
 
@@ -67,13 +67,13 @@
 	}{
 		{name: "all is well", lands: true},
 		{name: "the target is gone", change: func(l *leader, _ *attempt, to *machine) { to.removed = true }, waits: true},
-		{name: "the target is silent", change: func(l *leader, _ *attempt, to *machine) { to.heard = l.controller.now.Add(-time.Minute) }, waits: true},
-		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.noticeAt = l.controller.now }, waits: true},
+		{name: "the target is silent", change: func(l *leader, _ *attempt, to *machine) { to.lastSeen = l.controller.now.Add(-time.Minute) }, waits: true},
+		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.preemptionAt = l.controller.now }, waits: true},
 		{name: "the target is full", change: func(_ *leader, _ *attempt, to *machine) { to.Taken.CPUs = 4 }, waits: true},
 		{name: "the team is at its limit", change: func(l *leader, _ *attempt, _ *machine) { l.teams["red"].cpus = 16 }, waits: true},
 		{name: "its zone is closed", change: func(_ *leader, a *attempt, _ *machine) { a.job.OneZone, a.job.zones["b"] = true, 1 }, waits: true},
-		{name: "the target failed the job", change: func(_ *leader, a *attempt, to *machine) { to.failures[a.job.ID] = 1 }, waits: true},
-		{name: "the job is over", change: func(l *leader, a *attempt, _ *machine) { l.jobOver(a.job, protocol.Cancelled) }},
+		{name: "the target failed the job", change: func(_ *leader, a *attempt, to *machine) { to.failuresByJob[a.job.ID] = 1 }, waits: true},
+		{name: "the job is over", change: func(l *leader, a *attempt, _ *machine) { l.endJob(a.job, protocol.Cancelled) }},
 		{name: "the task is done", change: func(l *leader, a *attempt, _ *machine) { l.taskDone(a.job, a.task) }},
 		{name: "it was started elsewhere", change: func(l *leader, a *attempt, _ *machine) {
 			other := l.newMachine("vm-3", "small", "a", false)
@@ -115,7 +115,7 @@
 		{name: "the right is near its end", change: func(c *Controller, l *leader) { l.lease.validUntil = c.now.Add(500 * time.Millisecond) }},
 		{name: "timers are late", change: func(c *Controller, _ *leader) { c.lag = lagBehind + 1 }},
 		{name: "more to serve than the share allows", change: func(c *Controller, _ *leader) { c.lateAt, c.lateSince = c.now, c.now.Add(-time.Minute) }},
-		{name: "the last round ended early", change: func(_ *Controller, l *leader) { l.fleet.partly = true }},
+		{name: "the last round ended early", change: func(_ *Controller, l *leader) { l.autoscaler.demandIncomplete = true }},
 		{name: "records are behind", change: func(c *Controller, l *leader) { l.journal.urgent = make([]*chunk, c.cfg.TxnOps+1) }},
 	} {
 		l, _, _ := movingLead(t)
--- a/internal/coordination/balance_teams.go
+++ b/internal/coordination/balance_teams.go
@@ -102,8 +102,8 @@
 	a.machine.load.Speed.Ran(run, a.job.Estimate, &a.job.runs, class)
 }
 
-// sessionBegan notes that a worker lost what it had.
-func (b *balancer) sessionBegan(m *machine) {
+// incarnationBegan notes that a worker lost what it had.
+func (b *balancer) incarnationBegan(m *machine) {
 	if b != nil {
 		m.load.NewSession()
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -38,7 +38,7 @@
 		Boot: 10 * time.Second, Zones: []string{"a"}}})
 	for i := range machines {
 		m := l.newMachine(fmt.Sprintf("vm-%06d", i), "small", "a", false)
-		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, c.now, c.now, c.now, 1, "x"
+		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 	}
 	for i := range jobs {
 		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(i)})
@@ -72,7 +72,7 @@
 func runAll(l *leader) {
 	for _, m := range l.fleetList {
 		for _, a := range m.attempts {
-			a.recorded, a.seen, a.state, a.since = true, true, protocol.Running, l.controller.now
+			a.recorded, a.reported, a.state, a.stateSince = true, true, protocol.Running, l.controller.now
 		}
 	}
 }
@@ -122,8 +122,8 @@
 		fill(l)
 		c.take()
 		m := l.fleetList[0]
-		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Token: l.tenure.token()}
-		for _, a := range m.sorted() {
+		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Token: l.epoch.fencingToken()}
+		for _, a := range m.sortedAttempts() {
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Job: a.job.ID, Index: a.task, Attempt: a.number, State: protocol.Running})
 		}
 		id := uint64(0)
@@ -150,12 +150,12 @@
 		spec.Tasks, spec.CPUs, spec.MemGB = 15000, 0.05, 0.05
 		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 		m, j := l.fleetList[0], l.order[0]
-		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: l.tenure.token()}
+		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: l.epoch.fencingToken()}
 		for i := range exits {
 			l.assign(j, i, m)
 			a := j.task(i).live
-			a.recorded, a.seen = true, true
-			l.setState(a, protocol.Running)
+			a.recorded, a.reported = true, true
+			l.setTaskState(a, protocol.Running)
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Job: j.ID, Index: i, Attempt: 1, State: protocol.Exited, Why: protocol.ExitDone})
 		}
 		body := protocol.EncodeReport(r)
@@ -171,9 +171,9 @@
 		name string
 		run  func(l *leader)
 	}{
-		{"watch", (*leader).watchMachines},
-		{"grow", (*leader).grow},
-		{"shrink", (*leader).shrink},
+		{"watch", (*leader).detectFailures},
+		{"grow", (*leader).scaleOut},
+		{"shrink", (*leader).scaleIn},
 		{"consolidate", (*leader).consolidate},
 		{"explain", func(l *leader) { l.told.at = time.Time{}; l.explain() }},
 		{"publish", func(l *leader) { l.controller.publish(); l.controller.out = Effects{} }},
@@ -184,7 +184,7 @@
 				fill(l)
 				l.controller.take()
 				for b.Loop() {
-					l.fleet.budget.Take(l.controller.now, l.fleet.budget.Available(l.controller.now)) // nothing is asked of the cloud
+					l.autoscaler.callBudget.Take(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now)) // nothing is asked of the cloud
 					step.run(l)
 				}
 			})
@@ -196,11 +196,11 @@
 func bootingFleet(machines int) *leader {
 	_, l := largeLead(machines, 2*benchJobs(machines))
 	for _, m := range l.fleetList {
-		m.up = false
+		m.registered = false
 	}
 	for i, j := range l.order {
 		j.OneZone, j.MemGB = i%4 == 0, 4+float64(i%50)/20
-		l.fleet.unmet = append(l.fleet.unmet, demand{j, j.toStart()})
+		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.toStart()})
 	}
 	return l
 }
@@ -211,8 +211,8 @@
 	atSizes(b, func(b *testing.B, machines int) {
 		l := bootingFleet(machines)
 		for b.Loop() {
-			l.fleet.budget.Take(l.controller.now, l.fleet.budget.Available(l.controller.now))
-			l.grow()
+			l.autoscaler.callBudget.Take(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now))
+			l.scaleOut()
 		}
 	})
 }
@@ -229,7 +229,7 @@
 		l.assign(l.order[i], 0, m)
 		l.order[i].next = 1
 		m.Images.Add(l.order[i].image, 1.5, 35)
-		m.rented = l.controller.now.Add(-time.Hour)
+		m.provisionedAt = l.controller.now.Add(-time.Hour)
 		big := benchJob(2)
 		big.ID, big.Tasks, big.CPUs = fmt.Sprintf("run-%06d", machines+i), 1, 3
 		l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: big})
@@ -247,8 +247,8 @@
 	atSizes(b, func(b *testing.B, machines int) {
 		l := loneReplicas(machines)
 		for b.Loop() {
-			l.fleet.movedAt = time.Time{}
-			l.shrink()
+			l.autoscaler.consolidatedAt = time.Time{}
+			l.scaleIn()
 			l.consolidate()
 			for _, m := range l.fleetList {
 				m.Emptying = false
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -6,8 +6,8 @@
 // leader and been reached by it, is not on its way out, and isn't silent. One whose reports don't come
 // while it answers calls loses all that runs there once its lease is over.
 func (l *leader) open(m *machine) bool {
-	return m.up && !m.reached.IsZero() && m.recorded && m.Spec != nil && !m.draining && !m.releasing && m.noticeAt.IsZero() && m.probeFails == 0 &&
-		l.controller.now.Sub(m.heard) <= l.suspectAfter() && l.unreported(m) <= l.suspectAfter()+lostReport
+	return m.registered && !m.lastReached.IsZero() && m.recorded && m.Spec != nil && !m.draining && !m.releasing && m.preemptionAt.IsZero() && m.failedProbes == 0 &&
+		l.controller.now.Sub(m.lastSeen) <= l.suspectAfter() && l.unansweredFor(m) <= l.suspectAfter()+lostHeartbeatDelay
 }
 
 // candidate and candidates are machines that may take tasks of a job.
@@ -59,7 +59,7 @@
 			continue
 		}
 		room = true
-		if m.Emptying && j.Checkpoint > 0 && l.tooDear(j, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
+		if m.Emptying && j.Checkpoint > 0 && l.overpriced(j, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
 			continue // it would soon have to leave again
 		}
 		if !l.avoids(j, m) {
@@ -83,7 +83,7 @@
 
 // avoids reports whether a job stays away from a machine that failed it.
 func (l *leader) avoids(j *job, m *machine) bool {
-	return m.failures[j.ID] > 0 && len(j.failedOn) < 3
+	return m.failuresByJob[j.ID] > 0 && len(j.failedOn) < 3
 }
 
 // best is the machine with the highest score that a job's rules about zones allow, nil
--- a/internal/coordination/moves.go
+++ b/internal/coordination/consolidation.go
@@ -6,9 +6,9 @@
 	"brasskeel/internal/protocol"
 )
 
-// movesAtOnce is the part of the fleet whose replicas are moved in one turn, as a
+// consolidationDivisor is the part of the fleet whose replicas are moved in one turn, as a
 // divisor.
-const movesAtOnce = 30
+const consolidationDivisor = 30
 
 // consolidate moves the replicas of little used machines to others that hold
 // their images, where all of them find room, so that these can be returned.
@@ -16,7 +16,7 @@
 // busy would stay with them. A move takes a moment: the image is there.
 func (l *leader) consolidate() {
 	c := l.controller
-	if len(l.fleet.unmet) > 0 || l.fleet.partly || c.storeDown() || c.now.Sub(l.fleet.movedAt) < movePause {
+	if len(l.autoscaler.unmetDemand) > 0 || l.autoscaler.demandIncomplete || c.storeDown() || c.now.Sub(l.autoscaler.consolidatedAt) < consolidationPause {
 		return
 	}
 	fixedRoom := 0.0
@@ -26,15 +26,15 @@
 			continue
 		}
 		if !m.Emptying {
-			fixedRoom += l.fixedRoom(m)
+			fixedRoom += l.onDemandRoom(m)
 		}
-		if m.onlyServices() && (m.Emptying || m.Taken.CPUs <= m.Spec.CPUs/2+protocol.Epsilon) && c.now.Sub(m.rented) > 2*minimumCharge {
+		if m.holdsOnlyReplicas() && (m.Emptying || m.Taken.CPUs <= m.Spec.CPUs/2+protocol.Epsilon) && c.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
 			candidates = append(candidates, m)
 		}
 	}
-	dearestFirst(candidates)
-	left := max(1, len(l.fleetList)/movesAtOnce)
-	plan := &lazyPlanner{l: l}
+	sortByPriceDescending(candidates)
+	left := max(1, len(l.fleetList)/consolidationDivisor)
+	plan := &lazyPlanner{leader: l}
 	for _, m := range candidates {
 		if left == 0 {
 			return
@@ -42,20 +42,20 @@
 		if plan.get().Snapshot().Taken(m.Name) != (placement.Resources{}) {
 			continue // replicas are to move here
 		}
-		if room := l.fixedRoom(m); !m.Emptying && room > 0 && fixedRoom-m.Spec.CPUs < l.fixedNeed() {
+		if room := l.onDemandRoom(m); !m.Emptying && room > 0 && fixedRoom-m.Spec.CPUs < l.onDemandReserve() {
 			continue
 		}
-		if !m.emptied(plan.get(), false) {
+		if !m.replicasFitElsewhere(plan.get(), false) {
 			continue
 		}
 		c.logEach("moving replicas", "machine", m.Name, "attempts", len(m.attempts))
 		if !m.Emptying {
-			fixedRoom -= l.fixedRoom(m)
+			fixedRoom -= l.onDemandRoom(m)
 		}
-		l.fleet.movedAt = c.now
+		l.autoscaler.consolidatedAt = c.now
 		m.Emptying = true
 		left--
-		for _, a := range m.sorted() {
+		for _, a := range m.sortedAttempts() {
 			l.stopAttempt(a, 0)
 		}
 	}
@@ -70,15 +70,15 @@
 	return balance.NewPlanner(sites, func(m *placement.Machine) bool { return l.open(l.machines[m.Name]) })
 }
 
-// replicasOf are the replicas on a machine, in a fixed order; false if one of them doesn't run
+// runningReplicas are the replicas on a machine, in a fixed order; false if one of them doesn't run
 // or has to wait for others of its service.
-func (m *machine) replicasOf() (list []balance.Replica, settled bool) {
-	for _, a := range m.sorted() {
+func (m *machine) runningReplicas() (list []balance.Replica, settled bool) {
+	for _, a := range m.sortedAttempts() {
 		j := a.job
 		if j.Kind != protocol.Service {
 			continue
 		}
-		if a.state != protocol.Running || a.stop || j.toStart() > 0 {
+		if a.state != protocol.Running || a.stopRequested || j.toStart() > 0 {
 			return nil, false
 		}
 		list = append(list, balance.Replica{Task: j.wants(), Shape: shapeOf(j)})
@@ -86,22 +86,22 @@
 	return list, true
 }
 
-// emptied reports whether a machine's replicas find room elsewhere, and takes it unless this
+// replicasFitElsewhere reports whether a machine's replicas find room elsewhere, and takes it unless this
 // is but a try.
-func (m *machine) emptied(p *balance.Planner, try bool) bool {
-	replicas, settled := m.replicasOf()
+func (m *machine) replicasFitElsewhere(p *balance.Planner, try bool) bool {
+	replicas, settled := m.runningReplicas()
 	return settled && p.Empty(&m.Machine, replicas, try)
 }
 
 // lazyPlanner makes a planner on first use: most looks at the fleet need none.
 type lazyPlanner struct {
-	l *leader
-	p *balance.Planner
+	leader  *leader
+	planner *balance.Planner
 }
 
 func (z *lazyPlanner) get() *balance.Planner {
-	if z.p == nil {
-		z.p = z.l.newPlanner()
+	if z.planner == nil {
+		z.planner = z.leader.newPlanner()
 	}
-	return z.p
+	return z.planner
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -274,7 +274,7 @@
 			c.leader.settleStep()
 		}
 		if s := c.sharding; s != nil && s.own != nil {
-			s.own.sendStep()
+			s.own.flushOrders()
 		}
 	}
 	out := c.out
--- a/internal/coordination/unfit_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -44,12 +44,12 @@
 			m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 			m.inherited, m.recorded = true, true
 			j.chunk(i)
-			a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, since: c.now}
+			a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, stateSince: c.now}
 			l.attach(a)
 		}
 		l.phase, l.loadedAt, l.settled = active, c.now, c.now
 		for range 60 { // 15 s, the length of a lease
-			c.now = c.now.Add(watchInterval)
+			c.now = c.now.Add(detectorInterval)
 			for i, unfit := range test.peers {
 				raw, err := json.Marshal(peerMessage{Node: fmt.Sprintf("n%d", i+1), StoreOK: true, Unfit: unfit})
 				if err != nil {
@@ -59,11 +59,11 @@
 			}
 			for i, m := range l.fleetList {
 				if i < test.heard {
-					m.up, m.heard, m.reached, m.answered, m.firstHeard = true, c.now, c.now, c.now, c.now
+					m.registered, m.lastSeen, m.lastReached, m.lastAnswered, m.registeredAt = true, c.now, c.now, c.now, c.now
 				}
 			}
 			if c.leader != nil {
-				l.watchMachines()
+				l.detectFailures()
 			}
 		}
 		if stays := c.leader == l; stays != test.stays {
@@ -90,10 +90,10 @@
 		c.now = c.now.Add(time.Minute)
 		for i := range 5 {
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
-			m.up, m.heard = true, c.now
+			m.registered, m.lastSeen = true, c.now
 		}
 		c.peers["n1"] = &peerView{at: c.now, storeOK: true, unfit: unfit}
-		l.choosePlace()
+		l.preferMajorityZone()
 		if stays := c.leader == l; stays != unfit {
 			t.Errorf("with the peer unfit %t the leader stays: %t", unfit, stays)
 		}
@@ -113,15 +113,15 @@
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 		m.inherited, m.recorded, m.addr = true, true, "x"
-		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, since: c.now})
+		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, stateSince: c.now})
 	}
 	l.phase, l.loadedAt, l.settled = active, c.now, c.now
 	begin := c.now
 	c.take()
 	for c.leader == l && c.now.Sub(begin) < 15*time.Second {
-		c.now = c.now.Add(watchInterval)
+		c.now = c.now.Add(detectorInterval)
 		c.peers["n1"].at = c.now
-		l.watchMachines()
+		l.detectFailures()
 		for _, call := range c.take().Calls {
 			if call.To == Worker {
 				c.Result(c.now, call.ID, Outcome{})
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -315,7 +315,7 @@
 		}
 		c.after(next, l.renew)
 	})
-	if !l.holdsLease() && !l.muted && !l.known.IsZero() {
+	if !l.holdsLease() && !l.muted && !l.jobsKnownAt.IsZero() {
 		// It answers no worker any more, but keeps what it knows: in an outage
 		// the lease stands still, and once it is renewed after all, nobody
 		// else can have led meanwhile.
--- a/internal/coordination/explain.go
+++ b/internal/coordination/explain.go
@@ -44,7 +44,7 @@
 		what = "the state service does not answer"
 	case c.leader != nil && c.leader.phase == loading && c.now.Sub(c.leader.elected) > explainAfter:
 		what = "records are being loaded"
-	case c.leader != nil && !c.leader.known.IsZero() && !c.leader.holdsLease():
+	case c.leader != nil && !c.leader.jobsKnownAt.IsZero() && !c.leader.holdsLease():
 		what = "the leader lease has ended"
 	case c.leader == nil && c.leaderName() == "":
 		what = "no leader is known"
@@ -98,7 +98,7 @@
 		return reasonLimit
 	case !l.placeable(j):
 		return reasonZones
-	case l.fleet.partly:
+	case l.autoscaler.demandIncomplete:
 		return reasonRecords
 	case l.balance.holds(j):
 		return reasonCeiling
@@ -108,7 +108,7 @@
 	any := false
 	for _, o := range open {
 		if o.allows(j.Job) && j.zoneAllows(o.zone) {
-			if !l.tooDear(j, o) {
+			if !l.overpriced(j, o) {
 				return reasonRoom
 			}
 			any = true
@@ -126,7 +126,7 @@
 	if c.now.Sub(l.told.at) < explainChange {
 		return
 	}
-	b := l.boots()
+	b := l.bootProgress()
 	var open []offer
 	var jobs, tasks [reasons]int
 	var longest *job
@@ -138,7 +138,7 @@
 		if open == nil {
 			open = l.offers()
 		}
-		r := l.whyWaits(j, b.next != nil, open)
+		r := l.whyWaits(j, b.longest != nil, open)
 		jobs[r]++
 		tasks[r] += left
 		if j.live == 0 && j.doneCount == 0 && (longest == nil || j.submitted.Before(longest.submitted)) {
@@ -152,7 +152,7 @@
 			counts = append(counts, fmt.Sprintf("%s: %d jobs, %d tasks", r, jobs[r], tasks[r]))
 		}
 	}
-	if len(b.late) > 0 {
+	if len(b.overdue) > 0 {
 		kinds = append(kinds, "late boots")
 	}
 	slices.Sort(kinds)
@@ -164,14 +164,14 @@
 		return
 	}
 	args := []any{"why", strings.Join(counts, "; ")}
-	if b.next != nil {
+	if b.longest != nil {
 		booting := 0
 		for _, m := range l.fleetList {
 			if l.booting(m) {
 				booting++
 			}
 		}
-		args = append(args, "booting", booting, "longest", c.now.Sub(b.next.rented).Round(time.Second), "late", len(b.late))
+		args = append(args, "booting", booting, "longest", c.now.Sub(b.longest.provisionedAt).Round(time.Second), "late", len(b.overdue))
 	}
 	if longest != nil {
 		args = append(args, "job", longest.ID, "waits", c.now.Round(0).Sub(longest.submitted).Round(time.Second))
--- a/internal/coordination/faults.go
+++ b/internal/coordination/faults.go
@@ -60,7 +60,7 @@
 	if a.state == protocol.Running {
 		j.brokeAt = c.now
 	}
-	m.failures[j.ID]++
+	m.failuresByJob[j.ID]++
 	c.log.Debug("task failed", "job", j.ID, "task", a.task, "machine", m.Name, "failures", j.errors)
 	pause := time.Duration(0)
 	switch {
@@ -84,19 +84,19 @@
 // judge decides whether a machine on which a task just failed is faulty: two jobs that
 // work failed on it since the last success there, or one did twice and hardly elsewhere.
 func (l *leader) judge(m *machine, j *job) {
-	if m.sick {
+	if m.quarantined {
 		return
 	}
 	good := 0
-	for id := range m.failures {
+	for id := range m.failuresByJob {
 		if k := l.jobs[id]; k != nil && k.proven(l.controller.now) {
 			good++
 		}
 	}
-	if good >= 2 || good == 1 && j.proven(l.controller.now) && m.failures[j.ID] >= 2 && len(j.failedOn) < suspectMachines {
-		m.sick = true
-		l.controller.log.Warn("machine fails its tasks", "machine", m.Name, "jobs", len(m.failures))
-		l.drain(m)
+	if good >= 2 || good == 1 && j.proven(l.controller.now) && m.failuresByJob[j.ID] >= 2 && len(j.failedOn) < suspectMachines {
+		m.quarantined = true
+		l.controller.log.Warn("machine fails its tasks", "machine", m.Name, "jobs", len(m.failuresByJob))
+		l.drainMachine(m)
 	}
 }
 
--- a/internal/coordination/groups.go
+++ b/internal/coordination/groups.go
@@ -117,7 +117,7 @@
 func (k *group) record() json.RawMessage {
 	r := records.Machines{Type: k.typ, Zone: k.zone, Spot: k.spot}
 	for _, m := range k.machines {
-		r.Machines = append(r.Machines, records.Machine{Name: m.Name, Rented: records.Millis(m.rented), Addr: m.addr})
+		r.Machines = append(r.Machines, records.Machine{Name: m.Name, Rented: records.Millis(m.provisionedAt), Addr: m.addr})
 	}
 	return records.Encode(r)
 }
@@ -162,7 +162,7 @@
 			at = l.controller.now
 		}
 		// Steady time only from here on.
-		m.rented = l.controller.now.Add(-l.controller.now.Round(0).Sub(at))
+		m.provisionedAt = l.controller.now.Add(-l.controller.now.Round(0).Sub(at))
 		if m.group == nil {
 			k.add(m)
 		}
--- a/internal/coordination/groups_test.go
+++ b/internal/coordination/groups_test.go
@@ -83,7 +83,7 @@
 			t.Fatalf("%s isn't taken for recorded", m.Name)
 		}
 		if i >= 10 {
-			l.machineGone(m, "returned")
+			l.machineTerminated(m, "returned")
 		}
 		for _, name := range []string{"vm-000", "vm-009"} {
 			if !slices.Contains(names(kept), name) {
@@ -123,7 +123,7 @@
 	}
 	leader.settle()
 	next.now = next.now.Add(2 * askAfter)
-	leader.watchMachines()
+	leader.detectFailures()
 	asked := false
 	for _, call := range next.take().Calls {
 		asked = asked || call.To == Worker && call.Addr == "x"
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -41,7 +41,7 @@
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	m.recorded, m.reached = true, c.now
+	m.recorded, m.lastReached = true, c.now
 	chunk := j.chunk(0)
 	chunk.version = 7
 	l.journal.busy = false // with the record of the machine
@@ -70,20 +70,20 @@
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	a := &attempt{job: j, number: 1, machine: m, recorded: true, directToken: l.machineToken(m), directSession: 1}
+	a := &attempt{job: j, number: 1, machine: m, recorded: true, directToken: l.fencingToken(m), directIncarnation: 1}
 	l.attach(a)
-	m.directToken = a.directToken
-	l.jobOver(j, protocol.Cancelled)
-	below := l.machineToken(m)
+	m.directStartToken = a.directToken
+	l.endJob(j, protocol.Cancelled)
+	below := l.fencingToken(m)
 	c.Request(c.now, 2, "POST", protocol.PathReport, report(5))
 	if j.task(0).live != a || l.teams["red"].cpus != 1 {
 		t.Fatal("gone while its start may still be carried out")
 	}
-	if l.machineToken(m) <= below {
+	if l.fencingToken(m) <= below {
 		t.Fatal("the start isn't fenced off")
 	}
 	c.Request(c.now, 3, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small",
-		Zone: "a", Session: 1, Seq: 6, Token: l.machineToken(m)}))
+		Zone: "a", Session: 1, Seq: 6, Token: l.fencingToken(m)}))
 	if j.task(0).live != nil || l.teams["red"].cpus != 0 {
 		t.Error("still there although no start can be carried out any more")
 	}
@@ -99,13 +99,13 @@
 	j := l.jobs[s.ID]
 	m := l.newMachine("vm-1", "small", "a", false)
 	for i := range 2 {
-		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, seen: true})
+		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, reported: true})
 	}
 	other := &job{Job: spec("run-000002"), zones: map[string]int{}}
 	if l.underLimit(other) {
 		t.Fatal("the team has 16 CPUs and uses them")
 	}
-	l.jobOver(j, protocol.Cancelled)
+	l.endJob(j, protocol.Cancelled)
 	c.now = c.now.Add(time.Hour)
 	if l.underLimit(other) {
 		t.Error("tasks count no more once they were told to stop")
@@ -122,7 +122,7 @@
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	m.reached, m.Spec = c.now, c.types["small"]
+	m.lastReached, m.Spec = c.now, c.types["small"]
 	for _, recorded := range []bool{false, true} {
 		m.recorded = recorded
 		l.place()
@@ -139,14 +139,14 @@
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	m.recorded, m.reached, m.Spec = true, c.now, c.types["small"]
+	m.recorded, m.lastReached, m.Spec = true, c.now, c.types["small"]
 	l.lease.validUntil = c.now
 	l.place()
 	if len(m.attempts) > 0 {
 		t.Error("placed without a lease")
 	}
-	l.lease.validUntil, l.known = c.now, c.now.Add(time.Hour)
-	c.now = c.now.Add(l.grace())
+	l.lease.validUntil, l.jobsKnownAt = c.now, c.now.Add(time.Hour)
+	c.now = c.now.Add(l.gracePeriod())
 	if !l.holdsLease() {
 		t.Error("not entitled within its grace")
 	}
@@ -192,14 +192,14 @@
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	a := &attempt{job: j, number: 1, machine: m, recorded: true, sentSession: 1, sentSeq: 3}
+	a := &attempt{job: j, number: 1, machine: m, recorded: true, sentIncarnation: 1, sentSequence: 3}
 	l.attach(a)
 	r, err := protocol.ParseReport(report(4))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.stopAttempt(a, 0)
-	l.takeReport(m, r, false) // on its way since before the answer
+	l.takeHeartbeat(m, r, false) // on its way since before the answer
 	if j.task(0).live != a {
 		t.Fatal("a response that may be older than the start proves it gone")
 	}
@@ -226,18 +226,18 @@
 	c, l := leading(active)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	answered := m.answered
+	answered := m.lastAnswered
 	c.now = c.now.Add(10 * time.Second)
 	r, err := protocol.ParseReport(report(5))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Session, r.Token = 2, l.machineToken(m)
-	l.takeReport(m, r, false) // a response: its reports don't come
-	if proof := l.silentProof(m); proof.Before(c.now.Add(c.cfg.WorkerLease)) {
+	r.Session, r.Token = 2, l.fencingToken(m)
+	l.takeHeartbeat(m, r, false) // a response: its reports don't come
+	if proof := l.terminationProofAt(m); proof.Before(c.now.Add(c.cfg.WorkerLease)) {
 		t.Errorf("taken for dead %s after its session began, its lease is %s", proof.Sub(c.now), c.cfg.WorkerLease)
 	}
-	if m.answered != answered {
+	if m.lastAnswered != answered {
 		t.Error("a session that began counts as a report that was answered")
 	}
 }
--- a/internal/coordination/hold_reports.go
+++ b/internal/coordination/hold_reports.go
@@ -96,12 +96,12 @@
 // releaseHeld takes the reports that were held, now that a leader is known. One that
 // has just been elected knows no cancellation yet, and must not answer.
 func (c *Controller) releaseHeld() {
-	if len(c.held.list) == 0 || c.leader == nil && c.leaderDoubtful() || c.leader != nil && c.leader.known.IsZero() {
+	if len(c.held.list) == 0 || c.leader == nil && c.leaderDoubtful() || c.leader != nil && c.leader.jobsKnownAt.IsZero() {
 		return
 	}
 	for _, h := range c.held.take() {
 		c.held.until = h.until
-		c.report(h.id, h.body)
+		c.heartbeat(h.id, h.body)
 	}
 	c.held.until = time.Time{}
 }
--- a/internal/coordination/offers.go
+++ b/internal/coordination/instance_offers.go
@@ -62,7 +62,7 @@
 	}
 	open := list[:0]
 	for _, o := range list {
-		if !l.controller.now.Before(l.fleet.blocked[o.key()]) {
+		if !l.controller.now.Before(l.autoscaler.unavailableUntil[o.key()]) {
 			open = append(open, o)
 		}
 	}
@@ -99,13 +99,13 @@
 	return &bin{offer: o, cpus: o.spec.CPUs, gpus: o.spec.GPUs, mem: o.spec.MemGB}
 }
 
-// guestsPay is how many times the lowest price per CPU, of all that a job may use, is
+// opportunisticPriceFactor is how many times the lowest price per CPU, of all that a job may use, is
 // paid for work of a team without a guarantee.
-const guestsPay = 1.5
+const opportunisticPriceFactor = 1.5
 
-// tooDear reports whether a machine isn't rented for a job at the price: teams without
+// overpriced reports whether a machine isn't rented for a job at the price: teams without
 // a guarantee take what is idle, and what is cheap.
-func (l *leader) tooDear(j *job, o offer) bool {
+func (l *leader) overpriced(j *job, o offer) bool {
 	t := l.controller.teams[j.Team]
 	if t == nil || t.CPUs > 0 || t.GPUs > 0 || j.Priority == protocol.Critical {
 		return false
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	return o.price()/o.spec.CPUs > guestsPay*lowest
+	return o.price()/o.spec.CPUs > opportunisticPriceFactor*lowest
 }
 
 // bestOffer is the cheapest way to run tasks of a job, by the price of the
--- /dev/null
+++ b/internal/coordination/inventory.go
@@ -0,0 +1,173 @@
+package coordination
+
+import (
+	"time"
+
+	"brasskeel/internal/protocol"
+)
+
+// Bounds of reading the cloud's list, which takes a call for each 500 machines.
+const (
+	// inventoryCallDivisor is the part of the cloud's calls that lists take at the most, as a divisor:
+	// those of a large fleet, read as often as those of a small one, would leave no calls for
+	// renting and returning.
+	inventoryCallDivisor = 4
+	// inventoryTries is how often a page is asked for, with inventoryRetry between, before the list
+	// is given up: one refused call would otherwise cost all pages before it.
+	inventoryTries = 4
+	inventoryRetry = 500 * time.Millisecond
+	// maxInventory ends a list that is longer than any that this process could hold: what
+	// was read of it is not compared, since a machine that it lacks may be on another page.
+	maxInventory = 250_000
+)
+
+// inventoryInterval is how often the cloud's list is read.
+func (l *leader) inventoryInterval() time.Duration {
+	pages := 1 + len(l.fleetList)/protocol.MaxListed
+	calls := time.Duration(float64(pages*inventoryCallDivisor) / l.controller.cfg.CloudRPS * float64(time.Second))
+	return max(l.controller.cfg.ListLag/2, 3*time.Second, calls)
+}
+
+// inventoryRead is one reading of the cloud's list, page by page.
+type inventoryRead struct {
+	leader   *leader
+	machines []protocol.ListedMachine
+	after    string // the last machine read
+	tries    int    // of the next page
+}
+
+// readInventory reads the cloud's list and compares it with what is known.
+func (l *leader) readInventory() {
+	c, f := l.controller, &l.autoscaler
+	if f.inventoryInFlight || c.now.Sub(f.inventoryRequestedAt) < l.inventoryInterval() || !f.callBudget.Take(c.now, 1) {
+		return
+	}
+	f.inventoryInFlight, f.inventoryRequestedAt = true, c.now
+	(&inventoryRead{leader: l}).read()
+}
+
+// read asks for the next page.
+func (r *inventoryRead) read() {
+	r.tries++
+	r.leader.controller.call(Cloud, "", "GET", protocol.ListTarget(r.after), nil, cloudTimeout, func(out Outcome) {
+		if r.leader.alive() {
+			r.take(out)
+		}
+	})
+}
+
+// take takes a page, or that there was none.
+func (r *inventoryRead) take(out Outcome) {
+	l := r.leader
+	if !out.Answered || out.Status != 200 {
+		r.retry()
+		return
+	}
+	list, more, err := protocol.ParseList(out.Body)
+	if err != nil || more && (len(list) == 0 || list[len(list)-1].Name <= r.after) {
+		r.end() // a list that doesn't go on would be read without end
+		return
+	}
+	r.machines = append(r.machines, list...)
+	switch {
+	case !more:
+		l.autoscaler.inventoryComplete = true
+		r.end()
+		l.reconcileInventory(r.machines)
+		l.checkReconciled()
+	case len(r.machines) >= maxInventory:
+		l.controller.bounds.hit(boundList)
+		r.end()
+	default:
+		r.after, r.tries = list[len(list)-1].Name, 0
+		r.whenAffordable()
+	}
+}
+
+// retry asks for the same page some time later, a few times.
+func (r *inventoryRead) retry() {
+	if r.tries >= inventoryTries {
+		r.end()
+		return
+	}
+	r.leader.controller.after(inventoryRetry, func() {
+		if r.leader.alive() {
+			r.whenAffordable()
+		}
+	})
+}
+
+// whenAffordable asks for the next page once the cloud takes one more call: returns and
+// rentals, which go out when there is something to rent or return, have their turns between.
+func (r *inventoryRead) whenAffordable() {
+	l := r.leader
+	if l.autoscaler.callBudget.Take(l.controller.now, 1) {
+		r.read()
+		return
+	}
+	l.controller.after(l.autoscaler.callBudget.Wait(l.controller.now, 1)+time.Millisecond, func() {
+		if l.alive() {
+			r.whenAffordable()
+		}
+	})
+}
+
+func (r *inventoryRead) end() { r.leader.autoscaler.inventoryInFlight = false }
+
+func (l *leader) reconcileInventory(list []protocol.ListedMachine) {
+	c := l.controller
+	seen := make(map[string]bool, len(list))
+	for i := range list {
+		it := &list[i]
+		seen[it.Name] = true
+		m := l.machines[it.Name]
+		if m == nil {
+			if at, ok := l.terminated[it.Name]; ok && c.now.Sub(at) < 3*c.cfg.ListLag+10*time.Second {
+				continue // the list is older than its end
+			}
+			if it.State == protocol.Failed {
+				m = l.adoptMachine(it.Name, it.Type, it.Zone, it.Spot, it.Age)
+				l.machineTerminated(m, "failed")
+				l.releaseUnknownFailed(it.Name)
+				continue
+			}
+			m = l.adoptMachine(it.Name, it.Type, it.Zone, it.Spot, it.Age)
+		}
+		if m.addr == "" {
+			m.addr = it.Addr
+		}
+		m.unlistedSince = time.Time{}
+		if it.State == protocol.Failed && !m.releasing {
+			// It has stopped on its own, which is proof; returning it takes it
+			// off the list.
+			for _, a := range m.sortedAttempts() {
+				l.detach(a, "machine failed")
+			}
+			m.draining = true
+			l.release(m, "failed")
+		}
+	}
+	for _, m := range append([]*machine(nil), l.fleetList...) {
+		// A list may be as old as twice its lag. One that should show the
+		// machine and doesn't proves that it is gone, once that holds for
+		// longer than any list can lag.
+		if seen[m.Name] || m.releasing || c.now.Sub(m.provisionedAt) < 3*c.cfg.ListLag+10*time.Second {
+			continue
+		}
+		if m.registered && c.now.Sub(m.lastSeen) < 3*c.cfg.ListLag {
+			continue
+		}
+		if m.unlistedSince.IsZero() {
+			m.unlistedSince = c.now
+		} else if c.now.Sub(m.unlistedSince) > 2*c.cfg.ListLag+5*time.Second {
+			l.release(m, "not listed")
+		}
+	}
+}
+
+// releaseUnknownFailed takes a failed machine that nobody knows off the list.
+func (l *leader) releaseUnknownFailed(name string) {
+	if l.autoscaler.callBudget.Take(l.controller.now, 1) {
+		l.controller.call(Cloud, "", "POST", protocol.PathRelease, protocol.ReleaseBody([]string{name}), cloudTimeout, func(Outcome) {})
+	}
+}
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -26,7 +26,7 @@
 }
 
 // jobEnded implements observer.
-func (l *leader) jobEnded(j *job, s protocol.JobState) { l.jobOver(j, s) }
+func (l *leader) jobEnded(j *job, s protocol.JobState) { l.endJob(j, s) }
 
 // jobRemoved implements observer: the leader removes records itself.
 func (l *leader) jobRemoved(string) {}
@@ -40,7 +40,7 @@
 	j.chunks = make([]*chunk, (j.Tasks+j.size-1)/j.size)
 	l.jobs[j.ID] = j
 	if !j.Spot && j.Kind == protocol.Service {
-		l.fleet.fixedNeed = max(l.fleet.fixedNeed, j.CPUs*float64(j.Tasks))
+		l.autoscaler.largestOnDemand = max(l.autoscaler.largestOnDemand, j.CPUs*float64(j.Tasks))
 	}
 	at := len(l.order)
 	for at > 0 && l.order[at-1].submitted.After(j.submitted) {
@@ -48,6 +48,6 @@
 	}
 	l.order = slices.Insert(l.order, at, j)
 	if f, ok := l.controller.admission.finals[j.ID]; ok {
-		l.jobOver(j, f.state)
+		l.endJob(j, f.state)
 	}
 }
--- a/internal/coordination/journal.go
+++ b/internal/coordination/journal.go
@@ -238,7 +238,7 @@
 		if j.task(a.task).live != a {
 			continue
 		}
-		if a.stop || j.outcome != 0 {
+		if a.stopRequested || j.outcome != 0 {
 			l.detach(a, "given up before it was recorded")
 			continue
 		}
@@ -300,7 +300,7 @@
 					continue
 				}
 				a.recorded = true
-				if a.stop {
+				if a.stopRequested {
 					l.detach(a, "given up before it was sent")
 					continue
 				}
@@ -315,7 +315,7 @@
 		}
 		for _, j := range b.ends {
 			c.admission.noteFinal(j.ID, protocol.Done, j.Tasks)
-			l.jobOver(j, protocol.Done)
+			l.endJob(j, protocol.Done)
 		}
 		for _, key := range b.removes {
 			for i, w := range g.after {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -29,8 +29,8 @@
 // leader is what a leader keeps in memory. All of it is rebuilt from the state
 // service and from reports by the next one. It serves all workers itself, as their owner.
 type leader struct {
-	owner
-	tenure   tenure // of all machines
+	workerSessions
+	epoch    ownershipEpoch // of all machines
 	term     uint64
 	version  uint64    // of the leader key; every write of ours demands it
 	loadedAt time.Time // when the records were read
@@ -41,16 +41,16 @@
 
 	order []*job // by submission
 	// tellNext is the place in order of the job whose progress peers are told next.
-	tellNext int
-	teams    map[string]*usage
-	bias     map[string]float64   // of estimates, by class
-	stopped  map[string]usage     // of the teams' work, what was told to stop
-	gone     map[string]time.Time // machines proven gone, while lists may still show them
-	journal  journal
-	fleet    fleet
-	balance  *balancer      // nil while balance is off
-	judging  *balance.Judge // of the job whose turn it is; nil without
-	shards   *shardLeader   // nil when this leader serves all machines itself
+	tellNext   int
+	teams      map[string]*usage
+	bias       map[string]float64   // of estimates, by class
+	stopped    map[string]usage     // of the teams' work, what was told to stop
+	terminated map[string]time.Time // machines proven gone, while lists may still show them
+	journal    journal
+	autoscaler autoscaler
+	balance    *balancer      // nil while balance is off
+	judging    *balance.Judge // of the job whose turn it is; nil without
+	shards     *shardLeader   // nil when this leader serves all machines itself
 
 	told       told   // to operators, of work that waits
 	preferred  string // zone last recorded as the better one for leaders
@@ -138,33 +138,33 @@
 
 // attempt is one try at a task on a machine, until proven gone.
 type attempt struct {
-	job     *job
-	task    int
-	number  uint64
-	machine *machine
-	placed  time.Time
-
-	recorded  bool // in the state service: its start may be sent
-	told      bool // the owner of its machine's shard was told of it
-	inherited bool // recorded by an earlier leader; whether it was sent is unknown
-	seen      bool // the worker reported it
-	state     protocol.TaskState
-	since     time.Time // start of the state
+	job      *job
+	task     int
+	number   uint64
+	machine  *machine
+	placedAt time.Time
+
+	recorded      bool // in the state service: its start may be sent
+	ownerNotified bool // the owner of its machine's shard was told of it
+	inherited     bool // recorded by an earlier leader; whether it was sent is unknown
+	reported      bool // the worker reported it
+	state         protocol.TaskState
+	stateSince    time.Time // start of the state
 
 	// How its start went out. A start in a report's answer is executed before
 	// the worker's next report or never; a direct one may be executed late.
-	sentSession   uint64
-	sentSeq       uint64 // of the report whose answer carried it
-	direct        bool   // a direct start awaits its response
-	directToken   uint64 // of an unanswered direct start; 0 when none
-	directSession uint64 // that it named
-
-	stop     bool
-	grace    time.Duration
-	stopSent time.Time
-
-	place  int    // in its machine's list
-	report uint64 // the last one that held it
+	sentIncarnation   uint64
+	sentSequence      uint64 // of the report whose answer carried it
+	directPending     bool   // a direct start awaits its response
+	directToken       uint64 // of an unanswered direct start; 0 when none
+	directIncarnation uint64 // that it named
+
+	stopRequested bool
+	stopGrace     time.Duration
+	stopSentAt    time.Time
+
+	listIndex     int    // in its machine's list
+	lastHeartbeat uint64 // the last one that held it
 }
 
 type taskKey struct {
@@ -173,18 +173,18 @@
 }
 
 func (c *Controller) becomeLeader(term, version, leaseID uint64, ttl time.Duration, validUntil time.Time) {
-	l := &leader{owner: newOwner(c, lease{leaseID, ttl, validUntil}), term: term, version: version, elected: c.now, phase: loading,
+	l := &leader{workerSessions: newWorkerSessions(c, lease{leaseID, ttl, validUntil}), term: term, version: version, elected: c.now, phase: loading,
 		teams: map[string]*usage{}, stopped: map[string]usage{}, bias: map[string]float64{},
-		gone: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, searches: map[kind]*search{}, allowance: roundWork}
+		terminated: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, searches: map[kind]*search{}, allowance: roundWork}
 	for name := range c.teams {
 		l.teams[name] = &usage{}
 	}
-	l.observer = l
+	l.listener = l
 	l.balance = newBalancer(l)
 	// The leader before may have had the shortest lease, which leaves the longest grace.
-	l.tenure = tenure{term: term, since: c.now, predecessorUntil: c.now.Add(c.graceAfter(c.op.LeaderLease()))}
+	l.epoch = ownershipEpoch{term: term, since: c.now, predecessorUntil: c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))}
 	l.journal.init(l)
-	l.fleet.init(l)
+	l.autoscaler.init(l)
 	if c.sharding == nil && c.election.sharded {
 		// Other controllers may own shards: this one takes them back first.
 		c.startSharding(false)
@@ -197,8 +197,8 @@
 	c.publish()
 	l.renew()
 	l.load()
-	l.every(watchInterval, l.watchMachines)
-	l.every(time.Second, l.fleetStep)
+	l.every(detectorInterval, l.detectFailures)
+	l.every(time.Second, l.maintain)
 }
 
 // roundPause is the pause after a round of placement for each machine that it
@@ -230,7 +230,7 @@
 // written and ordered.
 func (l *leader) settleStep() {
 	l.journal.flush()
-	l.sendStep()
+	l.flushOrders()
 }
 
 // orderSoon lets a worker be told what is wanted of an attempt, by its owner.
@@ -239,5 +239,5 @@
 		l.shards.deliver(a)
 		return
 	}
-	l.directSoon(a.machine)
+	l.scheduleOrders(a.machine)
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -107,7 +107,7 @@
 // readList lets a leader read a list of machines once, refusing one call in every refuse.
 func readList(c *Controller, l *leader, count, refuse int) (calls int) {
 	c.out = Effects{}
-	l.listMachines()
+	l.readInventory()
 	for range 10_000 {
 		e := c.take()
 		for _, call := range e.Calls {
@@ -121,7 +121,7 @@
 			}
 			c.out.Calls = append(c.out.Calls, c.Result(c.now, call.ID, o).Calls...)
 		}
-		if !l.fleet.listing {
+		if !l.autoscaler.inventoryInFlight {
 			return calls
 		}
 		if len(c.out.Calls) == 0 {
@@ -139,13 +139,13 @@
 	const count = 25_000
 	c, l := leading(active)
 	last := l.newMachine(fmt.Sprintf("vm-%06d", count-1), "small", "a", false)
-	last.recorded, last.rented = true, c.now.Add(-time.Hour)
-	l.fleet.budget = records.NewBudget(1000, 1000, c.now)
-	if calls := readList(c, l, count, 7); !l.fleet.listed || calls < count/protocol.MaxListed {
+	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
+	l.autoscaler.callBudget = records.NewBudget(1000, 1000, c.now)
+	if calls := readList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MaxListed {
 		t.Fatalf("not read in %d calls", calls)
 	}
-	if len(l.machines) != count || !last.missing.IsZero() {
-		t.Errorf("%d machines are known, the last one is missing: %t", len(l.machines), !last.missing.IsZero())
+	if len(l.machines) != count || !last.unlistedSince.IsZero() {
+		t.Errorf("%d machines are known, the last one is missing: %t", len(l.machines), !last.unlistedSince.IsZero())
 	}
 }
 
@@ -155,12 +155,12 @@
 	_, l := largeLead(4000, 0)
 	l.controller.cfg.CloudRPS, l.controller.cfg.ListLag = 2, 12*time.Second
 	pages := float64(1 + 4000/protocol.MaxListed)
-	if share := pages / l.listInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
+	if share := pages / l.inventoryInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
 		t.Errorf("lists take %.2f of the calls", share)
 	}
 	_, small := largeLead(250, 0)
 	small.controller.cfg.CloudRPS, small.controller.cfg.ListLag = 2, 12*time.Second
-	if i := small.listInterval(); i != 6*time.Second {
+	if i := small.inventoryInterval(); i != 6*time.Second {
 		t.Errorf("a small fleet's list is read every %s", i)
 	}
 }
@@ -168,7 +168,7 @@
 // A list that repeats its pages isn't read without end.
 func TestEndlessListIsGivenUp(t *testing.T) {
 	c, l := leading(active)
-	l.listMachines()
+	l.readInventory()
 	again := protocol.EncodeList([]protocol.ListedMachine{{Name: "vm-000001", Type: "small", Zone: "a", State: protocol.Up}}, true)
 	calls := 0
 	for range 20 {
@@ -181,8 +181,8 @@
 		c.now = c.now.Add(100 * time.Millisecond)
 		c.out.Calls = append(c.out.Calls, c.Tick(c.now).Calls...)
 	}
-	if calls > 4 || l.fleet.listed {
-		t.Errorf("%d calls, taken for read: %t", calls, l.fleet.listed)
+	if calls > 4 || l.autoscaler.inventoryComplete {
+		t.Errorf("%d calls, taken for read: %t", calls, l.autoscaler.inventoryComplete)
 	}
 }
 
@@ -206,7 +206,7 @@
 func TestOrdersFitMessages(t *testing.T) {
 	const tasks = 3000
 	c, l, m := crowded(tasks)
-	l.jobOver(l.order[0], protocol.Cancelled)
+	l.endJob(l.order[0], protocol.Cancelled)
 	stopped := map[int]bool{}
 	calls := c.take().Calls
 	for range 20 {
@@ -225,8 +225,8 @@
 			for _, o := range orders {
 				stopped[o.Index] = true
 			}
-			m.seq++
-			body := protocol.EncodeReport(&protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: m.seq, Token: l.tenure.token(),
+			m.sequence++
+			body := protocol.EncodeReport(&protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: m.sequence, Token: l.epoch.fencingToken(),
 				Tasks: reported(m)})
 			next = append(next, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body}).Calls...)
 		}
@@ -236,8 +236,8 @@
 		t.Errorf("%d of %d tasks were stopped", len(stopped), tasks)
 	}
 	// The same by the answer of a report.
-	m.seq++
-	r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: m.seq, Token: l.tenure.token(), Tasks: reported(m)}
+	m.sequence++
+	r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: m.sequence, Token: l.epoch.fencingToken(), Tasks: reported(m)}
 	e := c.Request(c.now, 99, "POST", protocol.PathReport, protocol.EncodeReport(r))
 	if len(e.Replies) != 1 || len(e.Replies[0].Body) > protocol.MaxBody {
 		t.Fatalf("answers: %d", len(e.Replies))
@@ -253,7 +253,7 @@
 // reported are the tasks on a machine as its worker reports them.
 func reported(m *machine) []protocol.TaskReport {
 	var list []protocol.TaskReport
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		list = append(list, protocol.TaskReport{Job: a.job.ID, Index: a.task, Attempt: a.number, State: protocol.Running})
 	}
 	return list
@@ -369,13 +369,13 @@
 	c, l := largeLead(600, 4000)
 	c.cfg.CPUShare = 0.025
 	for _, j := range l.order {
-		l.fleet.unmet = append(l.fleet.unmet, demand{j, j.toStart()})
+		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.toStart()})
 	}
 	rented := func() (count int) {
-		l.fleet.budget = records.NewBudget(1000, 1000, c.now)
-		clear(l.fleet.renting)
+		l.autoscaler.callBudget = records.NewBudget(1000, 1000, c.now)
+		clear(l.autoscaler.requested)
 		c.out = Effects{}
-		l.grow()
+		l.scaleOut()
 		for _, call := range c.take().Calls {
 			if call.To == Cloud {
 				r, err := protocol.ParseRent(call.Body)
@@ -390,7 +390,7 @@
 	boot := func(count int, up bool) {
 		for range count {
 			m := l.newMachine(fmt.Sprintf("vm-b%06d", len(l.fleetList)), "small", "a", false)
-			m.up, m.recorded, m.heard, m.answered, m.reached = up, true, c.now, c.now, c.now
+			m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached = up, true, c.now, c.now, c.now
 		}
 	}
 	first := rented()
@@ -399,7 +399,7 @@
 		t.Errorf("%d rented, and %d more before they were up", first, got)
 	}
 	for _, m := range l.fleetList {
-		m.up = true
+		m.registered = true
 	}
 	if got := rented(); got < 50 || got > 100 {
 		t.Errorf("%d rented once they were up", got)
@@ -409,7 +409,7 @@
 		t.Errorf("%d rented while timers are late", got)
 	}
 	c.cfg.CPUShare = 0.8
-	if got := rented(); got != rentAtOnce {
+	if got := rented(); got != maxPlannedMachines {
 		t.Errorf("%d rented within the share", got)
 	}
 }
@@ -422,7 +422,7 @@
 		c.after(0, func() {})
 		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + lagLate + time.Millisecond))
 	}
-	if !c.strained() || l.mayGrow() {
+	if !c.strained() || l.mayScaleOut() {
 		t.Errorf("strained: %t", c.strained())
 	}
 	c.now = c.now.Add(lateGap + time.Second)
@@ -438,19 +438,19 @@
 	l := loneReplicas(machines)
 	p := l.newPlanner()
 	for _, m := range l.fleetList {
-		m.emptied(p, false)
+		m.replicasFitElsewhere(p, false)
 	}
 	if p.Looked > perMachine*machines {
 		t.Errorf("%d machines were looked at for the replicas of %d", p.Looked, machines)
 	}
 	l = bootingFleet(machines)
-	g := l.newGrowth()
-	g.most = rentAtOnce
-	for _, d := range l.fleet.unmet {
-		g.serve(d)
+	g := l.newScaleOutPlan()
+	g.limit = maxPlannedMachines
+	for _, d := range l.autoscaler.unmetDemand {
+		g.planDemand(d)
 	}
-	if g.looked > perBin*machines {
-		t.Errorf("%d bins were looked at in a fleet of %d", g.looked, machines)
+	if g.binsVisited > perBin*machines {
+		t.Errorf("%d bins were looked at in a fleet of %d", g.binsVisited, machines)
 	}
 }
 
@@ -460,7 +460,7 @@
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	for i := range 4000 {
-		l.adopt(fmt.Sprintf("vm-%06d", i), "small", "a", false, 0)
+		l.adoptMachine(fmt.Sprintf("vm-%06d", i), "small", "a", false, 0)
 	}
 	c.now = c.now.Add(2 * time.Second)
 	c.tellBursts()
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -78,7 +78,7 @@
 	c := l.controller
 	l.phase, l.loadedAt = settling, c.now
 	l.loaded = true
-	wait := c.comeByThemselves()
+	wait := c.reconnectTime()
 	if len(l.machines) == 0 {
 		wait = c.cfg.ReportInterval / 2
 	}
@@ -94,7 +94,7 @@
 		l.jobProgressed(j)
 	}
 	c.log.Info("records loaded", "term", l.term, "jobs", len(l.order), "machines", len(l.machines), "attempts", live)
-	l.listMachines() // it has the addresses of those that are to be asked
+	l.readInventory() // it has the addresses of those that are to be asked
 	if l.shards != nil {
 		l.shardMachines()
 		l.shards.changed()
@@ -108,10 +108,10 @@
 		return
 	}
 	l.phase = active
-	l.asksNew = true
+	l.probesNewWorkers = true
 	l.settled = l.controller.now
 	l.controller.log.Info("placing", "term", l.term, "after", l.controller.now.Sub(l.elected))
-	l.fleetStep()
+	l.maintain()
 	l.askPlace()
 }
 
@@ -127,16 +127,16 @@
 	if len(l.fleetList) == 0 {
 		return false
 	}
-	listed := l.fleet.listed // where the cloud is away, addresses come with reports alone
+	listed := l.autoscaler.inventoryComplete // where the cloud is away, addresses come with reports alone
 	missing, known := 0, 0
 	for _, m := range l.fleetList {
 		// One that only a lagging list tells of may be gone already.
-		booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.rented) > 2*m.Spec.Boot)
+		booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.Boot)
 		if len(m.attempts) == 0 && !booted {
 			continue
 		}
 		known++
-		if !m.reconciled && m.probeFails < askTwice && !(listed && m.addr == "") && !l.nobodyTells(m) {
+		if !m.reconciled && m.failedProbes < askTwice && !(listed && m.addr == "") && !l.nobodyTells(m) {
 			missing++
 		}
 	}
@@ -204,11 +204,11 @@
 			// removed only after the machine is.
 			continue
 		}
-		a := &attempt{job: j, task: base + t.Offset, number: t.Attempt, machine: m, placed: l.controller.now,
-			recorded: true, inherited: true, since: l.controller.now}
+		a := &attempt{job: j, task: base + t.Offset, number: t.Attempt, machine: m, placedAt: l.controller.now,
+			recorded: true, inherited: true, stateSince: l.controller.now}
 		// Outcomes are read before chunks: a job that was cancelled just
 		// before the leadership changed still has attempts to be stopped.
-		a.stop = j.outcome != 0
+		a.stopRequested = j.outcome != 0
 		l.attach(a)
 	}
 	// Tasks up to the last touched chunk that aren't live or done start again.
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -17,24 +17,24 @@
 // listed: a long-lived deployment has a hundred times more of them than jobs. Those of
 // the jobs whose records are still there are asked for one by one; a job without a
 // record has no attempt left.
-func (o *owner) loadJobs(done func(revision uint64)) {
-	o.controller.storeList(records.PrefixActive, o.alive, func(items []protocol.Item, revision uint64, asked time.Time) {
+func (s *workerSessions) loadJobs(done func(revision uint64)) {
+	s.controller.storeList(records.PrefixActive, s.alive, func(items []protocol.Item, revision uint64, asked time.Time) {
 		for _, it := range items {
-			o.jobKey(it.Key, it.Value, false)
+			s.jobKey(it.Key, it.Value, false)
 		}
-		o.checkOutcomes(o.unfinished(), func() {
+		s.checkOutcomes(s.unfinished(), func() {
 			// Every outcome written before the list was asked for is known by now.
-			o.learned(asked)
-			o.controller.releaseHeld()
+			s.noteJobsKnown(asked)
+			s.controller.releaseHeld()
 			done(revision)
 		})
 	})
 }
 
 // unfinished are the jobs that aren't known to be over, in order.
-func (o *owner) unfinished() []string {
+func (s *workerSessions) unfinished() []string {
 	var ids []string
-	for id, j := range o.jobs {
+	for id, j := range s.jobs {
 		if j.outcome == 0 {
 			ids = append(ids, id)
 		}
@@ -44,8 +44,8 @@
 }
 
 // checkOutcomes learns which of the jobs are over.
-func (o *owner) checkOutcomes(ids []string, done func()) {
-	batches := slices.Collect(slices.Chunk(ids, o.controller.maxConditions()))
+func (s *workerSessions) checkOutcomes(ids []string, done func()) {
+	batches := slices.Collect(slices.Chunk(ids, s.controller.maxConditions()))
 	left := len(batches)
 	if left == 0 {
 		done()
@@ -59,7 +59,7 @@
 		}
 		batch := batches[next]
 		next++
-		o.checkBatch(batch, func() {
+		s.checkBatch(batch, func() {
 			if left--; left == 0 {
 				done()
 				return
@@ -74,28 +74,28 @@
 
 // checkBatch compares outcomes with none in one transaction, as often as it takes, and
 // reads those that are there.
-func (o *owner) checkBatch(ids []string, done func()) {
+func (s *workerSessions) checkBatch(ids []string, done func()) {
 	t := &protocol.Txn{}
 	for _, id := range ids {
 		t.If = append(t.If, protocol.Condition{Key: records.KeyOutcome(id)})
 	}
-	o.controller.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
+	s.controller.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
 		switch {
-		case !o.alive():
+		case !s.alive():
 		case r == txnApplied:
 			done()
 		case r == txnFailed:
-			o.readOutcomes(failed, done)
+			s.readOutcomes(failed, done)
 		default:
-			o.retryRead(func() { o.checkBatch(ids, done) })
+			s.retryRead(func() { s.checkBatch(ids, done) })
 		}
 	})
 }
 
-func (o *owner) readOutcomes(keys []string, done func()) {
+func (s *workerSessions) readOutcomes(keys []string, done func()) {
 	left := len(keys)
 	for _, key := range keys {
-		o.readOutcomeKey(key, func() {
+		s.readOutcomeKey(key, func() {
 			if left--; left == 0 {
 				done()
 			}
@@ -103,15 +103,15 @@
 	}
 }
 
-func (o *owner) readOutcomeKey(key string, done func()) {
-	o.controller.storeGet(key, func(it protocol.Item, found, ok bool) {
+func (s *workerSessions) readOutcomeKey(key string, done func()) {
+	s.controller.storeGet(key, func(it protocol.Item, found, ok bool) {
 		switch {
-		case !o.alive():
+		case !s.alive():
 		case !ok:
-			o.retryRead(func() { o.readOutcomeKey(key, done) })
+			s.retryRead(func() { s.readOutcomeKey(key, done) })
 		default:
 			if found {
-				o.jobKey(it.Key, it.Value, false)
+				s.jobKey(it.Key, it.Value, false)
 			}
 			done()
 		}
@@ -119,67 +119,67 @@
 }
 
 // retryRead runs f after a short pause, if this leadership lasts.
-func (o *owner) retryRead(f func()) {
-	o.controller.after(200*time.Millisecond+o.controller.jitter(100*time.Millisecond), func() {
-		if o.alive() {
+func (s *workerSessions) retryRead(f func()) {
+	s.controller.after(200*time.Millisecond+s.controller.jitter(100*time.Millisecond), func() {
+		if s.alive() {
 			f()
 		}
 	})
 }
 
 // watchJobs learns of submissions and of outcomes from a revision on.
-func (o *owner) watchJobs(after uint64) {
-	asked := o.controller.now
-	o.controller.storeWatch(records.PrefixJobs, after, o.controller.jobsWatchWait(), func(out Outcome) {
-		if !o.alive() {
+func (s *workerSessions) watchJobs(after uint64) {
+	asked := s.controller.now
+	s.controller.storeWatch(records.PrefixJobs, after, s.controller.jobsWatchWait(), func(out Outcome) {
+		if !s.alive() {
 			return
 		}
 		if out.Answered && out.Status == 200 {
 			if events, revision, err := protocol.ParseEvents(out.Body); err == nil {
 				for _, ev := range events {
-					o.jobEvent(ev)
+					s.jobEvent(ev)
 				}
-				o.learned(asked)
-				o.watchJobs(max(after, revision))
+				s.noteJobsKnown(asked)
+				s.watchJobs(max(after, revision))
 				return
 			}
 		}
 		if out.Answered && out.Status == 410 {
-			o.loadJobs(o.watchJobs) // too much has changed since
+			s.loadJobs(s.watchJobs) // too much has changed since
 			return
 		}
-		o.retryRead(func() { o.watchJobs(after) })
+		s.retryRead(func() { s.watchJobs(after) })
 	})
 }
 
-func (o *owner) jobEvent(ev protocol.Event) {
+func (s *workerSessions) jobEvent(ev protocol.Event) {
 	if !ev.Deleted {
-		o.jobKey(ev.Key, ev.Value, true)
+		s.jobKey(ev.Key, ev.Value, true)
 		return
 	}
 	if id, ok := cutPrefix(ev.Key, records.PrefixActive); ok {
-		o.observer.jobRemoved(id)
+		s.listener.jobRemoved(id)
 	}
 }
 
 // jobKey takes a record under PrefixJobs; live says that it was just written.
-func (o *owner) jobKey(key string, value json.RawMessage, live bool) {
+func (s *workerSessions) jobKey(key string, value json.RawMessage, live bool) {
 	if id, ok := cutPrefix(key, records.PrefixActive); ok {
-		o.observer.jobRecorded(id, value, live)
+		s.listener.jobRecorded(id, value, live)
 		return
 	}
 	id, ok := cutPrefix(key, records.PrefixOutcome)
 	if !ok {
 		return
 	}
-	s, done, err := records.DecodeOutcome(value)
+	outcome, done, err := records.DecodeOutcome(value)
 	if err != nil {
-		o.controller.log.Error("unreadable outcome", "job", id, "err", err)
+		s.controller.log.Error("unreadable outcome", "job", id, "err", err)
 		return
 	}
-	o.controller.admission.setFinal(id, s, done) // who wrote it told the peers
-	if j := o.jobs[id]; j != nil {
-		o.observer.jobEnded(j, s)
+	s.controller.admission.setFinal(id, outcome, done) // who wrote it told the peers
+	if j := s.jobs[id]; j != nil {
+		s.listener.jobEnded(j, outcome)
 	}
 }
 
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -125,8 +125,8 @@
 	if len(l.jobs) != 3 || l.jobs["run-000002"].outcome != protocol.Cancelled || l.jobs["run-000001"].outcome != 0 {
 		t.Errorf("jobs %v", l.jobs)
 	}
-	if l.phase != settling || l.known.IsZero() {
-		t.Errorf("phase %d, known %s", l.phase, l.known)
+	if l.phase != settling || l.jobsKnownAt.IsZero() {
+		t.Errorf("phase %d, known %s", l.phase, l.jobsKnownAt)
 	}
 }
 
@@ -137,8 +137,8 @@
 	r := unfinishedJobs()
 	r.hold = records.KeyOutcome("run-000002")
 	l := r.lead(c)
-	if !l.known.IsZero() || l.holdsLease() {
-		t.Fatalf("known as of %s", l.known)
+	if !l.jobsKnownAt.IsZero() || l.holdsLease() {
+		t.Fatalf("known as of %s", l.jobsKnownAt)
 	}
 	if e := c.Request(c.now, 1, "POST", protocol.PathReport, report(4)); len(e.Replies) != 0 {
 		t.Errorf("answered: %+v", e.Replies)
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machines_test.go
@@ -20,8 +20,8 @@
 	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 3, FetchRate: 1, Price: 1, SpotPrice: 0.5,
 		Boot: 10 * time.Second, Zones: []string{"a"}}})
 	c.becomeLeader(1, 10, 5, 2*time.Second, now.Add(time.Hour))
-	c.leader.phase, c.leader.known = p, now.Add(time.Hour)
-	c.leader.loaded, c.leader.asksNew = p != loading, p == active
+	c.leader.phase, c.leader.jobsKnownAt = p, now.Add(time.Hour)
+	c.leader.loaded, c.leader.probesNewWorkers = p != loading, p == active
 	c.take()
 	return c, c.leader
 }
@@ -41,13 +41,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.takeReport(m, r, false)
+	l.takeHeartbeat(m, r, false)
 	later := start.Add(3 * time.Second)
 	e := c.Request(later, 2, "POST", protocol.PathReport, report(5))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Fatalf("got %+v", e.Replies)
 	}
-	if proof := l.silentProof(m); proof.Before(later.Add(c.cfg.WorkerLease)) {
+	if proof := l.terminationProofAt(m); proof.Before(later.Add(c.cfg.WorkerLease)) {
 		t.Errorf("taken for dead %s after the answer, its lease is %s", proof.Sub(later), c.cfg.WorkerLease)
 	}
 }
@@ -77,7 +77,7 @@
 	var list []*machine
 	for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
 		m := l.newMachine(name, "small", "a", false)
-		m.up, m.recorded, m.heard, m.answered, m.reached = true, true, l.controller.now, l.controller.now, l.controller.now
+		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached = true, true, l.controller.now, l.controller.now, l.controller.now
 		list = append(list, m)
 	}
 	list[0].Taken.CPUs, list[1].Taken.CPUs, list[2].Taken.CPUs = 2, 0, 1
@@ -157,27 +157,27 @@
 	if l.open(m) {
 		t.Error("a report alone, perhaps a late copy, opens a machine for work")
 	}
-	if !m.probing {
+	if !m.probeInFlight {
 		t.Error("a machine that reports for the first time isn't asked")
 	}
-	if report(1, 11, l.machineToken(m)); !l.open(m) {
+	if report(1, 11, l.fencingToken(m)); !l.open(m) {
 		t.Error("a report that shows our token doesn't open the machine")
 	}
-	answered, heard := m.answered, m.heard
-	if r := report(1, 11, 0); r.Status != 503 || m.answered != answered || m.heard != heard {
-		t.Errorf("a copy: status %d, answered %s later, heard %s later", r.Status, m.answered.Sub(answered), m.heard.Sub(heard))
+	answered, heard := m.lastAnswered, m.lastSeen
+	if r := report(1, 11, 0); r.Status != 503 || m.lastAnswered != answered || m.lastSeen != heard {
+		t.Errorf("a copy: status %d, answered %s later, heard %s later", r.Status, m.lastAnswered.Sub(answered), m.lastSeen.Sub(heard))
 	}
-	l.takeReport(m, &protocol.Report{Machine: "vm-1", Session: 1, Seq: 13, Token: l.tenure.token()}, false)
-	if r := report(1, 12, 0); r.Status != 200 || !m.answered.After(answered) || m.seq != 13 {
-		t.Errorf("a report overtaken by a response: status %d, number %d", r.Status, m.seq)
+	l.takeHeartbeat(m, &protocol.Report{Machine: "vm-1", Session: 1, Seq: 13, Token: l.epoch.fencingToken()}, false)
+	if r := report(1, 12, 0); r.Status != 200 || !m.lastAnswered.After(answered) || m.sequence != 13 {
+		t.Errorf("a report overtaken by a response: status %d, number %d", r.Status, m.sequence)
 	}
-	if r := report(2, 14, 0); r.Status != 200 || m.session != 2 {
-		t.Errorf("the next session: status %d, session %d", r.Status, m.session)
+	if r := report(2, 14, 0); r.Status != 200 || m.incarnation != 2 {
+		t.Errorf("the next session: status %d, session %d", r.Status, m.incarnation)
 	}
-	if r := report(1, 20, 0); r.Status != 503 || m.session != 2 {
-		t.Errorf("a copy of the session before: status %d, session %d", r.Status, m.session)
+	if r := report(1, 20, 0); r.Status != 503 || m.incarnation != 2 {
+		t.Errorf("a copy of the session before: status %d, session %d", r.Status, m.incarnation)
 	}
-	l.machineGone(m, "returned")
+	l.machineTerminated(m, "returned")
 	c.now = c.now.Add(10 * time.Minute)
 	if r := report(2, 15, 0); r.Status != 503 || l.machines["vm-1"] != nil {
 		t.Errorf("a copy long after the machine's end: status %d", r.Status)
@@ -191,17 +191,17 @@
 	for _, lost := range []bool{true, false} {
 		c, l := leading(active)
 		m := l.newMachine("vm-1", "small", "a", false)
-		m.up, m.recorded, m.addr, m.reached, m.session, m.seq = true, true, "x", c.now, 2, 50
+		m.registered, m.recorded, m.addr, m.lastReached, m.incarnation, m.sequence = true, true, "x", c.now, 2, 50
 		if !lost {
-			m.session = 1
+			m.incarnation = 1
 		}
 		l.probe(m)
 		call := c.take().Calls[0]
-		m.session = 2
+		m.incarnation = 2
 		body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: 60})
 		c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
-		if m.releasing != lost || m.session != 2 {
-			t.Errorf("lost %t: to be returned %t, session %d", lost, m.releasing, m.session)
+		if m.releasing != lost || m.incarnation != 2 {
+			t.Errorf("lost %t: to be returned %t, session %d", lost, m.releasing, m.incarnation)
 		}
 	}
 }
@@ -220,11 +220,11 @@
 	} {
 		c, l := leading(active)
 		m := l.newMachine("vm-1", "small", "a", false)
-		m.up, m.recorded, m.addr, m.reached, m.session, m.seq = true, true, "x", c.now, 1, 50
+		m.registered, m.recorded, m.addr, m.lastReached, m.incarnation, m.sequence = true, true, "x", c.now, 1, 50
 		c.take()
-		l.release(m, whySilent)
+		l.release(m, releaseUnresponsiveReason)
 		call := c.take().Calls[0]
-		l.reached(m, c.now)
+		l.confirmReached(m, c.now)
 		if !m.releasing {
 			t.Errorf("%s: kept while the call was under way", test.name)
 		}
@@ -246,16 +246,16 @@
 	c, l := leading(settling)
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
-		m.inherited, m.rented = true, c.now.Add(-time.Hour)
+		m.inherited, m.provisionedAt = true, c.now.Add(-time.Hour)
 	}
-	l.listMachines()
+	l.readInventory()
 	c.Result(c.now, c.take().Calls[0].ID, Outcome{Answered: true, Status: 503})
 	if l.enoughHeard() {
 		t.Error("nobody was heard and the list is unknown")
 	}
 	for i, m := range l.fleetList {
 		if i < 8 {
-			m.reconciled, m.reached = true, c.now
+			m.reconciled, m.lastReached = true, c.now
 		}
 	}
 	if !l.enoughHeard() {
@@ -272,23 +272,23 @@
 	m := l.machines["vm-1"]
 	m.recorded, m.Spec = true, c.types["small"]
 	begin := c.now
-	l.watchMachines()
+	l.detectFailures()
 	for seq := uint64(5); c.now.Sub(begin) <= 2*c.cfg.WorkerLease; seq++ {
 		c.now = c.now.Add(time.Second)
 		r, err := protocol.ParseReport(report(seq))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.takeReport(m, r, false) // an answer to a call
-		l.watchMachines()
-		if open := l.open(m); open != (c.now.Sub(begin) <= l.suspectAfter()+lostReport) {
+		l.takeHeartbeat(m, r, false) // an answer to a call
+		l.detectFailures()
+		if open := l.open(m); open != (c.now.Sub(begin) <= l.suspectAfter()+lostHeartbeatDelay) {
 			t.Fatalf("open %t after %s without a report", open, c.now.Sub(begin))
 		}
 		if m.releasing && c.now.Sub(begin) <= 2*c.cfg.WorkerLease {
 			t.Fatalf("given up after %s", c.now.Sub(begin))
 		}
 	}
-	l.watchMachines()
+	l.detectFailures()
 	if !m.releasing {
 		t.Error("not given up after two leases")
 	}
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -28,7 +28,7 @@
 func addTestMachine(l *leader, name string, up bool) *machine {
 	m := l.newMachine(name, "small", "a", true)
 	if up {
-		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, l.controller.now, l.controller.now, l.controller.now, 1, "x"
+		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, l.controller.now, l.controller.now, l.controller.now, 1, "x"
 	}
 	return m
 }
@@ -52,7 +52,7 @@
 		for i := range 5 {
 			fail(l, m, addTestJob(l, fmt.Sprintf("run-%06d", i), func(*protocol.Job) {}))
 		}
-		if m.sick {
+		if m.quarantined {
 			t.Fatal("five jobs of which nothing is known cost a machine")
 		}
 		for i := range 2 {
@@ -63,8 +63,8 @@
 			}
 			fail(l, m, j)
 		}
-		if m.sick != works {
-			t.Errorf("two jobs that work elsewhere %t: faulty %t", works, m.sick)
+		if m.quarantined != works {
+			t.Errorf("two jobs that work elsewhere %t: faulty %t", works, m.quarantined)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	for range 12 {
 		c.now = j.notBefore
 		for _, m := range l.fleetList {
-			m.heard, m.answered = c.now, c.now
+			m.lastSeen, m.lastAnswered = c.now, c.now
 		}
 		l.place()
 		if j.live != 1 {
@@ -101,7 +101,7 @@
 	}
 	c.now = j.notBefore
 	for _, m := range l.fleetList {
-		m.heard, m.answered = c.now, c.now
+		m.lastSeen, m.lastAnswered = c.now, c.now
 	}
 	l.place()
 	l.runs(j)
@@ -125,21 +125,21 @@
 	l.place()
 	for range 5 {
 		for _, m := range l.fleetList[:3] {
-			for _, a := range m.sorted() {
+			for _, a := range m.sortedAttempts() {
 				a.recorded = true
-				l.setState(a, protocol.Running)
+				l.setTaskState(a, protocol.Running)
 				l.failed(m, a)
 				l.detach(a, "test")
 			}
 		}
 		for _, m := range l.fleetList[3:] {
-			for _, a := range m.sorted() {
-				l.setState(a, protocol.Running)
+			for _, a := range m.sortedAttempts() {
+				l.setTaskState(a, protocol.Running)
 			}
 		}
 		c.now = c.now.Add(unbrokenAfter + time.Second)
 		for _, m := range l.fleetList {
-			m.heard, m.answered = c.now, c.now
+			m.lastSeen, m.lastAnswered = c.now, c.now
 		}
 		l.place()
 		if j.live != j.Tasks {
@@ -157,7 +157,7 @@
 		l.loadedAt = c.now
 		for i := range late {
 			m := addTestMachine(l, fmt.Sprintf("vm-%d", i), false)
-			m.rented, m.inherited = c.now.Add(-45*time.Second), inherited
+			m.provisionedAt, m.inherited = c.now.Add(-45*time.Second), inherited
 		}
 		for i := range came {
 			addTestMachine(l, fmt.Sprintf("vm-up-%d", i), true)
@@ -176,11 +176,11 @@
 		{late: 8, came: 2, inherited: true, coming: 0, returned: 0},
 	} {
 		_, l := count(test.late, test.came, test.inherited)
-		l.fleet.unmet = []demand{{job: addTestJob(l, "run-000001", func(*protocol.Job) {}), left: 1}}
-		if got := len(l.coming()); got != test.coming {
+		l.autoscaler.unmetDemand = []demand{{job: addTestJob(l, "run-000001", func(*protocol.Job) {}), tasks: 1}}
+		if got := len(l.bootingBins()); got != test.coming {
 			t.Errorf("%+v: %d counted as room to come", test, got)
 		}
-		l.endBoots()
+		l.releaseOverdueBoots()
 		returned := 0
 		for _, m := range l.fleetList {
 			if m.releasing {
@@ -287,28 +287,28 @@
 	guest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Team = "guest" })
 	other := addTestJob(l, "run-000002", func(*protocol.Job) {})
 	dear := offer{spec: c.types["small"], zone: "a"} // twice the price of a spot machine
-	if !l.tooDear(guest, dear) || l.tooDear(other, dear) || l.tooDear(guest, offer{spec: dear.spec, zone: "a", spot: true}) {
+	if !l.overpriced(guest, dear) || l.overpriced(other, dear) || l.overpriced(guest, offer{spec: dear.spec, zone: "a", spot: true}) {
 		t.Error("prices are judged wrongly")
 	}
 	// Spot machines have run out.
-	l.fleet.blocked[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
+	l.autoscaler.unavailableUntil[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
 	for _, test := range []struct {
 		job   *job
 		rents bool
 	}{{guest, false}, {other, true}} {
 		c.take()
-		l.fleet.unmet = []demand{{test.job, 4}}
-		l.grow()
+		l.autoscaler.unmetDemand = []demand{{test.job, 4}}
+		l.scaleOut()
 		if rents := len(c.take().Calls) > 0; rents != test.rents {
 			t.Errorf("%s: dear machines rented %t", test.job.Team, rents)
 		}
 	}
 	c.now = c.now.Add(overdueAfter)
-	clear(l.fleet.renting)
-	l.fleet.unmet = []demand{{guest, guest.Tasks}}
-	l.fleet.blocked[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
+	clear(l.autoscaler.requested)
+	l.autoscaler.unmetDemand = []demand{{guest, guest.Tasks}}
+	l.autoscaler.unavailableUntil[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
 	c.take()
-	l.grow()
+	l.scaleOut()
 	if calls := c.take().Calls; len(calls) != 1 || !bytes.Contains(calls[0].Body, []byte(`"howMany":1}`)) {
 		t.Errorf("for a guest's job that is overdue: %d calls, want one machine", len(calls))
 	}
@@ -327,22 +327,22 @@
 		c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 		l.teams["guest"], l.teams["red"] = &usage{}, &usage{}
 		m := l.newMachine("vm-1", "small", "a", test.spot)
-		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr = true, true, c.now, c.now, c.now, 1, "x"
+		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 		j := addTestJob(l, "run-000001", func(j *protocol.Job) {
 			j.Team, j.Tasks, j.Checkpoint, j.Save = test.team, 1, 30*time.Second, 3*time.Second
 		})
 		l.place()
-		if len(m.list) != 1 {
+		if len(m.attemptList) != 1 {
 			t.Fatalf("%+v: not placed", test)
 		}
-		a := m.list[0]
-		a.recorded, a.seen = true, true
-		l.setState(a, protocol.Running)
-		c.now = c.now.Add(guestsStay + time.Second)
-		m.heard, m.answered, m.Emptying = c.now, c.now, true
-		l.shrink()
-		if a.stop != test.leaves {
-			t.Errorf("%+v: told to stop %t", test, a.stop)
+		a := m.attemptList[0]
+		a.recorded, a.reported = true, true
+		l.setTaskState(a, protocol.Running)
+		c.now = c.now.Add(opportunisticMinimumRun + time.Second)
+		m.lastSeen, m.lastAnswered, m.Emptying = c.now, c.now, true
+		l.scaleIn()
+		if a.stopRequested != test.leaves {
+			t.Errorf("%+v: told to stop %t", test, a.stopRequested)
 		}
 		if test.leaves {
 			l.detach(a, "test")
@@ -406,7 +406,7 @@
 	if first.live != 1 || small.live != 0 {
 		t.Fatalf("%d and %d tasks run beside a job that is overdue", first.live, small.live)
 	}
-	l.detach(m.list[0], "test")
+	l.detach(m.attemptList[0], "test")
 	first.waiting = nil
 	l.place()
 	if large.live != 1 {
--- a/internal/coordination/order.go
+++ b/internal/coordination/order.go
@@ -86,7 +86,7 @@
 	if a.state != protocol.Running || a.inherited || a.job.Estimate <= 0 {
 		return
 	}
-	run := l.controller.now.Sub(a.since)
+	run := l.controller.now.Sub(a.stateSince)
 	l.balance.completed(a, run)
 	ratio := float64(run) / float64(a.job.Estimate)
 	l.bias[a.job.Class] = l.biasOf(a.job.Class)*0.95 + min(max(ratio, 0.2), 5)*0.05
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -32,7 +32,7 @@
 	// The longer a leader's lease, the shorter its grace: together with a worker's
 	// lease they stay within the time that a cancellation has.
 	l.lease.ttl = 4 * base
-	if sum := l.lease.ttl + l.grace() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
+	if sum := l.lease.ttl + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
 		t.Errorf("lease, grace and worker's lease take %s of %s", sum, c.cfg.CancelWithin)
 	}
 }
@@ -44,15 +44,15 @@
 // new leader waits for reports.
 func TestProbesArePaced(t *testing.T) {
 	_, l := largeLead(overloadMachines, 0)
-	for turn := range 1 + probesShare {
+	for turn := range 1 + probeBatchDivisor {
 		before := len(l.controller.out.Calls)
-		l.probeSome(l.fleetList)
-		if asked := len(l.controller.out.Calls) - before; asked > overloadMachines/probesShare {
+		l.probeBatch(l.fleetList)
+		if asked := len(l.controller.out.Calls) - before; asked > overloadMachines/probeBatchDivisor {
 			t.Fatalf("turn %d: %d machines asked at once", turn, asked)
 		}
 	}
 	for _, m := range l.fleetList {
-		if !m.probing {
+		if !m.probeInFlight {
 			t.Fatalf("%s is not asked", m.Name)
 		}
 	}
@@ -131,7 +131,7 @@
 	for _, when := range []time.Duration{0, 3 * time.Second, time.Second, time.Second} { // patience passes
 		c.now = c.now.Add(when)
 		for _, m := range l.fleetList {
-			m.heard, m.answered = c.now, c.now
+			m.lastSeen, m.lastAnswered = c.now, c.now
 		}
 		l.place()
 		if l.work > 2*roundWork {
@@ -141,7 +141,7 @@
 	}
 	stopping := 0
 	for _, m := range l.fleetList {
-		stopping += m.stops
+		stopping += m.stopCount
 	}
 	if stopping < 10_000 { // what fits the guarantee
 		t.Errorf("after %d rounds %d tasks were stopped for jobs within their guarantee", rounds, stopping)
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -57,7 +57,7 @@
 			c.admission.setFinal(job, protocol.Cancelled, done)
 			// A leader that the state service refuses stops its tasks sooner for it.
 			if l := c.leader; l != nil && l.jobs[job] != nil {
-				l.jobOver(l.jobs[job], protocol.Cancelled)
+				l.endJob(l.jobs[job], protocol.Cancelled)
 			}
 		}
 		if c.leader != nil && m.Term > c.leader.term {
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -20,7 +20,7 @@
 	l.balance.beginRound()
 	l.balance.land()
 	order := l.waitingOrder()
-	l.fleet.unmet, l.fleet.partly = l.fleet.unmet[:0], false
+	l.autoscaler.unmetDemand, l.autoscaler.demandIncomplete = l.autoscaler.unmetDemand[:0], false
 	l.full, l.work = l.full[:0], len(l.fleetList)+len(order)
 	clear(l.searches)
 	least, leastMem := math.Inf(1), math.Inf(1)
@@ -44,7 +44,7 @@
 		if j.turn(c.now.Round(0)) >= rankRest && c.late() {
 			// Each start makes reports and records to come. A leader alone with thousands
 			// of tasks of a few seconds lost its lease to them again and again.
-			l.fleet.partly = true
+			l.autoscaler.demandIncomplete = true
 			break
 		}
 		left := j.toStart()
@@ -58,7 +58,7 @@
 			// The rest waits for records or for the next round, not for room: nothing
 			// is stopped for it, and what it needs of the fleet shows once room is all
 			// that it lacks.
-			l.fleet.partly = true
+			l.autoscaler.demandIncomplete = true
 			break
 		}
 		if left > 0 && c.now.Before(j.notBefore) {
@@ -69,20 +69,20 @@
 			left = l.makeRoom(j, left)
 		}
 		if left > 0 && l.placeable(j) {
-			l.fleet.unmet = append(l.fleet.unmet, demand{j, left})
+			l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, left})
 		}
 	}
 	// A round that ended for its length is followed by one that may take longer, so
 	// that those at its end get their turn whatever is before them.
 	if l.work > l.allowance {
 		l.allowance = min(2*l.allowance, 16*roundWork)
-	} else if !l.fleet.partly {
+	} else if !l.autoscaler.demandIncomplete {
 		l.allowance = roundWork
 	}
-	if l.fleet.partly {
+	if l.autoscaler.demandIncomplete {
 		l.controller.after(recordPause+c.lag/2, l.askPlaceAlive)
-	} else if len(l.fleet.unmet) > 0 {
-		l.fleetSoon()
+	} else if len(l.autoscaler.unmetDemand) > 0 {
+		l.scheduleScaleOut()
 	}
 }
 
@@ -161,7 +161,7 @@
 	j.next++
 }
 
-// underLimit reports whether one more task of the job stays within its team's
+// tasksWithinQuota reports whether one more task of the job stays within its team's
 // limit, which counts every attempt not proven gone.
 func (l *leader) underLimit(j *job) bool {
 	team, u := l.controller.teams[j.Team], l.teams[j.Team]
@@ -288,7 +288,7 @@
 func (l *leader) start(j *job, i int, m *machine) {
 	t := j.task(i)
 	t.attempt++
-	a := &attempt{job: j, task: i, number: t.attempt, machine: m, placed: l.controller.now, since: l.controller.now}
+	a := &attempt{job: j, task: i, number: t.attempt, machine: m, placedAt: l.controller.now, stateSince: l.controller.now}
 	l.attach(a)
 	l.journal.start(a)
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -34,7 +34,7 @@
 func (l *leader) free(m *machine, victims []*attempt, j *job) {
 	for _, a := range victims {
 		l.controller.log.Debug("preempted", "job", a.job.ID, "task", a.task, "machine", m.Name, "for", j.ID, "lost", l.wasted(a))
-		l.stopAttempt(a, l.saveGrace(a))
+		l.stopAttempt(a, l.checkpointGrace(a))
 	}
 	m.Promise(j.Job)
 }
@@ -123,7 +123,7 @@
 // job lies within its team's.
 func (l *leader) mayStop(a *attempt, j *job) bool {
 	// What is served before the job would only take its place again.
-	if a.stop || a.job == j || a.job.rank() < j.rank() {
+	if a.stopRequested || a.job == j || a.job.rank() < j.rank() {
 		return false
 	}
 	if a.job.Priority < j.Priority {
@@ -150,7 +150,7 @@
 	if a.state != protocol.Running {
 		return 0
 	}
-	d := l.controller.now.Sub(a.since)
+	d := l.controller.now.Sub(a.stateSince)
 	if a.job.Checkpoint > 0 {
 		d = a.job.Save // it saves, and only that time is lost
 	}
@@ -247,7 +247,7 @@
 func (s *search) next(l *leader, j *job) bool {
 	for len(s.options) > 0 {
 		o := s.options[0]
-		if !j.zoneAllows(o.machine.Zone) || o.machine.failures[j.ID] > 0 {
+		if !j.zoneAllows(o.machine.Zone) || o.machine.failuresByJob[j.ID] > 0 {
 			s.aside = append(s.aside, o)
 			heap.Pop(s)
 			continue
@@ -281,7 +281,7 @@
 	return false
 }
 
-// roomFor reports whether stopping some work on a machine makes room for one task
+// machineWithRoom reports whether stopping some work on a machine makes room for one task
 // of a job, what that would cost, and which work it is. The list is good until the
 // next call.
 func (l *leader) roomFor(j *job, m *machine, s *search) (cost float64, victims []*attempt, ok bool) {
@@ -298,7 +298,7 @@
 	if !j.within {
 		most := cpus
 		for p := protocol.Priority(0); p < j.Priority; p++ {
-			most += m.kept[p]
+			most += m.cpusByPriority[p]
 		}
 		if most < j.CPUs-protocol.Epsilon {
 			return 0, nil, false
@@ -307,8 +307,8 @@
 	l.work += 10
 	l.yielding = l.yielding[:0]
 	freed := usage{}
-	for _, a := range m.list {
-		if l.mayStop(a, j) && !(s.holders && l.saveGrace(a) > 0) && !(s.savers && !l.savesInTime(a)) {
+	for _, a := range m.attemptList {
+		if l.mayStop(a, j) && !(s.holders && l.checkpointGrace(a) > 0) && !(s.savers && !l.savesInTime(a)) {
 			l.yielding = append(l.yielding, a)
 			freed.cpus += a.job.CPUs
 		}
@@ -369,8 +369,8 @@
 	}
 	var candidates []*attempt
 	for _, m := range l.fleetList {
-		for _, a := range m.sorted() {
-			if a.job.Team == j.Team && a.job.Priority < j.Priority && !a.stop &&
+		for _, a := range m.sortedAttempts() {
+			if a.job.Team == j.Team && a.job.Priority < j.Priority && !a.stopRequested &&
 				(j.Priority == protocol.Critical || a.job.Checkpoint > 0) {
 				candidates = append(candidates, a)
 			}
@@ -388,7 +388,7 @@
 		}
 		need -= a.job.CPUs
 		l.controller.log.Debug("preempted under the team's limit", "job", a.job.ID, "task", a.task, "for", j.ID)
-		l.stopAttempt(a, l.saveGrace(a))
+		l.stopAttempt(a, l.checkpointGrace(a))
 	}
 }
 
--- a/internal/coordination/rent.go
+++ b/internal/coordination/provisioning.go
@@ -7,20 +7,20 @@
 	"brasskeel/internal/protocol"
 )
 
-// rent asks the cloud for machines.
-func (l *leader) rent(o offer, count int) {
-	c, f := l.controller, &l.fleet
-	f.requests++
+// requestMachines asks the cloud for machines.
+func (l *leader) requestMachines(o offer, count int) {
+	c, f := l.controller, &l.autoscaler
+	f.requestCount++
 	// Never used again, by this node or another: terms are unique, and so is
 	// the counter within one.
-	name := fmt.Sprintf("t%d-%d", l.term, f.requests)
+	name := fmt.Sprintf("t%d-%d", l.term, f.requestCount)
 	key := o.key()
-	f.renting[key] += count
+	f.requested[key] += count
 	c.call(Cloud, "", "POST", protocol.PathHosts, protocol.RentBody(name, o.spec.Name, o.zone, o.spot, count), cloudTimeout, func(out Outcome) {
 		if !l.alive() {
 			return
 		}
-		f.renting[key] -= count
+		f.requested[key] -= count
 		switch {
 		case out.Answered && out.Status == 200:
 			names, err := protocol.ParseNames(out.Body)
@@ -28,25 +28,25 @@
 				return // what was rented will show in the list
 			}
 			for _, m := range names {
-				if l.machines[m] == nil && l.gone[m].IsZero() {
+				if l.machines[m] == nil && l.terminated[m].IsZero() {
 					l.journal.putMachine(l.newMachine(m, o.spec.Name, o.zone, o.spot))
 				}
 			}
 			c.log.Info("machines rented", "type", o.spec.Name, "zone", o.zone, "spot", o.spot, "asked", count, "got", len(names))
 			if len(names) < count {
-				f.blocked[key] = c.now.Add(capacityPause)
+				f.unavailableUntil[key] = c.now.Add(noCapacityPause)
 			}
-			l.fleetSoon()
+			l.scheduleScaleOut()
 		case out.Answered && out.Status == 503 && protocol.NoCapacity(out.Body):
-			if c.now.Sub(f.blocked[key]) > capacityPause { // else it was so the last time, too
+			if c.now.Sub(f.unavailableUntil[key]) > noCapacityPause { // else it was so the last time, too
 				c.log.Info("no capacity", "type", o.spec.Name, "zone", o.zone, "spot", o.spot)
 			}
-			f.blocked[key] = c.now.Add(capacityPause)
-			l.fleetSoon()
+			f.unavailableUntil[key] = c.now.Add(noCapacityPause)
+			l.scheduleScaleOut()
 		case out.Answered && out.Status == 429:
 		default:
 			// Maybe carried out; then the machines show in the list.
-			f.blocked[key] = c.now.Add(3 * time.Second)
+			f.unavailableUntil[key] = c.now.Add(3 * time.Second)
 		}
 	})
 }
--- a/internal/coordination/hold_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -20,7 +20,7 @@
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
 	add := func(i int) *machine {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
-		m.up, m.recorded, m.heard, m.answered, m.reached, m.session, m.addr, m.tookOver = true, true, c.now, c.now, c.now, 1, "x", c.now
+		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr, m.epochSeenAt = true, true, c.now, c.now, c.now, 1, "x", c.now
 		return m
 	}
 	for i := range 10 {
@@ -30,14 +30,14 @@
 	c.take()
 	cut := l.fleetList[:4:4]
 	pass := func(d time.Duration) {
-		for ; d > 0; d -= watchInterval {
-			c.now = c.now.Add(watchInterval)
+		for ; d > 0; d -= detectorInterval {
+			c.now = c.now.Add(detectorInterval)
 			for i, m := range l.fleetList {
 				if i >= len(cut) {
-					m.heard, m.answered, m.reached = c.now, c.now, c.now
+					m.lastSeen, m.lastAnswered, m.lastReached = c.now, c.now, c.now
 				}
 			}
-			l.watchMachines()
+			l.detectFailures()
 			l.controller.out = Effects{}
 		}
 	}
@@ -50,15 +50,15 @@
 		return count
 	}
 	pass(8 * time.Second) // two reports of 2 s each are missing
-	if got := releasing(); got != 0 || l.fleet.held[l.order[0]] != 8 {
-		t.Errorf("without room %d of 4 are returned, and %d replicas want room", got, l.fleet.held[l.order[0]])
+	if got := releasing(); got != 0 || l.autoscaler.displacedReplicas[l.order[0]] != 8 {
+		t.Errorf("without room %d of 4 are returned, and %d replicas want room", got, l.autoscaler.displacedReplicas[l.order[0]])
 	}
-	l.grow()
-	if rented := l.fleet.renting[offer{c.types["small"], "a", false}.key()]; rented != 4 {
+	l.scaleOut()
+	if rented := l.autoscaler.requested[offer{c.types["small"], "a", false}.key()]; rented != 4 {
 		t.Errorf("%d machines are rented for eight replicas of half a machine", rented)
 	}
 	add(20)
-	pass(watchInterval)
+	pass(detectorInterval)
 	if got := releasing(); got != 1 {
 		t.Errorf("with room for two replicas %d machines are returned", got)
 	}
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -43,9 +43,9 @@
 		{60 * time.Second, 63 * time.Second}, {600 * time.Second, 700 * time.Second}} {
 		c, l := leading(active)
 		c.cfg.WorkerLease, c.cfg.CancelWithin = test.lease, test.cancel
-		l.known = c.now
+		l.jobsKnownAt = c.now
 		l.lease.validUntil = c.now.Add(time.Hour) // it is renewed, but no watch is answered
-		known, last := l.known, time.Time{}
+		known, last := l.jobsKnownAt, time.Time{}
 		for i := range 8000 {
 			at := known.Add(time.Duration(i) * 100 * time.Millisecond)
 			e := c.Request(at, uint64(i+1), "POST", protocol.PathReport, report(uint64(i+1)))
@@ -71,24 +71,24 @@
 // running that were cancelled before its term.
 func TestLeaderAnswersOnceItKnows(t *testing.T) {
 	c, l := leading(loading)
-	l.known = time.Time{}
+	l.jobsKnownAt = time.Time{}
 	_, body := running(c, l, 4)
 	if e := c.Request(c.now, 1, "POST", protocol.PathReport, body); len(e.Replies) != 0 {
 		t.Fatalf("answered before anything was read: %+v", e.Replies)
 	}
 	asked := c.now.Add(-50 * time.Millisecond)
 	l.jobKey(records.KeyOutcome("run-000001"), records.EncodeOutcome(protocol.Cancelled, 0), false)
-	l.learned(asked)
+	l.noteJobsKnown(asked)
 	c.releaseHeld()
 	e := c.take()
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
 		t.Fatalf("got %+v, want the lease renewed and the task ended", e.Replies)
 	}
-	if !l.known.Equal(asked) {
-		t.Errorf("knows all until %s, want when the list was asked for", l.known)
+	if !l.jobsKnownAt.Equal(asked) {
+		t.Errorf("knows all until %s, want when the list was asked for", l.jobsKnownAt)
 	}
 	// While the state service doesn't answer it, the worker is sent away at once.
-	l.known, c.storeBad = time.Time{}, c.now.Add(-time.Minute)
+	l.jobsKnownAt, c.storeBad = time.Time{}, c.now.Add(-time.Minute)
 	if e := c.Request(c.now, 2, "POST", protocol.PathReport, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
 		t.Errorf("got %+v, want 421", e.Replies)
 	}
@@ -98,7 +98,7 @@
 // out of its answer, and the answer may have been read late.
 func TestWatchTellsWhatIsKnown(t *testing.T) {
 	c, l := leading(active)
-	l.known = c.now
+	l.jobsKnownAt = c.now
 	asked := c.now
 	l.watchJobs(7)
 	calls := c.take().Calls
@@ -106,13 +106,13 @@
 	if !strings.HasPrefix(call.Target, protocol.PathChanges) {
 		t.Fatalf("asks %s", call.Target)
 	}
-	if call.Timeout > c.answersFor() {
-		t.Errorf("waits %s for a watch, answers workers for %s", call.Timeout, c.answersFor())
+	if call.Timeout > c.answerFreshness() {
+		t.Errorf("waits %s for a watch, answers workers for %s", call.Timeout, c.answerFreshness())
 	}
-	l.known = asked.Add(-10 * time.Second)
+	l.jobsKnownAt = asked.Add(-10 * time.Second)
 	c.Result(asked.Add(3*time.Second), call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeEvents(nil, 9)})
-	if !l.known.Equal(asked) {
-		t.Errorf("knows all until %s after it was asked for, want that very moment", l.known.Sub(asked))
+	if !l.jobsKnownAt.Equal(asked) {
+		t.Errorf("knows all until %s after it was asked for, want that very moment", l.jobsKnownAt.Sub(asked))
 	}
 }
 
@@ -122,8 +122,8 @@
 	c, l := leading(active)
 	_, body := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
-	l.machines["vm-1"].seq = 9
-	l.jobOver(l.jobs["run-000001"], protocol.Cancelled)
+	l.machines["vm-1"].sequence = 9
+	l.endJob(l.jobs["run-000001"], protocol.Cancelled)
 	e := c.Request(c.now, 2, "POST", protocol.PathReport, body)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
 		t.Errorf("got %+v, want an answer that ends the task", e.Replies)
@@ -134,20 +134,20 @@
 // cancellation but the latest: nobody starts tasks of a job that is long over.
 func TestStartsNeedFreshKnowledge(t *testing.T) {
 	c, l := leading(active)
-	l.known = c.now
+	l.jobsKnownAt = c.now
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
-	a := &attempt{job: j, number: 1, machine: m, placed: c.now, recorded: true}
+	a := &attempt{job: j, number: 1, machine: m, placedAt: c.now, recorded: true}
 	l.attach(a)
 	l.lease.validUntil = c.now.Add(time.Hour)
-	c.now = c.now.Add(startsFor + time.Millisecond)
-	l.sendDirect(m)
+	c.now = c.now.Add(startFreshness + time.Millisecond)
+	l.sendOrders(m)
 	e := c.Request(c.now, 2, "POST", protocol.PathReport, report(4))
 	if _, _, orders, _ := protocol.ParseOrders(e.Replies[0].Body); len(orders) != 0 || len(e.Calls) != 0 {
-		t.Fatalf("a start is sent %s after all was known: %+v %+v", startsFor, orders, e.Calls)
+		t.Fatalf("a start is sent %s after all was known: %+v %+v", startFreshness, orders, e.Calls)
 	}
-	l.learned(c.now)
+	l.noteJobsKnown(c.now)
 	calls := c.take().Calls
 	if len(calls) != 1 || calls[0].To != Worker || calls[0].Target != protocol.PathOrders {
 		t.Fatalf("got %+v, want the start that was withheld", calls)
--- /dev/null
+++ b/internal/coordination/scale_in.go
@@ -0,0 +1,195 @@
+package coordination
+
+import (
+	"sort"
+	"time"
+
+	"brasskeel/internal/protocol"
+)
+
+// scaleIn returns machines that are not needed: empty ones beyond the headroom,
+// ones that never came up, and ones given up.
+func (l *leader) scaleIn() {
+	c := l.controller
+	l.releaseOverdueBoots()
+	used, free, fixedRoom := 0.0, 0.0, 0.0
+	for _, m := range l.fleetList {
+		if m.Spec != nil && m.registered && !m.draining && !m.releasing {
+			used += m.Taken.CPUs
+			if !m.Emptying {
+				free += m.Spec.CPUs - m.Taken.CPUs
+				fixedRoom += l.onDemandRoom(m)
+			}
+		}
+	}
+	want := l.headroomFor(used)
+	fixedNeed := l.onDemandReserve()
+	var candidates []*machine
+	plan := &lazyPlanner{leader: l}
+	for _, m := range append([]*machine(nil), l.fleetList...) {
+		if m.releasing {
+			continue
+		}
+		age := c.now.Sub(m.provisionedAt)
+		switch {
+		case m.draining && len(m.attempts) == 0:
+			l.release(m, "drained")
+		case m.Spec == nil && m.registered && len(m.attempts) == 0:
+			l.release(m, "unknown type")
+		case !m.preemptionAt.IsZero() && c.now.After(m.preemptionAt.Add(2*time.Second)) && len(m.attempts) == 0:
+			l.release(m, "taken")
+		case m.Emptying && len(m.attempts) == 0 && m.reservedMoves == 0 && age > minimumBilledTime && c.now.Sub(m.emptySince) > c.op.Idle():
+			l.release(m, "not needed")
+		case m.Emptying && l.evictOpportunistic(m):
+		case m.Emptying && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(plan.get(), true):
+			m.Emptying = false // it stays for its replicas, so others may use it, too
+			plan.get().Stays(&m.Machine)
+		case m.registered && m.recorded && m.Spec != nil && !m.draining && !m.Emptying && m.reservedMoves == 0 && m.preemptionAt.IsZero():
+			candidates = append(candidates, m)
+		}
+	}
+	if l.autoscaler.demandIncomplete {
+		return // what seems to be free is needed as soon as records allow
+	}
+	// Tasks spread over all machines: waiting for one to be empty by chance
+	// would keep them all.
+	sortByPriceDescending(candidates)
+	for _, m := range candidates {
+		room := l.onDemandRoom(m)
+		if free-(m.Spec.CPUs-m.Taken.CPUs) < want+m.Taken.CPUs || room > 0 && fixedRoom-room < fixedNeed {
+			continue
+		}
+		// Replicas would hold it for long, unless they can go elsewhere.
+		if m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(plan.get(), false)) {
+			continue
+		}
+		free -= m.Spec.CPUs - m.Taken.CPUs
+		fixedRoom -= room
+		m.Emptying = true
+		c.log.Debug("emptying machine", "machine", m.Name, "cpus", m.Taken.CPUs)
+	}
+}
+
+// opportunisticMinimumRun is how long a guest's task runs before it has to leave a dear machine.
+const opportunisticMinimumRun = 40 * time.Second
+
+// evictOpportunistic stops work of teams without a guarantee that saves, where it alone keeps a
+// dear machine from being returned, and reports whether it did. Tasks of minutes that had
+// found idle room held a fleet's ordinary machines long after the others' work was done.
+func (l *leader) evictOpportunistic(m *machine) bool {
+	if len(m.attemptList) == 0 {
+		return false
+	}
+	for _, a := range m.attemptList {
+		if a.stopRequested || a.job.Checkpoint == 0 || a.state != protocol.Running || l.controller.now.Sub(a.stateSince) < opportunisticMinimumRun ||
+			!l.overpriced(a.job, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
+			return false
+		}
+	}
+	for _, a := range m.sortedAttempts() {
+		l.stopAttempt(a, l.checkpointGrace(a))
+	}
+	return true
+}
+
+// onDemandReserve is the room kept on ordinary machines for the next service.
+func (l *leader) onDemandReserve() float64 {
+	if l.needsHeadroom() {
+		return l.autoscaler.largestOnDemand
+	}
+	return 0
+}
+
+// onDemandRoom is the room on an ordinary machine that work which may not use
+// spot machines can have, other work giving way.
+func (l *leader) onDemandRoom(m *machine) float64 {
+	if m.Spot {
+		return 0
+	}
+	return max(m.Spec.CPUs-m.onDemandCPUs, 0)
+}
+
+// holdsOnlyReplicas reports whether replicas are all that is left on a machine.
+func (m *machine) holdsOnlyReplicas() bool {
+	return m.replicaCount == len(m.attemptList) && m.replicaCount > 0
+}
+
+// sortByPriceDescending orders machines by price, the emptiest first among equals.
+func sortByPriceDescending(list []*machine) {
+	sort.SliceStable(list, func(i, k int) bool {
+		a, b := list[i], list[k]
+		if pa, pb := a.pricePerCPU(), b.pricePerCPU(); pa != pb {
+			return pa > pb
+		}
+		return a.Taken.CPUs < b.Taken.CPUs
+	})
+}
+
+func (m *machine) pricePerCPU() float64 {
+	return offer{spec: m.Spec, spot: m.Spot}.price() / m.Spec.CPUs
+}
+
+// releaseUnresponsiveReason is why a machine is given up that may yet be heard again.
+const releaseUnresponsiveReason = "silent"
+
+// revokeRelease takes back the return of a machine that was given up as silent and has been
+// reached since, if the cloud can't have carried it out. Where the cloud is away as
+// well, machines that were cut off for a moment would otherwise all be lost once it
+// answers.
+func (l *leader) revokeRelease(m *machine) {
+	if m.releasing && m.releaseRevocable && !m.releaseInFlight && !m.draining {
+		m.releasing, m.releaseRevocable = false, false
+		l.controller.logEach("machine heard before it was returned", "machine", m.Name)
+		l.askPlace()
+	}
+}
+
+// release returns a machine. The answer proves that it and all on it is gone.
+func (l *leader) release(m *machine, why string) {
+	if m.releasing || m.removed {
+		return
+	}
+	m.releasing = true
+	m.releaseRevocable = why == releaseUnresponsiveReason
+	l.controller.logEach("returning machine", "machine", m.Name, "why", why, "attempts", len(m.attempts), "up", m.registered, "quiet", l.controller.now.Sub(latest(m.lastSeen, m.provisionedAt)).Round(time.Millisecond))
+	l.sendReleases()
+}
+
+func (l *leader) sendReleases() {
+	c, f := l.controller, &l.autoscaler
+	if f.releaseInFlight {
+		return
+	}
+	var names []string
+	var list []*machine
+	for _, m := range l.fleetList {
+		if m.releasing && c.now.Sub(m.releaseSentAt) > releaseRetry && len(names) < protocol.MaxRelease {
+			names = append(names, m.Name)
+			list = append(list, m)
+		}
+	}
+	if len(names) == 0 || !f.callBudget.Take(c.now, 1) {
+		return
+	}
+	for _, m := range list {
+		m.releaseSentAt, m.releaseInFlight = c.now, true
+	}
+	f.releaseInFlight = true
+	c.call(Cloud, "", "POST", protocol.PathRelease, protocol.ReleaseBody(names), cloudTimeout, func(out Outcome) {
+		if !l.alive() {
+			return
+		}
+		f.releaseInFlight = false
+		for _, m := range list {
+			m.releaseInFlight = false
+			m.releaseRevocable = m.releaseRevocable && out.Answered && (out.Status == 503 || out.Status == 429) // not carried out
+		}
+		if out.Answered && out.Status == 200 {
+			for _, m := range list {
+				l.machineTerminated(m, "returned")
+			}
+			l.askPlace()
+			l.sendReleases()
+		}
+	})
+}
--- a/internal/coordination/observe.go
+++ b/internal/coordination/session_events.go
@@ -8,63 +8,63 @@
 
 // What a leader makes of what workers show.
 
-// machineUp implements observer.
-func (l *leader) machineUp(*machine) { l.askPlace() }
+// workerRegistered implements observer.
+func (l *leader) workerRegistered(*machine) { l.askPlace() }
 
-// sessionBegan implements observer.
-func (l *leader) sessionBegan(m *machine) {
+// incarnationBegan implements observer.
+func (l *leader) incarnationBegan(m *machine) {
 	m.Images.Reset()
-	l.balance.sessionBegan(m)
+	l.balance.incarnationBegan(m)
 }
 
 // addressChanged implements observer.
 func (l *leader) addressChanged(m *machine) { l.journal.changeGroup(m.group) }
 
-// noticeCame implements observer.
-func (l *leader) noticeCame(m *machine) { l.drainNoticed(m) }
+// preemptionNoticed implements observer.
+func (l *leader) preemptionNoticed(m *machine) { l.drainForPreemption(m) }
 
-// tasksCompared implements observer.
-func (l *leader) tasksCompared(*machine) { l.checkHeard() }
+// tasksReconciled implements observer.
+func (l *leader) tasksReconciled(*machine) { l.checkReconciled() }
 
-// machineReached implements observer.
-func (l *leader) machineReached(m *machine) {
-	l.keep(m)
-	if m.reached.IsZero() {
+// workerReached implements observer.
+func (l *leader) workerReached(m *machine) {
+	l.revokeRelease(m)
+	if m.lastReached.IsZero() {
 		l.askPlace()
-		l.checkHeard()
+		l.checkReconciled()
 	}
 }
 
 // probeFailed implements observer.
-func (l *leader) probeFailed(*machine) { l.checkHeard() }
+func (l *leader) probeFailed(*machine) { l.checkReconciled() }
 
-// beganAnew implements observer: the worker's sessions and numbers say no more which of
+// incarnationReset implements observer: the worker's sessions and numbers say no more which of
 // its messages is the newer one.
-func (l *leader) beganAnew(m *machine) {
+func (l *leader) incarnationReset(m *machine) {
 	m.draining = true
 	l.release(m, "its worker began anew")
 }
 
-// stateReported implements observer.
-func (l *leader) stateReported(a *attempt, s protocol.TaskState) {
+// taskStateReported implements observer.
+func (l *leader) taskStateReported(a *attempt, s protocol.TaskState) {
 	m := a.machine
 	if s == protocol.Running && a.state != protocol.Running {
 		m.Images.Add(a.job.image, a.job.ImageGB, m.CacheGB())
 	}
-	l.setState(a, s)
+	l.setTaskState(a, s)
 }
 
-// attemptGone implements observer.
-func (l *leader) attemptGone(a *attempt, why string) { l.detach(a, why) }
+// attemptTerminated implements observer.
+func (l *leader) attemptTerminated(a *attempt, why string) { l.detach(a, why) }
 
-// strayReported implements observer: not a task of ours on this machine, or not any more.
-func (l *leader) strayReported(*machine, *protocol.TaskReport) bool { return true }
+// orphanReported implements observer: not a task of ours on this machine, or not any more.
+func (l *leader) orphanReported(*machine, *protocol.TaskReport) bool { return true }
 
-// laterToken implements observer.
-func (l *leader) laterToken(*machine) { l.controller.stepDown("a worker has seen a later term") }
+// newerTokenSeen implements observer.
+func (l *leader) newerTokenSeen(*machine) { l.controller.stepDown("a worker has seen a later term") }
 
-// checkHeard ends the new leader's wait once nobody is left to be heard.
-func (l *leader) checkHeard() {
+// checkReconciled ends the new leader's wait once nobody is left to be heard.
+func (l *leader) checkReconciled() {
 	if l.phase != settling {
 		return
 	}
@@ -80,14 +80,14 @@
 	})
 }
 
-// exitReported implements observer.
-func (l *leader) exitReported(m *machine, a *attempt, t *protocol.TaskReport) bool {
+// taskExitReported implements observer.
+func (l *leader) taskExitReported(m *machine, a *attempt, t *protocol.TaskReport) bool {
 	j := l.jobs[t.Job]
 	if t.Why == protocol.ExitDone && j != nil && t.Index < j.Tasks {
 		if a != nil && a.state != 0 {
 			m.Images.Add(j.image, j.ImageGB, m.CacheGB())
 		}
-		clear(m.failures)
+		clear(m.failuresByJob)
 		if a != nil {
 			l.learn(a)
 		}
--- a/internal/coordination/shard_feed.go
+++ b/internal/coordination/shard_feed.go
@@ -121,7 +121,7 @@
 		for _, k := range m.exits {
 			k.at = time.Time{} // the next report brings it
 		}
-		clear(m.strays)
+		clear(m.orphans)
 	}
 }
 
@@ -155,7 +155,7 @@
 }
 
 func (f *ownerFeed) addStates(m *machine) (count int) {
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		if a.state != 0 {
 			f.line.States = append(f.line.States, shard.State{Task: attemptTask(a), State: a.state})
 			count++
@@ -165,12 +165,12 @@
 }
 
 func (f *ownerFeed) worker(m *machine) shard.Worker {
-	w := shard.Worker{Machine: m.Name, Shard: m.shard, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Anew: m.anew}
-	if m.up {
-		w.Session, w.Compared, w.Reached = m.session, m.reconciled, !m.reached.IsZero()
+	w := shard.Worker{Machine: m.Name, Shard: m.shard, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Anew: m.incarnationReset}
+	if m.registered {
+		w.Session, w.Compared, w.Reached = m.incarnation, m.reconciled, !m.lastReached.IsZero()
 	}
-	if !m.noticeAt.IsZero() {
-		w.Notice = max(1, m.noticeAt.Sub(f.o.controller.now).Milliseconds())
+	if !m.preemptionAt.IsZero() {
+		w.Notice = max(1, m.preemptionAt.Sub(f.o.controller.now).Milliseconds())
 	}
 	return w
 }
@@ -211,7 +211,7 @@
 	}
 	if in.Reset {
 		for _, m := range f.o.fleetList {
-			m.listed = false // until the account lists it
+			m.attemptsKnown = false // until the account lists it
 		}
 	}
 	for i := range in.Machines {
@@ -237,7 +237,7 @@
 // list takes a machine and all attempts that may be on it.
 func (o *shardOwner) list(k *shard.Machine) {
 	h := o.held[k.Shard]
-	if h == nil || h.tenure.term != k.Term {
+	if h == nil || h.epoch.term != k.Term {
 		return // it was meant for an earlier or a later tenure
 	}
 	m := o.machines[k.Name]
@@ -247,13 +247,13 @@
 	if m.addr == "" {
 		m.addr = k.Addr
 	}
-	m.wasUp = m.wasUp || k.Up
+	m.registeredBefore = m.registeredBefore || k.Up
 	runs := map[taskKey]*shard.Run{}
 	for i := range k.Runs {
 		r := &k.Runs[i]
 		runs[taskKey{r.Job, r.Index}] = r
 	}
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		if r := runs[taskKey{a.job.ID, a.task}]; r == nil || r.Attempt != a.number {
 			o.remove(a) // the leader knows that it is gone
 		}
@@ -269,14 +269,14 @@
 			o.stop(a, time.Duration(r.Grace)*time.Millisecond)
 		}
 	}
-	m.listed = true
+	m.attemptsKnown = true
 	o.controller.releaseHeld()
 }
 
 // run takes an attempt that was recorded and told to nobody before.
 func (o *shardOwner) run(r *shard.Run) {
 	m := o.machines[r.Machine]
-	if m == nil || !m.listed || m.attempts[taskKey{r.Job, r.Index}] != nil {
+	if m == nil || !m.attemptsKnown || m.attempts[taskKey{r.Job, r.Index}] != nil {
 		o.feed.link.Lost()
 		return
 	}
@@ -294,7 +294,7 @@
 		o.stop(a, time.Duration(s.Grace)*time.Millisecond)
 		return
 	}
-	m.strayStops[key] = s.Attempt
+	m.orphanStops[key] = s.Attempt
 }
 
 // forget lets a worker forget an exited task.
@@ -339,12 +339,12 @@
 
 // late tells of a worker that isn't well.
 func (o *shardOwner) late(m *machine) (shard.Late, bool) {
-	silent, unreached, unreported := o.silentFor(m), o.unreached(m), o.unreported(m)
-	if !o.expected(m) || silent <= o.suspectAfter() && m.probeFails == 0 && unreached <= o.reachAfter() && unreported <= o.suspectAfter()+lostReport {
+	silent, unreached, unreported := o.silentFor(m), o.unreachedFor(m), o.unansweredFor(m)
+	if !o.expected(m) || silent <= o.suspectAfter() && m.failedProbes == 0 && unreached <= o.unreachedProbeAfter() && unreported <= o.suspectAfter()+lostHeartbeatDelay {
 		return shard.Late{}, false
 	}
 	return shard.Late{Machine: m.Name, Silent: silent.Milliseconds(), Unreached: unreached.Milliseconds(),
-		Unreported: unreported.Milliseconds(), Fails: m.probeFails}, true
+		Unreported: unreported.Milliseconds(), Fails: m.failedProbes}, true
 }
 
 // sweepExits drops exits that were forgotten long ago.
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -24,7 +24,7 @@
 	l.shards = newShardLeader(l, c.sharding, false)
 	l.shards.changed()
 	m := l.newMachine("vm-1", "small", "a", false)
-	m.shard, m.recorded, m.up, m.group = 1, true, true, &group{applied: true}
+	m.shard, m.recorded, m.registered, m.group = 1, true, true, &group{applied: true}
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
 	l.assign(l.order[0], 0, m)
 	a := l.order[0].task(0).live
@@ -72,13 +72,13 @@
 func TestSilenceOfAnOwnerIsNoneOfItsWorkers(t *testing.T) {
 	l, a := shardedLead(t)
 	l.shards.take("n1", seen(l, "n1", 5, 1))
-	a.machine.heard, a.machine.answered, a.machine.reached, a.machine.firstHeard = l.controller.now, l.controller.now, l.controller.now, l.controller.now
+	a.machine.lastSeen, a.machine.lastAnswered, a.machine.lastReached, a.machine.registeredAt = l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	l.controller.now = l.controller.now.Add(time.Minute)
-	if s := l.survey(); len(s.silent) != 0 {
+	if s := l.assessReachability(); len(s.unresponsive) != 0 {
 		t.Errorf("%s is given up while nobody tells of it", a.machine.Name)
 	}
 	l.shards.take("n1", seen(l, "n1", 5, 2)) // its status comes within a second
-	if s := l.survey(); len(s.silent) != 0 {
+	if s := l.assessReachability(); len(s.unresponsive) != 0 {
 		t.Errorf("%s is given up as soon as its owner is heard again", a.machine.Name)
 	}
 }
@@ -91,8 +91,8 @@
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), read: true, member: shard.Member{Node: "n0", Incarnation: 1}}
 	o := newShardOwner(c.sharding, lease{id: 3, ttl: 2 * time.Second, validUntil: c.now.Add(time.Hour)})
 	c.sharding.own = o
-	o.known = c.now.Add(time.Hour)
-	o.held[1] = &heldShard{tenure: tenure{term: term, since: c.now, predecessorUntil: c.now}}
+	o.jobsKnownAt = c.now.Add(time.Hour)
+	o.held[1] = &heldShard{epoch: ownershipEpoch{term: term, since: c.now, predecessorUntil: c.now}}
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-1", Type: "small", Zone: "a"}, o.held[1])
 	o.feed.follow("n1", 9)
 	c.take()
@@ -111,12 +111,12 @@
 func TestListsOfOtherTenures(t *testing.T) {
 	o := ownerOf(t, 7)
 	o.feed.take("n1", instructions(o, 5))
-	if m := o.machines["vm-1"]; m.listed || len(m.list) != 0 {
+	if m := o.machines["vm-1"]; m.attemptsKnown || len(m.attemptList) != 0 {
 		t.Error("the list of an earlier tenure was taken")
 	}
 	o = ownerOf(t, 7)
 	o.feed.take("n1", instructions(o, 7))
-	if m := o.machines["vm-1"]; !m.listed || len(m.list) != 1 {
+	if m := o.machines["vm-1"]; !m.attemptsKnown || len(m.attemptList) != 1 {
 		t.Error("the list was not taken")
 	}
 }
@@ -147,14 +147,14 @@
 	l, a := shardedLead(t)
 	l.shards.take("n1", seen(l, "n1", 5, 1))
 	m := a.machine
-	m.probeFails, m.heard, m.answered, m.reached, m.firstHeard = lostAfterFails, l.controller.now, l.controller.now, l.controller.now, l.controller.now
+	m.failedProbes, m.lastSeen, m.lastAnswered, m.lastReached, m.registeredAt = unreachableProbes, l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	owner, other := l.shards.links["n1"], l.shards.links["n2"]
-	later := l.controller.now.Add(l.releaseAfter() + time.Second)
+	later := l.controller.now.Add(l.unresponsiveAfter() + time.Second)
 	silent := func(untried bool) bool {
 		l.controller.now = later
 		owner.heard, other.heard, l.shards.heard[1] = later, later, later.Add(-time.Minute)
 		owner.blind, owner.untried = true, map[string]bool{m.Zone: untried}
-		return len(l.survey().silent) > 0
+		return len(l.assessReachability().unresponsive) > 0
 	}
 	if silent(true) {
 		t.Error("given up although another controller may reach it")
@@ -174,7 +174,7 @@
 	if got := s.to("vm-7"); got != "n1" {
 		t.Fatalf("sent to %q", got)
 	}
-	c.now = c.now.Add(lostReport)
+	c.now = c.now.Add(lostHeartbeatDelay)
 	c.peers["n1"].at = c.now
 	if got := s.to("vm-7"); got != "" {
 		t.Errorf("sent to %q again", got)
@@ -198,7 +198,7 @@
 	o := ownerOf(t, 7)
 	f := o.feed
 	f.take("n1", instructions(o, 7))
-	o.attemptGone(o.machines["vm-1"].list[0], "no longer reported")
+	o.attemptTerminated(o.machines["vm-1"].attemptList[0], "no longer reported")
 	gone := func() (count int, last uint64) {
 		f.flush()
 		for _, s := range o.controller.take().Sends {
@@ -238,21 +238,21 @@
 	o.feed.take("n1", instructions(o, 7))
 	m := o.machines["vm-1"]
 	exit := protocol.TaskReport{Job: "run-000001", Index: 0, Attempt: 1, State: protocol.Exited, Why: protocol.ExitStopped}
-	o.exitReported(m, m.list[0], &exit)
+	o.taskExitReported(m, m.attemptList[0], &exit)
 	o.forget(&shard.Task{Machine: "vm-1", Job: "run-000001", Index: 0, Attempt: 1})
-	if !o.exitReported(m, nil, &exit) {
+	if !o.taskExitReported(m, nil, &exit) {
 		t.Fatal("the worker may not forget it")
 	}
 	o.feed.flush()
 	o.controller.take()
 	o.feed.follow("n2", 10)
 	o.feed.take("n2", instructions(o, 7))
-	if len(m.list) != 1 {
+	if len(m.attemptList) != 1 {
 		t.Fatal("the next leader's list was not taken")
 	}
 	o.feed.flush()
 	o.controller.take()
-	if o.exitReported(m, m.list[0], &exit) {
+	if o.taskExitReported(m, m.attemptList[0], &exit) {
 		t.Error("the worker may forget it before the next leader knows")
 	}
 	if len(o.feed.line.Exits) != 1 {
@@ -265,7 +265,7 @@
 func TestReleaseWhileAnEarlierOwnerMayAnswer(t *testing.T) {
 	released := func(wait time.Duration) bool {
 		o := ownerOf(t, 7)
-		o.held[1].tenure.predecessorUntil = o.controller.now.Add(wait)
+		o.held[1].epoch.predecessorUntil = o.controller.now.Add(wait)
 		put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 		next := shard.Grant{Member: shard.Member{Node: "n2", Incarnation: 1}, Term: 8}
 		put(t, o.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
@@ -304,7 +304,7 @@
 	put(t, o.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}}, 4)
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-2", Type: "small", Zone: "a"}, o.held[1])
 	status := func(machine string, seq, term uint64) int {
-		body := protocol.EncodeReport(&protocol.Report{Machine: machine, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: term << fenceBits})
+		body := protocol.EncodeReport(&protocol.Report{Machine: machine, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: term << fencingBits})
 		return o.controller.Request(o.controller.now, seq, "POST", protocol.PathReport, body).Replies[0].Status
 	}
 	if got := status("vm-1", 1, 9); got != 421 {
--- a/internal/coordination/shard_leader.go
+++ b/internal/coordination/shard_leader.go
@@ -97,13 +97,13 @@
 // redirect tells a worker who serves it.
 func (sl *shardLeader) redirect(id uint64, r *protocol.Report, body []byte) {
 	l, c := sl.l, sl.l.controller
-	if _, ok := l.gone[r.Machine]; ok && l.machines[r.Machine] == nil {
+	if _, ok := l.terminated[r.Machine]; ok && l.machines[r.Machine] == nil {
 		c.reply(id, 503, protocol.ErrorAnswer("the machine was returned"))
 		return
 	}
 	m := l.machines[r.Machine]
 	if m == nil {
-		m = l.adopt(r.Machine, r.Type, r.Zone, r.Spot, 0)
+		m = l.adoptMachine(r.Machine, r.Type, r.Zone, r.Spot, 0)
 	}
 	name := sl.s.ownerName(m.shard)
 	if name == "" || name == c.cfg.Name {
@@ -121,7 +121,7 @@
 // ownersLate reports whether an owner told lately that its timers fire too late.
 func (sl *shardLeader) ownersLate() bool {
 	for _, k := range sl.links {
-		if k.status.Load.Lag > lagLate && sl.l.controller.now.Sub(k.heard) <= carefulFor {
+		if k.status.Load.Lag > lagLate && sl.l.controller.now.Sub(k.heard) <= overloadMemory {
 			return true
 		}
 	}
@@ -133,7 +133,7 @@
 	if !sl.s.read || sl.l.phase == loading {
 		return
 	}
-	sl.l.checkHeard()
+	sl.l.checkReconciled()
 	for _, node := range sl.nodes() {
 		k := sl.links[node]
 		k.link.Check(sl.l.controller.now)
--- a/internal/coordination/shard_leader_plan.go
+++ b/internal/coordination/shard_leader_plan.go
@@ -187,5 +187,5 @@
 	if sl.oddSeen[id] != version {
 		sl.oddSeen[id], sl.oddSince[id] = version, c.now
 	}
-	return c.now.Sub(sl.oddSince[id]) > c.answersFor()+drift(c.cfg.CancelWithin)+proofMargin
+	return c.now.Sub(sl.oddSince[id]) > c.answerFreshness()+drift(c.cfg.CancelWithin)+proofMargin
 }
--- a/internal/coordination/shard_leader_seen.go
+++ b/internal/coordination/shard_leader_seen.go
@@ -82,8 +82,8 @@
 	for i := range seen.States {
 		s := &seen.States[i]
 		if a := sl.attempt(k, &s.Task); a != nil {
-			a.seen = true
-			l.stateReported(a, s.State)
+			a.reported = true
+			l.taskStateReported(a, s.State)
 		}
 	}
 	for i := range seen.Exits {
@@ -132,30 +132,30 @@
 	if w.Session == 0 {
 		return // not heard by this owner yet
 	}
-	if !m.up {
-		m.up, m.firstHeard = true, c.now
-		l.machineUp(m)
+	if !m.registered {
+		m.registered, m.registeredAt = true, c.now
+		l.workerRegistered(m)
 	}
-	if w.Session != m.session {
-		m.session = w.Session
-		l.sessionBegan(m)
+	if w.Session != m.incarnation {
+		m.incarnation = w.Session
+		l.incarnationBegan(m)
 	}
 	sl.moveAnswered(m.shard)
-	m.heard, m.answered = c.now, c.now
+	m.lastSeen, m.lastAnswered = c.now, c.now
 	if w.Reached {
-		l.machineReached(m)
-		m.reached = c.now
+		l.workerReached(m)
+		m.lastReached = c.now
 	}
-	if w.Notice > 0 && m.noticeAt.IsZero() {
-		m.noticeAt = c.now.Add(time.Duration(w.Notice) * time.Millisecond)
-		l.noticeCame(m)
+	if w.Notice > 0 && m.preemptionAt.IsZero() {
+		m.preemptionAt = c.now.Add(time.Duration(w.Notice) * time.Millisecond)
+		l.preemptionNoticed(m)
 	}
 	if w.Compared && !m.reconciled {
 		m.reconciled = true
-		l.tasksCompared(m)
+		l.tasksReconciled(m)
 	}
 	if w.Anew && !m.draining {
-		l.beganAnew(m)
+		l.incarnationReset(m)
 	}
 }
 
@@ -165,7 +165,7 @@
 		return
 	}
 	t := protocol.TaskReport{Job: e.Job, Index: e.Index, Attempt: e.Attempt, State: protocol.Exited, Why: e.Why, Saved: e.Saved}
-	if sl.l.exitReported(m, sl.attempt(k, &e.Task), &t) {
+	if sl.l.taskExitReported(m, sl.attempt(k, &e.Task), &t) {
 		sl.tellForget(e.Task)
 		return
 	}
@@ -192,29 +192,29 @@
 		if k.told[m.shard] == 0 || sl.may(k, m.Name) == nil {
 			continue
 		}
-		if m.up {
+		if m.registered {
 			known++
 		}
 		w := late[m.Name]
 		if w == nil {
-			if m.up {
-				m.heard, m.answered, m.probeFails = c.now, c.now, 0
-				if !m.reached.IsZero() {
-					l.machineReached(m)
-					m.reached = c.now
+			if m.registered {
+				m.lastSeen, m.lastAnswered, m.failedProbes = c.now, c.now, 0
+				if !m.lastReached.IsZero() {
+					l.workerReached(m)
+					m.lastReached = c.now
 				}
 			}
 			continue
 		}
-		if m.up && (w.Fails >= lostAfterFails || time.Duration(w.Unreported)*time.Millisecond > c.unansweredMost()) {
+		if m.registered && (w.Fails >= unreachableProbes || time.Duration(w.Unreported)*time.Millisecond > c.unansweredMost()) {
 			lost++
 		}
-		m.probeFails = w.Fails
-		if m.up {
-			m.heard = c.now.Add(-time.Duration(w.Silent) * time.Millisecond)
-			m.answered = c.now.Add(-time.Duration(w.Unreported) * time.Millisecond)
-			if !m.reached.IsZero() {
-				m.reached = c.now.Add(-time.Duration(w.Unreached) * time.Millisecond)
+		m.failedProbes = w.Fails
+		if m.registered {
+			m.lastSeen = c.now.Add(-time.Duration(w.Silent) * time.Millisecond)
+			m.lastAnswered = c.now.Add(-time.Duration(w.Unreported) * time.Millisecond)
+			if !m.lastReached.IsZero() {
+				m.lastReached = c.now.Add(-time.Duration(w.Unreached) * time.Millisecond)
 			}
 		}
 		if w.Fails > 0 {
--- a/internal/coordination/shard_leader_tell.go
+++ b/internal/coordination/shard_leader_tell.go
@@ -35,10 +35,10 @@
 		return // all of it will be told with the machine
 	}
 	switch {
-	case a.stop && (a.told || a.inherited):
-		k.line.Stops = append(k.line.Stops, shard.Stop{Task: attemptTask(a), Grace: a.grace.Milliseconds()})
-	case a.recorded && !a.told && !a.inherited:
-		a.told = true
+	case a.stopRequested && (a.ownerNotified || a.inherited):
+		k.line.Stops = append(k.line.Stops, shard.Stop{Task: attemptTask(a), Grace: a.stopGrace.Milliseconds()})
+	case a.recorded && !a.ownerNotified && !a.inherited:
+		a.ownerNotified = true
 		k.line.Runs = append(k.line.Runs, shard.Run{Task: attemptTask(a)})
 	default:
 		return
@@ -145,7 +145,7 @@
 func (sl *shardLeader) sizeInLine(m *machine) int {
 	entry := shard.Machine{Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone}
 	size := entry.Size()
-	for _, a := range m.list {
+	for _, a := range m.attemptList {
 		size += shard.RunSize(m.Name, a.job.ID)
 	}
 	return size
@@ -162,13 +162,13 @@
 // machine is a machine with all attempts that may be on it.
 func (sl *shardLeader) machine(m *machine, term uint64) shard.Machine {
 	k := shard.Machine{Shard: m.shard, Term: term, Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Up: m.up || m.inherited && !sl.l.booting(m)}
-	for _, a := range m.sorted() {
+		Up: m.registered || m.inherited && !sl.l.booting(m)}
+	for _, a := range m.sortedAttempts() {
 		if !a.recorded {
 			continue
 		}
-		k.Runs = append(k.Runs, shard.Run{Task: attemptTask(a), New: !a.told && !a.inherited, Stop: a.stop, Grace: a.grace.Milliseconds()})
-		a.told = true
+		k.Runs = append(k.Runs, shard.Run{Task: attemptTask(a), New: !a.ownerNotified && !a.inherited, Stop: a.stopRequested, Grace: a.stopGrace.Milliseconds()})
+		a.ownerNotified = true
 	}
 	return k
 }
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -17,7 +17,7 @@
 // starts from the records: which shards are its own, and which machines are theirs. What
 // may run there it learns from the leader, and tells it in turn what the workers show.
 type shardOwner struct {
-	owner
+	workerSessions
 	sharding *sharding
 	held     map[shard.ID]*heldShard
 	moved    map[string]shard.ID // machines of shards that went to somebody else
@@ -31,7 +31,7 @@
 
 // heldShard is a shard that this owner serves.
 type heldShard struct {
-	tenure    tenure
+	epoch     ownershipEpoch
 	moving    bool // nothing is answered or sent any more
 	releasing bool // the release is being written
 	overtaken bool // a worker has seen a later owner's token
@@ -43,20 +43,20 @@
 // setMoving and setOvertaken pause the tenure, or let it go on.
 func (h *heldShard) setMoving(on bool) {
 	h.moving = on
-	h.tenure.paused = !h.served()
+	h.epoch.paused = !h.served()
 }
 
 func (h *heldShard) setOvertaken(on bool) {
 	h.overtaken = on
-	h.tenure.paused = !h.served()
+	h.epoch.paused = !h.served()
 }
 
 func newShardOwner(s *sharding, r lease) *shardOwner {
-	o := &shardOwner{owner: newOwner(s.controller, r), sharding: s, held: map[shard.ID]*heldShard{}, moved: map[string]shard.ID{}}
-	o.observer, o.asksNew = o, true
+	o := &shardOwner{workerSessions: newWorkerSessions(s.controller, r), sharding: s, held: map[shard.ID]*heldShard{}, moved: map[string]shard.ID{}}
+	o.listener, o.probesNewWorkers = o, true
 	o.feed = newOwnerFeed(o)
 	o.loadJobs(o.watchJobs)
-	o.every(watchInterval, o.watchWorkers)
+	o.every(detectorInterval, o.watchWorkers)
 	return o
 }
 
@@ -65,7 +65,7 @@
 	s := o.sharding
 	for id, h := range o.held {
 		r, _, ok := s.table.Record(id)
-		if !ok || r.Owner.Member != s.member || r.Owner.Term != h.tenure.term {
+		if !ok || r.Owner.Member != s.member || r.Owner.Term != h.epoch.term {
 			o.dropShard(id)
 		}
 	}
@@ -87,12 +87,12 @@
 // takeShard begins to serve a shard.
 func (o *shardOwner) takeShard(id shard.ID, r shard.Record) {
 	c := o.controller
-	t := tenure{term: r.Owner.Term, since: c.now, predecessorUntil: c.now}
+	t := ownershipEpoch{term: r.Owner.Term, since: c.now, predecessorUntil: c.now}
 	if !r.Released {
 		// Whoever owned it before may go on without the state service for its grace.
-		t.predecessorUntil = c.now.Add(c.graceAfter(c.op.LeaderLease()))
+		t.predecessorUntil = c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))
 	}
-	o.held[id] = &heldShard{tenure: t}
+	o.held[id] = &heldShard{epoch: t}
 	c.log.Info("serving shard", "shard", id, "term", t.term, "released", r.Released)
 }
 
@@ -112,9 +112,9 @@
 
 // forgetHeld drops what is known of a machine that isn't served any more.
 func (o *shardOwner) forgetHeld(m *machine) {
-	m.removed, m.tenure = true, nil
+	m.removed, m.epoch = true, nil
 	delete(o.machines, m.Name)
-	for _, a := range m.list {
+	for _, a := range m.attemptList {
 		delete(a.job.held, a)
 	}
 }
@@ -154,7 +154,7 @@
 	// An owner that took over from one that did not release, and gives the shard away before
 	// that one's grace is over, can't say that nobody answers its workers: the next owner
 	// took their silence for a proof while the first of the three went on answering them.
-	change := s.table.Release(id, s.member, !o.controller.now.Before(h.tenure.predecessorUntil))
+	change := s.table.Release(id, s.member, !o.controller.now.Before(h.epoch.predecessorUntil))
 	if change == nil {
 		h.releasing = false
 		return
@@ -179,7 +179,7 @@
 func (o *shardOwner) takes(id uint64, r *protocol.Report, body []byte) bool {
 	c := o.controller
 	m := o.machines[r.Machine]
-	if m == nil || m.tenure == nil {
+	if m == nil || m.epoch == nil {
 		return o.sendOn(id, r)
 	}
 	h := o.held[m.shard]
@@ -187,7 +187,7 @@
 		c.reply(id, 421, protocol.Redirect(o.nextOwner(m.shard)))
 		return true
 	}
-	if o.known.IsZero() && !c.storeDown() {
+	if o.jobsKnownAt.IsZero() && !c.storeDown() {
 		c.holdForLeader(id, body)
 		return true
 	}
@@ -195,13 +195,13 @@
 		c.reply(id, 421, protocol.Redirect(""))
 		return true
 	}
-	if r.Token>>fenceBits > m.tenure.term {
-		o.laterToken(m)
+	if r.Token>>fencingBits > m.epoch.term {
+		o.newerTokenSeen(m)
 		c.reply(id, 421, protocol.Redirect(""))
 		return true
 	}
 	o.answered++
-	o.answer(m, id, r)
+	o.answerHeartbeat(m, id, r)
 	return true
 }
 
@@ -266,8 +266,8 @@
 }
 
 func (o *shardOwner) newMachine(k shard.Machine, h *heldShard) *machine {
-	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, tenure: &h.tenure,
-		attempts: map[taskKey]*attempt{}, exits: map[taskKey]*toldExit{}, strays: map[taskKey]uint64{}, strayStops: map[taskKey]uint64{}}
+	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, epoch: &h.epoch,
+		attempts: map[taskKey]*attempt{}, exits: map[taskKey]*toldExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
 	o.machines[k.Name] = m
 	o.fleetList = append(o.fleetList, m)
 	delete(o.moved, k.Name)
@@ -276,13 +276,13 @@
 
 // silentFor is how long a worker has been silent, since its shard was taken at the most.
 func (o *shardOwner) silentFor(m *machine) time.Duration {
-	return o.controller.now.Sub(latest(m.heard, m.tenure.since, o.deaf))
+	return o.controller.now.Sub(latest(m.lastSeen, m.epoch.since, o.detectorResetAt))
 }
 
 // watchWorkers asks workers that fell silent, and proves what silence proves.
 func (o *shardOwner) watchWorkers() {
 	if o.stalled() || o.controller.storeDown() || !o.holdsLease() {
-		o.deaf = o.controller.now // workers that got no answer look for another node
+		o.detectorResetAt = o.controller.now // workers that got no answer look for another node
 		return
 	}
 	var ask []*machine
@@ -292,42 +292,44 @@
 			continue
 		}
 		silent := o.silentFor(m)
-		if m.probeFails > 0 {
+		if m.failedProbes > 0 {
 			doubtful[m.Zone] = true
 		}
-		if o.expected(m) && (o.wantsProbe(m, silent) || !m.up && silent > askAfter) {
+		if o.expected(m) && (o.wantsProbe(m, silent) || !m.registered && silent > askAfter) {
 			ask = append(ask, m)
 		}
-		if silent > o.suspectAfter() && len(m.list) > 0 {
-			o.endSilent(m)
+		if silent > o.suspectAfter() && len(m.attemptList) > 0 {
+			o.terminateExpired(m)
 		}
 	}
-	o.doubtful = doubtful
-	o.probeSome(ask)
+	o.suspectZones = doubtful
+	o.probeBatch(ask)
 }
 
 // expected reports whether a machine's worker should be up: it was heard here, or by the
 // leader, or ran tasks.
-func (o *shardOwner) expected(m *machine) bool { return m.up || m.wasUp || len(m.list) > 0 }
+func (o *shardOwner) expected(m *machine) bool {
+	return m.registered || m.registeredBefore || len(m.attemptList) > 0
+}
 
-// machineUp implements observer.
-func (o *shardOwner) machineUp(m *machine) { o.feed.tellWorker(m) }
+// workerRegistered implements observer.
+func (o *shardOwner) workerRegistered(m *machine) { o.feed.tellWorker(m) }
 
-// sessionBegan implements observer.
-func (o *shardOwner) sessionBegan(m *machine) { o.feed.tellWorker(m) }
+// incarnationBegan implements observer.
+func (o *shardOwner) incarnationBegan(m *machine) { o.feed.tellWorker(m) }
 
 // addressChanged implements observer.
 func (o *shardOwner) addressChanged(m *machine) { o.feed.tellWorker(m) }
 
-// noticeCame implements observer.
-func (o *shardOwner) noticeCame(m *machine) { o.feed.tellWorker(m) }
+// preemptionNoticed implements observer.
+func (o *shardOwner) preemptionNoticed(m *machine) { o.feed.tellWorker(m) }
 
-// tasksCompared implements observer.
-func (o *shardOwner) tasksCompared(m *machine) { o.feed.tellWorker(m) }
+// tasksReconciled implements observer.
+func (o *shardOwner) tasksReconciled(m *machine) { o.feed.tellWorker(m) }
 
-// machineReached implements observer.
-func (o *shardOwner) machineReached(m *machine) {
-	if m.reached.IsZero() {
+// workerReached implements observer.
+func (o *shardOwner) workerReached(m *machine) {
+	if m.lastReached.IsZero() {
 		o.feed.tellWorker(m)
 	}
 }
@@ -335,16 +337,16 @@
 // probeFailed implements observer: the status tells it.
 func (o *shardOwner) probeFailed(*machine) {}
 
-// beganAnew implements observer.
-func (o *shardOwner) beganAnew(m *machine) {
-	m.anew = true
+// incarnationReset implements observer.
+func (o *shardOwner) incarnationReset(m *machine) {
+	m.incarnationReset = true
 	o.feed.tellWorker(m)
 }
 
-// stateReported implements observer.
-func (o *shardOwner) stateReported(a *attempt, s protocol.TaskState) {
+// taskStateReported implements observer.
+func (o *shardOwner) taskStateReported(a *attempt, s protocol.TaskState) {
 	if a.state != s {
-		a.state, a.since = s, o.controller.now
+		a.state, a.stateSince = s, o.controller.now
 		o.feed.tellState(a)
 	}
 }
@@ -359,9 +361,9 @@
 // tellExitAgain is when the leader is told of an exit once more.
 const tellExitAgain = 3 * time.Second
 
-// exitReported implements observer. The exit is the proof that the attempt is gone; the
+// taskExitReported implements observer. The exit is the proof that the attempt is gone; the
 // leader says when the worker may forget it.
-func (o *shardOwner) exitReported(m *machine, a *attempt, t *protocol.TaskReport) (forget bool) {
+func (o *shardOwner) taskExitReported(m *machine, a *attempt, t *protocol.TaskReport) (forget bool) {
 	key := taskKey{t.Job, t.Index}
 	k := m.exits[key]
 	if k == nil || k.exit.Attempt != t.Attempt {
@@ -381,34 +383,34 @@
 	return k.forget
 }
 
-// attemptGone implements observer.
-func (o *shardOwner) attemptGone(a *attempt, why string) {
+// attemptTerminated implements observer.
+func (o *shardOwner) attemptTerminated(a *attempt, why string) {
 	o.controller.log.Debug("attempt gone", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name, "why", why)
 	o.remove(a)
 	o.feed.tellGone(a, why)
 }
 
-// strayReported implements observer: only the leader knows whether a task that it didn't
+// orphanReported implements observer: only the leader knows whether a task that it didn't
 // tell of is to end.
-func (o *shardOwner) strayReported(m *machine, t *protocol.TaskReport) (stop bool) {
+func (o *shardOwner) orphanReported(m *machine, t *protocol.TaskReport) (stop bool) {
 	key := taskKey{t.Job, t.Index}
 	if j := o.jobs[t.Job]; j != nil && j.outcome != 0 {
 		return true
 	}
-	if m.strays[key] == t.Attempt {
-		return m.strayStops[key] == t.Attempt
+	if m.orphans[key] == t.Attempt {
+		return m.orphanStops[key] == t.Attempt
 	}
-	m.strays[key] = t.Attempt
+	m.orphans[key] = t.Attempt
 	o.feed.tellStray(taskOf(m, t))
 	return false
 }
 
-// laterToken implements observer: somebody took the shard after this owner, which will
+// newerTokenSeen implements observer: somebody took the shard after this owner, which will
 // see it in the table.
-func (o *shardOwner) laterToken(m *machine) {
+func (o *shardOwner) newerTokenSeen(m *machine) {
 	o.controller.log.Info("a worker has seen a later owner", "machine", m.Name, "shard", m.shard)
-	if h := o.held[m.shard]; h != nil && !h.overtaken && !m.disowned {
-		m.disowned = true
+	if h := o.held[m.shard]; h != nil && !h.overtaken && !m.newerTokenSeen {
+		m.newerTokenSeen = true
 		h.setOvertaken(true)
 		o.sharding.readTable()
 		h.asked = o.sharding.generation
@@ -448,8 +450,8 @@
 
 // add takes an attempt that the leader told of.
 func (o *shardOwner) add(m *machine, r shard.Run, inherited bool) {
-	a := &attempt{job: o.job(r.Job), task: r.Index, number: r.Attempt, machine: m, recorded: true, inherited: inherited, since: o.controller.now}
-	o.hold(a)
+	a := &attempt{job: o.job(r.Job), task: r.Index, number: r.Attempt, machine: m, recorded: true, inherited: inherited, stateSince: o.controller.now}
+	o.track(a)
 	if a.job.held == nil {
 		a.job.held = map[*attempt]struct{}{}
 	}
@@ -458,33 +460,33 @@
 		o.stop(a, time.Duration(r.Grace)*time.Millisecond)
 		return
 	}
-	o.directSoon(m)
+	o.scheduleOrders(m)
 }
 
 // remove takes an attempt out of its machine.
 func (o *shardOwner) remove(a *attempt) {
-	if a.stop {
-		a.machine.stops--
+	if a.stopRequested {
+		a.machine.stopCount--
 	}
 	delete(a.job.held, a)
-	o.drop(a)
+	o.untrack(a)
 }
 
 // stop wants an attempt ended.
 func (o *shardOwner) stop(a *attempt, grace time.Duration) {
-	if a.stop && a.grace <= grace {
+	if a.stopRequested && a.stopGrace <= grace {
 		return
 	}
-	if !a.stop {
-		a.stop = true
-		a.machine.stops++
+	if !a.stopRequested {
+		a.stopRequested = true
+		a.machine.stopCount++
 	}
-	a.grace, a.stopSent = grace, time.Time{}
+	a.stopGrace, a.stopSentAt = grace, time.Time{}
 	if a.neverSent() {
-		o.attemptGone(a, "never sent")
+		o.attemptTerminated(a, "never sent")
 		return
 	}
-	o.directSoon(a.machine)
+	o.scheduleOrders(a.machine)
 }
 
 func taskOf(m *machine, t *protocol.TaskReport) shard.Task {
@@ -496,7 +498,7 @@
 	grants := map[shard.ID]uint64{}
 	for id, h := range o.held {
 		if h.served() {
-			grants[id] = h.tenure.term
+			grants[id] = h.epoch.term
 		}
 	}
 	return grants
--- a/internal/coordination/shard_reach.go
+++ b/internal/coordination/shard_reach.go
@@ -35,11 +35,11 @@
 func (o *shardOwner) reachNow() shard.Reach {
 	var reach shard.Reach
 	for _, m := range o.fleetList {
-		if !m.up {
+		if !m.registered {
 			continue
 		}
 		reach.Workers++
-		if m.probeFails >= lostAfterFails || o.unreported(m) > o.controller.unansweredMost() {
+		if m.failedProbes >= unreachableProbes || o.unansweredFor(m) > o.controller.unansweredMost() {
 			reach.Lost++
 		}
 	}
@@ -145,7 +145,7 @@
 	return k == nil || l.controller.now.Sub(k.heard) > ownerQuiet
 }
 
-// givesWay lets another node lead if this one hears no owner but itself, reaches no workers
+// resignIfDisconnected lets another node lead if this one hears no owner but itself, reaches no workers
 // either, and the state service shows that others do. It reports whether it did.
 func (sl *shardLeader) givesWay() bool {
 	l, c := sl.l, sl.l.controller
--- a/internal/coordination/shard_send_on.go
+++ b/internal/coordination/shard_send_on.go
@@ -15,7 +15,7 @@
 	// sentFor is within which time a worker that was sent to the leader and comes back is
 	// taken not to have reached it: the time-out of a report, the pause after it, and as
 	// much again.
-	sentFor = 2 * lostReport
+	sentFor = 2 * lostHeartbeatDelay
 	// sentKept bounds how many are remembered before old ones are dropped.
 	sentKept = 1024
 	// leaderHeard is how long ago a leader that was heard before must have been heard to be
--- a/internal/coordination/sharding.go
+++ b/internal/coordination/sharding.go
@@ -211,7 +211,7 @@
 	if s.own != nil && s.own.takes(id, r, body) {
 		return
 	}
-	if l := c.leader; l != nil && l.shards != nil && !l.known.IsZero() {
+	if l := c.leader; l != nil && l.shards != nil && !l.jobsKnownAt.IsZero() {
 		l.shards.redirect(id, r, body)
 		return
 	}
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -23,7 +23,7 @@
 const watchWait = 8 * time.Second
 
 func (c *Controller) jobsWatchWait() time.Duration {
-	return min(max(c.answersFor()/4, 250*time.Millisecond), time.Second)
+	return min(max(c.answerFreshness()/4, 250*time.Millisecond), time.Second)
 }
 
 // store sends one request to the state service and notes whether it works.
--- /dev/null
+++ b/internal/coordination/worker_orders.go
@@ -0,0 +1,161 @@
+package coordination
+
+import (
+	"time"
+
+	"brasskeel/internal/protocol"
+)
+
+// ordersTimeout is how long a worker has to answer orders.
+const ordersTimeout = 1200 * time.Millisecond
+
+func startOrder(a *attempt) protocol.Order {
+	return protocol.Order{Kind: protocol.Start, Job: a.job.ID, Index: a.task, Attempt: a.number}
+}
+
+// stopOrder gives the order that ends an attempt, unless it is saving in the
+// time it was given.
+func (s *workerSessions) stopOrder(a *attempt) (protocol.Order, bool) {
+	if a.state == protocol.Saving && a.stopGrace > 0 {
+		return protocol.Order{}, false
+	}
+	return protocol.Order{Kind: protocol.Stop, Job: a.job.ID, Index: a.task, Attempt: a.number, Grace: a.stopGrace}, true
+}
+
+// neverSent reports whether no start of an attempt can be on its way.
+func (a *attempt) neverSent() bool {
+	return !a.inherited && !a.ownerNotified && !a.reported && a.sentIncarnation == 0 && !a.directPending && a.directToken == 0
+}
+
+// acceptsOrders reports whether orders can be sent to a worker without waiting for its report.
+func (s *workerSessions) acceptsOrders(m *machine) bool {
+	if !s.alive() || m.ordersInFlight || m.removed || !m.registered || m.addr == "" || !s.loaded && !m.attemptsKnown || !s.serves(m) || !s.holdsLease() {
+		return false
+	}
+	// One that is unreachable gets its orders when it reports.
+	return !s.controller.now.Before(m.ordersPausedUntil) && s.controller.now.Sub(m.lastSeen) <= s.controller.cfg.ReportInterval*3/2
+}
+
+// sendOrders sends a worker what it must do without waiting for its report.
+func (s *workerSessions) sendOrders(m *machine) {
+	if !s.acceptsOrders(m) {
+		return
+	}
+	orders, starts := s.pendingOrders(m)
+	if len(orders) == 0 {
+		return
+	}
+	token, incarnation := s.fencingToken(m), m.incarnation
+	for _, a := range starts {
+		a.directPending = true
+		a.directToken, a.directIncarnation = token, incarnation
+	}
+	if len(starts) > 0 {
+		m.directStartToken = token
+	}
+	m.ordersInFlight = true
+	body := protocol.DirectOrders(token, incarnation, orders)
+	s.controller.call(Worker, m.addr, "POST", protocol.PathOrders, body, ordersTimeout, func(out Outcome) {
+		if s.alive() {
+			s.ordersAnswered(m, incarnation, starts, out)
+		}
+	})
+}
+
+// pendingOrders are the stops and starts that a worker hasn't been sent, as far as one
+// message holds them: the others go out once it is answered.
+func (s *workerSessions) pendingOrders(m *machine) (orders []protocol.Order, starts []*attempt) {
+	mayStart := s.startsAllowed()
+	room := protocol.NewOrderRoom()
+	for _, a := range m.sortedAttempts() {
+		order, wanted := s.pendingOrder(a)
+		switch {
+		case !wanted:
+			continue
+		case order.Kind == protocol.Start && !mayStart:
+			s.deferStarts(m)
+			continue
+		case !room.Take(a.job.ID):
+			s.controller.bounds.hit(boundOrders)
+			return orders, starts
+		case order.Kind == protocol.Start:
+			starts = append(starts, a)
+		default:
+			a.stopSentAt = s.controller.now
+		}
+		orders = append(orders, order)
+	}
+	return orders, starts
+}
+
+// pendingOrder is what a worker is to be sent about an attempt without waiting for its
+// report, if anything is.
+func (s *workerSessions) pendingOrder(a *attempt) (order protocol.Order, wanted bool) {
+	switch {
+	case a.stopRequested && a.reported && a.stopSentAt.IsZero():
+		return s.stopOrder(a)
+	case a.stopRequested || !a.recorded || !a.neverSent():
+		return protocol.Order{}, false
+	}
+	return startOrder(a), true
+}
+
+// deferStarts keeps a machine's starts until knowledge is fresh.
+func (s *workerSessions) deferStarts(m *machine) {
+	if !m.startsDeferred {
+		m.startsDeferred = true
+		s.deferredStarts = append(s.deferredStarts, m)
+	}
+}
+
+// ordersAnswered takes what came of orders that were sent.
+func (s *workerSessions) ordersAnswered(m *machine, incarnation uint64, starts []*attempt, out Outcome) {
+	m.ordersInFlight = false
+	for _, a := range starts {
+		a.directPending = false
+	}
+	var r *protocol.Report
+	if out.Answered && (out.Status == 200 || out.Status == 409) {
+		r, _ = protocol.ParseReport(out.Body)
+	}
+	if r == nil || r.Machine != m.Name {
+		s.ordersUnanswered(m, starts, out)
+		return
+	}
+	for _, a := range starts {
+		a.directToken = 0
+		if out.Status == 200 {
+			a.sentIncarnation, a.sentSequence = incarnation, r.Seq
+		}
+	}
+	if m.epoch == nil {
+		return // its shard went to another owner meanwhile
+	}
+	if r.Token>>fencingBits > m.epoch.term {
+		s.listener.newerTokenSeen(m)
+		return
+	}
+	if !m.removed && m.isNewer(r) {
+		s.takeHeartbeat(m, r, false)
+	}
+	if out.Status == 200 {
+		s.sendOrders(m)
+	}
+}
+
+// ordersUnanswered takes that orders got no answer. They may be carried out late, so a
+// start's token stays until the worker has seen a higher one, unless the orders were
+// never sent or were refused.
+func (s *workerSessions) ordersUnanswered(m *machine, starts []*attempt, out Outcome) {
+	if out.NotSent || out.Answered && out.Status == 400 {
+		for _, a := range starts {
+			a.directToken = 0
+		}
+	}
+	m.ordersPausedUntil = s.controller.now.Add(s.controller.cfg.ReportInterval)
+}
+
+// isNewer reports whether a report is newer than what is known of the machine.
+func (m *machine) isNewer(r *protocol.Report) bool {
+	return r.Session > m.incarnation || r.Session == m.incarnation && r.Seq > m.sequence
+}
