--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -10,94 +10,94 @@
 // Bounds of what admission keeps in memory: a small part of what the smallest controllers
 // have. What is forgotten is read again from the state service.
 const (
-	maxFinals = 50_000
-	maxKnown  = 50_000
+	maxOutcomes = 50_000
+	maxAccepted = 50_000
 )
 
 // admission serves users. It works the same on every node: jobs and their
 // final states are written to the state service before the user is told, and
 // the leader learns of them from there.
 type admission struct {
-	bounds  *bounds
-	maxNews int
-	finals  map[string]final    // told or read; can't change any more
-	known   map[string]struct{} // accepted jobs
-	polls   []poll              // wait for the next check
-	checked time.Time           // when the last check was sent
-	inCheck bool
-	news    []toldFinal // final states that peers are to be told
-	waiting int
+	limits         *limitCounters
+	maxUnannounced int
+	outcomes       map[string]jobOutcome // told or read; can't change any more
+	accepted       map[string]struct{}   // accepted jobs
+	queries        []statusQuery         // wait for the next check
+	lastCheck      time.Time             // when the last check was sent
+	checking       bool
+	unannounced    []outcomeAnnouncement // final states that peers are to be told
+	openRequests   int
 
 	submissions []*submission // wait for the next transaction
-	inSubmit    bool
+	submitting  bool
 }
 
-// toldFinal is a final state on its way to the peers.
-type toldFinal struct {
-	job   string
-	final final
-	times int // it was told
+// outcomeAnnouncement is a final state on its way to the peers.
+type outcomeAnnouncement struct {
+	job     string
+	outcome jobOutcome
+	sent    int // it was told
 }
 
-// final is a job's final state and the number of its tasks that were done.
-type final struct {
+// jobOutcome is a job's final state and the number of its tasks that were done.
+type jobOutcome struct {
 	state protocol.JobState
 	done  int
 }
 
-type poll struct {
+type statusQuery struct {
 	id  uint64
 	job string
 }
 
 func (a *admission) init(c *Controller) {
-	a.bounds, a.maxNews = &c.bounds, c.maxNews()
-	a.finals = map[string]final{}
-	a.known = map[string]struct{}{}
+	a.limits, a.maxUnannounced = &c.limits, c.maxUnannounced()
+	a.outcomes = map[string]jobOutcome{}
+	a.accepted = map[string]struct{}{}
 }
 
-func (a *admission) setFinal(job string, s protocol.JobState, done int) {
-	if len(a.finals) >= maxFinals {
-		a.bounds.hit(boundFinals)
-		for k := range a.finals {
-			delete(a.finals, k)
-			if len(a.finals) < maxFinals*9/10 {
+func (a *admission) rememberOutcome(job string, s protocol.JobState, done int) {
+	if len(a.outcomes) >= maxOutcomes {
+		a.limits.reached(limitOutcomes)
+		for k := range a.outcomes {
+			delete(a.outcomes, k)
+			if len(a.outcomes) < maxOutcomes*9/10 {
 				break
 			}
 		}
 	}
-	a.finals[job] = final{s, done}
-	delete(a.known, job)
+	a.outcomes[job] = jobOutcome{s, done}
+	delete(a.accepted, job)
 }
 
-// noteFinal is setFinal for what this node wrote or learned as a leader: its peers
+// learnOutcome is rememberOutcome for what this node wrote or learned as a leader: its peers
 // hear of it, so that they need not read it for each user who asks them.
-func (a *admission) noteFinal(job string, s protocol.JobState, done int) {
-	if _, ok := a.finals[job]; !ok {
-		a.tellPeers(toldFinal{job: job, final: final{s, done}})
+func (a *admission) learnOutcome(job string, s protocol.JobState, done int) {
+	if _, ok := a.outcomes[job]; !ok {
+		a.announce(outcomeAnnouncement{job: job, outcome: jobOutcome{s, done}})
 	}
-	a.setFinal(job, s, done)
+	a.rememberOutcome(job, s, done)
 }
 
-// tellPeers lets the peers hear of a final state with the next lines.
-func (a *admission) tellPeers(f toldFinal) {
-	if len(a.news) >= a.maxNews {
-		a.bounds.hit(boundNews)
+// announce lets the peers hear of a final state with the next lines.
+func (a *admission) announce(f outcomeAnnouncement) {
+	if len(a.unannounced) >= a.maxUnannounced {
+		a.limits.reached(limitAnnouncements)
 		return
 	}
-	a.news = append(a.news, f)
+	a.unannounced = append(a.unannounced, f)
 }
 
-func (a *admission) setKnown(job string) {
-	if len(a.known) >= maxKnown {
-		a.bounds.hit(boundKnown)
-		clear(a.known)
+func (a *admission) rememberAccepted(job string) {
+	if len(a.accepted) >= maxAccepted {
+		a.limits.reached(limitAccepted)
+		clear(a.accepted)
 	}
-	a.known[job] = struct{}{}
+	a.accepted[job] = struct{}{}
 }
 
-// route sends a request to whoever serves it.
-func (c *Controller) route(id uint64, method, target string, body []byte) {
+// routeRequest sends a request to whoever serves it.
+func (c *Controller) routeRequest(id uint64, method, target string, body []byte) {
 	route, job := protocol.ParseTarget(target)
 	want := "POST"
 	switch route {
@@ -120,8 +120,8 @@
 		c.heartbeat(id, body)
 		return
 	}
-	if c.admission.waiting >= c.maxWaiting() {
-		c.bounds.hit(boundWaiting)
+	if c.admission.openRequests >= c.maxOpenRequests() {
+		c.limits.reached(limitOpenRequests)
 		c.refuse(id, 429, "too many requests at once")
 		return
 	}
@@ -131,7 +131,7 @@
 		c.submit(id, body)
 	case protocol.RouteJob:
 		c.count.Polls++
-		c.poll(id, job)
+		c.queryStatus(id, job)
 	case protocol.RouteCancel:
 		c.cancel(id, job)
 	}
@@ -164,10 +164,10 @@
 		Body: protocol.ErrorAnswer("too much at once")})
 }
 
-// lookup reads a job's state afresh: 0 when it was never accepted. The record
+// readJobState reads a job's state afresh: 0 when it was never accepted. The record
 // is read before the outcome: a job whose record is gone by the first read has
 // its outcome by the second.
-func (c *Controller) lookup(job string, done func(s protocol.JobState, ok bool)) {
+func (c *Controller) readJobState(job string, done func(s protocol.JobState, ok bool)) {
 	c.storeGet(records.KeyActive(job), func(_ protocol.Item, active, ok bool) {
 		if !ok {
 			done(0, false)
@@ -183,11 +183,11 @@
 					done(0, false)
 					return
 				}
-				c.admission.setFinal(job, s, count)
+				c.admission.rememberOutcome(job, s, count)
 				done(s, true)
 			case active:
-				c.admission.setKnown(job)
-				s, _, _ := c.progress(job)
+				c.admission.rememberAccepted(job)
+				s, _, _ := c.knownProgress(job)
 				done(s, true)
 			default:
 				done(0, true)
@@ -201,7 +201,7 @@
 		c.reply(id, 404, protocol.ErrorAnswer("no such job"))
 		return
 	}
-	if f, ok := c.admission.finals[job]; ok {
+	if f, ok := c.admission.outcomes[job]; ok {
 		c.reply(id, 200, protocol.JobAnswer(job, f.state))
 		return
 	}
@@ -209,9 +209,9 @@
 		c.refuseWithoutStore(id)
 		return
 	}
-	c.admission.waiting++
+	c.admission.openRequests++
 	finish := func(s protocol.JobState, ok bool) {
-		c.admission.waiting--
+		c.admission.openRequests--
 		switch {
 		case !ok || s != 0 && !s.Final():
 			c.refuseWithoutStore(id)
@@ -227,10 +227,10 @@
 			return
 		}
 		if !found {
-			c.lookup(job, finish)
+			c.readJobState(job, finish)
 			return
 		}
-		_, done, _ := c.progress(job)
+		_, done, _ := c.knownProgress(job)
 		// The outcome is created at most once, by this or by the leader's
 		// "done"; whoever comes second learns what the first wrote. The user is
 		// told only after that.
@@ -240,10 +240,10 @@
 		}, func(r txnResult, _ uint64, _ []string) {
 			switch r {
 			case txnApplied:
-				c.admission.noteFinal(job, protocol.Cancelled, done)
+				c.admission.learnOutcome(job, protocol.Cancelled, done)
 				finish(protocol.Cancelled, true)
 			case txnFailed, txnUnknown:
-				c.lookup(job, finish)
+				c.readJobState(job, finish)
 			default:
 				finish(0, false)
 			}
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -13,12 +13,12 @@
 func (l *leader) attach(a *attempt) {
 	j, m := a.job, a.machine
 	j.task(a.task).live = a
-	j.live++
+	j.liveAttempts++
 	j.zones[m.Zone]++
 	l.track(a)
-	l.balance.attached(a)
-	m.Wanted.Add(j.image, 1)
-	m.Taken = m.Taken.Plus(placement.Needs(j.Job))
+	l.rebalancer.attemptAttached(a)
+	m.NeededImages.Add(j.imageID, 1)
+	m.Allocated = m.Allocated.Plus(placement.Needs(j.Job))
 	if !j.Spot {
 		m.onDemandCPUs += j.CPUs
 	}
@@ -30,10 +30,10 @@
 		m.ReplicaCPUs += j.CPUs
 		m.replicaCount++
 	}
-	u := l.teams[j.Team]
+	u := l.teamUsage[j.Team]
 	if u == nil {
 		u = &usage{}
-		l.teams[j.Team] = u
+		l.teamUsage[j.Team] = u
 	}
 	u.cpus += j.CPUs
 	u.gpus += j.GPUs
@@ -48,19 +48,19 @@
 		return
 	}
 	l.controller.log.Debug("attempt gone", "job", j.ID, "task", a.task, "attempt", a.number, "machine", m.Name, "why", why)
-	l.balance.detached(a)
+	l.rebalancer.attemptDetached(a)
 	l.setTaskState(a, 0)
 	t.live = nil
-	j.live--
+	j.liveAttempts--
 	if j.zones[m.Zone]--; j.zones[m.Zone] == 0 {
 		delete(j.zones, m.Zone)
 	}
 	l.untrack(a)
-	m.Wanted.Add(j.image, -1)
+	m.NeededImages.Add(j.imageID, -1)
 	if a.stopRequested {
 		l.countStop(a, -1)
 	}
-	m.Taken = m.Taken.Minus(placement.Needs(j.Job))
+	m.Allocated = m.Allocated.Minus(placement.Needs(j.Job))
 	m.cpusByPriority[j.Priority] -= j.CPUs
 	if !j.Spot {
 		m.onDemandCPUs -= j.CPUs
@@ -70,22 +70,22 @@
 		m.replicaCount--
 	}
 	if len(m.attempts) == 0 {
-		m.Taken, m.Ending, m.ReplicaCPUs, m.onDemandCPUs = placement.Resources{}, placement.Resources{}, 0, 0 // no rounding left behind
+		m.Allocated, m.Terminating, m.ReplicaCPUs, m.onDemandCPUs = placement.Resources{}, placement.Resources{}, 0, 0 // no rounding left behind
 		m.cpusByPriority = [protocol.Critical + 1]float64{}
 		m.emptySince = l.controller.now
 	}
-	u := l.teams[j.Team]
+	u := l.teamUsage[j.Team]
 	u.cpus -= j.CPUs
 	u.gpus -= j.GPUs
-	if j.outcome == 0 && !t.done {
-		j.waiting = append(j.waiting, a.task)
+	if j.finalState == 0 && !t.done {
+		j.retryQueue = append(j.retryQueue, a.task)
 	}
-	l.balance.departed(a)
-	if j.outcome == 0 {
+	l.rebalancer.migrationStopped(a)
+	if j.finalState == 0 {
 		l.journal.touchLazy(j.chunk(a.task))
 	}
 	l.jobProgressed(j)
-	l.askPlace()
+	l.requestPlacement()
 }
 
 // setTaskState notes an attempt's reported state.
@@ -94,14 +94,14 @@
 		return
 	}
 	if a.state == protocol.Running {
-		a.job.running--
+		a.job.runningTasks--
 	}
 	if s == protocol.Running {
-		l.runs(a.job)
-		l.balance.runs(a)
+		l.taskRuns(a.job)
+		l.rebalancer.attemptRuns(a)
 		if !a.inherited {
 			l.controller.log.Debug("task runs", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
-				"within", a.job.within, "placed", l.controller.now.Sub(a.placedAt), "age", l.controller.now.Round(0).Sub(a.job.submitted))
+				"within", a.job.withinQuota, "placed", l.controller.now.Sub(a.placedAt), "age", l.controller.now.Round(0).Sub(a.job.submitted))
 		}
 	}
 	a.state, a.stateSince = s, l.controller.now
@@ -114,12 +114,12 @@
 		return
 	}
 	t.done = true
-	j.doneCount++
-	j.errors, j.trials = 0, 0
+	j.doneTasks++
+	j.failures, j.trials = 0, 0
 	if t.live != nil {
 		l.stopAttempt(t.live, 0)
-	} else if k := slices.Index(j.waiting, i); k >= 0 {
-		j.waiting = slices.Delete(j.waiting, k, k+1)
+	} else if k := slices.Index(j.retryQueue, i); k >= 0 {
+		j.retryQueue = slices.Delete(j.retryQueue, k, k+1)
 	}
 	l.journal.touchLazy(j.chunk(i))
 	l.jobProgressed(j)
@@ -131,11 +131,11 @@
 	if l.phase == loading {
 		return
 	}
-	if j.outcome == 0 && !j.finishing && j.Kind != protocol.Service && j.doneCount == j.Tasks {
+	if j.finalState == 0 && !j.finishing && j.Kind != protocol.Service && j.doneTasks == j.Tasks {
 		j.finishing = true
 		l.journal.finish(j)
 	}
-	if j.outcome != 0 && j.live == 0 && !j.removed {
+	if j.finalState != 0 && j.liveAttempts == 0 && !j.removed {
 		j.removed = true
 		l.journal.removeJob(j)
 	}
@@ -144,13 +144,13 @@
 // endJob notes a recorded outcome. No task of the job starts any more, and
 // those that run are stopped.
 func (l *leader) endJob(j *job, s protocol.JobState) {
-	if j.outcome != 0 {
+	if j.finalState != 0 {
 		return
 	}
-	j.outcome = s
-	l.controller.log.Debug("job over", "job", j.ID, "cancelled", s == protocol.Cancelled, "done", j.doneCount, "live", j.live)
-	j.waiting = nil
-	j.next = j.Tasks
+	j.finalState = s
+	l.controller.log.Debug("job over", "job", j.ID, "cancelled", s == protocol.Cancelled, "done", j.doneTasks, "live", j.liveAttempts)
+	j.retryQueue = nil
+	j.firstUnstarted = j.Tasks
 	for _, chunk := range j.chunks {
 		if chunk == nil {
 			continue
@@ -162,14 +162,14 @@
 		}
 	}
 	l.jobProgressed(j)
-	l.askPlace()
+	l.requestPlacement()
 }
 
 // forgetJob drops a job whose records are removed.
 func (l *leader) forgetJob(j *job) {
 	delete(l.jobs, j.ID)
-	if i := slices.Index(l.order, j); i >= 0 {
-		l.order = slices.Delete(l.order, i, i+1)
+	if i := slices.Index(l.jobsByAge, j); i >= 0 {
+		l.jobsByAge = slices.Delete(l.jobsByAge, i, i+1)
 	}
 }
 
@@ -205,12 +205,12 @@
 	j, m, sign := a.job, a.machine, float64(delta)
 	m.stopCount += delta
 	if delta > 0 {
-		m.Ending = m.Ending.Plus(placement.Needs(j.Job))
+		m.Terminating = m.Terminating.Plus(placement.Needs(j.Job))
 	} else {
-		m.Ending = m.Ending.Minus(placement.Needs(j.Job))
+		m.Terminating = m.Terminating.Minus(placement.Needs(j.Job))
 	}
-	s := l.stopped[j.Team]
+	s := l.stopping[j.Team]
 	s.cpus += sign * j.CPUs
 	s.gpus += sign * j.GPUs
-	l.stopped[j.Team] = s
+	l.stopping[j.Team] = s
 }
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -87,7 +87,7 @@
 	if l.shards != nil {
 		l.shards.step()
 	}
-	l.explain()
+	l.logPendingReasons()
 	if c.now.Sub(f.typesRequestedAt) > typesInterval && f.callBudget.Take(c.now, 1) {
 		f.typesRequestedAt = c.now
 		c.fetchTypes(func(ok bool) {
@@ -107,11 +107,11 @@
 	if !l.alive() {
 		return
 	}
-	l.place()
+	l.runPlacementRound()
 	l.scaleOut()
 	l.scaleIn()
 	l.consolidate()
-	l.balance.moveStep()
+	l.rebalancer.migrationStep()
 	l.sendReleases()
 	l.logUtilization()
 }
@@ -136,9 +136,9 @@
 		}
 		u.machines++
 		u.cpus += m.Spec.CPUs
-		u.used += m.Taken.CPUs
+		u.used += m.Allocated.CPUs
 		u.services += m.ReplicaCPUs
-		if m.Emptying {
+		if m.Consolidating {
 			u.emptying++
 		}
 		if m.ReplicaCPUs > 0 {
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -21,9 +21,9 @@
 func TestFetches(t *testing.T) {
 	const rate = 2.0
 	var f Fetches
-	f.Want(at(0), 1, 4, rate)
-	f.Want(at(0), 1, 4, rate)
-	f.Want(at(0), 2, 8, rate)
+	f.Add(at(0), 1, 4, rate)
+	f.Add(at(0), 1, 4, rate)
+	f.Add(at(0), 2, 8, rate)
 	for _, c := range []struct {
 		do   func()
 		when float64
@@ -32,13 +32,13 @@
 		{func() {}, 0, 6 * time.Second},
 		{func() {}, 2, 4 * time.Second}, // 2 GB of each were fetched
 		{func() {}, 4, 2 * time.Second}, // the first is there, 4 GB of the other are left
-		{func() { f.GiveUp(at(4), 1, rate) }, 4, 2 * time.Second},
-		{func() { f.Want(at(4), 3, 6, rate) }, 4, 5 * time.Second},
+		{func() { f.Cancel(at(4), 1, rate) }, 4, 2 * time.Second},
+		{func() { f.Add(at(4), 3, 6, rate) }, 4, 5 * time.Second},
 		{func() { f.Done(at(4), 2, rate) }, 5, 2 * time.Second},
-		{func() { f.GiveUp(at(5), 3, rate) }, 5, 0},
+		{func() { f.Cancel(at(5), 3, rate) }, 5, 0},
 	} {
 		c.do()
-		if got := f.Queued(at(c.when), rate); got != c.want {
+		if got := f.Backlog(at(c.when), rate); got != c.want {
 			t.Errorf("after %g s %s are queued, want %s", c.when, got, c.want)
 		}
 	}
@@ -50,11 +50,11 @@
 	l.Reserve(1, placement.Resources{CPUs: 2, MemGB: 4})
 	l.Reserve(2, placement.Resources{CPUs: 1, MemGB: 1})
 	l.Reserve(1, placement.Resources{CPUs: 1, MemGB: 8})
-	l.Free(1, placement.Resources{CPUs: 2, MemGB: 4})
+	l.Release(1, placement.Resources{CPUs: 2, MemGB: 4})
 	if r, tasks := l.Reserved(1); tasks != 1 || r != (placement.Resources{CPUs: 1, MemGB: 8}) {
 		t.Errorf("%d tasks with %+v", tasks, r)
 	}
-	l.Free(2, placement.Resources{CPUs: 1, MemGB: 1})
+	l.Release(2, placement.Resources{CPUs: 1, MemGB: 1})
 	if r, tasks := l.Reserved(2); tasks != 0 || r != (placement.Resources{}) {
 		t.Errorf("%d tasks with %+v", tasks, r)
 	}
@@ -80,7 +80,7 @@
 			if f := slow[k]; f > 0 {
 				times *= f
 			}
-			machines[k].Ran(seconds(times), estimate, job, class)
+			machines[k].Observe(seconds(times), estimate, job, class)
 		}
 	}
 	for k := range machines {
@@ -90,7 +90,7 @@
 		}
 	}
 	var few Speed
-	few.Ran(400*time.Second, 40*time.Second, &Runs{}, class)
+	few.Observe(400*time.Second, 40*time.Second, &Runs{}, class)
 	if got := few.Slowness(); got > 1.2 {
 		t.Errorf("one long run makes a machine slow: %.2f", got)
 	}
@@ -136,7 +136,7 @@
 			ended = float64(sec)
 		}
 	}
-	if ended != 197+surgeMost.Seconds() {
+	if ended != 197+maxSurge.Seconds() {
 		t.Errorf("what is usual by now ended as a surge at %g", ended)
 	}
 }
@@ -197,7 +197,7 @@
 
 func machine(taken float64, images ...placement.ImageID) *placement.Machine {
 	m := &placement.Machine{Spec: &protocol.MachineType{CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 1}}
-	m.Taken.CPUs = taken
+	m.Allocated.CPUs = taken
 	for _, id := range images {
 		m.Images.Add(id, 3, 20)
 	}
@@ -207,7 +207,7 @@
 // A machine is above its ceiling by the team's own work, and by what it has to fetch.
 func TestAbove(t *testing.T) {
 	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemGB: 1, Image: "a", ImageGB: 2}, Image: 1}
-	judge := Judge{Settings: Settings{CeilingShare: 0.5, FetchQueue: 5 * time.Second}, Now: start, Team: 1, Task: task}
+	judge := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, FetchQueue: 5 * time.Second}, Now: start, Team: 1, Task: task}
 	large := task
 	large.Job = &protocol.Job{CPUs: 4, MemGB: 1, Image: "a", ImageGB: 2}
 	for _, c := range []struct {
@@ -234,13 +234,13 @@
 			l.Reserve(2, placement.Resources{CPUs: 1, MemGB: 1})
 		}
 		if c.queue > 0 {
-			l.Fetches.Want(start, 9, c.queue, 1)
+			l.Fetches.Add(start, 9, c.queue, 1)
 		}
 		j := judge
 		if c.large {
 			j.Task = large
 		}
-		if got := j.Above(m, l); got != c.want {
+		if got := j.Exceeds(m, l); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -258,7 +258,7 @@
 		trade time.Duration
 		stays bool
 	}{{0, true}, {2 * time.Second, true}, {4 * time.Second, false}} {
-		j := Judge{Settings: Settings{CeilingShare: 0.5, FetchQueue: time.Minute, Trade: c.trade}, Now: start, Team: 1, Task: task}
+		j := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, FetchQueue: time.Minute, Trade: c.trade}, Now: start, Team: 1, Task: task}
 		score := func(m *placement.Machine, l *Load) float64 {
 			return weights.Score(m, task) - j.Penalty(m, l, weights.Image)
 		}
--- a/internal/coordination/balance/ceiling.go
+++ b/internal/coordination/balance/ceiling.go
@@ -6,19 +6,19 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// Judge says how placing a task of a surging team on a machine would leave it.
-type Judge struct {
+// CeilingPolicy says how placing a task of a surging team on a machine would leave it.
+type CeilingPolicy struct {
 	Settings
 	Now  time.Time
 	Team Team
 	Task placement.Task
 }
 
-// Above reports whether one more task would put a machine above the ceiling. A machine
+// Exceeds reports whether one more task would put a machine above the ceiling. A machine
 // without work of the team may always take one task.
-func (j *Judge) Above(m *placement.Machine, l *Load) bool {
+func (j *CeilingPolicy) Exceeds(m *placement.Machine, l *Load) bool {
 	r, tasks := l.Reserved(j.Team)
-	r = r.Plus(m.Held) // running work of a surging team is on its way here
+	r = r.Plus(m.Incoming) // running work of a surging team is on its way here
 	if tasks > 0 && Share(r.Plus(placement.Needs(j.Task.Job)), placement.Capacity(m.Spec)) > j.CeilingShare+shareEpsilon {
 		return true
 	}
@@ -26,7 +26,7 @@
 		return false
 	}
 	// What it would fetch itself doesn't count: no machine could ever take a larger image.
-	queued := l.Fetches.Queued(j.Now, m.Spec.FetchRate)
+	queued := l.Fetches.Backlog(j.Now, m.Spec.FetchRate)
 	return queued > j.FetchQueue
 }
 
@@ -34,7 +34,7 @@
 const shareEpsilon = 1e-9
 
 // Penalty is what the score of a machine loses, given the image term's weight.
-func (j *Judge) Penalty(m *placement.Machine, l *Load, imageWeight float64) float64 {
+func (j *CeilingPolicy) Penalty(m *placement.Machine, l *Load, imageWeight float64) float64 {
 	if j.Trade <= 0 {
 		return 0
 	}
@@ -42,20 +42,20 @@
 	heat := Share(r, placement.Capacity(m.Spec)) / j.CeilingShare
 	cost := j.Trade.Seconds() * (heat + max(0, l.Speed.Slowness()-1))
 	if m.ImageShare(j.Task) < 1 {
-		cost += l.Fetches.Queued(j.Now, m.Spec.FetchRate).Seconds()
+		cost += l.Fetches.Backlog(j.Now, m.Spec.FetchRate).Seconds()
 	}
 	return cost * j.secondsWorth(m.Spec.FetchRate, imageWeight)
 }
 
 // secondsWorth is what a second of fetching the task's image is worth in score: all of it is
 // worth the image term's weight.
-func (j *Judge) secondsWorth(rate, imageWeight float64) float64 {
+func (j *CeilingPolicy) secondsWorth(rate, imageWeight float64) float64 {
 	whole := 0.0
 	if rate > 0 {
 		whole = j.Task.ImageGB / rate
 	}
-	return max(imageWeight, 0) / max(whole, leastFetch)
+	return max(imageWeight, 0) / max(whole, minFetchSeconds)
 }
 
-// leastFetch is the shortest fetch in seconds that a second's worth is derived from.
-const leastFetch = 1
+// minFetchSeconds is the shortest fetch in seconds that a second's worth is derived from.
+const minFetchSeconds = 1
--- a/internal/coordination/balance/load.go
+++ b/internal/coordination/balance/load.go
@@ -11,13 +11,13 @@
 
 // Load is what one machine has to do.
 type Load struct {
-	teams   []reserved
+	teams   []teamLoad
 	Fetches Fetches
 	Speed   Speed
 }
 
-// reserved is what a team's attempts take.
-type reserved struct {
+// teamLoad is what a team's attempts take.
+type teamLoad struct {
 	team  Team
 	tasks int
 	placement.Resources
@@ -32,11 +32,11 @@
 			return
 		}
 	}
-	l.teams = append(l.teams, reserved{team, 1, r})
+	l.teams = append(l.teams, teamLoad{team, 1, r})
 }
 
-// Free takes an attempt out that is proven gone.
-func (l *Load) Free(team Team, r placement.Resources) {
+// Release takes an attempt out that is proven gone.
+func (l *Load) Release(team Team, r placement.Resources) {
 	for i := range l.teams {
 		t := &l.teams[i]
 		if t.team != team {
@@ -78,8 +78,8 @@
 	return share
 }
 
-// NewSession forgets what the machine's worker lost.
-func (l *Load) NewSession() { l.Fetches = Fetches{} }
+// Reset forgets what the machine's worker lost.
+func (l *Load) Reset() { l.Fetches = Fetches{} }
 
 // Fetches are the image fetches that attempts on a machine wait for. Those that go on at the
 // same time share the machine's rate.
@@ -94,8 +94,8 @@
 	waiting int     // attempts
 }
 
-// Want notes that an attempt waits for an image that isn't there.
-func (f *Fetches) Want(now time.Time, image placement.ImageID, gb, rate float64) {
+// Add notes that an attempt waits for an image that isn't there.
+func (f *Fetches) Add(now time.Time, image placement.ImageID, gb, rate float64) {
 	f.advance(now, rate)
 	for i := range f.list {
 		if f.list[i].image == image {
@@ -112,8 +112,8 @@
 	f.drop(image)
 }
 
-// GiveUp notes that an attempt waits no more. The last one's fetch is given up.
-func (f *Fetches) GiveUp(now time.Time, image placement.ImageID, rate float64) {
+// Cancel notes that an attempt waits no more. The last one's fetch is given up.
+func (f *Fetches) Cancel(now time.Time, image placement.ImageID, rate float64) {
 	f.advance(now, rate)
 	for i := range f.list {
 		if k := &f.list[i]; k.image == image {
@@ -134,8 +134,8 @@
 	}
 }
 
-// Queued is how long the fetches under way still take together.
-func (f *Fetches) Queued(now time.Time, rate float64) time.Duration {
+// Backlog is how long the fetches under way still take together.
+func (f *Fetches) Backlog(now time.Time, rate float64) time.Duration {
 	if len(f.list) == 0 || rate <= 0 {
 		return 0
 	}
--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -5,8 +5,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// Site is a machine that running work may move from or to.
-type Site struct {
+// LoadedMachine is a machine that running work may move from or to.
+type LoadedMachine struct {
 	*placement.Machine
 	Load *Load // nil where loads aren't followed
 }
@@ -20,35 +20,35 @@
 // replica, a fleet of 4,000 took a third of a second, many times that on a small share of a
 // processor.
 type Planner struct {
-	sites    []Site
+	machines []LoadedMachine
 	open     func(*placement.Machine) bool // whether a machine takes new tasks
 	snapshot Snapshot
-	holders  map[holding][]*Site // in the order of the fleet; nil before the first search
-	from     map[moveKey]searched
-	changes  map[holding]int // times that a machine became one that may be moved to
-	Looked   int             // machines that were looked at, over all searches
+	holders  map[cachedImage][]*LoadedMachine // in the order of the fleet; nil before the first search
+	searches map[searchKey]searchState
+	reopened map[cachedImage]int // times that a machine became one that may be moved to
+	Examined int                 // machines that were looked at, over all searches
 }
 
-// holding is an image on the machines of a zone.
-type holding struct {
+// cachedImage is an image on the machines of a zone.
+type cachedImage struct {
 	image placement.ImageID
 	zone  string
 }
 
-// moveKey is what decides where a replica may move to.
-type moveKey struct {
-	holding holding
+// searchKey is what decides where a replica may move to.
+type searchKey struct {
+	holding cachedImage
 	shape   placement.ShapeKey
 }
 
-// searched is how far a search has come: those before it take no more of the kind, unless
+// searchState is how far a search has come: those before it take no more of the kind, unless
 // there were changes since.
-type searched struct{ next, changes int }
+type searchState struct{ next, reopened int }
 
 // NewPlanner is a planner for a fleet as it is now, of which some machines are open to new
 // tasks.
-func NewPlanner(sites []Site, open func(*placement.Machine) bool) *Planner {
-	return &Planner{sites: sites, open: open, snapshot: NewSnapshot(), from: map[moveKey]searched{}, changes: map[holding]int{}}
+func NewPlanner(sites []LoadedMachine, open func(*placement.Machine) bool) *Planner {
+	return &Planner{machines: sites, open: open, snapshot: NewSnapshot(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
 }
 
 // Snapshot is the room that the plans so far take.
@@ -56,11 +56,11 @@
 
 // index lists the machines that hold an image.
 func (p *Planner) index() {
-	p.holders = map[holding][]*Site{}
-	for i := range p.sites {
-		s := &p.sites[i]
+	p.holders = map[cachedImage][]*LoadedMachine{}
+	for i := range p.machines {
+		s := &p.machines[i]
 		for id := range s.Images.All {
-			k := holding{id, s.Zone}
+			k := cachedImage{id, s.Zone}
 			p.holders[k] = append(p.holders[k], s)
 		}
 	}
@@ -72,16 +72,16 @@
 	Shape placement.ShapeKey
 }
 
-// Empty reports whether each replica on a machine finds room and its image elsewhere in its
+// Evacuate reports whether each replica on a machine finds room and its image elsewhere in its
 // zone, beside what is taken already, and takes that room if so. With try set, nothing is
 // taken.
-func (p *Planner) Empty(m *placement.Machine, replicas []Replica, try bool) bool {
+func (p *Planner) Evacuate(m *placement.Machine, replicas []Replica, try bool) bool {
 	if p.holders == nil {
 		p.index()
 	}
-	plan := &emptying{p, m, p.snapshot, map[string]bool{}}
+	plan := &evacuation{p, m, p.snapshot, map[string]bool{}}
 	for i := range replicas {
-		o := plan.find(&replicas[i])
+		o := plan.findTarget(&replicas[i])
 		if o == nil {
 			return false
 		}
@@ -94,36 +94,36 @@
 	return true
 }
 
-// Stays notes that a machine takes moves again that was being emptied.
-func (p *Planner) Stays(m *placement.Machine) {
+// CancelEvacuation notes that a machine takes moves again that was being emptied.
+func (p *Planner) CancelEvacuation(m *placement.Machine) {
 	for id := range m.Images.All {
-		p.changes[holding{id, m.Zone}]++
+		p.reopened[cachedImage{id, m.Zone}]++
 	}
 }
 
-// emptying is a try to move all replicas off a machine.
-type emptying struct {
+// evacuation is a try to move all replicas off a machine.
+type evacuation struct {
 	*Planner
 	from     *placement.Machine
 	snapshot Snapshot
 	targets  map[string]bool // of this try
 }
 
-// find is the first machine but the one that is emptied that a replica may move to.
-func (e *emptying) find(r *Replica) *Site {
+// findTarget is the first machine but the one that is emptied that a replica may move to.
+func (e *evacuation) findTarget(r *Replica) *LoadedMachine {
 	p := e.Planner
-	key := moveKey{holding{r.Image, e.from.Zone}, r.Shape}
-	s := p.from[key]
-	if s.changes != p.changes[key.holding] {
-		s = searched{changes: p.changes[key.holding]}
+	key := searchKey{cachedImage{r.Image, e.from.Zone}, r.Shape}
+	s := p.searches[key]
+	if s.reopened != p.reopened[key.holding] {
+		s = searchState{reopened: p.reopened[key.holding]}
 	}
 	list := p.holders[key.holding]
 	sure := true // that those looked at take no more, whatever machine is asked for next
-	defer func() { p.from[key] = s }()
+	defer func() { p.searches[key] = s }()
 	for i := s.next; i < len(list); i++ {
 		o := list[i]
-		p.Looked++
-		fits := !o.Emptying && p.open(o.Machine) && e.snapshot.fits(o.Machine, r.Job)
+		p.Examined++
+		fits := !o.Consolidating && p.open(o.Machine) && e.snapshot.fits(o.Machine, r.Job)
 		if fits && o.Machine != e.from {
 			return o
 		}
--- /dev/null
+++ b/internal/coordination/balance/rebalance.go
@@ -0,0 +1,235 @@
+package balance
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"brasskeel/internal/coordination/placement"
+)
+
+// Work is a task of a surging team that runs, or waits for its image, and may be moved once in
+// the surge.
+type Work struct {
+	placement.Task
+	Team        Team
+	Running     bool          // it has its image
+	Ran         time.Duration // since then
+	Remaining   time.Duration // that it is likely to run on here
+	Checkpoints bool          // what it has done is kept when it is stopped
+	// MayUse reports whether the rules about its job's zones allow one.
+	MayUse func(zone string) bool
+	// Of is whose work it is, for the caller.
+	Owner any
+}
+
+// Source is a machine with work that may move.
+type Source struct {
+	LoadedMachine
+	Work []Work
+}
+
+// Migration is one task's move, with what it is likely to save and to cost, in time of work.
+type Migration struct {
+	Work         *Work
+	From, To     *placement.Machine
+	Saving, Cost time.Duration
+}
+
+// MigrationTerms are those on which moves are made.
+type MigrationTerms struct {
+	Settings
+	Now           time.Time
+	StopDuration  time.Duration // until a stopped attempt is proven gone and another is on record
+	WriteDuration time.Duration // what a change in the state service costs
+	Margin        float64       // times its cost that a move has to save
+	MaxMigrations int           // moves
+}
+
+// Bounds of a plan: what it looks at doesn't grow with the fleet's square.
+const (
+	maxSources         = 16 // hottest machines that are looked at
+	maxTargets         = 48 // coolest machines, and machines that hold an image, for one task
+	writesPerMigration = 2  // in the state service, for a move: the mark, and the new start
+	// Work that loses what it has done is moved only for several times the margin, and early.
+	unsavedMargin  = 2
+	unsavedDivisor = 4 // of what is left, that it may have run, as a divisor
+)
+
+// Rebalance plans moves off machines that are hot for the work on them: those whose team has more
+// than its ceiling there, whose fetches queue for too long, or that run it slower than others.
+// A machine's moves are tried as a whole and kept if any pays.
+func (p *Planner) Rebalance(t MigrationTerms, sources []Source) []Migration {
+	hot := slices.Clone(sources)
+	slices.SortStableFunc(hot, func(a, b Source) int {
+		return cmp.Or(cmp.Compare(t.overload(&b), t.overload(&a)), cmp.Compare(a.Name, b.Name))
+	})
+	var moves []Migration
+	cool := p.leastLoaded(t)
+	for i := range hot[:min(len(hot), maxSources)] {
+		if len(moves) >= t.MaxMigrations {
+			break
+		}
+		c := &hotSpot{Planner: p, terms: t, source: &hot[i], coolest: cool, snapshot: p.snapshot}
+		planned := c.plan(t.MaxMigrations - len(moves))
+		if len(planned) > 0 {
+			p.snapshot = c.snapshot
+			moves = append(moves, planned...)
+		}
+	}
+	return moves
+}
+
+// overload is how hot a source is for the hottest of its teams, as a part of the ceiling.
+func (t *MigrationTerms) overload(s *Source) float64 {
+	most := 0.0
+	for i := range s.Work {
+		r, _ := s.Load.Reserved(s.Work[i].Team)
+		most = max(most, Share(r, placement.Capacity(s.Spec))/t.CeilingShare+s.Load.Speed.Slowness()-1)
+	}
+	return most
+}
+
+// leastLoaded are the open machines with most room, a bounded number of them.
+func (p *Planner) leastLoaded(t MigrationTerms) []*LoadedMachine {
+	var list []*LoadedMachine
+	for i := range p.machines {
+		if s := &p.machines[i]; s.Load != nil && !s.Consolidating && p.open(s.Machine) {
+			list = append(list, s)
+		}
+	}
+	p.Examined += len(list)
+	free := func(s *LoadedMachine) float64 {
+		return Share(s.Allocated, placement.Capacity(s.Spec)) + s.Load.Speed.Slowness() - 1
+	}
+	slices.SortStableFunc(list, func(a, b *LoadedMachine) int {
+		return cmp.Or(cmp.Compare(free(a), free(b)), cmp.Compare(a.Name, b.Name))
+	})
+	return list[:min(len(list), maxTargets)]
+}
+
+// hotSpot is a try to cool one machine.
+type hotSpot struct {
+	*Planner
+	terms    MigrationTerms
+	source   *Source
+	coolest  []*LoadedMachine
+	snapshot Snapshot
+}
+
+// plan finds the moves off the source that pay, the one that gains most first.
+func (c *hotSpot) plan(most int) []Migration {
+	work := make([]*Work, 0, len(c.source.Work))
+	for i := range c.source.Work {
+		work = append(work, &c.source.Work[i])
+	}
+	var moves []Migration
+	left := placement.Resources{} // of the source, by the moves so far
+	for len(moves) < most {
+		best, at := Migration{}, -1
+		for i, w := range work {
+			if w == nil || !isTask(w.Job) || !c.overloaded(w, left) {
+				continue
+			}
+			if m, ok := c.target(w, left); ok && (at < 0 || m.Saving-m.Cost > best.Saving-best.Cost) {
+				best, at = m, i
+			}
+		}
+		if at < 0 {
+			break
+		}
+		work[at] = nil
+		needs := placement.Needs(best.Work.Job)
+		left = left.Plus(needs)
+		c.snapshot = c.snapshot.With(best.To.Name, needs)
+		moves = append(moves, best)
+	}
+	return moves
+}
+
+// overloaded reports whether there is a reason to move work off the source.
+func (c *hotSpot) overloaded(w *Work, left placement.Resources) bool {
+	l := c.source.Load
+	r, tasks := l.Reserved(w.Team)
+	above := tasks > 1 && Share(r.Minus(left), placement.Capacity(c.source.Spec)) > c.terms.CeilingShare+shareEpsilon
+	queued := !w.Running && l.Fetches.Backlog(c.terms.Now, c.source.Spec.FetchRate) > c.terms.FetchQueue
+	return above || queued || l.Speed.Slowness() > slowSourceAbove
+}
+
+// slowSourceAbove is how slow a machine must be to be left for that alone.
+const slowSourceAbove = 1.3
+
+// target finds where a move pays most.
+func (c *hotSpot) target(w *Work, left placement.Resources) (best Migration, found bool) {
+	try := func(o *LoadedMachine) {
+		if o.Machine == c.source.Machine || o.Load == nil || o.Consolidating || !c.open(o.Machine) {
+			return // one that isn't open may be of an unknown type
+		}
+		if !w.MayUse(o.Zone) || !c.snapshot.fits(o.Machine, w.Job) {
+			return
+		}
+		if m, pays := c.evaluate(w, o, left); pays && (!found || m.Saving-m.Cost > best.Saving-best.Cost) {
+			best, found = m, true
+		}
+	}
+	for _, o := range c.coolest {
+		try(o)
+	}
+	if c.holders == nil {
+		c.index()
+	}
+	holders := c.holders[cachedImage{w.Image, c.source.Zone}]
+	for _, o := range holders[:min(len(holders), maxTargets)] {
+		try(o)
+	}
+	return best, found
+}
+
+// evaluate says what a move would save and cost, and whether it pays.
+func (c *hotSpot) evaluate(w *Work, o *LoadedMachine, left placement.Resources) (Migration, bool) {
+	t, src := &c.terms, c.source
+	move := Migration{Work: w, From: src.Machine, To: o.Machine}
+	planned := c.snapshot.Taken(o.Name)
+	there, tasks := o.Load.Reserved(w.Team)
+	needs := placement.Needs(w.Job)
+	after := Share(there.Plus(planned).Plus(needs), placement.Capacity(o.Spec))
+	if (tasks > 0 || planned != (placement.Resources{})) && after > t.CeilingShare+shareEpsilon {
+		return move, false // it would be as hot there
+	}
+	here, _ := src.Load.Reserved(w.Team)
+	heat := max(0, Share(here.Minus(left), placement.Capacity(src.Spec))-after) / t.CeilingShare
+	move.Saving = time.Duration(t.Trade.Seconds() * heat * float64(time.Second))
+	if slower := src.Load.Speed.Slowness() / o.Load.Speed.Slowness(); slower > 1 {
+		move.Saving += time.Duration(float64(w.Remaining) * (1 - 1/slower))
+	}
+	if !w.Running {
+		move.Saving += src.Load.Fetches.Backlog(t.Now, src.Spec.FetchRate)
+	}
+	move.Cost = t.StopDuration + writesPerMigration*t.WriteDuration
+	if o.ImageShare(w.Task) < 1 {
+		move.Cost += o.Load.Fetches.Backlog(t.Now, o.Spec.FetchRate)
+		if o.Spec.FetchRate > 0 {
+			move.Cost += seconds(w.ImageGB / o.Spec.FetchRate)
+		}
+	}
+	return move, c.worthwhile(w, &move)
+}
+
+// worthwhile adds what is lost of the work, and judges the move. Work about to end stays.
+func (c *hotSpot) worthwhile(w *Work, m *Migration) bool {
+	margin := c.terms.Margin
+	if w.Running && w.Checkpoints {
+		m.Cost += w.Save
+	}
+	if w.Running && !w.Checkpoints {
+		m.Cost += w.Ran
+		margin *= unsavedMargin
+		if w.Ran > w.Remaining/unsavedDivisor {
+			return false
+		}
+	}
+	if w.Remaining <= m.Cost {
+		return false
+	}
+	return m.Saving.Seconds() > margin*m.Cost.Seconds()
+}
--- a/internal/coordination/balance/cool_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -12,18 +12,18 @@
 // board is a small fleet to plan moves on: machines of four CPUs, of which the first is full
 // of a surging team's tasks.
 type board struct {
-	sites []Site
+	sites []LoadedMachine
 	work  []Work
-	terms Terms
+	terms MigrationTerms
 }
 
 func newBoard(machines int) *board {
-	b := &board{terms: Terms{Settings: Settings{CeilingShare: 0.5, FetchQueue: 20 * time.Second, Trade: 20 * time.Second},
-		Now: start, Gone: time.Second, Change: 25 * time.Millisecond, Margin: 1.5, Most: 8}}
+	b := &board{terms: MigrationTerms{Settings: Settings{CeilingShare: 0.5, FetchQueue: 20 * time.Second, Trade: 20 * time.Second},
+		Now: start, StopDuration: time.Second, WriteDuration: 25 * time.Millisecond, Margin: 1.5, MaxMigrations: 8}}
 	for i := range machines {
 		m := machine(0)
 		m.Name, m.Zone = fmt.Sprintf("vm-%04d", i), "a"
-		b.sites = append(b.sites, Site{Machine: m, Load: &Load{}})
+		b.sites = append(b.sites, LoadedMachine{Machine: m, Load: &Load{}})
 	}
 	return b
 }
@@ -33,22 +33,22 @@
 	s := b.sites[site]
 	job := &protocol.Job{Kind: protocol.Batch, CPUs: 1, MemGB: 1, Image: "a", ImageGB: 1, Checkpoint: 5 * time.Second, Save: time.Second}
 	w := Work{Task: placement.Task{Job: job, Image: 1}, Team: team, Running: true, Ran: 10 * time.Second, Remaining: 100 * time.Second,
-		Saves: true, MayUse: func(string) bool { return true }, Of: site}
+		Checkpoints: true, MayUse: func(string) bool { return true }, Owner: site}
 	if change != nil {
 		change(&w)
 	}
-	s.Taken = s.Taken.Plus(placement.Needs(w.Job))
+	s.Allocated = s.Allocated.Plus(placement.Needs(w.Job))
 	s.Load.Reserve(team, placement.Needs(w.Job))
 	s.Images.Add(w.Image, w.ImageGB, 20)
 	b.work = append(b.work, w)
 }
 
-func (b *board) plan() []Move {
+func (b *board) plan() []Migration {
 	var sources []Source
 	for i, s := range b.sites {
-		source := Source{Site: s}
+		source := Source{LoadedMachine: s}
 		for _, w := range b.work {
-			if w.Of == i {
+			if w.Owner == i {
 				source.Work = append(source.Work, w)
 			}
 		}
@@ -56,12 +56,12 @@
 			sources = append(sources, source)
 		}
 	}
-	return NewPlanner(b.sites, func(*placement.Machine) bool { return true }).Cool(b.terms, sources)
+	return NewPlanner(b.sites, func(*placement.Machine) bool { return true }).Rebalance(b.terms, sources)
 }
 
 // A hot machine is cooled down to its ceiling and no further, by moves that pay; the same
 // board gives the same plan.
-func TestCool(t *testing.T) {
+func TestRebalance(t *testing.T) {
 	b := newBoard(4)
 	for range 4 {
 		b.runs(0, 1, nil)
@@ -78,7 +78,7 @@
 			t.Errorf("another plan: %+v", again[i])
 		}
 	}
-	b.terms.Most = 1
+	b.terms.MaxMigrations = 1
 	if moves := b.plan(); len(moves) != 1 {
 		t.Errorf("%d moves where one is allowed", len(moves))
 	}
@@ -93,8 +93,8 @@
 		moves  bool
 	}{
 		{name: "one that pays", moves: true},
-		{name: "unsaved work of minutes", change: func(w *Work) { w.Saves, w.Ran, w.Remaining = false, 4*time.Minute, 5*time.Minute }},
-		{name: "unsaved work that began", change: func(w *Work) { w.Saves, w.Ran = false, time.Second }, moves: true},
+		{name: "unsaved work of minutes", change: func(w *Work) { w.Checkpoints, w.Ran, w.Remaining = false, 4*time.Minute, 5*time.Minute }},
+		{name: "unsaved work that began", change: func(w *Work) { w.Checkpoints, w.Ran = false, time.Second }, moves: true},
 		{name: "a huge image", change: func(w *Work) { w.ImageGB = 60; w.Remaining = 10 * time.Minute }},
 		{name: "saving that takes long", change: func(w *Work) { w.Save = 30 * time.Second }},
 		{name: "work about to end", change: func(w *Work) { w.Remaining = 2 * time.Second }},
@@ -103,7 +103,7 @@
 		{name: "half as long again", change: func(w *Work) { w.Remaining = w.Remaining * 3 / 2 }, moves: true},
 		{name: "busy links", board: func(b *board) {
 			for _, s := range b.sites[1:] {
-				s.Load.Fetches.Want(start, 9, 40, 1)
+				s.Load.Fetches.Add(start, 9, 40, 1)
 			}
 		}},
 		{name: "targets as slow", board: func(b *board) {
@@ -122,7 +122,7 @@
 		{name: "a gang", change: func(w *Work) { w.Kind = protocol.Gang }},
 		{name: "full targets", board: func(b *board) {
 			for _, s := range b.sites[1:] {
-				s.Held = placement.Resources{CPUs: 4}
+				s.Incoming = placement.Resources{CPUs: 4}
 			}
 		}},
 	} {
@@ -149,7 +149,7 @@
 	b.terms.Trade = 0
 	b.runs(0, 1, func(w *Work) { w.Running, w.Ran, w.Image = false, 0, 7 })
 	b.sites[0].Images.Reset()
-	b.sites[0].Load.Fetches.Want(start, 9, 50, 1)
+	b.sites[0].Load.Fetches.Add(start, 9, 50, 1)
 	if moves := b.plan(); len(moves) != 1 {
 		t.Errorf("%d moves", len(moves))
 	}
@@ -163,8 +163,8 @@
 	}
 	b.sites[1].Images.Add(1, 1, 20)
 	b.sites[1].Spec = nil
-	sources := []Source{{Site: b.sites[0], Work: b.work}}
-	if moves := NewPlanner(b.sites, func(m *placement.Machine) bool { return m.Spec != nil }).Cool(b.terms, sources); len(moves) != 0 {
+	sources := []Source{{LoadedMachine: b.sites[0], Work: b.work}}
+	if moves := NewPlanner(b.sites, func(m *placement.Machine) bool { return m.Spec != nil }).Rebalance(b.terms, sources); len(moves) != 0 {
 		t.Errorf("%d moves", len(moves))
 	}
 }
@@ -194,13 +194,13 @@
 				}
 			}
 			needs := placement.Needs(m.Work.Job)
-			b.sites[from].Taken = b.sites[from].Taken.Minus(needs)
-			b.sites[from].Load.Free(m.Work.Team, needs)
-			b.sites[to].Taken = b.sites[to].Taken.Plus(needs)
+			b.sites[from].Allocated = b.sites[from].Allocated.Minus(needs)
+			b.sites[from].Load.Release(m.Work.Team, needs)
+			b.sites[to].Allocated = b.sites[to].Allocated.Plus(needs)
 			b.sites[to].Load.Reserve(m.Work.Team, needs)
 			for i := range b.work {
-				if b.work[i].Of == from && b.work[i].Team == m.Work.Team {
-					b.work[i].Of = to
+				if b.work[i].Owner == from && b.work[i].Team == m.Work.Team {
+					b.work[i].Owner = to
 					break
 				}
 			}
@@ -221,8 +221,8 @@
 	}
 }
 
-// BenchmarkCool plans moves on a fleet in which one machine in eight is hot.
-func BenchmarkCool(b *testing.B) {
+// BenchmarkRebalance plans moves on a fleet in which one machine in eight is hot.
+func BenchmarkRebalance(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000} {
 		board := newBoard(machines)
 		for i := range machines {
@@ -233,9 +233,9 @@
 		var sources []Source
 		for i, s := range board.sites {
 			if i%8 == 7 {
-				source := Source{Site: s}
+				source := Source{LoadedMachine: s}
 				for _, w := range board.work[:4] {
-					w.Of = i
+					w.Owner = i
 					source.Work = append(source.Work, w)
 				}
 				sources = append(sources, source)
@@ -244,7 +244,7 @@
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
 				p := NewPlanner(board.sites, func(*placement.Machine) bool { return true })
-				if moves := p.Cool(board.terms, sources); len(moves) == 0 {
+				if moves := p.Rebalance(board.terms, sources); len(moves) == 0 {
 					b.Fatal("nothing is planned")
 				}
 			}
--- a/internal/coordination/balance/snapshot.go
+++ b/internal/coordination/balance/snapshot.go
@@ -34,6 +34,6 @@
 
 // fits reports whether one more task of a job may move to a machine.
 func (s Snapshot) fits(m *placement.Machine, j *protocol.Job) bool {
-	return m.Allows(j) && m.RoomInReport(j) &&
-		m.Taken.Plus(m.Held).Plus(s.Taken(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
+	return m.Allows(j) && m.FitsInReport(j) &&
+		m.Allocated.Plus(m.Incoming).Plus(s.Taken(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
 }
--- a/internal/coordination/balance/speed.go
+++ b/internal/coordination/balance/speed.go
@@ -7,7 +7,7 @@
 
 // Bounds of what run times tell.
 const (
-	sampleMost  = math.Ln2 // the most that one sample counts for, as a logarithm
+	maxSample   = math.Ln2 // the most that one sample counts for, as a logarithm
 	sampleFades = 0.9      // what is left of a sample's weight with the next one
 	priorWeight = 4        // samples of the usual speed that are added
 	ownMean     = 3        // tasks of a job after which its own run times count
@@ -25,7 +25,7 @@
 	if r.count == 0 {
 		r.mean = x
 	}
-	above := min(max(x-r.mean, -sampleMost), sampleMost)
+	above := min(max(x-r.mean, -maxSample), maxSample)
 	r.count++
 	r.mean += above * max(meanFollows, 1/float64(r.count))
 	return above
@@ -34,9 +34,9 @@
 // Speed is how a machine's run times compare with those of other machines.
 type Speed struct{ sum, weight float64 }
 
-// Ran takes a completed task's run time. job holds the times of its job, class those of its
+// Observe takes a completed task's run time. job holds the times of its job, class those of its
 // class on this kind of machine, as parts of their owners' estimates.
-func (s *Speed) Ran(run, estimate time.Duration, job, class *Runs) {
+func (s *Speed) Observe(run, estimate time.Duration, job, class *Runs) {
 	if run <= 0 || estimate <= 0 {
 		return
 	}
--- a/internal/coordination/balance/surge.go
+++ b/internal/coordination/balance/surge.go
@@ -11,7 +11,7 @@
 	surgeBegins  = 1.5              // times the level, and a machine's worth besides
 	surgeEnds    = 1.2              // times the level, and half of that
 	surgeQuiet   = 10 * time.Second // that demand stays below for a surge to end
-	surgeMost    = 10 * time.Minute // after which the new demand is the level
+	maxSurge     = 10 * time.Minute // after which the new demand is the level
 )
 
 // SurgeRecord is what is kept of a surge that is under way.
@@ -84,7 +84,7 @@
 		s.low = now
 	}
 	over := !s.low.IsZero() && now.Sub(s.low) >= surgeQuiet
-	usual := now.Sub(s.since) >= surgeMost
+	usual := now.Sub(s.since) >= maxSurge
 	if !over && !usual {
 		return Unchanged
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -33,7 +33,7 @@
 	c, l := leading(active)
 	c.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
 	c.teams["blue"] = &config.Team{Name: "blue", CPUs: 3000, CPUsMax: 1e6}
-	l.teams["blue"] = &usage{}
+	l.teamUsage["blue"] = &usage{}
 	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 16, MemGB: 128, CacheGB: 35, FetchRate: 1, Price: 1, SpotPrice: 0.5,
 		Boot: 10 * time.Second, Zones: []string{"a"}}})
 	for i := range machines {
@@ -62,7 +62,7 @@
 // fill places what has room, as often as records allow.
 func fill(l *leader) {
 	for range 10 + len(l.fleetList)/25 {
-		l.place()
+		l.runPlacementRound()
 		l.journal.unsaved, l.journal.urgent = 0, nil
 	}
 	runAll(l)
@@ -83,7 +83,7 @@
 			b.StopTimer()
 			_, l := largeLead(machines, benchJobs(machines))
 			b.StartTimer()
-			l.place()
+			l.runPlacementRound()
 		}
 	})
 }
@@ -100,7 +100,7 @@
 				l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: j})
 			}
 			b.StartTimer()
-			l.place()
+			l.runPlacementRound()
 		}
 	})
 }
@@ -109,9 +109,9 @@
 	atSizes(b, func(b *testing.B, machines int) {
 		_, l := largeLead(machines, benchJobs(machines))
 		fill(l)
-		l.place() // what gives way has been stopped by then
+		l.runPlacementRound() // what gives way has been stopped by then
 		for b.Loop() {
-			l.place()
+			l.runPlacementRound()
 		}
 	})
 }
@@ -149,7 +149,7 @@
 		spec := benchJob(2)
 		spec.Tasks, spec.CPUs, spec.MemGB = 15000, 0.05, 0.05
 		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
-		m, j := l.fleetList[0], l.order[0]
+		m, j := l.fleetList[0], l.jobsByAge[0]
 		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: l.epoch.fencingToken()}
 		for i := range exits {
 			l.assign(j, i, m)
@@ -175,7 +175,7 @@
 		{"grow", (*leader).scaleOut},
 		{"shrink", (*leader).scaleIn},
 		{"consolidate", (*leader).consolidate},
-		{"explain", func(l *leader) { l.told.at = time.Time{}; l.explain() }},
+		{"explain", func(l *leader) { l.pendingLog.at = time.Time{}; l.logPendingReasons() }},
 		{"publish", func(l *leader) { l.controller.publish(); l.controller.out = Effects{} }},
 	} {
 		b.Run(step.name, func(b *testing.B) {
@@ -198,9 +198,9 @@
 	for _, m := range l.fleetList {
 		m.registered = false
 	}
-	for i, j := range l.order {
+	for i, j := range l.jobsByAge {
 		j.OneZone, j.MemGB = i%4 == 0, 4+float64(i%50)/20
-		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.toStart()})
+		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.pendingTasks()})
 	}
 	return l
 }
@@ -226,16 +226,16 @@
 		j.ID, j.Tasks, j.CPUs = fmt.Sprintf("run-%06d", i), 1, 7
 		j.Image = fmt.Sprintf("img-%d", i%20)
 		l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: j})
-		l.assign(l.order[i], 0, m)
-		l.order[i].next = 1
-		m.Images.Add(l.order[i].image, 1.5, 35)
+		l.assign(l.jobsByAge[i], 0, m)
+		l.jobsByAge[i].firstUnstarted = 1
+		m.Images.Add(l.jobsByAge[i].imageID, 1.5, 35)
 		m.provisionedAt = l.controller.now.Add(-time.Hour)
 		big := benchJob(2)
 		big.ID, big.Tasks, big.CPUs = fmt.Sprintf("run-%06d", machines+i), 1, 3
 		l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: big})
 		if i%2 == 0 {
-			l.assign(l.order[len(l.order)-1], 0, m)
-			l.order[len(l.order)-1].next = 1
+			l.assign(l.jobsByAge[len(l.jobsByAge)-1], 0, m)
+			l.jobsByAge[len(l.jobsByAge)-1].firstUnstarted = 1
 		}
 	}
 	runAll(l)
@@ -251,7 +251,7 @@
 			l.scaleIn()
 			l.consolidate()
 			for _, m := range l.fleetList {
-				m.Emptying = false
+				m.Consolidating = false
 			}
 		}
 	})
@@ -336,7 +336,7 @@
 	c, _ := largeLead(1000, 40)
 	committed := protocol.EncodeRevision(7)
 	for i := range 40 {
-		c.admission.setKnown(benchJob(i).ID)
+		c.admission.rememberAccepted(benchJob(i).ID)
 	}
 	id := uint64(0)
 	b.ReportAllocs()
@@ -348,7 +348,7 @@
 				c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: committed})
 			}
 		}
-		e := c.Tick(c.now.Add(2 * c.checkPause()))
+		e := c.Tick(c.now.Add(2 * c.statusCheckInterval()))
 		for _, call := range e.Calls {
 			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: committed})
 		}
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -22,13 +22,13 @@
 	fixedRoom := 0.0
 	var candidates []*machine
 	for _, m := range l.fleetList {
-		if !l.open(m) {
+		if !l.acceptsTasks(m) {
 			continue
 		}
-		if !m.Emptying {
+		if !m.Consolidating {
 			fixedRoom += l.onDemandRoom(m)
 		}
-		if m.holdsOnlyReplicas() && (m.Emptying || m.Taken.CPUs <= m.Spec.CPUs/2+protocol.Epsilon) && c.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
+		if m.holdsOnlyReplicas() && (m.Consolidating || m.Allocated.CPUs <= m.Spec.CPUs/2+protocol.Epsilon) && c.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
 			candidates = append(candidates, m)
 		}
 	}
@@ -42,18 +42,18 @@
 		if plan.get().Snapshot().Taken(m.Name) != (placement.Resources{}) {
 			continue // replicas are to move here
 		}
-		if room := l.onDemandRoom(m); !m.Emptying && room > 0 && fixedRoom-m.Spec.CPUs < l.onDemandReserve() {
+		if room := l.onDemandRoom(m); !m.Consolidating && room > 0 && fixedRoom-m.Spec.CPUs < l.onDemandReserve() {
 			continue
 		}
 		if !m.replicasFitElsewhere(plan.get(), false) {
 			continue
 		}
-		c.logEach("moving replicas", "machine", m.Name, "attempts", len(m.attempts))
-		if !m.Emptying {
+		c.logSampled("moving replicas", "machine", m.Name, "attempts", len(m.attempts))
+		if !m.Consolidating {
 			fixedRoom -= l.onDemandRoom(m)
 		}
 		l.autoscaler.consolidatedAt = c.now
-		m.Emptying = true
+		m.Consolidating = true
 		left--
 		for _, a := range m.sortedAttempts() {
 			l.stopAttempt(a, 0)
@@ -63,11 +63,11 @@
 
 // newPlanner is a planner for the fleet as it is now.
 func (l *leader) newPlanner() *balance.Planner {
-	sites := make([]balance.Site, len(l.fleetList))
+	sites := make([]balance.LoadedMachine, len(l.fleetList))
 	for i, m := range l.fleetList {
-		sites[i] = balance.Site{Machine: &m.Machine, Load: m.load}
+		sites[i] = balance.LoadedMachine{Machine: &m.Machine, Load: m.load}
 	}
-	return balance.NewPlanner(sites, func(m *placement.Machine) bool { return l.open(l.machines[m.Name]) })
+	return balance.NewPlanner(sites, func(m *placement.Machine) bool { return l.acceptsTasks(l.machines[m.Name]) })
 }
 
 // runningReplicas are the replicas on a machine, in a fixed order; false if one of them doesn't run
@@ -78,10 +78,10 @@
 		if j.Kind != protocol.Service {
 			continue
 		}
-		if a.state != protocol.Running || a.stopRequested || j.toStart() > 0 {
+		if a.state != protocol.Running || a.stopRequested || j.pendingTasks() > 0 {
 			return nil, false
 		}
-		list = append(list, balance.Replica{Task: j.wants(), Shape: shapeOf(j)})
+		list = append(list, balance.Replica{Task: j.placementTask(), Shape: shapeKeyOf(j)})
 	}
 	return list, true
 }
@@ -90,7 +90,7 @@
 // is but a try.
 func (m *machine) replicasFitElsewhere(p *balance.Planner, try bool) bool {
 	replicas, settled := m.runningReplicas()
-	return settled && p.Empty(&m.Machine, replicas, try)
+	return settled && p.Evacuate(&m.Machine, replicas, try)
 }
 
 // lazyPlanner makes a planner on first use: most looks at the fleet need none.
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -113,19 +113,19 @@
 	storeBad  time.Time // when it first failed since; zero while it works
 	storeCost *records.Budget
 
-	told         told   // to operators, of this node
-	trouble      string // as it is now; empty without any
+	told         changeThrottle // to operators, of this node
+	trouble      string         // as it is now; empty without any
 	troubleSince time.Time
 
-	draining  bool // it is to give up what it has
-	bounds    bounds
-	bursts    logBursts
-	held      heldReports // wait for a leader
-	election  election
-	admission admission
-	peers     map[string]*peerView
-	leader    *leader   // nil while following
-	sharding  *sharding // nil while the leader serves all machines
+	draining    bool // it is to give up what it has
+	limits      limitCounters
+	sampledLogs sampledLogs
+	held        heldReports // wait for a leader
+	election    election
+	admission   admission
+	peers       map[string]*peerView
+	leader      *leader   // nil while following
+	sharding    *sharding // nil while the leader serves all machines
 
 	local     []shardLine // between this controller's own roles
 	oddLines  int         // of peers, that were ignored
@@ -184,14 +184,14 @@
 	c.loadTypes()
 	c.every(time.Second, c.publish)
 	c.every(time.Second, c.checkStore)
-	c.every(time.Second, c.explainNode)
+	c.every(time.Second, c.logAvailability)
 	return c.take()
 }
 
 // Request takes a request that came in.
 func (c *Controller) Request(now time.Time, id uint64, method, target string, body []byte) Effects {
 	c.now = now
-	c.route(id, method, target, body)
+	c.routeRequest(id, method, target, body)
 	return c.take()
 }
 
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -39,7 +39,7 @@
 		c.teams["red"].CPUsMax = 100
 		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 			Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
-		j := l.order[0]
+		j := l.jobsByAge[0]
 		for i := range 10 {
 			m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 			m.inherited, m.recorded = true, true
@@ -109,7 +109,7 @@
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
-	j := l.order[0]
+	j := l.jobsByAge[0]
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 		m.inherited, m.recorded, m.addr = true, true, "x"
--- a/internal/coordination/groups.go
+++ b/internal/coordination/groups.go
@@ -129,7 +129,7 @@
 	for _, m := range k.machines {
 		if !m.recorded {
 			m.recorded = true
-			l.askPlace()
+			l.requestPlacement()
 		}
 		if first && l.shards != nil {
 			l.shards.tellMachine(m)
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -76,7 +76,7 @@
 	l.endJob(j, protocol.Cancelled)
 	below := l.fencingToken(m)
 	c.Request(c.now, 2, "POST", protocol.PathReport, report(5))
-	if j.task(0).live != a || l.teams["red"].cpus != 1 {
+	if j.task(0).live != a || l.teamUsage["red"].cpus != 1 {
 		t.Fatal("gone while its start may still be carried out")
 	}
 	if l.fencingToken(m) <= below {
@@ -84,7 +84,7 @@
 	}
 	c.Request(c.now, 3, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small",
 		Zone: "a", Session: 1, Seq: 6, Token: l.fencingToken(m)}))
-	if j.task(0).live != nil || l.teams["red"].cpus != 0 {
+	if j.task(0).live != nil || l.teamUsage["red"].cpus != 0 {
 		t.Error("still there although no start can be carried out any more")
 	}
 }
@@ -102,15 +102,15 @@
 		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, reported: true})
 	}
 	other := &job{Job: spec("run-000002"), zones: map[string]int{}}
-	if l.underLimit(other) {
+	if l.withinLimit(other) {
 		t.Fatal("the team has 16 CPUs and uses them")
 	}
 	l.endJob(j, protocol.Cancelled)
 	c.now = c.now.Add(time.Hour)
-	if l.underLimit(other) {
+	if l.withinLimit(other) {
 		t.Error("tasks count no more once they were told to stop")
 	}
-	if j.zoneAllows("b") {
+	if j.zoneAllowed("b") {
 		t.Error("another zone is allowed while tasks may be in this one")
 	}
 }
@@ -125,7 +125,7 @@
 	m.lastReached, m.Spec = c.now, c.types["small"]
 	for _, recorded := range []bool{false, true} {
 		m.recorded = recorded
-		l.place()
+		l.runPlacementRound()
 		if placed := len(m.attempts) > 0; placed != recorded {
 			t.Errorf("on record %t, task placed %t", recorded, placed)
 		}
@@ -141,7 +141,7 @@
 	m := l.machines["vm-1"]
 	m.recorded, m.lastReached, m.Spec = true, c.now, c.types["small"]
 	l.lease.validUntil = c.now
-	l.place()
+	l.runPlacementRound()
 	if len(m.attempts) > 0 {
 		t.Error("placed without a lease")
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -39,7 +39,7 @@
 	s.noteDelivery(m, r, reported)
 	if r.HasNotice && m.preemptionAt.IsZero() {
 		m.preemptionAt = s.controller.now.Add(r.Notice)
-		s.controller.logEach("machine will be taken", "machine", m.Name, "in", r.Notice)
+		s.controller.logSampled("machine will be taken", "machine", m.Name, "in", r.Notice)
 		s.listener.preemptionNoticed(m)
 	}
 	if !s.loaded && !m.attemptsKnown {
@@ -67,7 +67,7 @@
 func (s *workerSessions) fitOrders(room *protocol.OrderRoom, orders []protocol.Order) []protocol.Order {
 	fit, cut := room.Cut(orders)
 	if cut {
-		s.controller.bounds.hit(boundOrders)
+		s.controller.limits.reached(limitOrders)
 	}
 	return fit
 }
@@ -210,7 +210,7 @@
 	var orders []protocol.Order
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		if j := s.jobs[t.Job]; t.State != protocol.Exited && j != nil && j.outcome != 0 {
+		if j := s.jobs[t.Job]; t.State != protocol.Exited && j != nil && j.finalState != 0 {
 			orders = append(orders, protocol.Order{Kind: protocol.Stop, Job: t.Job, Index: t.Index, Attempt: t.Attempt})
 		}
 	}
@@ -271,7 +271,7 @@
 		return none, false
 	}
 	if !room.Take(a.job.ID) {
-		s.controller.bounds.hit(boundOrders)
+		s.controller.limits.reached(limitOrders)
 		return none, false // the next report lacks it, too
 	}
 	a.sentIncarnation, a.sentSequence = r.Session, r.Seq
--- a/internal/coordination/hold_reports.go
+++ b/internal/coordination/hold_reports.go
@@ -60,7 +60,7 @@
 // silent it went from one to the next until its lease was over.
 func (c *Controller) holdForLeader(id uint64, body []byte) {
 	if len(c.held.list) >= c.maxHeld() {
-		c.bounds.hit(boundHeld)
+		c.limits.reached(limitHeldReports)
 		c.reply(id, 421, protocol.Redirect(""))
 		return
 	}
--- a/internal/coordination/instance_offers.go
+++ b/internal/coordination/instance_offers.go
@@ -85,7 +85,7 @@
 
 func (b *bin) take(j *job) bool {
 	if !b.offer.allows(j.Job) || j.CPUs > b.cpus+protocol.Epsilon || j.GPUs > b.gpus+protocol.Epsilon || j.MemGB > b.mem+protocol.Epsilon ||
-		b.reportBytes+protocol.TaskReportBytes(j.ID) > placement.TasksBytes {
+		b.reportBytes+protocol.TaskReportBytes(j.ID) > placement.MaxTaskReportBytes {
 		return false
 	}
 	b.reportBytes += protocol.TaskReportBytes(j.ID)
@@ -132,7 +132,7 @@
 		if !o.allows(j) || !allows(o.zone) {
 			continue
 		}
-		fit := float64(placement.TasksBytes / protocol.TaskReportBytes(j.ID))
+		fit := float64(placement.MaxTaskReportBytes / protocol.TaskReportBytes(j.ID))
 		if j.CPUs > 0 {
 			fit = min(fit, float64(int(o.spec.CPUs/j.CPUs+protocol.Epsilon)))
 		}
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -76,7 +76,7 @@
 		l.reconcileInventory(r.machines)
 		l.checkReconciled()
 	case len(r.machines) >= maxInventory:
-		l.controller.bounds.hit(boundList)
+		l.controller.limits.reached(limitInventory)
 		r.end()
 	default:
 		r.after, r.tries = list[len(list)-1].Name, 0
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -21,7 +21,7 @@
 		// Its record took a change, too: where users submit many jobs a second, the
 		// leader's own records leave them what the state service takes.
 		l.journal.budget.Spend(l.controller.now, 1)
-		l.askPlace()
+		l.requestPlacement()
 	}
 }
 
@@ -35,19 +35,19 @@
 	if l.jobs[r.Spec.ID] != nil {
 		return
 	}
-	j := &job{Job: r.Spec, submitted: time.UnixMilli(r.Submitted), size: r.Chunk, zones: map[string]int{},
-		failedOn: map[string]struct{}{}, image: l.imageID(r.Spec.Image)}
-	j.chunks = make([]*chunk, (j.Tasks+j.size-1)/j.size)
+	j := &job{Job: r.Spec, submitted: time.UnixMilli(r.Submitted), chunkSize: r.Chunk, zones: map[string]int{},
+		failedMachines: map[string]struct{}{}, imageID: l.imageID(r.Spec.Image)}
+	j.chunks = make([]*chunk, (j.Tasks+j.chunkSize-1)/j.chunkSize)
 	l.jobs[j.ID] = j
 	if !j.Spot && j.Kind == protocol.Service {
 		l.autoscaler.largestOnDemand = max(l.autoscaler.largestOnDemand, j.CPUs*float64(j.Tasks))
 	}
-	at := len(l.order)
-	for at > 0 && l.order[at-1].submitted.After(j.submitted) {
+	at := len(l.jobsByAge)
+	for at > 0 && l.jobsByAge[at-1].submitted.After(j.submitted) {
 		at--
 	}
-	l.order = slices.Insert(l.order, at, j)
-	if f, ok := l.controller.admission.finals[j.ID]; ok {
+	l.jobsByAge = slices.Insert(l.jobsByAge, at, j)
+	if f, ok := l.controller.admission.outcomes[j.ID]; ok {
 		l.endJob(j, f.state)
 	}
 }
--- a/internal/coordination/journal.go
+++ b/internal/coordination/journal.go
@@ -20,7 +20,7 @@
 func (g *journal) full() bool {
 	c := g.l.controller.cfg
 	if g.unsaved >= g.maxUnsaved() {
-		g.l.controller.bounds.hit(boundUnsaved)
+		g.l.controller.limits.reached(limitUnsaved)
 		return true
 	}
 	return len(g.urgent) >= max(4*c.TxnOps, int(c.StateWriteRPS/2))
@@ -170,7 +170,7 @@
 	for len(g.ends) > 0 && fits() {
 		j := g.ends[0]
 		g.ends = g.ends[1:]
-		if j.outcome != 0 {
+		if j.finalState != 0 {
 			continue
 		}
 		b.ends = append(b.ends, j)
@@ -230,22 +230,22 @@
 	l := g.l
 	j := chunk.job
 	chunk.dirty, chunk.lazy = false, false
-	starts, marks := chunk.starts, chunk.marks
-	chunk.starts, chunk.marks = nil, nil
+	starts, marks := chunk.starts, chunk.migrating
+	chunk.starts, chunk.migrating = nil, nil
 	g.unsaved -= len(starts)
 	keep := starts[:0]
 	for _, a := range starts {
 		if j.task(a.task).live != a {
 			continue
 		}
-		if a.stopRequested || j.outcome != 0 {
+		if a.stopRequested || j.finalState != 0 {
 			l.detach(a, "given up before it was recorded")
 			continue
 		}
 		keep = append(keep, a)
 	}
 	chunk.dirty, chunk.lazy = false, false // detach may have asked for a lazy write
-	if j.removed || j.outcome != 0 {
+	if j.removed || j.finalState != 0 {
 		return
 	}
 	if j.finishing && len(keep) == 0 {
@@ -276,7 +276,7 @@
 		}
 	}
 	r.SetDone(done)
-	chunk.setMoved(&r)
+	chunk.encodeMigrated(&r)
 	b.saved = append(b.saved, saved)
 	key := records.KeyChunk(j.ID, chunk.index)
 	b.when(key, chunk.version)
@@ -307,14 +307,14 @@
 				l.orderSoon(a)
 			}
 			for _, a := range b.marks[i] {
-				l.balance.marked(a)
+				l.rebalancer.migrationRecorded(a)
 			}
 		}
 		for _, k := range b.puts {
 			l.groupWritten(k)
 		}
 		for _, j := range b.ends {
-			c.admission.noteFinal(j.ID, protocol.Done, j.Tasks)
+			c.admission.learnOutcome(j.ID, protocol.Done, j.Tasks)
 			l.endJob(j, protocol.Done)
 		}
 		for _, key := range b.removes {
@@ -370,7 +370,7 @@
 				g.unsaved++
 			}
 		}
-		chunk.marks = append(chunk.marks, b.marks[i]...)
+		chunk.migrating = append(chunk.migrating, b.marks[i]...)
 		if reread != nil && reread(chunk) {
 			chunk.known = false
 			unsure = append(unsure, chunk)
@@ -433,7 +433,7 @@
 			l.jobKey(it.Key, it.Value, true)
 		} else {
 			c.after(200*time.Millisecond, func() {
-				if l.alive() && l.jobs[id] != nil && l.jobs[id].outcome == 0 {
+				if l.alive() && l.jobs[id] != nil && l.jobs[id].finalState == 0 {
 					g.readOutcome(id)
 				}
 			})
@@ -464,7 +464,7 @@
 func (g *journal) saveTypes(types []protocol.MachineType) {
 	raw := records.Encode(types)
 	if len(raw) > g.l.controller.cfg.ValueBytes {
-		g.l.controller.bounds.hit(boundTypes)
+		g.l.controller.limits.reached(limitTypesRecord)
 		return
 	}
 	g.extra = append(g.extra, protocol.Op{Put: records.KeyTypes, Value: json.RawMessage(raw)})
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -39,33 +39,33 @@
 	phase    phase
 	settled  time.Time
 
-	order []*job // by submission
+	jobsByAge []*job // by submission
 	// tellNext is the place in order of the job whose progress peers are told next.
-	tellNext   int
-	teams      map[string]*usage
-	bias       map[string]float64   // of estimates, by class
-	stopped    map[string]usage     // of the teams' work, what was told to stop
-	terminated map[string]time.Time // machines proven gone, while lists may still show them
-	journal    journal
-	autoscaler autoscaler
-	balance    *balancer      // nil while balance is off
-	judging    *balance.Judge // of the job whose turn it is; nil without
-	shards     *shardLeader   // nil when this leader serves all machines itself
-
-	told       told   // to operators, of work that waits
-	preferred  string // zone last recorded as the better one for leaders
-	placeAsked bool
-	checkAsked bool
-	opened     []*machine        // that took tasks at the start of the round
-	roomy      []*machine        // of them, those with room for the smallest task that waits
-	zones      []string          // of the opened machines
-	ranked     []candidate       // reused by every job's turn
-	full       []placement.Shape // found no machine with room in this round
-	searches   map[kind]*search  // for work to stop, in this round
-	yielding   []*attempt        // reused by every look at a machine's work
-	work       int               // machines looked at in this round
-	allowance  int               // how many it may look at
-	imageIDs   map[string]placement.ImageID
+	tellNext           int
+	teamUsage          map[string]*usage
+	estimateCorrection map[string]float64   // of estimates, by class
+	stopping           map[string]usage     // of the teams' work, what was told to stop
+	terminated         map[string]time.Time // machines proven gone, while lists may still show them
+	journal            journal
+	autoscaler         autoscaler
+	rebalancer         *rebalancer            // nil while balance is off
+	ceilingPolicy      *balance.CeilingPolicy // of the job whose turn it is; nil without
+	shards             *shardLeader           // nil when this leader serves all machines itself
+
+	pendingLog         changeThrottle // to operators, of work that waits
+	preferred          string         // zone last recorded as the better one for leaders
+	placementRequested bool
+	checkAsked         bool
+	accepting          []*machine                        // that took tasks at the start of the round
+	withRoom           []*machine                        // of them, those with room for the smallest task that waits
+	acceptingZones     []string                          // of the opened machines
+	candidateBuffer    []candidate                       // reused by every job's turn
+	unplaceable        []placement.Shape                 // found no machine with room in this round
+	victimSearches     map[victimSearchKey]*victimSearch // for work to stop, in this round
+	victimBuffer       []*attempt                        // reused by every look at a machine's work
+	examined           int                               // machines looked at in this round
+	examineLimit       int                               // how many it may look at
+	imageIDs           map[string]placement.ImageID
 }
 
 // usage is what a team's attempts take, those not proven gone included.
@@ -74,37 +74,37 @@
 // job is an unfinished job.
 type job struct {
 	*protocol.Job
-	submitted time.Time
-	size      int // tasks per chunk
-	chunks    []*chunk
-	outcome   protocol.JobState // final state that is recorded; 0 while there is none
-	finishing bool              // the outcome "done" is being written
-	removed   bool              // its records are being removed
-
-	doneCount int
-	running   int
-	live      int            // attempts not proven gone
-	waiting   []int          // tasks to be started again
-	next      int            // first task that was never started
-	zones     map[string]int // live attempts and their zones
-	judged    bool
-	within    bool      // its team's guarantee when it came
-	errors    int       // since the last success
-	trials    int       // of them, single tasks tried since the job became suspect
-	brokeAt   time.Time // when a task last failed after it had run
-	runsSince time.Time // when the first of the tasks that run began
-	failedOn  map[string]struct{}
-	notBefore time.Time
-	pressing  bool // its patience has a timer
-	image     int32
-
-	shape placement.ShapeKey // made on first use
-
-	runs      balance.Runs // of its completed tasks
-	heldIn    uint64       // surge in which tasks waited for a machine below the ceiling
-	heldSince time.Time
-	heldAsked bool   // the end of that wait has a timer
-	yieldedIn uint64 // surge in which they may go above it
+	submitted  time.Time
+	chunkSize  int // tasks per chunk
+	chunks     []*chunk
+	finalState protocol.JobState // final state that is recorded; 0 while there is none
+	finishing  bool              // the outcome "done" is being written
+	removed    bool              // its records are being removed
+
+	doneTasks          int
+	runningTasks       int
+	liveAttempts       int            // attempts not proven gone
+	retryQueue         []int          // tasks to be started again
+	firstUnstarted     int            // first task that was never started
+	zones              map[string]int // live attempts and their zones
+	quotaChecked       bool
+	withinQuota        bool      // its team's guarantee when it came
+	failures           int       // since the last success
+	trials             int       // of them, single tasks tried since the job became suspect
+	lastBroken         time.Time // when a task last failed after it had run
+	runningSince       time.Time // when the first of the tasks that run began
+	failedMachines     map[string]struct{}
+	backoffUntil       time.Time
+	preemptionTimerSet bool // its patience has a timer
+	imageID            int32
+
+	shapeKey placement.ShapeKey // made on first use
+
+	runTimes      balance.Runs // of its completed tasks
+	heldSurge     uint64       // surge in which tasks waited for a machine below the ceiling
+	heldSince     time.Time
+	heldTimerSet  bool   // the end of that wait has a timer
+	exceededSurge uint64 // surge in which they may go above it
 
 	progressTold bool // peers were told of tasks that run or are done
 
@@ -114,26 +114,26 @@
 
 // chunk is a run of a job's tasks that share a record.
 type chunk struct {
-	job      *job
-	index    int
-	tasks    []task
-	version  uint64 // of its key; 0: no record yet
-	known    bool   // version is sure
-	dirty    bool
-	lazy     bool // no one waits for it; write by due
-	due      time.Time
-	inFlight bool
-	starts   []*attempt // placed since the last write
-	marks    []*attempt // to be stopped once it is on record that they move
+	job       *job
+	index     int
+	tasks     []task
+	version   uint64 // of its key; 0: no record yet
+	known     bool   // version is sure
+	dirty     bool
+	lazy      bool // no one waits for it; write by due
+	due       time.Time
+	inFlight  bool
+	starts    []*attempt // placed since the last write
+	migrating []*attempt // to be stopped once it is on record that they move
 }
 
 type task struct {
-	attempt uint64 // the latest number used
-	live    *attempt
-	done    bool
-	saved   bool        // recorded as done
-	exit    *shard.Task // whose owner waits for that
-	moved   uint64      // surge in which it was moved; 0: none
+	attempt         uint64 // the latest number used
+	live            *attempt
+	done            bool
+	saved           bool        // recorded as done
+	exit            *shard.Task // whose owner waits for that
+	migratedInSurge uint64      // surge in which it was moved; 0: none
 }
 
 // attempt is one try at a task on a machine, until proven gone.
@@ -174,13 +174,13 @@
 
 func (c *Controller) becomeLeader(term, version, leaseID uint64, ttl time.Duration, validUntil time.Time) {
 	l := &leader{workerSessions: newWorkerSessions(c, lease{leaseID, ttl, validUntil}), term: term, version: version, elected: c.now, phase: loading,
-		teams: map[string]*usage{}, stopped: map[string]usage{}, bias: map[string]float64{},
-		terminated: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, searches: map[kind]*search{}, allowance: roundWork}
+		teamUsage: map[string]*usage{}, stopping: map[string]usage{}, estimateCorrection: map[string]float64{},
+		terminated: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, victimSearches: map[victimSearchKey]*victimSearch{}, examineLimit: baseExamineLimit}
 	for name := range c.teams {
-		l.teams[name] = &usage{}
+		l.teamUsage[name] = &usage{}
 	}
 	l.listener = l
-	l.balance = newBalancer(l)
+	l.rebalancer = newRebalancer(l)
 	// The leader before may have had the shortest lease, which leaves the longest grace.
 	l.epoch = ownershipEpoch{term: term, since: c.now, predecessorUntil: c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))}
 	l.journal.init(l)
@@ -201,27 +201,27 @@
 	l.every(time.Second, l.maintain)
 }
 
-// roundPause is the pause after a round of placement for each machine that it
+// pausePerExamined is the pause after a round of placement for each machine that it
 // looked at.
-const roundPause = 150 * time.Nanosecond
+const pausePerExamined = 150 * time.Nanosecond
 
-// askPlace wants the placement to run soon. A short delay lets what happens
+// requestPlacement wants the placement to run soon. A short delay lets what happens
 // together be placed together.
-func (l *leader) askPlace() {
-	if l.placeAsked || l.phase != active {
+func (l *leader) requestPlacement() {
+	if l.placementRequested || l.phase != active {
 		return
 	}
-	l.placeAsked = true
+	l.placementRequested = true
 	// The dearer the last round was, the longer until the next, so that rounds take
 	// no more than about half of a small share of a processor.
-	delay := 8*time.Millisecond + time.Duration(len(l.order))*20*time.Microsecond + time.Duration(l.work)*roundPause
+	delay := 8*time.Millisecond + time.Duration(len(l.jobsByAge))*20*time.Microsecond + time.Duration(l.examined)*pausePerExamined
 	if l.controller.behind() {
 		delay += l.controller.lag / 2
 	}
 	l.controller.after(delay, func() {
 		if l.alive() {
-			l.placeAsked = false
-			l.place()
+			l.placementRequested = false
+			l.runPlacementRound()
 		}
 	})
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -43,8 +43,8 @@
 func TestProgressOfAllJobsIsTold(t *testing.T) {
 	const jobs = 9000
 	c, l := largeLead(10, jobs)
-	for _, j := range l.order {
-		j.running = 3
+	for _, j := range l.jobsByAge {
+		j.runningTasks = 3
 	}
 	f := follower(c)
 	for turn := range 3 {
@@ -52,17 +52,17 @@
 			t.Fatalf("turn %d: a line of %d bytes", turn, longest)
 		}
 	}
-	for _, j := range l.order {
-		if s, _, running := f.progress(j.ID); s != protocol.JobRunning || running != 3 {
+	for _, j := range l.jobsByAge {
+		if s, _, running := f.knownProgress(j.ID); s != protocol.JobRunning || running != 3 {
 			t.Fatalf("%s: %v, %d running", j.ID, s, running)
 		}
 	}
 	// One that went back to nothing is told of once more.
-	l.order[0].running = 0
+	l.jobsByAge[0].runningTasks = 0
 	for range 3 {
 		tellPeer(c, f)
 	}
-	if _, _, running := f.progress(l.order[0].ID); running != 0 {
+	if _, _, running := f.knownProgress(l.jobsByAge[0].ID); running != 0 {
 		t.Errorf("%d tasks run that were stopped", running)
 	}
 }
@@ -72,10 +72,10 @@
 func TestManyFinalStatesAreTold(t *testing.T) {
 	c, _ := leading(active)
 	c.cfg.StateWriteRPS = 1000
-	c.admission.maxNews = c.maxNews()
+	c.admission.maxUnannounced = c.maxUnannounced()
 	const jobs = 12_000
 	for i := range jobs {
-		c.admission.noteFinal(fmt.Sprintf("run-%06d", i), protocol.Done, 1)
+		c.admission.learnOutcome(fmt.Sprintf("run-%06d", i), protocol.Done, 1)
 	}
 	f := follower(c)
 	for range 5 {
@@ -83,8 +83,8 @@
 			t.Fatalf("a line of %d bytes", longest)
 		}
 	}
-	if len(f.admission.finals) != jobs {
-		t.Errorf("%d of %d final states are known", len(f.admission.finals), jobs)
+	if len(f.admission.outcomes) != jobs {
+		t.Errorf("%d of %d final states are known", len(f.admission.outcomes), jobs)
 	}
 }
 
@@ -194,8 +194,8 @@
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 	m := l.fleetList[0]
 	for i := range tasks {
-		l.assign(l.order[0], i, m)
-		l.order[0].next = i + 1
+		l.assign(l.jobsByAge[0], i, m)
+		l.jobsByAge[0].firstUnstarted = i + 1
 	}
 	runAll(l)
 	c.take()
@@ -206,7 +206,7 @@
 func TestOrdersFitMessages(t *testing.T) {
 	const tasks = 3000
 	c, l, m := crowded(tasks)
-	l.endJob(l.order[0], protocol.Cancelled)
+	l.endJob(l.jobsByAge[0], protocol.Cancelled)
 	stopped := map[int]bool{}
 	calls := c.take().Calls
 	for range 20 {
@@ -245,7 +245,7 @@
 	if _, _, orders, err := protocol.ParseOrders(e.Replies[0].Body); err != nil || len(orders) < 300 {
 		t.Errorf("%d orders, %v", len(orders), err)
 	}
-	if c.bounds.total[boundOrders] == 0 {
+	if c.limits.total[limitOrders] == 0 {
 		t.Error("nothing was counted")
 	}
 }
@@ -282,11 +282,11 @@
 	for i := range 2000 {
 		c.Request(c.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
 	}
-	if c.bounds.total[boundWaiting] != 0 || c.admission.waiting != 2000 {
-		t.Errorf("%d wait, %d were refused", c.admission.waiting, c.bounds.total[boundWaiting])
+	if c.limits.total[limitOpenRequests] != 0 || c.admission.openRequests != 2000 {
+		t.Errorf("%d wait, %d were refused", c.admission.openRequests, c.limits.total[limitOpenRequests])
 	}
 	c.cfg.StateRPS, c.cfg.Sockets = 120, 900
-	if most := c.maxWaiting(); most < minWaiting || most > 450 {
+	if most := c.maxOpenRequests(); most < minOpenRequests || most > 450 {
 		t.Errorf("a small controller lets %d wait", most)
 	}
 }
@@ -296,9 +296,9 @@
 	c, _ := leading(active)
 	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 4096, 15_000
 	for i := range 5000 {
-		c.admission.polls = append(c.admission.polls, poll{uint64(i), fmt.Sprintf("run-%018d", i)})
+		c.admission.queries = append(c.admission.queries, statusQuery{uint64(i), fmt.Sprintf("run-%018d", i)})
 	}
-	c.checkPolls()
+	c.checkStatuses()
 	for _, call := range c.take().Calls {
 		if len(call.Body) > protocol.MaxBody {
 			t.Errorf("%s %s: %d bytes", call.Method, call.Target, len(call.Body))
@@ -316,7 +316,7 @@
 		c.now = c.now.Add(100 * time.Microsecond)
 		c.holdForLeader(uint64(i+1), nil)
 	}
-	if e := c.holdOne(reports + 1); len(e) != 1 || c.bounds.total[boundHeld] != 1 {
+	if e := c.holdOne(reports + 1); len(e) != 1 || c.limits.total[limitHeldReports] != 1 {
 		t.Errorf("one beyond the bound: %d answers", len(e))
 	}
 	answered := 0
@@ -368,8 +368,8 @@
 func TestCarefulGrowthBeyondShare(t *testing.T) {
 	c, l := largeLead(600, 4000)
 	c.cfg.CPUShare = 0.025
-	for _, j := range l.order {
-		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.toStart()})
+	for _, j := range l.jobsByAge {
+		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.pendingTasks()})
 	}
 	rented := func() (count int) {
 		l.autoscaler.callBudget = records.NewBudget(1000, 1000, c.now)
@@ -405,7 +405,7 @@
 		t.Errorf("%d rented once they were up", got)
 	}
 	c.lateAt, c.lateSince = c.now.Add(-time.Second), c.now.Add(-time.Second)
-	if got := rented(); got != 0 || c.bounds.total[boundServed] == 0 {
+	if got := rented(); got != 0 || c.limits.total[limitServedMachines] == 0 {
 		t.Errorf("%d rented while timers are late", got)
 	}
 	c.cfg.CPUShare = 0.8
@@ -440,8 +440,8 @@
 	for _, m := range l.fleetList {
 		m.replicasFitElsewhere(p, false)
 	}
-	if p.Looked > perMachine*machines {
-		t.Errorf("%d machines were looked at for the replicas of %d", p.Looked, machines)
+	if p.Examined > perMachine*machines {
+		t.Errorf("%d machines were looked at for the replicas of %d", p.Examined, machines)
 	}
 	l = bootingFleet(machines)
 	g := l.newScaleOutPlan()
@@ -463,8 +463,8 @@
 		l.adoptMachine(fmt.Sprintf("vm-%06d", i), "small", "a", false, 0)
 	}
 	c.now = c.now.Add(2 * time.Second)
-	c.tellBursts()
-	if lines := strings.Count(out.String(), "\n"); lines > linesAtOnceLogged+1 || !strings.Contains(out.String(), "count=3980") {
+	c.flushSampledLogs()
+	if lines := strings.Count(out.String(), "\n"); lines > sampledLinesPerSecond+1 || !strings.Contains(out.String(), "count=3980") {
 		t.Errorf("%d lines", lines)
 	}
 }
@@ -475,14 +475,14 @@
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	for range 100 {
-		c.bounds.hit(boundShed)
-		c.bounds.tell(c.log, c.now)
+		c.limits.reached(limitSocketsShed)
+		c.limits.log(c.log, c.now)
 	}
-	c.bounds.tell(c.log, c.now.Add(boundsEvery))
+	c.limits.log(c.log, c.now.Add(limitLogInterval))
 	if lines := strings.Count(out.String(), "\n"); lines != 2 || !strings.Contains(out.String(), "times=99 inAll=100") {
 		t.Errorf("%d lines: %s", lines, out.String())
 	}
-	for b := range boundCount {
+	for b := range limitCount {
 		if b.String() == "" || b.consequence() == "" {
 			t.Errorf("bound %d has no name or consequence", b)
 		}
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -13,7 +13,7 @@
 func (l *leader) load() {
 	var machines, chunks []protocol.Item
 	left := 3
-	if l.balance != nil {
+	if l.rebalancer != nil {
 		left++
 	}
 	part := func() {
@@ -33,9 +33,9 @@
 		chunks = items
 		part()
 	})
-	if l.balance != nil {
+	if l.rebalancer != nil {
 		l.controller.storeList(records.PrefixSurges, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
-			l.balance.restore(items)
+			l.rebalancer.restoreSurges(items)
 			part()
 		})
 	}
@@ -89,11 +89,11 @@
 		}
 	}
 	live := 0
-	for _, j := range l.order {
-		live += j.live
+	for _, j := range l.jobsByAge {
+		live += j.liveAttempts
 		l.jobProgressed(j)
 	}
-	c.log.Info("records loaded", "term", l.term, "jobs", len(l.order), "machines", len(l.machines), "attempts", live)
+	c.log.Info("records loaded", "term", l.term, "jobs", len(l.jobsByAge), "machines", len(l.machines), "attempts", live)
 	l.readInventory() // it has the addresses of those that are to be asked
 	if l.shards != nil {
 		l.shardMachines()
@@ -112,7 +112,7 @@
 	l.settled = l.controller.now
 	l.controller.log.Info("placing", "term", l.term, "after", l.controller.now.Sub(l.elected))
 	l.maintain()
-	l.askPlace()
+	l.requestPlacement()
 }
 
 // enoughHeard reports whether all but a few of the machines that should have told
@@ -150,16 +150,16 @@
 // chunk gives the chunk that holds a task, made on first use: a job may have
 // a hundred thousand tasks of which few run at a time.
 func (j *job) chunk(index int) *chunk {
-	i := index / j.size
+	i := index / j.chunkSize
 	added := j.chunks[i]
 	if added == nil {
-		added = &chunk{job: j, index: i, known: true, tasks: make([]task, min(j.size, j.Tasks-i*j.size))}
+		added = &chunk{job: j, index: i, known: true, tasks: make([]task, min(j.chunkSize, j.Tasks-i*j.chunkSize))}
 		j.chunks[i] = added
 	}
 	return added
 }
 
-func (j *job) task(i int) *task { return &j.chunk(i).tasks[i%j.size] }
+func (j *job) task(i int) *task { return &j.chunk(i).tasks[i%j.chunkSize] }
 
 func (l *leader) loadChunk(it protocol.Item) {
 	id, index, ok := records.ParseChunkKey(it.Key)
@@ -174,19 +174,19 @@
 		l.controller.log.Error("unreadable chunk record", "job", id, "chunk", index, "err", err)
 		return
 	}
-	chunk := j.chunk(index * j.size)
+	chunk := j.chunk(index * j.chunkSize)
 	chunk.version = it.Version
 	done, err := r.IsDone(len(chunk.tasks))
 	if err != nil {
 		l.controller.log.Error("unreadable chunk record", "job", id, "chunk", index, "err", err)
 		return
 	}
-	chunk.loadMoved(&r, l.controller.log)
-	base := index * j.size
+	chunk.loadMigrated(&r, l.controller.log)
+	base := index * j.chunkSize
 	for i, d := range done {
 		if d {
 			chunk.tasks[i].done, chunk.tasks[i].saved = true, true
-			j.doneCount++
+			j.doneTasks++
 		}
 	}
 	for _, t := range r.Tasks {
@@ -208,15 +208,15 @@
 			recorded: true, inherited: true, stateSince: l.controller.now}
 		// Outcomes are read before chunks: a job that was cancelled just
 		// before the leadership changed still has attempts to be stopped.
-		a.stopRequested = j.outcome != 0
+		a.stopRequested = j.finalState != 0
 		l.attach(a)
 	}
 	// Tasks up to the last touched chunk that aren't live or done start again.
 	end := min(j.Tasks, base+len(chunk.tasks))
-	for i := j.next; i < end; i++ {
+	for i := j.firstUnstarted; i < end; i++ {
 		if t := j.task(i); !t.done && t.live == nil {
-			j.waiting = append(j.waiting, i)
+			j.retryQueue = append(j.retryQueue, i)
 		}
 	}
-	j.next = max(j.next, end)
+	j.firstUnstarted = max(j.firstUnstarted, end)
 }
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -35,7 +35,7 @@
 func (s *workerSessions) unfinished() []string {
 	var ids []string
 	for id, j := range s.jobs {
-		if j.outcome == 0 {
+		if j.finalState == 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -177,7 +177,7 @@
 		s.controller.log.Error("unreadable outcome", "job", id, "err", err)
 		return
 	}
-	s.controller.admission.setFinal(id, outcome, done) // who wrote it told the peers
+	s.controller.admission.rememberOutcome(id, outcome, done) // who wrote it told the peers
 	if j := s.jobs[id]; j != nil {
 		s.listener.jobEnded(j, outcome)
 	}
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -122,7 +122,7 @@
 			t.Fatalf("%s was read", key)
 		}
 	}
-	if len(l.jobs) != 3 || l.jobs["run-000002"].outcome != protocol.Cancelled || l.jobs["run-000001"].outcome != 0 {
+	if len(l.jobs) != 3 || l.jobs["run-000002"].finalState != protocol.Cancelled || l.jobs["run-000001"].finalState != 0 {
 		t.Errorf("jobs %v", l.jobs)
 	}
 	if l.phase != settling || l.jobsKnownAt.IsZero() {
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -83,7 +83,7 @@
 func (l *leader) newMachine(name, typ, zone string, spot bool) *machine {
 	m := &machine{Machine: placement.Machine{Name: name, Type: typ, Zone: zone, Spot: spot, Spec: l.controller.types[typ]}, provisionedAt: l.controller.now,
 		attempts: map[taskKey]*attempt{}, emptySince: l.controller.now, failuresByJob: map[string]int{}}
-	m.load = l.balance.newLoad()
+	m.load = l.rebalancer.newLoad()
 	if l.shards == nil {
 		m.epoch = &l.epoch
 	}
@@ -98,7 +98,7 @@
 	m := l.newMachine(name, typ, zone, spot)
 	m.provisionedAt = l.controller.now.Add(-age)
 	if l.phase != loading { // else its record may be read yet
-		l.controller.logEach("unexpected machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
+		l.controller.logSampled("unexpected machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
 		l.journal.putMachine(m)
 	}
 	return m
@@ -167,7 +167,7 @@
 		return
 	}
 	m.removed = true
-	l.controller.logEach("machine gone", "machine", m.Name, "why", why, "attempts", len(m.attempts))
+	l.controller.logSampled("machine gone", "machine", m.Name, "why", why, "attempts", len(m.attempts))
 	l.terminated[m.Name] = l.controller.now
 	delete(l.machines, m.Name)
 	if i := slices.Index(l.fleetList, m); i >= 0 {
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machines_test.go
@@ -73,31 +73,31 @@
 	c, l := leading(active)
 	c.op.ImageWeight, c.op.RoomWeight = 1, 1
 	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemGB: 1, Image: "a", ImageGB: 1},
-		zones: map[string]int{}, failedOn: map[string]struct{}{}, image: l.imageID("a")}
+		zones: map[string]int{}, failedMachines: map[string]struct{}{}, imageID: l.imageID("a")}
 	var list []*machine
 	for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
 		m := l.newMachine(name, "small", "a", false)
 		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached = true, true, l.controller.now, l.controller.now, l.controller.now
 		list = append(list, m)
 	}
-	list[0].Taken.CPUs, list[1].Taken.CPUs, list[2].Taken.CPUs = 2, 0, 1
-	l.opened, l.roomy = list, list
+	list[0].Allocated.CPUs, list[1].Allocated.CPUs, list[2].Allocated.CPUs = 2, 0, 1
+	l.accepting, l.withRoom = list, list
 	best := func() *machine {
-		c := l.candidates(j)
-		return l.best(&c, j)
+		c := l.findCandidates(j)
+		return l.bestMachine(&c, j)
 	}
 	if got := best(); got != list[1] {
 		t.Errorf("without images: %s", got.Name)
 	}
-	list[0].Images.Add(j.image, 1, 3)
+	list[0].Images.Add(j.imageID, 1, 3)
 	if got := best(); got != list[0] {
 		t.Errorf("with the image on vm-1: %s", got.Name)
 	}
-	list[0].Emptying = true
+	list[0].Consolidating = true
 	if got := best(); got != list[1] {
 		t.Errorf("with vm-1 being emptied: %s", got.Name)
 	}
-	list[1].Taken.CPUs, list[2].Taken.CPUs = 4, 4
+	list[1].Allocated.CPUs, list[2].Allocated.CPUs = 4, 4
 	if got := best(); got != list[0] {
 		t.Errorf("with room only there: %s", got.Name)
 	}
@@ -111,22 +111,22 @@
 	wall := c.now
 	jobOf := func(tasks, done int, age time.Duration) *job {
 		return &job{Job: &protocol.Job{Class: "c", Kind: protocol.Batch, Tasks: tasks, CPUs: 1, Estimate: 10 * time.Second,
-			Deadline: 40 * time.Second, HasDeadline: true}, submitted: wall.Add(-age), doneCount: done}
+			Deadline: 40 * time.Second, HasDeadline: true}, submitted: wall.Add(-age), doneTasks: done}
 	}
 	fresh, large := jobOf(10, 0, 0), jobOf(20, 0, 0)
 	late, rest := jobOf(10, 0, 50*time.Second), jobOf(10, 9, 50*time.Second)
 	old := jobOf(20, 0, 5*time.Hour)
 	order := []*job{rest, fresh, large, late}
 	for i := 1; i < len(order); i++ {
-		if a, b := l.weight(order[i-1], wall), l.weight(order[i], wall); a >= b {
+		if a, b := l.queueWeight(order[i-1], wall), l.queueWeight(order[i], wall); a >= b {
 			t.Errorf("weight %d is %g, weight %d is %g", i-1, a, i, b)
 		}
 	}
-	if a, b := l.weight(old, wall), l.weight(fresh, wall); a >= b {
+	if a, b := l.queueWeight(old, wall), l.queueWeight(fresh, wall); a >= b {
 		t.Errorf("a job that waited for hours counts %g, a fresh one %g", a, b)
 	}
-	l.bias["c"] = 5 // tasks of the class take five times their estimates
-	if a, b := l.weight(fresh, wall), l.weight(jobOf(2, 0, 0), wall); a <= b {
+	l.estimateCorrection["c"] = 5 // tasks of the class take five times their estimates
+	if a, b := l.queueWeight(fresh, wall), l.queueWeight(jobOf(2, 0, 0), wall); a <= b {
 		t.Errorf("with a bias: %g and %g", a, b)
 	}
 }
@@ -154,13 +154,13 @@
 	}
 	m := l.machines["vm-1"]
 	m.recorded, m.Spec = true, &protocol.MachineType{Name: "small", CPUs: 4, MemGB: 16}
-	if l.open(m) {
+	if l.acceptsTasks(m) {
 		t.Error("a report alone, perhaps a late copy, opens a machine for work")
 	}
 	if !m.probeInFlight {
 		t.Error("a machine that reports for the first time isn't asked")
 	}
-	if report(1, 11, l.fencingToken(m)); !l.open(m) {
+	if report(1, 11, l.fencingToken(m)); !l.acceptsTasks(m) {
 		t.Error("a report that shows our token doesn't open the machine")
 	}
 	answered, heard := m.lastAnswered, m.lastSeen
@@ -281,7 +281,7 @@
 		}
 		l.takeHeartbeat(m, r, false) // an answer to a call
 		l.detectFailures()
-		if open := l.open(m); open != (c.now.Sub(begin) <= l.suspectAfter()+lostHeartbeatDelay) {
+		if open := l.acceptsTasks(m); open != (c.now.Sub(begin) <= l.suspectAfter()+lostHeartbeatDelay) {
 			t.Fatalf("open %t after %s without a report", open, c.now.Sub(begin))
 		}
 		if m.releasing && c.now.Sub(begin) <= 2*c.cfg.WorkerLease {
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -35,10 +35,10 @@
 
 // fail lets one task of a job fail on a machine.
 func fail(l *leader, m *machine, j *job) {
-	a := &attempt{job: j, task: j.peekTask(), machine: m, recorded: true}
-	j.takeTask()
+	a := &attempt{job: j, task: j.nextPendingTask(), machine: m, recorded: true}
+	j.popPendingTask()
 	l.attach(a)
-	l.failed(m, a)
+	l.attemptFailed(m, a)
 	l.detach(a, "test")
 }
 
@@ -58,8 +58,8 @@
 		for i := range 2 {
 			j := addTestJob(l, fmt.Sprintf("run-%06d", 10+i), func(*protocol.Job) {})
 			if works { // tasks of it run elsewhere
-				l.runs(j)
-				c.now = c.now.Add(provenAfter)
+				l.taskRuns(j)
+				c.now = c.now.Add(workingAfter)
 			}
 			fail(l, m, j)
 		}
@@ -73,7 +73,7 @@
 // all of it once a task runs for a while.
 func TestTrialOfFailingJob(t *testing.T) {
 	c, l := leading(active)
-	l.teams["red"] = &usage{}
+	l.teamUsage["red"] = &usage{}
 	c.teams["red"].CPUsMax = 100
 	j := addTestJob(l, "run-000001", func(*protocol.Job) {})
 	for i := range 4 {
@@ -81,34 +81,34 @@
 	}
 	var last time.Duration
 	for range 12 {
-		c.now = j.notBefore
+		c.now = j.backoffUntil
 		for _, m := range l.fleetList {
 			m.lastSeen, m.lastAnswered = c.now, c.now
 		}
-		l.place()
-		if j.live != 1 {
-			t.Fatalf("%d tasks placed of a job that fails everywhere", j.live)
+		l.runPlacementRound()
+		if j.liveAttempts != 1 {
+			t.Fatalf("%d tasks placed of a job that fails everywhere", j.liveAttempts)
 		}
 		for _, a := range j.chunk(0).starts {
-			l.failed(a.machine, a)
+			l.attemptFailed(a.machine, a)
 			l.detach(a, "test")
 		}
 		j.chunk(0).starts = nil
-		last = j.notBefore.Sub(c.now)
+		last = j.backoffUntil.Sub(c.now)
 	}
-	if last != trialPauseMax {
+	if last != trialBackoffMax {
 		t.Errorf("after 12 trials %s until the next", last)
 	}
-	c.now = j.notBefore
+	c.now = j.backoffUntil
 	for _, m := range l.fleetList {
 		m.lastSeen, m.lastAnswered = c.now, c.now
 	}
-	l.place()
-	l.runs(j)
-	c.now = c.now.Add(provenAfter)
-	l.place()
-	if j.live != j.Tasks {
-		t.Errorf("%d of %d tasks placed after one has run", j.live, j.Tasks)
+	l.runPlacementRound()
+	l.taskRuns(j)
+	c.now = c.now.Add(workingAfter)
+	l.runPlacementRound()
+	if j.liveAttempts != j.Tasks {
+		t.Errorf("%d of %d tasks placed after one has run", j.liveAttempts, j.Tasks)
 	}
 }
 
@@ -117,18 +117,18 @@
 func TestServiceIsNoTrial(t *testing.T) {
 	c, l := leading(active)
 	c.teams["red"].CPUsMax = 100
-	l.teams["red"] = &usage{}
+	l.teamUsage["red"] = &usage{}
 	for i := range 8 {
 		addTestMachine(l, fmt.Sprintf("vm-%d", i), true)
 	}
 	j := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Kind, j.Tasks = protocol.Service, 6 })
-	l.place()
+	l.runPlacementRound()
 	for range 5 {
 		for _, m := range l.fleetList[:3] {
 			for _, a := range m.sortedAttempts() {
 				a.recorded = true
 				l.setTaskState(a, protocol.Running)
-				l.failed(m, a)
+				l.attemptFailed(m, a)
 				l.detach(a, "test")
 			}
 		}
@@ -141,9 +141,9 @@
 		for _, m := range l.fleetList {
 			m.lastSeen, m.lastAnswered = c.now, c.now
 		}
-		l.place()
-		if j.live != j.Tasks {
-			t.Fatalf("%d of %d replicas placed after failures on three machines", j.live, j.Tasks)
+		l.runPlacementRound()
+		if j.liveAttempts != j.Tasks {
+			t.Fatalf("%d of %d replicas placed after failures on three machines", j.liveAttempts, j.Tasks)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 			}
 		}
 	}
-	if most := int(c.cfg.StateRPS*10/checksShare) + 2; checks > most || checks == 0 {
+	if most := int(c.cfg.StateRPS*10/statusCheckShare) + 2; checks > most || checks == 0 {
 		t.Errorf("%d checks in 10 s, want at most %d", checks, most)
 	}
 	if answered < 1900 {
@@ -283,7 +283,7 @@
 func TestGuestsPay(t *testing.T) {
 	c, l := leading(active)
 	c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
-	l.teams["guest"] = &usage{}
+	l.teamUsage["guest"] = &usage{}
 	guest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Team = "guest" })
 	other := addTestJob(l, "run-000002", func(*protocol.Job) {})
 	dear := offer{spec: c.types["small"], zone: "a"} // twice the price of a spot machine
@@ -303,7 +303,7 @@
 			t.Errorf("%s: dear machines rented %t", test.job.Team, rents)
 		}
 	}
-	c.now = c.now.Add(overdueAfter)
+	c.now = c.now.Add(starvingAfter)
 	clear(l.autoscaler.requested)
 	l.autoscaler.unmetDemand = []demand{{guest, guest.Tasks}}
 	l.autoscaler.unavailableUntil[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
@@ -325,13 +325,13 @@
 		c, l := leading(active)
 		c.teams["red"].CPUsMax = 100
 		c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
-		l.teams["guest"], l.teams["red"] = &usage{}, &usage{}
+		l.teamUsage["guest"], l.teamUsage["red"] = &usage{}, &usage{}
 		m := l.newMachine("vm-1", "small", "a", test.spot)
 		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 		j := addTestJob(l, "run-000001", func(j *protocol.Job) {
 			j.Team, j.Tasks, j.Checkpoint, j.Save = test.team, 1, 30*time.Second, 3*time.Second
 		})
-		l.place()
+		l.runPlacementRound()
 		if len(m.attemptList) != 1 {
 			t.Fatalf("%+v: not placed", test)
 		}
@@ -339,15 +339,15 @@
 		a.recorded, a.reported = true, true
 		l.setTaskState(a, protocol.Running)
 		c.now = c.now.Add(opportunisticMinimumRun + time.Second)
-		m.lastSeen, m.lastAnswered, m.Emptying = c.now, c.now, true
+		m.lastSeen, m.lastAnswered, m.Consolidating = c.now, c.now, true
 		l.scaleIn()
 		if a.stopRequested != test.leaves {
 			t.Errorf("%+v: told to stop %t", test, a.stopRequested)
 		}
 		if test.leaves {
 			l.detach(a, "test")
-			l.place()
-			if j.live != 0 {
+			l.runPlacementRound()
+			if j.liveAttempts != 0 {
 				t.Errorf("%+v: placed there again", test)
 			}
 		}
@@ -361,20 +361,20 @@
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	c.teams["red"].CPUsMax = 4
-	l.teams["red"] = &usage{}
+	l.teamUsage["red"] = &usage{}
 	addTestJob(l, "run-000001", func(j *protocol.Job) { j.CPUs = 4 })
 	lines := func(want string) int { return strings.Count(out.String(), want) }
 	step := func(d time.Duration) {
 		for range int(d / time.Second) {
 			c.now = c.now.Add(time.Second)
-			l.explain()
+			l.logPendingReasons()
 		}
 	}
 	step(20 * time.Second)
 	if lines("work waits") != 1 {
 		t.Fatalf("said %q", out.String())
 	}
-	l.teams["red"].cpus = 4
+	l.teamUsage["red"].cpus = 4
 	step(60 * time.Second)
 	if k := lines("the team's limit"); k < 2 || k > 4 {
 		t.Errorf("the limit is told %d times in a minute: %s", k, out.String())
@@ -383,7 +383,7 @@
 	c.election.leaderVersion = 0
 	for range 20 {
 		c.now = c.now.Add(time.Second)
-		c.explainNode()
+		c.logAvailability()
 	}
 	if k := lines("no leader is known"); k != 1 {
 		t.Errorf("a missing leader is told %d times in 20 s: %s", k, out.String())
@@ -395,21 +395,21 @@
 func TestOverdueJobGetsRoom(t *testing.T) {
 	c, l := leading(active)
 	c.teams["red"].CPUsMax = 100
-	l.teams["red"] = &usage{}
+	l.teamUsage["red"] = &usage{}
 	m := addTestMachine(l, "vm-1", true)
 	first := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks, j.CPUs = 1, 3 })
-	l.place()
+	l.runPlacementRound()
 	large := addTestJob(l, "run-000002", func(j *protocol.Job) { j.Tasks, j.CPUs, j.Priority = 1, 4, protocol.Low })
-	large.submitted = c.now.Add(-overdueAfter)
+	large.submitted = c.now.Add(-starvingAfter)
 	small := addTestJob(l, "run-000003", func(*protocol.Job) {})
-	l.place()
-	if first.live != 1 || small.live != 0 {
-		t.Fatalf("%d and %d tasks run beside a job that is overdue", first.live, small.live)
+	l.runPlacementRound()
+	if first.liveAttempts != 1 || small.liveAttempts != 0 {
+		t.Fatalf("%d and %d tasks run beside a job that is overdue", first.liveAttempts, small.liveAttempts)
 	}
 	l.detach(m.attemptList[0], "test")
-	first.waiting = nil
-	l.place()
-	if large.live != 1 {
+	first.retryQueue = nil
+	l.runPlacementRound()
+	if large.liveAttempts != 1 {
 		t.Error("the job that is overdue got no room")
 	}
 }
@@ -419,21 +419,21 @@
 func TestLateLeader(t *testing.T) {
 	c, l := leading(active)
 	c.teams["red"].CPUsMax = 100
-	l.teams["red"] = &usage{}
+	l.teamUsage["red"] = &usage{}
 	for i := range 4 {
 		addTestMachine(l, fmt.Sprintf("vm-%d", i), true)
 	}
 	rest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks = 12 })
 	critical := addTestJob(l, "run-000002", func(j *protocol.Job) { j.Tasks, j.Priority = 2, protocol.Critical })
 	c.lag = 2 * lagLate
-	l.place()
-	if critical.live != 2 || rest.live != 0 {
-		t.Errorf("while late: %d critical tasks and %d others placed", critical.live, rest.live)
+	l.runPlacementRound()
+	if critical.liveAttempts != 2 || rest.liveAttempts != 0 {
+		t.Errorf("while late: %d critical tasks and %d others placed", critical.liveAttempts, rest.liveAttempts)
 	}
 	c.lag = 0
-	l.place()
-	if rest.live != 12 {
-		t.Errorf("%d of 12 tasks placed once it isn't late", rest.live)
+	l.runPlacementRound()
+	if rest.liveAttempts != 12 {
+		t.Errorf("%d of 12 tasks placed once it isn't late", rest.liveAttempts)
 	}
 	base := c.op.LeaderLease()
 	c.lateAt = c.now
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -61,7 +61,7 @@
 // A node that is far behind sends away users who only ask, and serves the rest.
 func TestFarBehindShedsPolls(t *testing.T) {
 	c, _ := leading(active)
-	c.admission.setKnown("run-000001")
+	c.admission.rememberAccepted("run-000001")
 	c.lag = 2 * lagFar
 	e := c.Request(c.now, 1, "GET", protocol.PathJobs+"/run-000001", nil)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 503 || e.Replies[0].RetryAfter == 0 {
@@ -87,15 +87,15 @@
 			made++
 		}
 	}
-	if most := (j.live+95)/96 + 1; made > most {
-		t.Errorf("%d chunks in memory for %d live tasks", made, j.live)
+	if most := (j.liveAttempts+95)/96 + 1; made > most {
+		t.Errorf("%d chunks in memory for %d live tasks", made, j.liveAttempts)
 	}
-	for _, o := range l.order {
-		if o != j && o.Priority >= j.Priority && o.live == 0 {
+	for _, o := range l.jobsByAge {
+		if o != j && o.Priority >= j.Priority && o.liveAttempts == 0 {
 			t.Errorf("%s got nothing beside the huge job", o.ID)
 		}
 	}
-	if j.live == 0 {
+	if j.liveAttempts == 0 {
 		t.Error("the huge job got nothing")
 	}
 	if allocated > 200_000 {
@@ -121,7 +121,7 @@
 	fill(l)
 	used := 0.0
 	for _, m := range l.fleetList {
-		used += m.Taken.CPUs
+		used += m.Allocated.CPUs
 	}
 	if used < overloadMachines*16 {
 		t.Fatalf("%g CPUs in use: the fleet isn't full", used)
@@ -133,9 +133,9 @@
 		for _, m := range l.fleetList {
 			m.lastSeen, m.lastAnswered = c.now, c.now
 		}
-		l.place()
-		if l.work > 2*roundWork {
-			t.Errorf("a round looked at %d machines, more than %d", l.work, 2*roundWork)
+		l.runPlacementRound()
+		if l.examined > 2*baseExamineLimit {
+			t.Errorf("a round looked at %d machines, more than %d", l.examined, 2*baseExamineLimit)
 		}
 		rounds++
 	}
@@ -160,14 +160,14 @@
 	}
 	fill(l)
 	waiting := 0
-	for _, j := range l.order {
-		waiting += j.toStart()
+	for _, j := range l.jobsByAge {
+		waiting += j.pendingTasks()
 	}
 	if waiting != 300 {
 		t.Fatalf("%d replicas wait, want half of 600", waiting)
 	}
-	l.place()
-	if most := 2 * overloadMachines; l.work > most {
-		t.Errorf("a round looked at %d machines, more than %d", l.work, most)
+	l.runPlacementRound()
+	if most := 2 * overloadMachines; l.examined > most {
+		t.Errorf("a round looked at %d machines, more than %d", l.examined, most)
 	}
 }
--- a/internal/coordination/peer_lines.go
+++ b/internal/coordination/peer_lines.go
@@ -38,10 +38,10 @@
 // publish tells the peers how this node is, which jobs are over and, from a leader, how
 // the others go on.
 func (c *Controller) publish() {
-	c.bounds.tell(c.log, c.now)
-	c.tellBursts()
+	c.limits.log(c.log, c.now)
+	c.flushSampledLogs()
 	turn := c.progressTurn()
-	var again []toldFinal
+	var again []outcomeAnnouncement
 	for line := range linesAtOnce {
 		m := c.peerMessage()
 		room := c.addFinals(&m, lineRoom, &again)
@@ -49,14 +49,14 @@
 			turn.fill(&m, room)
 		}
 		c.publishLine(&m)
-		if len(c.admission.news) == 0 && (turn.over() || line+1 >= progressLines) {
+		if len(c.admission.unannounced) == 0 && (turn.over() || line+1 >= progressLines) {
 			break
 		}
 	}
 	if !turn.over() {
-		c.bounds.hit(boundProgress)
+		c.limits.reached(limitProgress)
 	}
-	c.admission.news = append(c.admission.news, again...)
+	c.admission.unannounced = append(c.admission.unannounced, again...)
 }
 
 // peerMessage begins a message with what each one tells.
@@ -74,7 +74,7 @@
 		panic(err)
 	}
 	if len(raw) > MaxPeerLine {
-		c.bounds.hit(boundLine)
+		c.limits.reached(limitPeerLine)
 		return
 	}
 	c.out.Publishes = append(c.out.Publishes, Publish{Body: raw})
@@ -82,27 +82,27 @@
 
 // addFinals puts final states into a message, as far as there is room, and returns the
 // room that is left. Those that are to be told once more are added to again.
-func (c *Controller) addFinals(m *peerMessage, room int, again *[]toldFinal) int {
+func (c *Controller) addFinals(m *peerMessage, room int, again *[]outcomeAnnouncement) int {
 	a := &c.admission
 	m.Done, m.Ended = map[string]int{}, map[string]int{}
 	told := 0
-	for _, f := range a.news {
+	for _, f := range a.unannounced {
 		size := len(f.job) + jobBytes + numBytes
 		if size > room {
 			break
 		}
 		room -= size
 		told++
-		if f.final.state == protocol.Done {
-			m.Done[f.job] = f.final.done
+		if f.outcome.state == protocol.Done {
+			m.Done[f.job] = f.outcome.done
 		} else {
-			m.Ended[f.job] = f.final.done
+			m.Ended[f.job] = f.outcome.done
 		}
-		if f.times++; f.times < finalsTold {
+		if f.sent++; f.sent < finalsTold {
 			*again = append(*again, f)
 		}
 	}
-	a.news = append(a.news[:0:0], a.news[told:]...)
+	a.unannounced = append(a.unannounced[:0:0], a.unannounced[told:]...)
 	return room
 }
 
@@ -117,7 +117,7 @@
 	if c.leader == nil {
 		return &progressTurn{}
 	}
-	return &progressTurn{l: c.leader, left: len(c.leader.order)}
+	return &progressTurn{l: c.leader, left: len(c.leader.jobsByAge)}
 }
 
 func (t *progressTurn) over() bool { return t.left == 0 }
@@ -131,18 +131,18 @@
 	m.Progress = map[string]jobProgress{}
 	for ; t.left > 0; t.left-- {
 		l := t.l
-		if l.tellNext >= len(l.order) {
+		if l.tellNext >= len(l.jobsByAge) {
 			l.tellNext = 0
 		}
-		j := l.order[l.tellNext]
-		begun := j.running > 0 || j.doneCount > 0
+		j := l.jobsByAge[l.tellNext]
+		begun := j.runningTasks > 0 || j.doneTasks > 0
 		if begun || j.progressTold {
 			size := len(j.ID) + jobBytes + 2*numBytes
 			if size > room {
 				return
 			}
 			room -= size
-			m.Progress[j.ID] = jobProgress{j.doneCount, j.running}
+			m.Progress[j.ID] = jobProgress{j.doneTasks, j.runningTasks}
 			j.progressTold = begun
 		}
 		l.tellNext++
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -51,10 +51,10 @@
 		p.at, p.storeOK, p.unfit, p.blind = now, m.StoreOK, m.Unfit, m.Blind
 		p.takeProgress(&m, now)
 		for job, done := range m.Done {
-			c.admission.setFinal(job, protocol.Done, done)
+			c.admission.rememberOutcome(job, protocol.Done, done)
 		}
 		for job, done := range m.Ended {
-			c.admission.setFinal(job, protocol.Cancelled, done)
+			c.admission.rememberOutcome(job, protocol.Cancelled, done)
 			// A leader that the state service refuses stops its tasks sooner for it.
 			if l := c.leader; l != nil && l.jobs[job] != nil {
 				l.endJob(l.jobs[job], protocol.Cancelled)
--- a/internal/coordination/explain.go
+++ b/internal/coordination/pending_reasons.go
@@ -11,38 +11,38 @@
 // logged when it changes, and from time to time while it lasts.
 
 const (
-	explainAfter  = 5 * time.Second  // a wait shorter than this is nothing to tell
-	explainChange = 5 * time.Second  // least time between lines that tell something new
-	explainAgain  = 30 * time.Second // and between lines that tell the same
+	pendingLogAfter     = 5 * time.Second  // a wait shorter than this is nothing to tell
+	changedLogInterval  = 5 * time.Second  // least time between lines that tell something new
+	repeatedLogInterval = 30 * time.Second // and between lines that tell the same
 )
 
-// told remembers what was said, and when.
-type told struct {
-	what string
+// changeThrottle remembers what was said, and when.
+type changeThrottle struct {
+	last string
 	at   time.Time
 }
 
-// due reports whether something is to be said now.
-func (t *told) due(now time.Time, what string) bool {
+// allow reports whether something is to be said now.
+func (t *changeThrottle) allow(now time.Time, what string) bool {
 	since := now.Sub(t.at)
-	if what == t.what && since < explainAgain || what != t.what && since < explainChange {
+	if what == t.last && since < repeatedLogInterval || what != t.last && since < changedLogInterval {
 		return false
 	}
-	if what == "" && t.what == "" {
+	if what == "" && t.last == "" {
 		return false
 	}
-	t.what, t.at = what, now
+	t.last, t.at = what, now
 	return true
 }
 
-// explainNode tells of a node that knows no leader, follows another one, or can't reach
+// logAvailability tells of a node that knows no leader, follows another one, or can't reach
 // the state service.
-func (c *Controller) explainNode() {
+func (c *Controller) logAvailability() {
 	what := ""
 	switch {
 	case c.storeDown():
 		what = "the state service does not answer"
-	case c.leader != nil && c.leader.phase == loading && c.now.Sub(c.leader.elected) > explainAfter:
+	case c.leader != nil && c.leader.phase == loading && c.now.Sub(c.leader.elected) > pendingLogAfter:
 		what = "records are being loaded"
 	case c.leader != nil && !c.leader.jobsKnownAt.IsZero() && !c.leader.holdsLease():
 		what = "the leader lease has ended"
@@ -53,100 +53,100 @@
 		c.troubleSince = c.now
 	}
 	if what == "" {
-		if c.told.due(c.now, "") {
+		if c.told.allow(c.now, "") {
 			c.log.Info("in order again")
 		}
 		c.trouble = ""
 		return
 	}
 	c.trouble = what
-	if c.now.Sub(c.troubleSince) >= 2*time.Second && c.told.due(c.now, what) {
+	if c.now.Sub(c.troubleSince) >= 2*time.Second && c.told.allow(c.now, what) {
 		c.log.Warn("nothing can be placed or promised here", "why", what, "for", c.now.Sub(c.troubleSince).Round(time.Second))
 	}
 }
 
-// reason is why tasks wait for machines.
-type reason uint8
+// pendingReason is why tasks wait for machines.
+type pendingReason uint8
 
 const (
-	reasonRoom reason = iota // more will have room soon
-	reasonLimit
-	reasonFails
-	reasonZones
-	reasonRecords
-	reasonBoots
-	reasonCapacity
-	reasonPrice
-	reasonReports
-	reasonCeiling
-	reasons
+	pendingRoom pendingReason = iota // more will have room soon
+	pendingTeamLimit
+	pendingQuarantine
+	pendingZoneRules
+	pendingRecords
+	pendingBoots
+	pendingCloudCapacity
+	pendingPrice
+	pendingReports
+	pendingSurgeCeiling
+	pendingReasonCount
 )
 
-func (r reason) String() string {
+func (r pendingReason) String() string {
 	return [...]string{"room is being made", "the team's limit", "the job keeps failing", "its rules about zones", "records are behind",
 		"machines boot", "no capacity in the cloud", "only dear machines can be had", "machines are still to report", "a surging team's ceiling"}[r]
 }
 
-// whyWaits tells why a job's tasks wait.
-func (l *leader) whyWaits(j *job, booting bool, open []offer) reason {
+// pendingReasonOf tells why a job's tasks wait.
+func (l *leader) pendingReasonOf(j *job, booting bool, open []offer) pendingReason {
 	switch {
 	case l.phase != active:
-		return reasonReports
-	case l.suspect(j):
-		return reasonFails
-	case !l.underLimit(j):
-		return reasonLimit
-	case !l.placeable(j):
-		return reasonZones
+		return pendingReports
+	case l.quarantined(j):
+		return pendingQuarantine
+	case !l.withinLimit(j):
+		return pendingTeamLimit
+	case !l.provisionable(j):
+		return pendingZoneRules
 	case l.autoscaler.demandIncomplete:
-		return reasonRecords
-	case l.balance.holds(j):
-		return reasonCeiling
+		return pendingRecords
+	case l.rebalancer.waitsForCeiling(j):
+		return pendingSurgeCeiling
 	case booting:
-		return reasonBoots
+		return pendingBoots
 	}
 	any := false
 	for _, o := range open {
-		if o.allows(j.Job) && j.zoneAllows(o.zone) {
+		if o.allows(j.Job) && j.zoneAllowed(o.zone) {
 			if !l.overpriced(j, o) {
-				return reasonRoom
+				return pendingRoom
 			}
 			any = true
 		}
 	}
 	if any {
-		return reasonPrice
+		return pendingPrice
 	}
-	return reasonCapacity
+	return pendingCloudCapacity
 }
 
-// explain tells why work waits.
-func (l *leader) explain() {
+// logPendingReasons tells why work waits.
+func (l *leader) logPendingReasons() {
 	c := l.controller
-	if c.now.Sub(l.told.at) < explainChange {
+	if c.now.Sub(l.pendingLog.at) < changedLogInterval {
 		return
 	}
 	b := l.bootProgress()
 	var open []offer
-	var jobs, tasks [reasons]int
+	var jobs, tasks [pendingReasonCount]int
 	var longest *job
-	for _, j := range l.order {
-		left := j.toStart()
-		if left == 0 || c.now.Round(0).Sub(j.submitted) < explainAfter {
+	for _, j := range l.jobsByAge {
+		left := j.pendingTasks()
+		if left == 0 || c.now.Round(0).Sub(j.submitted) < pendingLogAfter {
 			continue
 		}
 		if open == nil {
 			open = l.offers()
 		}
-		r := l.whyWaits(j, b.longest != nil, open)
+		r := l.pendingReasonOf(j, b.longest != nil, open)
 		jobs[r]++
 		tasks[r] += left
-		if j.live == 0 && j.doneCount == 0 && (longest == nil || j.submitted.Before(longest.submitted)) {
+		if j.liveAttempts == 0 && j.doneTasks == 0 && (longest == nil || j.submitted.Before(longest.submitted)) {
 			longest = j
 		}
 	}
 	var kinds, counts []string
-	for r := reason(0); r < reasons; r++ {
+	for r := pendingReason(0); r < pendingReasonCount; r++ {
 		if jobs[r] > 0 {
 			kinds = append(kinds, r.String())
 			counts = append(counts, fmt.Sprintf("%s: %d jobs, %d tasks", r, jobs[r], tasks[r]))
@@ -156,7 +156,7 @@
 		kinds = append(kinds, "late boots")
 	}
 	slices.Sort(kinds)
-	if !l.told.due(c.now, strings.Join(kinds, "; ")) {
+	if !l.pendingLog.allow(c.now, strings.Join(kinds, "; ")) {
 		return
 	}
 	if len(kinds) == 0 {
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -10,24 +10,24 @@
 
 // Candidate is a machine with room for a task and what ranks it.
 type Candidate struct {
-	Machine int32 // its place in the list of those with room; the first goes first among equals
-	Above   bool  // the task would put it above a ceiling: after all that stay below
-	Last    bool  // it is being emptied: after all others
-	Score   float64
-	Room    float64 // free CPUs, for those that score the same
+	Machine      int32 // its place in the list of those with room; the first goes first among equals
+	AboveCeiling bool  // the task would put it above a ceiling: after all that stay below
+	LastResort   bool  // it is being emptied: after all others
+	Score        float64
+	FreeCPUs     float64 // free CPUs, for those that score the same
 }
 
 // before reports whether a candidate goes before another one.
 func (k *Candidate) before(o *Candidate) bool {
 	switch {
-	case k.Above != o.Above:
-		return o.Above
-	case k.Last != o.Last:
-		return o.Last
+	case k.AboveCeiling != o.AboveCeiling:
+		return o.AboveCeiling
+	case k.LastResort != o.LastResort:
+		return o.LastResort
 	case k.Score != o.Score:
 		return k.Score > o.Score
-	case k.Room != o.Room:
-		return k.Room > o.Room
+	case k.FreeCPUs != o.FreeCPUs:
+		return k.FreeCPUs > o.FreeCPUs
 	}
 	return k.Machine < o.Machine
 }
@@ -61,11 +61,11 @@
 	}
 }
 
-// Drop takes the best one out.
-func (c *Candidates) Drop() { heap.Pop(c) }
+// DropBest takes the best one out.
+func (c *Candidates) DropBest() { heap.Pop(c) }
 
-// Rank ranks the best one anew, after it was given a task.
-func (c *Candidates) Rank(k Candidate) {
+// UpdateBest ranks the best one anew, after it was given a task.
+func (c *Candidates) UpdateBest(k Candidate) {
 	c.list[0] = k
 	heap.Fix(c, 0)
 }
@@ -92,9 +92,9 @@
 // ShapeOf is the shape of a job's tasks.
 func ShapeOf(j *protocol.Job) Shape { return Shape{Needs(j), j.Zone, j.Spot, j.Types} }
 
-// Hopeless reports whether one of the same kind, and no larger, has found nothing. During a
+// KnownNotToFit reports whether one of the same kind, and no larger, has found nothing. During a
 // round room is only used up.
-func (s *Shape) Hopeless(failed []Shape) bool {
+func (s *Shape) KnownNotToFit(failed []Shape) bool {
 	for i := range failed {
 		f := &failed[i]
 		if f.needs.CPUs <= s.needs.CPUs && f.needs.GPUs <= s.needs.GPUs && f.needs.MemGB <= s.needs.MemGB &&
--- a/internal/coordination/placement/images.go
+++ b/internal/coordination/placement/images.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Bytes is how many GB of an image the machine holds.
-func (c *ImageCache) Bytes(id ImageID) float64 {
+// CachedGB is how many GB of an image the machine holds.
+func (c *ImageCache) CachedGB(id ImageID) float64 {
 	for i := range c.images {
 		if c.images[i].id == id {
 			return c.images[i].gb
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -11,7 +11,7 @@
 	c.Add(a, 1, 3) // used again: now b is the oldest
 	c.Add(e, 1, 3)
 	for image, want := range map[int32]float64{a: 1, b: 0, d: 1, e: 1} {
-		if got := c.Bytes(image); got != want {
+		if got := c.CachedGB(image); got != want {
 			t.Errorf("image %d: %g GB, want %g", image, got, want)
 		}
 	}
--- a/internal/coordination/placement/score.go
+++ b/internal/coordination/placement/score.go
@@ -30,25 +30,25 @@
 	if t.ImageGB <= 0 {
 		return 1
 	}
-	if m.Wanted.Has(t.Image) {
+	if m.NeededImages.Has(t.Image) {
 		return 1
 	}
-	return min(1, m.Images.Bytes(t.Image)/t.ImageGB)
+	return min(1, m.Images.CachedGB(t.Image)/t.ImageGB)
 }
 
 // FreeShare is the machine's free share, averaged over the resources that a job asks for.
 func (m *Machine) FreeShare(j *protocol.Job) float64 {
 	sum, n := 0.0, 0.0
 	if j.CPUs > 0 && m.Spec.CPUs > 0 {
-		sum += (m.Spec.CPUs - m.Taken.CPUs) / m.Spec.CPUs
+		sum += (m.Spec.CPUs - m.Allocated.CPUs) / m.Spec.CPUs
 		n++
 	}
 	if j.GPUs > 0 && m.Spec.GPUs > 0 {
-		sum += (m.Spec.GPUs - m.Taken.GPUs) / m.Spec.GPUs
+		sum += (m.Spec.GPUs - m.Allocated.GPUs) / m.Spec.GPUs
 		n++
 	}
 	if j.MemGB > 0 && m.Spec.MemGB > 0 {
-		sum += (m.Spec.MemGB - m.Taken.MemGB) / m.Spec.MemGB
+		sum += (m.Spec.MemGB - m.Allocated.MemGB) / m.Spec.MemGB
 		n++
 	}
 	if n == 0 {
--- /dev/null
+++ b/internal/coordination/rebalance_migrations.go
@@ -0,0 +1,288 @@
+package coordination
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"brasskeel/internal/coordination/balance"
+	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// Running work of surging teams that is moved off hot machines. A move goes by the steps of a
+// preemption, with a record before the first of them:
+//
+//  1. that the task moves in this surge is recorded, and room is held on its target;
+//  2. the attempt is told to stop;
+//  3. it is proven gone, like any other;
+//  4. the next round of placement starts the task on its target, before anything else.
+//
+// A leader that ends in between leaves a task that counts as moved and waits like others.
+
+const (
+	// stopDuration is what a stop and its proof take besides saving: a call, and a report.
+	stopDuration = time.Second
+	// migrationsDivisor bounds the moves under way, as a part of the fleet, and minMigrations from below.
+	migrationsDivisor = 50
+	minMigrations     = 2
+)
+
+// migrations are the moves of one leadership.
+type migrations struct {
+	active    map[*attempt]*migration // not proven gone yet
+	stopped   []*migration            // proven gone, to be started on their targets
+	started   int
+	completed int
+	abandoned int // came to nothing: the task is placed like any other
+}
+
+// migration is a task on its way from one machine to another.
+type migration struct {
+	attempt  *attempt
+	target   *machine
+	needs    placement.Resources // held on the target
+	deadline time.Time           // when the target's room is given up
+}
+
+// migrationStep is the regular turn: it gives up moves that come to nothing, and plans new ones.
+func (b *rebalancer) migrationStep() {
+	if b == nil {
+		return
+	}
+	for _, r := range b.migrations.sorted() {
+		if !b.l.controller.now.Before(r.deadline) || !b.l.acceptsTasks(r.target) {
+			b.abandonMigration(r, "its target is lost, or too late")
+		}
+	}
+	if b.mayMigrate() {
+		b.planMigrations()
+	}
+}
+
+// sorted gives the moves under way in a fixed order.
+func (v *migrations) sorted() []*migration {
+	list := make([]*migration, 0, len(v.active))
+	for _, r := range v.active {
+		list = append(list, r)
+	}
+	slices.SortFunc(list, func(x, y *migration) int { return compareAttempts(x.attempt, y.attempt) })
+	return list
+}
+
+// mayMigrate reports whether moves may begin: this leader has heard its machines, its right lasts,
+// and neither it nor the state service has more to do than it can.
+func (b *rebalancer) mayMigrate() bool {
+	l, c := b.l, b.l.controller
+	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != active || c.storeDown() || l.autoscaler.demandIncomplete {
+		return false
+	}
+	if c.now.Sub(l.settled) < c.reconnectTime() || l.lease.validUntil.Sub(c.now) < l.lease.ttl/2 {
+		return false
+	}
+	return !c.behind() && !c.strained() && len(l.journal.urgent) <= c.cfg.TxnOps
+}
+
+// planMigrations begins the moves that pay.
+func (b *rebalancer) planMigrations() {
+	l, c := b.l, b.l.controller
+	most := max(minMigrations, len(l.fleetList)/migrationsDivisor) - len(b.migrations.active) - len(b.migrations.stopped)
+	if most <= 0 || !b.anySurge() {
+		return
+	}
+	sources := b.sources()
+	if len(sources) == 0 {
+		return
+	}
+	terms := balance.MigrationTerms{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.op.Balance.MoveMargin, MaxMigrations: most,
+		WriteDuration: time.Duration(float64(time.Second) / c.cfg.StateWriteRPS)}
+	moves := l.newPlanner().Rebalance(terms, sources)
+	if len(moves) == 0 {
+		return
+	}
+	saving, cost := time.Duration(0), time.Duration(0)
+	for i := range moves {
+		saving, cost = saving+moves[i].Saving, cost+moves[i].Cost
+		b.startMigration(moves[i].Work.Owner.(*attempt), l.machines[moves[i].To.Name])
+	}
+	c.log.Info("moving running work", "tasks", len(moves), "saves", saving.Round(time.Millisecond), "costs", cost.Round(time.Millisecond),
+		"inAll", b.migrations.started, "done", b.migrations.completed, "lost", b.migrations.abandoned)
+}
+
+// anySurge reports whether any team surges.
+func (b *rebalancer) anySurge() bool {
+	for _, t := range b.teams {
+		if t.surge.Number() != 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// sources are the machines that are heard and run work that may be moved.
+func (b *rebalancer) sources() []balance.Source {
+	var list []balance.Source
+	for _, m := range b.l.fleetList {
+		if m.Spec == nil || !b.l.acceptsTasks(m) {
+			continue
+		}
+		s := balance.Source{LoadedMachine: balance.LoadedMachine{Machine: &m.Machine, Load: m.load}}
+		for _, a := range m.sortedAttempts() {
+			if b.migratable(a) {
+				s.Work = append(s.Work, b.migratableWork(a))
+			}
+		}
+		if len(s.Work) > 0 {
+			list = append(list, s)
+		}
+	}
+	return list
+}
+
+// migratable reports whether an attempt is one of a surging team's that runs or fetches, and that
+// wasn't moved in this surge. Replicas and gangs stay where they are: they serve together.
+func (b *rebalancer) migratable(a *attempt) bool {
+	j := a.job
+	surge := b.surgeOf(j)
+	return surge != 0 && j.Kind == protocol.Batch && j.finalState == 0 && j.task(a.task).migratedInSurge != surge &&
+		a.recorded && a.reported && !a.stopRequested && (a.state == protocol.Running || a.state == protocol.Fetching)
+}
+
+// migratableWork is an attempt as the planner sees it.
+func (b *rebalancer) migratableWork(a *attempt) balance.Work {
+	j, m := a.job, a.machine
+	w := balance.Work{Task: j.placementTask(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Checkpoints: j.Checkpoint > 0,
+		MayUse: j.zoneAllowed, Owner: a}
+	if w.Running {
+		w.Ran = b.l.controller.now.Sub(a.stateSince)
+	}
+	likely := time.Duration(float64(j.Estimate) * b.l.correctionOf(j.Class) * m.load.Speed.Slowness())
+	w.Remaining = max(0, likely-w.Ran) // one that is overdue may end at any moment
+	return w
+}
+
+// startMigration holds room for a task on its target and has its mark recorded.
+func (b *rebalancer) startMigration(a *attempt, to *machine) {
+	l := b.l
+	t := a.job.task(a.task)
+	t.migratedInSurge = b.surgeOf(a.job)
+	r := &migration{attempt: a, target: to, needs: placement.Needs(a.job.Job), deadline: l.controller.now.Add(l.controller.cfg.WorkerLease + a.job.Save + stopDuration)}
+	to.reserveIncoming(r.needs)
+	b.migrations.active[a] = r
+	b.migrations.started++
+	chunk := a.job.chunk(a.task)
+	chunk.migrating = append(chunk.migrating, a)
+	l.journal.touch(chunk)
+	l.controller.log.Debug("task moves", "job", a.job.ID, "task", a.task, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
+}
+
+// reserveIncoming keeps room for a task that is to move here.
+func (m *machine) reserveIncoming(needs placement.Resources) {
+	m.Incoming = m.Incoming.Plus(needs)
+	m.reservedMoves++
+}
+
+// releaseIncoming gives such room back.
+func (m *machine) releaseIncoming(needs placement.Resources) {
+	m.Incoming = m.Incoming.Minus(needs)
+	if m.reservedMoves--; m.reservedMoves == 0 {
+		m.Incoming = placement.Resources{} // no rounding left behind
+	}
+}
+
+// migrationRecorded notes that it is on record that an attempt moves: now it may be stopped.
+func (b *rebalancer) migrationRecorded(a *attempt) {
+	if b == nil || b.migrations.active[a] == nil || a.job.task(a.task).live != a {
+		return
+	}
+	b.l.stopAttempt(a, b.l.checkpointGrace(a))
+}
+
+// migrationStopped notes that an attempt is proven gone.
+func (b *rebalancer) migrationStopped(a *attempt) {
+	if b == nil {
+		return
+	}
+	if r := b.migrations.active[a]; r != nil {
+		delete(b.migrations.active, a)
+		b.migrations.stopped = append(b.migrations.stopped, r)
+	}
+}
+
+// releaseUnresponsive gives a target's room back. Its task, if it is told to stop, is placed like others.
+func (b *rebalancer) abandonMigration(r *migration, why string) {
+	delete(b.migrations.active, r.attempt)
+	r.target.releaseIncoming(r.needs)
+	b.migrations.abandoned++
+	b.l.controller.log.Debug("a move came to nothing", "job", r.attempt.job.ID, "task", r.attempt.task, "to", r.target.Name, "why", why)
+}
+
+// completeMigrations starts tasks whose old attempts are proven gone on their targets, before anything else
+// is placed: their teams' limits and their zones count them without a gap.
+func (b *rebalancer) completeMigrations() {
+	if b == nil {
+		return
+	}
+	gone := b.migrations.stopped
+	b.migrations.stopped = nil
+	for _, r := range gone {
+		r.target.releaseIncoming(r.needs)
+		if b.l.startMigrated(r) {
+			b.migrations.completed++
+		} else {
+			b.migrations.abandoned++
+		}
+	}
+}
+
+// startMigrated starts a moved task on its target if it still may.
+func (l *leader) startMigrated(r *migration) bool {
+	j, i, m := r.attempt.job, r.attempt.task, r.target
+	t := j.task(i)
+	if j.finalState != 0 || t.done || t.live != nil || m.removed || !l.acceptsTasks(m) || l.controller.now.Before(j.backoffUntil) || l.journal.full() {
+		return false
+	}
+	if !l.canTake(m, j) || !j.zoneAllowed(m.Zone) || !l.withinLimit(j) {
+		return false
+	}
+	k := slices.Index(j.retryQueue, i)
+	if k < 0 {
+		return false
+	}
+	j.retryQueue = slices.Delete(j.retryQueue, k, k+1)
+	l.startAttempt(j, i, m)
+	return true
+}
+
+// encodeMigrated puts the marks of a chunk's tasks into its record: those of the latest surge.
+func (chunk *chunk) encodeMigrated(r *records.Chunk) {
+	surge := uint64(0)
+	for i := range chunk.tasks {
+		surge = max(surge, chunk.tasks[i].migratedInSurge)
+	}
+	if surge == 0 {
+		return
+	}
+	moved := make([]bool, len(chunk.tasks))
+	for i := range chunk.tasks {
+		moved[i] = chunk.tasks[i].migratedInSurge == surge
+	}
+	r.SetMoved(surge, moved)
+}
+
+// loadMigrated takes the marks of a record. Where they can't be read, all tasks count as moved.
+func (chunk *chunk) loadMigrated(r *records.Chunk, log *slog.Logger) {
+	if r.Surge == 0 && r.Moved == "" {
+		return
+	}
+	moved, err := r.IsMoved(len(chunk.tasks))
+	if err != nil {
+		log.Error("unreadable marks of moves", "job", chunk.job.ID, "chunk", chunk.index, "err", err)
+	}
+	for i := range chunk.tasks {
+		if err != nil || moved[i] {
+			chunk.tasks[i].migratedInSurge = r.Surge
+		}
+	}
+}
--- a/internal/coordination/balance_moves_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -17,13 +17,13 @@
 	c, l, a := balancedLead(t)
 	c.op.Balance.Moves, c.op.Balance.MoveMargin = true, 1.5
 	l.settled, l.lease = c.now.Add(-time.Minute), lease{id: 5, ttl: 2 * time.Second, validUntil: c.now.Add(2 * time.Second)}
-	l.balance.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
+	l.rebalancer.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
 	to = l.newMachine("vm-2", "small", "a", false)
 	to.registered, to.recorded, to.lastSeen, to.lastAnswered, to.lastReached = true, true, c.now, c.now, c.now
 	a.reported = true
 	l.setTaskState(a, protocol.Running)
-	l.balance.begin(a, to)
-	l.balance.marked(a)
+	l.rebalancer.startMigration(a, to)
+	l.rebalancer.migrationRecorded(a)
 	return l, a, to
 }
 
@@ -34,25 +34,25 @@
 	if !a.stopRequested || to.HasRoom(whole) {
 		t.Fatalf("told to stop: %t, room for others: %t", a.stopRequested, to.HasRoom(whole))
 	}
-	l.controller.now = l.balance.moves.under[a].until
-	l.balance.moveStep()
-	if len(l.balance.moves.under) != 0 || to.Held != (placement.Resources{}) || !to.HasRoom(whole) {
-		t.Errorf("held %+v although the move took too long", to.Held)
+	l.controller.now = l.rebalancer.migrations.active[a].deadline
+	l.rebalancer.migrationStep()
+	if len(l.rebalancer.migrations.active) != 0 || to.Incoming != (placement.Resources{}) || !to.HasRoom(whole) {
+		t.Errorf("held %+v although the move took too long", to.Incoming)
 	}
 	l, _, to = movingLead(t)
 	to.draining = true
-	l.balance.moveStep()
-	if len(l.balance.moves.under) != 0 || to.Held != (placement.Resources{}) {
-		t.Errorf("held %+v although the target is lost", to.Held)
+	l.rebalancer.migrationStep()
+	if len(l.rebalancer.migrations.active) != 0 || to.Incoming != (placement.Resources{}) {
+		t.Errorf("held %+v although the target is lost", to.Incoming)
 	}
 	l, a, to = movingLead(t)
 	l.detach(a, "exited")
 	if to.HasRoom(whole) {
 		t.Error("room for others between the proof and the new start")
 	}
-	l.balance.land()
-	if to.Held != (placement.Resources{}) || len(to.attemptList) != 1 {
-		t.Errorf("held %+v, %d attempts", to.Held, len(to.attemptList))
+	l.rebalancer.completeMigrations()
+	if to.Incoming != (placement.Resources{}) || len(to.attemptList) != 1 {
+		t.Errorf("held %+v, %d attempts", to.Incoming, len(to.attemptList))
 	}
 }
 
@@ -69,16 +69,16 @@
 		{name: "the target is gone", change: func(l *leader, _ *attempt, to *machine) { to.removed = true }, waits: true},
 		{name: "the target is silent", change: func(l *leader, _ *attempt, to *machine) { to.lastSeen = l.controller.now.Add(-time.Minute) }, waits: true},
 		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.preemptionAt = l.controller.now }, waits: true},
-		{name: "the target is full", change: func(_ *leader, _ *attempt, to *machine) { to.Taken.CPUs = 4 }, waits: true},
-		{name: "the team is at its limit", change: func(l *leader, _ *attempt, _ *machine) { l.teams["red"].cpus = 16 }, waits: true},
+		{name: "the target is full", change: func(_ *leader, _ *attempt, to *machine) { to.Allocated.CPUs = 4 }, waits: true},
+		{name: "the team is at its limit", change: func(l *leader, _ *attempt, _ *machine) { l.teamUsage["red"].cpus = 16 }, waits: true},
 		{name: "its zone is closed", change: func(_ *leader, a *attempt, _ *machine) { a.job.OneZone, a.job.zones["b"] = true, 1 }, waits: true},
 		{name: "the target failed the job", change: func(_ *leader, a *attempt, to *machine) { to.failuresByJob[a.job.ID] = 1 }, waits: true},
 		{name: "the job is over", change: func(l *leader, a *attempt, _ *machine) { l.endJob(a.job, protocol.Cancelled) }},
 		{name: "the task is done", change: func(l *leader, a *attempt, _ *machine) { l.taskDone(a.job, a.task) }},
 		{name: "it was started elsewhere", change: func(l *leader, a *attempt, _ *machine) {
 			other := l.newMachine("vm-3", "small", "a", false)
-			a.job.waiting = nil
-			l.start(a.job, a.task, other)
+			a.job.retryQueue = nil
+			l.startAttempt(a.job, a.task, other)
 		}},
 	} {
 		l, a, to := movingLead(t)
@@ -86,16 +86,16 @@
 		if test.change != nil {
 			test.change(l, a, to)
 		}
-		l.balance.land()
+		l.rebalancer.completeMigrations()
 		live := a.job.task(a.task).live
 		if landed := live != nil && live.machine == to; landed != test.lands {
 			t.Errorf("%s: lands %t", test.name, landed)
 		}
-		if waits := len(a.job.waiting) == 1; waits != test.waits {
+		if waits := len(a.job.retryQueue) == 1; waits != test.waits {
 			t.Errorf("%s: waits %t", test.name, waits)
 		}
-		if to.Held != (placement.Resources{}) {
-			t.Errorf("%s: %+v is still held", test.name, to.Held)
+		if to.Incoming != (placement.Resources{}) {
+			t.Errorf("%s: %+v is still held", test.name, to.Incoming)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 		if test.change != nil {
 			test.change(l.controller, l)
 		}
-		if got := l.balance.mayMove(); got != test.may {
+		if got := l.rebalancer.mayMigrate(); got != test.may {
 			t.Errorf("%s: %t", test.name, got)
 		}
 	}
@@ -134,12 +134,12 @@
 	l, a, _ := movingLead(t)
 	record := a.job.chunk(a.task)
 	var r records.Chunk
-	record.setMoved(&r)
+	record.encodeMigrated(&r)
 	load := func(r records.Chunk) (moved int) {
 		tasks := &chunk{job: a.job, tasks: make([]task, len(record.tasks))}
-		tasks.loadMoved(&r, l.controller.log)
+		tasks.loadMigrated(&r, l.controller.log)
 		for i := range tasks.tasks {
-			if tasks.tasks[i].moved == 7 {
+			if tasks.tasks[i].migratedInSurge == 7 {
 				moved++
 			}
 		}
@@ -152,7 +152,7 @@
 	if got := load(r); got != len(record.tasks) {
 		t.Errorf("%d tasks of %d count as moved where the mark can't be read", got, len(record.tasks))
 	}
-	if l.balance.movable(a) {
+	if l.rebalancer.migratable(a) {
 		t.Error("it may be moved once more in the surge")
 	}
 }
--- a/internal/coordination/balance_teams.go
+++ b/internal/coordination/rebalance_surges.go
@@ -9,16 +9,16 @@
 	"brasskeel/internal/records"
 )
 
-// balancer is the leader's part in balance: it tells the loads of machines what happens, and
+// rebalancer is the leader's part in balance: it tells the loads of machines what happens, and
 // bounds what surging teams may put on one. It is nil where operators didn't turn balance on;
 // its methods then do nothing.
-type balancer struct {
-	l        *leader
-	settings balance.Settings
-	teams    map[string]*balancedTeam
-	classes  map[classOnType]*balance.Runs
-	moves    relocations
-	boots    map[offerKey]time.Time // when the first machine of a kind is likely up; nil: not looked at in this round
+type rebalancer struct {
+	l           *leader
+	settings    balance.Settings
+	teams       map[string]*balancedTeam
+	classes     map[classOnType]*balance.Runs
+	migrations  migrations
+	likelyBoots map[offerKey]time.Time // when the first machine of a kind is likely up; nil: not looked at in this round
 }
 
 // balancedTeam is a team with its surge.
@@ -30,14 +30,14 @@
 // classOnType is a kind of tasks whose run times are compared.
 type classOnType struct{ class, machineType string }
 
-func newBalancer(l *leader) *balancer {
+func newRebalancer(l *leader) *rebalancer {
 	o := l.controller.op.Balance
 	if o == nil {
 		return nil
 	}
 	settings := balance.Settings{CeilingShare: o.CeilingShare, FetchQueue: o.FetchQueue(), Trade: o.Trade()}
-	b := &balancer{l: l, settings: settings, teams: map[string]*balancedTeam{}, classes: map[classOnType]*balance.Runs{}}
-	b.moves.under = map[*attempt]*relocation{}
+	b := &rebalancer{l: l, settings: settings, teams: map[string]*balancedTeam{}, classes: map[classOnType]*balance.Runs{}}
+	b.migrations.active = map[*attempt]*migration{}
 	for i := range l.controller.cfg.Teams {
 		b.teams[l.controller.cfg.Teams[i].Name] = &balancedTeam{id: balance.Team(i)}
 	}
@@ -45,15 +45,15 @@
 }
 
 // newLoad is the load of a machine that becomes known.
-func (b *balancer) newLoad() *balance.Load {
+func (b *rebalancer) newLoad() *balance.Load {
 	if b == nil {
 		return nil
 	}
 	return &balance.Load{}
 }
 
-// attached notes an attempt that counts from now on.
-func (b *balancer) attached(a *attempt) {
+// attemptAttached notes an attempt that counts from now on.
+func (b *rebalancer) attemptAttached(a *attempt) {
 	if b == nil {
 		return
 	}
@@ -62,34 +62,34 @@
 		m.load.Reserve(t.id, placement.Needs(a.job.Job))
 	}
 	// What an earlier leader's attempts wait for isn't known.
-	if !a.inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.Bytes(a.job.image) == 0 {
-		m.load.Fetches.Want(b.l.controller.now, a.job.image, a.job.ImageGB, m.Spec.FetchRate)
+	if !a.inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.CachedGB(a.job.imageID) == 0 {
+		m.load.Fetches.Add(b.l.controller.now, a.job.imageID, a.job.ImageGB, m.Spec.FetchRate)
 	}
 }
 
-// detached notes an attempt that is proven gone.
-func (b *balancer) detached(a *attempt) {
+// attemptDetached notes an attempt that is proven gone.
+func (b *rebalancer) attemptDetached(a *attempt) {
 	if b == nil {
 		return
 	}
 	m := a.machine
 	if t := b.teams[a.job.Team]; t != nil {
-		m.load.Free(t.id, placement.Needs(a.job.Job))
+		m.load.Release(t.id, placement.Needs(a.job.Job))
 	}
 	if a.state != protocol.Running && a.state != protocol.Saving && m.Spec != nil {
-		m.load.Fetches.GiveUp(b.l.controller.now, a.job.image, m.Spec.FetchRate)
+		m.load.Fetches.Cancel(b.l.controller.now, a.job.imageID, m.Spec.FetchRate)
 	}
 }
 
-// runs notes that an attempt has its image.
-func (b *balancer) runs(a *attempt) {
+// attemptRuns notes that an attempt has its image.
+func (b *rebalancer) attemptRuns(a *attempt) {
 	if b != nil && a.machine.Spec != nil {
-		a.machine.load.Fetches.Done(b.l.controller.now, a.job.image, a.machine.Spec.FetchRate)
+		a.machine.load.Fetches.Done(b.l.controller.now, a.job.imageID, a.machine.Spec.FetchRate)
 	}
 }
 
-// completed takes a completed task's run time.
-func (b *balancer) completed(a *attempt, run time.Duration) {
+// attemptCompleted takes a completed task's run time.
+func (b *rebalancer) attemptCompleted(a *attempt, run time.Duration) {
 	if b == nil {
 		return
 	}
@@ -99,27 +99,27 @@
 		class = &balance.Runs{}
 		b.classes[key] = class
 	}
-	a.machine.load.Speed.Ran(run, a.job.Estimate, &a.job.runs, class)
+	a.machine.load.Speed.Observe(run, a.job.Estimate, &a.job.runTimes, class)
 }
 
 // incarnationBegan notes that a worker lost what it had.
-func (b *balancer) incarnationBegan(m *machine) {
+func (b *rebalancer) incarnationBegan(m *machine) {
 	if b != nil {
-		m.load.NewSession()
+		m.load.Reset()
 	}
 }
 
 // beginRound observes the teams' demand before tasks are placed: what is bounded must be
 // known by then, and a whole array may just have come.
-func (b *balancer) beginRound() {
+func (b *rebalancer) beginRound() {
 	if b == nil {
 		return
 	}
-	b.boots = nil
+	b.likelyBoots = nil
 	demand := map[string]float64{}
-	for _, j := range b.l.order {
-		if j.outcome == 0 {
-			demand[j.Team] += float64(j.Tasks-j.doneCount) * j.CPUs
+	for _, j := range b.l.jobsByAge {
+		if j.finalState == 0 {
+			demand[j.Team] += float64(j.Tasks-j.doneTasks) * j.CPUs
 		}
 	}
 	changed := false
@@ -137,12 +137,12 @@
 		}
 	}
 	if changed {
-		b.record()
+		b.recordSurges()
 	}
 }
 
 // smallestMachine is the CPUs of the smallest machine type.
-func (b *balancer) smallestMachine() float64 {
+func (b *rebalancer) smallestMachine() float64 {
 	least := 0.0
 	for _, t := range b.l.controller.types {
 		if least == 0 || t.CPUs < least {
@@ -152,8 +152,8 @@
 	return least
 }
 
-// record keeps the surges under way for the next leader.
-func (b *balancer) record() {
+// recordSurges keeps the surges under way for the next leader.
+func (b *rebalancer) recordSurges() {
 	surges := records.Surges{}
 	for name, t := range b.teams {
 		if r, under := t.surge.Record(); under {
@@ -163,8 +163,8 @@
 	b.l.journal.extra = append(b.l.journal.extra, protocol.Op{Put: records.KeySurges, Value: records.Encode(surges)})
 }
 
-// restore takes the surges on record.
-func (b *balancer) restore(items []protocol.Item) {
+// restoreSurges takes the surges on record.
+func (b *rebalancer) restoreSurges(items []protocol.Item) {
 	for _, it := range items {
 		var surges records.Surges
 		if err := protocol.Decode(it.Value, &surges); err != nil {
@@ -180,8 +180,8 @@
 	}
 }
 
-// surge is the number of the surge of a job's team, 0 without one.
-func (b *balancer) surge(j *job) uint64 {
+// surgeOf is the number of the surge of a job's team, 0 without one.
+func (b *rebalancer) surgeOf(j *job) uint64 {
 	if b == nil {
 		return 0
 	}
--- a/internal/coordination/balance_teams_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -15,15 +15,15 @@
 	t.Helper()
 	c, l := leading(active)
 	c.op.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
-	l.balance = newBalancer(l)
+	l.rebalancer = newRebalancer(l)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
 	m.recorded, m.lastReached = true, c.now
 	s := spec("run-000001")
 	s.Image, s.ImageGB = "img-1", 2
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: s})
-	l.assign(l.order[0], 0, m)
-	a := l.order[0].task(0).live
+	l.assign(l.jobsByAge[0], 0, m)
+	a := l.jobsByAge[0].task(0).live
 	a.recorded = true
 	return c, l, a
 }
@@ -38,8 +38,8 @@
 func TestLoadFollowsReports(t *testing.T) {
 	c, l, a := balancedLead(t)
 	m := a.machine
-	queued := func() time.Duration { return m.load.Fetches.Queued(c.now, m.Spec.FetchRate) }
-	if r, tasks := m.load.Reserved(l.balance.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
+	queued := func() time.Duration { return m.load.Fetches.Backlog(c.now, m.Spec.FetchRate) }
+	if r, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
 		t.Fatalf("reserved %+v by %d, %s queued", r, tasks, queued())
 	}
 	c.Request(c.now, 2, "POST", protocol.PathReport, stateReport(a, 1, 5, protocol.Fetching))
@@ -51,13 +51,13 @@
 	if queued() != 0 {
 		t.Errorf("%s queued while the task runs", queued())
 	}
-	m.load.Fetches.Want(c.now, 99, 5, m.Spec.FetchRate)
+	m.load.Fetches.Add(c.now, 99, 5, m.Spec.FetchRate)
 	c.Request(c.now, 5, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 2, Seq: 7, Token: 1 << 16}))
-	if _, tasks := m.load.Reserved(l.balance.teams["red"].id); tasks != 0 || queued() != 0 {
+	if _, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 0 || queued() != 0 {
 		t.Errorf("%d tasks and %s queued in a new session", tasks, queued())
 	}
 	c.Request(c.now, 6, "POST", protocol.PathReport, stateReport(a, 1, 9, protocol.Running))
-	if _, tasks := m.load.Reserved(l.balance.teams["red"].id); tasks != 0 {
+	if _, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 0 {
 		t.Errorf("%d tasks after a report of an earlier session", tasks)
 	}
 }
@@ -65,12 +65,12 @@
 // Surges that can't be read are told of and count as none.
 func TestUnreadableSurges(t *testing.T) {
 	_, l, a := balancedLead(t)
-	l.balance.restore([]protocol.Item{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
-	if l.balance.surge(a.job) != 0 {
+	l.rebalancer.restoreSurges([]protocol.Item{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
+	if l.rebalancer.surgeOf(a.job) != 0 {
 		t.Error("a surge was guessed at")
 	}
-	l.balance.restore([]protocol.Item{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, Level: 1}, "nobody": {Number: 6}})}})
-	if l.balance.surge(a.job) != 5 {
+	l.rebalancer.restoreSurges([]protocol.Item{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, Level: 1}, "nobody": {Number: 6}})}})
+	if l.rebalancer.surgeOf(a.job) != 5 {
 		t.Error("the surge on record isn't under way")
 	}
 }
--- a/internal/coordination/release_deferral.go
+++ b/internal/coordination/release_deferral.go
@@ -14,13 +14,13 @@
 // be away for as long as new machines take to boot. Those are rented meanwhile.
 type releaseDeferral struct {
 	l        *leader
-	claimed  map[*machine]usage // room that others' replicas are to have
-	unplaced map[*job]int       // replicas that wait for room, by job
-	noRoom   map[kind]float64   // CPUs for which none was found, by kind of job
+	claimed  map[*machine]usage          // room that others' replicas are to have
+	unplaced map[*job]int                // replicas that wait for room, by job
+	noRoom   map[victimSearchKey]float64 // CPUs for which none was found, by kind of job
 }
 
 func (l *leader) newReleaseDeferral() *releaseDeferral {
-	return &releaseDeferral{l: l, claimed: map[*machine]usage{}, unplaced: map[*job]int{}, noRoom: map[kind]float64{}}
+	return &releaseDeferral{l: l, claimed: map[*machine]usage{}, unplaced: map[*job]int{}, noRoom: map[victimSearchKey]float64{}}
 }
 
 // defers reports whether a silent machine is to be kept, and takes room for its replicas
@@ -65,15 +65,15 @@
 
 // machineWithRoom is a machine with room for a replica, lower work that gives way included.
 func (d *releaseDeferral) machineWithRoom(j *job, plan map[*machine]usage) *machine {
-	k := kindOf(j)
+	k := victimSearchKeyOf(j)
 	if least, ok := d.noRoom[k]; ok && j.CPUs >= least {
 		return nil
 	}
 	for _, o := range d.l.fleetList {
-		if !d.l.open(o) || !o.Allows(j.Job) {
+		if !d.l.acceptsTasks(o) || !o.Allows(j.Job) {
 			continue
 		}
-		room := o.Spec.CPUs - o.Taken.CPUs - d.claimed[o].cpus - plan[o].cpus
+		room := o.Spec.CPUs - o.Allocated.CPUs - d.claimed[o].cpus - plan[o].cpus
 		for p := protocol.Priority(0); p < j.Priority; p++ {
 			room += o.cpusByPriority[p]
 		}
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -26,7 +26,7 @@
 	for i := range 10 {
 		add(i)
 	}
-	l.place()
+	l.runPlacementRound()
 	c.take()
 	cut := l.fleetList[:4:4]
 	pass := func(d time.Duration) {
@@ -50,8 +50,8 @@
 		return count
 	}
 	pass(8 * time.Second) // two reports of 2 s each are missing
-	if got := releasing(); got != 0 || l.autoscaler.displacedReplicas[l.order[0]] != 8 {
-		t.Errorf("without room %d of 4 are returned, and %d replicas want room", got, l.autoscaler.displacedReplicas[l.order[0]])
+	if got := releasing(); got != 0 || l.autoscaler.displacedReplicas[l.jobsByAge[0]] != 8 {
+		t.Errorf("without room %d of 4 are returned, and %d replicas want room", got, l.autoscaler.displacedReplicas[l.jobsByAge[0]])
 	}
 	l.scaleOut()
 	if rented := l.autoscaler.requested[offer{c.types["small"], "a", false}.key()]; rented != 4 {
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -15,9 +15,9 @@
 	used, free, fixedRoom := 0.0, 0.0, 0.0
 	for _, m := range l.fleetList {
 		if m.Spec != nil && m.registered && !m.draining && !m.releasing {
-			used += m.Taken.CPUs
-			if !m.Emptying {
-				free += m.Spec.CPUs - m.Taken.CPUs
+			used += m.Allocated.CPUs
+			if !m.Consolidating {
+				free += m.Spec.CPUs - m.Allocated.CPUs
 				fixedRoom += l.onDemandRoom(m)
 			}
 		}
@@ -38,13 +38,13 @@
 			l.release(m, "unknown type")
 		case !m.preemptionAt.IsZero() && c.now.After(m.preemptionAt.Add(2*time.Second)) && len(m.attempts) == 0:
 			l.release(m, "taken")
-		case m.Emptying && len(m.attempts) == 0 && m.reservedMoves == 0 && age > minimumBilledTime && c.now.Sub(m.emptySince) > c.op.Idle():
+		case m.Consolidating && len(m.attempts) == 0 && m.reservedMoves == 0 && age > minimumBilledTime && c.now.Sub(m.emptySince) > c.op.Idle():
 			l.release(m, "not needed")
-		case m.Emptying && l.evictOpportunistic(m):
-		case m.Emptying && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(plan.get(), true):
-			m.Emptying = false // it stays for its replicas, so others may use it, too
-			plan.get().Stays(&m.Machine)
-		case m.registered && m.recorded && m.Spec != nil && !m.draining && !m.Emptying && m.reservedMoves == 0 && m.preemptionAt.IsZero():
+		case m.Consolidating && l.evictOpportunistic(m):
+		case m.Consolidating && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(plan.get(), true):
+			m.Consolidating = false // it stays for its replicas, so others may use it, too
+			plan.get().CancelEvacuation(&m.Machine)
+		case m.registered && m.recorded && m.Spec != nil && !m.draining && !m.Consolidating && m.reservedMoves == 0 && m.preemptionAt.IsZero():
 			candidates = append(candidates, m)
 		}
 	}
@@ -56,17 +56,17 @@
 	sortByPriceDescending(candidates)
 	for _, m := range candidates {
 		room := l.onDemandRoom(m)
-		if free-(m.Spec.CPUs-m.Taken.CPUs) < want+m.Taken.CPUs || room > 0 && fixedRoom-room < fixedNeed {
+		if free-(m.Spec.CPUs-m.Allocated.CPUs) < want+m.Allocated.CPUs || room > 0 && fixedRoom-room < fixedNeed {
 			continue
 		}
 		// Replicas would hold it for long, unless they can go elsewhere.
 		if m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(plan.get(), false)) {
 			continue
 		}
-		free -= m.Spec.CPUs - m.Taken.CPUs
+		free -= m.Spec.CPUs - m.Allocated.CPUs
 		fixedRoom -= room
-		m.Emptying = true
-		c.log.Debug("emptying machine", "machine", m.Name, "cpus", m.Taken.CPUs)
+		m.Consolidating = true
+		c.log.Debug("emptying machine", "machine", m.Name, "cpus", m.Allocated.CPUs)
 	}
 }
 
@@ -121,7 +121,7 @@
 		if pa, pb := a.pricePerCPU(), b.pricePerCPU(); pa != pb {
 			return pa > pb
 		}
-		return a.Taken.CPUs < b.Taken.CPUs
+		return a.Allocated.CPUs < b.Allocated.CPUs
 	})
 }
 
@@ -139,8 +139,8 @@
 func (l *leader) revokeRelease(m *machine) {
 	if m.releasing && m.releaseRevocable && !m.releaseInFlight && !m.draining {
 		m.releasing, m.releaseRevocable = false, false
-		l.controller.logEach("machine heard before it was returned", "machine", m.Name)
-		l.askPlace()
+		l.controller.logSampled("machine heard before it was returned", "machine", m.Name)
+		l.requestPlacement()
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 	m.releasing = true
 	m.releaseRevocable = why == releaseUnresponsiveReason
-	l.controller.logEach("returning machine", "machine", m.Name, "why", why, "attempts", len(m.attempts), "up", m.registered, "quiet", l.controller.now.Sub(latest(m.lastSeen, m.provisionedAt)).Round(time.Millisecond))
+	l.controller.logSampled("returning machine", "machine", m.Name, "why", why, "attempts", len(m.attempts), "up", m.registered, "quiet", l.controller.now.Sub(latest(m.lastSeen, m.provisionedAt)).Round(time.Millisecond))
 	l.sendReleases()
 }
 
@@ -188,7 +188,7 @@
 			for _, m := range list {
 				l.machineTerminated(m, "returned")
 			}
-			l.askPlace()
+			l.requestPlacement()
 			l.sendReleases()
 		}
 	})
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	if c.strained() || len(l.fleetList) > l.forecastCapacity() && l.overloadedLately() {
-		c.bounds.hit(boundServed)
+		c.limits.reached(limitServedMachines)
 		return false
 	}
 	for _, k := range f.requested {
@@ -116,7 +116,7 @@
 	// What a team may still start under its limit, over all its jobs: machines
 	// beyond that would stand idle.
 	for name, t := range l.controller.teams {
-		u := l.teams[name]
+		u := l.teamUsage[name]
 		g.quotaLeft[name] = &usage{t.CPUsMax - u.cpus, t.GPUsMax - u.gpus}
 	}
 	return g
@@ -125,7 +125,7 @@
 // planDemand finds room for a job's tasks in what is coming, and rents what they need beyond it.
 func (p *scaleOutPlan) planDemand(d demand) {
 	l, j := p.l, d.job
-	wanted := min(d.tasks, j.toStart())
+	wanted := min(d.tasks, j.pendingTasks())
 	left := min(wanted, p.tasksWithinQuota(j))
 	zones := newZonePlan(j)
 	room := p.quotaLeft[j.Team]
@@ -138,7 +138,7 @@
 	for left > 0 && p.planned < p.limit {
 		o, ok := bestOffer(p.offers, j.Job, left, zones.allows)
 		// One that has waited for too long gets a machine to begin on.
-		if !ok || l.overpriced(j, o) && !(left == wanted && j.overdue(l.controller.now.Round(0))) {
+		if !ok || l.overpriced(j, o) && !(left == wanted && j.starving(l.controller.now.Round(0))) {
 			return
 		}
 		count := p.pack(p.addMachine(o), j, zones, left)
@@ -163,7 +163,7 @@
 
 // fillBins puts tasks of a job into room that is coming, and returns how many found some.
 func (p *scaleOutPlan) fillBins(j *job, zones *zonePlan, most int) int {
-	key := shapeOf(j)
+	key := shapeKeyOf(j)
 	i, found := p.searchFrom[key], 0
 	for ; i < len(p.openBins) && found < most; i++ {
 		p.binsVisited++
@@ -226,7 +226,7 @@
 	if len(held) == 0 {
 		return
 	}
-	for _, j := range p.l.order {
+	for _, j := range p.l.jobsByAge {
 		free := &zonePlan{count: map[string]int{}}
 		for left := held[j]; left > 0 && p.planned < p.limit; left-- {
 			if p.fillBins(j, free, 1) > 0 {
@@ -249,9 +249,9 @@
 		if m.Spec == nil || !m.registered {
 			continue
 		}
-		used += m.Taken.CPUs
-		if l.open(m) {
-			free += m.Spec.CPUs - m.Taken.CPUs
+		used += m.Allocated.CPUs
+		if l.acceptsTasks(m) {
+			free += m.Spec.CPUs - m.Allocated.CPUs
 		}
 	}
 	for _, b := range p.bins {
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -9,12 +9,12 @@
 // What a leader makes of what workers show.
 
 // workerRegistered implements observer.
-func (l *leader) workerRegistered(*machine) { l.askPlace() }
+func (l *leader) workerRegistered(*machine) { l.requestPlacement() }
 
 // incarnationBegan implements observer.
 func (l *leader) incarnationBegan(m *machine) {
 	m.Images.Reset()
-	l.balance.incarnationBegan(m)
+	l.rebalancer.incarnationBegan(m)
 }
 
 // addressChanged implements observer.
@@ -30,7 +30,7 @@
 func (l *leader) workerReached(m *machine) {
 	l.revokeRelease(m)
 	if m.lastReached.IsZero() {
-		l.askPlace()
+		l.requestPlacement()
 		l.checkReconciled()
 	}
 }
@@ -49,7 +49,7 @@
 func (l *leader) taskStateReported(a *attempt, s protocol.TaskState) {
 	m := a.machine
 	if s == protocol.Running && a.state != protocol.Running {
-		m.Images.Add(a.job.image, a.job.ImageGB, m.CacheGB())
+		m.Images.Add(a.job.imageID, a.job.ImageGB, m.CacheGB())
 	}
 	l.setTaskState(a, s)
 }
@@ -85,31 +85,31 @@
 	j := l.jobs[t.Job]
 	if t.Why == protocol.ExitDone && j != nil && t.Index < j.Tasks {
 		if a != nil && a.state != 0 {
-			m.Images.Add(j.image, j.ImageGB, m.CacheGB())
+			m.Images.Add(j.imageID, j.ImageGB, m.CacheGB())
 		}
 		clear(m.failuresByJob)
 		if a != nil {
-			l.learn(a)
+			l.observeRunTime(a)
 		}
 		l.taskDone(j, t.Index)
 	}
 	if a != nil {
 		if t.Why == protocol.ExitError {
-			l.failed(m, a)
+			l.attemptFailed(m, a)
 		}
 		if t.Why == protocol.ExitNoRoom || t.Why == protocol.ExitBusy || t.Why == protocol.ExitUnknown {
-			l.controller.logEach("start refused", "machine", m.Name, "job", t.Job, "task", t.Index, "why", t.Why)
-			j.notBefore = l.controller.now.Add(500 * time.Millisecond)
+			l.controller.logSampled("start refused", "machine", m.Name, "job", t.Job, "task", t.Index, "why", t.Why)
+			j.backoffUntil = l.controller.now.Add(500 * time.Millisecond)
 			l.controller.after(510*time.Millisecond, func() {
 				if l.alive() {
-					l.askPlace()
+					l.requestPlacement()
 				}
 			})
 		}
 		l.detach(a, "exited")
 	}
 	// A result is recorded before the worker forgets it.
-	if t.Why == protocol.ExitDone && j != nil && t.Index < j.Tasks && j.outcome == 0 && !j.task(t.Index).saved {
+	if t.Why == protocol.ExitDone && j != nil && t.Index < j.Tasks && j.finalState == 0 && !j.task(t.Index).saved {
 		return false
 	}
 	return true
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -26,8 +26,8 @@
 	m := l.newMachine("vm-1", "small", "a", false)
 	m.shard, m.recorded, m.registered, m.group = 1, true, true, &group{applied: true}
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
-	l.assign(l.order[0], 0, m)
-	a := l.order[0].task(0).live
+	l.assign(l.jobsByAge[0], 0, m)
+	a := l.jobsByAge[0].task(0).live
 	a.recorded = true
 	return l, a
 }
@@ -56,14 +56,14 @@
 	late := seen(l, "n1", 5, 2)
 	late.Gone = []shard.Gone{{Task: attemptTask(a), Why: "never sent"}}
 	l.shards.take("n1", late)
-	if l.order[0].task(0).live != a {
+	if l.jobsByAge[0].task(0).live != a {
 		t.Fatal("the word of an earlier owner was taken")
 	}
 	l.shards.take("n2", seen(l, "n2", 7, 1))
 	now := seen(l, "n2", 7, 2)
 	now.Gone = late.Gone
 	l.shards.take("n2", now)
-	if l.order[0].task(0).live != nil {
+	if l.jobsByAge[0].task(0).live != nil {
 		t.Error("the owner's word was not taken")
 	}
 }
--- a/internal/coordination/shard_lines.go
+++ b/internal/coordination/shard_lines.go
@@ -27,7 +27,7 @@
 		panic(err)
 	}
 	if len(raw) > MaxPeerLine {
-		c.bounds.hit(boundLine)
+		c.limits.reached(limitPeerLine)
 		return
 	}
 	c.out.Sends = append(c.out.Sends, Send{To: to, Body: raw})
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -394,7 +394,7 @@
 // tell of is to end.
 func (o *shardOwner) orphanReported(m *machine, t *protocol.TaskReport) (stop bool) {
 	key := taskKey{t.Job, t.Index}
-	if j := o.jobs[t.Job]; j != nil && j.outcome != 0 {
+	if j := o.jobs[t.Job]; j != nil && j.finalState != 0 {
 		return true
 	}
 	if m.orphans[key] == t.Attempt {
@@ -422,7 +422,7 @@
 
 // jobEnded implements observer: its tasks are stopped without waiting for the leader.
 func (o *shardOwner) jobEnded(j *job, s protocol.JobState) {
-	j.outcome = s
+	j.finalState = s
 	held := slices.Collect(maps.Keys(j.held))
 	slices.SortFunc(held, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.machine.Name, b.machine.Name), compareAttempts(a, b))
@@ -441,8 +441,8 @@
 	if j == nil {
 		j = &job{Job: &protocol.Job{ID: id}}
 		o.jobs[id] = j
-		if f, ok := o.controller.admission.finals[id]; ok {
-			j.outcome = f.state
+		if f, ok := o.controller.admission.outcomes[id]; ok {
+			j.finalState = f.state
 		}
 	}
 	return j
@@ -456,7 +456,7 @@
 		a.job.held = map[*attempt]struct{}{}
 	}
 	a.job.held[a] = struct{}{}
-	if r.Stop || a.job.outcome != 0 {
+	if r.Stop || a.job.finalState != 0 {
 		o.stop(a, time.Duration(r.Grace)*time.Millisecond)
 		return
 	}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -10,9 +10,9 @@
 
 // submission is a job whose record is to be written, and who asked for it.
 type submission struct {
-	job    *protocol.Job
-	record json.RawMessage
-	ids    []uint64
+	job      *protocol.Job
+	record   json.RawMessage
+	requests []uint64
 }
 
 func (c *Controller) submit(id uint64, body []byte) {
@@ -21,7 +21,7 @@
 		c.reply(id, 400, protocol.ErrorAnswer(err.Error()))
 		return
 	}
-	if f, ok := c.admission.finals[job.ID]; ok {
+	if f, ok := c.admission.outcomes[job.ID]; ok {
 		c.reply(id, 200, protocol.JobAnswer(job.ID, f.state))
 		return
 	}
@@ -29,11 +29,11 @@
 		c.refuse(id, 503, "not ready to decide")
 		return
 	}
-	c.admission.waiting++
-	if reason := c.neverRuns(job); reason != "" {
+	c.admission.openRequests++
+	if reason := c.rejectionReason(job); reason != "" {
 		// A known job gets its state whatever the limits say by now.
-		c.lookup(job.ID, func(s protocol.JobState, ok bool) {
-			c.admission.waiting--
+		c.readJobState(job.ID, func(s protocol.JobState, ok bool) {
+			c.admission.openRequests--
 			switch {
 			case !ok:
 				c.refuseWithoutStore(id)
@@ -48,13 +48,13 @@
 	record := records.Job{Submitted: records.Millis(c.now), Chunk: records.ChunkSize(c.cfg.ValueBytes), Spec: job}
 	raw := records.Encode(record)
 	if len(raw) > c.cfg.ValueBytes {
-		c.admission.waiting--
+		c.admission.openRequests--
 		c.reply(id, 400, protocol.ErrorAnswer("the job's description is too long"))
 		return
 	}
 	for _, s := range c.admission.submissions {
 		if s.job.ID == job.ID {
-			s.ids = append(s.ids, id)
+			s.requests = append(s.requests, id)
 			return
 		}
 	}
@@ -67,10 +67,10 @@
 // state service has too little left.
 func (c *Controller) writeSubmissions() {
 	a := &c.admission
-	if a.inSubmit || len(a.submissions) == 0 {
+	if a.submitting || len(a.submissions) == 0 {
 		return
 	}
-	a.inSubmit = true
+	a.submitting = true
 	t := &protocol.Txn{}
 	count, size := 0, 0
 	for _, s := range a.submissions {
@@ -87,19 +87,19 @@
 	group := a.submissions[:count:count]
 	a.submissions = append([]*submission(nil), a.submissions[count:]...)
 	c.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
-		a.inSubmit = false
+		a.submitting = false
 		var again []*submission
 		for _, s := range group {
 			switch {
 			case r == txnApplied:
-				c.accepted(s)
+				c.replyAccepted(s)
 			case r == txnFailed && (slices.Contains(failed, records.KeyActive(s.job.ID)) || slices.Contains(failed, records.KeyOutcome(s.job.ID))):
-				c.knownAlready(s)
+				c.replyExisting(s)
 			case r == txnFailed && len(failed) > 0:
 				again = append(again, s) // another of the group was known already
 			default:
-				a.waiting -= len(s.ids)
-				for _, id := range s.ids {
+				a.openRequests -= len(s.requests)
+				for _, id := range s.requests {
 					if r == txnRefused && !c.storeDown() {
 						c.refuseForNow(id) // too much at once
 					} else {
@@ -113,12 +113,12 @@
 	})
 }
 
-func (c *Controller) accepted(s *submission) {
-	c.admission.waiting -= len(s.ids)
-	c.admission.setKnown(s.job.ID)
+func (c *Controller) replyAccepted(s *submission) {
+	c.admission.openRequests -= len(s.requests)
+	c.admission.rememberAccepted(s.job.ID)
 	c.log.Debug("job accepted", "job", s.job.ID, "class", s.job.Class, "tasks", s.job.Tasks,
 		"estimate", s.job.Estimate, "deadline", s.job.Deadline, "image", s.job.Image, "gb", s.job.ImageGB)
-	for i, id := range s.ids {
+	for i, id := range s.requests {
 		status := 201
 		if i > 0 {
 			status = 200
@@ -127,10 +127,10 @@
 	}
 }
 
-func (c *Controller) knownAlready(s *submission) {
-	c.lookup(s.job.ID, func(state protocol.JobState, ok bool) {
-		c.admission.waiting -= len(s.ids)
-		for _, id := range s.ids {
+func (c *Controller) replyExisting(s *submission) {
+	c.readJobState(s.job.ID, func(state protocol.JobState, ok bool) {
+		c.admission.openRequests -= len(s.requests)
+		for _, id := range s.requests {
 			if !ok || state == 0 {
 				c.refuseWithoutStore(id)
 				continue
@@ -140,8 +140,8 @@
 	})
 }
 
-// neverRuns tells why a job can't ever run; empty when it can.
-func (c *Controller) neverRuns(j *protocol.Job) string {
+// rejectionReason tells why a job can't ever run; empty when it can.
+func (c *Controller) rejectionReason(j *protocol.Job) string {
 	team := c.teams[j.Team]
 	if team == nil {
 		return "unknown team"
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -76,7 +76,7 @@
 			s.deferStarts(m)
 			continue
 		case !room.Take(a.job.ID):
-			s.controller.bounds.hit(boundOrders)
+			s.controller.limits.reached(limitOrders)
 			return orders, starts
 		case order.Kind == protocol.Start:
 			starts = append(starts, a)
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -202,7 +202,7 @@
 		return
 	}
 	if m.fencingOffset == 1<<fencingBits-1 {
-		s.controller.bounds.hit(boundFence)
+		s.controller.limits.reached(limitTokenRaises)
 		return
 	}
 	m.fencingOffset++
