--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -19,7 +19,7 @@
 )
 
 // A peer's stream takes every line that the core makes: this doesn't compile otherwise.
-const _ = uint(transport.MaxPeerLine - coordination.MaxPeerLine)
+const _ = uint(transport.MaxPeerLine - coordination.MaxPeerMessage)
 
 func logLevel(name string) (slog.Level, error) {
 	switch name {
@@ -70,7 +70,7 @@
 	var err error
 	c.peers, err = transport.NewPeers(cfg.PeerListen, cfg.Name, addrs, func(line []byte) {
 		<-c.ready
-		c.loop.Post(func() { c.apply(c.node.Peer(time.Now(), line)) })
+		c.loop.Post(func() { c.apply(c.node.PeerMessage(time.Now(), line)) })
 	}, log)
 	if err != nil {
 		return err
@@ -175,15 +175,15 @@
 				Answered: err == nil, NotSent: errors.Is(err, transport.ErrNotSent), Busy: errors.Is(err, transport.ErrBusy)}))
 		})
 	}
-	for i := range e.Publishes {
-		c.peers.Publish(e.Publishes[i].Body)
+	for i := range e.Broadcasts {
+		c.peers.Publish(e.Broadcasts[i].Body)
 	}
-	for i := range e.Sends {
-		c.peers.Send(e.Sends[i].To, e.Sends[i].Body)
+	for i := range e.Unicasts {
+		c.peers.Send(e.Unicasts[i].To, e.Unicasts[i].Body)
 	}
 	c.trace.record(e.Spans)
-	if len(e.Publishes) > 0 { // once a second
-		c.node.Processor(time.Now(), processorTime())
+	if len(e.Broadcasts) > 0 { // once a second
+		c.node.ProcessorUsed(time.Now(), processorTime())
 		c.node.PeerLinesLost(c.peers.Dropped())
 		k := c.loop.Counts()
 		c.node.Sockets(k.Crowded, k.Shed, k.Busy)
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -116,7 +116,7 @@
 		c.health(id)
 		return
 	case protocol.RouteReport:
-		c.count.Reports++
+		c.requestCounts.Reports++
 		c.heartbeat(id, body)
 		return
 	}
@@ -127,10 +127,10 @@
 	}
 	switch route {
 	case protocol.RouteJobs:
-		c.count.Submissions++
+		c.requestCounts.Submissions++
 		c.submit(id, body)
 	case protocol.RouteJob:
-		c.count.Polls++
+		c.requestCounts.Polls++
 		c.queryStatus(id, job)
 	case protocol.RouteCancel:
 		c.cancel(id, job)
@@ -142,7 +142,7 @@
 // cut off from both. In an outage that peers confirm, no node is better than
 // another, and leaving the balancer would only cost time when it ends.
 func (c *Controller) health(id uint64) {
-	if c.storeDown() && len(c.cfg.Peers) > 0 && (c.peerReachesStore() || !c.hearsPeer()) {
+	if c.storeDown() && len(c.cfg.Peers) > 0 && (c.peerReachesStore() || !c.heardFromPeer()) {
 		c.refuse(id, 503, "the state service refuses this node")
 		return
 	}
@@ -153,14 +153,14 @@
 // closed: its user would go on asking this node, perhaps the only one that is cut
 // off, while a new connection may lead to another.
 func (c *Controller) refuseWithoutStore(id uint64) {
-	c.out.Replies = append(c.out.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
+	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
 		Body: protocol.ErrorAnswer("the state service does not answer")})
 }
 
 // refuseForNow sends a user away whose request is one too many at the moment. Not all
 // are told to come back at the same time.
 func (c *Controller) refuseForNow(id uint64) {
-	c.out.Replies = append(c.out.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + c.rng.IntN(3),
+	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + c.rng.IntN(3),
 		Body: protocol.ErrorAnswer("too much at once")})
 }
 
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -128,7 +128,7 @@
 // jobProgressed writes the outcome of a complete job and removes the records
 // of one that is over and has no attempt left.
 func (l *leader) jobProgressed(j *job) {
-	if l.phase == loading {
+	if l.phase == phaseLoading {
 		return
 	}
 	if j.finalState == 0 && !j.finishing && j.Kind != protocol.Service && j.doneTasks == j.Tasks {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -81,7 +81,7 @@
 			delete(l.terminated, name)
 		}
 	}
-	if l.phase == loading {
+	if l.phase == phaseLoading {
 		return
 	}
 	if l.shards != nil {
@@ -100,7 +100,7 @@
 		})
 	}
 	l.readInventory()
-	if l.phase != active {
+	if l.phase != phaseActive {
 		return
 	}
 	l.preferMajorityZone()
@@ -145,9 +145,9 @@
 			u.pinned++
 		}
 	}
-	c.log.Debug("fleet", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "fixed", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmetDemand), "lag", c.lag.Round(time.Millisecond),
-		"traffic", fmt.Sprintf("%+v", c.count))
-	c.count = traffic{}
+	c.log.Debug("fleet", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "fixed", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmetDemand), "lag", c.schedulingLag.Round(time.Millisecond),
+		"traffic", fmt.Sprintf("%+v", c.requestCounts))
+	c.requestCounts = requestCounts{}
 }
 
 // preferMajorityZone keeps the leader in the zone that holds most machines, so that
@@ -170,17 +170,17 @@
 		if k*3 <= up*2 || up < 3 {
 			continue
 		}
-		if c.election.prefer != zone && l.preferred != zone {
-			l.preferred = zone
+		if c.election.preferredZone != zone && l.requestedZone != zone {
+			l.requestedZone = zone
 			l.journal.extra = append(l.journal.extra, protocol.Op{Put: records.KeyPrefer,
 				Value: records.Encode(records.Prefer{Zone: zone})})
 		}
-		if zone == c.cfg.Zone || c.election.prefer != zone || c.now.Sub(l.elected) < 10*time.Second {
+		if zone == c.cfg.Zone || c.election.preferredZone != zone || c.now.Sub(l.electedAt) < 10*time.Second {
 			continue
 		}
 		for i := range c.cfg.Peers {
 			p := &c.cfg.Peers[i]
-			if v := c.peers[p.Name]; p.Zone == zone && v != nil && v.storeOK && !v.unfit && c.now.Sub(v.at) < 2500*time.Millisecond {
+			if v := c.peers[p.Name]; p.Zone == zone && v != nil && v.storeReachable && !v.disconnected && c.now.Sub(v.heardAt) < 2500*time.Millisecond {
 				c.resign("most machines are in zone "+zone, 3*time.Second)
 				return
 			}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -30,7 +30,7 @@
 
 // largeLead is a leader of a large, empty fleet with many waiting jobs.
 func largeLead(machines, jobs int) (*Controller, *leader) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
 	c.teams["blue"] = &config.Team{Name: "blue", CPUs: 3000, CPUsMax: 1e6}
 	l.teamUsage["blue"] = &usage{}
@@ -176,7 +176,7 @@
 		{"shrink", (*leader).scaleIn},
 		{"consolidate", (*leader).consolidate},
 		{"explain", func(l *leader) { l.pendingLog.at = time.Time{}; l.logPendingReasons() }},
-		{"publish", func(l *leader) { l.controller.publish(); l.controller.out = Effects{} }},
+		{"publish", func(l *leader) { l.controller.broadcastStatus(); l.controller.effects = Effects{} }},
 	} {
 		b.Run(step.name, func(b *testing.B) {
 			atSizes(b, func(b *testing.B, machines int) {
@@ -266,9 +266,9 @@
 		for b.Loop() {
 			b.StopTimer()
 			l = nil
-			c, _ := leading(active)
+			c, _ := leading(phaseActive)
 			b.StartTimer()
-			if l = r.lead(c); l.phase != settling {
+			if l = r.lead(c); l.phase != phaseReconciling {
 				b.Fatal("not loaded")
 			}
 		}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -45,22 +45,22 @@
 	Timeout time.Duration
 }
 
-// Publish is told to every peer.
-type Publish struct{ Body []byte }
+// Broadcast is told to every peer.
+type Broadcast struct{ Body []byte }
 
-// Send is told to one peer, by name. It may be lost.
-type Send struct {
+// Unicast is told to one peer, by name. It may be lost.
+type Unicast struct {
 	To   string
 	Body []byte
 }
 
 // Effects is what one step asks for, in order.
 type Effects struct {
-	Replies   []Reply
-	Calls     []Call
-	Publishes []Publish
-	Sends     []Send
-	Spans     []Span
+	Replies    []Reply
+	Calls      []Call
+	Broadcasts []Broadcast
+	Unicasts   []Unicast
+	Spans      []Span
 }
 
 // Outcome is what came of a call. Answered is false when no response came:
@@ -75,43 +75,43 @@
 	Busy     bool
 }
 
-// drift bounds by how much steady clocks of two machines differ over a time:
+// clockDrift bounds by how much steady clocks of two machines differ over a time:
 // twice what the protocol allows, so that rounding can't matter.
-func drift(d time.Duration) time.Duration { return d / 1000 }
+func clockDrift(d time.Duration) time.Duration { return d / 1000 }
 
-// proofMargin is added to every deadline that other machines' clocks take
+// deadlineMargin is added to every deadline that other machines' clocks take
 // part in.
-const proofMargin = 500 * time.Millisecond
+const deadlineMargin = 500 * time.Millisecond
 
-// traffic counts requests in and calls out, for the log.
-type traffic struct{ Reports, Polls, Submissions, ToState, ToCloud, ToWorkers int }
+// requestCounts counts requests in and calls out, for the log.
+type requestCounts struct{ Reports, Polls, Submissions, ToState, ToCloud, ToWorkers int }
 
 // Controller is one controller.
 type Controller struct {
-	cfg  *config.Settings
-	op   config.Operator
-	log  *slog.Logger
-	rng  *rand.Rand
-	boot uint64
-
-	count  traffic
-	now    time.Time
-	lag    time.Duration // of the last timer, behind its time
-	lateAt time.Time     // when that was last too much
-	// lateSince is since when it has been too much again and again.
-	lateSince time.Time
-	out       Effects
-	calls     map[uint64]func(Outcome)
-	lastID    uint64
-	timers    timerHeap
-	seq       uint64
+	cfg    *config.Settings
+	op     config.Operator
+	log    *slog.Logger
+	rng    *rand.Rand
+	bootID uint64
+
+	requestCounts requestCounts
+	now           time.Time
+	schedulingLag time.Duration // of the last timer, behind its time
+	overloadedAt  time.Time     // when that was last too much
+	// overloadedSince is since when it has been too much again and again.
+	overloadedSince time.Time
+	effects         Effects
+	pendingCalls    map[uint64]func(Outcome)
+	lastCallID      uint64
+	timers          timerHeap
+	lastTimerSeq    uint64
 
 	teams map[string]*config.Team
 	types map[string]*protocol.MachineType
 
-	storeOK   time.Time // when the state service last answered as it should
-	storeBad  time.Time // when it first failed since; zero while it works
-	storeCost *records.Budget
+	storeAnsweredAt   time.Time // when the state service last answered as it should
+	storeFailingSince time.Time // when it first failed since; zero while it works
+	storeCost         *records.Budget
 
 	told         changeThrottle // to operators, of this node
 	trouble      string         // as it is now; empty without any
@@ -120,48 +120,48 @@
 	draining    bool // it is to give up what it has
 	limits      limitCounters
 	sampledLogs sampledLogs
-	held        heldReports // wait for a leader
+	deferred    deferredHeartbeats // wait for a leader
 	election    election
 	admission   admission
-	peers       map[string]*peerView
+	peers       map[string]*peerStatus
 	leader      *leader   // nil while following
 	sharding    *sharding // nil while the leader serves all machines
 
-	local     []shardLine // between this controller's own roles
-	oddLines  int         // of peers, that were ignored
-	processor processor
-	lagMost   time.Duration // since it was last told
+	local            []shardLine // between this controller's own roles
+	rejectedMessages int         // of peers, that were ignored
+	processorLoad    processorLoad
+	peakLag          time.Duration // since it was last told
 }
 
-// processor is how much of its share this process uses.
-type processor struct {
+// processorLoad is how much of its share this process uses.
+type processorLoad struct {
 	used  time.Duration // in all
 	at    time.Time
 	share float64 // lately
 }
 
-// Processor tells how much processor time this process has used in all.
-func (c *Controller) Processor(now time.Time, used time.Duration) {
-	p := &c.processor
+// ProcessorUsed tells how much processor time this process has used in all.
+func (c *Controller) ProcessorUsed(now time.Time, used time.Duration) {
+	p := &c.processorLoad
 	if elapsed := now.Sub(p.at); !p.at.IsZero() && elapsed > 0 && c.cfg.CPUShare > 0 {
 		p.share = float64(used-p.used) / (float64(elapsed) * c.cfg.CPUShare)
 	}
 	p.used, p.at = used, now
 }
 
-// lagLately is by how much timers were late at the most since it was last asked.
-func (c *Controller) lagLately() time.Duration {
-	lag := c.lagMost
-	c.lagMost = 0
+// takePeakLag is by how much timers were late at the most since it was last asked.
+func (c *Controller) takePeakLag() time.Duration {
+	lag := c.peakLag
+	c.peakLag = 0
 	return lag
 }
 
 // New makes a node that is about to start at now. boot must differ from every
 // earlier process's.
 func New(cfg *config.Settings, op config.Operator, log *slog.Logger, boot uint64, now time.Time) *Controller {
-	c := &Controller{cfg: cfg, op: op, log: log, boot: boot, now: now,
-		rng:   rand.New(rand.NewPCG(boot, uint64(len(cfg.Name)))),
-		calls: map[uint64]func(Outcome){}, teams: map[string]*config.Team{}, peers: map[string]*peerView{}}
+	c := &Controller{cfg: cfg, op: op, log: log, bootID: boot, now: now,
+		rng:          rand.New(rand.NewPCG(boot, uint64(len(cfg.Name)))),
+		pendingCalls: map[uint64]func(Outcome){}, teams: map[string]*config.Team{}, peers: map[string]*peerStatus{}}
 	for i := range cfg.Teams {
 		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
@@ -173,16 +173,16 @@
 // Start makes the first step.
 func (c *Controller) Start(now time.Time) Effects {
 	c.now = now
-	c.storeOK = now
+	c.storeAnsweredAt = now
 	for _, t := range c.cfg.Teams {
-		c.log.Info("team", "team", t.Name, "guaranteed", t.CPUs, "limited", t.CPUsMax < config.NoLimit, "most", t.CPUsMax)
+		c.log.Info("team configured", "team", t.Name, "quota", t.CPUs, "limited", t.CPUsMax < config.NoLimit, "limit", t.CPUsMax)
 	}
 	c.startElection()
 	if sh := c.op.Sharding; sh != nil {
 		c.startSharding(sh.Drain)
 	}
 	c.loadTypes()
-	c.every(time.Second, c.publish)
+	c.every(time.Second, c.broadcastStatus)
 	c.every(time.Second, c.checkStore)
 	c.every(time.Second, c.logAvailability)
 	return c.take()
@@ -198,8 +198,8 @@
 // Result takes the outcome of a call.
 func (c *Controller) Result(now time.Time, id uint64, o Outcome) Effects {
 	c.now = now
-	if done := c.calls[id]; done != nil {
-		delete(c.calls, id)
+	if done := c.pendingCalls[id]; done != nil {
+		delete(c.pendingCalls, id)
 		done(o)
 	}
 	return c.take()
@@ -209,13 +209,13 @@
 func (c *Controller) Tick(now time.Time) Effects {
 	c.now = now
 	if next := c.Next(); !next.IsZero() {
-		c.lag = max(0, now.Sub(next))
-		c.lagMost = max(c.lagMost, c.lag)
-		if c.late() {
-			if now.Sub(c.lateAt) > lateGap {
-				c.lateSince = now
+		c.schedulingLag = max(0, now.Sub(next))
+		c.peakLag = max(c.peakLag, c.schedulingLag)
+		if c.overloaded() {
+			if now.Sub(c.overloadedAt) > overloadGap {
+				c.overloadedSince = now
 			}
-			c.lateAt = now
+			c.overloadedAt = now
 		}
 	}
 	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
@@ -234,30 +234,30 @@
 // are served: a leader that loses its lease for being late leaves the next one with
 // even more to do.
 const (
-	lagBehind = 150 * time.Millisecond
-	lagLate   = 400 * time.Millisecond
-	lagFar    = time.Second
+	lagDefersWork   = 150 * time.Millisecond
+	lagOverloaded   = 400 * time.Millisecond
+	lagShedsQueries = time.Second
 )
 
-// lateCounts is how long ago a leader may have been late for it to have lost its
+// overloadLossCause is how long ago a leader may have been late for it to have lost its
 // leadership by that.
-const lateCounts = 3 * time.Second
+const overloadLossCause = 3 * time.Second
 
-// lateGap is the pause between two late timers after which a process has kept up in between.
-// One that hasn't for strainedAfter has more to serve than its share allows.
+// overloadGap is the pause between two late timers after which a process has kept up in between.
+// One that hasn't for persistentAfter has more to serve than its share allows.
 const (
-	lateGap       = 2 * time.Second
-	strainedAfter = 5 * time.Second
+	overloadGap     = 2 * time.Second
+	persistentAfter = 5 * time.Second
 )
 
-// strained reports whether this process has been late for so long that more machines would
+// persistentlyOverloaded reports whether this process has been late for so long that more machines would
 // only make it answer all of them less often.
-func (c *Controller) strained() bool {
-	return !c.lateAt.IsZero() && c.now.Sub(c.lateAt) <= lateGap && c.now.Sub(c.lateSince) > strainedAfter
+func (c *Controller) persistentlyOverloaded() bool {
+	return !c.overloadedAt.IsZero() && c.now.Sub(c.overloadedAt) <= overloadGap && c.now.Sub(c.overloadedSince) > persistentAfter
 }
 
-func (c *Controller) behind() bool { return c.lag > lagBehind }
-func (c *Controller) late() bool   { return c.lag > lagLate }
+func (c *Controller) lagging() bool    { return c.schedulingLag > lagDefersWork }
+func (c *Controller) overloaded() bool { return c.schedulingLag > lagOverloaded }
 
 // Next is when Tick is due; zero when nothing is planned.
 func (c *Controller) Next() time.Time {
@@ -271,38 +271,38 @@
 	for again := true; again; again = len(c.local) > 0 {
 		c.deliverLocal()
 		if c.leader != nil {
-			c.leader.settleStep()
+			c.leader.finishStep()
 		}
 		if s := c.sharding; s != nil && s.own != nil {
 			s.own.flushOrders()
 		}
 	}
-	out := c.out
-	c.out = Effects{}
+	out := c.effects
+	c.effects = Effects{}
 	return out
 }
 
 func (c *Controller) reply(id uint64, status int, body []byte) {
-	c.out.Replies = append(c.out.Replies, Reply{ID: id, Status: status, Body: body})
+	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, Body: body})
 }
 
 // refuse tells a client to come back.
 func (c *Controller) refuse(id uint64, status int, reason string) {
-	c.out.Replies = append(c.out.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.ErrorAnswer(reason)})
+	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.ErrorAnswer(reason)})
 }
 
 func (c *Controller) call(to Service, addr, method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
-	c.lastID++
-	c.calls[c.lastID] = done
+	c.lastCallID++
+	c.pendingCalls[c.lastCallID] = done
 	switch to {
 	case State:
-		c.count.ToState++
+		c.requestCounts.ToState++
 	case Cloud:
-		c.count.ToCloud++
+		c.requestCounts.ToCloud++
 	case Worker:
-		c.count.ToWorkers++
+		c.requestCounts.ToWorkers++
 	}
-	c.out.Calls = append(c.out.Calls, Call{ID: c.lastID, To: to, Addr: addr, Method: method, Target: target,
+	c.effects.Calls = append(c.effects.Calls, Call{ID: c.lastCallID, To: to, Addr: addr, Method: method, Target: target,
 		Body: body, Timeout: timeout})
 }
 
@@ -332,8 +332,8 @@
 
 // after runs f once d has passed. Setting the timer's run to nil cancels it.
 func (c *Controller) after(d time.Duration, f func()) *timer {
-	c.seq++
-	t := &timer{at: c.now.Add(d), seq: c.seq, run: f}
+	c.lastTimerSeq++
+	t := &timer{at: c.now.Add(d), seq: c.lastTimerSeq, run: f}
 	heap.Push(&c.timers, t)
 	return t
 }
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -20,7 +20,7 @@
 	for _, test := range []struct {
 		name  string
 		heard int
-		peers []bool // whether they are unfit
+		peers []bool // whether they are disconnected
 		stays bool
 	}{
 		{"hears nobody", 0, []bool{false, true}, false},
@@ -30,10 +30,10 @@
 		{"hears nobody, again, and no peer", 0, nil, true},
 		{"hears nobody, again, while another is fit", 0, []bool{false, true}, false},
 	} {
-		c, l := leading(settling)
+		c, l := leading(phaseReconciling)
 		again := strings.Contains(test.name, "again")
 		if again {
-			c.election.unfitUntil = c.now.Add(unfitTime)
+			c.election.disconnectedUntil = c.now.Add(disconnectedFor)
 		}
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}, {Name: "n2", Zone: "a"}}
 		c.teams["red"].CPUsMax = 100
@@ -47,15 +47,15 @@
 			a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, stateSince: c.now}
 			l.attach(a)
 		}
-		l.phase, l.loadedAt, l.settled = active, c.now, c.now
+		l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
 		for range 60 { // 15 s, the length of a lease
 			c.now = c.now.Add(detectorInterval)
-			for i, unfit := range test.peers {
-				raw, err := json.Marshal(peerMessage{Node: fmt.Sprintf("n%d", i+1), StoreOK: true, Unfit: unfit})
+			for i, disconnected := range test.peers {
+				raw, err := json.Marshal(peerMessage{Node: fmt.Sprintf("n%d", i+1), StoreReachable: true, Disconnected: disconnected})
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.Peer(c.now, raw)
+				c.PeerMessage(c.now, raw)
 			}
 			for i, m := range l.fleetList {
 				if i < test.heard {
@@ -74,28 +74,28 @@
 				t.Errorf("a leader that %s gave up %s before it gave way", test.name, m.Name)
 			}
 		}
-		if !again && c.unfit() == test.stays {
-			t.Errorf("a leader that %s calls itself unfit: %t", test.name, c.unfit())
+		if !again && c.disconnected() == test.stays {
+			t.Errorf("a leader that %s calls itself disconnected: %t", test.name, c.disconnected())
 		}
 	}
 }
 
-// The lead isn't handed to a node of the better zone that calls itself unfit.
-func TestNoHandOverToUnfit(t *testing.T) {
-	for _, unfit := range []bool{false, true} {
-		c, l := leading(active)
+// The lead isn't handed to a node of the better zone that calls itself disconnected.
+func TestNoHandOverToDisconnected(t *testing.T) {
+	for _, disconnected := range []bool{false, true} {
+		c, l := leading(phaseActive)
 		c.cfg.Zone = "b"
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		c.election.prefer = "a"
+		c.election.preferredZone = "a"
 		c.now = c.now.Add(time.Minute)
 		for i := range 5 {
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
 			m.registered, m.lastSeen = true, c.now
 		}
-		c.peers["n1"] = &peerView{at: c.now, storeOK: true, unfit: unfit}
+		c.peers["n1"] = &peerStatus{heardAt: c.now, storeReachable: true, disconnected: disconnected}
 		l.preferMajorityZone()
-		if stays := c.leader == l; stays != unfit {
-			t.Errorf("with the peer unfit %t the leader stays: %t", unfit, stays)
+		if stays := c.leader == l; stays != disconnected {
+			t.Errorf("with the peer disconnected %t the leader stays: %t", disconnected, stays)
 		}
 	}
 }
@@ -103,9 +103,9 @@
 // A leader whose calls to nearly all workers fail doesn't wait for their reports before it
 // gives way: with two such nodes in a row the workers' leases were over.
 func TestLeaderThatReachesNobodyGivesWaySoon(t *testing.T) {
-	c, l := leading(settling)
+	c, l := leading(phaseReconciling)
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	c.peers["n1"] = &peerView{at: c.now, storeOK: true}
+	c.peers["n1"] = &peerStatus{heardAt: c.now, storeReachable: true}
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
@@ -115,12 +115,12 @@
 		m.inherited, m.recorded, m.addr = true, true, "x"
 		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, stateSince: c.now})
 	}
-	l.phase, l.loadedAt, l.settled = active, c.now, c.now
+	l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
 	begin := c.now
 	c.take()
 	for c.leader == l && c.now.Sub(begin) < 15*time.Second {
 		c.now = c.now.Add(detectorInterval)
-		c.peers["n1"].at = c.now
+		c.peers["n1"].heardAt = c.now
 		l.detectFailures()
 		for _, call := range c.take().Calls {
 			if call.To == Worker {
--- a/internal/coordination/leave.go
+++ b/internal/coordination/drain_controller.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// leaveStep is how often a controller that is to be drained looks whether it can give more
-// up, and leavePause how long it doesn't stand for election after it gave the lead up.
+// drainInterval is how often a controller that is to be drained looks whether it can give more
+// up, and drainCampaignPause how long it doesn't stand for election after it gave the lead up.
 const (
-	leaveStep  = 200 * time.Millisecond
-	leavePause = 20 * time.Second
+	drainInterval      = 200 * time.Millisecond
+	drainCampaignPause = 20 * time.Second
 )
 
 // Drain lets the controller give up what it has before a planned end: its shards move to
@@ -16,7 +16,7 @@
 	c.now = now
 	if !c.draining {
 		c.draining = true
-		c.log.Info("draining this controller")
+		c.log.Info("controller drain started")
 		if c.sharding != nil {
 			c.sharding.drain()
 		}
@@ -33,16 +33,16 @@
 // drainStep gives up the lead once there is nothing else to give up.
 func (c *Controller) drainStep() {
 	servesShards := c.sharding != nil && c.sharding.own != nil && len(c.sharding.own.held) > 0
-	if c.leader != nil && !servesShards && !c.storeDown() && c.fitPeer() {
-		c.resign("this controller is drained", leavePause)
+	if c.leader != nil && !servesShards && !c.storeDown() && c.eligiblePeer() {
+		c.resign("controller drained", drainCampaignPause)
 	}
-	c.after(leaveStep, c.drainStep)
+	c.after(drainInterval, c.drainStep)
 }
 
-// fitPeer reports whether a peer was heard lately that may lead.
-func (c *Controller) fitPeer() bool {
+// eligiblePeer reports whether a peer was heard lately that may lead.
+func (c *Controller) eligiblePeer() bool {
 	for _, p := range c.peers {
-		if p.storeOK && !p.unfit && c.now.Sub(p.at) < 2500*time.Millisecond {
+		if p.storeReachable && !p.disconnected && c.now.Sub(p.heardAt) < 2500*time.Millisecond {
 			return true
 		}
 	}
@@ -53,17 +53,17 @@
 func (s *sharding) drain() {
 	s.draining = true
 	if s.own != nil {
-		s.tellDraining(s.own)
+		s.recordDraining(s.own)
 	}
 }
 
-// tellDraining lets the member's record say that it drains, however often it must be written.
-func (s *sharding) tellDraining(own *shardOwner) {
+// recordDraining lets the member's record say that it drains, however often it must be written.
+func (s *sharding) recordDraining(own *shardOwner) {
 	s.writeMember(own, func(applied bool) {
 		if !applied {
 			s.controller.after(300*time.Millisecond, func() {
 				if s.own == own {
-					s.tellDraining(own)
+					s.recordDraining(own)
 				}
 			})
 		}
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -16,10 +16,10 @@
 func (l *leader) detectFailures() {
 	c := l.controller
 	stalled := l.stalled()
-	if l.phase == settling && l.shards == nil && c.now.Sub(l.loadedAt) > askAfter {
+	if l.phase == phaseReconciling && l.shards == nil && c.now.Sub(l.loadedAt) > probeAfter {
 		l.probeUnreached()
 	}
-	if l.phase != active {
+	if l.phase != phaseActive {
 		return
 	}
 	if stalled || c.storeDown() || !l.holdsLease() {
@@ -85,7 +85,7 @@
 		}
 		// It ran tasks for an earlier leader. Those that were asked since the records
 		// were read have been silent since then.
-		since = l.settled
+		since = l.reconciledAt
 		if m.failedProbes >= 3 {
 			since = l.loadedAt
 		}
@@ -154,12 +154,12 @@
 // before the third led.
 func (l *leader) resignIfDisconnected(s *fleetReachability) bool {
 	c := l.controller
-	if s.registered > 2 && s.unreachable*2 > s.registered && c.now.Sub(l.settled) > 2*time.Second && c.resignUnfit("most machines are out of reach") {
+	if s.registered > 2 && s.unreachable*2 > s.registered && c.now.Sub(l.reconciledAt) > 2*time.Second && c.resignDisconnected("most machines are out of reach") {
 		return true
 	}
 	unheard := s.inherited > 2 && s.inheritedRegistered*3 < s.inherited
 	waited := s.inheritedUnreachable*3 > s.inherited*2 || c.now.Sub(l.loadedAt) > l.registrationTimeout()
-	return unheard && waited && c.resignUnfit("few machines are heard")
+	return unheard && waited && c.resignDisconnected("few machines are heard")
 }
 
 // releaseUnresponsive returns silent machines, but for those whose zone is rather cut off, and those
@@ -171,7 +171,7 @@
 		if l.serves(m) {
 			l.terminateExpired(m)
 		}
-		quiet := c.now.Sub(latest(m.lastSeen, m.lastReached, l.detectorResetAt, l.elected))
+		quiet := c.now.Sub(latest(m.lastSeen, m.lastReached, l.detectorResetAt, l.electedAt))
 		if s.groups[l.failureDomain(m)].partitioned() && quiet <= c.cfg.WorkerLease {
 			continue
 		}
--- a/internal/coordination/forms_test.go
+++ b/internal/coordination/forms_test.go
@@ -10,8 +10,8 @@
 // Lines between controllers are written as the versions before wrote them.
 func TestPeerLineForms(t *testing.T) {
 	golden.Check(t, []golden.Form{
-		{File: "peer_full.json", Value: &peerMessage{Node: "n1", StoreOK: true, Unfit: true, Blind: true, Term: 41,
-			Progress: map[string]jobProgress{"run-000001": {3, 4}, "run-000002": {}}, Done: map[string]int{"run-000003": 5}, Ended: map[string]int{"run-000004": 6}}},
+		{File: "peer_full.json", Value: &peerMessage{Node: "n1", StoreReachable: true, Disconnected: true, WorkersUnreachable: true, Term: 41,
+			Progress: map[string]jobProgress{"run-000001": {3, 4}, "run-000002": {}}, Done: map[string]int{"run-000003": 5}, Cancelled: map[string]int{"run-000004": 6}}},
 		{File: "peer_least.json", Value: &peerMessage{}},
 		{File: "shard_instructions.json", Value: &shardLine{Node: "n1", Instructions: &shard.Instructions{Gone: []string{"vm-1"}}}},
 		{File: "shard_observations.json", Value: &shardLine{Node: "n1", Observations: &shard.Observations{Strays: []shard.Task{{Machine: "vm-1"}}}}},
--- a/internal/coordination/groups_test.go
+++ b/internal/coordination/groups_test.go
@@ -42,7 +42,7 @@
 
 // names are the machines that a next leader would load.
 func names(kept map[string]json.RawMessage) []string {
-	_, l := leading(loading)
+	_, l := leading(phaseLoading)
 	for key, value := range kept {
 		l.loadGroup(protocol.Item{Key: key, Value: value})
 	}
@@ -61,7 +61,7 @@
 // record are at any time at least the machines that aren't proven gone: with a write
 // for each machine, the first placements waited four seconds behind them.
 func TestMachinesShareRecords(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	kept := map[string]json.RawMessage{}
 	const count = 320
 	for i := range count {
@@ -107,22 +107,22 @@
 // The address of a machine that has come up is on record, so that the next leader can
 // ask it while the cloud's list can't be had.
 func TestAddressesAreRecorded(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	kept := map[string]json.RawMessage{}
 	l.journal.putMachine(l.newMachine("vm-1", "small", "a", false))
 	groupRecords(c, kept)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(4))
 	c.now = c.now.Add(groupDelay + time.Second)
 	groupRecords(c, kept)
-	next, leader := leading(loading)
+	next, leader := leading(phaseLoading)
 	for key, value := range kept {
 		leader.loadGroup(protocol.Item{Key: key, Value: value})
 	}
 	if got := leader.machines["vm-1"]; got == nil || got.addr != "x" {
 		t.Fatalf("loaded %+v", got)
 	}
-	leader.settle()
-	next.now = next.now.Add(2 * askAfter)
+	leader.startReconciling()
+	next.now = next.now.Add(2 * probeAfter)
 	leader.detectFailures()
 	asked := false
 	for _, call := range next.take().Calls {
@@ -135,7 +135,7 @@
 
 // A record from before machines shared them is understood.
 func TestLoadsSingleMachine(t *testing.T) {
-	_, l := leading(loading)
+	_, l := leading(phaseLoading)
 	l.loadGroup(protocol.Item{Key: records.PrefixMachines + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
 	if m := l.machines["vm-7"]; m == nil || !m.Spot || m.Type != "small" || !m.recorded {
 		t.Errorf("loaded %+v", m)
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -37,7 +37,7 @@
 // the record is the one it knows: each alone keeps a late copy of the transaction, a
 // cancellation that came first, or an older write of its own from doing harm.
 func TestRecordsAreConditional(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
@@ -53,7 +53,7 @@
 		}
 	}
 	// So does the outcome: whoever writes it first decides.
-	c, l = leading(active)
+	c, l = leading(phaseActive)
 	j, _ = running(c, l, 4)
 	l.journal.puts = nil
 	l.taskDone(j, 0)
@@ -66,7 +66,7 @@
 // A direct start without an answer may be carried out late. That the worker lacks it is
 // proof only under a token above that of the start; until then it counts for its team.
 func TestUnansweredStartIsFenced(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
@@ -92,7 +92,7 @@
 // Work that was told to stop counts for its team's limit, and for its job's zones, until
 // it is proven gone: its machine may hang, or be cut off.
 func TestStoppedWorkCounts(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	s := spec("run-000001")
 	s.Tasks, s.CPUs, s.OneZone = 2, 8, true
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: s})
@@ -118,7 +118,7 @@
 // A task is placed only on a machine that is on record: the next leader finds attempts by
 // their machines, and takes those on others for gone.
 func TestWorkOnlyOnRecordedMachines(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
@@ -135,7 +135,7 @@
 // A leader whose lease may have ended places nothing, and after its grace it answers no
 // worker, whatever it knows: another may lead, and wait for the end of that grace only.
 func TestRightsEndWithTheLease(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
@@ -160,11 +160,11 @@
 // A candidate is elected only while nobody leads and in the term after the one it read, and
 // its key goes with its lease: a transaction that is carried out late elects nobody.
 func TestElectionIsConditional(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.leader = nil
 	c.take()
 	c.election.term, c.election.termVersion = 4, 33
-	c.stand()
+	c.campaign()
 	var lease uint64
 	for _, call := range c.take().Calls {
 		if call.Target == protocol.PathLeases {
@@ -188,7 +188,7 @@
 // never. A response of the worker's may be older than that answer, and so may prove
 // nothing by lacking the task; the next report does, and the start is sent once more.
 func TestStartInAnswer(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
@@ -211,7 +211,7 @@
 
 // A leader that a worker shows a later term's token answers nobody any more.
 func TestLaterTermEndsLeadership(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 4, Token: (l.term + 1) << 16})
 	if e := c.Request(c.now, 1, "POST", protocol.PathReport, body); e.Replies[0].Status != 421 || c.leader != nil {
 		t.Errorf("got %d, leads %t", e.Replies[0].Status, c.leader != nil)
@@ -223,7 +223,7 @@
 // it then falls silent its tasks go on until that lease is over. Counted from the last
 // answer, in a session before, they were taken for ended and started elsewhere meanwhile.
 func TestSessionHasItsWholeLease(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	m := l.machines["vm-1"]
 	answered := m.lastAnswered
--- a/internal/coordination/journal.go
+++ b/internal/coordination/journal.go
@@ -137,7 +137,7 @@
 // under way, and the budget allows.
 func (g *journal) flush() {
 	l, c := g.l, g.l.controller
-	if g.busy || !l.alive() || l.phase == loading {
+	if g.busy || !l.alive() || l.phase == phaseLoading {
 		return
 	}
 	if c.now.Before(g.pause) {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -9,39 +9,39 @@
 	"brasskeel/internal/protocol"
 )
 
-// phase is how far a new leader has come.
-type phase uint8
+// recoveryPhase is how far a new leader has come.
+type recoveryPhase uint8
 
 const (
-	loading  phase = iota + 1 // reads the records
-	settling                  // waits for every worker's report before placing
-	active
+	phaseLoading     recoveryPhase = iota + 1 // reads the records
+	phaseReconciling                          // waits for every worker's report before placing
+	phaseActive
 )
 
-// askAfter is how long a new leader lets workers come by themselves before it
+// probeAfter is how long a new leader lets workers come by themselves before it
 // asks them. They find it when their next report is due, or later; those that an
 // earlier leader without the state service still answers come only after its grace.
 const (
-	askAfter = 50 * time.Millisecond
-	askTwice = 2 // times without an answer, and the leader waits no longer for it
+	probeAfter       = 50 * time.Millisecond
+	maxProbeFailures = 2 // times without an answer, and the leader waits no longer for it
 )
 
 // leader is what a leader keeps in memory. All of it is rebuilt from the state
 // service and from reports by the next one. It serves all workers itself, as their owner.
 type leader struct {
 	workerSessions
-	epoch    ownershipEpoch // of all machines
-	term     uint64
-	version  uint64    // of the leader key; every write of ours demands it
-	loadedAt time.Time // when the records were read
-	muted    bool      // the grace beyond its lease is over
-	elected  time.Time
-	phase    phase
-	settled  time.Time
+	epoch        ownershipEpoch // of all machines
+	term         uint64
+	version      uint64    // of the leader key; every write of ours demands it
+	loadedAt     time.Time // when the records were read
+	fenced       bool      // the grace beyond its lease is over
+	electedAt    time.Time
+	phase        recoveryPhase
+	reconciledAt time.Time
 
 	jobsByAge []*job // by submission
-	// tellNext is the place in order of the job whose progress peers are told next.
-	tellNext           int
+	// nextBroadcast is the place in order of the job whose progress peers are told next.
+	nextBroadcast      int
 	teamUsage          map[string]*usage
 	estimateCorrection map[string]float64   // of estimates, by class
 	stopping           map[string]usage     // of the teams' work, what was told to stop
@@ -52,20 +52,20 @@
 	ceilingPolicy      *balance.CeilingPolicy // of the job whose turn it is; nil without
 	shards             *shardLeader           // nil when this leader serves all machines itself
 
-	pendingLog         changeThrottle // to operators, of work that waits
-	preferred          string         // zone last recorded as the better one for leaders
-	placementRequested bool
-	checkAsked         bool
-	accepting          []*machine                        // that took tasks at the start of the round
-	withRoom           []*machine                        // of them, those with room for the smallest task that waits
-	acceptingZones     []string                          // of the opened machines
-	candidateBuffer    []candidate                       // reused by every job's turn
-	unplaceable        []placement.Shape                 // found no machine with room in this round
-	victimSearches     map[victimSearchKey]*victimSearch // for work to stop, in this round
-	victimBuffer       []*attempt                        // reused by every look at a machine's work
-	examined           int                               // machines looked at in this round
-	examineLimit       int                               // how many it may look at
-	imageIDs           map[string]placement.ImageID
+	pendingLog            changeThrottle // to operators, of work that waits
+	requestedZone         string         // zone last recorded as the better one for leaders
+	placementRequested    bool
+	reconcileCheckPending bool
+	accepting             []*machine                        // that took tasks at the start of the round
+	withRoom              []*machine                        // of them, those with room for the smallest task that waits
+	acceptingZones        []string                          // of the opened machines
+	candidateBuffer       []candidate                       // reused by every job's turn
+	unplaceable           []placement.Shape                 // found no machine with room in this round
+	victimSearches        map[victimSearchKey]*victimSearch // for work to stop, in this round
+	victimBuffer          []*attempt                        // reused by every look at a machine's work
+	examined              int                               // machines looked at in this round
+	examineLimit          int                               // how many it may look at
+	imageIDs              map[string]placement.ImageID
 }
 
 // usage is what a team's attempts take, those not proven gone included.
@@ -106,7 +106,7 @@
 	heldTimerSet  bool   // the end of that wait has a timer
 	exceededSurge uint64 // surge in which they may go above it
 
-	progressTold bool // peers were told of tasks that run or are done
+	progressBroadcast bool // peers were told of tasks that run or are done
 
 	// held are the attempts that a shard's owner holds; a leader has them in chunks.
 	held map[*attempt]struct{}
@@ -173,7 +173,7 @@
 }
 
 func (c *Controller) becomeLeader(term, version, leaseID uint64, ttl time.Duration, validUntil time.Time) {
-	l := &leader{workerSessions: newWorkerSessions(c, lease{leaseID, ttl, validUntil}), term: term, version: version, elected: c.now, phase: loading,
+	l := &leader{workerSessions: newWorkerSessions(c, lease{leaseID, ttl, validUntil}), term: term, version: version, electedAt: c.now, phase: phaseLoading,
 		teamUsage: map[string]*usage{}, stopping: map[string]usage{}, estimateCorrection: map[string]float64{},
 		terminated: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, victimSearches: map[victimSearchKey]*victimSearch{}, examineLimit: baseExamineLimit}
 	for name := range c.teams {
@@ -193,8 +193,8 @@
 		l.shards = newShardLeader(l, c.sharding, c.op.Sharding == nil)
 	}
 	c.leader = l
-	c.log.Info("leading", "term", term)
-	c.publish()
+	c.log.Info("became leader", "term", term)
+	c.broadcastStatus()
 	l.renew()
 	l.load()
 	l.every(detectorInterval, l.detectFailures)
@@ -208,15 +208,15 @@
 // requestPlacement wants the placement to run soon. A short delay lets what happens
 // together be placed together.
 func (l *leader) requestPlacement() {
-	if l.placementRequested || l.phase != active {
+	if l.placementRequested || l.phase != phaseActive {
 		return
 	}
 	l.placementRequested = true
 	// The dearer the last round was, the longer until the next, so that rounds take
 	// no more than about half of a small share of a processor.
 	delay := 8*time.Millisecond + time.Duration(len(l.jobsByAge))*20*time.Microsecond + time.Duration(l.examined)*pausePerExamined
-	if l.controller.behind() {
-		delay += l.controller.lag / 2
+	if l.controller.lagging() {
+		delay += l.controller.schedulingLag / 2
 	}
 	l.controller.after(delay, func() {
 		if l.alive() {
@@ -226,9 +226,9 @@
 	})
 }
 
-// settleStep runs at the end of each step: it sends what the step left to be
+// finishStep runs at the end of each step: it sends what the step left to be
 // written and ordered.
-func (l *leader) settleStep() {
+func (l *leader) finishStep() {
 	l.journal.flush()
 	l.flushOrders()
 }
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -114,8 +114,8 @@
 // minOpenRequests is allowed to wait however small the state service is.
 const minOpenRequests = 400
 
-// maxHeld bounds the reports that are held for a leader: each takes a socket.
-func (c *Controller) maxHeld() int { return c.cfg.Sockets / 2 }
+// maxDeferredHeartbeats bounds the reports that are held for a leader: each takes a socket.
+func (c *Controller) maxDeferredHeartbeats() int { return c.cfg.Sockets / 2 }
 
 // maxUnsaved bounds the placements that wait to be recorded, so that one round keeps
 // nothing else waiting for long: two transactions full of chunk records, and as many as
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -28,11 +28,11 @@
 
 // tellPeer hands a turn of a leader's lines to a follower, and reports the longest one.
 func tellPeer(c, f *Controller) (longest int) {
-	c.out = Effects{}
-	c.publish()
-	for _, p := range c.take().Publishes {
+	c.effects = Effects{}
+	c.broadcastStatus()
+	for _, p := range c.take().Broadcasts {
 		longest = max(longest, len(p.Body))
-		f.Peer(c.now, p.Body)
+		f.PeerMessage(c.now, p.Body)
 	}
 	return longest
 }
@@ -48,7 +48,7 @@
 	}
 	f := follower(c)
 	for turn := range 3 {
-		if longest := tellPeer(c, f); longest > MaxPeerLine {
+		if longest := tellPeer(c, f); longest > MaxPeerMessage {
 			t.Fatalf("turn %d: a line of %d bytes", turn, longest)
 		}
 	}
@@ -70,7 +70,7 @@
 // Thousands of jobs that end within a second are told to peers within seconds, each at
 // least once: 500 of them were told a second, and what came beyond 5,000 was dropped.
 func TestManyFinalStatesAreTold(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.cfg.StateWriteRPS = 1000
 	c.admission.maxUnannounced = c.maxUnannounced()
 	const jobs = 12_000
@@ -79,7 +79,7 @@
 	}
 	f := follower(c)
 	for range 5 {
-		if longest := tellPeer(c, f); longest > MaxPeerLine {
+		if longest := tellPeer(c, f); longest > MaxPeerMessage {
 			t.Fatalf("a line of %d bytes", longest)
 		}
 	}
@@ -106,7 +106,7 @@
 
 // readList lets a leader read a list of machines once, refusing one call in every refuse.
 func readList(c *Controller, l *leader, count, refuse int) (calls int) {
-	c.out = Effects{}
+	c.effects = Effects{}
 	l.readInventory()
 	for range 10_000 {
 		e := c.take()
@@ -119,14 +119,14 @@
 			if refuse > 0 && calls%refuse == 0 {
 				o = Outcome{Answered: true, Status: 429}
 			}
-			c.out.Calls = append(c.out.Calls, c.Result(c.now, call.ID, o).Calls...)
+			c.effects.Calls = append(c.effects.Calls, c.Result(c.now, call.ID, o).Calls...)
 		}
 		if !l.autoscaler.inventoryInFlight {
 			return calls
 		}
-		if len(c.out.Calls) == 0 {
+		if len(c.effects.Calls) == 0 {
 			c.now = c.now.Add(100 * time.Millisecond)
-			c.out.Calls = append(c.out.Calls, c.Tick(c.now).Calls...)
+			c.effects.Calls = append(c.effects.Calls, c.Tick(c.now).Calls...)
 		}
 	}
 	return calls
@@ -137,7 +137,7 @@
 // one refused page cost all before it.
 func TestLongListsAreReadToTheEnd(t *testing.T) {
 	const count = 25_000
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	last := l.newMachine(fmt.Sprintf("vm-%06d", count-1), "small", "a", false)
 	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
 	l.autoscaler.callBudget = records.NewBudget(1000, 1000, c.now)
@@ -167,7 +167,7 @@
 
 // A list that repeats its pages isn't read without end.
 func TestEndlessListIsGivenUp(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	l.readInventory()
 	again := protocol.EncodeList([]protocol.ListedMachine{{Name: "vm-000001", Type: "small", Zone: "a", State: protocol.Up}}, true)
 	calls := 0
@@ -175,11 +175,11 @@
 		for _, call := range c.take().Calls {
 			if call.To == Cloud {
 				calls++
-				c.out.Calls = append(c.out.Calls, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: again}).Calls...)
+				c.effects.Calls = append(c.effects.Calls, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: again}).Calls...)
 			}
 		}
 		c.now = c.now.Add(100 * time.Millisecond)
-		c.out.Calls = append(c.out.Calls, c.Tick(c.now).Calls...)
+		c.effects.Calls = append(c.effects.Calls, c.Tick(c.now).Calls...)
 	}
 	if calls > 4 || l.autoscaler.inventoryComplete {
 		t.Errorf("%d calls, taken for read: %t", calls, l.autoscaler.inventoryComplete)
@@ -277,7 +277,7 @@
 // What may wait follows the state service and the sockets: 400 requests were fewer than the
 // polls of a large fleet's users within a second.
 func TestWaitingFollowsSettings(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 16, 15_000
 	for i := range 2000 {
 		c.Request(c.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
@@ -293,7 +293,7 @@
 
 // A check of polls fits a transaction's 64 KiB however many changes one takes.
 func TestChecksFitTransactions(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 4096, 15_000
 	for i := range 5000 {
 		c.admission.queries = append(c.admission.queries, statusQuery{uint64(i), fmt.Sprintf("run-%018d", i)})
@@ -308,19 +308,19 @@
 
 // Thousands of reports that are held are all answered, in the time that they are held for.
 func TestManyHeldReports(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.leader = nil
 	c.cfg.Sockets = 12_000
 	const reports = 6000
 	for i := range reports {
 		c.now = c.now.Add(100 * time.Microsecond)
-		c.holdForLeader(uint64(i+1), nil)
+		c.deferHeartbeat(uint64(i+1), nil)
 	}
 	if e := c.holdOne(reports + 1); len(e) != 1 || c.limits.total[limitHeldReports] != 1 {
 		t.Errorf("one beyond the bound: %d answers", len(e))
 	}
 	answered := 0
-	for end := c.now.Add(holdReport); !c.now.After(end); c.now = c.now.Add(20 * time.Millisecond) {
+	for end := c.now.Add(maxHeartbeatDeferral); !c.now.After(end); c.now = c.now.Add(20 * time.Millisecond) {
 		answered += len(c.Tick(c.now).Replies)
 	}
 	if answered != reports {
@@ -330,15 +330,15 @@
 
 // holdOne holds a report and gives what is answered at once.
 func (c *Controller) holdOne(id uint64) []Reply {
-	c.out = Effects{}
-	c.holdForLeader(id, nil)
+	c.effects = Effects{}
+	c.deferHeartbeat(id, nil)
 	return c.take().Replies
 }
 
 // A leader renews its lease between the records of a large fleet: taken in one step, they
 // kept a small share of a processor from it for longer than the lease.
 func TestRecordsAreTakenInSteps(t *testing.T) {
-	c, l := leading(loading)
+	c, l := leading(phaseLoading)
 	r := fleetRecords(1000)
 	var machines, chunks []protocol.Item
 	for key, it := range r.items {
@@ -353,11 +353,11 @@
 	}
 	l.takeRecords(machines, chunks)
 	steps := 1
-	for l.phase == loading && steps < 1000 {
+	for l.phase == phaseLoading && steps < 1000 {
 		c.Tick(c.now.Add(chunksPause))
 		steps++
 	}
-	if steps < 5 || l.phase != settling {
+	if steps < 5 || l.phase != phaseReconciling {
 		t.Errorf("%d records in %d steps, phase %d", len(chunks), steps, l.phase)
 	}
 }
@@ -374,7 +374,7 @@
 	rented := func() (count int) {
 		l.autoscaler.callBudget = records.NewBudget(1000, 1000, c.now)
 		clear(l.autoscaler.requested)
-		c.out = Effects{}
+		c.effects = Effects{}
 		l.scaleOut()
 		for _, call := range c.take().Calls {
 			if call.To == Cloud {
@@ -404,7 +404,7 @@
 	if got := rented(); got < 50 || got > 100 {
 		t.Errorf("%d rented once they were up", got)
 	}
-	c.lateAt, c.lateSince = c.now.Add(-time.Second), c.now.Add(-time.Second)
+	c.overloadedAt, c.overloadedSince = c.now.Add(-time.Second), c.now.Add(-time.Second)
 	if got := rented(); got != 0 || c.limits.total[limitServedMachines] == 0 {
 		t.Errorf("%d rented while timers are late", got)
 	}
@@ -416,17 +416,17 @@
 
 // A process that is late for seconds on end rents nothing, whatever its sockets.
 func TestStrainedProcessRentsNothing(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	start := c.now
 	for i := range 20 {
 		c.after(0, func() {})
-		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + lagLate + time.Millisecond))
+		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + lagOverloaded + time.Millisecond))
 	}
-	if !c.strained() || l.mayScaleOut() {
-		t.Errorf("strained: %t", c.strained())
+	if !c.persistentlyOverloaded() || l.mayScaleOut() {
+		t.Errorf("strained: %t", c.persistentlyOverloaded())
 	}
-	c.now = c.now.Add(lateGap + time.Second)
-	if c.strained() {
+	c.now = c.now.Add(overloadGap + time.Second)
+	if c.persistentlyOverloaded() {
 		t.Error("strained after it kept up")
 	}
 }
@@ -456,7 +456,7 @@
 
 // The adoption of a fleet is told of in a few lines.
 func TestBurstsOfLinesAreCounted(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	for i := range 4000 {
@@ -471,7 +471,7 @@
 
 // Bounds are told once in a while, with what is done.
 func TestBoundsAreTold(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	for range 100 {
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -64,7 +64,7 @@
 		l.loadChunk(it)
 	}
 	if now == len(chunks) {
-		l.settle()
+		l.startReconciling()
 		return
 	}
 	l.controller.after(chunksPause, func() {
@@ -74,15 +74,15 @@
 	})
 }
 
-func (l *leader) settle() {
+func (l *leader) startReconciling() {
 	c := l.controller
-	l.phase, l.loadedAt = settling, c.now
+	l.phase, l.loadedAt = phaseReconciling, c.now
 	l.loaded = true
 	wait := c.reconnectTime()
 	if len(l.machines) == 0 {
 		wait = c.cfg.ReportInterval / 2
 	}
-	l.settled = l.elected.Add(wait)
+	l.reconciledAt = l.electedAt.Add(wait)
 	for _, m := range l.fleetList {
 		if !m.recorded { // it reported while the records were read
 			l.journal.putMachine(m)
@@ -99,23 +99,23 @@
 		l.shardMachines()
 		l.shards.changed()
 	}
-	c.after(l.settled.Sub(c.now), l.activate)
+	c.after(l.reconciledAt.Sub(c.now), l.activate)
 }
 
 // activate ends the wait for reports.
 func (l *leader) activate() {
-	if !l.alive() || l.phase != settling {
+	if !l.alive() || l.phase != phaseReconciling {
 		return
 	}
-	l.phase = active
+	l.phase = phaseActive
 	l.probesNewWorkers = true
-	l.settled = l.controller.now
-	l.controller.log.Info("placing", "term", l.term, "after", l.controller.now.Sub(l.elected))
+	l.reconciledAt = l.controller.now
+	l.controller.log.Info("recovery complete", "term", l.term, "duration", l.controller.now.Sub(l.electedAt))
 	l.maintain()
 	l.requestPlacement()
 }
 
-// enoughHeard reports whether all but a few of the machines that should have told
+// enoughReconciled reports whether all but a few of the machines that should have told
 // their tasks and images have, or were asked and didn't answer, or aren't in the
 // cloud's list, so that they can't be asked. Among hundreds of machines a few are
 // always gone, and a part of a large fleet is taken out at once: placing goes on
@@ -123,7 +123,7 @@
 // are those that nothing of ours has reached yet: a report alone brings their tasks and
 // images, and waiting for a second one to show our token took a small share of a
 // processor half a second more.
-func (l *leader) enoughHeard() bool {
+func (l *leader) enoughReconciled() bool {
 	if len(l.fleetList) == 0 {
 		return false
 	}
@@ -136,16 +136,16 @@
 			continue
 		}
 		known++
-		if !m.reconciled && m.failedProbes < askTwice && !(listed && m.addr == "") && !l.nobodyTells(m) {
+		if !m.reconciled && m.failedProbes < maxProbeFailures && !(listed && m.addr == "") && !l.nobodyTells(m) {
 			missing++
 		}
 	}
-	return missing*mayMiss <= known
+	return missing*missingDivisor <= known
 }
 
-// mayMiss is the part of the machines that a new leader doesn't wait for, as a
+// missingDivisor is the part of the machines that a new leader doesn't wait for, as a
 // divisor.
-const mayMiss = 5
+const missingDivisor = 5
 
 // chunk gives the chunk that holds a task, made on first use: a job may have
 // a hundred thousand tasks of which few run at a time.
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -25,7 +25,7 @@
 		s.checkOutcomes(s.unfinished(), func() {
 			// Every outcome written before the list was asked for is known by now.
 			s.noteJobsKnown(asked)
-			s.controller.releaseHeld()
+			s.controller.resumeDeferred()
 			done(revision)
 		})
 	})
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -90,7 +90,7 @@
 		}
 	}
 	// Records are taken in steps with pauses between.
-	for c.leader.phase == loading && !c.Next().After(c.now.Add(chunksPause)) {
+	for c.leader.phase == phaseLoading && !c.Next().After(c.now.Add(chunksPause)) {
 		c.Tick(c.now.Add(chunksPause))
 	}
 	return c.leader
@@ -114,7 +114,7 @@
 // A new leader asks for the outcomes of unfinished jobs alone: outcomes are kept for
 // ever, and reading all of them made each election of a long-lived deployment longer.
 func TestLoadReadsOutcomesOfUnfinishedJobs(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	r := unfinishedJobs()
 	l := r.lead(c)
 	for _, key := range r.asked {
@@ -125,7 +125,7 @@
 	if len(l.jobs) != 3 || l.jobs["run-000002"].finalState != protocol.Cancelled || l.jobs["run-000001"].finalState != 0 {
 		t.Errorf("jobs %v", l.jobs)
 	}
-	if l.phase != settling || l.jobsKnownAt.IsZero() {
+	if l.phase != phaseReconciling || l.jobsKnownAt.IsZero() {
 		t.Errorf("phase %d, known %s", l.phase, l.jobsKnownAt)
 	}
 }
@@ -133,7 +133,7 @@
 // It knows nothing, and answers no worker, before each outcome is read: the answer could
 // renew the lease of a task whose job was cancelled.
 func TestLoadKnowsNothingBeforeOutcomes(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	r := unfinishedJobs()
 	r.hold = records.KeyOutcome("run-000002")
 	l := r.lead(c)
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -97,7 +97,7 @@
 func (l *leader) adoptMachine(name, typ, zone string, spot bool, age time.Duration) *machine {
 	m := l.newMachine(name, typ, zone, spot)
 	m.provisionedAt = l.controller.now.Add(-age)
-	if l.phase != loading { // else its record may be read yet
+	if l.phase != phaseLoading { // else its record may be read yet
 		l.controller.logSampled("unexpected machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
 		l.journal.putMachine(m)
 	}
@@ -111,13 +111,13 @@
 		return
 	}
 	l := c.leader
-	if (l == nil && c.leaderDoubtful() || l != nil && l.jobsKnownAt.IsZero()) && !c.storeDown() {
-		c.holdForLeader(id, body)
+	if (l == nil && c.leaderSuspect() || l != nil && l.jobsKnownAt.IsZero()) && !c.storeDown() {
+		c.deferHeartbeat(id, body)
 		return
 	}
 	if l == nil || !l.holdsLease() {
 		// Never 200 here: it would hold the worker while its lease runs out.
-		c.reply(id, 421, protocol.Redirect(c.leaderName()))
+		c.reply(id, 421, protocol.Redirect(c.otherLeader()))
 		return
 	}
 	r, err := protocol.ParseReport(body)
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machines_test.go
@@ -11,7 +11,7 @@
 )
 
 // leading makes a node that leads in the given phase, with nothing running.
-func leading(p phase) (*Controller, *leader) {
+func leading(p recoveryPhase) (*Controller, *leader) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	cfg := &config.Settings{Name: "n0", Zone: "a", ReportInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
 		CancelWithin: 40 * time.Second, CPUShare: 0.3, Sockets: 900, StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 4,
@@ -21,7 +21,7 @@
 		Boot: 10 * time.Second, Zones: []string{"a"}}})
 	c.becomeLeader(1, 10, 5, 2*time.Second, now.Add(time.Hour))
 	c.leader.phase, c.leader.jobsKnownAt = p, now.Add(time.Hour)
-	c.leader.loaded, c.leader.probesNewWorkers = p != loading, p == active
+	c.leader.loaded, c.leader.probesNewWorkers = p != phaseLoading, p == phaseActive
 	c.take()
 	return c, c.leader
 }
@@ -33,7 +33,7 @@
 // The answer to a report that a response of the worker's has overtaken renews
 // the worker's lease: not counting it would take the worker for dead too soon.
 func TestOvertakenReportRenewsLease(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	start := c.now
 	c.Request(start, 1, "POST", protocol.PathReport, report(4))
 	m := l.machines["vm-1"]
@@ -55,13 +55,13 @@
 // A machine that first reports while the records are read gets its own record
 // afterwards; without it nothing would ever be placed there.
 func TestMachineMetWhileLoadingIsRecorded(t *testing.T) {
-	c, l := leading(loading)
+	c, l := leading(phaseLoading)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(1))
 	m := l.machines["vm-1"]
 	if m == nil || len(l.journal.puts) != 0 {
 		t.Fatalf("machine %v, %d records to write while loading", m, len(l.journal.puts))
 	}
-	l.settle()
+	l.startReconciling()
 	if len(l.journal.puts) != 1 || l.journal.puts[0].machines[0] != m {
 		t.Errorf("%d machine records to write", len(l.journal.puts))
 	}
@@ -70,7 +70,7 @@
 // The score prefers the machine that holds the image, then the one with more
 // free room; one that is being emptied comes last.
 func TestBest(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.op.ImageWeight, c.op.RoomWeight = 1, 1
 	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemGB: 1, Image: "a", ImageGB: 1},
 		zones: map[string]int{}, failedMachines: map[string]struct{}{}, imageID: l.imageID("a")}
@@ -107,7 +107,7 @@
 // reach, less so the longer it waits. What is left of a late job may be small
 // and then isn't last.
 func TestWeight(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	wall := c.now
 	jobOf := func(tasks, done int, age time.Duration) *job {
 		return &job{Job: &protocol.Job{Class: "c", Kind: protocol.Batch, Tasks: tasks, CPUs: 1, Estimate: 10 * time.Second,
@@ -134,7 +134,7 @@
 // What a worker says in its reports, in order of arrival: only newer ones count,
 // copies that come late renew and prove nothing.
 func TestLateReports(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	id := uint64(0)
 	report := func(session, seq, token uint64) Reply {
 		id++
@@ -189,7 +189,7 @@
 // says nothing of the kind.
 func TestWorkerBeganAnew(t *testing.T) {
 	for _, lost := range []bool{true, false} {
-		c, l := leading(active)
+		c, l := leading(phaseActive)
 		m := l.newMachine("vm-1", "small", "a", false)
 		m.registered, m.recorded, m.addr, m.lastReached, m.incarnation, m.sequence = true, true, "x", c.now, 2, 50
 		if !lost {
@@ -218,7 +218,7 @@
 		{"refused", Outcome{Answered: true, Status: 503}, true},
 		{"unanswered", Outcome{}, false},
 	} {
-		c, l := leading(active)
+		c, l := leading(phaseActive)
 		m := l.newMachine("vm-1", "small", "a", false)
 		m.registered, m.recorded, m.addr, m.lastReached, m.incarnation, m.sequence = true, true, "x", c.now, 1, 50
 		c.take()
@@ -243,14 +243,14 @@
 // Without the cloud's list a new leader knows no addresses and can only wait for
 // reports: it doesn't place as if it had heard everybody.
 func TestSettlingWithoutTheCloud(t *testing.T) {
-	c, l := leading(settling)
+	c, l := leading(phaseReconciling)
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
 		m.inherited, m.provisionedAt = true, c.now.Add(-time.Hour)
 	}
 	l.readInventory()
 	c.Result(c.now, c.take().Calls[0].ID, Outcome{Answered: true, Status: 503})
-	if l.enoughHeard() {
+	if l.enoughReconciled() {
 		t.Error("nobody was heard and the list is unknown")
 	}
 	for i, m := range l.fleetList {
@@ -258,7 +258,7 @@
 			m.reconciled, m.lastReached = true, c.now
 		}
 	}
-	if !l.enoughHeard() {
+	if !l.enoughReconciled() {
 		t.Error("eight of ten were heard")
 	}
 }
@@ -267,7 +267,7 @@
 // new starts there, since its lease isn't renewed, and it is given up once that has
 // lasted for two leases.
 func TestMuteMachine(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(4))
 	m := l.machines["vm-1"]
 	m.recorded, m.Spec = true, c.types["small"]
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -46,7 +46,7 @@
 // known to work do when they fail there.
 func TestFaultyMachineOrFaultyJobs(t *testing.T) {
 	for _, works := range []bool{false, true} {
-		c, l := leading(active)
+		c, l := leading(phaseActive)
 		m := addTestMachine(l, "vm-1", true)
 		addTestMachine(l, "vm-2", true)
 		for i := range 5 {
@@ -72,7 +72,7 @@
 // A job that fails everywhere is tried with one task at a time, ever more slowly, and
 // all of it once a task runs for a while.
 func TestTrialOfFailingJob(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	l.teamUsage["red"] = &usage{}
 	c.teams["red"].CPUsMax = 100
 	j := addTestJob(l, "run-000001", func(*protocol.Job) {})
@@ -115,7 +115,7 @@
 // Replicas that faulty machines ended are started again although others of their job
 // run: a service is never done, and what failed in its long life doesn't add up.
 func TestServiceIsNoTrial(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.teamUsage["red"] = &usage{}
 	for i := range 8 {
@@ -152,7 +152,7 @@
 // given up soon. A new leader doesn't judge machines that may have been up for long.
 func TestLateBoots(t *testing.T) {
 	count := func(late, came int, inherited bool) (*Controller, *leader) {
-		c, l := leading(active)
+		c, l := leading(phaseActive)
 		c.teams["red"].CPUsMax = 1000
 		l.loadedAt = c.now
 		for i := range late {
@@ -196,7 +196,7 @@
 // However many users ask, a node asks the state service a bounded number of times, and
 // what another node has told it to be over costs nothing.
 func TestPollsShareChecks(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.stepDown("test")
 	c.take()
 	checks, answered := 0, 0
@@ -230,7 +230,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Peer(c.now, raw)
+	c.PeerMessage(c.now, raw)
 	e := c.Request(c.now, 9999, "GET", protocol.PathJobs+"/run-000999", nil)
 	if len(e.Calls) != 0 || len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Errorf("a job that a peer has told to be done: %+v", e)
@@ -239,7 +239,7 @@
 
 // Each job that comes leaves the leader's own records a change less.
 func TestSubmissionsCount(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	before := l.journal.budget.Available(c.now)
 	record := records.Encode(records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
 	l.jobKey(records.KeyActive(benchJob(2).ID), record, true)
@@ -251,7 +251,7 @@
 // Submissions that come together share a transaction; one that is known already doesn't
 // keep the others from being accepted.
 func TestSubmissionsShareTransactions(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.take()
 	var calls []Call
 	for i := range 5 {
@@ -281,7 +281,7 @@
 // Teams without a guarantee don't have dear machines rented, but one to begin on once
 // they have waited for long.
 func TestGuestsPay(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 	l.teamUsage["guest"] = &usage{}
 	guest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Team = "guest" })
@@ -322,7 +322,7 @@
 		spot   bool
 		leaves bool
 	}{{"guest", false, true}, {"guest", true, false}, {"red", false, false}} {
-		c, l := leading(active)
+		c, l := leading(phaseActive)
 		c.teams["red"].CPUsMax = 100
 		c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 		l.teamUsage["guest"], l.teamUsage["red"] = &usage{}, &usage{}
@@ -357,7 +357,7 @@
 // Why work waits is told at level info: when it changes and from time to time, and no
 // more often.
 func TestWaitsAreTold(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	c.teams["red"].CPUsMax = 4
@@ -393,7 +393,7 @@
 // A large task finds room although small ones would take each bit that frees: a machine
 // is kept for it once its job has waited for too long.
 func TestOverdueJobGetsRoom(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.teamUsage["red"] = &usage{}
 	m := addTestMachine(l, "vm-1", true)
@@ -417,7 +417,7 @@
 // A leader that is late starts what is critical and leaves the rest for later; once it
 // has lost its lease for that, it asks for a longer one.
 func TestLateLeader(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.teamUsage["red"] = &usage{}
 	for i := range 4 {
@@ -425,25 +425,25 @@
 	}
 	rest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks = 12 })
 	critical := addTestJob(l, "run-000002", func(j *protocol.Job) { j.Tasks, j.Priority = 2, protocol.Critical })
-	c.lag = 2 * lagLate
+	c.schedulingLag = 2 * lagOverloaded
 	l.runPlacementRound()
 	if critical.liveAttempts != 2 || rest.liveAttempts != 0 {
 		t.Errorf("while late: %d critical tasks and %d others placed", critical.liveAttempts, rest.liveAttempts)
 	}
-	c.lag = 0
+	c.schedulingLag = 0
 	l.runPlacementRound()
 	if rest.liveAttempts != 12 {
 		t.Errorf("%d of 12 tasks placed once it isn't late", rest.liveAttempts)
 	}
 	base := c.op.LeaderLease()
-	c.lateAt = c.now
+	c.overloadedAt = c.now
 	c.stepDown("test")
-	c.election.changes = nil
-	if got := c.leaseTime(); got != 4*base {
+	c.election.leaderChanges = nil
+	if got := c.campaignLeaseTTL(); got != 4*base {
 		t.Errorf("after a lease lost for being late %s, want %s", got, 4*base)
 	}
-	c.now = c.now.Add(lostCounts)
-	if got := c.leaseTime(); got != base {
-		t.Errorf("after %s %s, want %s", lostCounts, got, base)
+	c.now = c.now.Add(overloadLossWindow)
+	if got := c.campaignLeaseTTL(); got != base {
+		t.Errorf("after %s %s, want %s", overloadLossWindow, got, base)
 	}
 }
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -12,21 +12,21 @@
 // Leaders of a large fleet that lost a short lease for being busy left the same
 // work to the next one, and none ever got through with it.
 func TestLeaseGrowsWithChanges(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	base := c.op.LeaderLease()
 	c.stepDown("test")
-	c.election.changes = nil
-	if got := c.leaseTime(); got != base {
+	c.election.leaderChanges = nil
+	if got := c.campaignLeaseTTL(); got != base {
 		t.Errorf("after a calm time %s, want %s", got, base)
 	}
 	for i, want := range []time.Duration{2 * base, 2 * base, 4 * base, 4 * base} {
-		c.noteChange()
-		if got := c.leaseTime(); got != want {
+		c.noteLeaderChange()
+		if got := c.campaignLeaseTTL(); got != want {
 			t.Errorf("after %d changes %s, want %s", i+1, got, want)
 		}
 	}
-	c.now = c.now.Add(changesCount + time.Second)
-	if got := c.leaseTime(); got != base {
+	c.now = c.now.Add(leaderChangeWindow + time.Second)
+	if got := c.campaignLeaseTTL(); got != base {
 		t.Errorf("after a calm time again %s, want %s", got, base)
 	}
 	// The longer a leader's lease, the shorter its grace: together with a worker's
@@ -45,9 +45,9 @@
 func TestProbesArePaced(t *testing.T) {
 	_, l := largeLead(overloadMachines, 0)
 	for turn := range 1 + probeBatchDivisor {
-		before := len(l.controller.out.Calls)
+		before := len(l.controller.effects.Calls)
 		l.probeBatch(l.fleetList)
-		if asked := len(l.controller.out.Calls) - before; asked > overloadMachines/probeBatchDivisor {
+		if asked := len(l.controller.effects.Calls) - before; asked > overloadMachines/probeBatchDivisor {
 			t.Fatalf("turn %d: %d machines asked at once", turn, asked)
 		}
 	}
@@ -60,9 +60,9 @@
 
 // A node that is far behind sends away users who only ask, and serves the rest.
 func TestFarBehindShedsPolls(t *testing.T) {
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.admission.rememberAccepted("run-000001")
-	c.lag = 2 * lagFar
+	c.schedulingLag = 2 * lagShedsQueries
 	e := c.Request(c.now, 1, "GET", protocol.PathJobs+"/run-000001", nil)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 503 || e.Replies[0].RetryAfter == 0 {
 		t.Errorf("a poll: %+v", e.Replies)
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -8,15 +8,15 @@
 	"brasskeel/internal/protocol"
 )
 
-// peerView is what a peer last told of itself.
-type peerView struct {
-	at       time.Time
-	storeOK  bool
-	unfit    bool   // it led lately and reached too few machines
-	blind    bool   // it lately lost most of the workers that it served
-	term     uint64 // of a leader
-	progress map[string]heardProgress
-	pruned   time.Time // when old progress was last dropped
+// peerStatus is what a peer last told of itself.
+type peerStatus struct {
+	heardAt            time.Time
+	storeReachable     bool
+	disconnected       bool   // it led lately and reached too few machines
+	workersUnreachable bool   // it lately lost most of the workers that it served
+	term               uint64 // of a leader
+	progress           map[string]receivedProgress
+	prunedAt           time.Time // when old progress was last dropped
 }
 
 // peerMessage is what controllers tell one another. None of it is needed for
@@ -24,36 +24,36 @@
 // by who wrote them: they are created once and never overwritten, so they may be
 // passed on to users like one's own, however late they come.
 type peerMessage struct {
-	Node     string                 `json:"node"`
-	StoreOK  bool                   `json:"storeOK"`
-	Unfit    bool                   `json:"unfit,omitempty"`
-	Blind    bool                   `json:"blind,omitempty"`     // of an owner of shards
-	Term     uint64                 `json:"term,omitempty"`      // of a leader
-	Progress map[string]jobProgress `json:"progress,omitempty"`  // of some jobs
-	Done     map[string]int         `json:"done,omitempty"`      // jobs, and their tasks done
-	Ended    map[string]int         `json:"cancelled,omitempty"` // the same of cancelled ones
+	Node               string                 `json:"node"`
+	StoreReachable     bool                   `json:"storeOK"`
+	Disconnected       bool                   `json:"unfit,omitempty"`
+	WorkersUnreachable bool                   `json:"blind,omitempty"`     // of an owner of shards
+	Term               uint64                 `json:"term,omitempty"`      // of a leader
+	Progress           map[string]jobProgress `json:"progress,omitempty"`  // of some jobs
+	Done               map[string]int         `json:"done,omitempty"`      // jobs, and their tasks done
+	Cancelled          map[string]int         `json:"cancelled,omitempty"` // the same of cancelled ones
 }
 
-// Peer takes a message from another controller.
-func (c *Controller) Peer(now time.Time, body []byte) Effects {
+// PeerMessage takes a message from another controller.
+func (c *Controller) PeerMessage(now time.Time, body []byte) Effects {
 	c.now = now
 	if bytes.HasPrefix(body, shardLinePrefix) {
-		c.peerShardLine(body)
+		c.shardMessage(body)
 		return c.take()
 	}
 	var m peerMessage
 	if protocol.Decode(body, &m) == nil && m.Node != "" && m.Node != c.cfg.Name && c.isPeer(m.Node) {
 		p := c.peers[m.Node]
 		if p == nil {
-			p = &peerView{}
+			p = &peerStatus{}
 			c.peers[m.Node] = p
 		}
-		p.at, p.storeOK, p.unfit, p.blind = now, m.StoreOK, m.Unfit, m.Blind
-		p.takeProgress(&m, now)
+		p.heardAt, p.storeReachable, p.disconnected, p.workersUnreachable = now, m.StoreReachable, m.Disconnected, m.WorkersUnreachable
+		p.applyProgress(&m, now)
 		for job, done := range m.Done {
 			c.admission.rememberOutcome(job, protocol.Done, done)
 		}
-		for job, done := range m.Ended {
+		for job, done := range m.Cancelled {
 			c.admission.rememberOutcome(job, protocol.Cancelled, done)
 			// A leader that the state service refuses stops its tasks sooner for it.
 			if l := c.leader; l != nil && l.jobs[job] != nil {
@@ -67,24 +67,24 @@
 	return c.take()
 }
 
-// peerShardLine takes a line about shards. Those of strangers and those that make no sense
+// shardMessage takes a line about shards. Those of strangers and those that make no sense
 // are counted, and the first is told of.
-func (c *Controller) peerShardLine(body []byte) {
+func (c *Controller) shardMessage(body []byte) {
 	line, err := parseShardLine(body)
 	if err == nil && !c.isPeer(line.Node) {
-		err = errStranger
+		err = errUnknownPeer
 	}
 	if err == nil {
 		c.takeShardLine(line)
 		return
 	}
-	c.oddLines++
-	if c.oddLines == 1 {
-		c.log.Warn("a peer's line is ignored", "err", err, "line", string(body[:min(len(body), 200)]))
+	c.rejectedMessages++
+	if c.rejectedMessages == 1 {
+		c.log.Warn("peer message rejected", "error", err, "message", string(body[:min(len(body), 200)]))
 	}
 }
 
-var errStranger = errors.New("not from a peer")
+var errUnknownPeer = errors.New("not from a peer")
 
 func (c *Controller) isPeer(name string) bool {
 	for i := range c.cfg.Peers {
@@ -95,10 +95,10 @@
 	return false
 }
 
-// hearsPeer reports whether another node was heard lately.
-func (c *Controller) hearsPeer() bool {
+// heardFromPeer reports whether another node was heard lately.
+func (c *Controller) heardFromPeer() bool {
 	for _, p := range c.peers {
-		if c.now.Sub(p.at) < 3*time.Second {
+		if c.now.Sub(p.heardAt) < 3*time.Second {
 			return true
 		}
 	}
@@ -109,7 +109,7 @@
 // service serves it.
 func (c *Controller) peerReachesStore() bool {
 	for _, p := range c.peers {
-		if p.storeOK && c.now.Sub(p.at) < 3*time.Second {
+		if p.storeReachable && c.now.Sub(p.heardAt) < 3*time.Second {
 			return true
 		}
 	}
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -42,11 +42,11 @@
 	switch {
 	case c.storeDown():
 		what = "the state service does not answer"
-	case c.leader != nil && c.leader.phase == loading && c.now.Sub(c.leader.elected) > pendingLogAfter:
+	case c.leader != nil && c.leader.phase == phaseLoading && c.now.Sub(c.leader.electedAt) > pendingLogAfter:
 		what = "records are being loaded"
 	case c.leader != nil && !c.leader.jobsKnownAt.IsZero() && !c.leader.holdsLease():
 		what = "the leader lease has ended"
-	case c.leader == nil && c.leaderName() == "":
+	case c.leader == nil && c.otherLeader() == "":
 		what = "no leader is known"
 	}
 	if what != c.trouble {
@@ -90,7 +90,7 @@
 // pendingReasonOf tells why a job's tasks wait.
 func (l *leader) pendingReasonOf(j *job, booting bool, open []offer) pendingReason {
 	switch {
-	case l.phase != active:
+	case l.phase != phaseActive:
 		return pendingReports
 	case l.quarantined(j):
 		return pendingQuarantine
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -75,13 +75,13 @@
 // and neither it nor the state service has more to do than it can.
 func (b *rebalancer) mayMigrate() bool {
 	l, c := b.l, b.l.controller
-	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != active || c.storeDown() || l.autoscaler.demandIncomplete {
+	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != phaseActive || c.storeDown() || l.autoscaler.demandIncomplete {
 		return false
 	}
-	if c.now.Sub(l.settled) < c.reconnectTime() || l.lease.validUntil.Sub(c.now) < l.lease.ttl/2 {
+	if c.now.Sub(l.reconciledAt) < c.reconnectTime() || l.lease.validUntil.Sub(c.now) < l.lease.ttl/2 {
 		return false
 	}
-	return !c.behind() && !c.strained() && len(l.journal.urgent) <= c.cfg.TxnOps
+	return !c.lagging() && !c.persistentlyOverloaded() && len(l.journal.urgent) <= c.cfg.TxnOps
 }
 
 // planMigrations begins the moves that pay.
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	c, l, a := balancedLead(t)
 	c.op.Balance.Moves, c.op.Balance.MoveMargin = true, 1.5
-	l.settled, l.lease = c.now.Add(-time.Minute), lease{id: 5, ttl: 2 * time.Second, validUntil: c.now.Add(2 * time.Second)}
+	l.reconciledAt, l.lease = c.now.Add(-time.Minute), lease{id: 5, ttl: 2 * time.Second, validUntil: c.now.Add(2 * time.Second)}
 	l.rebalancer.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
 	to = l.newMachine("vm-2", "small", "a", false)
 	to.registered, to.recorded, to.lastSeen, to.lastAnswered, to.lastReached = true, true, c.now, c.now, c.now
@@ -109,12 +109,12 @@
 	}{
 		{name: "all is well", may: true},
 		{name: "moves are off", change: func(c *Controller, _ *leader) { c.op.Balance.Moves = false }},
-		{name: "the state service is away", change: func(c *Controller, _ *leader) { c.storeBad = c.now.Add(-time.Minute) }},
-		{name: "machines are still to be heard", change: func(c *Controller, l *leader) { l.settled = c.now }},
-		{name: "the leader still settles", change: func(_ *Controller, l *leader) { l.phase = settling }},
+		{name: "the state service is away", change: func(c *Controller, _ *leader) { c.storeFailingSince = c.now.Add(-time.Minute) }},
+		{name: "machines are still to be heard", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
+		{name: "the leader still settles", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
 		{name: "the right is near its end", change: func(c *Controller, l *leader) { l.lease.validUntil = c.now.Add(500 * time.Millisecond) }},
-		{name: "timers are late", change: func(c *Controller, _ *leader) { c.lag = lagBehind + 1 }},
-		{name: "more to serve than the share allows", change: func(c *Controller, _ *leader) { c.lateAt, c.lateSince = c.now, c.now.Add(-time.Minute) }},
+		{name: "timers are late", change: func(c *Controller, _ *leader) { c.schedulingLag = lagDefersWork + 1 }},
+		{name: "more to serve than the share allows", change: func(c *Controller, _ *leader) { c.overloadedAt, c.overloadedSince = c.now, c.now.Add(-time.Minute) }},
 		{name: "the last round ended early", change: func(_ *Controller, l *leader) { l.autoscaler.demandIncomplete = true }},
 		{name: "records are behind", change: func(c *Controller, l *leader) { l.journal.urgent = make([]*chunk, c.cfg.TxnOps+1) }},
 	} {
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -13,7 +13,7 @@
 // balancedLead is a leader with balance on, and a task on a machine that reported once.
 func balancedLead(t *testing.T) (*Controller, *leader, *attempt) {
 	t.Helper()
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.op.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
 	l.rebalancer = newRebalancer(l)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -14,7 +14,7 @@
 // was cut off at once, and its replicas, which went on serving, were ended before new
 // machines had booted.
 func TestReplicasOfSilentMachinesWaitForRoom(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
@@ -38,7 +38,7 @@
 				}
 			}
 			l.detectFailures()
-			l.controller.out = Effects{}
+			l.controller.effects = Effects{}
 		}
 	}
 	releasing := func() (count int) {
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -41,7 +41,7 @@
 	for _, test := range []struct{ lease, cancel time.Duration }{
 		{15 * time.Second, 40 * time.Second}, {28 * time.Second, 48 * time.Second}, {22 * time.Second, 47 * time.Second},
 		{60 * time.Second, 63 * time.Second}, {600 * time.Second, 700 * time.Second}} {
-		c, l := leading(active)
+		c, l := leading(phaseActive)
 		c.cfg.WorkerLease, c.cfg.CancelWithin = test.lease, test.cancel
 		l.jobsKnownAt = c.now
 		l.lease.validUntil = c.now.Add(time.Hour) // it is renewed, but no watch is answered
@@ -60,7 +60,7 @@
 		}
 		// An outage must cost no more than that: all but a second and the clocks' drift
 		// is used.
-		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+drift(test.cancel+test.lease) {
+		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+clockDrift(test.cancel+test.lease) {
 			t.Errorf("lease %s, cancel_s %s: %s are given away", test.lease, test.cancel, rest)
 		}
 	}
@@ -70,7 +70,7 @@
 // lease before it has read the jobs: refused or in an outage by then, it kept tasks
 // running that were cancelled before its term.
 func TestLeaderAnswersOnceItKnows(t *testing.T) {
-	c, l := leading(loading)
+	c, l := leading(phaseLoading)
 	l.jobsKnownAt = time.Time{}
 	_, body := running(c, l, 4)
 	if e := c.Request(c.now, 1, "POST", protocol.PathReport, body); len(e.Replies) != 0 {
@@ -79,7 +79,7 @@
 	asked := c.now.Add(-50 * time.Millisecond)
 	l.jobKey(records.KeyOutcome("run-000001"), records.EncodeOutcome(protocol.Cancelled, 0), false)
 	l.noteJobsKnown(asked)
-	c.releaseHeld()
+	c.resumeDeferred()
 	e := c.take()
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
 		t.Fatalf("got %+v, want the lease renewed and the task ended", e.Replies)
@@ -88,7 +88,7 @@
 		t.Errorf("knows all until %s, want when the list was asked for", l.jobsKnownAt)
 	}
 	// While the state service doesn't answer it, the worker is sent away at once.
-	l.jobsKnownAt, c.storeBad = time.Time{}, c.now.Add(-time.Minute)
+	l.jobsKnownAt, c.storeFailingSince = time.Time{}, c.now.Add(-time.Minute)
 	if e := c.Request(c.now, 2, "POST", protocol.PathReport, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
 		t.Errorf("got %+v, want 421", e.Replies)
 	}
@@ -97,7 +97,7 @@
 // A watch counts from when it was asked for: what was recorded later may have been left
 // out of its answer, and the answer may have been read late.
 func TestWatchTellsWhatIsKnown(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	l.jobsKnownAt = c.now
 	asked := c.now
 	l.watchJobs(7)
@@ -119,7 +119,7 @@
 // The answer to an overtaken report renews the lease, so it ends the tasks of jobs that
 // are over, although the list of the report may be out of date.
 func TestOvertakenReportEndsCancelled(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	_, body := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
 	l.machines["vm-1"].sequence = 9
@@ -133,7 +133,7 @@
 // Starts that were recorded before are sent only by a leader that knows of every
 // cancellation but the latest: nobody starts tasks of a job that is long over.
 func TestStartsNeedFreshKnowledge(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	l.jobsKnownAt = c.now
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
@@ -160,14 +160,14 @@
 // A leader that the state service refuses hears of cancellations from its peers, sooner
 // than its grace ends.
 func TestPeersTellOfCancellations(t *testing.T) {
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.cfg.Peers = append(c.cfg.Peers, struct{ Name, Zone, Addr string }{Name: "n1", Zone: "a"})
 	_, body := running(c, l, 4)
-	raw, err := json.Marshal(peerMessage{Node: "n1", Ended: map[string]int{"run-000001": 0}})
+	raw, err := json.Marshal(peerMessage{Node: "n1", Cancelled: map[string]int{"run-000001": 0}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Peer(c.now, raw)
+	c.PeerMessage(c.now, raw)
 	e := c.Request(c.now, 1, "POST", protocol.PathReport, body)
 	if len(e.Replies) != 1 || !stops(e.Replies[0], "run-000001") {
 		t.Errorf("got %+v, want the task ended", e.Replies)
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -32,10 +32,10 @@
 // mayScaleOut reports whether anything may be rented now.
 func (l *leader) mayScaleOut() bool {
 	c, f := l.controller, &l.autoscaler
-	if l.phase != active || c.storeDown() || len(c.types) == 0 || !c.now.Before(l.lease.validUntil) || f.demandIncomplete {
+	if l.phase != phaseActive || c.storeDown() || len(c.types) == 0 || !c.now.Before(l.lease.validUntil) || f.demandIncomplete {
 		return false
 	}
-	if c.strained() || len(l.fleetList) > l.forecastCapacity() && l.overloadedLately() {
+	if c.persistentlyOverloaded() || len(l.fleetList) > l.forecastCapacity() && l.overloadedLately() {
 		c.limits.reached(limitServedMachines)
 		return false
 	}
@@ -72,7 +72,7 @@
 // one, or the owner of a shard.
 func (l *leader) overloadedLately() bool {
 	c := l.controller
-	if !c.lateAt.IsZero() && c.now.Sub(c.lateAt) < overloadMemory {
+	if !c.overloadedAt.IsZero() && c.now.Sub(c.overloadedAt) < overloadMemory {
 		return true
 	}
 	return l.shards != nil && l.shards.ownersLate()
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -65,16 +65,16 @@
 
 // checkReconciled ends the new leader's wait once nobody is left to be heard.
 func (l *leader) checkReconciled() {
-	if l.phase != settling {
+	if l.phase != phaseReconciling {
 		return
 	}
-	if l.checkAsked {
+	if l.reconcileCheckPending {
 		return
 	}
-	l.checkAsked = true
+	l.reconcileCheckPending = true
 	l.controller.after(10*time.Millisecond, func() {
-		l.checkAsked = false
-		if l.alive() && l.phase == settling && l.enoughHeard() {
+		l.reconcileCheckPending = false
+		if l.alive() && l.phase == phaseReconciling && l.enoughReconciled() {
 			l.activate()
 		}
 	})
--- a/internal/coordination/shard_feed.go
+++ b/internal/coordination/shard_feed.go
@@ -99,7 +99,7 @@
 		if len(f.line.Workers)+len(f.line.States) == 0 {
 			f.addWorkers()
 		}
-		f.send(f.line.Cut(lineRoom))
+		f.send(f.line.Cut(messageBudget))
 	}
 	f.blocked = !f.line.Empty() || len(f.workers) > 0
 }
@@ -270,7 +270,7 @@
 		}
 	}
 	m.attemptsKnown = true
-	o.controller.releaseHeld()
+	o.controller.resumeDeferred()
 }
 
 // run takes an attempt that was recorded and told to nobody before.
@@ -323,7 +323,7 @@
 		return
 	}
 	f.link.Check(o.controller.now)
-	s := &shard.Status{Load: shard.Load{Share: o.controller.processor.share, Lag: o.controller.lagLately(), Reports: float64(o.answered), Machines: len(o.fleetList)}}
+	s := &shard.Status{Load: shard.Load{Share: o.controller.processorLoad.share, Lag: o.controller.takePeakLag(), Reports: float64(o.answered), Machines: len(o.fleetList)}}
 	o.answered = 0
 	for _, m := range o.fleetList {
 		if late, ok := o.late(m); ok {
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -14,7 +14,7 @@
 // 7 and which n1 owned under term 5.
 func shardedLead(t *testing.T) (*leader, *attempt) {
 	t.Helper()
-	c, l := leading(active)
+	c, l := leading(phaseActive)
 	c.op.Sharding = &config.Sharding{ShardsPerController: 1}
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), read: true}
 	for _, node := range []string{"n1", "n2"} {
@@ -86,7 +86,7 @@
 // ownerOf is an owner of shard 1 under a term, with one machine.
 func ownerOf(t *testing.T, term uint64) *shardOwner {
 	t.Helper()
-	c, _ := leading(active)
+	c, _ := leading(phaseActive)
 	c.leader = nil
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), read: true, member: shard.Member{Node: "n0", Incarnation: 1}}
 	o := newShardOwner(c.sharding, lease{id: 3, ttl: 2 * time.Second, validUntil: c.now.Add(time.Hour)})
@@ -167,27 +167,27 @@
 // A worker that comes back from the leader tries all controllers in turn.
 func TestWorkersThatDoNotReachTheLeader(t *testing.T) {
 	o := ownerOf(t, 7)
-	c, s := o.controller, &o.sharding.sendOn
-	*s = newSendOn(c)
+	c, s := o.controller, &o.sharding.redirector
+	*s = newRedirector(c)
 	c.election.leaderVersion, c.election.leader = 1, records.Leader{Node: "n1", Term: 9}
-	c.peers["n1"] = &peerView{at: c.now}
-	if got := s.to("vm-7"); got != "n1" {
+	c.peers["n1"] = &peerStatus{heardAt: c.now}
+	if got := s.target("vm-7"); got != "n1" {
 		t.Fatalf("sent to %q", got)
 	}
 	c.now = c.now.Add(lostHeartbeatDelay)
-	c.peers["n1"].at = c.now
-	if got := s.to("vm-7"); got != "" {
+	c.peers["n1"].heardAt = c.now
+	if got := s.target("vm-7"); got != "" {
 		t.Errorf("sent to %q again", got)
 	}
-	if got := s.to("vm-8"); got != "n1" {
+	if got := s.target("vm-8"); got != "n1" {
 		t.Errorf("another one is sent to %q", got)
 	}
-	c.peers["n1"].blind = true
-	if got := s.to("vm-9"); got != "" {
+	c.peers["n1"].workersUnreachable = true
+	if got := s.target("vm-9"); got != "" {
 		t.Errorf("sent to %q, which lost its workers", got)
 	}
-	c.peers["n1"].blind, c.now = false, c.now.Add(leaderHeard+time.Second)
-	if got := s.to("vm-9"); got != "" {
+	c.peers["n1"].workersUnreachable, c.now = false, c.now.Add(leaderHeardWithin+time.Second)
+	if got := s.target("vm-9"); got != "" {
 		t.Errorf("sent to %q, which isn't heard", got)
 	}
 }
@@ -201,7 +201,7 @@
 	o.attemptTerminated(o.machines["vm-1"].attemptList[0], "no longer reported")
 	gone := func() (count int, last uint64) {
 		f.flush()
-		for _, s := range o.controller.take().Sends {
+		for _, s := range o.controller.take().Unicasts {
 			line, err := parseShardLine(s.Body)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/coordination/shard_leader.go
+++ b/internal/coordination/shard_leader.go
@@ -107,7 +107,7 @@
 	}
 	name := sl.s.ownerName(m.shard)
 	if name == "" || name == c.cfg.Name {
-		c.holdForLeader(id, body) // it is about to be served
+		c.deferHeartbeat(id, body) // it is about to be served
 		return
 	}
 	c.reply(id, 421, protocol.Redirect(name))
@@ -121,7 +121,7 @@
 // ownersLate reports whether an owner told lately that its timers fire too late.
 func (sl *shardLeader) ownersLate() bool {
 	for _, k := range sl.links {
-		if k.status.Load.Lag > lagLate && sl.l.controller.now.Sub(k.heard) <= overloadMemory {
+		if k.status.Load.Lag > lagOverloaded && sl.l.controller.now.Sub(k.heard) <= overloadMemory {
 			return true
 		}
 	}
@@ -130,7 +130,7 @@
 
 // step is the regular turn: it watches the links and plans.
 func (sl *shardLeader) step() {
-	if !sl.s.read || sl.l.phase == loading {
+	if !sl.s.read || sl.l.phase == phaseLoading {
 		return
 	}
 	sl.l.checkReconciled()
--- a/internal/coordination/shard_leader_moves.go
+++ b/internal/coordination/shard_leader_moves.go
@@ -75,7 +75,7 @@
 	delete(sl.moves, v.id)
 	c.log.Info("shard moved", "shard", v.id, "from", v.from, "to", v.to, "why", v.why.String(),
 		"released", v.released.Sub(v.asked), "served", v.served.Sub(v.asked), "answered", c.now.Sub(v.asked))
-	c.out.Spans = append(c.out.Spans, Span{Name: "shard move", From: v.asked, Until: c.now,
+	c.effects.Spans = append(c.effects.Spans, Span{Name: "shard move", From: v.asked, Until: c.now,
 		Attributes: []Attribute{{"shard", strconv.Itoa(int(v.id))}, {"from", v.from}, {"to", v.to}, {"why", v.why.String()}},
 		Parts: []Span{
 			{Name: "release", From: v.asked, Until: v.released},
--- a/internal/coordination/shard_leader_plan.go
+++ b/internal/coordination/shard_leader_plan.go
@@ -12,7 +12,7 @@
 // plan decides on owners, and writes one change at a time.
 func (sl *shardLeader) plan() {
 	l, c := sl.l, sl.l.controller
-	if sl.writing || !sl.s.read || l.phase == loading || c.storeDown() || !c.now.Before(l.lease.validUntil) {
+	if sl.writing || !sl.s.read || l.phase == phaseLoading || c.storeDown() || !c.now.Before(l.lease.validUntil) {
 		return
 	}
 	if change := sl.withdrawal(); change != nil {
@@ -108,7 +108,7 @@
 			sl.l.controller.after(200*time.Millisecond, sl.readAgain)
 			return
 		}
-		sl.l.controller.electionKey(it.Key, it.Value, it.Version)
+		sl.l.controller.applyElectionKey(it.Key, it.Value, it.Version)
 		sl.writing = false
 		sl.s.readTable()
 	})
@@ -125,7 +125,7 @@
 			if vouched, blind, shown := k.reaches(c.now); shown {
 				member.Vouched, member.Blind = vouched, blind
 			}
-			member.Fit = !member.Blind && member.Silent <= ownerQuiet && member.Load.Lag <= lagLate
+			member.Fit = !member.Blind && member.Silent <= ownerQuiet && member.Load.Lag <= lagOverloaded
 		}
 		if sl.retiring && m.Node != c.cfg.Name {
 			member.Draining = true
@@ -187,5 +187,5 @@
 	if sl.oddSeen[id] != version {
 		sl.oddSeen[id], sl.oddSince[id] = version, c.now
 	}
-	return c.now.Sub(sl.oddSince[id]) > c.answerFreshness()+drift(c.cfg.CancelWithin)+proofMargin
+	return c.now.Sub(sl.oddSince[id]) > c.answerFreshness()+clockDrift(c.cfg.CancelWithin)+deadlineMargin
 }
--- a/internal/coordination/shard_leader_seen.go
+++ b/internal/coordination/shard_leader_seen.go
@@ -11,7 +11,7 @@
 func (sl *shardLeader) take(from string, seen *shard.Observations) {
 	c := sl.l.controller
 	k := sl.links[from]
-	if k == nil || k.member != seen.Epoch.Member || sl.l.phase == loading {
+	if k == nil || k.member != seen.Epoch.Member || sl.l.phase == phaseLoading {
 		return
 	}
 	k.heard = c.now
--- a/internal/coordination/shard_leader_tell.go
+++ b/internal/coordination/shard_leader_tell.go
@@ -91,7 +91,7 @@
 
 // flush sends what there is to tell an owner, as far as lines may be on their way.
 func (sl *shardLeader) flush(k *ownerLink) {
-	if sl.l.phase == loading {
+	if sl.l.phase == phaseLoading {
 		return
 	}
 	if k.link.NeedsReset() {
@@ -99,7 +99,7 @@
 	}
 	first := true
 	for ; !k.link.Full() && (first || !k.line.Empty() || len(k.listed) > 0); first = false {
-		line, room := k.line.Cut(lineRoom)
+		line, room := k.line.Cut(messageBudget)
 		if k.line.Empty() && len(k.listed) > 0 {
 			line.Machines = append(line.Machines, sl.nextMachines(k, room)...)
 		}
@@ -127,7 +127,7 @@
 			continue
 		}
 		size := sl.sizeInLine(m)
-		if size > room && (len(list) > 0 || room < lineRoom) {
+		if size > room && (len(list) > 0 || room < messageBudget) {
 			return list
 		}
 		room -= size
--- a/internal/coordination/shard_lines.go
+++ b/internal/coordination/shard_lines.go
@@ -26,11 +26,11 @@
 	if err != nil { // lines hold only strings and finite numbers
 		panic(err)
 	}
-	if len(raw) > MaxPeerLine {
+	if len(raw) > MaxPeerMessage {
 		c.limits.reached(limitPeerLine)
 		return
 	}
-	c.out.Sends = append(c.out.Sends, Send{To: to, Body: raw})
+	c.effects.Unicasts = append(c.effects.Unicasts, Unicast{To: to, Body: raw})
 }
 
 // deliverLocal hands the lines between this controller's own roles over, and those that
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -188,7 +188,7 @@
 		return true
 	}
 	if o.jobsKnownAt.IsZero() && !c.storeDown() {
-		c.holdForLeader(id, body)
+		c.deferHeartbeat(id, body)
 		return true
 	}
 	if !o.holdsLease() {
@@ -240,7 +240,7 @@
 		for _, it := range items {
 			o.loadGroup(it)
 		}
-		o.controller.releaseHeld()
+		o.controller.resumeDeferred()
 		if o.again {
 			o.loadMachines()
 		}
@@ -295,7 +295,7 @@
 		if m.failedProbes > 0 {
 			doubtful[m.Zone] = true
 		}
-		if o.expected(m) && (o.wantsProbe(m, silent) || !m.registered && silent > askAfter) {
+		if o.expected(m) && (o.wantsProbe(m, silent) || !m.registered && silent > probeAfter) {
 			ask = append(ask, m)
 		}
 		if silent > o.suspectAfter() && len(m.attemptList) > 0 {
--- a/internal/coordination/shard_reach.go
+++ b/internal/coordination/shard_reach.go
@@ -62,8 +62,10 @@
 	}
 }
 
-// blind reports whether this controller lately lost most of its workers.
-func (c *Controller) blind() bool { return c.sharding != nil && c.now.Before(c.sharding.blindUntil) }
+// workersUnreachable reports whether this controller lately lost most of its workers.
+func (c *Controller) workersUnreachable() bool {
+	return c.sharding != nil && c.now.Before(c.sharding.blindUntil)
+}
 
 // writeMember writes the member's record anew, bound to the same lease.
 func (s *sharding) writeMember(own *shardOwner, done func(applied bool)) {
@@ -149,7 +151,7 @@
 // either, and the state service shows that others do. It reports whether it did.
 func (sl *shardLeader) givesWay() bool {
 	l, c := sl.l, sl.l.controller
-	if c.now.Sub(l.settled) <= ownerQuiet {
+	if c.now.Sub(l.reconciledAt) <= ownerQuiet {
 		return false
 	}
 	able := 0
@@ -168,7 +170,7 @@
 			able++
 		}
 	}
-	return able > 0 && c.resignUnfit("neither workers nor their owners are heard")
+	return able > 0 && c.resignDisconnected("neither workers nor their owners are heard")
 }
 
 // unheardOwner is after how long without a line an owner counts as one that the leader can't
--- a/internal/coordination/sharding.go
+++ b/internal/coordination/sharding.go
@@ -22,13 +22,13 @@
 	reach      *shard.Reach // that its record shows
 	member     shard.Member // zero without a lease
 	own        *shardOwner  // nil without a lease
-	sendOn     sendOn
+	redirector redirector
 	blindUntil time.Time // until when workers are better not sent here
 }
 
 // startSharding makes the node one that may own shards.
 func (c *Controller) startSharding(draining bool) {
-	c.sharding = &sharding{controller: c, table: shard.NewTable(), draining: draining, sendOn: newSendOn(c)}
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), draining: draining, redirector: newRedirector(c)}
 	c.sharding.readTable()
 	c.every(time.Second, c.sharding.tellStatus)
 }
@@ -127,7 +127,7 @@
 			s.joinAgain()
 			return
 		}
-		s.recordMember(lease{leaseID, ttl, sent.Add(ttl - drift(ttl))})
+		s.recordMember(lease{leaseID, ttl, sent.Add(ttl - clockDrift(ttl))})
 	})
 }
 
@@ -177,7 +177,7 @@
 		next := ttl * 3 / 10
 		switch {
 		case o.Answered && o.Status == 200:
-			own.lease.validUntil = sent.Add(ttl - drift(ttl))
+			own.lease.validUntil = sent.Add(ttl - clockDrift(ttl))
 		case o.Answered && o.Status == 404:
 			s.leave("its lease has ended")
 			s.readTable()
@@ -215,11 +215,11 @@
 		l.shards.redirect(id, r, body)
 		return
 	}
-	if c.leader == nil && !c.leaderDoubtful() || c.storeDown() {
-		c.reply(id, 421, protocol.Redirect(s.sendOn.to(r.Machine)))
+	if c.leader == nil && !c.leaderSuspect() || c.storeDown() {
+		c.reply(id, 421, protocol.Redirect(s.redirector.target(r.Machine)))
 		return
 	}
-	c.holdForLeader(id, body)
+	c.deferHeartbeat(id, body)
 }
 
 // ownerName is who serves a shard, empty when nobody does.
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -27,7 +27,7 @@
 		c.reply(id, 200, protocol.JobStatus(job, f.state, f.done, 0))
 		return
 	}
-	if c.lag > lagFar {
+	if c.schedulingLag > lagShedsQueries {
 		c.refuse(id, 503, "busy")
 		return
 	}
@@ -146,7 +146,7 @@
 			done, running = j.doneTasks, j.runningTasks
 		}
 	} else if p := c.peers[c.election.leader.Node]; p != nil {
-		if heard, ok := p.progress[job]; ok && c.now.Sub(heard.at) <= progressKept {
+		if heard, ok := p.progress[job]; ok && c.now.Sub(heard.receivedAt) <= progressTTL {
 			done, running = heard.done(), heard.running()
 		}
 	}
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -49,15 +49,15 @@
 func (c *Controller) noteStore(o Outcome) {
 	switch {
 	case o.Answered && o.Status != 503 && o.Status < 500 && o.Status != 429:
-		if !c.storeBad.IsZero() && c.now.Sub(c.storeBad) > time.Second {
-			c.log.Info("state service answers again", "after", c.now.Sub(c.storeBad))
+		if !c.storeFailingSince.IsZero() && c.now.Sub(c.storeFailingSince) > time.Second {
+			c.log.Info("state service answers again", "after", c.now.Sub(c.storeFailingSince))
 		}
-		c.storeOK, c.storeBad = c.now, time.Time{}
+		c.storeAnsweredAt, c.storeFailingSince = c.now, time.Time{}
 	case o.Answered && o.Status == 429:
 		// It works, and we ask too much.
 	default:
-		if c.storeBad.IsZero() {
-			c.storeBad = c.now
+		if c.storeFailingSince.IsZero() {
+			c.storeFailingSince = c.now
 			c.after(storeProbe, c.askStore)
 		}
 	}
@@ -67,7 +67,7 @@
 // for down users are refused without asking it, so that nothing else might ever
 // find out: a follower that sends no requests of its own stayed down for good.
 func (c *Controller) askStore() {
-	if c.storeBad.IsZero() {
+	if c.storeFailingSince.IsZero() {
 		return
 	}
 	c.storeGet(records.KeyTerm, func(protocol.Item, bool, bool) {
@@ -79,7 +79,7 @@
 // is cut says nothing for many seconds, and a node without other requests would
 // still call itself healthy.
 func (c *Controller) checkStore() {
-	if c.storeBad.IsZero() && c.now.Sub(c.storeOK) > storeQuiet {
+	if c.storeFailingSince.IsZero() && c.now.Sub(c.storeAnsweredAt) > storeQuiet {
 		c.storeGet(records.KeyTerm, func(protocol.Item, bool, bool) {})
 	}
 }
@@ -87,7 +87,7 @@
 // storeDown reports whether the state service has refused or ignored this
 // node for longer than a hiccup.
 func (c *Controller) storeDown() bool {
-	return !c.storeBad.IsZero() && c.now.Sub(c.storeBad) > 1200*time.Millisecond
+	return !c.storeFailingSince.IsZero() && c.now.Sub(c.storeFailingSince) > 1200*time.Millisecond
 }
 
 // storeGet reads one key; ok is false when nothing is known.
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -121,7 +121,7 @@
 // gracePeriodAfter is the grace of an owner with a lease of the given time.
 func (c *Controller) gracePeriodAfter(lease time.Duration) time.Duration {
 	settings := c.cfg
-	return max(0, settings.CancelWithin-settings.WorkerLease-drift(2*settings.WorkerLease)-lease-2*time.Second)
+	return max(0, settings.CancelWithin-settings.WorkerLease-clockDrift(2*settings.WorkerLease)-lease-2*time.Second)
 }
 
 // holdsLease reports whether this owner may still answer workers: it may hold its lease, or
@@ -145,7 +145,7 @@
 // it was asked for, and a report that is read late as when it was sent.
 func (c *Controller) answerFreshness() time.Duration {
 	settings := c.cfg
-	return max(0, settings.CancelWithin-settings.WorkerLease-drift(settings.CancelWithin+settings.WorkerLease)-proofMargin)
+	return max(0, settings.CancelWithin-settings.WorkerLease-clockDrift(settings.CancelWithin+settings.WorkerLease)-deadlineMargin)
 }
 
 // startFreshness is how long after that it may send starts that were recorded before. The
@@ -186,7 +186,7 @@
 		last = m.epochSeenAt
 	}
 	last = latest(last, m.lastAnswered, m.incarnationSince)
-	return last.Add(c.WorkerLease + drift(c.WorkerLease) + proofMargin)
+	return last.Add(c.WorkerLease + clockDrift(c.WorkerLease) + deadlineMargin)
 }
 
 // fencingToken is the token for one worker.
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -539,14 +539,14 @@
 			}
 		}
 	}
-	for _, p := range e.Publishes {
+	for _, p := range e.Broadcasts {
 		for _, o := range c.nodes {
 			if o != n {
 				n.tell(o, p.Body)
 			}
 		}
 	}
-	for _, s := range e.Sends {
+	for _, s := range e.Unicasts {
 		for _, o := range c.nodes {
 			if o.name == s.To {
 				n.tell(o, s.Body)
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -58,11 +58,11 @@
 		d.number(int64(k.Timeout))
 		d.bytes(k.Body)
 	}
-	for _, p := range e.Publishes {
+	for _, p := range e.Broadcasts {
 		d.step(n, "publish")
 		d.bytes(p.Body)
 	}
-	for _, s := range e.Sends {
+	for _, s := range e.Unicasts {
 		d.step(n, "send")
 		d.text(s.To)
 		d.bytes(s.Body)
--- a/internal/simulator/stream.go
+++ b/internal/simulator/stream.go
@@ -23,7 +23,7 @@
 	}
 	deliver := func() {
 		if o.core != nil {
-			o.run(func() { o.apply(o.core.Peer(c.now, body)) })
+			o.run(func() { o.apply(o.core.PeerMessage(c.now, body)) })
 		}
 	}
 	if c.links[l] != nil {
