--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -78,12 +78,12 @@
 	f := newFleetLoad()
 	for _, part := range []struct {
 		prefix string
-		take   func(protocol.Item) error
+		take   func(protocol.KeyValue) error
 	}{
 		{records.KeyTypes, f.takeTypes}, {records.PrefixSurges, f.takeSurges}, {records.PrefixActive, f.takeJob},
 		{records.PrefixMachines, f.takeMachines}, {records.PrefixChunks, f.takeChunk},
 	} {
-		err := readKeys(ctx, s, part.prefix, func(it protocol.Item) {
+		err := readKeys(ctx, s, part.prefix, func(it protocol.KeyValue) {
 			if part.take(it) != nil {
 				f.odd = append(f.odd, it.Key)
 			}
@@ -105,7 +105,7 @@
 	}
 }
 
-func (f *fleetLoad) takeTypes(it protocol.Item) error {
+func (f *fleetLoad) takeTypes(it protocol.KeyValue) error {
 	var types []protocol.MachineType
 	err := json.Unmarshal(it.Value, &types)
 	for i := range types {
@@ -114,9 +114,11 @@
 	return err
 }
 
-func (f *fleetLoad) takeSurges(it protocol.Item) error { return protocol.Decode(it.Value, &f.surges) }
+func (f *fleetLoad) takeSurges(it protocol.KeyValue) error {
+	return protocol.Decode(it.Value, &f.surges)
+}
 
-func (f *fleetLoad) takeJob(it protocol.Item) error {
+func (f *fleetLoad) takeJob(it protocol.KeyValue) error {
 	var r records.Job
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
@@ -128,7 +130,7 @@
 	return nil
 }
 
-func (f *fleetLoad) takeMachines(it protocol.Item) error {
+func (f *fleetLoad) takeMachines(it protocol.KeyValue) error {
 	var r records.Machines
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
@@ -139,7 +141,7 @@
 	return nil
 }
 
-func (f *fleetLoad) takeChunk(it protocol.Item) error {
+func (f *fleetLoad) takeChunk(it protocol.KeyValue) error {
 	id, index, ok := records.ParseChunkKey(it.Key)
 	job := f.jobs[id]
 	if !ok {
--- a/cmd/brasskeel/balance_test.go
+++ b/cmd/brasskeel/balance_test.go
@@ -13,18 +13,18 @@
 func TestBalanceShown(t *testing.T) {
 	f := newFleetLoad()
 	job := func(id, team string, tasks int, cpus float64) records.Job {
-		return records.Job{Chunk: 96, Spec: &protocol.Job{ID: id, Team: team, Tasks: tasks, CPUs: cpus, MemGB: 1}}
+		return records.Job{Chunk: 96, Spec: &protocol.Job{ID: id, Team: team, Tasks: tasks, CPUs: cpus, MemoryGB: 1}}
 	}
 	done := records.Chunk{Tasks: []records.TaskRecord{{Offset: 1, Attempt: 1, Machine: "vm-1"}, {Offset: 2, Attempt: 2, Machine: "vm-2"}, {Offset: 3, Attempt: 1}}}
 	done.SetDone([]bool{true, false, false, false})
 	done.SetMoved(1764680000000, []bool{true, false, true, false})
 	for _, it := range []struct {
-		take  func(protocol.Item) error
+		take  func(protocol.KeyValue) error
 		key   string
 		value any
 		bad   bool
 	}{
-		{f.takeTypes, records.KeyTypes, []protocol.MachineType{{Name: "small", CPUs: 4, MemGB: 16}}, false},
+		{f.takeTypes, records.KeyTypes, []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}, false},
 		{f.takeSurges, records.KeySurges, records.Surges{"red": {Number: 1764680000000, Level: 2}}, false},
 		{f.takeJob, records.KeyActive("run-1"), job("run-1", "red", 4, 2), false},
 		{f.takeJob, records.KeyActive("run-2"), job("run-2", "blue", 1, 1), false},
@@ -35,7 +35,7 @@
 		{f.takeChunk, "c/odd", records.Chunk{}, true},
 		{f.takeMachines, "m/odd", "no record", true},
 	} {
-		if err := it.take(protocol.Item{Key: it.key, Value: records.Encode(it.value)}); (err != nil) != it.bad {
+		if err := it.take(protocol.KeyValue{Key: it.key, Value: records.Encode(it.value)}); (err != nil) != it.bad {
 			t.Errorf("%s: %v", it.key, err)
 		}
 	}
--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -52,7 +52,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(cfg.MemoryBytes * 6 / 10)
 	debug.SetGCPercent(200)
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", cfg.Name)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("controller", cfg.Name)
 
 	// Libraries that use the standard logger are heard at debug level.
 	slog.SetDefault(log)
@@ -76,9 +76,9 @@
 		return err
 	}
 	if most, known := openFiles(); known && most < uint64(cfg.Sockets+otherFiles) {
-		log.Warn("fewer file descriptors than sockets: connections will be refused", "descriptors", most, "sockets", cfg.Sockets)
+		log.Warn("too few file descriptors for the configured sockets", "descriptors", most, "sockets", cfg.Sockets)
 	}
-	log.Info("starting", "listen", cfg.Listen, "back", cfg.PeerListen, "zone", cfg.Zone)
+	log.Info("controller starting", "listen", cfg.Listen, "peer_listen", cfg.PeerListen, "zone", cfg.Zone)
 	c.drainOnTerminate(log)
 	if err := c.loop.Run(); err != nil {
 		return err
@@ -105,12 +105,12 @@
 			drained := make(chan bool, 1)
 			c.loop.Post(func() { drained <- c.node.Drained() })
 			if <-drained {
-				log.Info("drained")
+				log.Info("controller drained")
 				c.trace.close()
 				os.Exit(0)
 			}
 		}
-		log.Warn("not drained in time", "after", drainWithin)
+		log.Warn("drain timed out", "duration", drainWithin)
 		c.trace.close()
 		os.Exit(0)
 	}()
--- a/cmd/brasskeel/shards.go
+++ b/cmd/brasskeel/shards.go
@@ -38,7 +38,7 @@
 // that can't be read.
 func readShards(ctx context.Context, s *config.Settings) (table *shard.Table, odd []error, err error) {
 	table = shard.NewTable()
-	err = readKeys(ctx, s, records.PrefixShards, func(it protocol.Item) {
+	err = readKeys(ctx, s, records.PrefixShards, func(it protocol.KeyValue) {
 		if err := table.Put(it.Key, it.Value, it.Version); err != nil {
 			odd = append(odd, err)
 		}
@@ -65,7 +65,7 @@
 		if m.Draining {
 			note = "drains"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", m.Node, m.Zone, len(table.OwnedBy(m.Member)), note)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", m.Name, m.Zone, len(table.OwnedBy(m.Member)), note)
 	}
 	w.Flush()
 	for _, err := range odd {
@@ -78,12 +78,12 @@
 	if !ok {
 		return fmt.Sprintf("%d\tunreadable\t\t\t", id)
 	}
-	owner, next := r.Owner.Node, ""
+	owner, next := r.Owner.Name, ""
 	if !table.Alive(r.Owner.Member) {
 		owner += " (ended)"
 	}
 	if r.Next != nil {
-		next = r.Next.Node
+		next = r.Next.Name
 	}
 	return fmt.Sprintf("%d\t%s\t%d\t%s\t%d", id, owner, r.Owner.Term, next, r.Generation)
 }
--- a/cmd/brasskeel/state.go
+++ b/cmd/brasskeel/state.go
@@ -19,7 +19,7 @@
 )
 
 // readKeys reads all keys with a prefix from the state service, page by page.
-func readKeys(ctx context.Context, s *config.Settings, prefix string, take func(protocol.Item)) error {
+func readKeys(ctx context.Context, s *config.Settings, prefix string, take func(protocol.KeyValue)) error {
 	after := ""
 	for {
 		items, more, err := readPage(ctx, s.State, prefix, after)
@@ -36,7 +36,7 @@
 	}
 }
 
-func readPage(ctx context.Context, addr, prefix, after string) (items []protocol.Item, more bool, err error) {
+func readPage(ctx context.Context, addr, prefix, after string) (items []protocol.KeyValue, more bool, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+protocol.RangeTarget(prefix, after, statePage), nil)
 	if err != nil {
 		return nil, false, err
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -102,20 +102,20 @@
 	want := "POST"
 	switch route {
 	case protocol.RouteNone:
-		c.reply(id, 404, protocol.ErrorAnswer("no such resource"))
+		c.reply(id, 404, protocol.EncodeError("no such resource"))
 		return
 	case protocol.RouteJob, protocol.RouteHealth:
 		want = "GET"
 	}
 	if method != want {
-		c.reply(id, 405, protocol.ErrorAnswer("use "+want))
+		c.reply(id, 405, protocol.EncodeError("use "+want))
 		return
 	}
 	switch route {
 	case protocol.RouteHealth:
 		c.health(id)
 		return
-	case protocol.RouteReport:
+	case protocol.RouteHeartbeat:
 		c.requestCounts.Reports++
 		c.heartbeat(id, body)
 		return
@@ -154,26 +154,26 @@
 // off, while a new connection may lead to another.
 func (c *Controller) refuseWithoutStore(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
-		Body: protocol.ErrorAnswer("the state service does not answer")})
+		Body: protocol.EncodeError("the state service does not answer")})
 }
 
 // refuseForNow sends a user away whose request is one too many at the moment. Not all
 // are told to come back at the same time.
 func (c *Controller) refuseForNow(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + c.rng.IntN(3),
-		Body: protocol.ErrorAnswer("too much at once")})
+		Body: protocol.EncodeError("too much at once")})
 }
 
 // readJobState reads a job's state afresh: 0 when it was never accepted. The record
 // is read before the outcome: a job whose record is gone by the first read has
 // its outcome by the second.
 func (c *Controller) readJobState(job string, done func(s protocol.JobState, ok bool)) {
-	c.storeGet(records.KeyActive(job), func(_ protocol.Item, active, ok bool) {
+	c.storeGet(records.KeyActive(job), func(_ protocol.KeyValue, active, ok bool) {
 		if !ok {
 			done(0, false)
 			return
 		}
-		c.storeGet(records.KeyOutcome(job), func(it protocol.Item, found, ok bool) {
+		c.storeGet(records.KeyOutcome(job), func(it protocol.KeyValue, found, ok bool) {
 			switch {
 			case !ok:
 				done(0, false)
@@ -197,12 +197,12 @@
 }
 
 func (c *Controller) cancel(id uint64, job string) {
-	if !protocol.ValidID(job) {
-		c.reply(id, 404, protocol.ErrorAnswer("no such job"))
+	if !protocol.ValidJobID(job) {
+		c.reply(id, 404, protocol.EncodeError("no such job"))
 		return
 	}
 	if f, ok := c.admission.outcomes[job]; ok {
-		c.reply(id, 200, protocol.JobAnswer(job, f.state))
+		c.reply(id, 200, protocol.EncodeJobState(job, f.state))
 		return
 	}
 	if c.storeDown() {
@@ -216,12 +216,12 @@
 		case !ok || s != 0 && !s.Final():
 			c.refuseWithoutStore(id)
 		case s == 0:
-			c.reply(id, 404, protocol.ErrorAnswer("no such job"))
+			c.reply(id, 404, protocol.EncodeError("no such job"))
 		default:
-			c.reply(id, 200, protocol.JobAnswer(job, s))
+			c.reply(id, 200, protocol.EncodeJobState(job, s))
 		}
 	}
-	c.storeGet(records.KeyActive(job), func(it protocol.Item, found, ok bool) {
+	c.storeGet(records.KeyActive(job), func(it protocol.KeyValue, found, ok bool) {
 		if !ok {
 			finish(0, false)
 			return
@@ -235,8 +235,8 @@
 		// "done"; whoever comes second learns what the first wrote. The user is
 		// told only after that.
 		c.storeTxn(&protocol.Txn{
-			If:   []protocol.Condition{{Key: records.KeyActive(job), Version: it.Version}, {Key: records.KeyOutcome(job)}},
-			Then: []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
+			Conditions: []protocol.Condition{{Key: records.KeyActive(job), Version: it.Version}, {Key: records.KeyOutcome(job)}},
+			Ops:        []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
 		}, func(r txnResult, _ uint64, _ []string) {
 			switch r {
 			case txnApplied:
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -19,7 +19,7 @@
 	l.rebalancer.attemptAttached(a)
 	m.NeededImages.Add(j.imageID, 1)
 	m.Allocated = m.Allocated.Plus(placement.Needs(j.Job))
-	if !j.Spot {
+	if !j.AllowSpot {
 		m.onDemandCPUs += j.CPUs
 	}
 	m.cpusByPriority[j.Priority] += j.CPUs
@@ -62,7 +62,7 @@
 	}
 	m.Allocated = m.Allocated.Minus(placement.Needs(j.Job))
 	m.cpusByPriority[j.Priority] -= j.CPUs
-	if !j.Spot {
+	if !j.AllowSpot {
 		m.onDemandCPUs -= j.CPUs
 	}
 	if j.Kind == protocol.Service {
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -196,7 +196,7 @@
 }
 
 func machine(taken float64, images ...placement.ImageID) *placement.Machine {
-	m := &placement.Machine{Spec: &protocol.MachineType{CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 1}}
+	m := &placement.Machine{Spec: &protocol.MachineType{CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPerSecond: 1}}
 	m.Allocated.CPUs = taken
 	for _, id := range images {
 		m.Images.Add(id, 3, 20)
@@ -206,10 +206,10 @@
 
 // A machine is above its ceiling by the team's own work, and by what it has to fetch.
 func TestAbove(t *testing.T) {
-	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemGB: 1, Image: "a", ImageGB: 2}, Image: 1}
+	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 2}, Image: 1}
 	judge := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, FetchQueue: 5 * time.Second}, Now: start, Team: 1, Task: task}
 	large := task
-	large.Job = &protocol.Job{CPUs: 4, MemGB: 1, Image: "a", ImageGB: 2}
+	large.Job = &protocol.Job{CPUs: 4, MemoryGB: 1, Image: "a", ImageGB: 2}
 	for _, c := range []struct {
 		name  string
 		team  int // tasks
@@ -250,7 +250,7 @@
 // there costs more than the fetch.
 func TestTrade(t *testing.T) {
 	weights := placement.Weights{Image: 1, Room: 0}
-	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemGB: 1, Image: "a", ImageGB: 3}, Image: 1}
+	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 3}, Image: 1}
 	hot, cold := machine(0, 1), machine(0)
 	busy, idle := &Load{}, &Load{}
 	busy.Reserve(1, placement.Resources{CPUs: 2, MemGB: 2}) // as far as the ceiling
--- a/internal/coordination/balance/ceiling.go
+++ b/internal/coordination/balance/ceiling.go
@@ -26,7 +26,7 @@
 		return false
 	}
 	// What it would fetch itself doesn't count: no machine could ever take a larger image.
-	queued := l.Fetches.Backlog(j.Now, m.Spec.FetchRate)
+	queued := l.Fetches.Backlog(j.Now, m.Spec.FetchGBPerSecond)
 	return queued > j.FetchQueue
 }
 
@@ -42,9 +42,9 @@
 	heat := Share(r, placement.Capacity(m.Spec)) / j.CeilingShare
 	cost := j.Trade.Seconds() * (heat + max(0, l.Speed.Slowness()-1))
 	if m.ImageShare(j.Task) < 1 {
-		cost += l.Fetches.Backlog(j.Now, m.Spec.FetchRate).Seconds()
+		cost += l.Fetches.Backlog(j.Now, m.Spec.FetchGBPerSecond).Seconds()
 	}
-	return cost * j.secondsWorth(m.Spec.FetchRate, imageWeight)
+	return cost * j.secondsWorth(m.Spec.FetchGBPerSecond, imageWeight)
 }
 
 // secondsWorth is what a second of fetching the task's image is worth in score: all of it is
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -152,7 +152,7 @@
 	l := c.source.Load
 	r, tasks := l.Reserved(w.Team)
 	above := tasks > 1 && Share(r.Minus(left), placement.Capacity(c.source.Spec)) > c.terms.CeilingShare+shareEpsilon
-	queued := !w.Running && l.Fetches.Backlog(c.terms.Now, c.source.Spec.FetchRate) > c.terms.FetchQueue
+	queued := !w.Running && l.Fetches.Backlog(c.terms.Now, c.source.Spec.FetchGBPerSecond) > c.terms.FetchQueue
 	return above || queued || l.Speed.Slowness() > slowSourceAbove
 }
 
@@ -203,13 +203,13 @@
 		move.Saving += time.Duration(float64(w.Remaining) * (1 - 1/slower))
 	}
 	if !w.Running {
-		move.Saving += src.Load.Fetches.Backlog(t.Now, src.Spec.FetchRate)
+		move.Saving += src.Load.Fetches.Backlog(t.Now, src.Spec.FetchGBPerSecond)
 	}
 	move.Cost = t.StopDuration + writesPerMigration*t.WriteDuration
 	if o.ImageShare(w.Task) < 1 {
-		move.Cost += o.Load.Fetches.Backlog(t.Now, o.Spec.FetchRate)
-		if o.Spec.FetchRate > 0 {
-			move.Cost += seconds(w.ImageGB / o.Spec.FetchRate)
+		move.Cost += o.Load.Fetches.Backlog(t.Now, o.Spec.FetchGBPerSecond)
+		if o.Spec.FetchGBPerSecond > 0 {
+			move.Cost += seconds(w.ImageGB / o.Spec.FetchGBPerSecond)
 		}
 	}
 	return move, c.worthwhile(w, &move)
@@ -219,7 +219,7 @@
 func (c *hotSpot) worthwhile(w *Work, m *Migration) bool {
 	margin := c.terms.Margin
 	if w.Running && w.Checkpoints {
-		m.Cost += w.Save
+		m.Cost += w.CheckpointDuration
 	}
 	if w.Running && !w.Checkpoints {
 		m.Cost += w.Ran
--- a/internal/coordination/balance/rebalance_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -31,7 +31,7 @@
 // runs puts a task of a team on a machine.
 func (b *board) runs(site int, team Team, change func(*Work)) {
 	s := b.sites[site]
-	job := &protocol.Job{Kind: protocol.Batch, CPUs: 1, MemGB: 1, Image: "a", ImageGB: 1, Checkpoint: 5 * time.Second, Save: time.Second}
+	job := &protocol.Job{Kind: protocol.Batch, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1, CheckpointInterval: 5 * time.Second, CheckpointDuration: time.Second}
 	w := Work{Task: placement.Task{Job: job, Image: 1}, Team: team, Running: true, Ran: 10 * time.Second, Remaining: 100 * time.Second,
 		Checkpoints: true, MayUse: func(string) bool { return true }, Owner: site}
 	if change != nil {
@@ -96,7 +96,7 @@
 		{name: "unsaved work of minutes", change: func(w *Work) { w.Checkpoints, w.Ran, w.Remaining = false, 4*time.Minute, 5*time.Minute }},
 		{name: "unsaved work that began", change: func(w *Work) { w.Checkpoints, w.Ran = false, time.Second }, moves: true},
 		{name: "a huge image", change: func(w *Work) { w.ImageGB = 60; w.Remaining = 10 * time.Minute }},
-		{name: "saving that takes long", change: func(w *Work) { w.Save = 30 * time.Second }},
+		{name: "saving that takes long", change: func(w *Work) { w.CheckpointDuration = 30 * time.Second }},
 		{name: "work about to end", change: func(w *Work) { w.Remaining = 2 * time.Second }},
 		{name: "overdue work", change: func(w *Work) { w.Remaining = 0 }},
 		{name: "half of what was estimated", change: func(w *Work) { w.Remaining /= 2 }, moves: true},
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -34,8 +34,8 @@
 	c.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
 	c.teams["blue"] = &config.Team{Name: "blue", CPUs: 3000, CPUsMax: 1e6}
 	l.teamUsage["blue"] = &usage{}
-	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 16, MemGB: 128, CacheGB: 35, FetchRate: 1, Price: 1, SpotPrice: 0.5,
-		Boot: 10 * time.Second, Zones: []string{"a"}}})
+	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 16, MemoryGB: 128, CacheGB: 35, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
+		BootTime: 10 * time.Second, Zones: []string{"a"}}})
 	for i := range machines {
 		m := l.newMachine(fmt.Sprintf("vm-%06d", i), "small", "a", false)
 		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
@@ -48,13 +48,13 @@
 
 func benchJob(i int) *protocol.Job {
 	j := &protocol.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard,
-		Tasks: 50, CPUs: 1, MemGB: 6, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1.5, Estimate: 40 * time.Second}
+		Tasks: 50, CPUs: 1, MemoryGB: 6, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1.5, EstimatedRuntime: 40 * time.Second}
 	switch i % 10 {
 	case 0:
-		j.Kind, j.Priority, j.Tasks, j.CPUs, j.Estimate = protocol.Service, protocol.Critical, 12, 2, 0
+		j.Kind, j.Priority, j.Tasks, j.CPUs, j.EstimatedRuntime = protocol.Service, protocol.Critical, 12, 2, 0
 	case 1:
 		j.Team = "blue"
-		j.Priority, j.CPUs, j.Checkpoint, j.Save = protocol.Low, 4, 20*time.Second, 5*time.Second
+		j.Priority, j.CPUs, j.CheckpointInterval, j.CheckpointDuration = protocol.Low, 4, 20*time.Second, 5*time.Second
 	}
 	return j
 }
@@ -122,18 +122,18 @@
 		fill(l)
 		c.take()
 		m := l.fleetList[0]
-		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Token: l.epoch.fencingToken()}
+		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, FencingToken: l.epoch.fencingToken()}
 		for _, a := range m.sortedAttempts() {
-			r.Tasks = append(r.Tasks, protocol.TaskReport{Job: a.job.ID, Index: a.task, Attempt: a.number, State: protocol.Running})
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, State: protocol.Running})
 		}
 		id := uint64(0)
 		for b.Loop() {
 			b.StopTimer()
 			id++
-			r.Seq++
-			body := protocol.EncodeReport(r)
+			r.Sequence++
+			body := protocol.EncodeHeartbeat(r)
 			b.StartTimer()
-			c.Request(c.now, id, "POST", protocol.PathReport, body)
+			c.Request(c.now, id, "POST", protocol.PathHeartbeat, body)
 		}
 	})
 }
@@ -147,21 +147,21 @@
 		b.StopTimer()
 		c, l := largeLead(1000, 0)
 		spec := benchJob(2)
-		spec.Tasks, spec.CPUs, spec.MemGB = 15000, 0.05, 0.05
+		spec.Tasks, spec.CPUs, spec.MemoryGB = 15000, 0.05, 0.05
 		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 		m, j := l.fleetList[0], l.jobsByAge[0]
-		r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: l.epoch.fencingToken()}
+		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: l.epoch.fencingToken()}
 		for i := range exits {
 			l.assign(j, i, m)
 			a := j.task(i).live
 			a.recorded, a.reported = true, true
 			l.setTaskState(a, protocol.Running)
-			r.Tasks = append(r.Tasks, protocol.TaskReport{Job: j.ID, Index: i, Attempt: 1, State: protocol.Exited, Why: protocol.ExitDone})
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{Job: j.ID, TaskIndex: i, Attempt: 1, State: protocol.Exited, Reason: protocol.ExitDone})
 		}
-		body := protocol.EncodeReport(r)
+		body := protocol.EncodeHeartbeat(r)
 		c.take()
 		b.StartTimer()
-		c.Request(c.now, 1, "POST", protocol.PathReport, body)
+		c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body)
 	}
 }
 
@@ -199,7 +199,7 @@
 		m.registered = false
 	}
 	for i, j := range l.jobsByAge {
-		j.OneZone, j.MemGB = i%4 == 0, 4+float64(i%50)/20
+		j.OneZone, j.MemoryGB = i%4 == 0, 4+float64(i%50)/20
 		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.pendingTasks()})
 	}
 	return l
@@ -292,7 +292,7 @@
 
 // fleetRecords are the records of a fleet whose machines run sixteen tasks each.
 func fleetRecords(machines int) *fakeStore {
-	r := &fakeStore{items: map[string]protocol.Item{}}
+	r := &fakeStore{items: map[string]protocol.KeyValue{}}
 	const perRecord, perMachine, perJob = 48, 16, 96
 	name := func(i int) string { return fmt.Sprintf("vm-%06d", i) }
 	for g := range (machines + perRecord - 1) / perRecord {
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -29,7 +29,7 @@
 }
 
 func (l *leader) bootOverdue(m *machine) bool {
-	return l.controller.now.Sub(m.provisionedAt) >= m.Spec.Boot*overdueFactor+overdueMargin
+	return l.controller.now.Sub(m.provisionedAt) >= m.Spec.BootTime*overdueFactor+overdueMargin
 }
 
 // awaitsRegistration reports whether a machine that should be up by now may have reported to an
@@ -50,7 +50,7 @@
 			if l.bootOverdue(m) {
 				b.overdue = append(b.overdue, m)
 			}
-		case m.registered && m.Spec != nil && l.controller.now.Sub(m.provisionedAt) < max(m.Spec.Boot*bootTimeoutFactor, m.Spec.Boot+bootTimeoutMargin):
+		case m.registered && m.Spec != nil && l.controller.now.Sub(m.provisionedAt) < max(m.Spec.BootTime*bootTimeoutFactor, m.Spec.BootTime+bootTimeoutMargin):
 			b.booted++
 		}
 	}
@@ -94,9 +94,9 @@
 	b := l.bootProgress()
 	idle := len(l.autoscaler.unmetDemand) == 0 && len(l.autoscaler.displacedReplicas) == 0 && !l.autoscaler.demandIncomplete
 	for _, m := range b.overdue {
-		patience := max(m.Spec.Boot*bootTimeoutFactor, m.Spec.Boot+bootTimeoutMargin)
+		patience := max(m.Spec.BootTime*bootTimeoutFactor, m.Spec.BootTime+bootTimeoutMargin)
 		if b.slow() {
-			patience = m.Spec.Boot * slowBootTimeoutFactor
+			patience = m.Spec.BootTime * slowBootTimeoutFactor
 		}
 		switch age := l.controller.now.Sub(m.provisionedAt); {
 		case len(m.attempts) > 0: // it was up for an earlier leader
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		room = true
-		if m.Consolidating && j.Checkpoint > 0 && l.overpriced(j, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
+		if m.Consolidating && j.CheckpointInterval > 0 && l.overpriced(j, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
 			continue // it would soon have to leave again
 		}
 		if !l.avoidsMachine(j, m) {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -127,8 +127,8 @@
 	leader      *leader   // nil while following
 	sharding    *sharding // nil while the leader serves all machines
 
-	local            []shardLine // between this controller's own roles
-	rejectedMessages int         // of peers, that were ignored
+	localMessages    []shardMessage // between this controller's own roles
+	rejectedMessages int            // of peers, that were ignored
 	processorLoad    processorLoad
 	peakLag          time.Duration // since it was last told
 }
@@ -268,13 +268,13 @@
 }
 
 func (c *Controller) take() Effects {
-	for again := true; again; again = len(c.local) > 0 {
+	for again := true; again; again = len(c.localMessages) > 0 {
 		c.deliverLocal()
 		if c.leader != nil {
 			c.leader.finishStep()
 		}
-		if s := c.sharding; s != nil && s.own != nil {
-			s.own.flushOrders()
+		if s := c.sharding; s != nil && s.owner != nil {
+			s.owner.flushOrders()
 		}
 	}
 	out := c.effects
@@ -288,7 +288,7 @@
 
 // refuse tells a client to come back.
 func (c *Controller) refuse(id uint64, status int, reason string) {
-	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.ErrorAnswer(reason)})
+	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.EncodeError(reason)})
 }
 
 func (c *Controller) call(to Service, addr, method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
--- a/internal/coordination/deferred_heartbeats.go
+++ b/internal/coordination/deferred_heartbeats.go
@@ -61,7 +61,7 @@
 func (c *Controller) deferHeartbeat(id uint64, body []byte) {
 	if len(c.deferred.queue) >= c.maxDeferredHeartbeats() {
 		c.limits.reached(limitHeldReports)
-		c.reply(id, 421, protocol.Redirect(""))
+		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return
 	}
 	until := c.deferred.requeueDeadline
@@ -88,7 +88,7 @@
 func (c *Controller) expireDeferred() {
 	h := &c.deferred
 	for len(h.queue) > 0 && !h.queue[0].deadline.After(c.now) {
-		c.reply(h.queue[0].id, 421, protocol.Redirect(c.otherLeader()))
+		c.reply(h.queue[0].id, 421, protocol.EncodeRedirect(c.otherLeader()))
 		h.queue = h.queue[1:]
 	}
 }
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -38,7 +38,7 @@
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}, {Name: "n2", Zone: "a"}}
 		c.teams["red"].CPUsMax = 100
 		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
-			Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
+			Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 		j := l.jobsByAge[0]
 		for i := range 10 {
 			m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
@@ -108,7 +108,7 @@
 	c.peers["n1"] = &peerStatus{heardAt: c.now, storeReachable: true}
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
-		Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 20, CPUs: 2, MemGB: 1, Image: "a", ImageGB: 1}})
+		Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 	j := l.jobsByAge[0]
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -21,7 +21,7 @@
 // that can't save go on: they may still complete.
 func (l *leader) drainForPreemption(m *machine) {
 	for _, a := range m.sortedAttempts() {
-		if a.job.Checkpoint > 0 {
+		if a.job.CheckpointInterval > 0 {
 			l.stopAttempt(a, l.checkpointGrace(a))
 		} else if a.job.Kind == protocol.Service {
 			l.stopAttempt(a, 0)
@@ -31,8 +31,8 @@
 
 // checkpointGrace is the time a stopped attempt needs to save.
 func (l *leader) checkpointGrace(a *attempt) time.Duration {
-	if a.job.Checkpoint == 0 || a.state != protocol.Running {
+	if a.job.CheckpointInterval == 0 || a.state != protocol.Running {
 		return 0
 	}
-	return a.job.Save + 100*time.Millisecond
+	return a.job.CheckpointDuration + 100*time.Millisecond
 }
--- a/internal/coordination/drain_controller.go
+++ b/internal/coordination/drain_controller.go
@@ -27,12 +27,12 @@
 
 // Drained reports whether the controller neither leads nor serves workers.
 func (c *Controller) Drained() bool {
-	return c.leader == nil && (c.sharding == nil || c.sharding.own == nil || len(c.sharding.own.held) == 0)
+	return c.leader == nil && (c.sharding == nil || c.sharding.owner == nil || len(c.sharding.owner.shards) == 0)
 }
 
 // drainStep gives up the lead once there is nothing else to give up.
 func (c *Controller) drainStep() {
-	servesShards := c.sharding != nil && c.sharding.own != nil && len(c.sharding.own.held) > 0
+	servesShards := c.sharding != nil && c.sharding.owner != nil && len(c.sharding.owner.shards) > 0
 	if c.leader != nil && !servesShards && !c.storeDown() && c.eligiblePeer() {
 		c.resign("controller drained", drainCampaignPause)
 	}
@@ -52,8 +52,8 @@
 // drain lets the leader know that this member is to own nothing.
 func (s *sharding) drain() {
 	s.draining = true
-	if s.own != nil {
-		s.recordDraining(s.own)
+	if s.owner != nil {
+		s.recordDraining(s.owner)
 	}
 }
 
@@ -62,7 +62,7 @@
 	s.writeMember(own, func(applied bool) {
 		if !applied {
 			s.controller.after(300*time.Millisecond, func() {
-				if s.own == own {
+				if s.owner == own {
 					s.recordDraining(own)
 				}
 			})
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -35,7 +35,7 @@
 	e.generation++
 	generation := e.generation
 	alive := func() bool { return c.election.generation == generation }
-	c.storeList(records.PrefixElection, alive, func(items []protocol.Item, revision uint64, _ time.Time) {
+	c.storeList(records.PrefixElection, alive, func(items []protocol.KeyValue, revision uint64, _ time.Time) {
 		e.leaderVersion, e.leader, e.leaderLease = 0, records.Leader{}, 0
 		e.termVersion, e.term, e.sharded = 0, 0, false
 		for _, it := range items {
@@ -256,7 +256,7 @@
 			}
 		})
 	}
-	c.store("POST", protocol.PathLeases, protocol.LeaseBody(ttl), storeTimeout, func(o Outcome) {
+	c.store("POST", protocol.PathLeases, protocol.EncodeLeaseRequest(ttl), storeTimeout, func(o Outcome) {
 		lease, err := uint64(0), error(nil)
 		if o.Answered && o.Status == 200 {
 			lease, err = protocol.ParseLease(o.Body)
@@ -268,8 +268,8 @@
 		term := e.term + 1
 		record := records.Leader{Node: c.cfg.Name, Zone: c.cfg.Zone, Term: term, Boot: c.bootID}
 		c.storeTxn(&protocol.Txn{
-			If: []protocol.Condition{{Key: records.KeyLeader}, {Key: records.KeyTerm, Version: e.termVersion}},
-			Then: []protocol.Op{
+			Conditions: []protocol.Condition{{Key: records.KeyLeader}, {Key: records.KeyTerm, Version: e.termVersion}},
+			Ops: []protocol.Op{
 				{Put: records.KeyLeader, Value: records.Encode(record), Lease: lease},
 				{Put: records.KeyTerm, Value: records.Encode(records.Term{Term: term})},
 			},
@@ -298,7 +298,7 @@
 	}
 	ttl := l.lease.ttl
 	sent := c.now
-	c.store("POST", protocol.TouchTarget(l.lease.id), nil, ttl/2, func(o Outcome) {
+	c.store("POST", protocol.RenewLeaseTarget(l.lease.id), nil, ttl/2, func(o Outcome) {
 		if !l.alive() {
 			return
 		}
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -31,7 +31,7 @@
 	s := l.assessReachability()
 	l.suspectZones = s.suspectZones
 	l.probeBatch(s.toProbe)
-	if l.shards == nil && l.resignIfDisconnected(s) || l.shards != nil && l.shards.givesWay() {
+	if l.shards == nil && l.resignIfDisconnected(s) || l.shards != nil && l.shards.resignIfIsolated() {
 		return
 	}
 	l.releaseUnresponsive(s)
@@ -214,7 +214,7 @@
 	if l.shards == nil {
 		return failureDomain{zone: m.Zone}
 	}
-	return failureDomain{l.shards.s.ownerName(m.shard), m.Zone}
+	return failureDomain{l.shards.sharding.ownerName(m.shard), m.Zone}
 }
 
 // domainHealth is how many machines of a group answer.
--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -35,7 +35,7 @@
 	var open []probe
 	calls := func(e Effects) {
 		for _, call := range e.Calls {
-			if call.To == Worker && call.Target == protocol.PathShow {
+			if call.To == Worker && call.Target == protocol.PathWorkerStatus {
 				asked++
 				open = append(open, probe{call.ID, c.now.Add(call.Timeout)})
 			}
--- a/internal/coordination/forms_test.go
+++ b/internal/coordination/forms_test.go
@@ -13,8 +13,8 @@
 		{File: "peer_full.json", Value: &peerMessage{Node: "n1", StoreReachable: true, Disconnected: true, WorkersUnreachable: true, Term: 41,
 			Progress: map[string]jobProgress{"run-000001": {3, 4}, "run-000002": {}}, Done: map[string]int{"run-000003": 5}, Cancelled: map[string]int{"run-000004": 6}}},
 		{File: "peer_least.json", Value: &peerMessage{}},
-		{File: "shard_instructions.json", Value: &shardLine{Node: "n1", Instructions: &shard.Instructions{Gone: []string{"vm-1"}}}},
-		{File: "shard_observations.json", Value: &shardLine{Node: "n1", Observations: &shard.Observations{Strays: []shard.Task{{Machine: "vm-1"}}}}},
-		{File: "shard_least.json", Value: &shardLine{}},
+		{File: "shard_instructions.json", Value: &shardMessage{Node: "n1", Instructions: &shard.Instructions{TerminatedMachines: []string{"vm-1"}}}},
+		{File: "shard_observations.json", Value: &shardMessage{Node: "n1", Observations: &shard.Observations{Orphans: []shard.Task{{Machine: "vm-1"}}}}},
+		{File: "shard_least.json", Value: &shardMessage{}},
 	})
 }
--- a/internal/coordination/groups.go
+++ b/internal/coordination/groups.go
@@ -43,7 +43,7 @@
 		}
 	}
 	g.groups++
-	id := g.l.shardFor(m)
+	id := g.l.shardForNewMachine(m)
 	// Never used again: terms are unique, and so is the counter within one.
 	k := &group{key: records.KeyMachines(int(id), g.l.term, g.groups), shard: id, typ: m.Type, zone: m.Zone, spot: m.Spot}
 	k.add(m)
@@ -132,13 +132,13 @@
 			l.requestPlacement()
 		}
 		if first && l.shards != nil {
-			l.shards.tellMachine(m)
+			l.shards.machineAdded(m)
 		}
 	}
 }
 
 // loadGroup takes in a record of machines.
-func (l *leader) loadGroup(it protocol.Item) {
+func (l *leader) loadGroup(it protocol.KeyValue) {
 	var r records.Machines
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		l.controller.log.Error("unreadable record of machines", "key", it.Key, "err", err)
--- a/internal/coordination/groups_test.go
+++ b/internal/coordination/groups_test.go
@@ -18,14 +18,14 @@
 	for len(e.Calls) > 0 {
 		var next []Call
 		for _, call := range e.Calls {
-			if call.To != State || call.Target != protocol.PathMulti {
+			if call.To != State || call.Target != protocol.PathTransactions {
 				continue
 			}
 			t, err := protocol.ParseTxn(call.Body)
 			if err != nil {
 				panic(err)
 			}
-			for _, op := range t.Then {
+			for _, op := range t.Ops {
 				writes++
 				if op.Delete != "" {
 					delete(kept, op.Delete)
@@ -44,7 +44,7 @@
 func names(kept map[string]json.RawMessage) []string {
 	_, l := leading(phaseLoading)
 	for key, value := range kept {
-		l.loadGroup(protocol.Item{Key: key, Value: value})
+		l.loadGroup(protocol.KeyValue{Key: key, Value: value})
 	}
 	var list []string
 	for name, m := range l.machines {
@@ -111,12 +111,12 @@
 	kept := map[string]json.RawMessage{}
 	l.journal.putMachine(l.newMachine("vm-1", "small", "a", false))
 	groupRecords(c, kept)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(4))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(4))
 	c.now = c.now.Add(groupDelay + time.Second)
 	groupRecords(c, kept)
 	next, leader := leading(phaseLoading)
 	for key, value := range kept {
-		leader.loadGroup(protocol.Item{Key: key, Value: value})
+		leader.loadGroup(protocol.KeyValue{Key: key, Value: value})
 	}
 	if got := leader.machines["vm-1"]; got == nil || got.addr != "x" {
 		t.Fatalf("loaded %+v", got)
@@ -136,7 +136,7 @@
 // A record from before machines shared them is understood.
 func TestLoadsSingleMachine(t *testing.T) {
 	_, l := leading(phaseLoading)
-	l.loadGroup(protocol.Item{Key: records.PrefixMachines + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
+	l.loadGroup(protocol.KeyValue{Key: records.PrefixMachines + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
 	if m := l.machines["vm-7"]; m == nil || !m.Spot || m.Type != "small" || !m.recorded {
 		t.Errorf("loaded %+v", m)
 	}
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -12,7 +12,7 @@
 func nextTxn(t *testing.T, c *Controller) *protocol.Txn {
 	t.Helper()
 	for _, call := range c.take().Calls {
-		if call.To == State && call.Target == protocol.PathMulti {
+		if call.To == State && call.Target == protocol.PathTransactions {
 			txn, err := protocol.ParseTxn(call.Body)
 			if err != nil {
 				t.Fatal(err)
@@ -25,7 +25,7 @@
 }
 
 func demands(txn *protocol.Txn, key string, version uint64) bool {
-	for _, condition := range txn.If {
+	for _, condition := range txn.Conditions {
 		if condition.Key == key && condition.Version == version {
 			return true
 		}
@@ -39,7 +39,7 @@
 func TestRecordsAreConditional(t *testing.T) {
 	c, l := leading(phaseActive)
 	j, _ := running(c, l, 4)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	m.recorded, m.lastReached = true, c.now
 	chunk := j.chunk(0)
@@ -49,7 +49,7 @@
 	txn := nextTxn(t, c)
 	for key, version := range map[string]uint64{records.KeyLeader: l.version, records.KeyOutcome(j.ID): 0, records.KeyChunk(j.ID, 0): 7} {
 		if !demands(txn, key, version) {
-			t.Errorf("a placement is recorded whatever %s is: %+v", key, txn.If)
+			t.Errorf("a placement is recorded whatever %s is: %+v", key, txn.Conditions)
 		}
 	}
 	// So does the outcome: whoever writes it first decides.
@@ -59,7 +59,7 @@
 	l.taskDone(j, 0)
 	txn = nextTxn(t, c)
 	if !demands(txn, records.KeyLeader, l.version) || !demands(txn, records.KeyOutcome(j.ID), 0) {
-		t.Errorf("a job is called done whatever its outcome is: %+v", txn.If)
+		t.Errorf("a job is called done whatever its outcome is: %+v", txn.Conditions)
 	}
 }
 
@@ -68,22 +68,22 @@
 func TestUnansweredStartIsFenced(t *testing.T) {
 	c, l := leading(phaseActive)
 	j, _ := running(c, l, 4)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, recorded: true, directToken: l.fencingToken(m), directIncarnation: 1}
 	l.attach(a)
 	m.directStartToken = a.directToken
 	l.endJob(j, protocol.Cancelled)
 	below := l.fencingToken(m)
-	c.Request(c.now, 2, "POST", protocol.PathReport, report(5))
+	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, report(5))
 	if j.task(0).live != a || l.teamUsage["red"].cpus != 1 {
 		t.Fatal("gone while its start may still be carried out")
 	}
 	if l.fencingToken(m) <= below {
 		t.Fatal("the start isn't fenced off")
 	}
-	c.Request(c.now, 3, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small",
-		Zone: "a", Session: 1, Seq: 6, Token: l.fencingToken(m)}))
+	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small",
+		Zone: "a", Incarnation: 1, Sequence: 6, FencingToken: l.fencingToken(m)}))
 	if j.task(0).live != nil || l.teamUsage["red"].cpus != 0 {
 		t.Error("still there although no start can be carried out any more")
 	}
@@ -120,7 +120,7 @@
 func TestWorkOnlyOnRecordedMachines(t *testing.T) {
 	c, l := leading(phaseActive)
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	m.lastReached, m.Spec = c.now, c.types["small"]
 	for _, recorded := range []bool{false, true} {
@@ -137,7 +137,7 @@
 func TestRightsEndWithTheLease(t *testing.T) {
 	c, l := leading(phaseActive)
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	m.recorded, m.lastReached, m.Spec = true, c.now, c.types["small"]
 	l.lease.validUntil = c.now
@@ -151,7 +151,7 @@
 		t.Error("not entitled within its grace")
 	}
 	c.now = c.now.Add(time.Millisecond)
-	e := c.Request(c.now, 2, "POST", protocol.PathReport, report(4))
+	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, report(4))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 {
 		t.Errorf("after its grace it answers %+v", e.Replies)
 	}
@@ -177,10 +177,10 @@
 		t.Fatal(err)
 	}
 	if !demands(txn, records.KeyLeader, 0) || !demands(txn, records.KeyTerm, 33) {
-		t.Errorf("elected under %+v", txn.If)
+		t.Errorf("elected under %+v", txn.Conditions)
 	}
-	if txn.Then[0].Put != records.KeyLeader || txn.Then[0].Lease != 77 {
-		t.Errorf("the key goes with lease %d", txn.Then[0].Lease)
+	if txn.Ops[0].Put != records.KeyLeader || txn.Ops[0].Lease != 77 {
+		t.Errorf("the key goes with lease %d", txn.Ops[0].Lease)
 	}
 }
 
@@ -190,11 +190,11 @@
 func TestStartInAnswer(t *testing.T) {
 	c, l := leading(phaseActive)
 	j, _ := running(c, l, 4)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, recorded: true, sentIncarnation: 1, sentSequence: 3}
 	l.attach(a)
-	r, err := protocol.ParseReport(report(4))
+	r, err := protocol.ParseHeartbeat(report(4))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -203,7 +203,7 @@
 	if j.task(0).live != a {
 		t.Fatal("a response that may be older than the start proves it gone")
 	}
-	c.Request(c.now, 2, "POST", protocol.PathReport, report(5))
+	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, report(5))
 	if j.task(0).live == a {
 		t.Error("the next report lacks it, and it still counts")
 	}
@@ -212,8 +212,8 @@
 // A leader that a worker shows a later term's token answers nobody any more.
 func TestLaterTermEndsLeadership(t *testing.T) {
 	c, l := leading(phaseActive)
-	body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 4, Token: (l.term + 1) << 16})
-	if e := c.Request(c.now, 1, "POST", protocol.PathReport, body); e.Replies[0].Status != 421 || c.leader != nil {
+	body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: (l.term + 1) << 16})
+	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body); e.Replies[0].Status != 421 || c.leader != nil {
 		t.Errorf("got %d, leads %t", e.Replies[0].Status, c.leader != nil)
 	}
 }
@@ -224,15 +224,15 @@
 // answer, in a session before, they were taken for ended and started elsewhere meanwhile.
 func TestSessionHasItsWholeLease(t *testing.T) {
 	c, l := leading(phaseActive)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	answered := m.lastAnswered
 	c.now = c.now.Add(10 * time.Second)
-	r, err := protocol.ParseReport(report(5))
+	r, err := protocol.ParseHeartbeat(report(5))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Session, r.Token = 2, l.fencingToken(m)
+	r.Incarnation, r.FencingToken = 2, l.fencingToken(m)
 	l.takeHeartbeat(m, r, false) // a response: its reports don't come
 	if proof := l.terminationProofAt(m); proof.Before(c.now.Add(c.cfg.WorkerLease)) {
 		t.Errorf("taken for dead %s after its session began, its lease is %s", proof.Sub(c.now), c.cfg.WorkerLease)
--- a/internal/coordination/instance_offers.go
+++ b/internal/coordination/instance_offers.go
@@ -17,9 +17,9 @@
 
 func (o offer) price() float64 {
 	if o.spot {
-		return o.spec.SpotPrice
+		return o.spec.SpotPricePerHour
 	}
-	return o.spec.Price
+	return o.spec.PricePerHour
 }
 
 // offerKey names an offer, whatever its price is now.
@@ -46,7 +46,7 @@
 }
 
 func (o offer) allows(j *protocol.Job) bool {
-	return j.AllowsType(o.spec.Name) && o.spec.Fits(j) && (j.Zone == "" || j.Zone == o.zone) && (j.Spot || !o.spot)
+	return j.AllowsType(o.spec.Name) && o.spec.Fits(j) && (j.Zone == "" || j.Zone == o.zone) && (j.AllowSpot || !o.spot)
 }
 
 // offers lists what can be rented now, cheapest per CPU first.
@@ -55,7 +55,7 @@
 	for _, t := range l.controller.types {
 		for _, z := range t.Zones {
 			list = append(list, offer{t, z, false})
-			if l.controller.op.Spot && t.SpotPrice > 0 {
+			if l.controller.op.Spot && t.SpotPricePerHour > 0 {
 				list = append(list, offer{t, z, true})
 			}
 		}
@@ -84,19 +84,19 @@
 }
 
 func (b *bin) take(j *job) bool {
-	if !b.offer.allows(j.Job) || j.CPUs > b.cpus+protocol.Epsilon || j.GPUs > b.gpus+protocol.Epsilon || j.MemGB > b.mem+protocol.Epsilon ||
-		b.reportBytes+protocol.TaskReportBytes(j.ID) > placement.MaxTaskReportBytes {
+	if !b.offer.allows(j.Job) || j.CPUs > b.cpus+protocol.Epsilon || j.GPUs > b.gpus+protocol.Epsilon || j.MemoryGB > b.mem+protocol.Epsilon ||
+		b.reportBytes+protocol.TaskStatusBytes(j.ID) > placement.MaxTaskReportBytes {
 		return false
 	}
-	b.reportBytes += protocol.TaskReportBytes(j.ID)
+	b.reportBytes += protocol.TaskStatusBytes(j.ID)
 	b.cpus -= j.CPUs
 	b.gpus -= j.GPUs
-	b.mem -= j.MemGB
+	b.mem -= j.MemoryGB
 	return true
 }
 
 func newBin(o offer) *bin {
-	return &bin{offer: o, cpus: o.spec.CPUs, gpus: o.spec.GPUs, mem: o.spec.MemGB}
+	return &bin{offer: o, cpus: o.spec.CPUs, gpus: o.spec.GPUs, mem: o.spec.MemoryGB}
 }
 
 // opportunisticPriceFactor is how many times the lowest price per CPU, of all that a job may use, is
@@ -112,7 +112,7 @@
 	}
 	lowest := 0.0
 	for _, t := range l.controller.types {
-		for _, spot := range []bool{false, l.controller.op.Spot && t.SpotPrice > 0 && j.Spot} {
+		for _, spot := range []bool{false, l.controller.op.Spot && t.SpotPricePerHour > 0 && j.AllowSpot} {
 			k := offer{spec: t, spot: spot}
 			if p := k.price() / t.CPUs; j.AllowsType(t.Name) && t.Fits(j.Job) && (lowest == 0 || p < lowest) {
 				lowest = p
@@ -132,15 +132,15 @@
 		if !o.allows(j) || !allows(o.zone) {
 			continue
 		}
-		fit := float64(placement.MaxTaskReportBytes / protocol.TaskReportBytes(j.ID))
+		fit := float64(placement.MaxTaskReportBytes / protocol.TaskStatusBytes(j.ID))
 		if j.CPUs > 0 {
 			fit = min(fit, float64(int(o.spec.CPUs/j.CPUs+protocol.Epsilon)))
 		}
 		if j.GPUs > 0 {
 			fit = min(fit, float64(int(o.spec.GPUs/j.GPUs+protocol.Epsilon)))
 		}
-		if j.MemGB > 0 {
-			fit = min(fit, float64(int(o.spec.MemGB/j.MemGB+protocol.Epsilon)))
+		if j.MemoryGB > 0 {
+			fit = min(fit, float64(int(o.spec.MemoryGB/j.MemoryGB+protocol.Epsilon)))
 		}
 		if fit < 1 {
 			continue
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -49,7 +49,7 @@
 // read asks for the next page.
 func (r *inventoryRead) read() {
 	r.tries++
-	r.leader.controller.call(Cloud, "", "GET", protocol.ListTarget(r.after), nil, cloudTimeout, func(out Outcome) {
+	r.leader.controller.call(Cloud, "", "GET", protocol.MachinesTarget(r.after), nil, cloudTimeout, func(out Outcome) {
 		if r.leader.alive() {
 			r.take(out)
 		}
@@ -63,7 +63,7 @@
 		r.retry()
 		return
 	}
-	list, more, err := protocol.ParseList(out.Body)
+	list, more, err := protocol.ParseMachines(out.Body)
 	if err != nil || more && (len(list) == 0 || list[len(list)-1].Name <= r.after) {
 		r.end() // a list that doesn't go on would be read without end
 		return
@@ -168,6 +168,6 @@
 // releaseUnknownFailed takes a failed machine that nobody knows off the list.
 func (l *leader) releaseUnknownFailed(name string) {
 	if l.autoscaler.callBudget.Take(l.controller.now, 1) {
-		l.controller.call(Cloud, "", "POST", protocol.PathRelease, protocol.ReleaseBody([]string{name}), cloudTimeout, func(Outcome) {})
+		l.controller.call(Cloud, "", "POST", protocol.PathTerminate, protocol.EncodeTerminate([]string{name}), cloudTimeout, func(Outcome) {})
 	}
 }
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -39,7 +39,7 @@
 		failedMachines: map[string]struct{}{}, imageID: l.imageID(r.Spec.Image)}
 	j.chunks = make([]*chunk, (j.Tasks+j.chunkSize-1)/j.chunkSize)
 	l.jobs[j.ID] = j
-	if !j.Spot && j.Kind == protocol.Service {
+	if !j.AllowSpot && j.Kind == protocol.Service {
 		l.autoscaler.largestOnDemand = max(l.autoscaler.largestOnDemand, j.CPUs*float64(j.Tasks))
 	}
 	at := len(l.jobsByAge)
--- a/internal/coordination/journal.go
+++ b/internal/coordination/journal.go
@@ -119,17 +119,17 @@
 }
 
 func (b *batch) op(op protocol.Op) {
-	b.txn.Then = append(b.txn.Then, op)
+	b.txn.Ops = append(b.txn.Ops, op)
 	b.bytes += len(op.Put) + len(op.Delete) + len(op.Value) + 60
 }
 
 func (b *batch) when(key string, version uint64) {
-	for _, condition := range b.txn.If {
+	for _, condition := range b.txn.Conditions {
 		if condition.Key == key {
 			return
 		}
 	}
-	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: version})
+	b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: key, Version: version})
 	b.bytes += len(key) + 50
 }
 
@@ -166,7 +166,7 @@
 	}
 	b := &batch{}
 	b.when(records.KeyLeader, l.version)
-	fits := func() bool { return len(b.txn.Then) < room && b.bytes < 48<<10 }
+	fits := func() bool { return len(b.txn.Ops) < room && b.bytes < 48<<10 }
 	for len(g.ends) > 0 && fits() {
 		j := g.ends[0]
 		g.ends = g.ends[1:]
@@ -210,11 +210,11 @@
 		b.op(protocol.Op{Delete: g.removes[0]})
 		g.removes = g.removes[1:]
 	}
-	if len(b.txn.Then) == 0 {
+	if len(b.txn.Ops) == 0 {
 		return
 	}
 	g.busy = true
-	g.budget.Spend(c.now, float64(len(b.txn.Then)))
+	g.budget.Spend(c.now, float64(len(b.txn.Ops)))
 	c.storeTxn(&b.txn, func(r txnResult, revision uint64, failed []string) {
 		if !l.alive() {
 			return
@@ -345,7 +345,7 @@
 		// It may have been applied or may yet be: read what each record is
 		// now. If the transaction comes later after all, its conditions fail
 		// as soon as the records were written again.
-		c.log.Info("a transaction got no answer", "ops", len(b.txn.Then))
+		c.log.Info("a transaction got no answer", "ops", len(b.txn.Ops))
 		g.requeue(b, func(*chunk) bool { return true })
 	}
 }
@@ -354,7 +354,7 @@
 func (l *leader) resultSaved(t *task) {
 	t.saved = true
 	if t.exit != nil && l.shards != nil {
-		l.shards.tellForget(*t.exit)
+		l.shards.forgetExit(*t.exit)
 	}
 	t.exit = nil
 }
@@ -402,7 +402,7 @@
 // readVersion learns a chunk record's version, however often it must ask.
 func (g *journal) readVersion(chunk *chunk, done func()) {
 	l, c := g.l, g.l.controller
-	c.storeGet(records.KeyChunk(chunk.job.ID, chunk.index), func(it protocol.Item, found, ok bool) {
+	c.storeGet(records.KeyChunk(chunk.job.ID, chunk.index), func(it protocol.KeyValue, found, ok bool) {
 		if !l.alive() {
 			return
 		}
@@ -425,7 +425,7 @@
 // readOutcome learns how a job ended that another node ended.
 func (g *journal) readOutcome(id string) {
 	l, c := g.l, g.l.controller
-	c.storeGet(records.KeyOutcome(id), func(it protocol.Item, found, ok bool) {
+	c.storeGet(records.KeyOutcome(id), func(it protocol.KeyValue, found, ok bool) {
 		if !l.alive() {
 			return
 		}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -50,7 +50,7 @@
 	autoscaler         autoscaler
 	rebalancer         *rebalancer            // nil while balance is off
 	ceilingPolicy      *balance.CeilingPolicy // of the job whose turn it is; nil without
-	shards             *shardLeader           // nil when this leader serves all machines itself
+	shards             *shardCoordinator      // nil when this leader serves all machines itself
 
 	pendingLog            changeThrottle // to operators, of work that waits
 	requestedZone         string         // zone last recorded as the better one for leaders
@@ -190,7 +190,7 @@
 		c.startSharding(false)
 	}
 	if c.sharding != nil {
-		l.shards = newShardLeader(l, c.sharding, c.op.Sharding == nil)
+		l.shards = newShardCoordinator(l, c.sharding, c.op.Sharding == nil)
 	}
 	c.leader = l
 	c.log.Info("became leader", "term", term)
@@ -236,7 +236,7 @@
 // orderSoon lets a worker be told what is wanted of an attempt, by its owner.
 func (l *leader) orderSoon(a *attempt) {
 	if l.shards != nil {
-		l.shards.deliver(a)
+		l.shards.attemptChanged(a)
 		return
 	}
 	l.scheduleOrders(a.machine)
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -101,7 +101,7 @@
 	for i := first; i < min(count, first+protocol.MaxListed); i++ {
 		list = append(list, protocol.ListedMachine{Name: fmt.Sprintf("vm-%06d", i), Type: "small", Zone: "a", State: protocol.Up, Age: time.Hour})
 	}
-	return protocol.EncodeList(list, first+protocol.MaxListed < count)
+	return protocol.EncodeMachines(list, first+protocol.MaxListed < count)
 }
 
 // readList lets a leader read a list of machines once, refusing one call in every refuse.
@@ -111,7 +111,7 @@
 	for range 10_000 {
 		e := c.take()
 		for _, call := range e.Calls {
-			if call.To != Cloud || !strings.HasPrefix(call.Target, protocol.PathHosts+"?") {
+			if call.To != Cloud || !strings.HasPrefix(call.Target, protocol.PathMachines+"?") {
 				continue
 			}
 			calls++
@@ -169,7 +169,7 @@
 func TestEndlessListIsGivenUp(t *testing.T) {
 	c, l := leading(phaseActive)
 	l.readInventory()
-	again := protocol.EncodeList([]protocol.ListedMachine{{Name: "vm-000001", Type: "small", Zone: "a", State: protocol.Up}}, true)
+	again := protocol.EncodeMachines([]protocol.ListedMachine{{Name: "vm-000001", Type: "small", Zone: "a", State: protocol.Up}}, true)
 	calls := 0
 	for range 20 {
 		for _, call := range c.take().Calls {
@@ -190,7 +190,7 @@
 func crowded(tasks int) (*Controller, *leader, *machine) {
 	c, l := largeLead(1, 0)
 	spec := benchJob(2)
-	spec.Tasks, spec.CPUs, spec.MemGB = tasks, 0.001, 0.001
+	spec.Tasks, spec.CPUs, spec.MemoryGB = tasks, 0.001, 0.001
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 	m := l.fleetList[0]
 	for i := range tasks {
@@ -223,10 +223,10 @@
 				t.Fatal(err)
 			}
 			for _, o := range orders {
-				stopped[o.Index] = true
+				stopped[o.TaskIndex] = true
 			}
 			m.sequence++
-			body := protocol.EncodeReport(&protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: m.sequence, Token: l.epoch.fencingToken(),
+			body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.sequence, FencingToken: l.epoch.fencingToken(),
 				Tasks: reported(m)})
 			next = append(next, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body}).Calls...)
 		}
@@ -237,8 +237,8 @@
 	}
 	// The same by the answer of a report.
 	m.sequence++
-	r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: m.sequence, Token: l.epoch.fencingToken(), Tasks: reported(m)}
-	e := c.Request(c.now, 99, "POST", protocol.PathReport, protocol.EncodeReport(r))
+	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.sequence, FencingToken: l.epoch.fencingToken(), Tasks: reported(m)}
+	e := c.Request(c.now, 99, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(r))
 	if len(e.Replies) != 1 || len(e.Replies[0].Body) > protocol.MaxBody {
 		t.Fatalf("answers: %d", len(e.Replies))
 	}
@@ -251,10 +251,10 @@
 }
 
 // reported are the tasks on a machine as its worker reports them.
-func reported(m *machine) []protocol.TaskReport {
-	var list []protocol.TaskReport
+func reported(m *machine) []protocol.TaskStatus {
+	var list []protocol.TaskStatus
 	for _, a := range m.sortedAttempts() {
-		list = append(list, protocol.TaskReport{Job: a.job.ID, Index: a.task, Attempt: a.number, State: protocol.Running})
+		list = append(list, protocol.TaskStatus{Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, State: protocol.Running})
 	}
 	return list
 }
@@ -264,12 +264,12 @@
 func TestTasksFitReports(t *testing.T) {
 	c, l := largeLead(1, 0)
 	spec := benchJob(2)
-	spec.Tasks, spec.CPUs, spec.MemGB = 5000, 0.001, 0.001
+	spec.Tasks, spec.CPUs, spec.MemoryGB = 5000, 0.001, 0.001
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 	fill(l)
 	m := l.fleetList[0]
-	r := &protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Tasks: reported(m)}
-	if size := len(protocol.EncodeReport(r)); len(r.Tasks) < 300 || size > protocol.MaxBody {
+	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: reported(m)}
+	if size := len(protocol.EncodeHeartbeat(r)); len(r.Tasks) < 300 || size > protocol.MaxBody {
 		t.Errorf("%d tasks in a report of %d bytes", len(r.Tasks), size)
 	}
 }
@@ -340,7 +340,7 @@
 func TestRecordsAreTakenInSteps(t *testing.T) {
 	c, l := leading(phaseLoading)
 	r := fleetRecords(1000)
-	var machines, chunks []protocol.Item
+	var machines, chunks []protocol.KeyValue
 	for key, it := range r.items {
 		switch {
 		case strings.HasPrefix(key, records.PrefixChunks):
@@ -378,7 +378,7 @@
 		l.scaleOut()
 		for _, call := range c.take().Calls {
 			if call.To == Cloud {
-				r, err := protocol.ParseRent(call.Body)
+				r, err := protocol.ParseProvision(call.Body)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -395,7 +395,7 @@
 	}
 	first := rented()
 	boot(first, false)
-	if got := rented(); first == 0 || first > 100 || got > protocol.MaxRent {
+	if got := rented(); first == 0 || first > 100 || got > protocol.MaxProvision {
 		t.Errorf("%d rented, and %d more before they were up", first, got)
 	}
 	for _, m := range l.fleetList {
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -11,7 +11,7 @@
 // nobody else writes those of machines and attempts, so that it doesn't matter which is
 // read first, and one slow answer of the state service costs no more than itself.
 func (l *leader) load() {
-	var machines, chunks []protocol.Item
+	var machines, chunks []protocol.KeyValue
 	left := 3
 	if l.rebalancer != nil {
 		left++
@@ -25,16 +25,16 @@
 		l.watchJobs(revision)
 		part()
 	})
-	l.controller.storeList(records.PrefixMachines, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
+	l.controller.storeList(records.PrefixMachines, l.alive, func(items []protocol.KeyValue, _ uint64, _ time.Time) {
 		machines = items
 		part()
 	})
-	l.controller.storeList(records.PrefixChunks, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
+	l.controller.storeList(records.PrefixChunks, l.alive, func(items []protocol.KeyValue, _ uint64, _ time.Time) {
 		chunks = items
 		part()
 	})
 	if l.rebalancer != nil {
-		l.controller.storeList(records.PrefixSurges, l.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
+		l.controller.storeList(records.PrefixSurges, l.alive, func(items []protocol.KeyValue, _ uint64, _ time.Time) {
 			l.rebalancer.restoreSurges(items)
 			part()
 		})
@@ -50,7 +50,7 @@
 const chunksPause = time.Millisecond
 
 // takeRecords takes what was read: attempts belong to jobs and machines.
-func (l *leader) takeRecords(machines, chunks []protocol.Item) {
+func (l *leader) takeRecords(machines, chunks []protocol.KeyValue) {
 	for _, it := range machines {
 		l.loadGroup(it)
 	}
@@ -58,7 +58,7 @@
 }
 
 // takeChunks takes chunk records, some of them in each step, and then goes on.
-func (l *leader) takeChunks(chunks []protocol.Item) {
+func (l *leader) takeChunks(chunks []protocol.KeyValue) {
 	now := min(chunksAtOnce, len(chunks))
 	for _, it := range chunks[:now] {
 		l.loadChunk(it)
@@ -96,8 +96,8 @@
 	c.log.Info("records loaded", "term", l.term, "jobs", len(l.jobsByAge), "machines", len(l.machines), "attempts", live)
 	l.readInventory() // it has the addresses of those that are to be asked
 	if l.shards != nil {
-		l.shardMachines()
-		l.shards.changed()
+		l.assignUnshardedMachines()
+		l.shards.ownershipChanged()
 	}
 	c.after(l.reconciledAt.Sub(c.now), l.activate)
 }
@@ -131,12 +131,12 @@
 	missing, known := 0, 0
 	for _, m := range l.fleetList {
 		// One that only a lagging list tells of may be gone already.
-		booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.Boot)
+		booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.BootTime)
 		if len(m.attempts) == 0 && !booted {
 			continue
 		}
 		known++
-		if !m.reconciled && m.failedProbes < maxProbeFailures && !(listed && m.addr == "") && !l.nobodyTells(m) {
+		if !m.reconciled && m.failedProbes < maxProbeFailures && !(listed && m.addr == "") && !l.ownerUnheard(m) {
 			missing++
 		}
 	}
@@ -161,7 +161,7 @@
 
 func (j *job) task(i int) *task { return &j.chunk(i).tasks[i%j.chunkSize] }
 
-func (l *leader) loadChunk(it protocol.Item) {
+func (l *leader) loadChunk(it protocol.KeyValue) {
 	id, index, ok := records.ParseChunkKey(it.Key)
 	j := l.jobs[id]
 	if !ok || j == nil || index >= len(j.chunks) {
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -18,7 +18,7 @@
 // the jobs whose records are still there are asked for one by one; a job without a
 // record has no attempt left.
 func (s *workerSessions) loadJobs(done func(revision uint64)) {
-	s.controller.storeList(records.PrefixActive, s.alive, func(items []protocol.Item, revision uint64, asked time.Time) {
+	s.controller.storeList(records.PrefixActive, s.alive, func(items []protocol.KeyValue, revision uint64, asked time.Time) {
 		for _, it := range items {
 			s.jobKey(it.Key, it.Value, false)
 		}
@@ -77,7 +77,7 @@
 func (s *workerSessions) checkBatch(ids []string, done func()) {
 	t := &protocol.Txn{}
 	for _, id := range ids {
-		t.If = append(t.If, protocol.Condition{Key: records.KeyOutcome(id)})
+		t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyOutcome(id)})
 	}
 	s.controller.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
 		switch {
@@ -104,7 +104,7 @@
 }
 
 func (s *workerSessions) readOutcomeKey(key string, done func()) {
-	s.controller.storeGet(key, func(it protocol.Item, found, ok bool) {
+	s.controller.storeGet(key, func(it protocol.KeyValue, found, ok bool) {
 		switch {
 		case !s.alive():
 		case !ok:
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -13,13 +13,13 @@
 
 // fakeStore answers a new leader's reads.
 type fakeStore struct {
-	items map[string]protocol.Item
+	items map[string]protocol.KeyValue
 	asked []string // targets of what was read, and what transactions compare
 	hold  string   // a key whose read gets no answer
 }
 
 func (r *fakeStore) put(key string, value any) {
-	r.items[key] = protocol.Item{Key: key, Value: records.Encode(value), Version: 3}
+	r.items[key] = protocol.KeyValue{Key: key, Value: records.Encode(value), Version: 3}
 }
 
 // answer gives the response to a call; status 0 for none.
@@ -29,7 +29,7 @@
 	}
 	path, query := protocol.Query(call.Target)
 	switch {
-	case path == protocol.PathMulti:
+	case path == protocol.PathTransactions:
 		return r.compare(call.Body)
 	case path == protocol.PathKeys:
 		prefix, after, limit, _ := protocol.RangeQuery(query)
@@ -39,7 +39,7 @@
 		key := strings.TrimPrefix(path, protocol.PathKeys+"/")
 		r.asked = append(r.asked, key)
 		if it, ok := r.items[key]; ok && key != r.hold {
-			return 200, protocol.EncodeItem(it)
+			return 200, protocol.EncodeKeyValue(it)
 		}
 	}
 	return 0, nil
@@ -47,18 +47,18 @@
 
 func (r *fakeStore) compare(body []byte) (int, []byte) {
 	t, err := protocol.ParseTxn(body)
-	if err != nil || len(t.Then) > 0 {
+	if err != nil || len(t.Ops) > 0 {
 		return 0, nil
 	}
 	var failed []string
-	for _, condition := range t.If {
+	for _, condition := range t.Conditions {
 		r.asked = append(r.asked, condition.Key)
 		if r.items[condition.Key].Version != condition.Version {
 			failed = append(failed, condition.Key)
 		}
 	}
 	if failed != nil {
-		return 409, protocol.EncodeFailed(failed, 9)
+		return 409, protocol.EncodeFailedConditions(failed, 9)
 	}
 	return 200, protocol.EncodeRevision(9)
 }
@@ -71,7 +71,7 @@
 		}
 	}
 	slices.Sort(keys)
-	var page []protocol.Item
+	var page []protocol.KeyValue
 	for _, k := range keys[:min(limit, len(keys))] {
 		page = append(page, r.items[k])
 	}
@@ -99,7 +99,7 @@
 // unfinishedJobs are records of jobs, of which the second is cancelled, and of many more
 // that were over long ago.
 func unfinishedJobs() *fakeStore {
-	r := &fakeStore{items: map[string]protocol.Item{}}
+	r := &fakeStore{items: map[string]protocol.KeyValue{}}
 	for i := range 3 {
 		id := fmt.Sprintf("run-%06d", i+1)
 		r.put(records.KeyActive(id), records.Job{Chunk: 8, Spec: spec(id)})
@@ -140,7 +140,7 @@
 	if !l.jobsKnownAt.IsZero() || l.holdsLease() {
 		t.Fatalf("known as of %s", l.jobsKnownAt)
 	}
-	if e := c.Request(c.now, 1, "POST", protocol.PathReport, report(4)); len(e.Replies) != 0 {
+	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(4)); len(e.Replies) != 0 {
 		t.Errorf("answered: %+v", e.Replies)
 	}
 }
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -60,15 +60,15 @@
 	failedProbes      int // probes in a row without an answer
 
 	// Of a machine in a shard.
-	shard            shard.ID              // 0: none
-	registeredBefore bool                  // its worker was heard by somebody before
-	attemptsKnown    bool                  // the leader told of all attempts that may be on it
-	incarnationReset bool                  // its worker lost its memory
-	reservedMoves    int                   // moves whose room is held here
-	newerTokenSeen   bool                  // its worker has seen a later token than its shard's
-	exits            map[taskKey]*toldExit // that the leader was told of
-	orphans          map[taskKey]uint64    // attempts it was asked about
-	orphanStops      map[taskKey]uint64    // and those that are to end
+	shard            shard.ID                  // 0: none
+	registeredBefore bool                      // its worker was heard by somebody before
+	attemptsKnown    bool                      // the leader told of all attempts that may be on it
+	incarnationReset bool                      // its worker lost its memory
+	reservedMoves    int                       // moves whose room is held here
+	newerTokenSeen   bool                      // its worker has seen a later token than its shard's
+	exits            map[taskKey]*reportedExit // that the leader was told of
+	orphans          map[taskKey]uint64        // attempts it was asked about
+	orphanStops      map[taskKey]uint64        // and those that are to end
 
 	failuresByJob    map[string]int // failed attempts by job since the last success
 	quarantined      bool
@@ -107,7 +107,7 @@
 // heartbeat answers a worker.
 func (c *Controller) heartbeat(id uint64, body []byte) {
 	if c.sharding != nil {
-		c.sharding.report(id, body)
+		c.sharding.heartbeat(id, body)
 		return
 	}
 	l := c.leader
@@ -117,24 +117,24 @@
 	}
 	if l == nil || !l.holdsLease() {
 		// Never 200 here: it would hold the worker while its lease runs out.
-		c.reply(id, 421, protocol.Redirect(c.otherLeader()))
+		c.reply(id, 421, protocol.EncodeRedirect(c.otherLeader()))
 		return
 	}
-	r, err := protocol.ParseReport(body)
+	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
-		c.reply(id, 400, protocol.ErrorAnswer("not a worker's report"))
+		c.reply(id, 400, protocol.EncodeError("not a worker's report"))
 		return
 	}
-	if r.Token>>fencingBits > l.term {
+	if r.FencingToken>>fencingBits > l.term {
 		// A later leader has already spoken to this worker.
 		c.stepDown("a worker has seen a later term")
-		c.reply(id, 421, protocol.Redirect(""))
+		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return
 	}
 	if _, ok := l.terminated[r.Machine]; ok && l.machines[r.Machine] == nil {
 		// Proven gone, and names are not used again: a copy that comes late,
 		// however much, brings no machine back.
-		c.reply(id, 503, protocol.ErrorAnswer("the machine was returned"))
+		c.reply(id, 503, protocol.EncodeError("the machine was returned"))
 		return
 	}
 	m := l.machines[r.Machine]
@@ -177,7 +177,7 @@
 		l.detach(a, "machine gone")
 	}
 	if l.shards != nil {
-		l.shards.tellGone(m)
+		l.shards.machineTerminated(m)
 	}
 	l.journal.removeMachine(m)
 }
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machines_test.go
@@ -17,8 +17,8 @@
 		CancelWithin: 40 * time.Second, CPUShare: 0.3, Sockets: 900, StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 4,
 		Teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}}
 	c := New(cfg, config.DefaultOperator(), slog.New(slog.DiscardHandler), 1, now)
-	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 3, FetchRate: 1, Price: 1, SpotPrice: 0.5,
-		Boot: 10 * time.Second, Zones: []string{"a"}}})
+	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 3, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
+		BootTime: 10 * time.Second, Zones: []string{"a"}}})
 	c.becomeLeader(1, 10, 5, 2*time.Second, now.Add(time.Hour))
 	c.leader.phase, c.leader.jobsKnownAt = p, now.Add(time.Hour)
 	c.leader.loaded, c.leader.probesNewWorkers = p != phaseLoading, p == phaseActive
@@ -27,7 +27,7 @@
 }
 
 func report(seq uint64) []byte {
-	return protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: 1 << 16})
+	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16})
 }
 
 // The answer to a report that a response of the worker's has overtaken renews
@@ -35,15 +35,15 @@
 func TestOvertakenReportRenewsLease(t *testing.T) {
 	c, l := leading(phaseActive)
 	start := c.now
-	c.Request(start, 1, "POST", protocol.PathReport, report(4))
+	c.Request(start, 1, "POST", protocol.PathHeartbeat, report(4))
 	m := l.machines["vm-1"]
-	r, err := protocol.ParseReport(report(6))
+	r, err := protocol.ParseHeartbeat(report(6))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.takeHeartbeat(m, r, false)
 	later := start.Add(3 * time.Second)
-	e := c.Request(later, 2, "POST", protocol.PathReport, report(5))
+	e := c.Request(later, 2, "POST", protocol.PathHeartbeat, report(5))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Fatalf("got %+v", e.Replies)
 	}
@@ -56,7 +56,7 @@
 // afterwards; without it nothing would ever be placed there.
 func TestMachineMetWhileLoadingIsRecorded(t *testing.T) {
 	c, l := leading(phaseLoading)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(1))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(1))
 	m := l.machines["vm-1"]
 	if m == nil || len(l.journal.puts) != 0 {
 		t.Fatalf("machine %v, %d records to write while loading", m, len(l.journal.puts))
@@ -72,7 +72,7 @@
 func TestBest(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.op.ImageWeight, c.op.RoomWeight = 1, 1
-	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemGB: 1, Image: "a", ImageGB: 1},
+	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1},
 		zones: map[string]int{}, failedMachines: map[string]struct{}{}, imageID: l.imageID("a")}
 	var list []*machine
 	for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
@@ -110,7 +110,7 @@
 	c, l := leading(phaseActive)
 	wall := c.now
 	jobOf := func(tasks, done int, age time.Duration) *job {
-		return &job{Job: &protocol.Job{Class: "c", Kind: protocol.Batch, Tasks: tasks, CPUs: 1, Estimate: 10 * time.Second,
+		return &job{Job: &protocol.Job{Class: "c", Kind: protocol.Batch, Tasks: tasks, CPUs: 1, EstimatedRuntime: 10 * time.Second,
 			Deadline: 40 * time.Second, HasDeadline: true}, submitted: wall.Add(-age), doneTasks: done}
 	}
 	fresh, large := jobOf(10, 0, 0), jobOf(20, 0, 0)
@@ -138,9 +138,9 @@
 	id := uint64(0)
 	report := func(session, seq, token uint64) Reply {
 		id++
-		body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a",
-			Session: session, Seq: seq, Token: token})
-		e := c.Request(c.now.Add(time.Second), id, "POST", protocol.PathReport, body)
+		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a",
+			Incarnation: session, Sequence: seq, FencingToken: token})
+		e := c.Request(c.now.Add(time.Second), id, "POST", protocol.PathHeartbeat, body)
 		for _, r := range e.Replies {
 			if r.ID == id {
 				return r
@@ -153,7 +153,7 @@
 		t.Fatalf("the first report: %d", r.Status)
 	}
 	m := l.machines["vm-1"]
-	m.recorded, m.Spec = true, &protocol.MachineType{Name: "small", CPUs: 4, MemGB: 16}
+	m.recorded, m.Spec = true, &protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
 	if l.acceptsTasks(m) {
 		t.Error("a report alone, perhaps a late copy, opens a machine for work")
 	}
@@ -167,7 +167,7 @@
 	if r := report(1, 11, 0); r.Status != 503 || m.lastAnswered != answered || m.lastSeen != heard {
 		t.Errorf("a copy: status %d, answered %s later, heard %s later", r.Status, m.lastAnswered.Sub(answered), m.lastSeen.Sub(heard))
 	}
-	l.takeHeartbeat(m, &protocol.Report{Machine: "vm-1", Session: 1, Seq: 13, Token: l.epoch.fencingToken()}, false)
+	l.takeHeartbeat(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.fencingToken()}, false)
 	if r := report(1, 12, 0); r.Status != 200 || !m.lastAnswered.After(answered) || m.sequence != 13 {
 		t.Errorf("a report overtaken by a response: status %d, number %d", r.Status, m.sequence)
 	}
@@ -198,7 +198,7 @@
 		l.probe(m)
 		call := c.take().Calls[0]
 		m.incarnation = 2
-		body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: 60})
+		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 		c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		if m.releasing != lost || m.incarnation != 2 {
 			t.Errorf("lost %t: to be returned %t, session %d", lost, m.releasing, m.incarnation)
@@ -231,7 +231,7 @@
 		c.Result(c.now, call.ID, test.out)
 		l.probe(m)
 		for _, call := range c.take().Calls {
-			body := protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: 60})
+			body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		}
 		if m.releasing == test.kept {
@@ -268,14 +268,14 @@
 // lasted for two leases.
 func TestMuteMachine(t *testing.T) {
 	c, l := leading(phaseActive)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(4))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(4))
 	m := l.machines["vm-1"]
 	m.recorded, m.Spec = true, c.types["small"]
 	begin := c.now
 	l.detectFailures()
 	for seq := uint64(5); c.now.Sub(begin) <= 2*c.cfg.WorkerLease; seq++ {
 		c.now = c.now.Add(time.Second)
-		r, err := protocol.ParseReport(report(seq))
+		r, err := protocol.ParseHeartbeat(report(seq))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -19,7 +19,7 @@
 
 func addTestJob(l *leader, id string, change func(*protocol.Job)) *job {
 	spec := &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 10, CPUs: 1,
-		MemGB: 1, Image: "a", ImageGB: 1, Spot: true, Estimate: 30 * time.Second}
+		MemoryGB: 1, Image: "a", ImageGB: 1, AllowSpot: true, EstimatedRuntime: 30 * time.Second}
 	change(spec)
 	l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: spec})
 	return l.jobs[id]
@@ -206,7 +206,7 @@
 		t := c.Tick(c.now)
 		e.Calls, e.Replies = append(e.Calls, t.Calls...), append(e.Replies, t.Replies...)
 		for k := 0; k < len(e.Calls); k++ {
-			if call := e.Calls[k]; call.Target == protocol.PathMulti {
+			if call := e.Calls[k]; call.Target == protocol.PathTransactions {
 				checks++
 				r := c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(1)})
 				e.Replies, e.Calls = append(e.Replies, r.Replies...), append(e.Calls, r.Calls...)
@@ -265,11 +265,11 @@
 	if len(e.Replies) != 1 || len(e.Calls) != 1 || bytes.Count(e.Calls[0].Body, []byte(`"write"`)) != 4 {
 		t.Fatalf("the rest in one: %d answers, %d calls", len(e.Replies), len(e.Calls))
 	}
-	failed := protocol.EncodeFailed([]string{records.KeyActive(benchJob(4).ID)}, 8)
+	failed := protocol.EncodeFailedConditions([]string{records.KeyActive(benchJob(4).ID)}, 8)
 	e = c.Result(c.now, e.Calls[0].ID, Outcome{Answered: true, Status: 409, Body: failed})
 	again := 0
 	for _, call := range e.Calls {
-		if call.Target == protocol.PathMulti {
+		if call.Target == protocol.PathTransactions {
 			again = bytes.Count(call.Body, []byte(`"write"`))
 		}
 	}
@@ -329,7 +329,7 @@
 		m := l.newMachine("vm-1", "small", "a", test.spot)
 		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 		j := addTestJob(l, "run-000001", func(j *protocol.Job) {
-			j.Team, j.Tasks, j.Checkpoint, j.Save = test.team, 1, 30*time.Second, 3*time.Second
+			j.Team, j.Tasks, j.CheckpointInterval, j.CheckpointDuration = test.team, 1, 30*time.Second, 3*time.Second
 		})
 		l.runPlacementRound()
 		if len(m.attemptList) != 1 {
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -37,7 +37,7 @@
 // PeerMessage takes a message from another controller.
 func (c *Controller) PeerMessage(now time.Time, body []byte) Effects {
 	c.now = now
-	if bytes.HasPrefix(body, shardLinePrefix) {
+	if bytes.HasPrefix(body, shardMessagePrefix) {
 		c.shardMessage(body)
 		return c.take()
 	}
@@ -70,12 +70,12 @@
 // shardMessage takes a line about shards. Those of strangers and those that make no sense
 // are counted, and the first is told of.
 func (c *Controller) shardMessage(body []byte) {
-	line, err := parseShardLine(body)
+	line, err := parseShardMessage(body)
 	if err == nil && !c.isPeer(line.Node) {
 		err = errUnknownPeer
 	}
 	if err == nil {
-		c.takeShardLine(line)
+		c.receiveShardMessage(line)
 		return
 	}
 	c.rejectedMessages++
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -90,7 +90,7 @@
 }
 
 // ShapeOf is the shape of a job's tasks.
-func ShapeOf(j *protocol.Job) Shape { return Shape{Needs(j), j.Zone, j.Spot, j.Types} }
+func ShapeOf(j *protocol.Job) Shape { return Shape{Needs(j), j.Zone, j.AllowSpot, j.MachineTypes} }
 
 // KnownNotToFit reports whether one of the same kind, and no larger, has found nothing. During a
 // round room is only used up.
@@ -114,5 +114,5 @@
 
 // KeyOf is the key of the shape of a job's tasks.
 func KeyOf(j *protocol.Job) ShapeKey {
-	return ShapeKey{Needs(j), j.Zone, strings.Join(j.Types, " "), j.Spot}
+	return ShapeKey{Needs(j), j.Zone, strings.Join(j.MachineTypes, " "), j.AllowSpot}
 }
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -9,10 +9,10 @@
 type Resources struct{ CPUs, GPUs, MemGB float64 }
 
 // Needs is what one task of a job takes.
-func Needs(j *protocol.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemGB} }
+func Needs(j *protocol.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
 // Capacity is what a machine of a type has.
-func Capacity(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemGB} }
+func Capacity(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
 // Plus adds amounts.
 func (r Resources) Plus(o Resources) Resources {
@@ -60,7 +60,7 @@
 func (m *Machine) Fits(j *protocol.Job) bool {
 	// Every machine is asked for every job: written out, this takes half of the time.
 	return m.Allocated.CPUs+m.Incoming.CPUs+j.CPUs <= m.Spec.CPUs+protocol.Epsilon &&
-		m.Allocated.MemGB+m.Incoming.MemGB+j.MemGB <= m.Spec.MemGB+protocol.Epsilon &&
+		m.Allocated.MemGB+m.Incoming.MemGB+j.MemoryGB <= m.Spec.MemoryGB+protocol.Epsilon &&
 		m.Allocated.GPUs+m.Incoming.GPUs+j.GPUs <= m.Spec.GPUs+protocol.Epsilon
 }
 
@@ -81,7 +81,7 @@
 func (m *Machine) TaskCapacity(j *protocol.Job) int {
 	free := Capacity(m.Spec).Minus(m.Allocated).Minus(m.Incoming)
 	count := protocol.MaxTasks
-	for _, r := range [...]struct{ free, need float64 }{{free.CPUs, j.CPUs}, {free.GPUs, j.GPUs}, {free.MemGB, j.MemGB}} {
+	for _, r := range [...]struct{ free, need float64 }{{free.CPUs, j.CPUs}, {free.GPUs, j.GPUs}, {free.MemGB, j.MemoryGB}} {
 		if r.need > 0 {
 			count = min(count, int((r.free+protocol.Epsilon)/r.need))
 		}
@@ -94,14 +94,14 @@
 
 // Allows reports whether a job's own rules let it run on the machine.
 func (m *Machine) Allows(j *protocol.Job) bool {
-	return j.AllowsType(m.Type) && (j.Zone == "" || j.Zone == m.Zone) && (j.Spot || !m.Spot)
+	return j.AllowsType(m.Type) && (j.Zone == "" || j.Zone == m.Zone) && (j.AllowSpot || !m.Spot)
 }
 
 // FitsInReport reports whether a machine may hold one more task, by what a report that
 // names all its tasks takes. Part of a report is left for exited tasks that the worker may
 // not forget yet.
 func (m *Machine) FitsInReport(j *protocol.Job) bool {
-	return m.ReportBytes+protocol.TaskReportBytes(j.ID) <= MaxTaskReportBytes
+	return m.ReportBytes+protocol.TaskStatusBytes(j.ID) <= MaxTaskReportBytes
 }
 
 // MaxTaskReportBytes is what the tasks placed on a machine may take in its worker's report: three
--- a/internal/coordination/placement/score.go
+++ b/internal/coordination/placement/score.go
@@ -47,8 +47,8 @@
 		sum += (m.Spec.GPUs - m.Allocated.GPUs) / m.Spec.GPUs
 		n++
 	}
-	if j.MemGB > 0 && m.Spec.MemGB > 0 {
-		sum += (m.Spec.MemGB - m.Allocated.MemGB) / m.Spec.MemGB
+	if j.MemoryGB > 0 && m.Spec.MemoryGB > 0 {
+		sum += (m.Spec.MemoryGB - m.Allocated.MemGB) / m.Spec.MemoryGB
 		n++
 	}
 	if n == 0 {
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -25,7 +25,7 @@
 	clear(l.victimSearches)
 	least, leastMem := math.Inf(1), math.Inf(1)
 	for _, j := range order {
-		least, leastMem = min(least, j.CPUs), min(leastMem, j.MemGB)
+		least, leastMem = min(least, j.CPUs), min(leastMem, j.MemoryGB)
 	}
 	l.accepting, l.withRoom, l.acceptingZones = l.accepting[:0], l.withRoom[:0], l.acceptingZones[:0]
 	for _, m := range l.fleetList {
@@ -35,7 +35,7 @@
 			if !slices.Contains(l.acceptingZones, m.Zone) {
 				l.acceptingZones = append(l.acceptingZones, m.Zone)
 			}
-			if m.Allocated.CPUs+least <= m.Spec.CPUs+protocol.Epsilon && m.Allocated.MemGB+leastMem <= m.Spec.MemGB+protocol.Epsilon {
+			if m.Allocated.CPUs+least <= m.Spec.CPUs+protocol.Epsilon && m.Allocated.MemGB+leastMem <= m.Spec.MemoryGB+protocol.Epsilon {
 				l.withRoom = append(l.withRoom, m)
 			}
 		}
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -42,10 +42,10 @@
 // fetchMissesObjective reports whether fetching the image on a machine alone would take a
 // critical task past the time in which its users want it started.
 func (l *leader) fetchMissesObjective(j *job, m *machine) bool {
-	if j.Priority != protocol.Critical || m.Spec.FetchRate <= 0 {
+	if j.Priority != protocol.Critical || m.Spec.FetchGBPerSecond <= 0 {
 		return false
 	}
-	fetch := time.Duration((1 - m.ImageShare(j.placementTask())) * j.ImageGB / m.Spec.FetchRate * float64(time.Second))
+	fetch := time.Duration((1 - m.ImageShare(j.placementTask())) * j.ImageGB / m.Spec.FetchGBPerSecond * float64(time.Second))
 	for i := range l.controller.cfg.Objectives {
 		if o := &l.controller.cfg.Objectives[i]; o.Kind == "wait" && o.Class == j.Class && fetch > o.Within {
 			return true
@@ -91,14 +91,14 @@
 // patience has ended. Little is lost with it.
 func (l *leader) checkpointsInTime(a *attempt) bool {
 	g := l.quotaStartObjective()
-	return a.job.Checkpoint > 0 && a.state == protocol.Running && a.job.Save+checkpointMargin <= g && a.job.Save+checkpointMargin > g-l.preemptionDelay()
+	return a.job.CheckpointInterval > 0 && a.state == protocol.Running && a.job.CheckpointDuration+checkpointMargin <= g && a.job.CheckpointDuration+checkpointMargin > g-l.preemptionDelay()
 }
 
 // hasCheckpointingVictims reports whether there may be such work.
 func (l *leader) hasCheckpointingVictims() bool {
 	g := l.quotaStartObjective()
 	return slices.ContainsFunc(l.jobsByAge, func(j *job) bool {
-		return j.liveAttempts > 0 && j.Checkpoint > 0 && j.Save+checkpointMargin <= g && j.Save+checkpointMargin > g-l.preemptionDelay()
+		return j.liveAttempts > 0 && j.CheckpointInterval > 0 && j.CheckpointDuration+checkpointMargin <= g && j.CheckpointDuration+checkpointMargin > g-l.preemptionDelay()
 	})
 }
 
@@ -151,8 +151,8 @@
 		return 0
 	}
 	d := l.controller.now.Sub(a.stateSince)
-	if a.job.Checkpoint > 0 {
-		d = a.job.Save // it saves, and only that time is lost
+	if a.job.CheckpointInterval > 0 {
+		d = a.job.CheckpointDuration // it saves, and only that time is lost
 	}
 	return d.Seconds() * (a.job.CPUs + 8*a.job.GPUs)
 }
@@ -192,7 +192,7 @@
 }
 
 func victimSearchKeyOf(j *job) victimSearchKey {
-	k := victimSearchKey{zone: j.Zone, types: strings.Join(j.Types, " "), spot: j.Spot, priority: j.Priority, tier: j.queueTier()}
+	k := victimSearchKey{zone: j.Zone, types: strings.Join(j.MachineTypes, " "), spot: j.AllowSpot, priority: j.Priority, tier: j.queueTier()}
 	if j.withinQuota {
 		k.team = j.Team
 	}
@@ -213,13 +213,13 @@
 				s.exhausted = append(s.exhausted, preemptionOption{m, 0, int32(i)})
 			}
 		}
-	case j.CPUs >= s.smallest.cpus && j.GPUs >= s.smallest.gpus && j.MemGB >= s.smallestMemGB:
+	case j.CPUs >= s.smallest.cpus && j.GPUs >= s.smallest.gpus && j.MemoryGB >= s.smallestMemGB:
 		// What had no room for a smaller task has none for this one: during a round
 		// room is only used up.
 		heap.Init(s)
 		return
 	}
-	s.smallest, s.smallestMemGB = usage{j.CPUs, j.GPUs}, j.MemGB
+	s.smallest, s.smallestMemGB = usage{j.CPUs, j.GPUs}, j.MemoryGB
 	failed := s.exhausted[:0]
 	for _, o := range s.exhausted {
 		cost, _, ok := l.findVictims(j, o.machine, s)
@@ -289,7 +289,7 @@
 	free := placement.Capacity(m.Spec).Minus(m.Allocated).Plus(m.Terminating).Minus(m.Reserved).Minus(m.Incoming)
 	cpus, gpus, mem := free.CPUs, free.GPUs, free.MemGB
 	fits := func() bool {
-		return cpus >= j.CPUs-protocol.Epsilon && gpus >= j.GPUs-protocol.Epsilon && mem >= j.MemGB-protocol.Epsilon
+		return cpus >= j.CPUs-protocol.Epsilon && gpus >= j.GPUs-protocol.Epsilon && mem >= j.MemoryGB-protocol.Epsilon
 	}
 	if fits() {
 		return 0, nil, true
@@ -334,7 +334,7 @@
 		cost += l.lostWork(a) + 1
 		cpus += a.job.CPUs
 		gpus += a.job.GPUs
-		mem += a.job.MemGB
+		mem += a.job.MemoryGB
 		if fits() {
 			return cost, l.victimBuffer[:i+1], true
 		}
@@ -371,7 +371,7 @@
 	for _, m := range l.fleetList {
 		for _, a := range m.sortedAttempts() {
 			if a.job.Team == j.Team && a.job.Priority < j.Priority && !a.stopRequested &&
-				(j.Priority == protocol.Critical || a.job.Checkpoint > 0) {
+				(j.Priority == protocol.Critical || a.job.CheckpointInterval > 0) {
 				candidates = append(candidates, a)
 			}
 		}
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -16,14 +16,14 @@
 	name := fmt.Sprintf("t%d-%d", l.term, f.requestCount)
 	key := o.key()
 	f.requested[key] += count
-	c.call(Cloud, "", "POST", protocol.PathHosts, protocol.RentBody(name, o.spec.Name, o.zone, o.spot, count), cloudTimeout, func(out Outcome) {
+	c.call(Cloud, "", "POST", protocol.PathMachines, protocol.EncodeProvision(name, o.spec.Name, o.zone, o.spot, count), cloudTimeout, func(out Outcome) {
 		if !l.alive() {
 			return
 		}
 		f.requested[key] -= count
 		switch {
 		case out.Answered && out.Status == 200:
-			names, err := protocol.ParseNames(out.Body)
+			names, err := protocol.ParseMachineNames(out.Body)
 			if err != nil {
 				return // what was rented will show in the list
 			}
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -47,7 +47,7 @@
 // Owners' estimates are often wrong by half, so a goal is given up only when
 // half of the estimate is too long for it.
 func (l *leader) queueWeight(j *job, wall time.Time) float64 {
-	est := max(time.Duration(float64(j.Estimate)*l.correctionOf(j.Class)), time.Second)
+	est := max(time.Duration(float64(j.EstimatedRuntime)*l.correctionOf(j.Class)), time.Second)
 	var goals []time.Duration
 	if j.HasDeadline {
 		goals = append(goals, j.Deadline, j.Deadline*3/2)
@@ -83,12 +83,12 @@
 
 // observeRunTime takes a completed task's run time into its class's bias.
 func (l *leader) observeRunTime(a *attempt) {
-	if a.state != protocol.Running || a.inherited || a.job.Estimate <= 0 {
+	if a.state != protocol.Running || a.inherited || a.job.EstimatedRuntime <= 0 {
 		return
 	}
 	run := l.controller.now.Sub(a.stateSince)
 	l.rebalancer.attemptCompleted(a, run)
-	ratio := float64(run) / float64(a.job.Estimate)
+	ratio := float64(run) / float64(a.job.EstimatedRuntime)
 	l.estimateCorrection[a.job.Class] = l.correctionOf(a.job.Class)*0.95 + min(max(ratio, 0.2), 5)*0.05
 }
 
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -78,7 +78,7 @@
 func (b *rebalancer) ceilingWait(j *job) time.Duration {
 	least := maxCeilingWait * ceilingWaitDivisor
 	if j.HasDeadline {
-		least = min(least, max(0, j.Deadline-j.Estimate))
+		least = min(least, max(0, j.Deadline-j.EstimatedRuntime))
 	}
 	for i := range b.l.controller.cfg.Objectives {
 		o := &b.l.controller.cfg.Objectives[i]
@@ -113,7 +113,7 @@
 		if !l.booting(m) || l.bootOverdue(m) {
 			continue
 		}
-		key, up := offerKey{m.Type, m.Zone, m.Spot}, m.provisionedAt.Add(m.Spec.Boot)
+		key, up := offerKey{m.Type, m.Zone, m.Spot}, m.provisionedAt.Add(m.Spec.BootTime)
 		if first, ok := list[key]; !ok || up.Before(first) {
 			list[key] = up
 		}
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -152,12 +152,12 @@
 // migratableWork is an attempt as the planner sees it.
 func (b *rebalancer) migratableWork(a *attempt) balance.Work {
 	j, m := a.job, a.machine
-	w := balance.Work{Task: j.placementTask(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Checkpoints: j.Checkpoint > 0,
+	w := balance.Work{Task: j.placementTask(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Checkpoints: j.CheckpointInterval > 0,
 		MayUse: j.zoneAllowed, Owner: a}
 	if w.Running {
 		w.Ran = b.l.controller.now.Sub(a.stateSince)
 	}
-	likely := time.Duration(float64(j.Estimate) * b.l.correctionOf(j.Class) * m.load.Speed.Slowness())
+	likely := time.Duration(float64(j.EstimatedRuntime) * b.l.correctionOf(j.Class) * m.load.Speed.Slowness())
 	w.Remaining = max(0, likely-w.Ran) // one that is overdue may end at any moment
 	return w
 }
@@ -167,7 +167,7 @@
 	l := b.l
 	t := a.job.task(a.task)
 	t.migratedInSurge = b.surgeOf(a.job)
-	r := &migration{attempt: a, target: to, needs: placement.Needs(a.job.Job), deadline: l.controller.now.Add(l.controller.cfg.WorkerLease + a.job.Save + stopDuration)}
+	r := &migration{attempt: a, target: to, needs: placement.Needs(a.job.Job), deadline: l.controller.now.Add(l.controller.cfg.WorkerLease + a.job.CheckpointDuration + stopDuration)}
 	to.reserveIncoming(r.needs)
 	b.migrations.active[a] = r
 	b.migrations.started++
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -29,7 +29,7 @@
 
 // Room on the target is kept for the move and for nothing else, and given back in the end.
 func TestMoveHoldsRoom(t *testing.T) {
-	whole := &protocol.Job{ID: "run-000009", CPUs: 4, MemGB: 1}
+	whole := &protocol.Job{ID: "run-000009", CPUs: 4, MemoryGB: 1}
 	l, a, to := movingLead(t)
 	if !a.stopRequested || to.HasRoom(whole) {
 		t.Fatalf("told to stop: %t, room for others: %t", a.stopRequested, to.HasRoom(whole))
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -63,7 +63,7 @@
 	}
 	// What an earlier leader's attempts wait for isn't known.
 	if !a.inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.CachedGB(a.job.imageID) == 0 {
-		m.load.Fetches.Add(b.l.controller.now, a.job.imageID, a.job.ImageGB, m.Spec.FetchRate)
+		m.load.Fetches.Add(b.l.controller.now, a.job.imageID, a.job.ImageGB, m.Spec.FetchGBPerSecond)
 	}
 }
 
@@ -76,15 +76,15 @@
 	if t := b.teams[a.job.Team]; t != nil {
 		m.load.Release(t.id, placement.Needs(a.job.Job))
 	}
-	if a.state != protocol.Running && a.state != protocol.Saving && m.Spec != nil {
-		m.load.Fetches.Cancel(b.l.controller.now, a.job.imageID, m.Spec.FetchRate)
+	if a.state != protocol.Running && a.state != protocol.Checkpointing && m.Spec != nil {
+		m.load.Fetches.Cancel(b.l.controller.now, a.job.imageID, m.Spec.FetchGBPerSecond)
 	}
 }
 
 // attemptRuns notes that an attempt has its image.
 func (b *rebalancer) attemptRuns(a *attempt) {
 	if b != nil && a.machine.Spec != nil {
-		a.machine.load.Fetches.Done(b.l.controller.now, a.job.imageID, a.machine.Spec.FetchRate)
+		a.machine.load.Fetches.Done(b.l.controller.now, a.job.imageID, a.machine.Spec.FetchGBPerSecond)
 	}
 }
 
@@ -99,7 +99,7 @@
 		class = &balance.Runs{}
 		b.classes[key] = class
 	}
-	a.machine.load.Speed.Observe(run, a.job.Estimate, &a.job.runTimes, class)
+	a.machine.load.Speed.Observe(run, a.job.EstimatedRuntime, &a.job.runTimes, class)
 }
 
 // incarnationBegan notes that a worker lost what it had.
@@ -164,7 +164,7 @@
 }
 
 // restoreSurges takes the surges on record.
-func (b *rebalancer) restoreSurges(items []protocol.Item) {
+func (b *rebalancer) restoreSurges(items []protocol.KeyValue) {
 	for _, it := range items {
 		var surges records.Surges
 		if err := protocol.Decode(it.Value, &surges); err != nil {
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -16,7 +16,7 @@
 	c, l := leading(phaseActive)
 	c.op.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
 	l.rebalancer = newRebalancer(l)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	m.recorded, m.lastReached = true, c.now
 	s := spec("run-000001")
@@ -30,33 +30,33 @@
 
 // stateReport is a report that shows an attempt in a state.
 func stateReport(a *attempt, session, seq uint64, s protocol.TaskState) []byte {
-	return protocol.EncodeReport(&protocol.Report{Machine: a.machine.Name, Addr: "x", Type: "small", Zone: "a", Session: session, Seq: seq, Token: 1 << 16,
-		Tasks: []protocol.TaskReport{{Job: a.job.ID, Index: a.task, Attempt: a.number, State: s}}})
+	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: a.machine.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: 1 << 16,
+		Tasks: []protocol.TaskStatus{{Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, State: s}}})
 }
 
 // Load follows what workers show, and nothing that is a copy or older.
 func TestLoadFollowsReports(t *testing.T) {
 	c, l, a := balancedLead(t)
 	m := a.machine
-	queued := func() time.Duration { return m.load.Fetches.Backlog(c.now, m.Spec.FetchRate) }
+	queued := func() time.Duration { return m.load.Fetches.Backlog(c.now, m.Spec.FetchGBPerSecond) }
 	if r, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
 		t.Fatalf("reserved %+v by %d, %s queued", r, tasks, queued())
 	}
-	c.Request(c.now, 2, "POST", protocol.PathReport, stateReport(a, 1, 5, protocol.Fetching))
-	c.Request(c.now, 3, "POST", protocol.PathReport, stateReport(a, 1, 4, protocol.Running)) // a copy, or held up
+	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, stateReport(a, 1, 5, protocol.Fetching))
+	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, stateReport(a, 1, 4, protocol.Running)) // a copy, or held up
 	if queued() != 2*time.Second {
 		t.Errorf("%s queued after an older report", queued())
 	}
-	c.Request(c.now, 4, "POST", protocol.PathReport, stateReport(a, 1, 6, protocol.Running))
+	c.Request(c.now, 4, "POST", protocol.PathHeartbeat, stateReport(a, 1, 6, protocol.Running))
 	if queued() != 0 {
 		t.Errorf("%s queued while the task runs", queued())
 	}
-	m.load.Fetches.Add(c.now, 99, 5, m.Spec.FetchRate)
-	c.Request(c.now, 5, "POST", protocol.PathReport, protocol.EncodeReport(&protocol.Report{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Session: 2, Seq: 7, Token: 1 << 16}))
+	m.load.Fetches.Add(c.now, 99, 5, m.Spec.FetchGBPerSecond)
+	c.Request(c.now, 5, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 2, Sequence: 7, FencingToken: 1 << 16}))
 	if _, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 0 || queued() != 0 {
 		t.Errorf("%d tasks and %s queued in a new session", tasks, queued())
 	}
-	c.Request(c.now, 6, "POST", protocol.PathReport, stateReport(a, 1, 9, protocol.Running))
+	c.Request(c.now, 6, "POST", protocol.PathHeartbeat, stateReport(a, 1, 9, protocol.Running))
 	if _, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 0 {
 		t.Errorf("%d tasks after a report of an earlier session", tasks)
 	}
@@ -65,11 +65,11 @@
 // Surges that can't be read are told of and count as none.
 func TestUnreadableSurges(t *testing.T) {
 	_, l, a := balancedLead(t)
-	l.rebalancer.restoreSurges([]protocol.Item{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
+	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
 	if l.rebalancer.surgeOf(a.job) != 0 {
 		t.Error("a surge was guessed at")
 	}
-	l.rebalancer.restoreSurges([]protocol.Item{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, Level: 1}, "nobody": {Number: 6}})}})
+	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, Level: 1}, "nobody": {Number: 6}})}})
 	if l.rebalancer.surgeOf(a.job) != 5 {
 		t.Error("the surge on record isn't under way")
 	}
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -14,12 +14,12 @@
 func running(c *Controller, l *leader, seq uint64) (*job, []byte) {
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	j := l.jobs["run-000001"]
-	return j, protocol.EncodeReport(&protocol.Report{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: 1 << 16,
-		Tasks: []protocol.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, State: protocol.Running}}})
+	return j, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16,
+		Tasks: []protocol.TaskStatus{{Job: j.ID, TaskIndex: 0, Attempt: 1, State: protocol.Running}}})
 }
 
 func spec(id string) *protocol.Job {
-	return &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 1, CPUs: 1, MemGB: 1,
+	return &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 1, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 1}
 }
 
@@ -48,7 +48,7 @@
 		known, last := l.jobsKnownAt, time.Time{}
 		for i := range 8000 {
 			at := known.Add(time.Duration(i) * 100 * time.Millisecond)
-			e := c.Request(at, uint64(i+1), "POST", protocol.PathReport, report(uint64(i+1)))
+			e := c.Request(at, uint64(i+1), "POST", protocol.PathHeartbeat, report(uint64(i+1)))
 			if len(e.Replies) == 1 && e.Replies[0].Status == 200 {
 				last = at
 			}
@@ -73,7 +73,7 @@
 	c, l := leading(phaseLoading)
 	l.jobsKnownAt = time.Time{}
 	_, body := running(c, l, 4)
-	if e := c.Request(c.now, 1, "POST", protocol.PathReport, body); len(e.Replies) != 0 {
+	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 0 {
 		t.Fatalf("answered before anything was read: %+v", e.Replies)
 	}
 	asked := c.now.Add(-50 * time.Millisecond)
@@ -89,7 +89,7 @@
 	}
 	// While the state service doesn't answer it, the worker is sent away at once.
 	l.jobsKnownAt, c.storeFailingSince = time.Time{}, c.now.Add(-time.Minute)
-	if e := c.Request(c.now, 2, "POST", protocol.PathReport, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
+	if e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
 		t.Errorf("got %+v, want 421", e.Replies)
 	}
 }
@@ -103,7 +103,7 @@
 	l.watchJobs(7)
 	calls := c.take().Calls
 	call := calls[len(calls)-1]
-	if !strings.HasPrefix(call.Target, protocol.PathChanges) {
+	if !strings.HasPrefix(call.Target, protocol.PathWatch) {
 		t.Fatalf("asks %s", call.Target)
 	}
 	if call.Timeout > c.answerFreshness() {
@@ -121,10 +121,10 @@
 func TestOvertakenReportEndsCancelled(t *testing.T) {
 	c, l := leading(phaseActive)
 	_, body := running(c, l, 4)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	l.machines["vm-1"].sequence = 9
 	l.endJob(l.jobs["run-000001"], protocol.Cancelled)
-	e := c.Request(c.now, 2, "POST", protocol.PathReport, body)
+	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
 		t.Errorf("got %+v, want an answer that ends the task", e.Replies)
 	}
@@ -136,14 +136,14 @@
 	c, l := leading(phaseActive)
 	l.jobsKnownAt = c.now
 	j, _ := running(c, l, 4)
-	c.Request(c.now, 1, "POST", protocol.PathReport, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, placedAt: c.now, recorded: true}
 	l.attach(a)
 	l.lease.validUntil = c.now.Add(time.Hour)
 	c.now = c.now.Add(startFreshness + time.Millisecond)
 	l.sendOrders(m)
-	e := c.Request(c.now, 2, "POST", protocol.PathReport, report(4))
+	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, report(4))
 	if _, _, orders, _ := protocol.ParseOrders(e.Replies[0].Body); len(orders) != 0 || len(e.Calls) != 0 {
 		t.Fatalf("a start is sent %s after all was known: %+v %+v", startFreshness, orders, e.Calls)
 	}
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	c.PeerMessage(c.now, raw)
-	e := c.Request(c.now, 1, "POST", protocol.PathReport, body)
+	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body)
 	if len(e.Replies) != 1 || !stops(e.Replies[0], "run-000001") {
 		t.Errorf("got %+v, want the task ended", e.Replies)
 	}
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -81,7 +81,7 @@
 		return false
 	}
 	for _, a := range m.attemptList {
-		if a.stopRequested || a.job.Checkpoint == 0 || a.state != protocol.Running || l.controller.now.Sub(a.stateSince) < opportunisticMinimumRun ||
+		if a.stopRequested || a.job.CheckpointInterval == 0 || a.state != protocol.Running || l.controller.now.Sub(a.stateSince) < opportunisticMinimumRun ||
 			!l.overpriced(a.job, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
 			return false
 		}
@@ -163,7 +163,7 @@
 	var names []string
 	var list []*machine
 	for _, m := range l.fleetList {
-		if m.releasing && c.now.Sub(m.releaseSentAt) > releaseRetry && len(names) < protocol.MaxRelease {
+		if m.releasing && c.now.Sub(m.releaseSentAt) > releaseRetry && len(names) < protocol.MaxTerminate {
 			names = append(names, m.Name)
 			list = append(list, m)
 		}
@@ -175,7 +175,7 @@
 		m.releaseSentAt, m.releaseInFlight = c.now, true
 	}
 	f.releaseInFlight = true
-	c.call(Cloud, "", "POST", protocol.PathRelease, protocol.ReleaseBody(names), cloudTimeout, func(out Outcome) {
+	c.call(Cloud, "", "POST", protocol.PathTerminate, protocol.EncodeTerminate(names), cloudTimeout, func(out Outcome) {
 		if !l.alive() {
 			return
 		}
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -75,14 +75,14 @@
 	if !c.overloadedAt.IsZero() && c.now.Sub(c.overloadedAt) < overloadMemory {
 		return true
 	}
-	return l.shards != nil && l.shards.ownersLate()
+	return l.shards != nil && l.shards.ownerOverloaded()
 }
 
 // machineLimit is how many machines may be rented in one turn.
 func (p *scaleOutPlan) machineLimit() int {
 	l := p.l
 	fleet := len(l.fleetList)
-	step := max(protocol.MaxRent, fleet/cautiousStepDivisor) - len(p.bins)
+	step := max(protocol.MaxProvision, fleet/cautiousStepDivisor) - len(p.bins)
 	return max(0, min(maxPlannedMachines, max(l.forecastCapacity()-fleet, step)))
 }
 
@@ -109,9 +109,9 @@
 	g.openBins = slices.Clone(g.bins)
 	for i, d := range l.autoscaler.unmetDemand {
 		if i == 0 {
-			g.smallestTask, g.smallestMemGB = usage{d.job.CPUs, d.job.GPUs}, d.job.MemGB
+			g.smallestTask, g.smallestMemGB = usage{d.job.CPUs, d.job.GPUs}, d.job.MemoryGB
 		}
-		g.smallestTask.cpus, g.smallestMemGB = min(g.smallestTask.cpus, d.job.CPUs), min(g.smallestMemGB, d.job.MemGB)
+		g.smallestTask.cpus, g.smallestMemGB = min(g.smallestTask.cpus, d.job.CPUs), min(g.smallestMemGB, d.job.MemoryGB)
 	}
 	// What a team may still start under its limit, over all its jobs: machines
 	// beyond that would stand idle.
@@ -276,11 +276,11 @@
 	l := p.l
 	f := &l.autoscaler
 	for _, o := range p.offerOrder {
-		for left := p.countByOffer[o.key()]; left > 0; left -= protocol.MaxRent {
+		for left := p.countByOffer[o.key()]; left > 0; left -= protocol.MaxProvision {
 			if f.callBudget.Available(l.controller.now) < 1+reservedReleaseCalls || !f.callBudget.Take(l.controller.now, 1) {
 				return
 			}
-			l.requestMachines(o, min(left, protocol.MaxRent))
+			l.requestMachines(o, min(left, protocol.MaxProvision))
 		}
 	}
 }
@@ -325,8 +325,8 @@
 func (l *leader) needsHeadroom() bool {
 	boot := time.Duration(0)
 	for _, t := range l.controller.types {
-		if boot == 0 || t.Boot < boot {
-			boot = t.Boot
+		if boot == 0 || t.BootTime < boot {
+			boot = t.BootTime
 		}
 	}
 	for i := range l.controller.cfg.Objectives {
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -58,7 +58,7 @@
 func (l *leader) attemptTerminated(a *attempt, why string) { l.detach(a, why) }
 
 // orphanReported implements observer: not a task of ours on this machine, or not any more.
-func (l *leader) orphanReported(*machine, *protocol.TaskReport) bool { return true }
+func (l *leader) orphanReported(*machine, *protocol.TaskStatus) bool { return true }
 
 // newerTokenSeen implements observer.
 func (l *leader) newerTokenSeen(*machine) { l.controller.stepDown("a worker has seen a later term") }
@@ -81,9 +81,9 @@
 }
 
 // taskExitReported implements observer.
-func (l *leader) taskExitReported(m *machine, a *attempt, t *protocol.TaskReport) bool {
+func (l *leader) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) bool {
 	j := l.jobs[t.Job]
-	if t.Why == protocol.ExitDone && j != nil && t.Index < j.Tasks {
+	if t.Reason == protocol.ExitDone && j != nil && t.TaskIndex < j.Tasks {
 		if a != nil && a.state != 0 {
 			m.Images.Add(j.imageID, j.ImageGB, m.CacheGB())
 		}
@@ -91,14 +91,14 @@
 		if a != nil {
 			l.observeRunTime(a)
 		}
-		l.taskDone(j, t.Index)
+		l.taskDone(j, t.TaskIndex)
 	}
 	if a != nil {
-		if t.Why == protocol.ExitError {
+		if t.Reason == protocol.ExitError {
 			l.attemptFailed(m, a)
 		}
-		if t.Why == protocol.ExitNoRoom || t.Why == protocol.ExitBusy || t.Why == protocol.ExitUnknown {
-			l.controller.logSampled("start refused", "machine", m.Name, "job", t.Job, "task", t.Index, "why", t.Why)
+		if t.Reason == protocol.ExitNoRoom || t.Reason == protocol.ExitBusy || t.Reason == protocol.ExitUnknown {
+			l.controller.logSampled("start refused", "machine", m.Name, "job", t.Job, "task", t.TaskIndex, "why", t.Reason)
 			j.backoffUntil = l.controller.now.Add(500 * time.Millisecond)
 			l.controller.after(510*time.Millisecond, func() {
 				if l.alive() {
@@ -109,7 +109,7 @@
 		l.detach(a, "exited")
 	}
 	// A result is recorded before the worker forgets it.
-	if t.Why == protocol.ExitDone && j != nil && t.Index < j.Tasks && j.finalState == 0 && !j.task(t.Index).saved {
+	if t.Reason == protocol.ExitDone && j != nil && t.TaskIndex < j.Tasks && j.finalState == 0 && !j.task(t.TaskIndex).saved {
 		return false
 	}
 	return true
--- a/internal/coordination/shard/records.go
+++ b/internal/coordination/shard/ownership.go
@@ -18,7 +18,7 @@
 
 // Member is one life of a controller that may own shards. It ends with its lease.
 type Member struct {
-	Node        string `json:"node"`
+	Name        string `json:"node"`
 	Incarnation uint64 `json:"inc"` // never used again
 }
 
@@ -28,49 +28,51 @@
 	Zone     string `json:"zone"`
 	Draining bool   `json:"draining,omitempty"` // it wants to own nothing
 	// Reach is written while no leader is heard, and anew every few seconds.
-	Reach *Reach `json:"reach,omitempty"`
+	Reachability *ReachabilityReport `json:"reach,omitempty"`
 }
 
-// Reach is what a member shows through the state service of the workers that it serves.
-type Reach struct {
-	Count   uint64 `json:"n"`              // of these accounts, from 1
-	Workers int    `json:"w"`              // that were heard by it
-	Lost    int    `json:"lost,omitempty"` // of them, those that don't answer its calls
+// ReachabilityReport is what a member shows through the state service of the workers that it serves.
+type ReachabilityReport struct {
+	Sequence    uint64 `json:"n"`              // of these accounts, from 1
+	Workers     int    `json:"w"`              // that were heard by it
+	Unreachable int    `json:"lost,omitempty"` // of them, those that don't answer its calls
 }
 
-// leastToJudge is how many workers must be known for most of them to say anything.
-const leastToJudge = 3
+// minWorkersToJudge is how many workers must be known for most of them to say anything.
+const minWorkersToJudge = 3
 
-// Blind reports whether most of some workers are lost.
-func Blind(workers, lost int) bool { return workers >= leastToJudge && lost*2 > workers }
+// Partitioned reports whether most of some workers are lost.
+func Partitioned(workers, unreachable int) bool {
+	return workers >= minWorkersToJudge && unreachable*2 > workers
+}
 
-// Grant is the right to serve the workers of a shard.
-type Grant struct {
+// Ownership is the right to serve the workers of a shard.
+type Ownership struct {
 	Member
 	// Term is that of the tokens under which the member serves. It is drawn from the same
 	// counter as leaders' terms, so that it is above every one before it.
 	Term uint64 `json:"term"`
 }
 
-// Record tells who owns a shard.
-type Record struct {
-	Owner Grant `json:"owner"`
+// OwnerRecord tells who owns a shard.
+type OwnerRecord struct {
+	Owner Ownership `json:"owner"`
 	// Next is whom the shard is to move to. The owner stops serving, then makes it the
 	// owner.
-	Next *Grant `json:"next,omitempty"`
+	Next *Ownership `json:"next,omitempty"`
 	// Released is whether every owner before stopped serving before this one was made the
 	// owner. Otherwise one of them may have gone on for its grace.
-	Released bool `json:"released,omitempty"`
+	HandedOver bool `json:"released,omitempty"`
 	// Generation counts the owners.
 	Generation uint64 `json:"gen"`
 }
 
-// Authority is what a leader's changes are conditional on.
-type Authority struct {
-	LeaderVersion uint64 // of the leader key
-	Term          uint64 // the highest drawn so far
-	TermVersion   uint64 // of its key
-	Marked        bool   // it is on record that there are shards
+// LeaderState is what a leader's changes are conditional on.
+type LeaderState struct {
+	LeaderVersion    uint64 // of the leader key
+	Term             uint64 // the highest drawn so far
+	TermVersion      uint64 // of its key
+	ShardingRecorded bool   // it is on record that there are shards
 }
 
 // Change is a transaction that changes owners.
@@ -79,38 +81,38 @@
 	// Term is the highest term after the change, for the next Authority.
 	Term uint64
 	// Records are those written.
-	Records map[ID]Record
+	Records map[ID]OwnerRecord
 }
 
 // newChange begins a change of a leader's.
-func newChange(a Authority) *Change {
-	c := &Change{Term: a.Term, Records: map[ID]Record{}}
-	c.when(records.KeyLeader, a.LeaderVersion)
+func newChange(a LeaderState) *Change {
+	c := &Change{Term: a.Term, Records: map[ID]OwnerRecord{}}
+	c.require(records.KeyLeader, a.LeaderVersion)
 	return c
 }
 
-func (c *Change) when(key string, version uint64) {
-	c.Txn.If = append(c.Txn.If, protocol.Condition{Key: key, Version: version})
+func (c *Change) require(key string, version uint64) {
+	c.Txn.Conditions = append(c.Txn.Conditions, protocol.Condition{Key: key, Version: version})
 }
 
-func (c *Change) put(id ID, version uint64, r Record) {
+func (c *Change) put(id ID, version uint64, r OwnerRecord) {
 	key := records.KeyOwner(int(id))
-	c.when(key, version)
-	c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: key, Value: records.Encode(r)})
+	c.require(key, version)
+	c.Txn.Ops = append(c.Txn.Ops, protocol.Op{Put: key, Value: records.Encode(r)})
 	c.Records[id] = r
 }
 
-// grant draws a term for a new owner.
-func (c *Change) grant(to Member) Grant {
+// nextOwnership draws a term for a new owner.
+func (c *Change) nextOwnership(to Member) Ownership {
 	c.Term++
-	return Grant{Member: to, Term: c.Term}
+	return Ownership{Member: to, Term: c.Term}
 }
 
 // sealTerm records the terms that were drawn.
-func (c *Change) sealTerm(a Authority) *Change {
+func (c *Change) sealTerm(a LeaderState) *Change {
 	if c.Term != a.Term {
-		c.when(records.KeyTerm, a.TermVersion)
-		c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: records.KeyTerm, Value: records.Encode(records.Term{Term: c.Term})})
+		c.require(records.KeyTerm, a.TermVersion)
+		c.Txn.Ops = append(c.Txn.Ops, protocol.Op{Put: records.KeyTerm, Value: records.Encode(records.Term{Term: c.Term})})
 	}
 	return c
 }
@@ -126,7 +128,7 @@
 // right of the owner before has ended in the state service. It gives nothing for shards
 // whose owner is alive. One whose record can't be read is given too: whoever asks for that
 // has waited until the right of any owner has ended.
-func (t *Table) Assign(list []Assignment, a Authority) *Change {
+func (t *Table) Assign(list []Assignment, a LeaderState) *Change {
 	c := newChange(a)
 	owners := map[string]bool{}
 	for _, as := range list {
@@ -135,39 +137,39 @@
 			continue
 		}
 		unreadable := t.unreadable[as.ID]
-		r := Record{Owner: c.grant(as.To), Generation: k.value.Generation + 1}
-		r.Released = !ok && unreadable == 0 // nobody served it
+		r := OwnerRecord{Owner: c.nextOwnership(as.To), Generation: k.value.Generation + 1}
+		r.HandedOver = !ok && unreadable == 0 // nobody served it
 		c.put(as.ID, max(k.version, unreadable), r)
-		if node := k.value.Owner.Node; ok && !owners[node] {
+		if node := k.value.Owner.Name; ok && !owners[node] {
 			owners[node] = true
-			c.when(records.KeyMember(node), t.members[node].version)
+			c.require(records.KeyMember(node), t.members[node].version)
 		}
 	}
-	if !a.Marked {
+	if !a.ShardingRecorded {
 		// With a term in the same change: who is elected later knows of it.
-		c.Txn.Then = append(c.Txn.Then, protocol.Op{Put: records.KeySharded, Value: records.Encode(true)})
+		c.Txn.Ops = append(c.Txn.Ops, protocol.Op{Put: records.KeySharded, Value: records.Encode(true)})
 	}
 	return c.sealTerm(a)
 }
 
-// Intend asks the owner of a shard to release it to a member. It gives nil where the shard
+// ProposeMove asks the owner of a shard to release it to a member. It gives nil where the shard
 // has no owner that is alive, or moves already.
-func (t *Table) Intend(id ID, to Member, a Authority) *Change {
+func (t *Table) ProposeMove(id ID, to Member, a LeaderState) *Change {
 	k, ok := t.records[id]
 	if !ok || k.value.Next != nil || !t.Alive(k.value.Owner.Member) || k.value.Owner.Member == to {
 		return nil
 	}
 	c := newChange(a)
 	r := k.value
-	grant := c.grant(to)
+	grant := c.nextOwnership(to)
 	r.Next = &grant
 	c.put(id, k.version, r)
 	return c.sealTerm(a)
 }
 
-// Withdraw takes an intent back, as when the member that the shard was to move to has
+// CancelMove takes an intent back, as when the member that the shard was to move to has
 // ended. It gives nil without one.
-func (t *Table) Withdraw(id ID, a Authority) *Change {
+func (t *Table) CancelMove(id ID, a LeaderState) *Change {
 	k, ok := t.records[id]
 	if !ok || k.value.Next == nil {
 		return nil
@@ -179,15 +181,15 @@
 	return c
 }
 
-// Release makes the member that a shard moves to its owner. The owner alone may do so,
+// HandOver makes the member that a shard moves to its owner. The owner alone may do so,
 // once it has stopped serving. No leader is needed for it. alone says that nobody before that
 // owner may still answer workers: otherwise the next one has to wait for that as well.
-func (t *Table) Release(id ID, from Member, alone bool) *Change {
+func (t *Table) HandOver(id ID, from Member, exclusive bool) *Change {
 	k, ok := t.records[id]
 	if !ok || k.value.Next == nil || k.value.Owner.Member != from {
 		return nil
 	}
-	c := &Change{Records: map[ID]Record{}}
-	c.put(id, k.version, Record{Owner: *k.value.Next, Generation: k.value.Generation + 1, Released: alone})
+	c := &Change{Records: map[ID]OwnerRecord{}}
+	c.put(id, k.version, OwnerRecord{Owner: *k.value.Next, Generation: k.value.Generation + 1, HandedOver: exclusive})
 	return c
 }
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -8,10 +8,10 @@
 
 // Load is what an owner tells of its work.
 type Load struct {
-	Share    float64       `json:"share"`         // of its processor share in use
-	Lag      time.Duration `json:"lag,omitempty"` // by which its timers fire late
-	Reports  float64       `json:"reports"`       // answered a second
-	Machines int           `json:"machines"`
+	CPUShare      float64       `json:"share"`         // of its processor share in use
+	Lag           time.Duration `json:"lag,omitempty"` // by which its timers fire late
+	HeartbeatRate float64       `json:"reports"`       // answered a second
+	Machines      int           `json:"machines"`
 }
 
 // Controller is a member as the planner sees it.
@@ -23,20 +23,20 @@
 	// the workers that it has.
 	Fit bool
 	// Blind is whether it doesn't reach most of its workers.
-	Blind bool
+	Partitioned bool
 	// Silent is how long nothing was heard of it, its lease notwithstanding.
-	Silent time.Duration
+	UnheardFor time.Duration
 	// Vouched is whether the state service showed lately that it reaches its workers,
 	// although the leader doesn't hear it.
-	Vouched bool
-	Load    Load
+	ShownReachable bool
+	Load           Load
 }
 
 // Shard is a shard as the planner sees it.
 type Shard struct {
 	ID       ID
 	Owner    Member
-	Vacant   bool // its owner's lease has ended, or it never had one
+	Unowned  bool // its owner's lease has ended, or it never had one
 	Moving   bool // it is to be released
 	Machines int
 	Zone     string // of most of its machines
@@ -47,69 +47,69 @@
 
 // Reasons of moves.
 const (
-	ReasonVacant Reason = iota + 1
-	ReasonDrain
-	ReasonBlind
-	ReasonSilent
+	ReasonUnowned Reason = iota + 1
+	ReasonDraining
+	ReasonPartitioned
+	ReasonUnheard
 	ReasonZone
 	ReasonBalance
 )
 
 func (r Reason) String() string {
-	return [...]string{ReasonVacant: "nobody serves it", ReasonDrain: "its owner is drained", ReasonBlind: "its owner reaches too few workers",
-		ReasonSilent: "its owner is not heard", ReasonZone: "its machines are in another zone", ReasonBalance: "balance"}[r]
+	return [...]string{ReasonUnowned: "nobody serves it", ReasonDraining: "its owner is drained", ReasonPartitioned: "its owner reaches too few workers",
+		ReasonUnheard: "its owner is not heard", ReasonZone: "its machines are in another zone", ReasonBalance: "balance"}[r]
 }
 
 // Decision gives a shard to a member.
 type Decision struct {
 	Assignment
-	Why Reason
+	Reason Reason
 }
 
 // Bounds of the planner. A move makes workers look for their owner, so there are few.
 const (
-	movesAtOnce  = 2                // of shards with machines
-	movePause    = 20 * time.Second // between moves for balance
-	restAfter    = 60 * time.Second // before a shard moves again for balance
-	failedFor    = 60 * time.Second // a member that lost a zone's workers is given no other's there
-	keptUnheard  = 30 * time.Second // by an owner that isn't heard and serves, of its last shard
-	vouchedShare = 0.5              // of a processor, up to which shards of an unheard owner are taken
-	settledFor   = 15 * time.Second // a reason must last that long to move a working shard
-	silentFor    = 6 * time.Second  // an owner isn't heard for so long that its shards move
-	shareGap     = 0.25             // between the busiest and the idlest, to move for balance
-	gainOfGap    = 0.75             // a move must leave this part of the gap at the most
-	machinesGap  = 2.0              // times as many machines, where no load is known
-	leastToCount = 8                // machines, below which nothing moves for balance
+	maxConcurrentMoves     = 2                // of shards with machines
+	rebalanceInterval      = 20 * time.Second // between moves for balance
+	moveCooldown           = 60 * time.Second // before a shard moves again for balance
+	reachFailureTTL        = 60 * time.Second // a member that lost a zone's workers is given no other's there
+	maxUnheardKeep         = 30 * time.Second // by an owner that isn't heard and serves, of its last shard
+	maxTakeoverShare       = 0.5              // of a processor, up to which shards of an unheard owner are taken
+	reasonHoldTime         = 15 * time.Second // a reason must last that long to move a working shard
+	unheardLimit           = 6 * time.Second  // an owner isn't heard for so long that its shards move
+	minShareGap            = 0.25             // between the busiest and the idlest, to move for balance
+	maxRemainingGap        = 0.75             // a move must leave this part of the gap at the most
+	minMachineRatio        = 2.0              // times as many machines, where no load is known
+	minMachinesToRebalance = 8                // machines, below which nothing moves for balance
 )
 
 // Planner decides which shards move. It remembers what it decided, and how long reasons
 // have lasted.
 type Planner struct {
-	movedAt map[ID]time.Time
-	balance time.Time        // of the last move for balance
-	since   map[ID]lastingly // why a shard should move
-	failed  failures
+	movedAt       map[ID]time.Time
+	rebalancedAt  time.Time            // of the last move for balance
+	pending       map[ID]pendingReason // why a shard should move
+	reachFailures reachFailures
 }
 
-// lastingly is a reason and since when it holds.
-type lastingly struct {
-	why  Reason
-	from time.Time
+// pendingReason is a reason and since when it holds.
+type pendingReason struct {
+	reason Reason
+	since  time.Time
 }
 
 // NewPlanner is a planner that knows of no moves yet.
 func NewPlanner() *Planner {
-	return &Planner{movedAt: map[ID]time.Time{}, since: map[ID]lastingly{}, failed: failures{}}
+	return &Planner{movedAt: map[ID]time.Time{}, pending: map[ID]pendingReason{}, reachFailures: reachFailures{}}
 }
 
 // Plan decides what is to change now. The same arguments after the same calls give the same
 // decisions.
 func (p *Planner) Plan(now time.Time, controllers []Controller, shards []Shard) []Decision {
 	v := newView(controllers, shards)
-	p.noteBlind(now, v)
-	decisions := p.fillVacant(now, v)
-	decisions = append(decisions, p.leave(now, v)...)
-	return append(decisions, p.level(now, v)...)
+	p.recordPartitioned(now, v)
+	decisions := p.assignUnowned(now, v)
+	decisions = append(decisions, p.evacuate(now, v)...)
+	return append(decisions, p.rebalance(now, v)...)
 }
 
 // view is what the planner works on: decisions change it as they are made.
@@ -122,11 +122,11 @@
 
 func newView(controllers []Controller, shards []Shard) *view {
 	v := &view{controllers: slices.Clone(controllers), shards: slices.Clone(shards), machines: map[Member]int{}}
-	slices.SortFunc(v.controllers, func(a, b Controller) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(v.controllers, func(a, b Controller) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(v.shards, func(a, b Shard) int { return cmp.Compare(a.ID, b.ID) })
 	for i := range v.shards {
 		s := &v.shards[i]
-		if !s.Vacant {
+		if !s.Unowned {
 			v.machines[s.Owner] += s.Machines
 		}
 		if s.Moving && s.Machines > 0 {
@@ -145,26 +145,26 @@
 	return nil
 }
 
-// give notes a decision.
-func (v *view) give(s *Shard, to Member, why Reason) Decision {
-	if !s.Vacant {
+// assign notes a decision.
+func (v *view) assign(s *Shard, to Member, why Reason) Decision {
+	if !s.Unowned {
 		v.machines[s.Owner] -= s.Machines
 		if s.Machines > 0 {
 			v.moving++
 		}
 	}
 	v.machines[to] += s.Machines
-	s.Owner, s.Vacant, s.Moving = to, false, true
+	s.Owner, s.Unowned, s.Moving = to, false, true
 	return Decision{Assignment{s.ID, to}, why}
 }
 
 // best is the controller that a shard is best given to among those that will do, nil without
 // any.
-func (v *view) best(s *Shard, willDo func(c *Controller) bool) *Controller {
+func (v *view) best(s *Shard, eligible func(c *Controller) bool) *Controller {
 	var best *Controller
 	for i := range v.controllers {
 		c := &v.controllers[i]
-		if !willDo(c) {
+		if !eligible(c) {
 			continue
 		}
 		if best == nil || v.compare(s, c, best) < 0 {
@@ -182,14 +182,14 @@
 		compareBool(s.Zone != "" && a.Zone != s.Zone, s.Zone != "" && b.Zone != s.Zone),
 		cmp.Compare(v.machines[a.Member], v.machines[b.Member]),
 		cmp.Compare(v.shardsOf(a.Member), v.shardsOf(b.Member)),
-		cmp.Compare(a.Load.Share, b.Load.Share),
+		cmp.Compare(a.Load.CPUShare, b.Load.CPUShare),
 	)
 }
 
 func (v *view) shardsOf(m Member) int {
 	count := 0
 	for i := range v.shards {
-		if !v.shards[i].Vacant && v.shards[i].Owner == m {
+		if !v.shards[i].Unowned && v.shards[i].Owner == m {
 			count++
 		}
 	}
@@ -206,108 +206,108 @@
 	return -1
 }
 
-// fillVacant gives shards that nobody serves to somebody, at once.
-func (p *Planner) fillVacant(now time.Time, v *view) []Decision {
+// assignUnowned gives shards that nobody serves to somebody, at once.
+func (p *Planner) assignUnowned(now time.Time, v *view) []Decision {
 	var list []Decision
 	for i := range v.shards {
 		s := &v.shards[i]
-		if !s.Vacant {
+		if !s.Unowned {
 			continue
 		}
 		// One that is alive will do, fit or not: better than nobody.
 		if c := v.best(s, func(*Controller) bool { return true }); c != nil {
-			list = append(list, v.give(s, c.Member, ReasonVacant))
+			list = append(list, v.assign(s, c.Member, ReasonUnowned))
 			p.movedAt[s.ID] = now
 		}
 	}
 	return list
 }
 
-// leave moves shards away from owners that should not have them.
-func (p *Planner) leave(now time.Time, v *view) []Decision {
+// evacuate moves shards away from owners that should not have them.
+func (p *Planner) evacuate(now time.Time, v *view) []Decision {
 	var list []Decision
 	for i := range v.shards {
 		s := &v.shards[i]
-		why := v.whyLeave(s)
-		to := v.best(s, func(c *Controller) bool { return p.mayTake(now, c, s, why) && v.carries(c, s, why) })
-		if why == 0 || to == nil || to.Draining || why == ReasonZone && to.Zone != s.Zone || v.keepsUnheard(s, why) {
-			delete(p.since, s.ID)
+		why := v.moveReason(s)
+		to := v.best(s, func(c *Controller) bool { return p.canTake(now, c, s, why) && v.hasCapacity(c, s, why) })
+		if why == 0 || to == nil || to.Draining || why == ReasonZone && to.Zone != s.Zone || v.keepsShard(s, why) {
+			delete(p.pending, s.ID)
 			continue
 		}
-		if !p.lasts(now, s, why) || s.Machines > 0 && v.moving >= movesAtOnce {
+		if !p.heldLongEnough(now, s, why) || s.Machines > 0 && v.moving >= maxConcurrentMoves {
 			continue
 		}
-		list = append(list, v.give(s, to.Member, why))
+		list = append(list, v.assign(s, to.Member, why))
 		p.movedAt[s.ID] = now
-		delete(p.since, s.ID)
+		delete(p.pending, s.ID)
 	}
 	return list
 }
 
-// whyLeave is why a shard should have another owner, 0 without a reason.
-func (v *view) whyLeave(s *Shard) Reason {
+// moveReason is why a shard should have another owner, 0 without a reason.
+func (v *view) moveReason(s *Shard) Reason {
 	c := v.controller(s.Owner)
 	switch {
-	case s.Vacant || s.Moving || c == nil:
+	case s.Unowned || s.Moving || c == nil:
 		return 0
 	case c.Draining:
-		return ReasonDrain
-	case c.Blind:
-		return ReasonBlind
-	case c.Silent > silentFor || c.Vouched: // who vouches says that it doesn't hear the leader either
-		return ReasonSilent
+		return ReasonDraining
+	case c.Partitioned:
+		return ReasonPartitioned
+	case c.UnheardFor > unheardLimit || c.ShownReachable: // who vouches says that it doesn't hear the leader either
+		return ReasonUnheard
 	case s.Zone != "" && c.Zone != s.Zone:
 		return ReasonZone
 	}
 	return 0
 }
 
-// lasts reports whether a reason has held for long enough.
-func (p *Planner) lasts(now time.Time, s *Shard, why Reason) bool {
-	l, ok := p.since[s.ID]
-	if !ok || l.why != why {
-		l = lastingly{why, now}
-		p.since[s.ID] = l
+// heldLongEnough reports whether a reason has held for long enough.
+func (p *Planner) heldLongEnough(now time.Time, s *Shard, why Reason) bool {
+	l, ok := p.pending[s.ID]
+	if !ok || l.reason != why {
+		l = pendingReason{why, now}
+		p.pending[s.ID] = l
 	}
-	if why == ReasonDrain || why == ReasonSilent || why == ReasonBlind || s.Machines == 0 {
+	if why == ReasonDraining || why == ReasonUnheard || why == ReasonPartitioned || s.Machines == 0 {
 		return true
 	}
-	return now.Sub(l.from) >= settledFor
+	return now.Sub(l.since) >= reasonHoldTime
 }
 
-// level moves one shard from the busiest controller to the idlest, if they stay far apart
+// rebalance moves one shard from the busiest controller to the idlest, if they stay far apart
 // and the move brings them closer.
-func (p *Planner) level(now time.Time, v *view) []Decision {
-	busiest, idlest := v.extremes()
+func (p *Planner) rebalance(now time.Time, v *view) []Decision {
+	busiest, idlest := v.busiestAndIdlest()
 	if busiest == nil || v.moving > 0 {
-		p.since[0] = lastingly{0, now}
+		p.pending[0] = pendingReason{0, now}
 		return nil
 	}
-	s := p.toLevel(now, v, busiest, idlest)
+	s := p.rebalanceCandidate(now, v, busiest, idlest)
 	if s == nil {
-		p.since[0] = lastingly{0, now}
+		p.pending[0] = pendingReason{0, now}
 		return nil
 	}
-	gap, lasting := p.since[0]
+	gap, lasting := p.pending[0]
 	if !lasting {
 		// A new leader knows of the gap since now: loads right after a change of leaders
 		// say little.
-		gap = lastingly{0, now}
-		p.since[0] = gap
+		gap = pendingReason{0, now}
+		p.pending[0] = gap
 	}
-	if now.Sub(gap.from) < settledFor || now.Sub(p.balance) < movePause {
+	if now.Sub(gap.since) < reasonHoldTime || now.Sub(p.rebalancedAt) < rebalanceInterval {
 		return nil
 	}
-	p.balance, p.movedAt[s.ID] = now, now
-	p.since[0] = lastingly{0, now}
-	return []Decision{v.give(s, idlest.Member, ReasonBalance)}
+	p.rebalancedAt, p.movedAt[s.ID] = now, now
+	p.pending[0] = pendingReason{0, now}
+	return []Decision{v.assign(s, idlest.Member, ReasonBalance)}
 }
 
-// extremes are the controllers with most and least work among those that are fit.
-func (v *view) extremes() (busiest, idlest *Controller) {
+// busiestAndIdlest are the controllers with most and least work among those that are fit.
+func (v *view) busiestAndIdlest() (busiest, idlest *Controller) {
 	for i := range v.controllers {
 		c := &v.controllers[i]
-		if c.Draining || c.Silent > silentFor {
+		if c.Draining || c.UnheardFor > unheardLimit {
 			continue
 		}
 		if busiest == nil || v.work(c) > v.work(busiest) {
@@ -327,38 +327,38 @@
 // known, its machines.
 func (v *view) work(c *Controller) float64 {
 	if v.loadsKnown() {
-		return c.Load.Share
+		return c.Load.CPUShare
 	}
 	return float64(v.machines[c.Member])
 }
 
 func (v *view) loadsKnown() bool {
-	return !slices.ContainsFunc(v.controllers, func(c Controller) bool { return c.Load.Share == 0 })
+	return !slices.ContainsFunc(v.controllers, func(c Controller) bool { return c.Load.CPUShare == 0 })
 }
 
-// toLevel is the shard whose move brings two controllers closest, nil where none is worth
+// rebalanceCandidate is the shard whose move brings two controllers closest, nil where none is worth
 // its move.
-func (p *Planner) toLevel(now time.Time, v *view, busiest, idlest *Controller) *Shard {
+func (p *Planner) rebalanceCandidate(now time.Time, v *view, busiest, idlest *Controller) *Shard {
 	has := float64(v.machines[busiest.Member])
-	if has < leastToCount {
+	if has < minMachinesToRebalance {
 		return nil
 	}
 	gap := v.work(busiest) - v.work(idlest)
 	perMachine := 1.0
 	if v.loadsKnown() {
-		if gap < shareGap {
+		if gap < minShareGap {
 			return nil
 		}
-		perMachine = busiest.Load.Share / has
-	} else if has < machinesGap*max(1, float64(v.machines[idlest.Member])) {
+		perMachine = busiest.Load.CPUShare / has
+	} else if has < minMachineRatio*max(1, float64(v.machines[idlest.Member])) {
 		return nil
 	}
 	var best *Shard
-	bestGap := gap * gainOfGap
+	bestGap := gap * maxRemainingGap
 	for i := range v.shards {
 		s := &v.shards[i]
-		if s.Owner != busiest.Member || s.Moving || s.Vacant || s.Machines == 0 || now.Sub(p.movedAt[s.ID]) < restAfter ||
-			p.failed.lately(now, idlest.Member, s.Zone) ||
+		if s.Owner != busiest.Member || s.Moving || s.Unowned || s.Machines == 0 || now.Sub(p.movedAt[s.ID]) < moveCooldown ||
+			p.reachFailures.recent(now, idlest.Member, s.Zone) ||
 			s.Zone != "" && s.Zone != idlest.Zone && s.Zone == busiest.Zone {
 			continue
 		}
@@ -376,5 +376,5 @@
 // Forget drops what is remembered of shards that are gone.
 func (p *Planner) Forget(id ID) {
 	delete(p.movedAt, id)
-	delete(p.since, id)
+	delete(p.pending, id)
 }
--- /dev/null
+++ b/internal/coordination/shard/reachability.go
@@ -0,0 +1,103 @@
+package shard
+
+import "time"
+
+// reachFailure is a member that lost most of its workers while it served machines of a zone.
+type reachFailure struct {
+	member Member
+	zone   string
+}
+
+// reachFailures remembers when members last lost their workers, by zone. By time alone a shard
+// rested for a minute wherever it was: an owner that had just been given shards kept them
+// when it lost its workers, until their leases ended. By this a shard goes to everybody who
+// hasn't lately failed with its zone, and to nobody twice in a row: where no controller
+// reaches the machines, it isn't passed round.
+type reachFailures map[reachFailure]time.Time
+
+// recent reports whether a member lost the workers of a zone not long ago.
+func (f reachFailures) recent(now time.Time, m Member, zone string) bool {
+	at, ok := f[reachFailure{m, zone}]
+	return ok && now.Sub(at) < reachFailureTTL
+}
+
+// recordPartitioned remembers who doesn't reach its workers now.
+func (p *Planner) recordPartitioned(now time.Time, v *view) {
+	for k, at := range p.reachFailures {
+		if now.Sub(at) >= reachFailureTTL {
+			delete(p.reachFailures, k)
+		}
+	}
+	for i := range v.shards {
+		s := &v.shards[i]
+		if c := v.controller(s.Owner); !s.Unowned && c != nil && c.Partitioned && s.Machines > 0 {
+			p.reachFailures[reachFailure{c.Member, s.Zone}] = now
+		}
+	}
+}
+
+// canTake reports whether a controller may be given a shard that is to leave its owner. A
+// blind owner's go to one that isn't heard, too, if the state service shows that it reaches
+// its workers: where controllers can't talk to each other, the leader may be the blind one.
+func (p *Planner) canTake(now time.Time, c *Controller, s *Shard, why Reason) bool {
+	if c.Member == s.Owner || p.reachFailures.recent(now, c.Member, s.Zone) {
+		return false
+	}
+	return c.Fit || why == ReasonPartitioned && c.ShownReachable
+}
+
+// HasAlternative reports whether another controller than a zone's present owner may reach the
+// zone's workers, for all that is known.
+func (p *Planner) HasAlternative(now time.Time, controllers []Controller, owner Member, zone string) bool {
+	s := Shard{Owner: owner, Zone: zone}
+	for i := range controllers {
+		if c := &controllers[i]; !c.Draining && p.canTake(now, c, &s, ReasonPartitioned) {
+			return true
+		}
+	}
+	return false
+}
+
+// servesUnheard reports whether a shard would leave its owner only because the leader doesn't
+// hear it, while the state service shows that it reaches its workers.
+func (v *view) servesUnheard(s *Shard, why Reason) bool {
+	return why == ReasonUnheard && s.Machines > 0 && v.controller(s.Owner).ShownReachable
+}
+
+// hasCapacity reports whether a controller has the processor for a shard of an owner that serves
+// unheard: silence between controllers is no reason to put a whole fleet on one of them.
+func (v *view) hasCapacity(c *Controller, s *Shard, why Reason) bool {
+	return !v.servesUnheard(s, why) || v.projectedShare(c, s) <= maxTakeoverShare
+}
+
+// keepsShard reports whether an owner that serves unheard keeps a shard. It isn't emptied,
+// but for its last shard only for maxUnheardKeep: results that its workers report are recorded
+// by nobody meanwhile.
+func (v *view) keepsShard(s *Shard, why Reason) bool {
+	return v.servesUnheard(s, why) && v.countStaying(s.Owner) <= 1 && v.controller(s.Owner).UnheardFor <= maxUnheardKeep
+}
+
+// countStaying counts a member's shards with machines that aren't about to leave it.
+func (v *view) countStaying(m Member) int {
+	count := 0
+	for i := range v.shards {
+		if s := &v.shards[i]; !s.Unowned && !s.Moving && s.Owner == m && s.Machines > 0 {
+			count++
+		}
+	}
+	return count
+}
+
+// projectedShare is about which share of its processor a controller would use with a shard more.
+// Where no load is known it is the part of the fleet that it would serve.
+func (v *view) projectedShare(c *Controller, s *Shard) float64 {
+	machines := float64(v.machines[c.Member] + s.Machines)
+	if c.Load.Machines > 0 && c.Load.CPUShare > 0 {
+		return c.Load.CPUShare * machines / float64(c.Load.Machines)
+	}
+	all := 0
+	for i := range v.shards {
+		all += v.shards[i].Machines
+	}
+	return machines / float64(max(1, all))
+}
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -11,9 +11,9 @@
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
-func member(node string) Member { return Member{Node: node, Incarnation: 1} }
+func member(node string) Member { return Member{Name: node, Incarnation: 1} }
 
-// tableOf has three members, and shards that are owned by the nodes named.
+// tableGeneration has three members, and shards that are owned by the nodes named.
 func tableOf(t *testing.T, owners ...string) *Table {
 	t.Helper()
 	table := NewTable()
@@ -26,17 +26,17 @@
 		put(records.KeyMember(node), MemberRecord{Member: member(node)}, 10)
 	}
 	for i, node := range owners {
-		put(records.KeyOwner(i+1), Record{Owner: Grant{member(node), uint64(i + 1)}, Generation: 1}, 20)
+		put(records.KeyOwner(i+1), OwnerRecord{Owner: Ownership{member(node), uint64(i + 1)}, Generation: 1}, 20)
 	}
 	return table
 }
 
-var leader = Authority{LeaderVersion: 5, Term: 9, TermVersion: 6, Marked: true}
+var leader = LeaderState{LeaderVersion: 5, Term: 9, TermVersion: 6, ShardingRecorded: true}
 
 // versions are the conditions of a change.
 func versions(c *Change) map[string]uint64 {
 	when := map[string]uint64{}
-	for _, k := range c.Txn.If {
+	for _, k := range c.Txn.Conditions {
 		when[k.Key] = k.Version
 	}
 	return when
@@ -57,7 +57,7 @@
 	if when[records.KeyLeader] != 5 || when[records.KeyTerm] != 6 || when[records.KeyOwner(1)] != 20 {
 		t.Errorf("conditions %v", when)
 	}
-	if r := c.Records[1]; r.Released || r.Owner.Term != 10 || c.Records[2].Owner.Term != 11 || c.Term != 11 {
+	if r := c.Records[1]; r.HandedOver || r.Owner.Term != 10 || c.Records[2].Owner.Term != 11 || c.Term != 11 {
 		t.Errorf("records %+v", c.Records)
 	}
 }
@@ -65,30 +65,30 @@
 // A move is asked for by the leader and carried out by the owner, each on the record's version.
 func TestMove(t *testing.T) {
 	table := tableOf(t, "a")
-	if table.Release(1, member("a"), true) != nil {
+	if table.HandOver(1, member("a"), true) != nil {
 		t.Error("released without an intent")
 	}
-	intent := table.Intend(1, member("b"), leader)
+	intent := table.ProposeMove(1, member("b"), leader)
 	table.Applied(intent, 40)
-	if table.Intend(1, member("c"), leader) != nil {
+	if table.ProposeMove(1, member("c"), leader) != nil {
 		t.Error("a second move of a shard that moves")
 	}
-	if table.Release(1, member("b"), true) != nil {
+	if table.HandOver(1, member("b"), true) != nil {
 		t.Error("released by somebody else")
 	}
-	release := table.Release(1, member("a"), true)
+	release := table.HandOver(1, member("a"), true)
 	if when := versions(release); when[records.KeyOwner(1)] != 40 || len(when) != 1 {
 		t.Errorf("conditions %v", when)
 	}
 	table.Applied(release, 41)
-	if owner, ok := table.Owner(1); !ok || owner.Node != "b" || owner.Term != 10 {
+	if owner, ok := table.Owner(1); !ok || owner.Name != "b" || owner.Term != 10 {
 		t.Errorf("owner %+v", owner)
 	}
 	// What was written before, and is heard later, changes nothing.
-	if err := table.Put(records.KeyOwner(1), records.Encode(Record{Owner: Grant{member("a"), 1}}), 20); err != nil {
+	if err := table.Put(records.KeyOwner(1), records.Encode(OwnerRecord{Owner: Ownership{member("a"), 1}}), 20); err != nil {
 		t.Fatal(err)
 	}
-	if owner, _ := table.Owner(1); owner.Node != "b" {
+	if owner, _ := table.Owner(1); owner.Name != "b" {
 		t.Errorf("owner %+v after an old record", owner)
 	}
 }
@@ -111,7 +111,7 @@
 func fleet(shares ...float64) ([]Controller, []Shard) {
 	var controllers []Controller
 	for i, node := range []string{"a", "b", "c"} {
-		controllers = append(controllers, Controller{Member: member(node), Zone: "z", Fit: true, Load: Load{Share: shares[i]}})
+		controllers = append(controllers, Controller{Member: member(node), Zone: "z", Fit: true, Load: Load{CPUShare: shares[i]}})
 	}
 	var shards []Shard
 	for i := range 6 {
@@ -142,7 +142,7 @@
 	var at []int
 	for i := range 60 {
 		for _, d := range p.Plan(start.Add(time.Duration(i)*time.Second), controllers, shards) {
-			if d.Why != ReasonBalance || d.To.Node == "a" {
+			if d.Reason != ReasonBalance || d.To.Name == "a" {
 				t.Fatalf("after %d s: %+v", i, d)
 			}
 			at = append(at, i)
@@ -161,11 +161,11 @@
 	controllers[0].Draining = true
 	controllers[1].Fit = false
 	d := p.Plan(start, controllers, shards)
-	if len(d) != movesAtOnce {
+	if len(d) != maxConcurrentMoves {
 		t.Fatalf("%+v", d)
 	}
 	for _, k := range d {
-		if k.Why != ReasonDrain || k.To.Node != "c" || shards[k.ID-1].Owner.Node != "a" {
+		if k.Reason != ReasonDraining || k.To.Name != "c" || shards[k.ID-1].Owner.Name != "a" {
 			t.Errorf("%+v", k)
 		}
 	}
@@ -181,13 +181,13 @@
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * time.Second)
 		for k := range controllers { // whoever has it reaches few of its workers
-			controllers[k].Blind = controllers[k].Member == shards[0].Owner
-			controllers[k].Fit = !controllers[k].Blind
+			controllers[k].Partitioned = controllers[k].Member == shards[0].Owner
+			controllers[k].Fit = !controllers[k].Partitioned
 		}
 		had[shards[0].Owner] = now
 		for _, d := range p.Plan(now, controllers, shards[:1]) {
-			if at, ok := had[d.To]; ok && now.Sub(at) < failedFor {
-				t.Errorf("after %s it went back to %s, who had it %s ago", now.Sub(start), d.To.Node, now.Sub(at))
+			if at, ok := had[d.To]; ok && now.Sub(at) < reachFailureTTL {
+				t.Errorf("after %s it went back to %s, who had it %s ago", now.Sub(start), d.To.Name, now.Sub(at))
 			}
 			shards[0].Owner = d.To
 			moves++
@@ -209,16 +209,16 @@
 		vouched bool
 		silent  time.Duration
 		want    int
-	}{{0.1, true, silentFor, 1}, {0.9, true, silentFor, 0}, {0.1, false, silentFor, 2}, {0.1, true, keptUnheard, 2}, {0.9, true, keptUnheard, 0}} {
+	}{{0.1, true, unheardLimit, 1}, {0.9, true, unheardLimit, 0}, {0.1, false, unheardLimit, 2}, {0.1, true, maxUnheardKeep, 2}, {0.9, true, maxUnheardKeep, 0}} {
 		p := NewPlanner()
 		controllers, shards := fleet(c.share, 0.4, 0.9)
 		for k := range controllers {
 			controllers[k].Load.Machines = 200
 		}
-		controllers[1].Silent, controllers[1].Fit, controllers[1].Vouched = c.silent+time.Second, false, c.vouched
+		controllers[1].UnheardFor, controllers[1].Fit, controllers[1].ShownReachable = c.silent+time.Second, false, c.vouched
 		moved := 0
 		for _, d := range p.Plan(start, controllers, shards) {
-			if d.Why == ReasonSilent {
+			if d.Reason == ReasonUnheard {
 				moved++
 			}
 		}
@@ -233,38 +233,38 @@
 	const room = 4000
 	in, seen := &Instructions{}, &Observations{Status: &Status{}}
 	for i := range 200 {
-		k := Task{Machine: fmt.Sprintf("vm-%06d", i), Job: "run-000001", Index: i, Attempt: 1}
-		in.Machines = append(in.Machines, Machine{Name: k.Machine, Type: "t", Zone: "z", Runs: []Run{{Task: k}, {Task: k}}})
-		in.Runs = append(in.Runs, Run{Task: k})
-		in.Gone = append(in.Gone, k.Machine)
-		seen.States = append(seen.States, State{Task: k})
-		seen.Gone = append(seen.Gone, Gone{Task: k, Why: "no longer reported"})
-		seen.Status.Late = append(seen.Status.Late, Late{Machine: k.Machine, Silent: 5000})
+		k := Task{Machine: fmt.Sprintf("vm-%06d", i), Job: "run-000001", TaskIndex: i, Attempt: 1}
+		in.Machines = append(in.Machines, Machine{Name: k.Machine, Type: "t", Zone: "z", Starts: []Start{{Task: k}, {Task: k}}})
+		in.Starts = append(in.Starts, Start{Task: k})
+		in.TerminatedMachines = append(in.TerminatedMachines, k.Machine)
+		seen.TaskStates = append(seen.TaskStates, TaskState{Task: k})
+		seen.Terminations = append(seen.Terminations, Termination{Task: k, Reason: "no longer reported"})
+		seen.Status.Unhealthy = append(seen.Status.Unhealthy, UnhealthyWorker{Machine: k.Machine, SilentMillis: 5000})
 	}
 	size := func(v any) int { return len(records.Encode(v)) }
 	machines, runs := 0, 0
 	for !in.Empty() {
-		line, _ := in.Cut(room)
+		line, _ := in.TakeFitting(room)
 		if size(line) > room || line.Empty() {
 			t.Fatalf("a line of %d bytes", size(line))
 		}
-		if len(line.Runs) > 0 && machines+len(line.Machines) < 200 {
+		if len(line.Starts) > 0 && machines+len(line.Machines) < 200 {
 			t.Error("runs before their machines")
 		}
-		machines, runs = machines+len(line.Machines), runs+len(line.Runs)
+		machines, runs = machines+len(line.Machines), runs+len(line.Starts)
 	}
 	states, gone, late, parts := 0, 0, 0, 0
 	for !seen.Empty() {
-		line := seen.Cut(room)
+		line := seen.TakeFitting(room)
 		if size(line) > room {
 			t.Fatalf("a line of %d bytes", size(line))
 		}
-		states, gone = states+len(line.States), gone+len(line.Gone)
+		states, gone = states+len(line.TaskStates), gone+len(line.Terminations)
 		if s := line.Status; s != nil {
-			if s.Part != parts || s.More != (late+len(s.Late) < 200) {
+			if s.Part != parts || s.More != (late+len(s.Unhealthy) < 200) {
 				t.Errorf("part %d: %+v", parts, s)
 			}
-			late, parts = late+len(s.Late), parts+1
+			late, parts = late+len(s.Unhealthy), parts+1
 		}
 	}
 	if machines != 200 || runs != 200 || states != 200 || gone != 200 || late != 200 || parts < 2 {
@@ -275,28 +275,28 @@
 // A link notices a lost line and asks for a full account; a copy changes nothing.
 func TestLink(t *testing.T) {
 	e := Epoch{Term: 3, Member: member("a")}
-	from, to := NewLink(e), NewLink(e)
-	first, lost, third := from.Next(start, true), from.Next(start, true), from.Next(start, true)
-	if !to.Take(first) || to.Take(first) {
+	from, to := NewChannel(e), NewChannel(e)
+	first, lost, third := from.NextHeader(start, true), from.NextHeader(start, true), from.NextHeader(start, true)
+	if !to.Receive(first) || to.Receive(first) {
 		t.Error("the first line once")
 	}
 	_ = lost
-	if to.Take(third) {
+	if to.Receive(third) {
 		t.Error("a line after a lost one was taken")
 	}
-	from.Take(to.Next(start, false))
-	from.Check(start.Add(time.Second))
-	if !from.NeedsReset() || !to.Take(from.Next(start.Add(time.Second), true)) {
+	from.Receive(to.NextHeader(start, false))
+	from.CheckTimeouts(start.Add(time.Second))
+	if !from.SnapshotDue() || !to.Receive(from.NextHeader(start.Add(time.Second), true)) {
 		t.Error("no full account after a lost line")
 	}
-	if to.Take(Header{Epoch: Epoch{Term: 4, Member: member("a")}, Seq: 1, Reset: true}) {
+	if to.Receive(Header{Epoch: Epoch{Term: 4, Member: member("a")}, Sequence: 1, Snapshot: true}) {
 		t.Error("a line of another epoch was taken")
 	}
-	for !from.Full() {
-		from.Next(start, true)
+	for !from.WindowFull() {
+		from.NextHeader(start, true)
 	}
-	from.Take(Header{Epoch: e, Ack: from.sent})
-	if from.Full() {
+	from.Receive(Header{Epoch: e, Acknowledged: from.sent})
+	if from.WindowFull() {
 		t.Error("full after all was acknowledged")
 	}
 }
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -19,7 +19,7 @@
 
 // Table is what the state service tells of owners and members.
 type Table struct {
-	records map[ID]versioned[Record]
+	records map[ID]versioned[OwnerRecord]
 	members map[string]versioned[MemberRecord]
 	// Records that can't be read, and their versions. Nobody guesses at their owners.
 	unreadable map[ID]uint64
@@ -27,7 +27,7 @@
 
 // NewTable is an empty table.
 func NewTable() *Table {
-	return &Table{records: map[ID]versioned[Record]{}, members: map[string]versioned[MemberRecord]{}, unreadable: map[ID]uint64{}}
+	return &Table{records: map[ID]versioned[OwnerRecord]{}, members: map[string]versioned[MemberRecord]{}, unreadable: map[ID]uint64{}}
 }
 
 // Put takes a record; an error says that it can't be read. Older versions than the one
@@ -44,14 +44,14 @@
 	if version < t.records[id].version || version < t.unreadable[id] {
 		return nil
 	}
-	var r Record
-	if err := protocol.Decode(value, &r); err != nil || r.Owner.Node == "" || r.Owner.Term == 0 {
+	var r OwnerRecord
+	if err := protocol.Decode(value, &r); err != nil || r.Owner.Name == "" || r.Owner.Term == 0 {
 		delete(t.records, id)
 		t.unreadable[id] = version
 		return fmt.Errorf("unreadable owner of shard %d: %.200q", id, value)
 	}
 	delete(t.unreadable, id)
-	t.records[id] = versioned[Record]{r, version}
+	t.records[id] = versioned[OwnerRecord]{r, version}
 	return nil
 }
 
@@ -60,7 +60,7 @@
 		return nil
 	}
 	var m MemberRecord
-	if err := protocol.Decode(value, &m); err != nil || m.Node != node || m.Incarnation == 0 {
+	if err := protocol.Decode(value, &m); err != nil || m.Name != node || m.Incarnation == 0 {
 		delete(t.members, node)
 		return fmt.Errorf("unreadable member %q: %.200q", node, value)
 	}
@@ -83,27 +83,27 @@
 func (t *Table) Applied(c *Change, version uint64) {
 	for id, r := range c.Records {
 		if t.records[id].version < version {
-			t.records[id] = versioned[Record]{r, version}
+			t.records[id] = versioned[OwnerRecord]{r, version}
 			delete(t.unreadable, id)
 		}
 	}
 }
 
 // Record gives a shard's record.
-func (t *Table) Record(id ID) (r Record, version uint64, ok bool) {
+func (t *Table) Record(id ID) (r OwnerRecord, version uint64, ok bool) {
 	k, ok := t.records[id]
 	return k.value, k.version, ok
 }
 
 // Owner gives who serves a shard, if its record can be read and its lease hasn't ended.
-func (t *Table) Owner(id ID) (Grant, bool) {
+func (t *Table) Owner(id ID) (Ownership, bool) {
 	k, ok := t.records[id]
 	return k.value.Owner, ok && t.Alive(k.value.Owner.Member)
 }
 
 // Alive reports whether a member's lease is there.
 func (t *Table) Alive(m Member) bool {
-	k, ok := t.members[m.Node]
+	k, ok := t.members[m.Name]
 	return ok && k.value.Member == m
 }
 
--- a/internal/coordination/shard_members.go
+++ b/internal/coordination/shard_assignment.go
@@ -7,9 +7,9 @@
 	"brasskeel/internal/coordination/shard"
 )
 
-// shardFor is the shard that a new machine's record is to be in, 0 for none: the smallest
+// shardForNewMachine is the shard that a new machine's record is to be in, 0 for none: the smallest
 // one with machines of its zone only.
-func (l *leader) shardFor(m *machine) shard.ID {
+func (l *leader) shardForNewMachine(m *machine) shard.ID {
 	if l.shards == nil {
 		return 0
 	}
@@ -35,9 +35,9 @@
 	return best
 }
 
-// shardMachines moves machines whose record names no shard to records that do. Where both
+// assignUnshardedMachines moves machines whose record names no shard to records that do. Where both
 // stand, the one with a shard counts.
-func (l *leader) shardMachines() {
+func (l *leader) assignUnshardedMachines() {
 	old := map[string]bool{}
 	for _, m := range l.fleetList {
 		if m.group == nil || m.group.shard != 0 {
--- /dev/null
+++ b/internal/coordination/shard_change_feed.go
@@ -0,0 +1,363 @@
+package coordination
+
+import (
+	"slices"
+	"time"
+
+	"brasskeel/internal/coordination/shard"
+)
+
+// Lines between the leader and owners.
+const (
+	// messageInterval is the least time between lines to one side: what happens meanwhile shares
+	// one, since each line costs both sides some wake-ups.
+	messageInterval = 25 * time.Millisecond
+	// itemsPerMessage is about how many workers and states are gathered for one line at a time.
+	itemsPerMessage = 400
+	// exitRetention is how long an exit is remembered after the leader let it be forgotten.
+	exitRetention = 30 * time.Second
+)
+
+// changeFeed is what an owner tells the leader, and takes from it.
+type changeFeed struct {
+	owner          *shardOwner
+	channel        *shard.Channel // to the leader; nil while none is known
+	leader         string
+	pending        shard.Observations // that is being filled
+	changedWorkers map[*machine]bool  // to be told in it
+	withTaskStates map[*machine]bool  // of them, those whose tasks' states are to be told, too
+	scheduled      bool               // a line waits for its time
+	blocked        bool               // more waits until lines are acknowledged
+	sentAt         time.Time
+	leaderHeard    time.Time // when a leader last told something
+	// gone are the proofs that the leader hasn't acknowledged. The attempts are forgotten
+	// here, so that no account tells of them: one whose only line was lost counted for ever.
+	unacknowledged []sentTermination
+}
+
+// sentTermination is a proof, and the line that told of it.
+type sentTermination struct {
+	message     uint64
+	termination shard.Termination
+}
+
+func newChangeFeed(o *shardOwner) *changeFeed {
+	return &changeFeed{owner: o, changedWorkers: map[*machine]bool{}, leaderHeard: o.controller.now}
+}
+
+func (f *changeFeed) workerChanged(m *machine) { f.changedWorkers[m] = true; f.schedule() }
+
+func (f *changeFeed) stateChanged(a *attempt) {
+	f.pending.TaskStates = append(f.pending.TaskStates, shard.TaskState{Task: attemptTask(a), State: a.state})
+	f.schedule()
+}
+
+func (f *changeFeed) exited(k *reportedExit) {
+	f.pending.Exits = append(f.pending.Exits, k.exit)
+	f.schedule()
+}
+
+func (f *changeFeed) terminated(a *attempt, why string) {
+	f.pending.Terminations = append(f.pending.Terminations, shard.Termination{Task: attemptTask(a), Reason: why})
+	f.schedule()
+}
+
+func (f *changeFeed) orphanFound(t shard.Task) {
+	f.pending.Orphans = append(f.pending.Orphans, t)
+	f.schedule()
+}
+
+// announceOwnership lets the leader know at once which shards are served, so that it tells of
+// their machines.
+func (f *changeFeed) announceOwnership() { f.flush() }
+
+func attemptTask(a *attempt) shard.Task {
+	return shard.Task{Machine: a.machine.Name, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number}
+}
+
+// schedule wants a line sent, at the end of the step or when the last one is long enough ago.
+func (f *changeFeed) schedule() {
+	if f.scheduled {
+		return
+	}
+	f.scheduled = true
+	c := f.owner.controller
+	c.after(max(0, f.sentAt.Add(messageInterval).Sub(c.now)), func() {
+		f.scheduled = false
+		if f.owner.alive() {
+			f.flush()
+		}
+	})
+}
+
+// flush sends what there is to tell, as far as lines may be on their way, and begins a full
+// account if the leader lacks it.
+func (f *changeFeed) flush() {
+	if f.channel == nil {
+		f.pending, f.changedWorkers = shard.Observations{}, map[*machine]bool{} // a full account will come
+		return
+	}
+	if f.channel.SnapshotDue() {
+		f.beginSnapshot()
+	}
+	first := true
+	for ; !f.channel.WindowFull() && (first || !f.pending.Empty() || len(f.changedWorkers) > 0); first = false {
+		if len(f.pending.Workers)+len(f.pending.TaskStates) == 0 {
+			f.appendWorkers()
+		}
+		f.sendMessage(f.pending.TakeFitting(messageBudget))
+	}
+	f.blocked = !f.pending.Empty() || len(f.changedWorkers) > 0
+}
+
+// beginSnapshot wants all told that is known of the workers.
+func (f *changeFeed) beginSnapshot() {
+	gone := f.pending.Terminations
+	f.pending, f.changedWorkers, f.withTaskStates = shard.Observations{Status: f.pending.Status}, map[*machine]bool{}, map[*machine]bool{}
+	for i := range f.unacknowledged {
+		f.pending.Terminations = append(f.pending.Terminations, f.unacknowledged[i].termination)
+	}
+	f.pending.Terminations = append(f.pending.Terminations, gone...)
+	f.unacknowledged = nil // they are told anew
+	if f.pending.Status != nil && f.pending.Status.Part > 0 {
+		f.pending.Status = nil // half of it was told: the next one comes within a second
+	}
+	for _, m := range f.owner.fleetList {
+		f.changedWorkers[m], f.withTaskStates[m] = true, true
+		for _, k := range m.exits {
+			k.sentAt = time.Time{} // the next report brings it
+		}
+		clear(m.orphans)
+	}
+}
+
+// appendWorkers adds workers that are to be told of, about as many as a line holds, and in a full
+// account the states of their tasks.
+func (f *changeFeed) appendWorkers() {
+	if len(f.changedWorkers) == 0 {
+		return
+	}
+	items := 0
+	for _, m := range f.owner.fleetList {
+		if !f.changedWorkers[m] {
+			continue
+		}
+		if items >= itemsPerMessage {
+			return
+		}
+		delete(f.changedWorkers, m)
+		f.pending.Workers = append(f.pending.Workers, f.workerEntry(m))
+		items++
+		if f.withTaskStates[m] {
+			delete(f.withTaskStates, m)
+			items += f.appendTaskStates(m)
+		}
+		if len(f.changedWorkers) == 0 {
+			return
+		}
+	}
+	clear(f.changedWorkers) // of machines that are gone
+	clear(f.withTaskStates)
+}
+
+func (f *changeFeed) appendTaskStates(m *machine) (count int) {
+	for _, a := range m.sortedAttempts() {
+		if a.state != 0 {
+			f.pending.TaskStates = append(f.pending.TaskStates, shard.TaskState{Task: attemptTask(a), State: a.state})
+			count++
+		}
+	}
+	return count
+}
+
+func (f *changeFeed) workerEntry(m *machine) shard.Worker {
+	w := shard.Worker{Machine: m.Name, Shard: m.shard, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, IncarnationReset: m.incarnationReset}
+	if m.registered {
+		w.Incarnation, w.Reconciled, w.Reached = m.incarnation, m.reconciled, !m.lastReached.IsZero()
+	}
+	if !m.preemptionAt.IsZero() {
+		w.PreemptionMillis = max(1, m.preemptionAt.Sub(f.owner.controller.now).Milliseconds())
+	}
+	return w
+}
+
+// sendMessage sends a line.
+func (f *changeFeed) sendMessage(line shard.Observations) {
+	c := f.owner.controller
+	line.Header = f.channel.NextHeader(c.now, true)
+	for i := range line.Terminations {
+		f.unacknowledged = append(f.unacknowledged, sentTermination{line.Sequence, line.Terminations[i]})
+	}
+	line.ServedTerms = f.owner.servedTerms()
+	f.sentAt = c.now
+	c.sendShardMessage(f.leader, shardMessage{Observations: &line})
+}
+
+// connect begins to talk to whoever leads.
+func (f *changeFeed) connect(leader string, term uint64) {
+	epoch := shard.Epoch{Term: term, Member: f.owner.sharding.member}
+	if f.channel != nil && f.channel.Epoch() == epoch || f.channel != nil && f.channel.Epoch().Term > term {
+		return
+	}
+	f.channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, nil // the leader lists what it knows
+	f.schedule()
+}
+
+// receive takes a line of the leader's.
+func (f *changeFeed) receive(from string, in *shard.Instructions) {
+	if in.Epoch.Member != f.owner.sharding.member {
+		return // meant for an earlier life
+	}
+	f.leaderHeard = f.owner.controller.now
+	f.connect(from, in.Epoch.Term)
+	taken := f.channel.Receive(in.Header)
+	f.unacknowledged = slices.DeleteFunc(f.unacknowledged, func(k sentTermination) bool { return k.message <= f.channel.Acknowledged() })
+	if !taken {
+		return
+	}
+	if in.Snapshot {
+		for _, m := range f.owner.fleetList {
+			m.attemptsKnown = false // until the account lists it
+		}
+	}
+	for i := range in.Machines {
+		f.owner.applyMachine(&in.Machines[i])
+	}
+	for i := range in.Starts {
+		f.owner.applyStart(&in.Starts[i])
+	}
+	for i := range in.Stops {
+		f.owner.applyStop(&in.Stops[i])
+	}
+	for i := range in.Forgets {
+		f.owner.applyForget(&in.Forgets[i])
+	}
+	for _, name := range in.TerminatedMachines {
+		f.owner.dropTerminatedMachine(name)
+	}
+	if f.channel.AckDue() || f.blocked && !f.channel.WindowFull() {
+		f.schedule()
+	}
+}
+
+// applyMachine takes a machine and all attempts that may be on it.
+func (o *shardOwner) applyMachine(k *shard.Machine) {
+	h := o.shards[k.Shard]
+	if h == nil || h.epoch.term != k.Term {
+		return // it was meant for an earlier or a later tenure
+	}
+	m := o.machines[k.Name]
+	if m == nil {
+		m = o.newMachine(*k, h)
+	}
+	if m.addr == "" {
+		m.addr = k.Addr
+	}
+	m.registeredBefore = m.registeredBefore || k.Heard
+	runs := map[taskKey]*shard.Start{}
+	for i := range k.Starts {
+		r := &k.Starts[i]
+		runs[taskKey{r.Job, r.TaskIndex}] = r
+	}
+	for _, a := range m.sortedAttempts() {
+		if r := runs[taskKey{a.job.ID, a.task}]; r == nil || r.Attempt != a.number {
+			o.removeAttempt(a) // the leader knows that it is gone
+		}
+	}
+	for i := range k.Starts {
+		r := &k.Starts[i]
+		a := m.attempts[taskKey{r.Job, r.TaskIndex}]
+		switch {
+		case a == nil:
+			// Who was told of it before, if anybody was, may have sent its start.
+			o.addAttempt(m, *r, !r.FirstNotice)
+		case r.Stopping:
+			o.stopAttempt(a, time.Duration(r.GraceMillis)*time.Millisecond)
+		}
+	}
+	m.attemptsKnown = true
+	o.controller.resumeDeferred()
+}
+
+// applyStart takes an attempt that was recorded and told to nobody before.
+func (o *shardOwner) applyStart(r *shard.Start) {
+	m := o.machines[r.Machine]
+	if m == nil || !m.attemptsKnown || m.attempts[taskKey{r.Job, r.TaskIndex}] != nil {
+		o.feed.channel.RequestSnapshot()
+		return
+	}
+	o.addAttempt(m, *r, false)
+}
+
+// applyStop ends a task, known here or not.
+func (o *shardOwner) applyStop(s *shard.Stop) {
+	m := o.machines[s.Machine]
+	if m == nil {
+		return
+	}
+	key := taskKey{s.Job, s.TaskIndex}
+	if a := m.attempts[key]; a != nil && a.number == s.Attempt {
+		o.stopAttempt(a, time.Duration(s.GraceMillis)*time.Millisecond)
+		return
+	}
+	m.orphanStops[key] = s.Attempt
+}
+
+// applyForget lets a worker forget an exited task.
+func (o *shardOwner) applyForget(t *shard.Task) {
+	m := o.machines[t.Machine]
+	if m == nil {
+		return
+	}
+	if k := m.exits[taskKey{t.Job, t.TaskIndex}]; k != nil && k.exit.Attempt == t.Attempt {
+		k.forget, k.sentAt = true, o.controller.now
+	}
+}
+
+// dropTerminatedMachine drops a machine that was proven gone.
+func (o *shardOwner) dropTerminatedMachine(name string) {
+	if m := o.machines[name]; m != nil {
+		o.removeMachine(m)
+	}
+}
+
+// sendStatus tells how this owner and its workers are.
+func (o *shardOwner) sendStatus() {
+	o.writeReachability()
+	f := o.feed
+	if f.channel == nil {
+		return
+	}
+	f.channel.CheckTimeouts(o.controller.now)
+	s := &shard.Status{Load: shard.Load{CPUShare: o.controller.processorLoad.share, Lag: o.controller.takePeakLag(), HeartbeatRate: float64(o.heartbeats), Machines: len(o.fleetList)}}
+	o.heartbeats = 0
+	for _, m := range o.fleetList {
+		if late, ok := o.unhealthy(m); ok {
+			s.Unhealthy = append(s.Unhealthy, late)
+		}
+		o.sweepExits(m)
+	}
+	if f.pending.Status == nil || f.pending.Status.Part == 0 { // else the last one isn't told yet
+		f.pending.Status = s
+	}
+	f.flush()
+}
+
+// unhealthy tells of a worker that isn't well.
+func (o *shardOwner) unhealthy(m *machine) (shard.UnhealthyWorker, bool) {
+	silent, unreached, unreported := o.silentFor(m), o.unreachedFor(m), o.unansweredFor(m)
+	if !o.expected(m) || silent <= o.suspectAfter() && m.failedProbes == 0 && unreached <= o.unreachedProbeAfter() && unreported <= o.suspectAfter()+lostHeartbeatDelay {
+		return shard.UnhealthyWorker{}, false
+	}
+	return shard.UnhealthyWorker{Machine: m.Name, SilentMillis: silent.Milliseconds(), UnreachedMillis: unreached.Milliseconds(),
+		UnansweredMillis: unreported.Milliseconds(), FailedCalls: m.failedProbes}, true
+}
+
+// sweepExits drops exits that were forgotten long ago.
+func (o *shardOwner) sweepExits(m *machine) {
+	for key, k := range m.exits {
+		if k.forget && o.controller.now.Sub(k.sentAt) > exitRetention {
+			delete(m.exits, key)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/shard_coordinator.go
@@ -0,0 +1,154 @@
+package coordination
+
+import (
+	"slices"
+	"time"
+
+	"brasskeel/internal/coordination/shard"
+	"brasskeel/internal/protocol"
+)
+
+// shardCoordinator is the leader's part in shards: it decides who owns them, tells owners what
+// is to run, and takes what they saw.
+type shardCoordinator struct {
+	leader            *leader
+	sharding          *sharding
+	count             int  // of shards that there are to be
+	retiring          bool // they are to be given up: the leader is to serve all machines again
+	planner           *shard.Planner
+	channels          map[string]*ownerChannel // by node
+	heardSinceByShard map[shard.ID]time.Time   // since when the owner of a shard is heard without a break
+	moves             map[shard.ID]*shardMove  // under way
+	writing           bool                     // a change of owners is under way
+	unreadableSince   map[shard.ID]time.Time   // since when a record can't be read
+	unreadableVersion map[shard.ID]uint64      // that record's version
+}
+
+// ownerTimeout is after how long without a line an owner's word on its workers counts for
+// nothing.
+const ownerTimeout = 2500 * time.Millisecond
+
+func newShardCoordinator(l *leader, s *sharding, retiring bool) *shardCoordinator {
+	c := 1
+	if sh := l.controller.op.Sharding; sh != nil {
+		c = sh.ShardsPerController * (1 + len(l.controller.cfg.Peers))
+	}
+	return &shardCoordinator{leader: l, sharding: s, count: c, retiring: retiring, planner: shard.NewPlanner(), channels: map[string]*ownerChannel{}, moves: map[shard.ID]*shardMove{},
+		heardSinceByShard: map[shard.ID]time.Time{}, unreadableSince: map[shard.ID]time.Time{}, unreadableVersion: map[shard.ID]uint64{}}
+}
+
+// ownershipChanged acts on new owners and members.
+func (sl *shardCoordinator) ownershipChanged() {
+	c := sl.leader.controller
+	for _, m := range sl.sharding.table.Members() {
+		owner := sl.channels[m.Name]
+		if owner == nil || owner.member != m.Member {
+			owner = &ownerChannel{member: m.Member, channel: shard.NewChannel(shard.Epoch{Term: sl.leader.term, Member: m.Member}),
+				pendingMachines: map[*machine]bool{}, announcedTerms: map[shard.ID]uint64{}, heard: c.now}
+			sl.channels[m.Name] = owner
+			sl.schedule(owner)
+		}
+		owner.updateReachability(c.now, m)
+		owner.reachabilityRead = true
+	}
+	for node := range sl.channels {
+		if m, _ := sl.sharding.table.Member(node); m.Name == "" {
+			delete(sl.channels, node)
+		}
+	}
+	for _, id := range sl.sharding.table.IDs() {
+		if sl.channelToOwner(id) == nil {
+			delete(sl.heardSinceByShard, id)
+		}
+	}
+	sl.updateMoves()
+	sl.plan()
+}
+
+// channelToOwner is the link to who serves a shard, nil when nobody does.
+func (sl *shardCoordinator) channelToOwner(id shard.ID) *ownerChannel {
+	grant, ok := sl.sharding.table.Owner(id)
+	if !ok {
+		return nil
+	}
+	if owner := sl.channels[grant.Name]; owner != nil && owner.member == grant.Member {
+		return owner
+	}
+	return nil
+}
+
+// heardSince is since when the owner of a machine's shard has been heard without a break;
+// without one, silence of the machine says nothing.
+func (sl *shardCoordinator) heardSince(m *machine) (time.Time, bool) {
+	since, ok := sl.heardSinceByShard[m.shard]
+	if ok && sl.hasAlternativeOwner(m) {
+		return time.Time{}, false
+	}
+	owner := sl.channelToOwner(m.shard)
+	// An owner that has yet to say that it serves the shard has asked nobody: what is known of
+	// its machines is the word of the one before, which may have lost them.
+	if !ok || owner == nil || owner.announcedTerms[m.shard] == 0 || sl.leader.controller.now.Sub(owner.heard) > ownerTimeout {
+		delete(sl.heardSinceByShard, m.shard)
+		return time.Time{}, false
+	}
+	return since, true
+}
+
+// redirect tells a worker who serves it.
+func (sl *shardCoordinator) redirect(id uint64, r *protocol.Heartbeat, body []byte) {
+	l, c := sl.leader, sl.leader.controller
+	if _, ok := l.terminated[r.Machine]; ok && l.machines[r.Machine] == nil {
+		c.reply(id, 503, protocol.EncodeError("the machine was returned"))
+		return
+	}
+	m := l.machines[r.Machine]
+	if m == nil {
+		m = l.adoptMachine(r.Machine, r.Type, r.Zone, r.Spot, 0)
+	}
+	name := sl.sharding.ownerName(m.shard)
+	if name == "" || name == c.cfg.Name {
+		c.deferHeartbeat(id, body) // it is about to be served
+		return
+	}
+	c.reply(id, 421, protocol.EncodeRedirect(name))
+}
+
+// inRecordedShard reports whether a machine's shard is on record, so that an owner may be told.
+func (m *machine) inRecordedShard() bool {
+	return m.shard != 0 && m.group != nil && m.group.applied && m.recorded
+}
+
+// ownerOverloaded reports whether an owner told lately that its timers fire too late.
+func (sl *shardCoordinator) ownerOverloaded() bool {
+	for _, owner := range sl.channels {
+		if owner.status.Load.Lag > lagOverloaded && sl.leader.controller.now.Sub(owner.heard) <= overloadMemory {
+			return true
+		}
+	}
+	return false
+}
+
+// step is the regular turn: it watches the links and plans.
+func (sl *shardCoordinator) step() {
+	if !sl.sharding.loaded || sl.leader.phase == phaseLoading {
+		return
+	}
+	sl.leader.checkReconciled()
+	for _, node := range sl.members() {
+		owner := sl.channels[node]
+		owner.channel.CheckTimeouts(sl.leader.controller.now)
+		if owner.channel.SnapshotDue() || owner.channel.AckDue() {
+			sl.schedule(owner)
+		}
+	}
+	sl.plan()
+}
+
+func (sl *shardCoordinator) members() []string {
+	var nodes []string
+	for node := range sl.channels {
+		nodes = append(nodes, node)
+	}
+	slices.Sort(nodes)
+	return nodes
+}
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -16,13 +16,13 @@
 	t.Helper()
 	c, l := leading(phaseActive)
 	c.op.Sharding = &config.Sharding{ShardsPerController: 1}
-	c.sharding = &sharding{controller: c, table: shard.NewTable(), read: true}
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), loaded: true}
 	for _, node := range []string{"n1", "n2"} {
-		put(t, c.sharding.table, records.KeyMember(node), shard.MemberRecord{Member: shard.Member{Node: node, Incarnation: 1}}, 3)
+		put(t, c.sharding.table, records.KeyMember(node), shard.MemberRecord{Member: shard.Member{Name: node, Incarnation: 1}}, 3)
 	}
-	put(t, c.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: shard.Member{Node: "n1", Incarnation: 1}, Term: 5}}, 4)
-	l.shards = newShardLeader(l, c.sharding, false)
-	l.shards.changed()
+	put(t, c.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n1", Incarnation: 1}, Term: 5}}, 4)
+	l.shards = newShardCoordinator(l, c.sharding, false)
+	l.shards.ownershipChanged()
 	m := l.newMachine("vm-1", "small", "a", false)
 	m.shard, m.recorded, m.registered, m.group = 1, true, true, &group{applied: true}
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
@@ -41,28 +41,28 @@
 
 // seen is a line of an owner's that tells of a shard under a term.
 func seen(l *leader, node string, term, seq uint64) *shard.Observations {
-	member := shard.Member{Node: node, Incarnation: 1}
-	return &shard.Observations{Header: shard.Header{Epoch: shard.Epoch{Term: l.term, Member: member}, Seq: seq, Reset: seq == 1},
-		Grants: map[shard.ID]uint64{1: term}}
+	member := shard.Member{Name: node, Incarnation: 1}
+	return &shard.Observations{Header: shard.Header{Epoch: shard.Epoch{Term: l.term, Member: member}, Sequence: seq, Snapshot: seq == 1},
+		ServedTerms: map[shard.ID]uint64{1: term}}
 }
 
 // What an owner saw is taken while it owns the shard, and not when it comes after another one
 // took over: the successor may have started what the first saw missing.
 func TestObservationsOfEarlierOwners(t *testing.T) {
 	l, a := shardedLead(t)
-	l.shards.take("n1", seen(l, "n1", 5, 1))
-	put(t, l.controller.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: shard.Member{Node: "n2", Incarnation: 1}, Term: 7}}, 6)
-	l.shards.changed()
+	l.shards.receive("n1", seen(l, "n1", 5, 1))
+	put(t, l.controller.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 7}}, 6)
+	l.shards.ownershipChanged()
 	late := seen(l, "n1", 5, 2)
-	late.Gone = []shard.Gone{{Task: attemptTask(a), Why: "never sent"}}
-	l.shards.take("n1", late)
+	late.Terminations = []shard.Termination{{Task: attemptTask(a), Reason: "never sent"}}
+	l.shards.receive("n1", late)
 	if l.jobsByAge[0].task(0).live != a {
 		t.Fatal("the word of an earlier owner was taken")
 	}
-	l.shards.take("n2", seen(l, "n2", 7, 1))
+	l.shards.receive("n2", seen(l, "n2", 7, 1))
 	now := seen(l, "n2", 7, 2)
-	now.Gone = late.Gone
-	l.shards.take("n2", now)
+	now.Terminations = late.Terminations
+	l.shards.receive("n2", now)
 	if l.jobsByAge[0].task(0).live != nil {
 		t.Error("the owner's word was not taken")
 	}
@@ -71,13 +71,13 @@
 // Nobody is silent while its owner isn't heard: the leader waits for the next owner's word.
 func TestSilenceOfAnOwnerIsNoneOfItsWorkers(t *testing.T) {
 	l, a := shardedLead(t)
-	l.shards.take("n1", seen(l, "n1", 5, 1))
+	l.shards.receive("n1", seen(l, "n1", 5, 1))
 	a.machine.lastSeen, a.machine.lastAnswered, a.machine.lastReached, a.machine.registeredAt = l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	l.controller.now = l.controller.now.Add(time.Minute)
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
 		t.Errorf("%s is given up while nobody tells of it", a.machine.Name)
 	}
-	l.shards.take("n1", seen(l, "n1", 5, 2)) // its status comes within a second
+	l.shards.receive("n1", seen(l, "n1", 5, 2)) // its status comes within a second
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
 		t.Errorf("%s is given up as soon as its owner is heard again", a.machine.Name)
 	}
@@ -88,34 +88,34 @@
 	t.Helper()
 	c, _ := leading(phaseActive)
 	c.leader = nil
-	c.sharding = &sharding{controller: c, table: shard.NewTable(), read: true, member: shard.Member{Node: "n0", Incarnation: 1}}
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), loaded: true, member: shard.Member{Name: "n0", Incarnation: 1}}
 	o := newShardOwner(c.sharding, lease{id: 3, ttl: 2 * time.Second, validUntil: c.now.Add(time.Hour)})
-	c.sharding.own = o
+	c.sharding.owner = o
 	o.jobsKnownAt = c.now.Add(time.Hour)
-	o.held[1] = &heldShard{epoch: ownershipEpoch{term: term, since: c.now, predecessorUntil: c.now}}
-	o.newMachine(shard.Machine{Shard: 1, Name: "vm-1", Type: "small", Zone: "a"}, o.held[1])
-	o.feed.follow("n1", 9)
+	o.shards[1] = &ownedShard{epoch: ownershipEpoch{term: term, since: c.now, predecessorUntil: c.now}}
+	o.newMachine(shard.Machine{Shard: 1, Name: "vm-1", Type: "small", Zone: "a"}, o.shards[1])
+	o.feed.connect("n1", 9)
 	c.take()
 	return o
 }
 
 // instructions is a leader's line that lists the owner's machine with a task to run.
 func instructions(o *shardOwner, term uint64) *shard.Instructions {
-	run := shard.Run{Task: shard.Task{Machine: "vm-1", Job: "run-000001", Index: 0, Attempt: 1}, New: true}
-	return &shard.Instructions{Header: shard.Header{Epoch: o.feed.link.Epoch(), Seq: 1, Reset: true},
-		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Runs: []shard.Run{run}}}}
+	run := shard.Start{Task: shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1}, FirstNotice: true}
+	return &shard.Instructions{Header: shard.Header{Epoch: o.feed.channel.Epoch(), Sequence: 1, Snapshot: true},
+		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Starts: []shard.Start{run}}}}
 }
 
 // A list that was made for another tenure of the shard isn't taken: it may lack what the owner
 // between them started.
 func TestListsOfOtherTenures(t *testing.T) {
 	o := ownerOf(t, 7)
-	o.feed.take("n1", instructions(o, 5))
+	o.feed.receive("n1", instructions(o, 5))
 	if m := o.machines["vm-1"]; m.attemptsKnown || len(m.attemptList) != 0 {
 		t.Error("the list of an earlier tenure was taken")
 	}
 	o = ownerOf(t, 7)
-	o.feed.take("n1", instructions(o, 7))
+	o.feed.receive("n1", instructions(o, 7))
 	if m := o.machines["vm-1"]; !m.attemptsKnown || len(m.attemptList) != 1 {
 		t.Error("the list was not taken")
 	}
@@ -125,18 +125,18 @@
 func TestReleasingOwnerIsSilent(t *testing.T) {
 	o := ownerOf(t, 7)
 	put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
-	next := shard.Grant{Member: shard.Member{Node: "n2", Incarnation: 1}, Term: 8}
-	record := shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}, Next: &next}
+	next := shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 8}
+	record := shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}, Next: &next}
 	put(t, o.sharding.table, records.KeyOwner(1), record, 4)
-	o.follow()
-	e := o.controller.Request(o.controller.now, 1, "POST", protocol.PathReport, report(4))
+	o.applyTable()
+	e := o.controller.Request(o.controller.now, 1, "POST", protocol.PathHeartbeat, report(4))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 || protocol.ParseRedirect(e.Replies[0].Body) != "n2" {
 		t.Errorf("answers %+v", e.Replies)
 	}
 	record.Next = nil // taken back
 	put(t, o.sharding.table, records.KeyOwner(1), record, 5)
-	o.follow()
-	if e := o.controller.Request(o.controller.now, 2, "POST", protocol.PathReport, report(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
+	o.applyTable()
+	if e := o.controller.Request(o.controller.now, 2, "POST", protocol.PathHeartbeat, report(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Errorf("answers %+v", e.Replies)
 	}
 }
@@ -145,15 +145,15 @@
 // reach them, and is once each has tried.
 func TestSilenceUnderABlindOwner(t *testing.T) {
 	l, a := shardedLead(t)
-	l.shards.take("n1", seen(l, "n1", 5, 1))
+	l.shards.receive("n1", seen(l, "n1", 5, 1))
 	m := a.machine
 	m.failedProbes, m.lastSeen, m.lastAnswered, m.lastReached, m.registeredAt = unreachableProbes, l.controller.now, l.controller.now, l.controller.now, l.controller.now
-	owner, other := l.shards.links["n1"], l.shards.links["n2"]
+	owner, other := l.shards.channels["n1"], l.shards.channels["n2"]
 	later := l.controller.now.Add(l.unresponsiveAfter() + time.Second)
 	silent := func(untried bool) bool {
 		l.controller.now = later
-		owner.heard, other.heard, l.shards.heard[1] = later, later, later.Add(-time.Minute)
-		owner.blind, owner.untried = true, map[string]bool{m.Zone: untried}
+		owner.heard, other.heard, l.shards.heardSinceByShard[1] = later, later, later.Add(-time.Minute)
+		owner.partitioned, owner.alternatives = true, map[string]bool{m.Zone: untried}
 		return len(l.assessReachability().unresponsive) > 0
 	}
 	if silent(true) {
@@ -197,17 +197,17 @@
 func TestLostProofIsToldAgain(t *testing.T) {
 	o := ownerOf(t, 7)
 	f := o.feed
-	f.take("n1", instructions(o, 7))
+	f.receive("n1", instructions(o, 7))
 	o.attemptTerminated(o.machines["vm-1"].attemptList[0], "no longer reported")
 	gone := func() (count int, last uint64) {
 		f.flush()
 		for _, s := range o.controller.take().Unicasts {
-			line, err := parseShardLine(s.Body)
+			line, err := parseShardMessage(s.Body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			count += len(line.Observations.Gone)
-			last = max(last, line.Observations.Seq)
+			count += len(line.Observations.Terminations)
+			last = max(last, line.Observations.Sequence)
 		}
 		return count, last
 	}
@@ -217,8 +217,8 @@
 	}
 	ask := func(ack uint64, again bool) {
 		o.controller.now = o.controller.now.Add(time.Second)
-		f.take("n1", &shard.Instructions{Header: shard.Header{Epoch: f.link.Epoch(), Ack: ack, Again: again}})
-		f.link.Check(o.controller.now)
+		f.receive("n1", &shard.Instructions{Header: shard.Header{Epoch: f.channel.Epoch(), Acknowledged: ack, SnapshotRequested: again}})
+		f.channel.CheckTimeouts(o.controller.now)
 	}
 	ask(last-1, true)
 	told, last = gone()
@@ -235,18 +235,18 @@
 // to a leader that lists the attempt as running.
 func TestForgottenExitIsToldToTheNextLeader(t *testing.T) {
 	o := ownerOf(t, 7)
-	o.feed.take("n1", instructions(o, 7))
+	o.feed.receive("n1", instructions(o, 7))
 	m := o.machines["vm-1"]
-	exit := protocol.TaskReport{Job: "run-000001", Index: 0, Attempt: 1, State: protocol.Exited, Why: protocol.ExitStopped}
+	exit := protocol.TaskStatus{Job: "run-000001", TaskIndex: 0, Attempt: 1, State: protocol.Exited, Reason: protocol.ExitStopped}
 	o.taskExitReported(m, m.attemptList[0], &exit)
-	o.forget(&shard.Task{Machine: "vm-1", Job: "run-000001", Index: 0, Attempt: 1})
+	o.applyForget(&shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1})
 	if !o.taskExitReported(m, nil, &exit) {
 		t.Fatal("the worker may not forget it")
 	}
 	o.feed.flush()
 	o.controller.take()
-	o.feed.follow("n2", 10)
-	o.feed.take("n2", instructions(o, 7))
+	o.feed.connect("n2", 10)
+	o.feed.receive("n2", instructions(o, 7))
 	if len(m.attemptList) != 1 {
 		t.Fatal("the next leader's list was not taken")
 	}
@@ -255,7 +255,7 @@
 	if o.taskExitReported(m, m.attemptList[0], &exit) {
 		t.Error("the worker may forget it before the next leader knows")
 	}
-	if len(o.feed.line.Exits) != 1 {
+	if len(o.feed.pending.Exits) != 1 {
 		t.Error("the next leader isn't told")
 	}
 }
@@ -265,23 +265,23 @@
 func TestReleaseWhileAnEarlierOwnerMayAnswer(t *testing.T) {
 	released := func(wait time.Duration) bool {
 		o := ownerOf(t, 7)
-		o.held[1].epoch.predecessorUntil = o.controller.now.Add(wait)
+		o.shards[1].epoch.predecessorUntil = o.controller.now.Add(wait)
 		put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
-		next := shard.Grant{Member: shard.Member{Node: "n2", Incarnation: 1}, Term: 8}
-		put(t, o.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
-		o.follow()
+		next := shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 8}
+		put(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
+		o.applyTable()
 		for _, k := range o.controller.take().Calls {
-			if k.Target != protocol.PathMulti {
+			if k.Target != protocol.PathTransactions {
 				continue
 			}
 			txn, err := protocol.ParseTxn(k.Body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, op := range txn.Then {
-				var r shard.Record
+			for _, op := range txn.Ops {
+				var r shard.OwnerRecord
 				if op.Put == records.KeyOwner(1) && protocol.Decode(op.Value, &r) == nil {
-					return r.Released
+					return r.HandedOver
 				}
 			}
 		}
@@ -301,21 +301,21 @@
 func TestOneWorkerWithALaterToken(t *testing.T) {
 	o := ownerOf(t, 7)
 	put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
-	put(t, o.sharding.table, records.KeyOwner(1), shard.Record{Owner: shard.Grant{Member: o.sharding.member, Term: 7}}, 4)
-	o.newMachine(shard.Machine{Shard: 1, Name: "vm-2", Type: "small", Zone: "a"}, o.held[1])
+	put(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}}, 4)
+	o.newMachine(shard.Machine{Shard: 1, Name: "vm-2", Type: "small", Zone: "a"}, o.shards[1])
 	status := func(machine string, seq, term uint64) int {
-		body := protocol.EncodeReport(&protocol.Report{Machine: machine, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: term << fencingBits})
-		return o.controller.Request(o.controller.now, seq, "POST", protocol.PathReport, body).Replies[0].Status
+		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: machine, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: term << fencingBits})
+		return o.controller.Request(o.controller.now, seq, "POST", protocol.PathHeartbeat, body).Replies[0].Status
 	}
 	if got := status("vm-1", 1, 9); got != 421 {
 		t.Errorf("a worker with a later token gets %d", got)
 	}
-	o.follow() // the table is as old as before
+	o.applyTable() // the table is as old as before
 	if got := status("vm-2", 2, 7); got != 421 {
 		t.Errorf("the others get %d before the table is read", got)
 	}
-	o.sharding.tableOf = o.sharding.generation
-	o.follow()
+	o.sharding.tableGeneration = o.sharding.watchGeneration
+	o.applyTable()
 	if got := status("vm-2", 3, 7); got != 200 {
 		t.Errorf("the others get %d although nobody took the shard", got)
 	}
--- /dev/null
+++ b/internal/coordination/shard_instructions.go
@@ -0,0 +1,174 @@
+package coordination
+
+import (
+	"time"
+
+	"brasskeel/internal/coordination/shard"
+)
+
+// ownerChannel is how the leader talks to one owner.
+type ownerChannel struct {
+	member          shard.Member
+	channel         *shard.Channel
+	pending         shard.Instructions  // that is being filled
+	pendingMachines map[*machine]bool   // machines whose complete lists are to be told in it
+	announcedTerms  map[shard.ID]uint64 // shards whose machines were told, and under which term
+	scheduled       bool
+	// blocked says that more waits to be told until lines are acknowledged.
+	blocked      bool
+	sentAt       time.Time
+	heard        time.Time // when it last told something
+	status       shard.Status
+	unhealthy    map[string]*shard.UnhealthyWorker // of the parts of a status that came so far
+	partitioned  bool                              // it doesn't reach most of its workers
+	alternatives map[string]bool                   // zones whose workers others may reach, of a blind owner
+
+	reachability     shard.ReachabilityReport // that the state service showed last
+	reachabilityRead bool                     // its record was looked at before
+	reachabilityAt   time.Time                // when it was first seen; zero where it may be old
+}
+
+// attemptChanged tells the owner of an attempt's machine what is wanted of it.
+func (sl *shardCoordinator) attemptChanged(a *attempt) {
+	owner := sl.channelToOwner(a.machine.shard)
+	if owner == nil || owner.announcedTerms[a.machine.shard] == 0 || owner.pendingMachines[a.machine] {
+		return // all of it will be told with the machine
+	}
+	switch {
+	case a.stopRequested && (a.ownerNotified || a.inherited):
+		owner.pending.Stops = append(owner.pending.Stops, shard.Stop{Task: attemptTask(a), GraceMillis: a.stopGrace.Milliseconds()})
+	case a.recorded && !a.ownerNotified && !a.inherited:
+		a.ownerNotified = true
+		owner.pending.Starts = append(owner.pending.Starts, shard.Start{Task: attemptTask(a)})
+	default:
+		return
+	}
+	sl.schedule(owner)
+}
+
+// machineAdded tells the owner of a machine that is new to it.
+func (sl *shardCoordinator) machineAdded(m *machine) {
+	if owner := sl.channelToOwner(m.shard); owner != nil && owner.announcedTerms[m.shard] != 0 {
+		owner.pendingMachines[m] = true
+		sl.schedule(owner)
+	}
+}
+
+// machineTerminated tells the owner of a machine that it is gone.
+func (sl *shardCoordinator) machineTerminated(m *machine) {
+	if owner := sl.channelToOwner(m.shard); owner != nil {
+		delete(owner.pendingMachines, m)
+		owner.pending.TerminatedMachines = append(owner.pending.TerminatedMachines, m.Name)
+		sl.schedule(owner)
+	}
+}
+
+func (sl *shardCoordinator) forgetExit(t shard.Task) {
+	m := sl.leader.machines[t.Machine]
+	if m == nil {
+		return
+	}
+	if owner := sl.channelToOwner(m.shard); owner != nil {
+		owner.pending.Forgets = append(owner.pending.Forgets, t)
+		sl.schedule(owner)
+	}
+}
+
+// schedule wants a line sent to an owner.
+func (sl *shardCoordinator) schedule(owner *ownerChannel) {
+	if owner.scheduled {
+		return
+	}
+	owner.scheduled = true
+	c := sl.leader.controller
+	c.after(max(0, owner.sentAt.Add(messageInterval).Sub(c.now)), func() {
+		owner.scheduled = false
+		if sl.leader.alive() && sl.channels[owner.member.Name] == owner {
+			sl.flush(owner)
+		}
+	})
+}
+
+// flush sends what there is to tell an owner, as far as lines may be on their way.
+func (sl *shardCoordinator) flush(owner *ownerChannel) {
+	if sl.leader.phase == phaseLoading {
+		return
+	}
+	if owner.channel.SnapshotDue() {
+		sl.beginSnapshot(owner)
+	}
+	first := true
+	for ; !owner.channel.WindowFull() && (first || !owner.pending.Empty() || len(owner.pendingMachines) > 0); first = false {
+		line, room := owner.pending.TakeFitting(messageBudget)
+		if owner.pending.Empty() && len(owner.pendingMachines) > 0 {
+			line.Machines = append(line.Machines, sl.nextMachines(owner, room)...)
+		}
+		sl.sendMessage(owner, line)
+	}
+	owner.blocked = !owner.pending.Empty() || len(owner.pendingMachines) > 0
+}
+
+// beginSnapshot wants all machines told of that an owner serves.
+func (sl *shardCoordinator) beginSnapshot(owner *ownerChannel) {
+	owner.pending, owner.pendingMachines = shard.Instructions{}, map[*machine]bool{}
+	for _, m := range sl.leader.fleetList {
+		if owner.announcedTerms[m.shard] != 0 && m.inRecordedShard() {
+			owner.pendingMachines[m] = true
+		}
+	}
+}
+
+// nextMachines takes machines that an owner is to be told of, one at the least, as far as
+// there is room in a line.
+func (sl *shardCoordinator) nextMachines(owner *ownerChannel, room int) []shard.Machine {
+	var list []shard.Machine
+	for _, m := range sl.leader.fleetList {
+		if !owner.pendingMachines[m] {
+			continue
+		}
+		size := sl.messageSize(m)
+		if size > room && (len(list) > 0 || room < messageBudget) {
+			return list
+		}
+		room -= size
+		list = append(list, sl.machineEntry(m, owner.announcedTerms[m.shard]))
+		delete(owner.pendingMachines, m)
+		if len(owner.pendingMachines) == 0 {
+			return list
+		}
+	}
+	clear(owner.pendingMachines) // of machines that are gone
+	return list
+}
+
+// messageSize is about how long a machine is in a line.
+func (sl *shardCoordinator) messageSize(m *machine) int {
+	entry := shard.Machine{Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone}
+	size := entry.Size()
+	for _, a := range m.attemptList {
+		size += shard.StartSize(m.Name, a.job.ID)
+	}
+	return size
+}
+
+func (sl *shardCoordinator) sendMessage(owner *ownerChannel, line shard.Instructions) {
+	c := sl.leader.controller
+	content := owner.channel.SnapshotDue() || !line.Empty()
+	line.Header = owner.channel.NextHeader(c.now, content)
+	owner.sentAt = c.now
+	c.sendShardMessage(owner.member.Name, shardMessage{Instructions: &line})
+}
+
+// machineEntry is a machine with all attempts that may be on it.
+func (sl *shardCoordinator) machineEntry(m *machine, term uint64) shard.Machine {
+	k := shard.Machine{Shard: m.shard, Term: term, Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+		Heard: m.registered || m.inherited && !sl.leader.booting(m)}
+	for _, a := range m.sortedAttempts() {
+		if !a.recorded {
+			continue
+		}
+		k.Starts = append(k.Starts, shard.Start{Task: attemptTask(a), FirstNotice: !a.ownerNotified && !a.inherited, Stopping: a.stopRequested, GraceMillis: a.stopGrace.Milliseconds()})
+		a.ownerNotified = true
+	}
+	return k
+}
