--- /dev/null
+++ b/internal/coordination/shard_membership.go
@@ -0,0 +1,240 @@
+package coordination
+
+import (
+	"time"
+
+	"brasskeel/internal/coordination/shard"
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// sharding is a controller's part in serving machines by shards: what the state service
+// tells of owners, this controller's own lease as a member, and what it owns by that.
+type sharding struct {
+	controller       *Controller
+	table            *shard.Table
+	loaded           bool // the table was read and is watched
+	watchGeneration  int  // of the watch; an older one's news is dropped
+	tableGeneration  int  // generation whose read made the table
+	draining         bool
+	joining          bool
+	writingMember    bool                      // the member's record is being written anew
+	reachability     *shard.ReachabilityReport // that its record shows
+	member           shard.Member              // zero without a lease
+	owner            *shardOwner               // nil without a lease
+	redirector       redirector
+	partitionedUntil time.Time // until when workers are better not sent here
+}
+
+// startSharding makes the node one that may own shards.
+func (c *Controller) startSharding(draining bool) {
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), draining: draining, redirector: newRedirector(c)}
+	c.sharding.loadTable()
+	c.every(time.Second, c.sharding.sendStatus)
+}
+
+// loadTable reads who owns what, and watches it from there.
+func (s *sharding) loadTable() {
+	s.watchGeneration++
+	generation := s.watchGeneration
+	current := func() bool { return s.watchGeneration == generation }
+	s.controller.storeList(records.PrefixShards, current, func(items []protocol.KeyValue, revision uint64, _ time.Time) {
+		s.table = shard.NewTable()
+		for _, it := range items {
+			s.putRecord(it.Key, it)
+		}
+		s.loaded, s.tableGeneration = true, generation
+		s.ownershipChanged()
+		s.watchTable(revision, current)
+	})
+}
+
+func (s *sharding) putRecord(key string, it protocol.KeyValue) {
+	if err := s.table.Put(key, it.Value, it.Version); err != nil {
+		s.controller.log.Error("shard record unreadable", "key", key, "error", err)
+	}
+}
+
+func (s *sharding) watchTable(after uint64, current func() bool) {
+	s.controller.storeWatch(records.PrefixShards, after, watchWait, func(o Outcome) {
+		if !current() {
+			return
+		}
+		if o.Answered && o.Status == 200 {
+			if events, revision, err := protocol.ParseEvents(o.Body); err == nil {
+				s.applyEvents(events)
+				s.watchTable(max(after, revision), current)
+				return
+			}
+		}
+		if o.Answered && o.Status == 410 {
+			s.loadTable()
+			return
+		}
+		s.controller.after(200*time.Millisecond+s.controller.jitter(100*time.Millisecond), func() {
+			if current() {
+				s.loadTable()
+			}
+		})
+	})
+}
+
+func (s *sharding) applyEvents(events []protocol.Event) {
+	for _, ev := range events {
+		if ev.Deleted {
+			s.table.Remove(ev.Key, ev.Version)
+			continue
+		}
+		s.putRecord(ev.Key, protocol.KeyValue{Key: ev.Key, Value: ev.Value, Version: ev.Version})
+	}
+	if len(events) > 0 {
+		s.ownershipChanged()
+	}
+}
+
+// ownershipChanged acts on what is now known.
+func (s *sharding) ownershipChanged() {
+	if !s.loaded {
+		return
+	}
+	if s.owner != nil && !s.table.Alive(s.member) {
+		s.leave("its lease has ended")
+	}
+	if s.owner == nil {
+		s.join()
+	} else {
+		s.owner.applyTable()
+	}
+	if l := s.controller.leader; l != nil && l.shards != nil {
+		l.shards.ownershipChanged()
+	}
+}
+
+// join takes a lease as a member: its number tells this life of the controller from all
+// others.
+func (s *sharding) join() {
+	if s.joining || !s.loaded {
+		return
+	}
+	s.joining = true
+	c, ttl, sent := s.controller, s.controller.op.LeaderLease(), s.controller.now
+	c.store("POST", protocol.PathLeases, protocol.EncodeLeaseRequest(ttl), storeTimeout, func(o Outcome) {
+		leaseID, err := uint64(0), error(nil)
+		if o.Answered && o.Status == 200 {
+			leaseID, err = protocol.ParseLease(o.Body)
+		}
+		if leaseID == 0 || err != nil {
+			s.retryJoin()
+			return
+		}
+		s.writeFirstMemberRecord(lease{leaseID, ttl, sent.Add(ttl - clockDrift(ttl))})
+	})
+}
+
+func (s *sharding) retryJoin() {
+	s.controller.after(300*time.Millisecond+s.controller.jitter(200*time.Millisecond), func() {
+		s.joining = false
+		s.join()
+	})
+}
+
+// writeFirstMemberRecord writes the member's record, on the version of whatever stands there: an
+// earlier life's write that comes late fails.
+func (s *sharding) writeFirstMemberRecord(r lease) {
+	c := s.controller
+	member := shard.MemberRecord{Member: shard.Member{Name: c.cfg.Name, Incarnation: r.id}, Zone: c.cfg.Zone, Draining: s.draining}
+	_, version := s.table.Member(c.cfg.Name)
+	key := records.KeyMember(c.cfg.Name)
+	value := records.Encode(member)
+	c.storeTxn(&protocol.Txn{
+		Conditions: []protocol.Condition{{Key: key, Version: version}},
+		Ops:        []protocol.Op{{Put: key, Value: value, Lease: r.id}},
+	}, func(res txnResult, revision uint64, _ []string) {
+		if res != txnApplied {
+			// Ending the lease also ends what the transaction may have written.
+			c.store("DELETE", protocol.LeaseTarget(r.id), nil, storeTimeout, func(Outcome) {})
+			s.loadTable()
+			s.retryJoin()
+			return
+		}
+		s.joining = false
+		s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: revision})
+		s.member = member.Member
+		s.owner = newShardOwner(s, r)
+		c.log.Info("shard membership acquired", "incarnation", r.id, "draining", s.draining)
+		s.renewLease(s.owner)
+		s.ownershipChanged()
+	})
+}
+
+// renewLease keeps the member's lease.
+func (s *sharding) renewLease(own *shardOwner) {
+	c, ttl, sent := s.controller, own.lease.ttl, s.controller.now
+	c.store("POST", protocol.RenewLeaseTarget(own.lease.id), nil, ttl/2, func(o Outcome) {
+		if s.owner != own {
+			return
+		}
+		next := ttl * 3 / 10
+		switch {
+		case o.Answered && o.Status == 200:
+			own.lease.validUntil = sent.Add(ttl - clockDrift(ttl))
+		case o.Answered && o.Status == 404:
+			s.leave("its lease has ended")
+			s.loadTable()
+			return
+		default:
+			next = 200 * time.Millisecond
+		}
+		c.after(next, func() {
+			if s.owner == own {
+				s.renewLease(own)
+			}
+		})
+	})
+}
+
+// leave gives up all that the member owned, and what was kept in memory for it.
+func (s *sharding) leave(why string) {
+	s.controller.log.Warn("shard membership lost", "incarnation", s.member.Incarnation, "reason", why)
+	s.owner.ended = true
+	s.owner, s.member, s.reachability = nil, shard.Member{}, nil
+}
+
+// heartbeat answers a worker, or tells it who does.
+func (s *sharding) heartbeat(id uint64, body []byte) {
+	c := s.controller
+	r, err := protocol.ParseHeartbeat(body)
+	if err != nil {
+		c.reply(id, 400, protocol.EncodeError("not a worker's report"))
+		return
+	}
+	if s.owner != nil && s.owner.handleHeartbeat(id, r, body) {
+		return
+	}
+	if l := c.leader; l != nil && l.shards != nil && !l.jobsKnownAt.IsZero() {
+		l.shards.redirect(id, r, body)
+		return
+	}
+	if c.leader == nil && !c.leaderSuspect() || c.storeDown() {
+		c.reply(id, 421, protocol.EncodeRedirect(s.redirector.target(r.Machine)))
+		return
+	}
+	c.deferHeartbeat(id, body)
+}
+
+// ownerName is who serves a shard, empty when nobody does.
+func (s *sharding) ownerName(id shard.ID) string {
+	owner, ok := s.table.Owner(id)
+	if !ok {
+		return ""
+	}
+	return owner.Name
+}
+
+// sendStatus tells the leader every second how this owner and its workers are.
+func (s *sharding) sendStatus() {
+	if s.owner != nil {
+		s.updatePartitioned()
+		s.owner.sendStatus()
+	}
+}
--- a/internal/coordination/shard_lines.go
+++ b/internal/coordination/shard_messages.go
@@ -8,18 +8,18 @@
 	"brasskeel/internal/protocol"
 )
 
-// shardLine is a line between the leader and an owner.
-type shardLine struct {
+// shardMessage is a line between the leader and an owner.
+type shardMessage struct {
 	Node         string              `json:"shards"` // first, to tell it from other lines
 	Instructions *shard.Instructions `json:"instructions,omitempty"`
 	Observations *shard.Observations `json:"observations,omitempty"`
 }
 
-// sendShardLine sends a line to a controller, or to the other role of this one.
-func (c *Controller) sendShardLine(to string, line shardLine) {
+// sendShardMessage sends a line to a controller, or to the other role of this one.
+func (c *Controller) sendShardMessage(to string, line shardMessage) {
 	line.Node = c.cfg.Name
 	if to == c.cfg.Name {
-		c.local = append(c.local, line)
+		c.localMessages = append(c.localMessages, line)
 		return
 	}
 	raw, err := json.Marshal(line)
@@ -36,38 +36,38 @@
 // deliverLocal hands the lines between this controller's own roles over, and those that
 // come of them.
 func (c *Controller) deliverLocal() {
-	for len(c.local) > 0 {
-		lines := c.local
-		c.local = nil
+	for len(c.localMessages) > 0 {
+		lines := c.localMessages
+		c.localMessages = nil
 		for i := range lines {
-			c.takeShardLine(&lines[i])
+			c.receiveShardMessage(&lines[i])
 		}
 	}
 }
 
-// takeShardLine takes a line of another controller's, or of another role of this one.
-func (c *Controller) takeShardLine(line *shardLine) {
-	if in := line.Instructions; in != nil && c.sharding != nil && c.sharding.own != nil {
-		c.sharding.own.feed.take(line.Node, in)
+// receiveShardMessage takes a line of another controller's, or of another role of this one.
+func (c *Controller) receiveShardMessage(line *shardMessage) {
+	if in := line.Instructions; in != nil && c.sharding != nil && c.sharding.owner != nil {
+		c.sharding.owner.feed.receive(line.Node, in)
 	}
 	if seen := line.Observations; seen != nil && c.leader != nil && c.leader.shards != nil {
-		c.leader.shards.take(line.Node, seen)
+		c.leader.shards.receive(line.Node, seen)
 	}
 }
 
-// shardLinePrefix begins a line of this kind.
-var shardLinePrefix = []byte(`{"shards":`)
+// shardMessagePrefix begins a line of this kind.
+var shardMessagePrefix = []byte(`{"shards":`)
 
-// parseShardLine reads a line; an error says that it makes no sense.
-func parseShardLine(body []byte) (*shardLine, error) {
-	var line shardLine
+// parseShardMessage reads a line; an error says that it makes no sense.
+func parseShardMessage(body []byte) (*shardMessage, error) {
+	var line shardMessage
 	if err := protocol.Decode(body, &line); err != nil {
 		return nil, err
 	}
 	if line.Instructions == nil && line.Observations == nil {
-		return nil, errEmptyLine
+		return nil, errEmptyShardMessage
 	}
 	return &line, nil
 }
 
-var errEmptyLine = errors.New("a line about shards without content")
+var errEmptyShardMessage = errors.New("a line about shards without content")
--- /dev/null
+++ b/internal/coordination/shard_observations.go
@@ -0,0 +1,229 @@
+package coordination
+
+import (
+	"time"
+
+	"brasskeel/internal/coordination/shard"
+	"brasskeel/internal/protocol"
+)
+
+// receive takes a line of an owner's.
+func (sl *shardCoordinator) receive(from string, seen *shard.Observations) {
+	c := sl.leader.controller
+	owner := sl.channels[from]
+	if owner == nil || owner.member != seen.Epoch.Member || sl.leader.phase == phaseLoading {
+		return
+	}
+	owner.heard = c.now
+	taken := owner.channel.Receive(seen.Header)
+	sl.applyServedTerms(owner, seen.ServedTerms)
+	if taken {
+		sl.applyObservations(owner, seen)
+	}
+	if owner.channel.AckDue() || owner.blocked && !owner.channel.WindowFull() {
+		sl.schedule(owner)
+	}
+}
+
+// applyServedTerms notes which shards an owner serves, and tells of their machines.
+func (sl *shardCoordinator) applyServedTerms(owner *ownerChannel, grants map[shard.ID]uint64) {
+	for id := range owner.announcedTerms {
+		if grants[id] != owner.announcedTerms[id] {
+			delete(owner.announcedTerms, id)
+		}
+	}
+	for id, term := range grants {
+		ownership, ok := sl.sharding.table.Owner(id)
+		if !ok || ownership.Member != owner.member || ownership.Term != term {
+			continue // it speaks of an earlier time, or ahead of our watch
+		}
+		if _, ok := sl.heardSinceByShard[id]; !ok {
+			sl.heardSinceByShard[id] = sl.leader.controller.now
+		}
+		if owner.announcedTerms[id] != 0 {
+			continue
+		}
+		// The silence that another owner told of isn't this one's.
+		sl.heardSinceByShard[id] = sl.leader.controller.now
+		owner.announcedTerms[id] = term
+		sl.moveServed(owner, id)
+		for _, m := range sl.leader.fleetList {
+			if m.shard == id && m.inRecordedShard() {
+				owner.pendingMachines[m] = true
+			}
+		}
+		sl.schedule(owner)
+	}
+}
+
+// machineOf gives a machine that an owner may speak of: one of a shard that it serves under the
+// grant that the state service shows. What an owner saw before is not taken later: its
+// successor may have started what it saw missing.
+func (sl *shardCoordinator) machineOf(owner *ownerChannel, name string) *machine {
+	m := sl.leader.machines[name]
+	if m == nil || owner.announcedTerms[m.shard] == 0 {
+		return nil
+	}
+	ownership, ok := sl.sharding.table.Owner(m.shard)
+	if !ok || ownership.Member != owner.member || ownership.Term != owner.announcedTerms[m.shard] {
+		return nil
+	}
+	return m
+}
+
+// applyObservations takes what an owner saw.
+func (sl *shardCoordinator) applyObservations(owner *ownerChannel, seen *shard.Observations) {
+	l := sl.leader
+	for i := range seen.Workers {
+		if m := sl.machineOf(owner, seen.Workers[i].Machine); m != nil {
+			sl.applyWorker(m, &seen.Workers[i])
+		}
+	}
+	for i := range seen.TaskStates {
+		s := &seen.TaskStates[i]
+		if a := sl.attemptOf(owner, &s.Task); a != nil {
+			a.reported = true
+			l.taskStateReported(a, s.State)
+		}
+	}
+	for i := range seen.Exits {
+		sl.applyExit(owner, &seen.Exits[i])
+	}
+	for i := range seen.Terminations {
+		g := &seen.Terminations[i]
+		if a := sl.attemptOf(owner, &g.Task); a != nil {
+			l.detach(a, g.Reason)
+		}
+	}
+	for i := range seen.Orphans {
+		t := &seen.Orphans[i]
+		if m := sl.machineOf(owner, t.Machine); m != nil && sl.attemptOf(owner, t) == nil {
+			owner.pending.Stops = append(owner.pending.Stops, shard.Stop{Task: *t})
+			sl.schedule(owner)
+		}
+	}
+	if seen.Status != nil {
+		sl.applyStatus(owner, seen.Status)
+	}
+}
+
+// attemptOf is the attempt that an owner speaks of, if it is on that machine for all we know.
+func (sl *shardCoordinator) attemptOf(owner *ownerChannel, t *shard.Task) *attempt {
+	m := sl.machineOf(owner, t.Machine)
+	if m == nil {
+		return nil
+	}
+	if a := m.attempts[taskKey{t.Job, t.TaskIndex}]; a != nil && a.number == t.Attempt {
+		return a
+	}
+	return nil
+}
+
+func (sl *shardCoordinator) applyWorker(m *machine, w *shard.Worker) {
+	l, c := sl.leader, sl.leader.controller
+	if m.Zone != w.Zone || m.Type != w.Type || m.Spot != w.Spot {
+		m.Zone, m.Type, m.Spot = w.Zone, w.Type, w.Spot
+		m.Spec = c.types[m.Type]
+	}
+	if w.Addr != "" && w.Addr != m.addr {
+		m.addr = w.Addr
+		l.addressChanged(m)
+	}
+	if w.Incarnation == 0 {
+		return // not heard by this owner yet
+	}
+	if !m.registered {
+		m.registered, m.registeredAt = true, c.now
+		l.workerRegistered(m)
+	}
+	if w.Incarnation != m.incarnation {
+		m.incarnation = w.Incarnation
+		l.incarnationBegan(m)
+	}
+	sl.moveAnswered(m.shard)
+	m.lastSeen, m.lastAnswered = c.now, c.now
+	if w.Reached {
+		l.workerReached(m)
+		m.lastReached = c.now
+	}
+	if w.PreemptionMillis > 0 && m.preemptionAt.IsZero() {
+		m.preemptionAt = c.now.Add(time.Duration(w.PreemptionMillis) * time.Millisecond)
+		l.preemptionNoticed(m)
+	}
+	if w.Reconciled && !m.reconciled {
+		m.reconciled = true
+		l.tasksReconciled(m)
+	}
+	if w.IncarnationReset && !m.draining {
+		l.incarnationReset(m)
+	}
+}
+
+func (sl *shardCoordinator) applyExit(owner *ownerChannel, e *shard.Exit) {
+	m := sl.machineOf(owner, e.Machine)
+	if m == nil {
+		return
+	}
+	t := protocol.TaskStatus{Job: e.Job, TaskIndex: e.TaskIndex, Attempt: e.Attempt, State: protocol.Exited, Reason: e.Reason, Checkpointed: e.Checkpointed}
+	if sl.leader.taskExitReported(m, sl.attemptOf(owner, &e.Task), &t) {
+		sl.forgetExit(e.Task)
+		return
+	}
+	sl.leader.jobs[e.Job].task(e.TaskIndex).exit = &e.Task // told once the result is recorded
+}
+
+// applyStatus takes how an owner's workers are: those that it doesn't name are well.
+func (sl *shardCoordinator) applyStatus(owner *ownerChannel, s *shard.Status) {
+	l, c := sl.leader, sl.leader.controller
+	owner.status = *s
+	if s.Part == 0 || owner.unhealthy == nil {
+		owner.unhealthy = map[string]*shard.UnhealthyWorker{}
+	}
+	for i := range s.Unhealthy {
+		owner.unhealthy[s.Unhealthy[i].Machine] = &s.Unhealthy[i]
+	}
+	if s.More {
+		return // who is well shows once all parts are there
+	}
+	late := owner.unhealthy
+	owner.unhealthy = nil
+	known, lost := 0, 0
+	for _, m := range l.fleetList {
+		if owner.announcedTerms[m.shard] == 0 || sl.machineOf(owner, m.Name) == nil {
+			continue
+		}
+		if m.registered {
+			known++
+		}
+		w := late[m.Name]
+		if w == nil {
+			if m.registered {
+				m.lastSeen, m.lastAnswered, m.failedProbes = c.now, c.now, 0
+				if !m.lastReached.IsZero() {
+					l.workerReached(m)
+					m.lastReached = c.now
+				}
+			}
+			continue
+		}
+		if m.registered && (w.FailedCalls >= unreachableProbes || time.Duration(w.UnansweredMillis)*time.Millisecond > c.maxUnanswered()) {
+			lost++
+		}
+		m.failedProbes = w.FailedCalls
+		if m.registered {
+			m.lastSeen = c.now.Add(-time.Duration(w.SilentMillis) * time.Millisecond)
+			m.lastAnswered = c.now.Add(-time.Duration(w.UnansweredMillis) * time.Millisecond)
+			if !m.lastReached.IsZero() {
+				m.lastReached = c.now.Add(-time.Duration(w.UnreachedMillis) * time.Millisecond)
+			}
+		}
+		if w.FailedCalls > 0 {
+			l.probeFailed(m)
+		}
+	}
+	owner.partitioned = shard.Partitioned(known, lost)
+	sl.updateAlternatives(owner)
+	if owner.partitioned {
+		sl.plan()
+	}
+}
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -18,100 +18,100 @@
 // may run there it learns from the leader, and tells it in turn what the workers show.
 type shardOwner struct {
 	workerSessions
-	sharding *sharding
-	held     map[shard.ID]*heldShard
-	moved    map[string]shard.ID // machines of shards that went to somebody else
-	feed     *ownerFeed          // to the leader
-	loading  bool                // the machines' records are being read
-	again    bool                // and are to be read once more: a shard was taken meanwhile
-	answered int                 // reports since the last status
-	shownAt  time.Time           // when its member record last showed its reach
-	accounts uint64              // times that it did
-}
-
-// heldShard is a shard that this owner serves.
-type heldShard struct {
-	epoch     ownershipEpoch
-	moving    bool // nothing is answered or sent any more
-	releasing bool // the release is being written
-	overtaken bool // a worker has seen a later owner's token
-	asked     int  // generation of the table that tells whether there is one
-}
-
-func (h *heldShard) served() bool { return !h.moving && !h.overtaken }
-
-// setMoving and setOvertaken pause the tenure, or let it go on.
-func (h *heldShard) setMoving(on bool) {
+	sharding            *sharding
+	shards              map[shard.ID]*ownedShard
+	movedAway           map[string]shard.ID // machines of shards that went to somebody else
+	feed                *changeFeed         // to the leader
+	loading             bool                // the machines' records are being read
+	reload              bool                // and are to be read once more: a shard was taken meanwhile
+	heartbeats          int                 // reports since the last status
+	reachabilityAt      time.Time           // when its member record last showed its reach
+	reachabilityReports uint64              // times that it did
+}
+
+// ownedShard is a shard that this owner serves.
+type ownedShard struct {
+	epoch           ownershipEpoch
+	moving          bool // nothing is answered or sent any more
+	handingOver     bool // the release is being written
+	superseded      bool // a worker has seen a later owner's token
+	askedGeneration int  // generation of the table that tells whether there is one
+}
+
+func (h *ownedShard) served() bool { return !h.moving && !h.superseded }
+
+// setMoving and setSuperseded pause the tenure, or let it go on.
+func (h *ownedShard) setMoving(on bool) {
 	h.moving = on
 	h.epoch.paused = !h.served()
 }
 
-func (h *heldShard) setOvertaken(on bool) {
-	h.overtaken = on
+func (h *ownedShard) setSuperseded(on bool) {
+	h.superseded = on
 	h.epoch.paused = !h.served()
 }
 
 func newShardOwner(s *sharding, r lease) *shardOwner {
-	o := &shardOwner{workerSessions: newWorkerSessions(s.controller, r), sharding: s, held: map[shard.ID]*heldShard{}, moved: map[string]shard.ID{}}
+	o := &shardOwner{workerSessions: newWorkerSessions(s.controller, r), sharding: s, shards: map[shard.ID]*ownedShard{}, movedAway: map[string]shard.ID{}}
 	o.listener, o.probesNewWorkers = o, true
-	o.feed = newOwnerFeed(o)
+	o.feed = newChangeFeed(o)
 	o.loadJobs(o.watchJobs)
 	o.every(detectorInterval, o.watchWorkers)
 	return o
 }
 
-// follow takes and gives up shards as the table says.
-func (o *shardOwner) follow() {
+// applyTable takes and gives up shards as the table says.
+func (o *shardOwner) applyTable() {
 	s := o.sharding
-	for id, h := range o.held {
+	for id, h := range o.shards {
 		r, _, ok := s.table.Record(id)
 		if !ok || r.Owner.Member != s.member || r.Owner.Term != h.epoch.term {
-			o.dropShard(id)
+			o.loseShard(id)
 		}
 	}
 	added := false
 	for _, id := range s.table.OwnedBy(s.member) {
 		r, _, _ := s.table.Record(id)
-		if o.held[id] == nil {
-			o.takeShard(id, r)
+		if o.shards[id] == nil {
+			o.acquireShard(id, r)
 			added = true
 		}
-		o.followMove(id, r)
+		o.applyMove(id, r)
 	}
 	if added {
 		o.loadMachines()
-		o.feed.tellGrants()
+		o.feed.announceOwnership()
 	}
 }
 
-// takeShard begins to serve a shard.
-func (o *shardOwner) takeShard(id shard.ID, r shard.Record) {
+// acquireShard begins to serve a shard.
+func (o *shardOwner) acquireShard(id shard.ID, r shard.OwnerRecord) {
 	c := o.controller
 	t := ownershipEpoch{term: r.Owner.Term, since: c.now, predecessorUntil: c.now}
-	if !r.Released {
+	if !r.HandedOver {
 		// Whoever owned it before may go on without the state service for its grace.
 		t.predecessorUntil = c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))
 	}
-	o.held[id] = &heldShard{epoch: t}
-	c.log.Info("serving shard", "shard", id, "term", t.term, "released", r.Released)
+	o.shards[id] = &ownedShard{epoch: t}
+	c.log.Info("shard ownership acquired", "shard", id, "term", t.term, "handed_over", r.HandedOver)
 }
 
-// dropShard forgets a shard that is somebody else's.
-func (o *shardOwner) dropShard(id shard.ID) {
-	delete(o.held, id)
+// loseShard forgets a shard that is somebody else's.
+func (o *shardOwner) loseShard(id shard.ID) {
+	delete(o.shards, id)
 	o.fleetList = slices.DeleteFunc(o.fleetList, func(m *machine) bool {
 		if m.shard != id {
 			return false
 		}
-		o.moved[m.Name] = id
-		o.forgetHeld(m)
+		o.movedAway[m.Name] = id
+		o.forgetMachine(m)
 		return true
 	})
-	o.controller.log.Info("serving shard no more", "shard", id)
+	o.controller.log.Info("shard ownership ended", "shard", id)
 }
 
-// forgetHeld drops what is known of a machine that isn't served any more.
-func (o *shardOwner) forgetHeld(m *machine) {
+// forgetMachine drops what is known of a machine that isn't served any more.
+func (o *shardOwner) forgetMachine(m *machine) {
 	m.removed, m.epoch = true, nil
 	delete(o.machines, m.Name)
 	for _, a := range m.attemptList {
@@ -120,71 +120,71 @@
 }
 
 func (o *shardOwner) removeMachine(m *machine) {
-	o.forgetHeld(m)
+	o.forgetMachine(m)
 	o.fleetList = slices.DeleteFunc(o.fleetList, func(k *machine) bool { return k == m })
 }
 
-// followMove stops serving a shard that is to move, and goes on if it isn't any more.
+// applyMove stops serving a shard that is to move, and goes on if it isn't any more.
 // What is known of its workers is kept until the state service says that it is another's:
 // resumed under the same token, it must know what it sent.
-func (o *shardOwner) followMove(id shard.ID, r shard.Record) {
-	h := o.held[id]
-	if h.overtaken && o.sharding.tableOf >= h.asked {
+func (o *shardOwner) applyMove(id shard.ID, r shard.OwnerRecord) {
+	h := o.shards[id]
+	if h.superseded && o.sharding.tableGeneration >= h.askedGeneration {
 		// The table was read since: nobody took the shard. One worker alone has seen a later
 		// token, as of a machine that came into two shards' records; its shard went unserved
 		// for ever.
-		h.setOvertaken(false)
+		h.setSuperseded(false)
 	}
 	h.setMoving(r.Next != nil)
-	if !h.moving || h.releasing {
+	if !h.moving || h.handingOver {
 		return
 	}
 	o.feed.flush() // what was seen until now is still this owner's to tell
-	h.releasing = true
-	o.releaseShard(id)
+	h.handingOver = true
+	o.handOverShard(id)
 }
 
-// releaseShard makes the next member the owner.
-func (o *shardOwner) releaseShard(id shard.ID) {
+// handOverShard makes the next member the owner.
+func (o *shardOwner) handOverShard(id shard.ID) {
 	s := o.sharding
-	h := o.held[id]
+	h := o.shards[id]
 	if h == nil {
 		return
 	}
 	// An owner that took over from one that did not release, and gives the shard away before
 	// that one's grace is over, can't say that nobody answers its workers: the next owner
 	// took their silence for a proof while the first of the three went on answering them.
-	change := s.table.Release(id, s.member, !o.controller.now.Before(h.epoch.predecessorUntil))
+	change := s.table.HandOver(id, s.member, !o.controller.now.Before(h.epoch.predecessorUntil))
 	if change == nil {
-		h.releasing = false
+		h.handingOver = false
 		return
 	}
 	o.controller.storeTxn(&change.Txn, func(res txnResult, revision uint64, _ []string) {
-		h := o.held[id]
+		h := o.shards[id]
 		if !o.alive() || h == nil {
 			return
 		}
-		h.releasing = false
+		h.handingOver = false
 		if res == txnApplied {
 			s.table.Applied(change, revision)
-			s.changed()
+			s.ownershipChanged()
 			return
 		}
 		// It may have been applied: what stands there decides, and is released again.
-		s.readTable()
+		s.loadTable()
 	})
 }
 
-// takes answers a report of a machine that this owner serves, and reports whether it did.
-func (o *shardOwner) takes(id uint64, r *protocol.Report, body []byte) bool {
+// handleHeartbeat answers a report of a machine that this owner serves, and reports whether it did.
+func (o *shardOwner) handleHeartbeat(id uint64, r *protocol.Heartbeat, body []byte) bool {
 	c := o.controller
 	m := o.machines[r.Machine]
 	if m == nil || m.epoch == nil {
-		return o.sendOn(id, r)
+		return o.redirectMoved(id, r)
 	}
-	h := o.held[m.shard]
+	h := o.shards[m.shard]
 	if h == nil || !h.served() {
-		c.reply(id, 421, protocol.Redirect(o.nextOwner(m.shard)))
+		c.reply(id, 421, protocol.EncodeRedirect(o.nextOwner(m.shard)))
 		return true
 	}
 	if o.jobsKnownAt.IsZero() && !c.storeDown() {
@@ -192,22 +192,22 @@
 		return true
 	}
 	if !o.holdsLease() {
-		c.reply(id, 421, protocol.Redirect(""))
+		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return true
 	}
-	if r.Token>>fencingBits > m.epoch.term {
+	if r.FencingToken>>fencingBits > m.epoch.term {
 		o.newerTokenSeen(m)
-		c.reply(id, 421, protocol.Redirect(""))
+		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return true
 	}
-	o.answered++
+	o.heartbeats++
 	o.answerHeartbeat(m, id, r)
 	return true
 }
 
-// sendOn names the owner of a machine that was served here lately.
-func (o *shardOwner) sendOn(id uint64, r *protocol.Report) bool {
-	moved, ok := o.moved[r.Machine]
+// redirectMoved names the owner of a machine that was served here lately.
+func (o *shardOwner) redirectMoved(id uint64, r *protocol.Heartbeat) bool {
+	moved, ok := o.movedAway[r.Machine]
 	if !ok {
 		return false
 	}
@@ -215,14 +215,14 @@
 	if name == "" || name == o.controller.cfg.Name {
 		return false
 	}
-	o.controller.reply(id, 421, protocol.Redirect(name))
+	o.controller.reply(id, 421, protocol.EncodeRedirect(name))
 	return true
 }
 
 // nextOwner is whom a shard moves to, by name.
 func (o *shardOwner) nextOwner(id shard.ID) string {
-	if r, _, ok := o.sharding.table.Record(id); ok && r.Next != nil && r.Next.Node != o.controller.cfg.Name {
-		return r.Next.Node
+	if r, _, ok := o.sharding.table.Record(id); ok && r.Next != nil && r.Next.Name != o.controller.cfg.Name {
+		return r.Next.Name
 	}
 	return ""
 }
@@ -231,31 +231,31 @@
 // answered although no leader has told of them.
 func (o *shardOwner) loadMachines() {
 	if o.loading {
-		o.again = true
+		o.reload = true
 		return
 	}
-	o.loading, o.again = true, false
-	o.controller.storeList(records.PrefixMachines, o.alive, func(items []protocol.Item, _ uint64, _ time.Time) {
+	o.loading, o.reload = true, false
+	o.controller.storeList(records.PrefixMachines, o.alive, func(items []protocol.KeyValue, _ uint64, _ time.Time) {
 		o.loading = false
 		for _, it := range items {
 			o.loadGroup(it)
 		}
 		o.controller.resumeDeferred()
-		if o.again {
+		if o.reload {
 			o.loadMachines()
 		}
 	})
 }
 
-func (o *shardOwner) loadGroup(it protocol.Item) {
+func (o *shardOwner) loadGroup(it protocol.KeyValue) {
 	id := shard.ID(records.ShardOfMachines(it.Key))
-	h := o.held[id]
+	h := o.shards[id]
 	if h == nil {
 		return
 	}
 	var r records.Machines
 	if err := protocol.Decode(it.Value, &r); err != nil {
-		o.controller.log.Error("unreadable record of machines", "key", it.Key, "err", err)
+		o.controller.log.Error("machine record unreadable", "key", it.Key, "error", err)
 		return
 	}
 	for _, k := range r.Machines {
@@ -265,16 +265,16 @@
 	}
 }
 
-func (o *shardOwner) newMachine(k shard.Machine, h *heldShard) *machine {
+func (o *shardOwner) newMachine(k shard.Machine, h *ownedShard) *machine {
 	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, epoch: &h.epoch,
-		attempts: map[taskKey]*attempt{}, exits: map[taskKey]*toldExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
+		attempts: map[taskKey]*attempt{}, exits: map[taskKey]*reportedExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
 	o.machines[k.Name] = m
 	o.fleetList = append(o.fleetList, m)
-	delete(o.moved, k.Name)
+	delete(o.movedAway, k.Name)
 	return m
 }
 
-// silentFor is how long a worker has been silent, since its shard was taken at the most.
+// unheardLimit is how long a worker has been silent, since its shard was taken at the most.
 func (o *shardOwner) silentFor(m *machine) time.Duration {
 	return o.controller.now.Sub(latest(m.lastSeen, m.epoch.since, o.detectorResetAt))
 }
@@ -288,7 +288,7 @@
 	var ask []*machine
 	doubtful := map[string]bool{}
 	for _, m := range o.fleetList {
-		if h := o.held[m.shard]; h == nil || !h.served() {
+		if h := o.shards[m.shard]; h == nil || !h.served() {
 			continue
 		}
 		silent := o.silentFor(m)
@@ -313,24 +313,24 @@
 }
 
 // workerRegistered implements observer.
-func (o *shardOwner) workerRegistered(m *machine) { o.feed.tellWorker(m) }
+func (o *shardOwner) workerRegistered(m *machine) { o.feed.workerChanged(m) }
 
 // incarnationBegan implements observer.
-func (o *shardOwner) incarnationBegan(m *machine) { o.feed.tellWorker(m) }
+func (o *shardOwner) incarnationBegan(m *machine) { o.feed.workerChanged(m) }
 
 // addressChanged implements observer.
-func (o *shardOwner) addressChanged(m *machine) { o.feed.tellWorker(m) }
+func (o *shardOwner) addressChanged(m *machine) { o.feed.workerChanged(m) }
 
 // preemptionNoticed implements observer.
-func (o *shardOwner) preemptionNoticed(m *machine) { o.feed.tellWorker(m) }
+func (o *shardOwner) preemptionNoticed(m *machine) { o.feed.workerChanged(m) }
 
 // tasksReconciled implements observer.
-func (o *shardOwner) tasksReconciled(m *machine) { o.feed.tellWorker(m) }
+func (o *shardOwner) tasksReconciled(m *machine) { o.feed.workerChanged(m) }
 
 // workerReached implements observer.
 func (o *shardOwner) workerReached(m *machine) {
 	if m.lastReached.IsZero() {
-		o.feed.tellWorker(m)
+		o.feed.workerChanged(m)
 	}
 }
 
@@ -340,60 +340,60 @@
 // incarnationReset implements observer.
 func (o *shardOwner) incarnationReset(m *machine) {
 	m.incarnationReset = true
-	o.feed.tellWorker(m)
+	o.feed.workerChanged(m)
 }
 
 // taskStateReported implements observer.
 func (o *shardOwner) taskStateReported(a *attempt, s protocol.TaskState) {
 	if a.state != s {
 		a.state, a.stateSince = s, o.controller.now
-		o.feed.tellState(a)
+		o.feed.stateChanged(a)
 	}
 }
 
-// toldExit is an exited task that the leader was told of.
-type toldExit struct {
+// reportedExit is an exited task that the leader was told of.
+type reportedExit struct {
 	exit   shard.Exit
-	at     time.Time
+	sentAt time.Time
 	forget bool // its result is recorded: the worker may forget it
 }
 
-// tellExitAgain is when the leader is told of an exit once more.
-const tellExitAgain = 3 * time.Second
+// exitResendInterval is when the leader is told of an exit once more.
+const exitResendInterval = 3 * time.Second
 
 // taskExitReported implements observer. The exit is the proof that the attempt is gone; the
 // leader says when the worker may forget it.
-func (o *shardOwner) taskExitReported(m *machine, a *attempt, t *protocol.TaskReport) (forget bool) {
-	key := taskKey{t.Job, t.Index}
+func (o *shardOwner) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool) {
+	key := taskKey{t.Job, t.TaskIndex}
 	k := m.exits[key]
 	if k == nil || k.exit.Attempt != t.Attempt {
-		k = &toldExit{exit: shard.Exit{Task: taskOf(m, t), Why: t.Why, Saved: t.Saved}}
+		k = &reportedExit{exit: shard.Exit{Task: taskOf(m, t), Reason: t.Reason, Checkpointed: t.Checkpointed}}
 		m.exits[key] = k
 	}
 	if a != nil {
-		o.remove(a)
+		o.removeAttempt(a)
 		// It was listed by a leader that doesn't know of the exit, whatever an earlier one
 		// let be forgotten: untold, the attempt counted there for ever.
-		k.forget, k.at = false, time.Time{}
+		k.forget, k.sentAt = false, time.Time{}
 	}
-	if !k.forget && o.controller.now.Sub(k.at) > tellExitAgain {
-		k.at = o.controller.now
-		o.feed.tellExit(k)
+	if !k.forget && o.controller.now.Sub(k.sentAt) > exitResendInterval {
+		k.sentAt = o.controller.now
+		o.feed.exited(k)
 	}
 	return k.forget
 }
 
 // attemptTerminated implements observer.
 func (o *shardOwner) attemptTerminated(a *attempt, why string) {
-	o.controller.log.Debug("attempt gone", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name, "why", why)
-	o.remove(a)
-	o.feed.tellGone(a, why)
+	o.controller.log.Debug("attempt terminated", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name, "reason", why)
+	o.removeAttempt(a)
+	o.feed.terminated(a, why)
 }
 
 // orphanReported implements observer: only the leader knows whether a task that it didn't
 // tell of is to end.
-func (o *shardOwner) orphanReported(m *machine, t *protocol.TaskReport) (stop bool) {
-	key := taskKey{t.Job, t.Index}
+func (o *shardOwner) orphanReported(m *machine, t *protocol.TaskStatus) (stop bool) {
+	key := taskKey{t.Job, t.TaskIndex}
 	if j := o.jobs[t.Job]; j != nil && j.finalState != 0 {
 		return true
 	}
@@ -401,19 +401,19 @@
 		return m.orphanStops[key] == t.Attempt
 	}
 	m.orphans[key] = t.Attempt
-	o.feed.tellStray(taskOf(m, t))
+	o.feed.orphanFound(taskOf(m, t))
 	return false
 }
 
 // newerTokenSeen implements observer: somebody took the shard after this owner, which will
 // see it in the table.
 func (o *shardOwner) newerTokenSeen(m *machine) {
-	o.controller.log.Info("a worker has seen a later owner", "machine", m.Name, "shard", m.shard)
-	if h := o.held[m.shard]; h != nil && !h.overtaken && !m.newerTokenSeen {
+	o.controller.log.Info("worker has a later fencing token", "machine", m.Name, "shard", m.shard)
+	if h := o.shards[m.shard]; h != nil && !h.superseded && !m.newerTokenSeen {
 		m.newerTokenSeen = true
-		h.setOvertaken(true)
-		o.sharding.readTable()
-		h.asked = o.sharding.generation
+		h.setSuperseded(true)
+		o.sharding.loadTable()
+		h.askedGeneration = o.sharding.watchGeneration
 	}
 }
 
@@ -428,7 +428,7 @@
 		return cmp.Or(cmp.Compare(a.machine.Name, b.machine.Name), compareAttempts(a, b))
 	})
 	for _, a := range held {
-		o.stop(a, 0)
+		o.stopAttempt(a, 0)
 	}
 }
 
@@ -448,23 +448,23 @@
 	return j
 }
 
-// add takes an attempt that the leader told of.
-func (o *shardOwner) add(m *machine, r shard.Run, inherited bool) {
-	a := &attempt{job: o.job(r.Job), task: r.Index, number: r.Attempt, machine: m, recorded: true, inherited: inherited, stateSince: o.controller.now}
+// addAttempt takes an attempt that the leader told of.
+func (o *shardOwner) addAttempt(m *machine, r shard.Start, inherited bool) {
+	a := &attempt{job: o.job(r.Job), task: r.TaskIndex, number: r.Attempt, machine: m, recorded: true, inherited: inherited, stateSince: o.controller.now}
 	o.track(a)
 	if a.job.held == nil {
 		a.job.held = map[*attempt]struct{}{}
 	}
 	a.job.held[a] = struct{}{}
-	if r.Stop || a.job.finalState != 0 {
-		o.stop(a, time.Duration(r.Grace)*time.Millisecond)
+	if r.Stopping || a.job.finalState != 0 {
+		o.stopAttempt(a, time.Duration(r.GraceMillis)*time.Millisecond)
 		return
 	}
 	o.scheduleOrders(m)
 }
 
-// remove takes an attempt out of its machine.
-func (o *shardOwner) remove(a *attempt) {
+// removeAttempt takes an attempt out of its machine.
+func (o *shardOwner) removeAttempt(a *attempt) {
 	if a.stopRequested {
 		a.machine.stopCount--
 	}
@@ -472,8 +472,8 @@
 	o.untrack(a)
 }
 
-// stop wants an attempt ended.
-func (o *shardOwner) stop(a *attempt, grace time.Duration) {
+// stopAttempt wants an attempt ended.
+func (o *shardOwner) stopAttempt(a *attempt, grace time.Duration) {
 	if a.stopRequested && a.stopGrace <= grace {
 		return
 	}
@@ -489,14 +489,14 @@
 	o.scheduleOrders(a.machine)
 }
 
-func taskOf(m *machine, t *protocol.TaskReport) shard.Task {
-	return shard.Task{Machine: m.Name, Job: t.Job, Index: t.Index, Attempt: t.Attempt}
+func taskOf(m *machine, t *protocol.TaskStatus) shard.Task {
+	return shard.Task{Machine: m.Name, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt}
 }
 
-// grants are the shards that are served now, and their terms.
-func (o *shardOwner) grants() map[shard.ID]uint64 {
+// servedTerms are the shards that are served now, and their terms.
+func (o *shardOwner) servedTerms() map[shard.ID]uint64 {
 	grants := map[shard.ID]uint64{}
-	for id, h := range o.held {
+	for id, h := range o.shards {
 		if h.served() {
 			grants[id] = h.epoch.term
 		}
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -19,12 +19,12 @@
 }
 
 func (c *Controller) queryStatus(id uint64, job string) {
-	if !protocol.ValidID(job) {
-		c.reply(id, 404, protocol.ErrorAnswer("no such job"))
+	if !protocol.ValidJobID(job) {
+		c.reply(id, 404, protocol.EncodeError("no such job"))
 		return
 	}
 	if f, ok := c.admission.outcomes[job]; ok {
-		c.reply(id, 200, protocol.JobStatus(job, f.state, f.done, 0))
+		c.reply(id, 200, protocol.EncodeJobStatus(job, f.state, f.done, 0))
 		return
 	}
 	if c.schedulingLag > lagShedsQueries {
@@ -47,7 +47,7 @@
 	if f, ok := c.admission.outcomes[job]; ok {
 		s, done, running = f.state, f.done, 0
 	}
-	c.reply(id, 200, protocol.JobStatus(job, s, done, running))
+	c.reply(id, 200, protocol.EncodeJobStatus(job, s, done, running))
 }
 
 // checkStatuses learns of many jobs with one transaction that only compares: whether each
@@ -69,14 +69,14 @@
 	count := 0
 	for _, p := range a.queries {
 		if !listed[p.job] {
-			if len(t.If)+2 > c.maxConditions() {
+			if len(t.Conditions)+2 > c.maxConditions() {
 				break
 			}
 			listed[p.job] = true
-			t.If = append(t.If, protocol.Condition{Key: records.KeyOutcome(p.job)})
+			t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyOutcome(p.job)})
 			if _, ok := a.accepted[p.job]; !ok {
 				unsure[p.job] = true
-				t.If = append(t.If, protocol.Condition{Key: records.KeyActive(p.job)})
+				t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyActive(p.job)})
 			}
 		}
 		count++
@@ -103,7 +103,7 @@
 			case exists[records.KeyOutcome(p.job)]:
 				reads[p.job] = append(reads[p.job], p.id)
 			case unsure[p.job] && !exists[records.KeyActive(p.job)]:
-				c.reply(p.id, 404, protocol.ErrorAnswer("no such job"))
+				c.reply(p.id, 404, protocol.EncodeError("no such job"))
 			default:
 				a.rememberAccepted(p.job)
 				c.answerStatus(p.id, p.job)
@@ -122,7 +122,7 @@
 // readOutcome answers the polls for a job that is known to be over.
 func (c *Controller) readOutcome(job string, ids []uint64) {
 	c.admission.openRequests += len(ids)
-	c.storeGet(records.KeyOutcome(job), func(it protocol.Item, found, ok bool) {
+	c.storeGet(records.KeyOutcome(job), func(it protocol.KeyValue, found, ok bool) {
 		c.admission.openRequests -= len(ids)
 		if found {
 			if s, done, err := records.DecodeOutcome(it.Value); err == nil {
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -70,7 +70,7 @@
 	if c.storeFailingSince.IsZero() {
 		return
 	}
-	c.storeGet(records.KeyTerm, func(protocol.Item, bool, bool) {
+	c.storeGet(records.KeyTerm, func(protocol.KeyValue, bool, bool) {
 		c.after(storeProbe, c.askStore)
 	})
 }
@@ -80,7 +80,7 @@
 // still call itself healthy.
 func (c *Controller) checkStore() {
 	if c.storeFailingSince.IsZero() && c.now.Sub(c.storeAnsweredAt) > storeQuiet {
-		c.storeGet(records.KeyTerm, func(protocol.Item, bool, bool) {})
+		c.storeGet(records.KeyTerm, func(protocol.KeyValue, bool, bool) {})
 	}
 }
 
@@ -91,16 +91,16 @@
 }
 
 // storeGet reads one key; ok is false when nothing is known.
-func (c *Controller) storeGet(key string, done func(it protocol.Item, found, ok bool)) {
+func (c *Controller) storeGet(key string, done func(it protocol.KeyValue, found, ok bool)) {
 	c.store("GET", protocol.KeyTarget(key), nil, storeTimeout, func(o Outcome) {
 		switch {
 		case o.Answered && o.Status == 404:
-			done(protocol.Item{}, false, true)
+			done(protocol.KeyValue{}, false, true)
 		case o.Answered && o.Status == 200:
-			it, err := protocol.ParseItem(o.Body)
+			it, err := protocol.ParseKeyValue(o.Body)
 			done(it, err == nil, err == nil)
 		default:
-			done(protocol.Item{}, false, false)
+			done(protocol.KeyValue{}, false, false)
 		}
 	})
 }
@@ -108,8 +108,8 @@
 // storeList reads all keys with a prefix, page by page, retrying until it has
 // them or alive says to stop. The revision is that of the first page, so a
 // watch from it misses nothing; all that was written before asked is in the list.
-func (c *Controller) storeList(prefix string, alive func() bool, done func(items []protocol.Item, revision uint64, asked time.Time)) {
-	var items []protocol.Item
+func (c *Controller) storeList(prefix string, alive func() bool, done func(items []protocol.KeyValue, revision uint64, asked time.Time)) {
+	var items []protocol.KeyValue
 	var first uint64
 	var asked time.Time
 	var page func(after string)
@@ -163,20 +163,20 @@
 
 // storeTxn sends a transaction.
 func (c *Controller) storeTxn(t *protocol.Txn, done func(r txnResult, revision uint64, failed []string)) {
-	c.store("POST", protocol.PathMulti, protocol.TxnBody(t), storeTimeout, func(o Outcome) {
+	c.store("POST", protocol.PathTransactions, protocol.EncodeTxn(t), storeTimeout, func(o Outcome) {
 		switch {
 		case !o.Answered && o.NotSent:
 			done(txnRefused, 0, nil)
 		case !o.Answered:
 			done(txnUnknown, 0, nil)
 		case o.Status == 200:
-			if revision, err := protocol.ParseCommitted(o.Body); err == nil {
+			if revision, err := protocol.ParseRevision(o.Body); err == nil {
 				done(txnApplied, revision, nil)
 				return
 			}
 			done(txnUnknown, 0, nil)
 		case o.Status == 409:
-			if failed, err := protocol.ParseFailed(o.Body); err == nil {
+			if failed, err := protocol.ParseFailedConditions(o.Body); err == nil {
 				done(txnFailed, 0, failed)
 				return
 			}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -18,11 +18,11 @@
 func (c *Controller) submit(id uint64, body []byte) {
 	job, err := protocol.ParseJob(body)
 	if err != nil {
-		c.reply(id, 400, protocol.ErrorAnswer(err.Error()))
+		c.reply(id, 400, protocol.EncodeError(err.Error()))
 		return
 	}
 	if f, ok := c.admission.outcomes[job.ID]; ok {
-		c.reply(id, 200, protocol.JobAnswer(job.ID, f.state))
+		c.reply(id, 200, protocol.EncodeJobState(job.ID, f.state))
 		return
 	}
 	if len(c.types) == 0 || c.storeDown() {
@@ -38,9 +38,9 @@
 			case !ok:
 				c.refuseWithoutStore(id)
 			case s == 0:
-				c.reply(id, 422, protocol.ErrorAnswer(reason))
+				c.reply(id, 422, protocol.EncodeError(reason))
 			default:
-				c.reply(id, 200, protocol.JobAnswer(job.ID, s))
+				c.reply(id, 200, protocol.EncodeJobState(job.ID, s))
 			}
 		})
 		return
@@ -49,7 +49,7 @@
 	raw := records.Encode(record)
 	if len(raw) > c.cfg.ValueBytes {
 		c.admission.openRequests--
-		c.reply(id, 400, protocol.ErrorAnswer("the job's description is too long"))
+		c.reply(id, 400, protocol.EncodeError("the job's description is too long"))
 		return
 	}
 	for _, s := range c.admission.submissions {
@@ -80,8 +80,8 @@
 		// The job exists once this is applied, and only then is the user told. The
 		// outcome's absence keeps a late copy from reviving a job that is over and
 		// whose record is already gone.
-		t.If = append(t.If, protocol.Condition{Key: records.KeyActive(s.job.ID)}, protocol.Condition{Key: records.KeyOutcome(s.job.ID)})
-		t.Then = append(t.Then, protocol.Op{Put: records.KeyActive(s.job.ID), Value: s.record})
+		t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyActive(s.job.ID)}, protocol.Condition{Key: records.KeyOutcome(s.job.ID)})
+		t.Ops = append(t.Ops, protocol.Op{Put: records.KeyActive(s.job.ID), Value: s.record})
 		count, size = count+1, size+len(s.record)
 	}
 	group := a.submissions[:count:count]
@@ -117,13 +117,13 @@
 	c.admission.openRequests -= len(s.requests)
 	c.admission.rememberAccepted(s.job.ID)
 	c.log.Debug("job accepted", "job", s.job.ID, "class", s.job.Class, "tasks", s.job.Tasks,
-		"estimate", s.job.Estimate, "deadline", s.job.Deadline, "image", s.job.Image, "gb", s.job.ImageGB)
+		"estimate", s.job.EstimatedRuntime, "deadline", s.job.Deadline, "image", s.job.Image, "gb", s.job.ImageGB)
 	for i, id := range s.requests {
 		status := 201
 		if i > 0 {
 			status = 200
 		}
-		c.reply(id, status, protocol.JobAnswer(s.job.ID, protocol.Queued))
+		c.reply(id, status, protocol.EncodeJobState(s.job.ID, protocol.Queued))
 	}
 }
 
@@ -135,7 +135,7 @@
 				c.refuseWithoutStore(id)
 				continue
 			}
-			c.reply(id, 200, protocol.JobAnswer(s.job.ID, state))
+			c.reply(id, 200, protocol.EncodeJobState(s.job.ID, state))
 		}
 	})
 }
--- a/internal/coordination/types.go
+++ b/internal/coordination/types.go
@@ -11,7 +11,7 @@
 // loadTypes gets the machine types: from the state service, where leaders keep
 // them, or from the cloud. Without them no submission can be judged.
 func (c *Controller) loadTypes() {
-	c.storeGet(records.KeyTypes, func(it protocol.Item, found, ok bool) {
+	c.storeGet(records.KeyTypes, func(it protocol.KeyValue, found, ok bool) {
 		if found {
 			var types []protocol.MachineType
 			if json.Unmarshal(it.Value, &types) == nil && len(types) > 0 {
@@ -33,9 +33,9 @@
 }
 
 func (c *Controller) fetchTypes(done func(ok bool)) {
-	c.call(Cloud, "", "GET", protocol.PathTypes, nil, 3*time.Second, func(o Outcome) {
+	c.call(Cloud, "", "GET", protocol.PathMachineTypes, nil, 3*time.Second, func(o Outcome) {
 		if o.Answered && o.Status == 200 {
-			if types, err := protocol.ParseTypes(o.Body); err == nil {
+			if types, err := protocol.ParseMachineTypes(o.Body); err == nil {
 				c.setTypes(types)
 				done(true)
 				return
@@ -49,6 +49,6 @@
 	c.types = make(map[string]*protocol.MachineType, len(types))
 	for i := range types {
 		c.types[types[i].Name] = &types[i]
-		c.log.Debug("machine type", "type", types[i].Name, "zones", types[i].Zones, "price", types[i].Price, "spot", types[i].SpotPrice)
+		c.log.Debug("machine type", "type", types[i].Name, "zones", types[i].Zones, "price", types[i].PricePerHour, "spot", types[i].SpotPricePerHour)
 	}
 }
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -10,16 +10,16 @@
 const ordersTimeout = 1200 * time.Millisecond
 
 func startOrder(a *attempt) protocol.Order {
-	return protocol.Order{Kind: protocol.Start, Job: a.job.ID, Index: a.task, Attempt: a.number}
+	return protocol.Order{Kind: protocol.Start, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number}
 }
 
 // stopOrder gives the order that ends an attempt, unless it is saving in the
 // time it was given.
 func (s *workerSessions) stopOrder(a *attempt) (protocol.Order, bool) {
-	if a.state == protocol.Saving && a.stopGrace > 0 {
+	if a.state == protocol.Checkpointing && a.stopGrace > 0 {
 		return protocol.Order{}, false
 	}
-	return protocol.Order{Kind: protocol.Stop, Job: a.job.ID, Index: a.task, Attempt: a.number, Grace: a.stopGrace}, true
+	return protocol.Order{Kind: protocol.Stop, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, Grace: a.stopGrace}, true
 }
 
 // neverSent reports whether no start of an attempt can be on its way.
@@ -54,7 +54,7 @@
 		m.directStartToken = token
 	}
 	m.ordersInFlight = true
-	body := protocol.DirectOrders(token, incarnation, orders)
+	body := protocol.EncodeDirectOrders(token, incarnation, orders)
 	s.controller.call(Worker, m.addr, "POST", protocol.PathOrders, body, ordersTimeout, func(out Outcome) {
 		if s.alive() {
 			s.ordersAnswered(m, incarnation, starts, out)
@@ -66,7 +66,7 @@
 // message holds them: the others go out once it is answered.
 func (s *workerSessions) pendingOrders(m *machine) (orders []protocol.Order, starts []*attempt) {
 	mayStart := s.startsAllowed()
-	room := protocol.NewOrderRoom()
+	room := protocol.NewOrderBudget()
 	for _, a := range m.sortedAttempts() {
 		order, wanted := s.pendingOrder(a)
 		switch {
@@ -75,7 +75,7 @@
 		case order.Kind == protocol.Start && !mayStart:
 			s.deferStarts(m)
 			continue
-		case !room.Take(a.job.ID):
+		case !room.Reserve(a.job.ID):
 			s.controller.limits.reached(limitOrders)
 			return orders, starts
 		case order.Kind == protocol.Start:
@@ -114,9 +114,9 @@
 	for _, a := range starts {
 		a.directPending = false
 	}
-	var r *protocol.Report
+	var r *protocol.Heartbeat
 	if out.Answered && (out.Status == 200 || out.Status == 409) {
-		r, _ = protocol.ParseReport(out.Body)
+		r, _ = protocol.ParseHeartbeat(out.Body)
 	}
 	if r == nil || r.Machine != m.Name {
 		s.ordersUnanswered(m, starts, out)
@@ -125,13 +125,13 @@
 	for _, a := range starts {
 		a.directToken = 0
 		if out.Status == 200 {
-			a.sentIncarnation, a.sentSequence = incarnation, r.Seq
+			a.sentIncarnation, a.sentSequence = incarnation, r.Sequence
 		}
 	}
 	if m.epoch == nil {
 		return // its shard went to another owner meanwhile
 	}
-	if r.Token>>fencingBits > m.epoch.term {
+	if r.FencingToken>>fencingBits > m.epoch.term {
 		s.listener.newerTokenSeen(m)
 		return
 	}
@@ -156,6 +156,6 @@
 }
 
 // isNewer reports whether a report is newer than what is known of the machine.
-func (m *machine) isNewer(r *protocol.Report) bool {
-	return r.Session > m.incarnation || r.Session == m.incarnation && r.Seq > m.sequence
+func (m *machine) isNewer(r *protocol.Heartbeat) bool {
+	return r.Incarnation > m.incarnation || r.Incarnation == m.incarnation && r.Sequence > m.sequence
 }
--- a/internal/coordination/worker_probes.go
+++ b/internal/coordination/worker_probes.go
@@ -144,7 +144,7 @@
 	}
 	m.probeInFlight = true
 	incarnation := m.incarnation
-	s.controller.call(Worker, m.addr, "GET", protocol.PathShow, nil, probeTimeout, func(out Outcome) {
+	s.controller.call(Worker, m.addr, "GET", protocol.PathWorkerStatus, nil, probeTimeout, func(out Outcome) {
 		if s.alive() {
 			m.probeInFlight = false
 			s.probeAnswered(m, incarnation, out)
@@ -157,9 +157,9 @@
 	if out.Busy || m.removed || m.epoch == nil {
 		return // nobody was asked, or it is no business of ours any more
 	}
-	var r *protocol.Report
+	var r *protocol.Heartbeat
 	if out.Answered && out.Status == 200 {
-		r, _ = protocol.ParseReport(out.Body)
+		r, _ = protocol.ParseHeartbeat(out.Body)
 	}
 	switch {
 	case r == nil || r.Machine != m.Name:
@@ -170,10 +170,10 @@
 		if m.registered && m.seenToken >= s.fencingToken(m) {
 			s.raiseFencingToken(m, m.seenToken)
 		}
-	case r.Session < incarnation:
+	case r.Incarnation < incarnation:
 		// This was asked after the newer session was heard of, so the worker has
 		// lost what it knew: it was started anew and counts from the beginning.
-		s.controller.log.Warn("worker began anew", "machine", m.Name, "session", r.Session, "before", m.incarnation)
+		s.controller.log.Warn("worker began anew", "machine", m.Name, "session", r.Incarnation, "before", m.incarnation)
 		s.listener.incarnationReset(m)
 	case m.isNewer(r):
 		s.takeHeartbeat(m, r, false)
@@ -193,13 +193,13 @@
 		return
 	}
 	m.ordersInFlight = true
-	body := protocol.DirectOrders(s.fencingToken(m), m.incarnation, nil)
+	body := protocol.EncodeDirectOrders(s.fencingToken(m), m.incarnation, nil)
 	s.controller.call(Worker, m.addr, "POST", protocol.PathOrders, body, announceTimeout, func(out Outcome) {
 		if !s.alive() {
 			return
 		}
 		m.ordersInFlight = false
-		r, err := protocol.ParseReport(out.Body)
+		r, err := protocol.ParseHeartbeat(out.Body)
 		if out.Answered && out.Status == 200 && err == nil && r.Machine == m.Name && !m.removed && m.isNewer(r) {
 			s.takeHeartbeat(m, r, false)
 		}
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -54,11 +54,11 @@
 	taskStateReported(a *attempt, s protocol.TaskState)
 	// taskExitReported tells whether the worker may forget an exited task; a is nil for one
 	// that isn't known here.
-	taskExitReported(m *machine, a *attempt, t *protocol.TaskReport) (forget bool)
+	taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool)
 	// attemptTerminated: it was proven that an attempt is gone and can't start any more.
 	attemptTerminated(a *attempt, why string)
 	// orphanReported tells whether a task that isn't known here is to be stopped.
-	orphanReported(m *machine, t *protocol.TaskReport) (stop bool)
+	orphanReported(m *machine, t *protocol.TaskStatus) (stop bool)
 	// jobRecorded: there is a record of an unfinished job; live says that it was just
 	// written. jobEnded: its outcome is recorded. jobRemoved: its record was removed.
 	jobRecorded(id string, value json.RawMessage, live bool)
@@ -232,12 +232,12 @@
 	m.attempts[taskKey{a.job.ID, a.task}] = a
 	a.listIndex = len(m.attemptList)
 	m.attemptList = append(m.attemptList, a)
-	m.ReportBytes += protocol.TaskReportBytes(a.job.ID)
+	m.ReportBytes += protocol.TaskStatusBytes(a.job.ID)
 }
 
 func (s *workerSessions) untrack(a *attempt) {
 	m := a.machine
-	m.ReportBytes -= protocol.TaskReportBytes(a.job.ID)
+	m.ReportBytes -= protocol.TaskStatusBytes(a.job.ID)
 	delete(m.attempts, taskKey{a.job.ID, a.task})
 	last := m.attemptList[len(m.attemptList)-1]
 	m.attemptList[a.listIndex], last.listIndex = last, a.listIndex
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -8,34 +8,34 @@
 
 // Paths of the cloud's interface.
 const (
-	PathTypes   = "/flavors"
-	PathHosts   = "/hosts"
-	PathRelease = "/hosts/release"
+	PathMachineTypes = "/flavors"
+	PathMachines     = "/hosts"
+	PathTerminate    = "/hosts/release"
 )
 
 // Limits of the cloud's calls.
 const (
-	MaxRent    = 50
-	MaxRelease = 100
-	MaxListed  = 500
+	MaxProvision = 50
+	MaxTerminate = 100
+	MaxListed    = 500
 )
 
-var errOdd = errors.New("an answer that makes no sense")
+var errImpossible = errors.New("an answer that makes no sense")
 
-type wireType struct {
-	Name      string   `json:"label"`
-	CPUs      float64  `json:"cpus"`
-	GPUs      float64  `json:"gpus"`
-	MemGB     float64  `json:"memGb"`
-	CacheGB   float64  `json:"localGb"`
-	FetchRate float64  `json:"fetchGbPerS"`
-	Price     float64  `json:"rate"`
-	SpotPrice float64  `json:"spotPrice"`
-	Boot      float64  `json:"readyS"`
-	Zones     []string `json:"harbours"`
+type wireMachineType struct {
+	Name             string   `json:"label"`
+	CPUs             float64  `json:"cpus"`
+	GPUs             float64  `json:"gpus"`
+	MemoryGB         float64  `json:"memGb"`
+	CacheGB          float64  `json:"localGb"`
+	FetchGBPerSecond float64  `json:"fetchGbPerS"`
+	Price            float64  `json:"rate"`
+	SpotPrice        float64  `json:"spotPrice"`
+	BootTime         float64  `json:"readyS"`
+	Zones            []string `json:"harbours"`
 }
 
-type wireHost struct {
+type wireMachine struct {
 	Name  string  `json:"nameId"`
 	Addr  string  `json:"endpoint"`
 	Type  string  `json:"hullForm"`
@@ -45,35 +45,35 @@
 	Age   float64 `json:"ageS"`
 }
 
-// ParseTypes reads the cloud's machine types.
-func ParseTypes(body []byte) ([]MachineType, error) {
+// ParseMachineTypes reads the cloud's machine types.
+func ParseMachineTypes(body []byte) ([]MachineType, error) {
 	var w struct {
-		Types []wireType `json:"hullForms"`
+		Types []wireMachineType `json:"hullForms"`
 	}
 	if err := json.Unmarshal(body, &w); err != nil {
 		return nil, err
 	}
 	if len(w.Types) == 0 {
-		return nil, errOdd
+		return nil, errImpossible
 	}
 	types := make([]MachineType, 0, len(w.Types))
 	for _, t := range w.Types {
-		if t.Name == "" || t.CPUs <= 0 || t.MemGB < 0 || t.GPUs < 0 || t.Price < 0 || t.Boot < 0 || t.Boot > maxSeconds {
-			return nil, errOdd
+		if t.Name == "" || t.CPUs <= 0 || t.MemoryGB < 0 || t.GPUs < 0 || t.Price < 0 || t.BootTime < 0 || t.BootTime > maxSeconds {
+			return nil, errImpossible
 		}
-		types = append(types, MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB, CacheGB: t.CacheGB,
-			FetchRate: t.FetchRate, Price: t.Price, SpotPrice: t.SpotPrice, Boot: Seconds(t.Boot), Zones: t.Zones})
+		types = append(types, MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+			FetchGBPerSecond: t.FetchGBPerSecond, PricePerHour: t.Price, SpotPricePerHour: t.SpotPrice, BootTime: Seconds(t.BootTime), Zones: t.Zones})
 	}
 	return types, nil
 }
 
-// RentBody asks for machines.
-func RentBody(request, typ, zone string, spot bool, count int) []byte {
-	return Encode(RentRequest{request, typ, zone, spot, count})
+// EncodeProvision asks for machines.
+func EncodeProvision(request, typ, zone string, spot bool, count int) []byte {
+	return Encode(ProvisionRequest{request, typ, zone, spot, count})
 }
 
-// ParseNames reads the names of the machines that were rented.
-func ParseNames(body []byte) ([]string, error) {
+// ParseMachineNames reads the names of the machines that were rented.
+func ParseMachineNames(body []byte) ([]string, error) {
 	var w struct {
 		Names []string `json:"decks"`
 	}
@@ -81,46 +81,46 @@
 		return nil, err
 	}
 	if w.Names == nil {
-		return nil, errOdd
+		return nil, errImpossible
 	}
 	for _, n := range w.Names {
-		if n == "" || len(n) > maxName {
-			return nil, errOdd
+		if n == "" || len(n) > maxNameBytes {
+			return nil, errImpossible
 		}
 	}
 	return w.Names, nil
 }
 
-// ReleaseBody names machines to return.
-func ReleaseBody(names []string) []byte {
-	return EncodeNames(names)
+// EncodeTerminate names machines to return.
+func EncodeTerminate(names []string) []byte {
+	return EncodeMachineNames(names)
 }
 
-// ListTarget is the target of one page of the cloud's list.
-func ListTarget(after string) string {
-	t := fmt.Sprintf("%s?limit=%d", PathHosts, MaxListed)
+// MachinesTarget is the target of one page of the cloud's list.
+func MachinesTarget(after string) string {
+	t := fmt.Sprintf("%s?limit=%d", PathMachines, MaxListed)
 	if after != "" {
-		t += "&after=" + escape(after)
+		t += "&after=" + escapeKey(after)
 	}
 	return t
 }
 
-// ParseList reads one page of the cloud's list.
-func ParseList(body []byte) (list []ListedMachine, more bool, err error) {
+// ParseMachines reads one page of the cloud's list.
+func ParseMachines(body []byte) (list []ListedMachine, more bool, err error) {
 	var w struct {
-		Machines []wireHost `json:"decks"`
-		More     *bool      `json:"more"`
+		Machines []wireMachine `json:"decks"`
+		More     *bool         `json:"more"`
 	}
 	if err := json.Unmarshal(body, &w); err != nil {
 		return nil, false, err
 	}
 	if w.Machines == nil || w.More == nil {
-		return nil, false, errOdd
+		return nil, false, errImpossible
 	}
 	for _, m := range w.Machines {
 		state := map[string]MachineState{"starting": Booting, "running": Up, "failed": Failed}[m.State]
-		if m.Name == "" || len(m.Name) > maxName || state == 0 || !validAmount(m.Age, maxSeconds) {
-			return nil, false, errOdd
+		if m.Name == "" || len(m.Name) > maxNameBytes || state == 0 || !validAmount(m.Age, maxSeconds) {
+			return nil, false, errImpossible
 		}
 		list = append(list, ListedMachine{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 			State: state, Age: Seconds(m.Age)})
--- a/internal/protocol/decode_test.go
+++ b/internal/protocol/decode_test.go
@@ -9,8 +9,8 @@
 
 // decoded are the shapes that decode reads.
 var decoded = []func() any{
-	func() any { return new(wireReport) },
-	func() any { return new(wireItem) },
+	func() any { return new(wireHeartbeat) },
+	func() any { return new(wireKeyValue) },
 	func() any { return new(wireEvents) },
 }
 
@@ -46,7 +46,7 @@
 
 // TestDecodeNested has values nested as deeply as a body can hold.
 func TestDecodeNested(t *testing.T) {
-	for _, n := range []int{100, maxNested - 2, maxNested - 1, maxNested, maxNested + 1, 30000} {
+	for _, n := range []int{100, maxNesting - 2, maxNesting - 1, maxNesting, maxNesting + 1, 30000} {
 		checkDecode(t, []byte(`{"x":`+strings.Repeat("[", n)+strings.Repeat("]", n)+`}`))
 		checkDecode(t, []byte(strings.Repeat(`{"x":`, n)+"1"+strings.Repeat("}", n)))
 	}
@@ -55,13 +55,13 @@
 // TestReportAllocations holds what reading a report costs: a leader reads one of each
 // machine every few seconds, and the answers to its calls.
 func TestReportAllocations(t *testing.T) {
-	r := &Report{Machine: "vm-000123", Addr: "10.3.0.12:8080", Type: "small", Zone: "a", Session: 1, Seq: 123, Token: 1 << 32}
+	r := &Heartbeat{Machine: "vm-000123", Addr: "10.3.0.12:8080", Type: "small", Zone: "a", Incarnation: 1, Sequence: 123, FencingToken: 1 << 32}
 	for i := range 12 {
-		r.Tasks = append(r.Tasks, TaskReport{Job: "run-000123", Index: i, Attempt: 1, State: Running})
+		r.Tasks = append(r.Tasks, TaskStatus{Job: "run-000123", TaskIndex: i, Attempt: 1, State: Running})
 	}
-	body := EncodeReport(r)
+	body := EncodeHeartbeat(r)
 	allocs := testing.AllocsPerRun(100, func() {
-		if _, err := ParseReport(body); err != nil {
+		if _, err := ParseHeartbeat(body); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/protocol/model.go
+++ b/internal/protocol/model.go
@@ -28,36 +28,36 @@
 
 // Job is an accepted job as its user described it.
 type Job struct {
-	ID       string   `json:"id"`
-	Class    string   `json:"class"`
-	Team     string   `json:"team"`
-	Kind     Kind     `json:"kind"`
-	Priority Priority `json:"prio"`
-	Tasks    int      `json:"tasks"`
-	CPUs     float64  `json:"cpus"`
-	GPUs     float64  `json:"gpus,omitempty"`
-	MemGB    float64  `json:"mem"`
-	Image    string   `json:"image"`
-	ImageGB  float64  `json:"gb"`
-	Types    []string `json:"types,omitempty"` // allowed machine types; any when empty
-	Zone     string   `json:"zone,omitempty"`  // the only allowed zone; any when empty
-	OneZone  bool     `json:"oneZone,omitempty"`
-	Spread   bool     `json:"spread,omitempty"` // at most half of the tasks in a zone
-	Spot     bool     `json:"spot,omitempty"`   // may use spot machines
-
-	Estimate    time.Duration `json:"est,omitempty"`
-	Checkpoint  time.Duration `json:"ckpt,omitempty"` // 0: the task never saves
-	Save        time.Duration `json:"save,omitempty"`
-	Deadline    time.Duration `json:"deadline,omitempty"`
-	HasDeadline bool          `json:"hasDeadline,omitempty"`
+	ID           string   `json:"id"`
+	Class        string   `json:"class"`
+	Team         string   `json:"team"`
+	Kind         Kind     `json:"kind"`
+	Priority     Priority `json:"prio"`
+	Tasks        int      `json:"tasks"`
+	CPUs         float64  `json:"cpus"`
+	GPUs         float64  `json:"gpus,omitempty"`
+	MemoryGB     float64  `json:"mem"`
+	Image        string   `json:"image"`
+	ImageGB      float64  `json:"gb"`
+	MachineTypes []string `json:"types,omitempty"` // allowed machine types; any when empty
+	Zone         string   `json:"zone,omitempty"`  // the only allowed zone; any when empty
+	OneZone      bool     `json:"oneZone,omitempty"`
+	Spread       bool     `json:"spread,omitempty"` // at most half of the tasks in a zone
+	AllowSpot    bool     `json:"spot,omitempty"`   // may use spot machines
+
+	EstimatedRuntime   time.Duration `json:"est,omitempty"`
+	CheckpointInterval time.Duration `json:"ckpt,omitempty"` // 0: the task never saves
+	CheckpointDuration time.Duration `json:"save,omitempty"`
+	Deadline           time.Duration `json:"deadline,omitempty"`
+	HasDeadline        bool          `json:"hasDeadline,omitempty"`
 }
 
 // AllowsType reports whether the job may run on machines of the type.
 func (j *Job) AllowsType(name string) bool {
-	if len(j.Types) == 0 {
+	if len(j.MachineTypes) == 0 {
 		return true
 	}
-	for _, t := range j.Types {
+	for _, t := range j.MachineTypes {
 		if t == name {
 			return true
 		}
@@ -67,21 +67,21 @@
 
 // MachineType describes what the cloud rents.
 type MachineType struct {
-	Name      string        `json:"name"`
-	CPUs      float64       `json:"cpus"`
-	GPUs      float64       `json:"gpus,omitempty"`
-	MemGB     float64       `json:"mem"`
-	CacheGB   float64       `json:"cache"`
-	FetchRate float64       `json:"fetch"` // GB per second
-	Price     float64       `json:"price"` // per hour
-	SpotPrice float64       `json:"spot"`
-	Boot      time.Duration `json:"boot"`
-	Zones     []string      `json:"zones"`
+	Name             string        `json:"name"`
+	CPUs             float64       `json:"cpus"`
+	GPUs             float64       `json:"gpus,omitempty"`
+	MemoryGB         float64       `json:"mem"`
+	CacheGB          float64       `json:"cache"`
+	FetchGBPerSecond float64       `json:"fetch"` // GB per second
+	PricePerHour     float64       `json:"price"` // per hour
+	SpotPricePerHour float64       `json:"spot"`
+	BootTime         time.Duration `json:"boot"`
+	Zones            []string      `json:"zones"`
 }
 
 // Fits reports whether one task of the job fits an empty machine of the type.
 func (t *MachineType) Fits(j *Job) bool {
-	return j.CPUs <= t.CPUs+Epsilon && j.GPUs <= t.GPUs+Epsilon && j.MemGB <= t.MemGB+Epsilon
+	return j.CPUs <= t.CPUs+Epsilon && j.GPUs <= t.GPUs+Epsilon && j.MemoryGB <= t.MemoryGB+Epsilon
 }
 
 // Epsilon absorbs what adding and subtracting decimal amounts leaves behind.
@@ -94,7 +94,7 @@
 const (
 	Fetching TaskState = iota + 1
 	Running
-	Saving
+	Checkpointing
 	Exited
 )
 
@@ -113,28 +113,28 @@
 	ExitGang // the rest of its gang ended or didn't come
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Job     string
-	Index   int
-	Attempt uint64
-	State   TaskState
-	Why     ExitReason
-	Saved   bool
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Job          string
+	TaskIndex    int
+	Attempt      uint64
+	State        TaskState
+	Reason       ExitReason
+	Checkpointed bool
 }
 
-// Report is what a worker tells of its machine.
-type Report struct {
-	Machine    string
-	Addr       string
-	Type, Zone string
-	Spot       bool
-	Session    uint64
-	Seq        uint64
-	Token      uint64
-	HasNotice  bool
-	Notice     time.Duration // until the cloud takes the machine
-	Tasks      []TaskReport
+// Heartbeat is what a worker tells of its machine.
+type Heartbeat struct {
+	Machine             string
+	Addr                string
+	Type, Zone          string
+	Spot                bool
+	Incarnation         uint64
+	Sequence            uint64
+	FencingToken        uint64
+	HasPreemptionNotice bool
+	PreemptionNotice    time.Duration // until the cloud takes the machine
+	Tasks               []TaskStatus
 }
 
 // OrderKind is what a worker is told to do.
@@ -149,11 +149,11 @@
 
 // Order is one command to a worker.
 type Order struct {
-	Kind    OrderKind
-	Job     string
-	Index   int
-	Attempt uint64
-	Grace   time.Duration // of a stop
+	Kind      OrderKind
+	Job       string
+	TaskIndex int
+	Attempt   uint64
+	Grace     time.Duration // of a stop
 }
 
 // MachineState is a machine's state as the cloud lists it.
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -17,8 +17,8 @@
 		t.Fatal(err)
 	}
 	want := &Job{ID: "run-000412", Class: "train", Team: "vision", Kind: Batch, Priority: Urgent, Tasks: 16, CPUs: 8,
-		GPUs: 1, MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, OneZone: true, Spot: true,
-		Estimate: 4 * time.Minute, Checkpoint: 30 * time.Second, Save: 4 * time.Second, Deadline: 15 * time.Minute, HasDeadline: true}
+		GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, OneZone: true, AllowSpot: true,
+		EstimatedRuntime: 4 * time.Minute, CheckpointInterval: 30 * time.Second, CheckpointDuration: 4 * time.Second, Deadline: 15 * time.Minute, HasDeadline: true}
 	if !reflect.DeepEqual(j, want) {
 		t.Errorf("got %+v", j)
 	}
@@ -59,7 +59,7 @@
 	}{
 		{"/v2/runs", RouteJobs, ""}, {"/v2/runs/run-000001", RouteJob, "run-000001"},
 		{"/v2/runs/run-000001/cancel", RouteCancel, "run-000001"}, {"/v2/runs/", RouteNone, ""},
-		{"/v2/runs/a/b", RouteNone, ""}, {"/up?x=1", RouteHealth, ""}, {"/v1/report", RouteReport, ""}, {"/", RouteNone, ""},
+		{"/v2/runs/a/b", RouteNone, ""}, {"/up?x=1", RouteHealth, ""}, {"/v1/report", RouteHeartbeat, ""}, {"/", RouteNone, ""},
 	} {
 		if route, id := ParseTarget(c.target); route != c.route || id != c.id {
 			t.Errorf("%s: route %d, id %q", c.target, route, id)
@@ -68,32 +68,32 @@
 }
 
 func TestReportRoundTrip(t *testing.T) {
-	r := &Report{Machine: "vm-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Seq: 88, Token: 41,
-		HasNotice: true, Notice: 12 * time.Second, Tasks: []TaskReport{
-			{Job: "run-000412", Index: 3, Attempt: 2, State: Running},
-			{Job: "run-000398", Index: 0, Attempt: 1, State: Exited, Why: ExitStopped, Saved: true}}}
-	got, err := ParseReport(EncodeReport(r))
+	r := &Heartbeat{Machine: "vm-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 1, Sequence: 88, FencingToken: 41,
+		HasPreemptionNotice: true, PreemptionNotice: 12 * time.Second, Tasks: []TaskStatus{
+			{Job: "run-000412", TaskIndex: 3, Attempt: 2, State: Running},
+			{Job: "run-000398", TaskIndex: 0, Attempt: 1, State: Exited, Reason: ExitStopped, Checkpointed: true}}}
+	got, err := ParseHeartbeat(EncodeHeartbeat(r))
 	if err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	for _, bad := range []string{`{}`, `[]`, `{"deck":"m","watch":0,"logSeq":1}`,
 		`{"deck":"m","watch":1,"logSeq":1,"oars":[{"oar":"run-000001","launch":1,"bearing":"running"}]}`,
 		`{"deck":"m","watch":1,"logSeq":1,"oars":[{"oar":"run-000001/0","launch":1,"bearing":"flying"}]}`} {
-		if _, err := ParseReport([]byte(bad)); err == nil {
+		if _, err := ParseHeartbeat([]byte(bad)); err == nil {
 			t.Errorf("%s is taken", bad)
 		}
 	}
 }
 
 func TestOrdersRoundTrip(t *testing.T) {
-	orders := []Order{{Kind: Start, Job: "run-000001", Index: 4, Attempt: 2},
-		{Kind: Stop, Job: "run-000002", Index: 1, Attempt: 1, Grace: 10 * time.Second},
-		{Kind: Forget, Job: "run-000003", Index: 0, Attempt: 9}}
-	token, session, got, err := ParseOrders(DirectOrders(7<<16|3, 2, orders))
+	orders := []Order{{Kind: Start, Job: "run-000001", TaskIndex: 4, Attempt: 2},
+		{Kind: Stop, Job: "run-000002", TaskIndex: 1, Attempt: 1, Grace: 10 * time.Second},
+		{Kind: Forget, Job: "run-000003", TaskIndex: 0, Attempt: 9}}
+	token, session, got, err := ParseOrders(EncodeDirectOrders(7<<16|3, 2, orders))
 	if err != nil || *token != 7<<16|3 || *session != 2 || !reflect.DeepEqual(got, orders) {
 		t.Errorf("got %v, %v", got, err)
 	}
-	if token, session, _, err = ParseOrders(ReportAnswer(5, nil)); err != nil || *token != 5 || session != nil {
+	if token, session, _, err = ParseOrders(EncodeHeartbeatResponse(5, nil)); err != nil || *token != 5 || session != nil {
 		t.Errorf("an answer without orders: %v", err)
 	}
 }
@@ -103,12 +103,12 @@
 func FuzzParseReport(f *testing.F) {
 	f.Add([]byte(`{"deck":"vm-1","endpoint":"x","watch":1,"logSeq":8,"helm":4,"recallS":3.5,"oars":[{"oar":"run-000412/3","launch":2,"bearing":"exited","wreckCause":"done"}]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		r, err := ParseReport(in)
+		r, err := ParseHeartbeat(in)
 		if err != nil {
 			return
 		}
-		again, err := ParseReport(EncodeReport(r))
-		if err != nil || again.Machine != r.Machine || len(again.Tasks) != len(r.Tasks) || again.Seq != r.Seq {
+		again, err := ParseHeartbeat(EncodeHeartbeat(r))
+		if err != nil || again.Machine != r.Machine || len(again.Tasks) != len(r.Tasks) || again.Sequence != r.Sequence {
 			t.Fatalf("read again: %+v, %v", again, err)
 		}
 	})
--- a/internal/protocol/farside.go
+++ b/internal/protocol/simulator_codec.go
@@ -12,7 +12,7 @@
 // This file speaks the other side of the interfaces: what workers, the cloud,
 // the state service and users send. Stand-ins use it.
 
-func nameOf[T comparable](names map[string]T, v T) string {
+func wireName[T comparable](names map[string]T, v T) string {
 	best := ""
 	for name, x := range names {
 		if x == v && (best == "" || name < best) {
@@ -24,13 +24,13 @@
 
 // EncodeJob makes the body of a submission.
 func EncodeJob(j *Job) []byte {
-	kind, priority := nameOf(kinds, j.Kind), nameOf(priorities, j.Priority)
+	kind, priority := wireName(kindNames, j.Kind), wireName(priorityNames, j.Priority)
 	tasks := int64(j.Tasks)
 	sec := func(d time.Duration) *float64 { s := d.Seconds(); return &s }
 	w := wireJob{ID: &j.ID, Class: &j.Class, Team: &j.Team, Kind: &kind, Priority: &priority, Tasks: &tasks,
-		CPUs: &j.CPUs, GPUs: &j.GPUs, MemGB: &j.MemGB, Image: &j.Image, ImageGB: &j.ImageGB, Types: j.Types,
-		OneZone: &j.OneZone, Spread: &j.Spread, Spot: &j.Spot,
-		Estimate: sec(j.Estimate), Ckpt: sec(j.Checkpoint), Save: sec(j.Save)}
+		CPUs: &j.CPUs, GPUs: &j.GPUs, MemoryGB: &j.MemoryGB, Image: &j.Image, ImageGB: &j.ImageGB, MachineTypes: j.MachineTypes,
+		OneZone: &j.OneZone, Spread: &j.Spread, AllowSpot: &j.AllowSpot,
+		EstimatedRuntime: sec(j.EstimatedRuntime), CheckpointInterval: sec(j.CheckpointInterval), CheckpointDuration: sec(j.CheckpointDuration)}
 	if j.Zone != "" {
 		w.Zone = &j.Zone
 	}
@@ -49,8 +49,8 @@
 	return raw
 }
 
-// ParseJobAnswer reads what a user is told of a job.
-func ParseJobAnswer(body []byte) (id string, s JobState, done, running int, err error) {
+// ParseJobStatus reads what a user is told of a job.
+func ParseJobStatus(body []byte) (id string, s JobState, done, running int, err error) {
 	var w struct {
 		ID      string `json:"nameId"`
 		State   string `json:"bearing"`
@@ -60,32 +60,32 @@
 	if err = json.Unmarshal(body, &w); err != nil {
 		return "", 0, 0, 0, err
 	}
-	for i, name := range jobStates {
+	for i, name := range jobStateNames {
 		if name != "" && name == w.State {
 			s = JobState(i)
 		}
 	}
 	if s == 0 {
-		return "", 0, 0, 0, errOdd
+		return "", 0, 0, 0, errImpossible
 	}
 	return w.ID, s, w.Done, w.Running, nil
 }
 
 // String is the state as users read it.
-func (s JobState) String() string { return jobStates[s] }
+func (s JobState) String() string { return jobStateNames[s] }
 
-// EncodeReport makes a worker's report.
-func EncodeReport(r *Report) []byte {
-	w := wireReport{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: &r.Session, Seq: &r.Seq, Token: r.Token, Tasks: []wireTask{}}
-	if r.HasNotice {
-		s := r.Notice.Seconds()
-		w.Notice = &s
+// EncodeHeartbeat makes a worker's report.
+func EncodeHeartbeat(r *Heartbeat) []byte {
+	w := wireHeartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
+		Incarnation: &r.Incarnation, Sequence: &r.Sequence, FencingToken: r.FencingToken, Tasks: []wireTask{}}
+	if r.HasPreemptionNotice {
+		s := r.PreemptionNotice.Seconds()
+		w.PreemptionNotice = &s
 	}
 	for _, t := range r.Tasks {
-		wt := wireTask{Task: t.Job + "/" + strconv.Itoa(t.Index), Attempt: t.Attempt, State: nameOf(taskStates, t.State), Saved: t.Saved}
-		if t.Why != ExitNone {
-			wt.Why = nameOf(exitReasons, t.Why)
+		wt := wireTask{Task: t.Job + "/" + strconv.Itoa(t.TaskIndex), Attempt: t.Attempt, State: wireName(taskStateNames, t.State), Checkpointed: t.Checkpointed}
+		if t.Reason != ExitNone {
+			wt.Reason = wireName(exitReasonNames, t.Reason)
 		}
 		w.Tasks = append(w.Tasks, wt)
 	}
@@ -112,9 +112,9 @@
 		job, index, ok := splitTask(o.Task)
 		kind := map[string]OrderKind{"run": Start, "stop": Stop, "clear": Forget}[o.Kind]
 		if !ok || kind == 0 {
-			return nil, nil, nil, errOdd
+			return nil, nil, nil, errImpossible
 		}
-		orders = append(orders, Order{Kind: kind, Job: job, Index: index, Attempt: o.Attempt, Grace: Seconds(o.Grace)})
+		orders = append(orders, Order{Kind: kind, Job: job, TaskIndex: index, Attempt: o.Attempt, Grace: Seconds(o.Grace)})
 	}
 	return w.Token, w.Session, orders, nil
 }
@@ -130,17 +130,17 @@
 	return w.Leader
 }
 
-// EncodeTypes makes the cloud's list of machine types.
-func EncodeTypes(types []MachineType) []byte {
-	list := []wireType{}
+// EncodeMachineTypes makes the cloud's list of machine types.
+func EncodeMachineTypes(types []MachineType) []byte {
+	list := []wireMachineType{}
 	for _, t := range types {
-		list = append(list, wireType{t.Name, t.CPUs, t.GPUs, t.MemGB, t.CacheGB, t.FetchRate, t.Price, t.SpotPrice, t.Boot.Seconds(), t.Zones})
+		list = append(list, wireMachineType{t.Name, t.CPUs, t.GPUs, t.MemoryGB, t.CacheGB, t.FetchGBPerSecond, t.PricePerHour, t.SpotPricePerHour, t.BootTime.Seconds(), t.Zones})
 	}
 	return Encode(map[string]any{"hullForms": list})
 }
 
-// RentRequest is what a rental asks for.
-type RentRequest struct {
+// ProvisionRequest is what a rental asks for.
+type ProvisionRequest struct {
 	Request string `json:"charter"`
 	Type    string `json:"hullForm"`
 	Zone    string `json:"harbour"`
@@ -148,24 +148,27 @@
 	Count   int    `json:"howMany"`
 }
 
-// ParseRent reads a rental request.
-func ParseRent(body []byte) (r RentRequest, err error) { err = json.Unmarshal(body, &r); return r, err }
+// ParseProvision reads a rental request.
+func ParseProvision(body []byte) (r ProvisionRequest, err error) {
+	err = json.Unmarshal(body, &r)
+	return r, err
+}
 
-// EncodeNames makes the answer to a rental.
-func EncodeNames(names []string) []byte { return Encode(map[string]any{"decks": names}) }
+// EncodeMachineNames makes the answer to a rental.
+func EncodeMachineNames(names []string) []byte { return Encode(map[string]any{"decks": names}) }
 
-// EncodeList makes one page of the cloud's list.
-func EncodeList(list []ListedMachine, more bool) []byte {
-	out := []wireHost{}
+// EncodeMachines makes one page of the cloud's list.
+func EncodeMachines(list []ListedMachine, more bool) []byte {
+	out := []wireMachine{}
 	for _, m := range list {
-		out = append(out, wireHost{m.Name, m.Addr, m.Type, m.Zone, m.Spot,
+		out = append(out, wireMachine{m.Name, m.Addr, m.Type, m.Zone, m.Spot,
 			[...]string{Booting: "starting", Up: "running", Failed: "failed"}[m.State], m.Age.Seconds()})
 	}
 	return Encode(map[string]any{"decks": out, "more": more})
 }
 
-// CloudError makes the body of a refusal of the cloud.
-func CloudError(reason string) []byte { return Encode(map[string]string{"error": reason}) }
+// EncodeCloudError makes the body of a refusal of the cloud.
+func EncodeCloudError(reason string) []byte { return Encode(map[string]string{"error": reason}) }
 
 // Query reads a target's path and parameters.
 func Query(target string) (path string, values url.Values) {
@@ -194,16 +197,16 @@
 	return &t, nil
 }
 
-// EncodeItem makes the answer to a read of one key.
-func EncodeItem(it Item) []byte {
-	return Encode(wireItem(it))
+// EncodeKeyValue makes the answer to a read of one key.
+func EncodeKeyValue(it KeyValue) []byte {
+	return Encode(wireKeyValue(it))
 }
 
 // EncodeRange makes the answer to a read of keys.
-func EncodeRange(items []Item, more bool, revision uint64) []byte {
-	list := []wireItem{}
+func EncodeRange(items []KeyValue, more bool, revision uint64) []byte {
+	list := []wireKeyValue{}
 	for _, it := range items {
-		list = append(list, wireItem(it))
+		list = append(list, wireKeyValue(it))
 	}
 	return Encode(map[string]any{"entries": list, "more": more, "logbook": revision})
 }
@@ -212,16 +215,16 @@
 // key that isn't there.
 func EncodeRevision(revision uint64) []byte { return Encode(map[string]uint64{"logbook": revision}) }
 
-// EncodeFailed makes the answer to a transaction whose conditions don't hold.
-func EncodeFailed(keys []string, revision uint64) []byte {
+// EncodeFailedConditions makes the answer to a transaction whose conditions don't hold.
+func EncodeFailedConditions(keys []string, revision uint64) []byte {
 	return Encode(map[string]any{"failed": keys, "logbook": revision})
 }
 
 // EncodeLease makes the answer to a new lease.
 func EncodeLease(lease uint64) []byte { return Encode(map[string]uint64{"warrant": lease}) }
 
-// ParseTTL reads the lifetime asked for a lease.
-func ParseTTL(body []byte) (time.Duration, error) {
+// ParseLeaseRequest reads the lifetime asked for a lease.
+func ParseLeaseRequest(body []byte) (time.Duration, error) {
 	var w struct {
 		TTL int64 `json:"ttlMs"`
 	}
--- a/internal/protocol/store.go
+++ b/internal/protocol/state_service.go
@@ -10,14 +10,14 @@
 
 // Paths of the state service's interface.
 const (
-	PathKeys    = "/keys"
-	PathMulti   = "/multi"
-	PathLeases  = "/leases"
-	PathChanges = "/changes"
+	PathKeys         = "/keys"
+	PathTransactions = "/multi"
+	PathLeases       = "/leases"
+	PathWatch        = "/changes"
 )
 
-// Item is one key of the state service with its value.
-type Item struct {
+// KeyValue is one key of the state service with its value.
+type KeyValue struct {
 	Key     string
 	Value   json.RawMessage
 	Version uint64
@@ -40,8 +40,8 @@
 
 // Txn is one transaction.
 type Txn struct {
-	If   []Condition `json:"when"`
-	Then []Op        `json:"then"`
+	Conditions []Condition `json:"when"`
+	Ops        []Op        `json:"then"`
 }
 
 // Event is one change that a watch tells of.
@@ -52,57 +52,57 @@
 	Version uint64
 }
 
-type wireItem struct {
+type wireKeyValue struct {
 	Key     string          `json:"path"`
 	Value   json.RawMessage `json:"data"`
 	Version uint64          `json:"entry"`
 	Lease   uint64          `json:"warrant,omitempty"`
 }
 
-func (w *wireItem) item() (Item, error) {
+func (w *wireKeyValue) keyValue() (KeyValue, error) {
 	if w.Key == "" || w.Version == 0 {
-		return Item{}, errOdd
+		return KeyValue{}, errImpossible
 	}
-	return Item(*w), nil
+	return KeyValue(*w), nil
 }
 
 // KeyTarget is the target that reads one key.
 func KeyTarget(key string) string { return PathKeys + "/" + key }
 
-// ParseItem reads one key's value.
-func ParseItem(body []byte) (Item, error) {
-	var w wireItem
+// ParseKeyValue reads one key's value.
+func ParseKeyValue(body []byte) (KeyValue, error) {
+	var w wireKeyValue
 	if err := Decode(body, &w); err != nil {
-		return Item{}, err
+		return KeyValue{}, err
 	}
-	return w.item()
+	return w.keyValue()
 }
 
 // RangeTarget is the target that reads one page of the keys with a prefix.
 func RangeTarget(prefix, after string, limit int) string {
-	t := PathKeys + "?starts=" + escape(prefix) + "&limit=" + strconv.Itoa(limit)
+	t := PathKeys + "?starts=" + escapeKey(prefix) + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
-		t += "&after=" + escape(after)
+		t += "&after=" + escapeKey(after)
 	}
 	return t
 }
 
 // ParseRange reads one page of keys and the revision it shows.
-func ParseRange(body []byte) (items []Item, more bool, revision uint64, err error) {
+func ParseRange(body []byte) (items []KeyValue, more bool, revision uint64, err error) {
 	var w struct {
-		Items    []wireItem `json:"entries"`
-		More     *bool      `json:"more"`
-		Revision *uint64    `json:"logbook"`
+		Items    []wireKeyValue `json:"entries"`
+		More     *bool          `json:"more"`
+		Revision *uint64        `json:"logbook"`
 	}
 	if err = Decode(body, &w); err != nil {
 		return nil, false, 0, err
 	}
 	if w.Items == nil || w.More == nil || w.Revision == nil {
-		return nil, false, 0, errOdd
+		return nil, false, 0, errImpossible
 	}
-	items = make([]Item, 0, len(w.Items))
+	items = make([]KeyValue, 0, len(w.Items))
 	for i := range w.Items {
-		it, err := w.Items[i].item()
+		it, err := w.Items[i].keyValue()
 		if err != nil {
 			return nil, false, 0, err
 		}
@@ -113,25 +113,25 @@
 
 // MaxConditions is how many conditions fit a transaction that has nothing else, each about
 // a key as long as a job's.
-const MaxConditions = (MaxBody - envelopeBytes) / (len(`{"path":"","entry":18446744073709551615},`) + keyBytes)
+const MaxConditions = (MaxBody - messageOverhead) / (len(`{"path":"","entry":18446744073709551615},`) + keyBytes)
 
 // keyBytes is more than a key about a job takes.
 const keyBytes = 48
 
-// TxnBody is the body of a transaction.
-func TxnBody(t *Txn) []byte {
-	if t.If == nil {
-		t.If = []Condition{}
+// EncodeTxn is the body of a transaction.
+func EncodeTxn(t *Txn) []byte {
+	if t.Conditions == nil {
+		t.Conditions = []Condition{}
 	}
-	if t.Then == nil {
-		t.Then = []Op{}
+	if t.Ops == nil {
+		t.Ops = []Op{}
 	}
 	b, _ := json.Marshal(t)
 	return b
 }
 
-// ParseCommitted reads the revision of a transaction that was applied.
-func ParseCommitted(body []byte) (uint64, error) {
+// ParseRevision reads the revision of a transaction that was applied.
+func ParseRevision(body []byte) (uint64, error) {
 	var w struct {
 		Revision *uint64 `json:"logbook"`
 	}
@@ -139,13 +139,13 @@
 		return 0, err
 	}
 	if w.Revision == nil {
-		return 0, errOdd
+		return 0, errImpossible
 	}
 	return *w.Revision, nil
 }
 
-// ParseFailed reads which conditions kept a transaction from being applied.
-func ParseFailed(body []byte) ([]string, error) {
+// ParseFailedConditions reads which conditions kept a transaction from being applied.
+func ParseFailedConditions(body []byte) ([]string, error) {
 	var w struct {
 		Failed []string `json:"failed"`
 	}
@@ -153,13 +153,13 @@
 		return nil, err
 	}
 	if len(w.Failed) == 0 {
-		return nil, errOdd
+		return nil, errImpossible
 	}
 	return w.Failed, nil
 }
 
-// LeaseBody asks for a lease.
-func LeaseBody(ttl time.Duration) []byte {
+// EncodeLeaseRequest asks for a lease.
+func EncodeLeaseRequest(ttl time.Duration) []byte {
 	return []byte(`{"ttlMs":` + strconv.FormatInt(ttl.Milliseconds(), 10) + `}`)
 }
 
@@ -172,20 +172,20 @@
 		return 0, err
 	}
 	if w.Lease == 0 {
-		return 0, errOdd
+		return 0, errImpossible
 	}
 	return w.Lease, nil
 }
 
-// LeaseTarget is the target of a lease; TouchTarget renews it.
+// LeaseTarget is the target of a lease; RenewLeaseTarget renews it.
 func LeaseTarget(lease uint64) string { return PathLeases + "/" + strconv.FormatUint(lease, 10) }
 
-// TouchTarget is the target that renews a lease.
-func TouchTarget(lease uint64) string { return LeaseTarget(lease) + "/touch" }
+// RenewLeaseTarget is the target that renews a lease.
+func RenewLeaseTarget(lease uint64) string { return LeaseTarget(lease) + "/touch" }
 
 // WatchTarget is the target of a watch on a prefix.
 func WatchTarget(prefix string, after uint64, wait time.Duration) string {
-	return PathChanges + "?starts=" + escape(prefix) + "&after=" + strconv.FormatUint(after, 10) +
+	return PathWatch + "?starts=" + escapeKey(prefix) + "&after=" + strconv.FormatUint(after, 10) +
 		"&blockMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
 }
 
@@ -206,7 +206,7 @@
 		return nil, 0, err
 	}
 	if w.Revision == nil {
-		return nil, 0, errOdd
+		return nil, 0, errImpossible
 	}
 	events := make([]Event, 0, len(w.Events))
 	for _, e := range w.Events {
@@ -216,13 +216,13 @@
 		case e.Delete != "":
 			events = append(events, Event{Key: e.Delete, Deleted: true, Version: e.Version})
 		default:
-			return nil, 0, errOdd
+			return nil, 0, errImpossible
 		}
 	}
 	return events, *w.Revision, nil
 }
 
-// escape makes a key safe in a query and leaves its slashes as they are.
-func escape(key string) string {
+// escapeKey makes a key safe in a query and leaves its slashes as they are.
+func escapeKey(key string) string {
 	return strings.ReplaceAll(url.QueryEscape(key), "%2F", "/")
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -16,20 +16,20 @@
 // Longest names and durations taken from users. Names end up in records whose
 // size is limited, durations in time.Duration.
 const (
-	maxName    = 200
-	maxTypes   = 64
-	maxSeconds = 1e9
-	maxAmount  = 1e9
+	maxNameBytes    = 200
+	maxMachineTypes = 64
+	maxSeconds      = 1e9
+	maxAmount       = 1e9
 )
 
-const idPrefix = "run-"
+const jobIDPrefix = "run-"
 
-// ValidID reports whether id has the form of a job id.
-func ValidID(id string) bool {
-	if !strings.HasPrefix(id, idPrefix) {
+// ValidJobID reports whether id has the form of a job id.
+func ValidJobID(id string) bool {
+	if !strings.HasPrefix(id, jobIDPrefix) {
 		return false
 	}
-	digits := id[len(idPrefix):]
+	digits := id[len(jobIDPrefix):]
 	if len(digits) < 6 || len(digits) > 18 {
 		return false
 	}
@@ -43,9 +43,9 @@
 
 // Paths of the users' interface.
 const (
-	PathJobs   = "/v2/runs"
-	PathHealth = "/up"
-	PathReport = "/v1/report"
+	PathJobs      = "/v2/runs"
+	PathHealth    = "/up"
+	PathHeartbeat = "/v1/report"
 )
 
 // Route is what a request target asks for.
@@ -58,7 +58,7 @@
 	RouteJob
 	RouteCancel
 	RouteHealth
-	RouteReport
+	RouteHeartbeat
 )
 
 // ParseTarget finds the route of a request target and the job id in it.
@@ -71,8 +71,8 @@
 		return RouteJobs, ""
 	case PathHealth:
 		return RouteHealth, ""
-	case PathReport:
-		return RouteReport, ""
+	case PathHeartbeat:
+		return RouteHeartbeat, ""
 	}
 	rest, ok := strings.CutPrefix(target, PathJobs+"/")
 	if !ok || rest == "" {
@@ -87,33 +87,33 @@
 	return RouteJob, rest
 }
 
-var kinds = map[string]Kind{"batch": Batch, "daemon": Service, "gang": Gang}
+var kindNames = map[string]Kind{"batch": Batch, "daemon": Service, "gang": Gang}
 
-var priorities = map[string]Priority{"critical": Critical, "urgent": Urgent, "standard": Standard, "low": Low}
+var priorityNames = map[string]Priority{"critical": Critical, "urgent": Urgent, "standard": Standard, "low": Low}
 
-var jobStates = [...]string{Queued: "queued", JobRunning: "running", Done: "done", Cancelled: "aborted"}
+var jobStateNames = [...]string{Queued: "queued", JobRunning: "running", Done: "done", Cancelled: "aborted"}
 
 type wireJob struct {
-	ID       *string  `json:"nameId"`
-	Class    *string  `json:"berth"`
-	Team     *string  `json:"crew"`
-	Kind     *string  `json:"rig"`
-	Priority *string  `json:"precedence"`
-	Tasks    *int64   `json:"oars"`
-	CPUs     *float64 `json:"cpus"`
-	GPUs     *float64 `json:"gpus"`
-	MemGB    *float64 `json:"memGb"`
-	Image    *string  `json:"hull"`
-	ImageGB  *float64 `json:"pullGb"`
-	Types    []string `json:"hullForms"`
-	Zone     *string  `json:"harbour"`
-	OneZone  *bool    `json:"oneZone"`
-	Spread   *bool    `json:"apart"`
-	Spot     *bool    `json:"driftwood"`
-	Estimate *float64 `json:"passageS"`
-	Ckpt     *float64 `json:"mooringS"`
-	Save     *float64 `json:"stowS"`
-	Deadline *float64 `json:"tideS"`
+	ID                 *string  `json:"nameId"`
+	Class              *string  `json:"berth"`
+	Team               *string  `json:"crew"`
+	Kind               *string  `json:"rig"`
+	Priority           *string  `json:"precedence"`
+	Tasks              *int64   `json:"oars"`
+	CPUs               *float64 `json:"cpus"`
+	GPUs               *float64 `json:"gpus"`
+	MemoryGB           *float64 `json:"memGb"`
+	Image              *string  `json:"hull"`
+	ImageGB            *float64 `json:"pullGb"`
+	MachineTypes       []string `json:"hullForms"`
+	Zone               *string  `json:"harbour"`
+	OneZone            *bool    `json:"oneZone"`
+	Spread             *bool    `json:"apart"`
+	AllowSpot          *bool    `json:"driftwood"`
+	EstimatedRuntime   *float64 `json:"passageS"`
+	CheckpointInterval *float64 `json:"mooringS"`
+	CheckpointDuration *float64 `json:"stowS"`
+	Deadline           *float64 `json:"tideS"`
 }
 
 // ParseJob reads a submission. The error names the field that is wrong.
@@ -132,22 +132,22 @@
 		from *string
 		to   *string
 	}{{"nameId", w.ID, &j.ID}, {"berth", w.Class, &j.Class}, {"crew", w.Team, &j.Team}, {"hull", w.Image, &j.Image}} {
-		if f.from == nil || *f.from == "" || len(*f.from) > maxName {
+		if f.from == nil || *f.from == "" || len(*f.from) > maxNameBytes {
 			return nil, fmt.Errorf("%s is missing or not a name", f.name)
 		}
 		*f.to = *f.from
 	}
-	if !ValidID(j.ID) {
-		return nil, fmt.Errorf("nameId is not of the form %s000000", idPrefix)
+	if !ValidJobID(j.ID) {
+		return nil, fmt.Errorf("nameId is not of the form %s000000", jobIDPrefix)
 	}
-	if w.Kind == nil || kinds[*w.Kind] == 0 {
+	if w.Kind == nil || kindNames[*w.Kind] == 0 {
 		return nil, fmt.Errorf("rig is missing or unknown")
 	}
-	j.Kind = kinds[*w.Kind]
-	if w.Priority == nil || priorities[*w.Priority] == 0 {
+	j.Kind = kindNames[*w.Kind]
+	if w.Priority == nil || priorityNames[*w.Priority] == 0 {
 		return nil, fmt.Errorf("precedence is missing or unknown")
 	}
-	j.Priority = priorities[*w.Priority]
+	j.Priority = priorityNames[*w.Priority]
 	if w.Tasks == nil || *w.Tasks < 1 || *w.Tasks > MaxTasks {
 		return nil, fmt.Errorf("oars is missing or not within 1 to %d", MaxTasks)
 	}
@@ -156,7 +156,7 @@
 		name string
 		from *float64
 		to   *float64
-	}{{"cpus", w.CPUs, &j.CPUs}, {"gpus", w.GPUs, &j.GPUs}, {"memGb", w.MemGB, &j.MemGB}, {"pullGb", w.ImageGB, &j.ImageGB}} {
+	}{{"cpus", w.CPUs, &j.CPUs}, {"gpus", w.GPUs, &j.GPUs}, {"memGb", w.MemoryGB, &j.MemoryGB}, {"pullGb", w.ImageGB, &j.ImageGB}} {
 		if f.from == nil || !validAmount(*f.from, maxAmount) {
 			return nil, fmt.Errorf("%s is missing or not an amount", f.name)
 		}
@@ -166,7 +166,7 @@
 		name string
 		from *float64
 		to   *time.Duration
-	}{{"passageS", w.Estimate, &j.Estimate}, {"mooringS", w.Ckpt, &j.Checkpoint}, {"stowS", w.Save, &j.Save}} {
+	}{{"passageS", w.EstimatedRuntime, &j.EstimatedRuntime}, {"mooringS", w.CheckpointInterval, &j.CheckpointInterval}, {"stowS", w.CheckpointDuration, &j.CheckpointDuration}} {
 		if f.from == nil || !validAmount(*f.from, maxSeconds) {
 			return nil, fmt.Errorf("%s is missing or not a duration", f.name)
 		}
@@ -176,25 +176,25 @@
 		name string
 		from *bool
 		to   *bool
-	}{{"oneZone", w.OneZone, &j.OneZone}, {"apart", w.Spread, &j.Spread}, {"driftwood", w.Spot, &j.Spot}} {
+	}{{"oneZone", w.OneZone, &j.OneZone}, {"apart", w.Spread, &j.Spread}, {"driftwood", w.AllowSpot, &j.AllowSpot}} {
 		if f.from == nil {
 			return nil, fmt.Errorf("%s is missing", f.name)
 		}
 		*f.to = *f.from
 	}
-	if w.Types != nil {
-		if len(w.Types) == 0 || len(w.Types) > maxTypes {
+	if w.MachineTypes != nil {
+		if len(w.MachineTypes) == 0 || len(w.MachineTypes) > maxMachineTypes {
 			return nil, fmt.Errorf("hullForms names no type or too many")
 		}
-		for _, t := range w.Types {
-			if t == "" || len(t) > maxName {
+		for _, t := range w.MachineTypes {
+			if t == "" || len(t) > maxNameBytes {
 				return nil, fmt.Errorf("hullForms holds something that is not a name")
 			}
 		}
-		j.Types = w.Types
+		j.MachineTypes = w.MachineTypes
 	}
 	if w.Zone != nil {
-		if *w.Zone == "" || len(*w.Zone) > maxName {
+		if *w.Zone == "" || len(*w.Zone) > maxNameBytes {
 			return nil, fmt.Errorf("harbour is not a name")
 		}
 		j.Zone = *w.Zone
@@ -215,18 +215,18 @@
 // Seconds turns the wire's decimal seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// JobAnswer is the body that tells a user of a job.
-func JobAnswer(id string, state JobState) []byte {
-	return []byte(`{"nameId":` + strconv.Quote(id) + `,"bearing":"` + jobStates[state] + `"}`)
+// EncodeJobState is the body that tells a user of a job.
+func EncodeJobState(id string, state JobState) []byte {
+	return []byte(`{"nameId":` + strconv.Quote(id) + `,"bearing":"` + jobStateNames[state] + `"}`)
 }
 
-// JobStatus is the body that answers a poll.
-func JobStatus(id string, state JobState, done, running int) []byte {
+// EncodeJobStatus is the body that answers a poll.
+func EncodeJobStatus(id string, state JobState, done, running int) []byte {
 	b := make([]byte, 0, 96)
 	b = append(b, `{"nameId":`...)
 	b = strconv.AppendQuote(b, id)
 	b = append(b, `,"bearing":"`...)
-	b = append(b, jobStates[state]...)
+	b = append(b, jobStateNames[state]...)
 	b = append(b, `","done":`...)
 	b = strconv.AppendInt(b, int64(done), 10)
 	b = append(b, `,"running":`...)
@@ -234,8 +234,8 @@
 	return append(b, '}')
 }
 
-// ErrorAnswer is the body of every refusal.
-func ErrorAnswer(reason string) []byte {
+// EncodeError is the body of every refusal.
+func EncodeError(reason string) []byte {
 	b, _ := json.Marshal(map[string]string{"error": reason})
 	return b
 }
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -9,17 +9,17 @@
 
 // Paths of the workers' interface.
 const (
-	PathOrders = "/commands"
-	PathShow   = "/show"
+	PathOrders       = "/commands"
+	PathWorkerStatus = "/show"
 )
 
 // MaxBody is the size of the largest request body, and of the longest line in a response to
 // a worker or a user.
 const MaxBody = 64 << 10
 
-// envelopeBytes is what a message to or from a worker takes beside its orders or tasks, with
+// messageOverhead is what a message to or from a worker takes beside its orders or tasks, with
 // names as long as they may be.
-const envelopeBytes = 1 << 10
+const messageOverhead = 1 << 10
 
 // Lengths of the longest entries without the names in them.
 const (
@@ -27,18 +27,18 @@
 	orderEntryBytes = len(`{"orderKind":"clear","oar":"/99999","launch":18446744073709551615,"slackS":1000000000.0},`)
 )
 
-// TaskReportBytes is what a task of the job takes in a worker's report at the most.
-func TaskReportBytes(job string) int { return len(job) + taskEntryBytes }
+// TaskStatusBytes is what a task of the job takes in a worker's report at the most.
+func TaskStatusBytes(job string) int { return len(job) + taskEntryBytes }
 
-// OrderRoom is what is left of a message to a worker.
-type OrderRoom int
+// OrderBudget is what is left of a message to a worker.
+type OrderBudget int
 
-// NewOrderRoom is the room for orders in one message.
-func NewOrderRoom() OrderRoom { return MaxBody - envelopeBytes }
+// NewOrderBudget is the room for orders in one message.
+func NewOrderBudget() OrderBudget { return MaxBody - messageOverhead }
 
-// Take uses the room of an order about a task of the job, if there is as much.
-func (r *OrderRoom) Take(job string) bool {
-	size := OrderRoom(len(job) + orderEntryBytes)
+// Reserve uses the room of an order about a task of the job, if there is as much.
+func (r *OrderBudget) Reserve(job string) bool {
+	size := OrderBudget(len(job) + orderEntryBytes)
 	if *r < size {
 		return false
 	}
@@ -46,85 +46,85 @@
 	return true
 }
 
-// Cut shortens a list of orders to what there is room for, and reports whether it had to.
-func (r *OrderRoom) Cut(orders []Order) (fit []Order, cut bool) {
+// Fit shortens a list of orders to what there is room for, and reports whether it had to.
+func (r *OrderBudget) Fit(orders []Order) (fit []Order, cut bool) {
 	for i := range orders {
-		if !r.Take(orders[i].Job) {
+		if !r.Reserve(orders[i].Job) {
 			return orders[:i], true
 		}
 	}
 	return orders, false
 }
 
-type wireReport struct {
-	Machine string     `json:"deck"`
-	Addr    string     `json:"endpoint"`
-	Type    string     `json:"hullForm"`
-	Zone    string     `json:"harbour"`
-	Spot    bool       `json:"driftwood"`
-	Session *uint64    `json:"watch"`
-	Seq     *uint64    `json:"logSeq"`
-	Token   uint64     `json:"helm"`
-	Notice  *float64   `json:"recallS"`
-	Tasks   []wireTask `json:"oars"`
+type wireHeartbeat struct {
+	Machine          string     `json:"deck"`
+	Addr             string     `json:"endpoint"`
+	Type             string     `json:"hullForm"`
+	Zone             string     `json:"harbour"`
+	Spot             bool       `json:"driftwood"`
+	Incarnation      *uint64    `json:"watch"`
+	Sequence         *uint64    `json:"logSeq"`
+	FencingToken     uint64     `json:"helm"`
+	PreemptionNotice *float64   `json:"recallS"`
+	Tasks            []wireTask `json:"oars"`
 }
 
 type wireTask struct {
-	Task    string `json:"oar"`
-	Attempt uint64 `json:"launch"`
-	State   string `json:"bearing"`
-	Why     string `json:"wreckCause"`
-	Saved   bool   `json:"kept"`
+	Task         string `json:"oar"`
+	Attempt      uint64 `json:"launch"`
+	State        string `json:"bearing"`
+	Reason       string `json:"wreckCause"`
+	Checkpointed bool   `json:"kept"`
 }
 
 // A gang's task that has its image waits for the others ("gathering"); until
 // it runs it is taken for one that still fetches.
-var taskStates = map[string]TaskState{"fetching": Fetching, "gathering": Fetching, "running": Running, "saving": Saving, "exited": Exited}
+var taskStateNames = map[string]TaskState{"fetching": Fetching, "gathering": Fetching, "running": Running, "saving": Checkpointing, "exited": Exited}
 
-var exitReasons = map[string]ExitReason{"done": ExitDone, "halted": ExitStopped, "error": ExitError,
+var exitReasonNames = map[string]ExitReason{"done": ExitDone, "halted": ExitStopped, "error": ExitError,
 	"no_room": ExitNoRoom, "busy": ExitBusy, "unknown": ExitUnknown,
 	"peers": ExitGang, "alone": ExitGang}
 
-var errReport = errors.New("not a worker's report")
+var errHeartbeat = errors.New("not a worker's report")
 
-// ParseReport reads a worker's report, from a request or from a response. A
+// ParseHeartbeat reads a worker's report, from a request or from a response. A
 // report that can't be understood in full is refused whole: a task left out
 // of it would be taken for gone.
-func ParseReport(body []byte) (*Report, error) {
-	var w wireReport
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var w wireHeartbeat
 	if err := Decode(body, &w); err != nil {
 		return nil, err
 	}
-	if w.Machine == "" || len(w.Machine) > maxName || w.Session == nil || w.Seq == nil || *w.Session == 0 {
-		return nil, errReport
+	if w.Machine == "" || len(w.Machine) > maxNameBytes || w.Incarnation == nil || w.Sequence == nil || *w.Incarnation == 0 {
+		return nil, errHeartbeat
 	}
-	r := &Report{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Session: *w.Session, Seq: *w.Seq, Token: w.Token}
-	if w.Notice != nil {
-		if !validAmount(max(*w.Notice, 0), maxSeconds) {
-			return nil, errReport
+	r := &Heartbeat{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+		Incarnation: *w.Incarnation, Sequence: *w.Sequence, FencingToken: w.FencingToken}
+	if w.PreemptionNotice != nil {
+		if !validAmount(max(*w.PreemptionNotice, 0), maxSeconds) {
+			return nil, errHeartbeat
 		}
-		r.HasNotice, r.Notice = true, Seconds(max(*w.Notice, 0))
+		r.HasPreemptionNotice, r.PreemptionNotice = true, Seconds(max(*w.PreemptionNotice, 0))
 	}
 	if len(w.Tasks) > 0 {
-		r.Tasks = make([]TaskReport, 0, len(w.Tasks))
+		r.Tasks = make([]TaskStatus, 0, len(w.Tasks))
 	}
 	for i := range w.Tasks {
 		t := &w.Tasks[i]
 		job, index, ok := splitTask(t.Task)
-		state := taskStates[t.State]
+		state := taskStateNames[t.State]
 		if !ok || state == 0 {
-			return nil, errReport
+			return nil, errHeartbeat
 		}
-		r.Tasks = append(r.Tasks, TaskReport{Job: job, Index: index, Attempt: t.Attempt, State: state,
-			Why: exitReasons[t.Why], Saved: t.Saved})
+		r.Tasks = append(r.Tasks, TaskStatus{Job: job, TaskIndex: index, Attempt: t.Attempt, State: state,
+			Reason: exitReasonNames[t.Reason], Checkpointed: t.Checkpointed})
 	}
 	return r, nil
 }
 
 func splitTask(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
-	if i <= 0 || len(name) > maxName {
+	if i <= 0 || len(name) > maxNameBytes {
 		return "", 0, false
 	}
 	n, err := strconv.Atoi(name[i+1:])
@@ -146,7 +146,7 @@
 		b = append(b, `","oar":"`...)
 		b = append(b, o.Job...)
 		b = append(b, '/')
-		b = strconv.AppendInt(b, int64(o.Index), 10)
+		b = strconv.AppendInt(b, int64(o.TaskIndex), 10)
 		b = append(b, `","launch":`...)
 		b = strconv.AppendUint(b, o.Attempt, 10)
 		if o.Kind == Stop {
@@ -158,8 +158,8 @@
 	return append(b, ']')
 }
 
-// ReportAnswer is the body of a 200 to a report.
-func ReportAnswer(token uint64, orders []Order) []byte {
+// EncodeHeartbeatResponse is the body of a 200 to a report.
+func EncodeHeartbeatResponse(token uint64, orders []Order) []byte {
 	b := make([]byte, 0, 48+96*len(orders))
 	b = append(b, `{"helm":`...)
 	b = strconv.AppendUint(b, token, 10)
@@ -168,16 +168,16 @@
 	return append(b, '}')
 }
 
-// Redirect is the body of a 421: the leader's name, or none.
-func Redirect(leader string) []byte {
+// EncodeRedirect is the body of a 421: the leader's name, or none.
+func EncodeRedirect(leader string) []byte {
 	if leader == "" {
 		return []byte(`{}`)
 	}
 	return []byte(`{"flagship":` + strconv.Quote(leader) + `}`)
 }
 
-// DirectOrders is the body of a POST to a worker.
-func DirectOrders(token, session uint64, orders []Order) []byte {
+// EncodeDirectOrders is the body of a POST to a worker.
+func EncodeDirectOrders(token, session uint64, orders []Order) []byte {
 	b := make([]byte, 0, 64+96*len(orders))
 	b = append(b, `{"helm":`...)
 	b = strconv.AppendUint(b, token, 10)
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -59,8 +59,8 @@
 // Records are read by another JSON library than the one that writes them.
 func TestRecordsAreReadAsWritten(t *testing.T) {
 	job := &protocol.Job{ID: "run-000001", Class: "c", Team: "red", Kind: protocol.Gang, Priority: protocol.Urgent, Tasks: 9, CPUs: 1.5, GPUs: 0.25,
-		MemGB: 3, Image: "i\u00e9\n", ImageGB: 1e-7, Types: []string{"a", "b"}, Zone: "z", OneZone: true, Spread: true, Spot: true,
-		Estimate: 1500 * time.Millisecond, Checkpoint: time.Second, Save: time.Minute, Deadline: -time.Nanosecond, HasDeadline: true}
+		MemoryGB: 3, Image: "i\u00e9\n", ImageGB: 1e-7, MachineTypes: []string{"a", "b"}, Zone: "z", OneZone: true, Spread: true, AllowSpot: true,
+		EstimatedRuntime: 1500 * time.Millisecond, CheckpointInterval: time.Second, CheckpointDuration: time.Minute, Deadline: -time.Nanosecond, HasDeadline: true}
 	for _, want := range []any{
 		&Job{Submitted: math.MaxInt64, Chunk: 96, Spec: job},
 		&Chunk{Done: "iQI", Tasks: []TaskRecord{{Offset: 3, Attempt: math.MaxUint64, Machine: "vm-1"}}},
--- a/internal/simulator/calm.go
+++ b/internal/simulator/calm.go
@@ -76,7 +76,7 @@
 		if w == nil || w.dead {
 			continue
 		}
-		r := room{w, w.spec.CPUs, w.spec.MemGB}
+		r := room{w, w.spec.CPUs, w.spec.MemoryGB}
 		for _, t := range w.tasks {
 			j := c.jobs[t.job]
 			if j == nil || t.state == protocol.Exited {
@@ -88,7 +88,7 @@
 			}
 			p.jobs[t.job][h.zone]++
 			r.cpus -= j.spec.CPUs
-			r.mem -= j.spec.MemGB
+			r.mem -= j.spec.MemoryGB
 		}
 		// One that is just up may be meant for other work, or not be heard of yet.
 		if r.cpus > 0 && !w.hung && !w.mute && !w.wasSick && w.notice.IsZero() && c.now.Sub(h.up) >= waitBeside/3 {
@@ -119,11 +119,11 @@
 	}
 	for _, r := range p.rooms {
 		h := r.w.host
-		if !s.AllowsType(h.typ) || s.Zone != "" && s.Zone != h.zone || h.spot && !s.Spot ||
+		if !s.AllowsType(h.typ) || s.Zone != "" && s.Zone != h.zone || h.spot && !s.AllowSpot ||
 			s.OneZone && len(zones) > 0 && zones[h.zone] == 0 || s.Spread && zones[h.zone] >= (s.Tasks+1)/2 {
 			continue
 		}
-		if s.CPUs <= r.cpus+protocol.Epsilon && s.MemGB <= r.mem+protocol.Epsilon {
+		if s.CPUs <= r.cpus+protocol.Epsilon && s.MemoryGB <= r.mem+protocol.Epsilon {
 			return true
 		}
 	}
--- a/internal/simulator/ceilings.go
+++ b/internal/simulator/ceilings.go
@@ -46,7 +46,7 @@
 	shapes := map[taskShape]bool{}
 	for _, j := range c.jobs {
 		if j.spec.Team == k.team && j.accepted && j.told == 0 {
-			shapes[taskShape{j.spec.CPUs, j.spec.MemGB}] = true
+			shapes[taskShape{j.spec.CPUs, j.spec.MemoryGB}] = true
 		}
 	}
 	for _, h := range c.cloud.hosts {
@@ -70,11 +70,11 @@
 	}
 	able := len(c.links) == 0 && c.Leader() >= 0 && !c.state.outage && len(c.state.refused) == 0 &&
 		!w.dead && !w.hung && !w.mute && !w.wasSick && w.notice.IsZero() && c.now.Sub(w.lastAnswer) <= c.settings.ReportInterval*2
-	free, mem := w.spec.CPUs, w.spec.MemGB
+	free, mem := w.spec.CPUs, w.spec.MemoryGB
 	for _, t := range w.tasks {
 		if j := c.jobs[t.job]; j != nil && t.state != protocol.Exited {
 			free -= j.spec.CPUs
-			mem -= j.spec.MemGB
+			mem -= j.spec.MemoryGB
 		}
 	}
 	taken, tasks := w.takenBy(k.team)
@@ -91,7 +91,7 @@
 	for _, t := range w.tasks {
 		if j := w.c.jobs[t.job]; j != nil && t.state != protocol.Exited && j.spec.Team == team {
 			taken.cpus += j.spec.CPUs
-			taken.mem += j.spec.MemGB
+			taken.mem += j.spec.MemoryGB
 			tasks++
 		}
 	}
@@ -100,7 +100,7 @@
 
 // share is the part of a machine that a team's tasks would take with one more.
 func share(w *worker, taken, more taskShape) float64 {
-	return max((taken.cpus+more.cpus)/w.spec.CPUs, (taken.mem+more.mem)/w.spec.MemGB)
+	return max((taken.cpus+more.cpus)/w.spec.CPUs, (taken.mem+more.mem)/w.spec.MemoryGB)
 }
 
 // checkCeiling checks a task that was just started on a machine, and is in its list.
@@ -113,11 +113,11 @@
 	if above := share(w, taken, taskShape{}); tasks < 2 || above <= k.share+protocol.Epsilon {
 		return
 	}
-	shape := taskShape{j.spec.CPUs, j.spec.MemGB}
+	shape := taskShape{j.spec.CPUs, j.spec.MemoryGB}
 	for o, since := range k.below {
 		h := o.host
 		if at := since[shape]; !at.IsZero() && o != w && c.now.Sub(at) > c.belowMost() && j.spec.AllowsType(h.typ) &&
-			(j.spec.Zone == "" || j.spec.Zone == h.zone) && (j.spec.Spot || !h.spot) && !j.spec.OneZone && !j.spec.Spread {
+			(j.spec.Zone == "" || j.spec.Zone == h.zone) && (j.spec.AllowSpot || !h.spot) && !j.spec.OneZone && !j.spec.Spread {
 			// Starts of one round of placement arrive one after the other.
 			c.after(ceilingSettles, func() { k.judge(c, w, o, shape, at) })
 			return
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -135,15 +135,15 @@
 		count++
 		spec := protocol.Job{ID: fmt.Sprintf("run-%06d", count), Class: []string{"one", "two"}[rng.IntN(2)], Team: []string{"red", "blue", "guest"}[rng.IntN(3)],
 			Kind: protocol.Batch, Priority: protocol.Priority(1 + rng.IntN(4)), Tasks: (1 + rng.IntN(9)) * scale, CPUs: float64(1 + rng.IntN(2)),
-			MemGB: 2, Image: fmt.Sprintf("img-%d", rng.IntN(4)), ImageGB: 0.5 + rng.Float64(), Spot: rng.IntN(2) == 0,
+			MemoryGB: 2, Image: fmt.Sprintf("img-%d", rng.IntN(4)), ImageGB: 0.5 + rng.Float64(), AllowSpot: rng.IntN(2) == 0,
 			Spread: rng.IntN(5) == 0 && len(zones) > 1, OneZone: rng.IntN(5) == 0}
 		run := time.Duration(2+rng.IntN(25)) * time.Second
-		spec.Estimate = run
+		spec.EstimatedRuntime = run
 		switch rng.IntN(6) {
 		case 0:
 			spec.Kind = protocol.Service
 		case 1:
-			spec.Checkpoint, spec.Save = 5*time.Second, 2*time.Second
+			spec.CheckpointInterval, spec.CheckpointDuration = 5*time.Second, 2*time.Second
 		}
 		change(&spec)
 		id := spec.ID
@@ -222,7 +222,7 @@
 			}
 		case 25: // one huge array of small tasks
 			submit(func(j *protocol.Job) {
-				j.Kind, j.Team, j.Tasks, j.CPUs, j.MemGB = protocol.Batch, "guest", 300*scale, 0.125, 0.1
+				j.Kind, j.Team, j.Tasks, j.CPUs, j.MemoryGB = protocol.Batch, "guest", 300*scale, 0.125, 0.1
 			})
 		case 14: // reports arrive, nothing of ours does
 			for _, h := range hosts() {
--- a/internal/simulator/checks_test.go
+++ b/internal/simulator/checks_test.go
@@ -16,7 +16,7 @@
 	c := New(Options{Seed: 1, Nodes: 3, Machines: 2})
 	c.Advance(3 * time.Second)
 	spec := protocol.Job{ID: "run-000001", Class: "one", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard,
-		Tasks: 4, CPUs: 1, MemGB: 1, Image: "img-0", ImageGB: 1, Estimate: time.Minute}
+		Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 1, EstimatedRuntime: time.Minute}
 	c.Submit(c.Leader(), spec, time.Minute, false, func(int, string) {})
 	for !c.jobs[spec.ID].accepted {
 		c.Advance(time.Millisecond)
@@ -57,31 +57,31 @@
 		r := records.Machines{Type: "small", Zone: "a", Machines: []records.Machine{{Name: "vm-000000"}}}
 		for id := range 2 {
 			key := records.KeyMachines(id+1, 1, uint64(id+900))
-			c.state.keys[key] = protocol.Item{Key: key, Value: records.Encode(r), Version: 1}
+			c.state.keys[key] = protocol.KeyValue{Key: key, Value: records.Encode(r), Version: 1}
 		}
 		c.Calm()
 	}, "two_shards")
 	breaking(t, func(c *Cluster, j *userJob) { // a final state that another node contradicts, asked at the same time
-		c.tell(j, 0, protocol.JobAnswer(j.spec.ID, protocol.Cancelled))
-		c.tell(j, 0, protocol.JobAnswer(j.spec.ID, protocol.Done))
+		c.tell(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		c.tell(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Done))
 	}, "went_back", "not_done")
 	breaking(t, func(c *Cluster, j *userJob) { // an older answer
 		j.asked = true
-		c.tell(j, 0, protocol.JobAnswer(j.spec.ID, protocol.Cancelled))
-		c.tell(j, j.told, protocol.JobAnswer(j.spec.ID, protocol.Queued))
+		c.tell(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		c.tell(j, j.told, protocol.EncodeJobState(j.spec.ID, protocol.Queued))
 	}, "went_back")
 	breaking(t, func(c *Cluster, j *userJob) { // an order that is sent, and a task that goes on, after a cancellation
 		j.asked = true
-		c.tell(j, 0, protocol.JobAnswer(j.spec.ID, protocol.Cancelled))
+		c.tell(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
 		w := c.workers["vm-000000"]
 		w.hang(true)
-		w.begin(protocol.Order{Job: j.spec.ID, Index: 3, Attempt: 9}, c.now.Add(2*time.Second))
-		w.begin(protocol.Order{Job: j.spec.ID, Index: 3, Attempt: 10}, c.now.Add(4*time.Second))
+		w.begin(protocol.Order{Job: j.spec.ID, TaskIndex: 3, Attempt: 9}, c.now.Add(2*time.Second))
+		w.begin(protocol.Order{Job: j.spec.ID, TaskIndex: 3, Attempt: 10}, c.now.Add(4*time.Second))
 	}, "started_cancelled")
 	breaking(t, func(c *Cluster, j *userJob) { // a hung machine that never loses its lease
 		c.Advance(2 * time.Second)
 		j.asked = true
-		c.tell(j, 0, protocol.JobAnswer(j.spec.ID, protocol.Cancelled))
+		c.tell(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
 		for _, n := range c.nodes {
 			n.freeze()
 		}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -130,16 +130,16 @@
 
 func (k *cloud) serve(from, method, target string, body []byte, respond func(int, []byte)) {
 	if k.outage || k.refused[from] {
-		respond(503, protocol.CloudError("trouble"))
+		respond(503, protocol.EncodeCloudError("trouble"))
 		return
 	}
 	path, query := protocol.Query(target)
 	switch {
-	case path == protocol.PathTypes:
-		respond(200, protocol.EncodeTypes(k.types))
-	case path == protocol.PathRelease:
-		names, err := protocol.ParseNames(body)
-		if err != nil || len(names) > protocol.MaxRelease {
+	case path == protocol.PathMachineTypes:
+		respond(200, protocol.EncodeMachineTypes(k.types))
+	case path == protocol.PathTerminate:
+		names, err := protocol.ParseMachineNames(body)
+		if err != nil || len(names) > protocol.MaxTerminate {
 			respond(400, nil)
 			return
 		}
@@ -156,9 +156,9 @@
 		}
 		do()
 		respond(200, []byte("{}"))
-	case path == protocol.PathHosts && method == "POST":
-		r, err := protocol.ParseRent(body)
-		if err != nil || r.Count < 1 || r.Count > protocol.MaxRent || k.spec(r.Type) == nil {
+	case path == protocol.PathMachines && method == "POST":
+		r, err := protocol.ParseProvision(body)
+		if err != nil || r.Count < 1 || r.Count > protocol.MaxProvision || k.spec(r.Type) == nil {
 			respond(400, nil)
 			return
 		}
@@ -168,18 +168,18 @@
 		}
 		names := k.rent(r)
 		if names == nil {
-			respond(503, protocol.CloudError("no capacity"))
+			respond(503, protocol.EncodeCloudError("no capacity"))
 			return
 		}
-		k.c.after(k.answers, func() { respond(200, protocol.EncodeNames(names)) })
-	case path == protocol.PathHosts:
+		k.c.after(k.answers, func() { respond(200, protocol.EncodeMachineNames(names)) })
+	case path == protocol.PathMachines:
 		k.list(query.Get("after"), respond)
 	default:
 		respond(400, nil)
 	}
 }
 
-func (k *cloud) rent(r protocol.RentRequest) []string {
+func (k *cloud) rent(r protocol.ProvisionRequest) []string {
 	if names, ok := k.requests[r.Request]; ok {
 		return names
 	}
@@ -189,7 +189,7 @@
 	}
 	var names []string
 	for range n {
-		boot := k.spec(r.Type).Boot * time.Duration(60+k.c.rng.IntN(60)) / 100
+		boot := k.spec(r.Type).BootTime * time.Duration(60+k.c.rng.IntN(60)) / 100
 		if k.factor > 0 {
 			boot = time.Duration(float64(boot) * k.factor)
 		}
@@ -219,5 +219,5 @@
 		list = append(list, m)
 	}
 	slices.SortStableFunc(list, func(a, b protocol.ListedMachine) int { return strings.Compare(a.Name, b.Name) })
-	respond(200, protocol.EncodeList(list, false))
+	respond(200, protocol.EncodeMachines(list, false))
 }
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -171,8 +171,8 @@
 // Types is what the stand-in cloud rents.
 func types(zones []string) []protocol.MachineType {
 	return []protocol.MachineType{
-		{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 10, FetchRate: 1, Price: 0.25, SpotPrice: 0.1, Boot: 10 * time.Second, Zones: zones},
-		{Name: "large", CPUs: 16, MemGB: 128, CacheGB: 20, FetchRate: 1, Price: 1.1, SpotPrice: 0.5, Boot: 20 * time.Second, Zones: zones},
+		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 10, FetchGBPerSecond: 1, PricePerHour: 0.25, SpotPricePerHour: 0.1, BootTime: 10 * time.Second, Zones: zones},
+		{Name: "large", CPUs: 16, MemoryGB: 128, CacheGB: 20, FetchGBPerSecond: 1, PricePerHour: 1.1, SpotPricePerHour: 0.5, BootTime: 20 * time.Second, Zones: zones},
 	}
 }
 
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -183,7 +183,7 @@
 	switch {
 	case j.completed[t.index] || j.spec.Kind != protocol.Batch:
 	case t.saved:
-		c.wasted += j.spec.Save.Seconds() * j.spec.CPUs
+		c.wasted += j.spec.CheckpointDuration.Seconds() * j.spec.CPUs
 	default:
 		c.wasted += c.now.Sub(t.began).Seconds() * j.spec.CPUs
 	}
@@ -202,7 +202,7 @@
 		for _, t := range w.tasks {
 			if j := c.jobs[t.job]; j != nil && t.state != protocol.Exited {
 				taken.cpus += j.spec.CPUs
-				taken.mem += j.spec.MemGB
+				taken.mem += j.spec.MemoryGB
 			}
 		}
 		part := share(w, taken, taskShape{})
@@ -319,13 +319,13 @@
 			number++
 			run := time.Duration(t.RunSeconds * runs.Rand() * float64(time.Second))
 			spec := protocol.Job{ID: fmt.Sprintf("run-%06d", number), Class: t.Team, Team: t.Team, Kind: protocol.Batch, Priority: protocol.Standard,
-				Tasks: 1, CPUs: t.CPUs, MemGB: 1, Image: fmt.Sprintf("img-%s-%d", t.Team, int(images.Rand())), ImageGB: t.ImageGB,
-				Estimate: time.Duration(float64(run) * wrong.Rand())}
+				Tasks: 1, CPUs: t.CPUs, MemoryGB: 1, Image: fmt.Sprintf("img-%s-%d", t.Team, int(images.Rand())), ImageGB: t.ImageGB,
+				EstimatedRuntime: time.Duration(float64(run) * wrong.Rand())}
 			if t.Tasks > 1 {
 				spec.Tasks += int(tasks.Rand())
 			}
 			if t.SaveSeconds > 0 {
-				spec.Checkpoint, spec.Save = 5*time.Second, time.Duration(t.SaveSeconds*float64(time.Second))
+				spec.CheckpointInterval, spec.CheckpointDuration = 5*time.Second, time.Duration(t.SaveSeconds*float64(time.Second))
 			}
 			c.after(time.Duration(at*float64(time.Second)), func() {
 				c.insist(func(node int, done func(int, string)) { c.Submit(node, spec, run, false, done) })
--- a/internal/simulator/live_services_test.go
+++ b/internal/simulator/live_services_test.go
@@ -66,14 +66,14 @@
 	served := func(k *Controller) {
 		t.Helper()
 		wantStatus(t, k.StateAddr(), missing, 404)
-		wantStatus(t, k.CloudAddr(), protocol.PathTypes, 200)
+		wantStatus(t, k.CloudAddr(), protocol.PathMachineTypes, 200)
 	}
 	served(one)
 	served(other)
 
 	l.Do(func(c *Cluster) { c.state.refused[one.Name()], c.cloud.refused[one.Name()] = true, true })
 	wantStatus(t, one.StateAddr(), missing, 503)
-	wantStatus(t, one.CloudAddr(), protocol.PathTypes, 503)
+	wantStatus(t, one.CloudAddr(), protocol.PathMachineTypes, 503)
 	served(other)
 	l.Do(func(c *Cluster) {
 		c.state.admit()
@@ -90,7 +90,7 @@
 	served(one)
 
 	l.Do(func(c *Cluster) { c.ResetOneWay(one.Name(), cloudHost) })
-	if _, _, err := get(one.CloudAddr(), protocol.PathTypes, answerWithin); !errors.Is(err, io.EOF) {
+	if _, _, err := get(one.CloudAddr(), protocol.PathMachineTypes, answerWithin); !errors.Is(err, io.EOF) {
 		t.Errorf("a connection that is reset ends with %v", err)
 	}
 	served(other)
@@ -104,9 +104,9 @@
 	l := newServices(t, LiveOptions{})
 	k := l.Controllers()[0]
 	l.Do(func(c *Cluster) { c.Cut(k.Name(), stateHost, true) })
-	txn := protocol.TxnBody(&protocol.Txn{Then: []protocol.Op{{Put: "a/b", Value: []byte("1")}}})
+	txn := protocol.EncodeTxn(&protocol.Txn{Ops: []protocol.Op{{Put: "a/b", Value: []byte("1")}}})
 	client := &http.Client{Timeout: noAnswer}
-	if _, err := client.Post("http://"+k.StateAddr()+protocol.PathMulti, "application/json", strings.NewReader(string(txn))); err == nil {
+	if _, err := client.Post("http://"+k.StateAddr()+protocol.PathTransactions, "application/json", strings.NewReader(string(txn))); err == nil {
 		t.Error("a transaction that is held is answered")
 	}
 	l.Do(func(c *Cluster) {
@@ -138,7 +138,7 @@
 	}()
 	awaitLive(t, l, "the watch to be open", func(c *Cluster) bool { return len(c.state.watches) == 1 })
 	l.Do(func(c *Cluster) {
-		c.state.commit(&protocol.Txn{Then: []protocol.Op{{Put: "a/b", Value: []byte("1")}}}, func(int, []byte) {})
+		c.state.commit(&protocol.Txn{Ops: []protocol.Op{{Put: "a/b", Value: []byte("1")}}}, func(int, []byte) {})
 	})
 	if events, _, err := protocol.ParseEvents(<-news); err != nil || len(events) != 1 || events[0].Key != "a/b" {
 		t.Errorf("the watch tells %v, %v", events, err)
@@ -160,11 +160,11 @@
 	})
 	var addr string
 	l.Do(func(c *Cluster) { addr = c.workers[simulated].host.addr })
-	report, err := protocol.ParseReport(wantStatus(t, addr, protocol.PathShow, 200))
+	report, err := protocol.ParseHeartbeat(wantStatus(t, addr, protocol.PathWorkerStatus, 200))
 	if err != nil || report.Machine != simulated || report.Addr != addr {
 		t.Errorf("the worker shows %+v, %v", report, err)
 	}
-	list, _, err := protocol.ParseList(wantStatus(t, l.Controllers()[0].CloudAddr(), protocol.ListTarget(""), 200))
+	list, _, err := protocol.ParseMachines(wantStatus(t, l.Controllers()[0].CloudAddr(), protocol.MachinesTarget(""), 200))
 	index := slices.IndexFunc(list, func(m protocol.ListedMachine) bool { return m.Name == external.Name })
 	if err != nil || index < 0 {
 		t.Fatalf("the cloud lists %+v, %v", list, err)
--- a/internal/simulator/live_test.go
+++ b/internal/simulator/live_test.go
@@ -290,7 +290,7 @@
 // submitLive submits a job and lets its user follow it.
 func (c *Cluster) submitLive(id string, kind protocol.Kind, tasks int, run time.Duration) {
 	spec := protocol.Job{ID: id, Class: "live", Team: "red", Kind: kind, Priority: protocol.Standard, Tasks: tasks,
-		CPUs: 1, MemGB: 1, Image: "img-live", ImageGB: 0.2, Estimate: run}
+		CPUs: 1, MemoryGB: 1, Image: "img-live", ImageGB: 0.2, EstimatedRuntime: run}
 	c.insist(func(node int, done func(int, string)) { c.Submit(node, spec, run, false, done) })
 	c.Follow(id, 500*time.Millisecond)
 }
--- a/internal/simulator/load.go
+++ b/internal/simulator/load.go
@@ -85,5 +85,5 @@
 // SampleJob is a small batch job of one task, of a team that every stand-in has.
 func SampleJob(id string, run time.Duration) protocol.Job {
 	return protocol.Job{ID: id, Class: "sample", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 1,
-		CPUs: 1, MemGB: 1, Image: "img-sample", ImageGB: 0.2, Estimate: run}
+		CPUs: 1, MemoryGB: 1, Image: "img-sample", ImageGB: 0.2, EstimatedRuntime: run}
 }
--- a/internal/simulator/owners.go
+++ b/internal/simulator/owners.go
@@ -97,11 +97,11 @@
 func (c *Cluster) Owners() []string {
 	owned, moving := map[string]int{}, 0
 	for _, it := range c.state.under(records.PrefixOwners) {
-		var r shard.Record
+		var r shard.OwnerRecord
 		if protocol.Decode(it.Value, &r) != nil {
 			continue
 		}
-		owned[r.Owner.Node]++
+		owned[r.Owner.Name]++
 		if r.Next != nil {
 			moving++
 		}
@@ -130,9 +130,9 @@
 func (c *Cluster) ShardOwners() []string {
 	var list []string
 	for _, it := range c.state.under(records.PrefixOwners) {
-		var r shard.Record
+		var r shard.OwnerRecord
 		if protocol.Decode(it.Value, &r) == nil {
-			list = append(list, fmt.Sprintf("%s %s", strings.TrimPrefix(it.Key, records.PrefixOwners), r.Owner.Node))
+			list = append(list, fmt.Sprintf("%s %s", strings.TrimPrefix(it.Key, records.PrefixOwners), r.Owner.Name))
 		}
 	}
 	return list
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -632,18 +632,18 @@
 	spec := protocol.Job{ID: id, Class: arg(d, "class", "class"), Team: arg(d, "team", "red"), Kind: protocol.Batch,
 		Priority: map[string]protocol.Priority{"critical": protocol.Critical, "urgent": protocol.Urgent,
 			"standard": protocol.Standard, "low": protocol.Low}[arg(d, "priority", "standard")],
-		Tasks: int(number(t, d, "tasks", "1")), CPUs: number(t, d, "cpus", "1"), MemGB: number(t, d, "mem", "2"),
+		Tasks: int(number(t, d, "tasks", "1")), CPUs: number(t, d, "cpus", "1"), MemoryGB: number(t, d, "mem", "2"),
 		Image: arg(d, "image", "img-01"), ImageGB: number(t, d, "gb", "1"), Zone: arg(d, "zone", ""),
-		OneZone: arg(d, "oneZone", "") != "", Spread: arg(d, "spread", "") != "", Spot: arg(d, "spot", "") != "",
-		Checkpoint: duration(t, d, arg(d, "checkpoint", "0s")), Save: duration(t, d, arg(d, "save", "0s"))}
+		OneZone: arg(d, "oneZone", "") != "", Spread: arg(d, "spread", "") != "", AllowSpot: arg(d, "spot", "") != "",
+		CheckpointInterval: duration(t, d, arg(d, "checkpoint", "0s")), CheckpointDuration: duration(t, d, arg(d, "save", "0s"))}
 	if types := arg(d, "types", ""); types != "" {
-		spec.Types = strings.Split(types, ",")
+		spec.MachineTypes = strings.Split(types, ",")
 	}
 	run := duration(t, d, arg(d, "run", "10s"))
 	if arg(d, "service", "") != "" {
 		spec.Kind = protocol.Service
 	} else {
-		spec.Estimate = run
+		spec.EstimatedRuntime = run
 	}
 	return spec, run
 }
--- a/internal/simulator/state.go
+++ b/internal/simulator/state.go
@@ -15,7 +15,7 @@
 type stateService struct {
 	c        *Cluster
 	revision uint64
-	keys     map[string]protocol.Item
+	keys     map[string]protocol.KeyValue
 	history  []change
 	leases   map[uint64]*lease
 	lastID   uint64
@@ -36,14 +36,14 @@
 }
 
 // under lists the items whose keys have a prefix, in order.
-func (s *stateService) under(prefix string) []protocol.Item {
-	var list []protocol.Item
+func (s *stateService) under(prefix string) []protocol.KeyValue {
+	var list []protocol.KeyValue
 	for key, it := range s.keys {
 		if strings.HasPrefix(key, prefix) {
 			list = append(list, it)
 		}
 	}
-	slices.SortFunc(list, func(a, b protocol.Item) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(list, func(a, b protocol.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return list
 }
 
@@ -69,7 +69,7 @@
 
 func newStateService(c *Cluster) *stateService {
 	rps, changes := c.settings.StateRPS, c.settings.StateWriteRPS
-	return &stateService{c: c, keys: map[string]protocol.Item{}, leases: map[uint64]*lease{}, refused: map[string]bool{},
+	return &stateService{c: c, keys: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, refused: map[string]bool{},
 		requests: records.NewBudget(rps, rps, c.now), changes: records.NewBudget(changes, changes, c.now)}
 }
 
@@ -164,7 +164,7 @@
 			delete(l.keys, op.Put)
 		}
 	}
-	s.keys[op.Put] = protocol.Item{Key: op.Put, Value: op.Value, Version: s.revision, Lease: op.Lease}
+	s.keys[op.Put] = protocol.KeyValue{Key: op.Put, Value: op.Value, Version: s.revision, Lease: op.Lease}
 	if l := s.leases[op.Lease]; l != nil {
 		l.keys[op.Put] = true
 	}
@@ -236,19 +236,19 @@
 	}
 	path, query := protocol.Query(target)
 	switch {
-	case path == protocol.PathMulti:
+	case path == protocol.PathTransactions:
 		t, err := protocol.ParseTxn(body)
-		if err != nil || len(t.Then) > s.c.settings.TxnOps || len(t.If) > 4*s.c.settings.TxnOps {
+		if err != nil || len(t.Ops) > s.c.settings.TxnOps || len(t.Conditions) > 4*s.c.settings.TxnOps {
 			respond(400, nil)
 			return
 		}
-		if !s.changes.Take(s.c.now, float64(len(t.Then))) {
+		if !s.changes.Take(s.c.now, float64(len(t.Ops))) {
 			s.limited++
 			respond(429, nil)
 			return
 		}
-		s.changed += len(t.Then)
-		if s.late > 0 && len(t.Then) > 0 && (s.lateShare == 0 || s.c.rng.Float64() < s.lateShare) {
+		s.changed += len(t.Ops)
+		if s.late > 0 && len(t.Ops) > 0 && (s.lateShare == 0 || s.c.rng.Float64() < s.lateShare) {
 			late := s.late
 			if s.lateMore > 0 {
 				late += time.Duration(s.c.rng.Int64N(int64(s.lateMore)))
@@ -256,7 +256,7 @@
 			s.c.after(late, func() { s.commit(t, func(int, []byte) {}) })
 			return
 		}
-		if s.lostShare > 0 && len(t.Then) > 0 && s.c.rng.Float64() < s.lostShare {
+		if s.lostShare > 0 && len(t.Ops) > 0 && s.c.rng.Float64() < s.lostShare {
 			s.c.around(onLostAnswer, nil, func() { s.commit(t, func(int, []byte) {}) })
 			return
 		}
@@ -271,12 +271,12 @@
 		}
 		slices.Sort(names)
 		more := len(names) > limit
-		var items []protocol.Item
+		var items []protocol.KeyValue
 		for _, k := range names[:min(limit, len(names))] {
 			items = append(items, s.keys[k])
 		}
 		respond(200, protocol.EncodeRange(items, more, s.revision))
-	case path == protocol.PathChanges:
+	case path == protocol.PathWatch:
 		if late := s.slowWatches; late > 0 {
 			answer := respond
 			respond = func(status int, body []byte) { s.c.after(late, func() { answer(status, body) }) }
@@ -296,7 +296,7 @@
 			}
 		})
 	case path == protocol.PathLeases:
-		ttl, err := protocol.ParseTTL(body)
+		ttl, err := protocol.ParseLeaseRequest(body)
 		if err != nil {
 			respond(400, nil)
 			return
@@ -328,14 +328,14 @@
 			respond(404, protocol.EncodeRevision(s.revision))
 			return
 		}
-		respond(200, protocol.EncodeItem(it))
+		respond(200, protocol.EncodeKeyValue(it))
 	default:
 		respond(400, nil)
 	}
 }
 
 func (s *stateService) commit(t *protocol.Txn, respond func(int, []byte)) {
-	for _, op := range t.Then {
+	for _, op := range t.Ops {
 		if op.Put != "" && op.Lease != 0 && s.leases[op.Lease] == nil {
 			respond(400, nil)
 			return
@@ -347,18 +347,18 @@
 		}
 	}
 	var failed []string
-	for _, k := range t.If {
+	for _, k := range t.Conditions {
 		if s.keys[k.Key].Version != k.Version {
 			failed = append(failed, k.Key)
 		}
 	}
 	if failed != nil {
-		respond(409, protocol.EncodeFailed(failed, s.revision))
+		respond(409, protocol.EncodeFailedConditions(failed, s.revision))
 		return
 	}
 	var written []string
 	begins := false
-	for _, op := range t.Then {
+	for _, op := range t.Ops {
 		written = append(written, op.Put+op.Delete)
 		begins = begins || op.Put == records.KeyLeader
 	}
@@ -366,9 +366,9 @@
 	if begins {
 		s.c.strike(onLeader, nil, true)
 	}
-	if len(t.Then) > 0 {
+	if len(t.Ops) > 0 {
 		s.revision++
-		for _, op := range t.Then {
+		for _, op := range t.Ops {
 			if op.Put != "" {
 				s.put(op)
 			} else {
--- a/internal/simulator/troubles.go
+++ b/internal/simulator/troubles.go
@@ -163,14 +163,14 @@
 	odd := func(change func(*protocol.Job)) protocol.Job {
 		c.odd++
 		j := protocol.Job{ID: fmt.Sprintf("run-%06d", 900000+c.odd), Class: "one", Team: "blue", Kind: protocol.Batch,
-			Priority: protocol.Critical, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img-0", ImageGB: 1, Estimate: time.Second}
+			Priority: protocol.Critical, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 1, EstimatedRuntime: time.Second}
 		change(&j)
 		return j
 	}
 	ignore := func(int, string) {}
 	for _, change := range []func(*protocol.Job){
 		func(j *protocol.Job) { j.CPUs = 1000 },
-		func(j *protocol.Job) { j.Types = []string{"none"} },
+		func(j *protocol.Job) { j.MachineTypes = []string{"none"} },
 		func(j *protocol.Job) { j.Team = "nobody" },
 		func(j *protocol.Job) { j.Kind, j.Tasks = protocol.Service, 10000 },
 	} {
@@ -243,7 +243,7 @@
 				// The new leader learns of its election within the first of these times.
 				for _, within := range []time.Duration{6 * time.Millisecond, 3 * time.Second} {
 					c.after(time.Duration(c.rng.Int64N(int64(within))), func() {
-						c.send(name, n.name, func() { n.request("POST", protocol.PathReport, body, reportTimeout, func(int, []byte) {}) })
+						c.send(name, n.name, func() { n.request("POST", protocol.PathHeartbeat, body, reportTimeout, func(int, []byte) {}) })
 					})
 				}
 			}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -53,7 +53,7 @@
 	}
 	var record records.Job
 	if json.Unmarshal(op.Value, &record) == nil && record.Spec != nil {
-		c.newJob(*record.Spec, record.Spec.Estimate, false)
+		c.newJob(*record.Spec, record.Spec.EstimatedRuntime, false)
 	}
 }
 
@@ -108,7 +108,7 @@
 				j.accepted = true
 				c.tell(j, told, body)
 			}
-			_, s, d, r, err := protocol.ParseJobAnswer(body)
+			_, s, d, r, err := protocol.ParseJobStatus(body)
 			if err == nil {
 				done(status, fmt.Sprintf("%s done=%d running=%d", s, d, r))
 				return
@@ -196,7 +196,7 @@
 		case status == 200:
 			j.accepted = true
 			c.tell(j, told, body)
-			if _, s, _, _, err := protocol.ParseJobAnswer(body); err != nil || !s.Final() {
+			if _, s, _, _, err := protocol.ParseJobStatus(body); err != nil || !s.Final() {
 				c.breaks("went_back", "%s is cancelled and called %s", id, s)
 			}
 		case status == 404 && known:
@@ -207,7 +207,7 @@
 }
 
 func stateOf(body []byte) string {
-	if _, s, _, _, err := protocol.ParseJobAnswer(body); err == nil {
+	if _, s, _, _, err := protocol.ParseJobStatus(body); err == nil {
 		return s.String()
 	}
 	return ""
@@ -241,7 +241,7 @@
 // tell checks what a user is told of a job against what was told before the
 // request was sent, and what is true.
 func (c *Cluster) tell(j *userJob, told protocol.JobState, body []byte) {
-	_, s, _, _, err := protocol.ParseJobAnswer(body)
+	_, s, _, _, err := protocol.ParseJobStatus(body)
 	if err != nil {
 		return
 	}
@@ -379,7 +379,7 @@
 	zones[w.host.zone]++
 	s := &j.spec
 	switch {
-	case !s.AllowsType(w.host.typ), s.Zone != "" && s.Zone != w.host.zone, w.host.spot && !s.Spot:
+	case !s.AllowsType(w.host.typ), s.Zone != "" && s.Zone != w.host.zone, w.host.spot && !s.AllowSpot:
 		c.breaks("wrong_place", "%s on %s", t, w.name)
 	case s.OneZone && len(zones) > 1:
 		c.breaks("wrong_place", "%s on %s: the job is in %d zones", t, w.name, len(zones))
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -140,15 +140,15 @@
 	w.next = w.c.after(d, func() { w.run(w.report) })
 }
 
-func (w *worker) content() *protocol.Report {
+func (w *worker) content() *protocol.Heartbeat {
 	w.seq++
-	r := &protocol.Report{Machine: w.name, Addr: w.host.addr, Type: w.host.typ, Zone: w.host.zone, Spot: w.host.spot,
-		Session: w.session, Seq: w.seq, Token: w.token}
+	r := &protocol.Heartbeat{Machine: w.name, Addr: w.host.addr, Type: w.host.typ, Zone: w.host.zone, Spot: w.host.spot,
+		Incarnation: w.session, Sequence: w.seq, FencingToken: w.token}
 	if !w.notice.IsZero() {
-		r.HasNotice, r.Notice = true, max(0, w.notice.Sub(w.c.now))
+		r.HasPreemptionNotice, r.PreemptionNotice = true, max(0, w.notice.Sub(w.c.now))
 	}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Job: t.job, Index: t.index, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Job: t.job, TaskIndex: t.index, Attempt: t.attempt, State: t.state, Reason: t.why, Checkpointed: t.saved})
 	}
 	return r
 }
@@ -163,10 +163,10 @@
 	}
 	w.reporting, w.changed = true, false
 	r := w.content()
-	seq, session, sent := r.Seq, w.session, c.now
+	seq, session, sent := r.Sequence, w.session, c.now
 	w.reportSeq, w.lastSent = seq, sent
 	n := c.nodes[w.node%len(c.nodes)]
-	body := protocol.EncodeReport(r)
+	body := protocol.EncodeHeartbeat(r)
 	finished := false
 	finish := func(f func()) {
 		if !finished && !w.dead {
@@ -190,7 +190,7 @@
 	serve := func(respond func(int, []byte)) {
 		from = n.life() // the process that answers
 		c.around(onReport, []string{n.name, n.name + "/" + w.name}, func() {
-			n.request("POST", protocol.PathReport, body, reportTimeout, func(status int, body []byte) {
+			n.request("POST", protocol.PathHeartbeat, body, reportTimeout, func(status int, body []byte) {
 				replied = c.now
 				respond(status, body)
 			})
@@ -258,7 +258,7 @@
 func (w *worker) serve(from, method, target string, body []byte, sent time.Time, respond func(int, []byte)) {
 	w.run(func() {
 		if method == "GET" {
-			respond(200, protocol.EncodeReport(w.content()))
+			respond(200, protocol.EncodeHeartbeat(w.content()))
 			return
 		}
 		token, session, orders, err := protocol.ParseOrders(body)
@@ -267,7 +267,7 @@
 			return
 		}
 		if *token < w.token || *session != w.session {
-			respond(409, protocol.EncodeReport(w.content()))
+			respond(409, protocol.EncodeHeartbeat(w.content()))
 			return
 		}
 		w.c.served(*token, from)
@@ -276,7 +276,7 @@
 			w.change()
 		}
 		w.execute(orders, sent)
-		respond(200, protocol.EncodeReport(w.content()))
+		respond(200, protocol.EncodeHeartbeat(w.content()))
 	})
 }
 
@@ -292,7 +292,7 @@
 
 func (w *worker) find(o protocol.Order) *runningTask {
 	for _, t := range w.tasks {
-		if t.job == o.Job && t.index == o.Index && t.attempt == o.Attempt {
+		if t.job == o.Job && t.index == o.TaskIndex && t.attempt == o.Attempt {
 			return t
 		}
 	}
@@ -326,34 +326,34 @@
 
 func (w *worker) begin(o protocol.Order, sent time.Time) {
 	c := w.c
-	t := &runningTask{job: o.Job, index: o.Index, attempt: o.Attempt, state: protocol.Fetching}
+	t := &runningTask{job: o.Job, index: o.TaskIndex, attempt: o.Attempt, state: protocol.Fetching}
 	w.tasks = append(w.tasks, t)
 	j := c.jobs[o.Job]
-	if j == nil || o.Index >= j.spec.Tasks {
+	if j == nil || o.TaskIndex >= j.spec.Tasks {
 		w.exit(t, protocol.ExitUnknown)
 		return
 	}
 	if !j.cancelled.IsZero() && sent.Sub(j.cancelled) > startAfterCancel {
 		c.breaks("started_cancelled", "%s on %s, sent %s after its user was told", t, w.name, sent.Sub(j.cancelled).Round(time.Millisecond))
 	}
-	cpus, mem := j.spec.CPUs, j.spec.MemGB
+	cpus, mem := j.spec.CPUs, j.spec.MemoryGB
 	for _, x := range w.tasks {
 		if x == t || x.state == protocol.Exited {
 			continue
 		}
-		if x.job == o.Job && x.index == o.Index {
+		if x.job == o.Job && x.index == o.TaskIndex {
 			w.exit(t, protocol.ExitBusy)
 			return
 		}
 		cpus += c.jobs[x.job].spec.CPUs
-		mem += c.jobs[x.job].spec.MemGB
+		mem += c.jobs[x.job].spec.MemoryGB
 	}
-	if cpus > w.spec.CPUs+protocol.Epsilon || mem > w.spec.MemGB+protocol.Epsilon {
+	if cpus > w.spec.CPUs+protocol.Epsilon || mem > w.spec.MemoryGB+protocol.Epsilon {
 		w.exit(t, protocol.ExitNoRoom)
 		return
 	}
 	c.checkCeiling(w, j)
-	fetch := time.Duration(j.spec.ImageGB / w.spec.FetchRate * float64(time.Second))
+	fetch := time.Duration(j.spec.ImageGB / w.spec.FetchGBPerSecond * float64(time.Second))
 	if slices.Contains(w.images, j.spec.Image) {
 		fetch = 0
 		c.placements.onHolders++
@@ -407,20 +407,20 @@
 	}
 	switch {
 	case t.state == protocol.Exited:
-	case t.state == protocol.Running && j.spec.Checkpoint > 0 && grace >= j.spec.Save:
-		t.state = protocol.Saving
+	case t.state == protocol.Running && j.spec.CheckpointInterval > 0 && grace >= j.spec.CheckpointDuration:
+		t.state = protocol.Checkpointing
 		t.timer.run = nil
-		t.timer = w.c.after(j.spec.Save, func() {
+		t.timer = w.c.after(j.spec.CheckpointDuration, func() {
 			w.run(func() {
-				if t.state == protocol.Saving {
-					j.progress[t.index] += w.c.now.Sub(t.began) - j.spec.Save
+				if t.state == protocol.Checkpointing {
+					j.progress[t.index] += w.c.now.Sub(t.began) - j.spec.CheckpointDuration
 					t.saved = true
 					w.exit(t, protocol.ExitStopped)
 				}
 			})
 		})
 		w.change()
-	case t.state == protocol.Saving && grace > 0:
+	case t.state == protocol.Checkpointing && grace > 0:
 	default:
 		w.exit(t, protocol.ExitStopped)
 	}
@@ -437,7 +437,7 @@
 	if t.timer != nil {
 		t.timer.run = nil
 	}
-	if t.state == protocol.Running || t.state == protocol.Saving {
+	if t.state == protocol.Running || t.state == protocol.Checkpointing {
 		w.c.noteWasted(t)
 		w.c.taskLeaves(w, t)
 	}
--- a/internal/transport/peers.go
+++ b/internal/transport/peer_streams.go
@@ -116,7 +116,7 @@
 		ErrorLog:    slog.NewLogLogger(p.log.Handler(), slog.LevelDebug),
 	}
 	err := server.Serve(&boundedListener{Listener: ln, most: maxPeerConns})
-	p.log.Error("peers are served no more", "err", err)
+	p.log.Error("peer listener failed", "error", err)
 }
 
 // plainHTTP2 is HTTP/2 without encryption and nothing else.
@@ -202,7 +202,7 @@
 	}
 	for {
 		if err := p.stream(transport, addr); err != nil {
-			p.log.Debug("peer stream ended", "peer", addr, "err", err)
+			p.log.Debug("peer stream ended", "peer", addr, "error", err)
 		}
 		transport.CloseIdleConnections()
 		time.Sleep(peerRetry)
