--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -18,7 +19,7 @@
 // final states are written to the state service before the user is told, and
 // the leader learns of them from there.
 type admission struct {
-	limits         *limitCounters
+	limits         *limits.Counters
 	maxUnannounced int
 	outcomes       map[string]jobOutcome // told or read; can't change any more
 	accepted       map[string]struct{}   // accepted jobs
@@ -58,7 +59,7 @@
 
 func (a *admission) rememberOutcome(job string, s protocol.JobState, done int) {
 	if len(a.outcomes) >= maxOutcomes {
-		a.limits.reached(limitOutcomes)
+		a.limits.Reached(limits.Outcomes)
 		for k := range a.outcomes {
 			delete(a.outcomes, k)
 			if len(a.outcomes) < maxOutcomes*9/10 {
@@ -82,7 +83,7 @@
 // announce lets the peers hear of a final state with the next lines.
 func (a *admission) announce(f outcomeAnnouncement) {
 	if len(a.unannounced) >= a.maxUnannounced {
-		a.limits.reached(limitAnnouncements)
+		a.limits.Reached(limits.Announcements)
 		return
 	}
 	a.unannounced = append(a.unannounced, f)
@@ -90,7 +91,7 @@
 
 func (a *admission) rememberAccepted(job string) {
 	if len(a.accepted) >= maxAccepted {
-		a.limits.reached(limitAccepted)
+		a.limits.Reached(limits.AcceptedJobs)
 		clear(a.accepted)
 	}
 	a.accepted[job] = struct{}{}
@@ -121,7 +122,7 @@
 		return
 	}
 	if c.admission.openRequests >= c.maxOpenRequests() {
-		c.limits.reached(limitOpenRequests)
+		c.limits.Reached(limits.OpenRequests)
 		c.refuse(id, 429, "too many requests at once")
 		return
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"brasskeel/internal/config"
+	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -175,7 +176,7 @@
 		{"grow", (*leader).scaleOut},
 		{"shrink", (*leader).scaleIn},
 		{"consolidate", (*leader).consolidate},
-		{"explain", func(l *leader) { l.pendingLog.at = time.Time{}; l.logPendingReasons() }},
+		{"explain", func(l *leader) { l.pendingLog = ratelog.Throttle{}; l.logPendingReasons() }},
 		{"publish", func(l *leader) { l.controller.broadcastStatus(); l.controller.effects = Effects{} }},
 	} {
 		b.Run(step.name, func(b *testing.B) {
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -1,6 +1,9 @@
 package coordination
 
-import "brasskeel/internal/coordination/placement"
+import (
+	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/placement"
+)
 
 // acceptsTasks reports whether a machine takes new tasks: it has reported to this
 // leader and been reached by it, is not on its way out, and isn't silent. One whose reports don't come
@@ -76,7 +79,7 @@
 // aside.
 func (l *leader) canTake(m *machine, j *job) bool {
 	if !m.FitsInReport(j.Job) {
-		l.controller.limits.reached(limitTasks)
+		l.controller.limits.Reached(limits.TasksPerMachine)
 	}
 	return m.HasRoom(j.Job) && m.Allows(j.Job) && !l.avoidsMachine(j, m)
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"brasskeel/internal/config"
+	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -113,19 +115,19 @@
 	storeFailingSince time.Time // when it first failed since; zero while it works
 	storeCost         *records.Budget
 
-	told         changeThrottle // to operators, of this node
-	trouble      string         // as it is now; empty without any
-	troubleSince time.Time
-
-	draining    bool // it is to give up what it has
-	limits      limitCounters
-	sampledLogs sampledLogs
-	deferred    deferredHeartbeats // wait for a leader
-	election    election
-	admission   admission
-	peers       map[string]*peerStatus
-	leader      *leader   // nil while following
-	sharding    *sharding // nil while the leader serves all machines
+	availabilityLog ratelog.Throttle // of why this controller can't act
+	trouble         string           // as it is now; empty without any
+	troubleSince    time.Time
+
+	draining  bool // it is to give up what it has
+	limits    limits.Counters
+	sampler   ratelog.Sampler    // of log lines that come in bursts
+	deferred  deferredHeartbeats // wait for a leader
+	election  election
+	admission admission
+	peers     map[string]*peerStatus
+	leader    *leader   // nil while following
+	sharding  *sharding // nil while the leader serves all machines
 
 	localMessages    []shardMessage // between this controller's own roles
 	rejectedMessages int            // of peers, that were ignored
--- a/internal/coordination/deferred_heartbeats.go
+++ b/internal/coordination/deferred_heartbeats.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 )
 
@@ -60,7 +61,7 @@
 // silent it went from one to the next until its lease was over.
 func (c *Controller) deferHeartbeat(id uint64, body []byte) {
 	if len(c.deferred.queue) >= c.maxDeferredHeartbeats() {
-		c.limits.reached(limitHeldReports)
+		c.limits.Reached(limits.HeldReports)
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 )
 
@@ -67,7 +68,7 @@
 func (s *workerSessions) fitOrders(room *protocol.OrderBudget, orders []protocol.Order) []protocol.Order {
 	fit, cut := room.Fit(orders)
 	if cut {
-		s.controller.limits.reached(limitOrders)
+		s.controller.limits.Reached(limits.OrdersPerMessage)
 	}
 	return fit
 }
@@ -271,7 +272,7 @@
 		return none, false
 	}
 	if !room.Reserve(a.job.ID) {
-		s.controller.limits.reached(limitOrders)
+		s.controller.limits.Reached(limits.OrdersPerMessage)
 		return none, false // the next report lacks it, too
 	}
 	a.sentIncarnation, a.sentSequence = r.Incarnation, r.Sequence
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 )
 
@@ -76,7 +77,7 @@
 		l.reconcileInventory(r.machines)
 		l.checkReconciled()
 	case len(r.machines) >= maxInventory:
-		l.controller.limits.reached(limitInventory)
+		l.controller.limits.Reached(limits.Inventory)
 		r.end()
 	default:
 		r.after, r.tries = list[len(list)-1].Name, 0
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -13,7 +13,7 @@
 func (l *leader) jobRecorded(id string, value json.RawMessage, live bool) {
 	var r records.Job
 	if err := protocol.Decode(value, &r); err != nil || r.Spec == nil || r.Chunk <= 0 || r.Spec.Tasks <= 0 {
-		l.controller.log.Error("unreadable job record", "job", id, "err", err)
+		l.controller.log.Error("unreadable job record", "job", id, "error", err)
 		return
 	}
 	l.addJob(&r)
--- a/internal/coordination/journal.go
+++ b/internal/coordination/journal.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -20,7 +21,7 @@
 func (g *journal) full() bool {
 	c := g.l.controller.cfg
 	if g.unsaved >= g.maxUnsaved() {
-		g.l.controller.limits.reached(limitUnsaved)
+		g.l.controller.limits.Reached(limits.UnrecordedPlacements)
 		return true
 	}
 	return len(g.urgent) >= max(4*c.TxnOps, int(c.StateWriteRPS/2))
@@ -464,7 +465,7 @@
 func (g *journal) saveTypes(types []protocol.MachineType) {
 	raw := records.Encode(types)
 	if len(raw) > g.l.controller.cfg.ValueBytes {
-		g.l.controller.limits.reached(limitTypesRecord)
+		g.l.controller.limits.Reached(limits.MachineTypesRecord)
 		return
 	}
 	g.extra = append(g.extra, protocol.Op{Put: records.KeyTypes, Value: json.RawMessage(raw)})
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -5,6 +5,7 @@
 
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
@@ -52,8 +53,8 @@
 	ceilingPolicy      *balance.CeilingPolicy // of the job whose turn it is; nil without
 	shards             *shardCoordinator      // nil when this leader serves all machines itself
 
-	pendingLog            changeThrottle // to operators, of work that waits
-	requestedZone         string         // zone last recorded as the better one for leaders
+	pendingLog            ratelog.Throttle // of why tasks are pending
+	requestedZone         string           // zone last recorded as the better one for leaders
 	placementRequested    bool
 	reconcileCheckPending bool
 	accepting             []*machine                        // that took tasks at the start of the round
--- /dev/null
+++ b/internal/coordination/limits/limits.go
@@ -0,0 +1,100 @@
+// Package limits names the limits that a controller keeps for the sake of memory, fairness or
+// the protocol, counts how often each is reached, and logs that at a bounded rate.
+//
+// It owns the counters. It never decides what is done on reaching a limit (its callers do),
+// reads no clock, and enforces nothing itself.
+package limits
+
+import (
+	"log/slog"
+	"time"
+)
+
+// Limit names one limit. Operators meet the names in the log.
+type Limit uint8
+
+// The limits, in the order in which they are logged.
+const (
+	OpenRequests         Limit = iota // requests of users that wait for the state service
+	HeldReports                       // reports that are held for a leader
+	Outcomes                          // final states kept in memory
+	AcceptedJobs                      // accepted jobs kept in memory
+	Announcements                     // final states that wait to be announced to peers
+	Progress                          // jobs whose progress peers are told in one turn
+	UnrecordedPlacements              // placements that wait to be recorded
+	OrdersPerMessage                  // orders in one message to a worker
+	TasksPerMachine                   // tasks on one machine
+	Inventory                         // machines in the cloud's list
+	TokenRaises                       // raises of one worker's fencing token
+	MachineTypesRecord                // bytes of the record of machine types
+	PeerMessage                       // bytes of a message to a peer
+	SocketsClosed                     // sockets: answers that ended their connection
+	SocketsShed                       // sockets: connections closed to make room
+	SocketsBusy                       // sockets: calls given up while they waited for one
+	PeerMessagesLost                  // messages that a peer was too slow for
+	ServedMachines                    // machines that this controller can serve on its share of a processor
+	SurgeCeiling                      // what a surging team may put on one machine
+	count
+)
+
+// descriptions of the limits. Operators search the log for the names.
+var descriptions = [count]struct{ name, consequence string }{
+	OpenRequests:         {"waiting requests", "users are sent away with Retry-After"},
+	HeldReports:          {"held reports", "workers are sent on at once"},
+	Outcomes:             {"final states kept", "some are forgotten and read again when asked for"},
+	AcceptedJobs:         {"accepted jobs kept", "all are forgotten and checked again when asked for"},
+	Announcements:        {"final states to be told", "peers read them when they are asked"},
+	Progress:             {"progress told", "the others follow in the next turns"},
+	UnrecordedPlacements: {"placements to be recorded", "placement goes on when records are written"},
+	OrdersPerMessage:     {"orders in a message", "the rest goes out with the next message"},
+	TasksPerMachine:      {"tasks on a machine", "others are placed elsewhere"},
+	Inventory:            {"machines listed", "the list is not compared"},
+	TokenRaises:          {"raised tokens", "only calls show whether the worker is reached"},
+	MachineTypesRecord:   {"record of machine types", "other controllers ask the cloud for them"},
+	PeerMessage:          {"line to a peer", "the line is dropped"},
+	SocketsClosed:        {"sockets, answers that closed", "clients dial again"},
+	SocketsShed:          {"sockets, connections shed", "clients dial again"},
+	SocketsBusy:          {"sockets, calls without one", "they are tried again"},
+	PeerMessagesLost:     {"lines to a slow peer", "the peer misses them"},
+	ServedMachines:       {"machines served on this share", "fewer machines are rented, none while timers are late"},
+	SurgeCeiling:         {"ceiling of surging teams", "a job's tasks go above it"},
+}
+
+// String is the name of the limit in the log.
+func (l Limit) String() string { return descriptions[l].name }
+
+// Consequence says what is done on reaching the limit.
+func (l Limit) Consequence() string { return descriptions[l].consequence }
+
+// LogInterval is the least time between two log lines about the same limit.
+const LogInterval = 30 * time.Second
+
+// Counters count how often limits were reached. The zero value is ready for use.
+type Counters struct {
+	sinceLogged [count]int
+	total       [count]int
+	loggedAt    [count]time.Time // zero: never
+}
+
+// Reached counts that a limit was reached once.
+func (c *Counters) Reached(l Limit) { c.ReachedTimes(l, 1) }
+
+// ReachedTimes counts that a limit was reached some number of times, which may be 0.
+func (c *Counters) ReachedTimes(l Limit, times int) {
+	c.sinceLogged[l] += times
+	c.total[l] += times
+}
+
+// Total is how often a limit was reached since the start.
+func (c *Counters) Total(l Limit) int { return c.total[l] }
+
+// Log logs the limits that were reached, each in a line of its own at most every LogInterval.
+func (c *Counters) Log(log *slog.Logger, now time.Time) {
+	for l := range count {
+		if c.sinceLogged[l] == 0 || !c.loggedAt[l].IsZero() && now.Sub(c.loggedAt[l]) < LogInterval {
+			continue
+		}
+		log.Warn("limit reached", "limit", l.String(), "count", c.sinceLogged[l], "total", c.total[l], "consequence", l.Consequence())
+		c.sinceLogged[l], c.loggedAt[l] = 0, now
+	}
+}
--- /dev/null
+++ b/internal/coordination/limits/limits_test.go
@@ -0,0 +1,65 @@
+package limits
+
+import (
+	"bytes"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+)
+
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+
+// A limit that is reached is logged at once, then once in an interval with what was counted.
+func TestLogRate(t *testing.T) {
+	var out bytes.Buffer
+	log := slog.New(slog.NewTextHandler(&out, nil))
+	var c Counters
+	for _, step := range []struct {
+		name    string
+		after   time.Duration // since the start
+		reached int
+		want    string // in the line; empty: no line
+	}{
+		{"not reached", 0, 0, ""},
+		{"first time", 0, 1, "count=1 total=1"},
+		{"again at once", time.Second, 98, ""},
+		{"just before the interval ends", LogInterval - 1, 1, ""},
+		{"the interval is over", LogInterval, 0, "count=99 total=100"},
+		{"nothing since", 3 * LogInterval, 0, ""},
+	} {
+		out.Reset()
+		c.ReachedTimes(SocketsShed, step.reached)
+		c.Log(log, start.Add(step.after))
+		if lines := strings.Count(out.String(), "\n"); (step.want != "") != (lines == 1) || !strings.Contains(out.String(), step.want) {
+			t.Errorf("%s: logged %q, want %q", step.name, out.String(), step.want)
+		}
+	}
+	if c.Total(SocketsShed) != 100 || c.Total(SocketsBusy) != 0 {
+		t.Errorf("totals %d and %d", c.Total(SocketsShed), c.Total(SocketsBusy))
+	}
+}
+
+// Limits are logged apart from one another.
+func TestLimitsApart(t *testing.T) {
+	var out bytes.Buffer
+	log := slog.New(slog.NewTextHandler(&out, nil))
+	var c Counters
+	for l := range count {
+		c.Reached(l)
+	}
+	c.Log(log, start)
+	if lines := strings.Count(out.String(), "\n"); lines != int(count) {
+		t.Errorf("%d lines for %d limits", lines, count)
+	}
+}
+
+func TestDescriptions(t *testing.T) {
+	names := map[string]bool{}
+	for l := range count {
+		if l.String() == "" || l.Consequence() == "" || names[l.String()] {
+			t.Errorf("limit %d: name %q, consequence %q", l, l, l.Consequence())
+		}
+		names[l.String()] = true
+	}
+}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"brasskeel/internal/config"
+	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -245,7 +247,7 @@
 	if _, _, orders, err := protocol.ParseOrders(e.Replies[0].Body); err != nil || len(orders) < 300 {
 		t.Errorf("%d orders, %v", len(orders), err)
 	}
-	if c.limits.total[limitOrders] == 0 {
+	if c.limits.Total(limits.OrdersPerMessage) == 0 {
 		t.Error("nothing was counted")
 	}
 }
@@ -282,8 +284,8 @@
 	for i := range 2000 {
 		c.Request(c.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
 	}
-	if c.limits.total[limitOpenRequests] != 0 || c.admission.openRequests != 2000 {
-		t.Errorf("%d wait, %d were refused", c.admission.openRequests, c.limits.total[limitOpenRequests])
+	if c.limits.Total(limits.OpenRequests) != 0 || c.admission.openRequests != 2000 {
+		t.Errorf("%d wait, %d were refused", c.admission.openRequests, c.limits.Total(limits.OpenRequests))
 	}
 	c.cfg.StateRPS, c.cfg.Sockets = 120, 900
 	if most := c.maxOpenRequests(); most < minOpenRequests || most > 450 {
@@ -316,7 +318,7 @@
 		c.now = c.now.Add(100 * time.Microsecond)
 		c.deferHeartbeat(uint64(i+1), nil)
 	}
-	if e := c.holdOne(reports + 1); len(e) != 1 || c.limits.total[limitHeldReports] != 1 {
+	if e := c.holdOne(reports + 1); len(e) != 1 || c.limits.Total(limits.HeldReports) != 1 {
 		t.Errorf("one beyond the bound: %d answers", len(e))
 	}
 	answered := 0
@@ -405,7 +407,7 @@
 		t.Errorf("%d rented once they were up", got)
 	}
 	c.overloadedAt, c.overloadedSince = c.now.Add(-time.Second), c.now.Add(-time.Second)
-	if got := rented(); got != 0 || c.limits.total[limitServedMachines] == 0 {
+	if got := rented(); got != 0 || c.limits.Total(limits.ServedMachines) == 0 {
 		t.Errorf("%d rented while timers are late", got)
 	}
 	c.cfg.CPUShare = 0.8
@@ -463,28 +465,8 @@
 		l.adoptMachine(fmt.Sprintf("vm-%06d", i), "small", "a", false, 0)
 	}
 	c.now = c.now.Add(2 * time.Second)
-	c.flushSampledLogs()
-	if lines := strings.Count(out.String(), "\n"); lines > sampledLinesPerSecond+1 || !strings.Contains(out.String(), "count=3980") {
+	c.sampler.Flush(c.log, c.now)
+	if lines := strings.Count(out.String(), "\n"); lines > ratelog.LinesPerSecond+1 || !strings.Contains(out.String(), "count=3980") {
 		t.Errorf("%d lines", lines)
 	}
 }
-
-// Bounds are told once in a while, with what is done.
-func TestBoundsAreTold(t *testing.T) {
-	c, _ := leading(phaseActive)
-	var out bytes.Buffer
-	c.log = slog.New(slog.NewTextHandler(&out, nil))
-	for range 100 {
-		c.limits.reached(limitSocketsShed)
-		c.limits.log(c.log, c.now)
-	}
-	c.limits.log(c.log, c.now.Add(limitLogInterval))
-	if lines := strings.Count(out.String(), "\n"); lines != 2 || !strings.Contains(out.String(), "times=99 inAll=100") {
-		t.Errorf("%d lines: %s", lines, out.String())
-	}
-	for b := range limitCount {
-		if b.String() == "" || b.consequence() == "" {
-			t.Errorf("bound %d has no name or consequence", b)
-		}
-	}
-}
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -371,12 +371,12 @@
 		}
 	}
 	step(20 * time.Second)
-	if lines("work waits") != 1 {
+	if lines("tasks pending") != 1 {
 		t.Fatalf("said %q", out.String())
 	}
 	l.teamUsage["red"].cpus = 4
 	step(60 * time.Second)
-	if k := lines("the team's limit"); k < 2 || k > 4 {
+	if k := lines("team limit"); k < 2 || k > 4 {
 		t.Errorf("the limit is told %d times in a minute: %s", k, out.String())
 	}
 	c.stepDown("test")
@@ -385,7 +385,7 @@
 		c.now = c.now.Add(time.Second)
 		c.logAvailability()
 	}
-	if k := lines("no leader is known"); k != 1 {
+	if k := lines("no leader known"); k != 1 {
 		t.Errorf("a missing leader is told %d times in 20 s: %s", k, out.String())
 	}
 }
--- a/internal/coordination/peer_broadcast.go
+++ b/internal/coordination/peer_broadcast.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"time"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 )
 
@@ -38,8 +39,8 @@
 // broadcastStatus tells the peers how this node is, which jobs are over and, from a leader, how
 // the others go on.
 func (c *Controller) broadcastStatus() {
-	c.limits.log(c.log, c.now)
-	c.flushSampledLogs()
+	c.limits.Log(c.log, c.now)
+	c.sampler.Flush(c.log, c.now)
 	turn := c.newProgressRound()
 	var again []outcomeAnnouncement
 	for line := range messagesPerRound {
@@ -54,7 +55,7 @@
 		}
 	}
 	if !turn.complete() {
-		c.limits.reached(limitProgress)
+		c.limits.Reached(limits.Progress)
 	}
 	c.admission.unannounced = append(c.admission.unannounced, again...)
 }
@@ -74,7 +75,7 @@
 		panic(err)
 	}
 	if len(raw) > MaxPeerMessage {
-		c.limits.reached(limitPeerLine)
+		c.limits.Reached(limits.PeerMessage)
 		return
 	}
 	c.effects.Broadcasts = append(c.effects.Broadcasts, Broadcast{Body: raw})
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -10,30 +10,8 @@
 // What operators see, at level info, of work that waits and of a node that can't act:
 // logged when it changes, and from time to time while it lasts.
 
-const (
-	pendingLogAfter     = 5 * time.Second  // a wait shorter than this is nothing to tell
-	changedLogInterval  = 5 * time.Second  // least time between lines that tell something new
-	repeatedLogInterval = 30 * time.Second // and between lines that tell the same
-)
-
-// changeThrottle remembers what was said, and when.
-type changeThrottle struct {
-	last string
-	at   time.Time
-}
-
-// allow reports whether something is to be said now.
-func (t *changeThrottle) allow(now time.Time, what string) bool {
-	since := now.Sub(t.at)
-	if what == t.last && since < repeatedLogInterval || what != t.last && since < changedLogInterval {
-		return false
-	}
-	if what == "" && t.last == "" {
-		return false
-	}
-	t.last, t.at = what, now
-	return true
-}
+// pendingLogAfter is how long a task is pending before operators hear of it.
+const pendingLogAfter = 5 * time.Second
 
 // logAvailability tells of a node that knows no leader, follows another one, or can't reach
 // the state service.
@@ -41,27 +19,27 @@
 	what := ""
 	switch {
 	case c.storeDown():
-		what = "the state service does not answer"
+		what = "state service unavailable"
 	case c.leader != nil && c.leader.phase == phaseLoading && c.now.Sub(c.leader.electedAt) > pendingLogAfter:
-		what = "records are being loaded"
+		what = "loading records"
 	case c.leader != nil && !c.leader.jobsKnownAt.IsZero() && !c.leader.holdsLease():
-		what = "the leader lease has ended"
+		what = "leader lease expired"
 	case c.leader == nil && c.otherLeader() == "":
-		what = "no leader is known"
+		what = "no leader known"
 	}
 	if what != c.trouble {
 		c.troubleSince = c.now
 	}
 	if what == "" {
-		if c.told.allow(c.now, "") {
-			c.log.Info("in order again")
+		if c.availabilityLog.Allow(c.now, "") {
+			c.log.Info("controller available")
 		}
 		c.trouble = ""
 		return
 	}
 	c.trouble = what
-	if c.now.Sub(c.troubleSince) >= 2*time.Second && c.told.allow(c.now, what) {
-		c.log.Warn("nothing can be placed or promised here", "why", what, "for", c.now.Sub(c.troubleSince).Round(time.Second))
+	if c.now.Sub(c.troubleSince) >= 2*time.Second && c.availabilityLog.Allow(c.now, what) {
+		c.log.Warn("controller unavailable", "reason", what, "duration", c.now.Sub(c.troubleSince).Round(time.Second))
 	}
 }
 
@@ -83,8 +61,12 @@
 )
 
 func (r pendingReason) String() string {
-	return [...]string{"room is being made", "the team's limit", "the job keeps failing", "its rules about zones", "records are behind",
-		"machines boot", "no capacity in the cloud", "only dear machines can be had", "machines are still to report", "a surging team's ceiling"}[r]
+	return [...]string{
+		pendingRoom: "room expected", pendingTeamLimit: "team limit", pendingQuarantine: "job quarantined",
+		pendingZoneRules: "zone rules", pendingRecords: "records behind", pendingBoots: "machines booting",
+		pendingCloudCapacity: "no cloud capacity", pendingPrice: "price too high", pendingReports: "heartbeats missing",
+		pendingSurgeCeiling: "surge ceiling",
+	}[r]
 }
 
 // pendingReasonOf tells why a job's tasks wait.
@@ -123,7 +105,7 @@
 // logPendingReasons tells why work waits.
 func (l *leader) logPendingReasons() {
 	c := l.controller
-	if c.now.Sub(l.pendingLog.at) < changedLogInterval {
+	if !l.pendingLog.Open(c.now) {
 		return
 	}
 	b := l.bootProgress()
@@ -156,14 +138,14 @@
 		kinds = append(kinds, "late boots")
 	}
 	slices.Sort(kinds)
-	if !l.pendingLog.allow(c.now, strings.Join(kinds, "; ")) {
+	if !l.pendingLog.Allow(c.now, strings.Join(kinds, "; ")) {
 		return
 	}
 	if len(kinds) == 0 {
-		c.log.Info("no work waits")
+		c.log.Info("no tasks pending")
 		return
 	}
-	args := []any{"why", strings.Join(counts, "; ")}
+	args := []any{"reason", strings.Join(counts, "; ")}
 	if b.longest != nil {
 		booting := 0
 		for _, m := range l.fleetList {
@@ -171,10 +153,10 @@
 				booting++
 			}
 		}
-		args = append(args, "booting", booting, "longest", c.now.Sub(b.longest.provisionedAt).Round(time.Second), "late", len(b.overdue))
+		args = append(args, "booting", booting, "longest_boot", c.now.Sub(b.longest.provisionedAt).Round(time.Second), "late_boots", len(b.overdue))
 	}
 	if longest != nil {
-		args = append(args, "job", longest.ID, "waits", c.now.Round(0).Sub(longest.submitted).Round(time.Second))
+		args = append(args, "job", longest.ID, "duration", c.now.Round(0).Sub(longest.submitted).Round(time.Second))
 	}
-	c.log.Info("work waits", args...)
+	c.log.Info("tasks pending", args...)
 }
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -33,7 +33,7 @@
 // preempt stops attempts on a machine and promises the room to a job.
 func (l *leader) preempt(m *machine, victims []*attempt, j *job) {
 	for _, a := range victims {
-		l.controller.log.Debug("preempted", "job", a.job.ID, "task", a.task, "machine", m.Name, "for", j.ID, "lost", l.lostWork(a))
+		l.controller.log.Debug("attempt preempted", "job", a.job.ID, "task", a.task, "machine", m.Name, "beneficiary", j.ID, "lost_work", l.lostWork(a))
 		l.stopAttempt(a, l.checkpointGrace(a))
 	}
 	m.Reserve(j.Job)
@@ -387,7 +387,7 @@
 			return
 		}
 		need -= a.job.CPUs
-		l.controller.log.Debug("preempted under the team's limit", "job", a.job.ID, "task", a.task, "for", j.ID)
+		l.controller.log.Debug("attempt preempted under team limit", "job", a.job.ID, "task", a.task, "beneficiary", j.ID)
 		l.stopAttempt(a, l.checkpointGrace(a))
 	}
 }
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -66,7 +66,7 @@
 	switch {
 	case l.quarantined(j):
 		if !before {
-			c.log.Warn("job keeps failing", "job", j.ID, "class", j.Class, "team", j.Team, "failures", j.failures, "machines", len(j.failedMachines))
+			c.log.Warn("job quarantined", "job", j.ID, "class", j.Class, "team", j.Team, "failures", j.failures, "machines", len(j.failedMachines))
 		} else if j.liveAttempts <= 1 {
 			j.trials++
 		}
@@ -95,7 +95,7 @@
 	}
 	if good >= 2 || good == 1 && j.knownToWork(l.controller.now) && m.failuresByJob[j.ID] >= 2 && len(j.failedMachines) < quarantineMachines {
 		m.quarantined = true
-		l.controller.log.Warn("machine fails its tasks", "machine", m.Name, "jobs", len(m.failuresByJob))
+		l.controller.log.Warn("machine quarantined", "machine", m.Name, "jobs", len(m.failuresByJob))
 		l.drainMachine(m)
 	}
 }
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"brasskeel/internal/coordination/balance"
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 )
 
@@ -51,8 +52,8 @@
 		return false
 	}
 	j.exceededSurge = surge
-	c.limits.reached(limitSurgeCeiling)
-	c.log.Debug("placing above the ceiling", "job", j.ID, "team", j.Team, "tasks", j.pendingTasks(), "after", c.now.Sub(j.heldSince))
+	c.limits.Reached(limits.SurgeCeiling)
+	c.log.Debug("surge ceiling exceeded", "job", j.ID, "team", j.Team, "tasks", j.pendingTasks(), "duration", c.now.Sub(j.heldSince))
 	return true
 }
 
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -53,7 +53,7 @@
 	}
 	for _, r := range b.migrations.sorted() {
 		if !b.l.controller.now.Before(r.deadline) || !b.l.acceptsTasks(r.target) {
-			b.abandonMigration(r, "its target is lost, or too late")
+			b.abandonMigration(r, "target lost or deadline passed")
 		}
 	}
 	if b.mayMigrate() {
@@ -106,8 +106,8 @@
 		saving, cost = saving+moves[i].Saving, cost+moves[i].Cost
 		b.startMigration(moves[i].Work.Owner.(*attempt), l.machines[moves[i].To.Name])
 	}
-	c.log.Info("moving running work", "tasks", len(moves), "saves", saving.Round(time.Millisecond), "costs", cost.Round(time.Millisecond),
-		"inAll", b.migrations.started, "done", b.migrations.completed, "lost", b.migrations.abandoned)
+	c.log.Info("migrations started", "count", len(moves), "saving", saving.Round(time.Millisecond), "cost", cost.Round(time.Millisecond),
+		"total", b.migrations.started, "completed", b.migrations.completed, "abandoned", b.migrations.abandoned)
 }
 
 // anySurge reports whether any team surges.
@@ -174,7 +174,7 @@
 	chunk := a.job.chunk(a.task)
 	chunk.migrating = append(chunk.migrating, a)
 	l.journal.touch(chunk)
-	l.controller.log.Debug("task moves", "job", a.job.ID, "task", a.task, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
+	l.controller.log.Debug("migration started", "job", a.job.ID, "task", a.task, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
 }
 
 // reserveIncoming keeps room for a task that is to move here.
@@ -211,11 +211,11 @@
 }
 
 // releaseUnresponsive gives a target's room back. Its task, if it is told to stop, is placed like others.
-func (b *rebalancer) abandonMigration(r *migration, why string) {
+func (b *rebalancer) abandonMigration(r *migration, reason string) {
 	delete(b.migrations.active, r.attempt)
 	r.target.releaseIncoming(r.needs)
 	b.migrations.abandoned++
-	b.l.controller.log.Debug("a move came to nothing", "job", r.attempt.job.ID, "task", r.attempt.task, "to", r.target.Name, "why", why)
+	b.l.controller.log.Debug("migration abandoned", "job", r.attempt.job.ID, "task", r.attempt.task, "to", r.target.Name, "reason", reason)
 }
 
 // completeMigrations starts tasks whose old attempts are proven gone on their targets, before anything else
@@ -278,7 +278,7 @@
 	}
 	moved, err := r.IsMoved(len(chunk.tasks))
 	if err != nil {
-		log.Error("unreadable marks of moves", "job", chunk.job.ID, "chunk", chunk.index, "err", err)
+		log.Error("unreadable migration marks", "job", chunk.job.ID, "chunk", chunk.index, "error", err)
 	}
 	for i := range chunk.tasks {
 		if err != nil || moved[i] {
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -129,10 +129,10 @@
 		t := b.teams[name]
 		switch t.surge.Observe(b.l.controller.now.Round(0), demand[name], worth) {
 		case balance.Begun:
-			b.l.controller.log.Info("surge begins", "team", name, "surge", t.surge.Number(), "cpus", demand[name])
+			b.l.controller.log.Info("surge started", "team", name, "surge", t.surge.Number(), "cpus", demand[name])
 			changed = true
 		case balance.Ended:
-			b.l.controller.log.Info("surge ends", "team", name, "cpus", demand[name])
+			b.l.controller.log.Info("surge ended", "team", name, "cpus", demand[name])
 			changed = true
 		}
 	}
@@ -168,13 +168,13 @@
 	for _, it := range items {
 		var surges records.Surges
 		if err := protocol.Decode(it.Value, &surges); err != nil {
-			b.l.controller.log.Error("unreadable record of surges", "key", it.Key, "err", err)
+			b.l.controller.log.Error("unreadable surges record", "key", it.Key, "error", err)
 			continue
 		}
 		for name, r := range surges {
 			if t := b.teams[name]; t != nil && r.Number > 0 {
 				t.surge.Restore(b.l.controller.now.Round(0), balance.SurgeRecord(r))
-				b.l.controller.log.Info("surge under way", "team", name, "surge", r.Number)
+				b.l.controller.log.Info("surge restored", "team", name, "surge", r.Number)
 			}
 		}
 	}
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
 )
@@ -36,7 +37,7 @@
 		return false
 	}
 	if c.persistentlyOverloaded() || len(l.fleetList) > l.forecastCapacity() && l.overloadedLately() {
-		c.limits.reached(limitServedMachines)
+		c.limits.Reached(limits.ServedMachines)
 		return false
 	}
 	for _, k := range f.requested {
--- a/internal/coordination/shard_messages.go
+++ b/internal/coordination/shard_messages.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
@@ -27,7 +28,7 @@
 		panic(err)
 	}
 	if len(raw) > MaxPeerMessage {
-		c.limits.reached(limitPeerLine)
+		c.limits.Reached(limits.PeerMessage)
 		return
 	}
 	c.effects.Unicasts = append(c.effects.Unicasts, Unicast{To: to, Body: raw})
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 )
 
@@ -76,7 +77,7 @@
 			s.deferStarts(m)
 			continue
 		case !room.Reserve(a.job.ID):
-			s.controller.limits.reached(limitOrders)
+			s.controller.limits.Reached(limits.OrdersPerMessage)
 			return orders, starts
 		case order.Kind == protocol.Start:
 			starts = append(starts, a)
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"time"
 
+	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 )
 
@@ -202,7 +203,7 @@
 		return
 	}
 	if m.fencingOffset == 1<<fencingBits-1 {
-		s.controller.limits.reached(limitTokenRaises)
+		s.controller.limits.Reached(limits.TokenRaises)
 		return
 	}
 	m.fencingOffset++
