--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -25,7 +25,7 @@
 		if load.Jobs < 1 || !(load.Rate > 0) || load.Run <= 0 {
 			return fmt.Errorf("%d jobs of %s at %g per second are no load", load.Jobs, load.Run, load.Rate)
 		}
-		return flags.run(cmd.Context(), func(live *simulator.Live) error {
+		return flags.run(cmd.Context(), func(live *simulator.Loopback) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), within)
 			defer cancel()
 			summary, err := live.Load(ctx, load)
--- a/cmd/standin/up.go
+++ b/cmd/standin/up.go
@@ -17,7 +17,7 @@
 	c := &cobra.Command{Use: "up", Short: "Run controllers until interrupted", Args: cobra.NoArgs}
 	flags.add(c)
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		return flags.run(cmd.Context(), func(live *simulator.Live) error {
+		return flags.run(cmd.Context(), func(live *simulator.Loopback) error {
 			describe(cmd.OutOrStdout(), live)
 			<-cmd.Context().Done()
 			return nil
@@ -30,13 +30,13 @@
 const sampleRun = 20 * time.Second
 
 // describe tells where everything is, and how to submit, ask for and cancel a job.
-func describe(out io.Writer, live *simulator.Live) {
+func describe(out io.Writer, live *simulator.Loopback) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CONTROLLER\tUSERS AND WORKERS\tSTATE SERVICE\tCLOUD\tSETTINGS\tLOG")
 	for _, k := range live.Controllers() {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", k.Name(), k.PublicAddr(), k.StateAddr(), k.CloudAddr(), k.SettingsFile, k.LogFile)
 	}
-	table.Flush()
+	_ = table.Flush() // to a terminal, as all that is printed
 	job := simulator.SampleJob("run-000001", sampleRun)
 	jobs := "http://" + live.Controllers()[0].PublicAddr() + protocol.PathJobs
 	fmt.Fprintf(out, "\nAny controller takes jobs, for example:\n\n")
--- /dev/null
+++ b/internal/simulator/controller_host.go
@@ -0,0 +1,235 @@
+package simulator
+
+import (
+	"slices"
+	"time"
+
+	"brasskeel/internal/config"
+	"brasskeel/internal/coordination"
+)
+
+// controllerHost is one controller's host.
+type controllerHost struct {
+	cluster    *Cluster
+	name       string
+	zone       string
+	core       *coordination.Controller // nil while it is down, or runs as a process of its own
+	remote     process                  // nil when the core runs in this process
+	starts     uint64
+	wake       *event
+	wakeAt     time.Time
+	reqID      uint64
+	pending    map[uint64]func(status int, body []byte)
+	poweredOff bool      // without power: nothing on it even refuses a connection
+	frozen     bool      // its process does nothing for now
+	queued     []func()  // what came meanwhile
+	busyUntil  time.Time // until when it has events to work at
+	tickQueued bool      // a tick of the core is among them
+}
+
+// process is a controller that runs as a process of its own.
+type process interface {
+	running() bool
+	// request sends the process a request. respond runs when the answer is there, with
+	// status 0 when none came in time.
+	request(method, target string, body []byte, timeout time.Duration, respond respondFunc)
+}
+
+// up reports whether the node's process runs.
+func (n *controllerHost) up() bool {
+	if n.remote != nil {
+		return n.remote.running()
+	}
+	return n.core != nil
+}
+
+func (n *controllerHost) start() {
+	c := n.cluster
+	n.starts++
+	s := c.settings
+	s.Name, s.Zone = n.name, n.zone
+	for _, p := range c.controllers {
+		if p != n {
+			s.Peers = append(s.Peers, config.Peer{Name: p.name, Zone: p.zone})
+		}
+	}
+	n.pending = map[uint64]func(int, []byte){}
+	n.poweredOff = false
+	boot := uint64(slices.Index(c.controllers, n)+1)<<32 | n.starts
+	n.core = coordination.New(&s, c.operator, c.log.With("node", n.name), boot, c.now)
+	n.apply(n.core.Start(c.now))
+}
+
+// crash ends the node's process without a word.
+func (n *controllerHost) crash() {
+	n.core = nil
+	n.pending = nil
+	n.frozen, n.queued, n.tickQueued, n.busyUntil = false, nil, false, time.Time{}
+	if n.wake != nil {
+		n.wake.run = nil
+		n.wake = nil
+	}
+}
+
+// request brings a request to the node; a node that is down answers nothing,
+// as does one whose connection is cut. The sender waits for as long as timeout.
+func (n *controllerHost) request(method, target string, body []byte, timeout time.Duration, respond respondFunc) {
+	if n.remote != nil {
+		n.remote.request(method, target, body, timeout, respond)
+		return
+	}
+	if n.core == nil {
+		return
+	}
+	n.whenFree(func() {
+		n.reqID++
+		n.cluster.digest.request(n, method, target, body)
+		n.pending[n.reqID] = respond
+		n.apply(n.core.Request(n.cluster.now, n.reqID, method, target, body))
+	})
+}
+
+// whenFree does f now, or when the process comes to it, if it is still the same.
+func (n *controllerHost) whenFree(f func()) {
+	c, core := n.cluster, n.core
+	if c.cost == 0 {
+		n.runUnlessFrozen(f)
+		return
+	}
+	if n.busyUntil.Before(c.now) {
+		n.busyUntil = c.now
+	}
+	c.after(n.busyUntil.Sub(c.now), func() {
+		if n.core == core {
+			n.runUnlessFrozen(f)
+		}
+	})
+	n.busyUntil = n.busyUntil.Add(c.cost)
+}
+
+// runUnlessFrozen does f now, or when the process goes on.
+func (n *controllerHost) runUnlessFrozen(f func()) {
+	if n.frozen {
+		core := n.core
+		n.queued = append(n.queued, func() {
+			if n.core == core {
+				f()
+			}
+		})
+		return
+	}
+	f()
+}
+
+// freeze stops the process, thaw lets it go on with all that has come meanwhile.
+func (n *controllerHost) freeze() { n.frozen = true }
+
+func (n *controllerHost) thaw() {
+	n.frozen = false
+	queued := n.queued
+	n.queued = nil
+	for _, f := range queued {
+		if n.core != nil {
+			f()
+		}
+	}
+}
+
+// apply does what a step of the core asks for.
+func (n *controllerHost) apply(e coordination.Effects) {
+	n.cluster.digest.effects(n, e)
+	for _, r := range e.Replies {
+		if respond := n.pending[r.ID]; respond != nil {
+			delete(n.pending, r.ID)
+			respond(r.Status, r.Body)
+		}
+	}
+	for _, call := range e.Calls {
+		n.call(call)
+	}
+	for _, p := range e.Broadcasts {
+		for _, peer := range n.cluster.controllers {
+			if peer != n {
+				n.sendLine(peer, p.Body)
+			}
+		}
+	}
+	for _, s := range e.Unicasts {
+		for _, peer := range n.cluster.controllers {
+			if peer.name == s.To {
+				n.sendLine(peer, s.Body)
+			}
+		}
+	}
+	n.scheduleTick()
+}
+
+// call sends a request of the core's and brings it the result, or the time-out.
+func (n *controllerHost) call(call coordination.Call) {
+	c, core := n.cluster, n.core
+	finished := false
+	finish := func(o coordination.Outcome) {
+		if !finished && n.core == core {
+			finished = true
+			n.whenFree(func() { n.apply(core.Result(c.now, call.ID, o)) })
+		}
+	}
+	c.after(call.Timeout, func() { finish(coordination.Outcome{}) })
+	done := func(status int, body []byte) {
+		finish(coordination.Outcome{Status: status, Body: body, Answered: status != 0})
+	}
+	switch call.To {
+	case coordination.State:
+		c.request(n.name, stateHost, func(respond respondFunc) { c.state.serve(n.name, call.Method, call.Target, call.Body, respond) }, done)
+	case coordination.Cloud:
+		c.request(n.name, cloudHost, func(respond respondFunc) { c.cloud.serve(n.name, call.Method, call.Target, call.Body, respond) }, done)
+	case coordination.Worker:
+		n.callAgent(call, done)
+	}
+}
+
+// duplicateDelay is how much later the copy of a command arrives.
+const duplicateDelay = 30 * time.Second
+
+// callAgent sends a command to a machine's agent, and a copy of it later where commands are
+// to be duplicated.
+func (n *controllerHost) callAgent(call coordination.Call, done respondFunc) {
+	c := n.cluster
+	w := c.agents[call.Addr]
+	if w == nil {
+		return
+	}
+	sent := c.now
+	from := n.incarnation()
+	serve := func(respond respondFunc) { w.serve(from, call.Method, call.Body, sent, respond) }
+	c.request(n.name, w.name, serve, done)
+	if c.duplicateCommands && call.Method == "POST" {
+		c.after(duplicateDelay, func() { c.send(n.name, w.name, func() { serve(ignoreResponse) }) })
+	}
+}
+
+// scheduleTick plans the core's next tick.
+func (n *controllerHost) scheduleTick() {
+	if n.core == nil {
+		return
+	}
+	next := n.core.Next()
+	if n.tickQueued || next.IsZero() || n.wake != nil && n.wake.run != nil && !n.wakeAt.After(next) {
+		return
+	}
+	if n.wake != nil {
+		n.wake.run = nil
+	}
+	core := n.core
+	n.wakeAt = next
+	n.wake = n.cluster.after(next.Sub(n.cluster.now), func() {
+		n.wake = nil
+		if n.core == core {
+			n.tickQueued = true
+			n.whenFree(func() {
+				n.tickQueued = false
+				n.apply(core.Tick(n.cluster.now))
+			})
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulator/events.go
@@ -0,0 +1,57 @@
+package simulator
+
+import (
+	"container/heap"
+	"time"
+)
+
+// event is something that happens at a time.
+type event struct {
+	at  time.Time
+	seq uint64
+	run func()
+}
+
+type eventHeap []*event
+
+func (h eventHeap) Len() int { return len(h) }
+
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at.Equal(h[j].at) {
+		return h[i].seq < h[j].seq
+	}
+	return h[i].at.Before(h[j].at)
+}
+
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(*event)) }
+
+func (h *eventHeap) Pop() any {
+	old := *h
+	e := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return e
+}
+
+// Advance lets time pass.
+func (c *Cluster) Advance(d time.Duration) { c.advanceTo(c.now.Add(d)) }
+
+// advanceTo lets everything happen that is planned up to a time.
+func (c *Cluster) advanceTo(end time.Time) {
+	for len(c.events) > 0 && !c.events[0].at.After(end) {
+		e := heap.Pop(&c.events).(*event)
+		c.now = e.at
+		if e.run != nil {
+			e.run()
+		}
+	}
+	c.now = end
+}
+
+func (c *Cluster) after(d time.Duration, run func()) *event {
+	c.seq++
+	e := &event{at: c.now.Add(max(d, 0)), seq: c.seq, run: run}
+	heap.Push(&c.events, e)
+	return e
+}
--- /dev/null
+++ b/internal/simulator/invariants_test.go
@@ -0,0 +1,134 @@
+package simulator
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// breaking starts a cluster with an accepted job of four tasks, lets f bring trouble
+// about, and expects just the named rules to be broken.
+func breaking(t *testing.T, f func(c *Cluster, j *userJob), rules ...string) {
+	t.Helper()
+	c := New(Options{Seed: 1, Controllers: 3, Machines: 2})
+	c.Advance(3 * time.Second)
+	spec := protocol.Job{ID: "run-000001", Class: "one", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard,
+		Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 1, EstimatedRuntime: time.Minute}
+	c.Submit(c.Leader(), spec, time.Minute, false, func(int, string) {})
+	for !c.jobs[spec.ID].accepted {
+		c.Advance(time.Millisecond)
+	}
+	f(c, c.jobs[spec.ID])
+	found := map[string]bool{}
+	for _, b := range c.Violations() {
+		rule, _, _ := strings.Cut(b, " ")
+		found[rule] = true
+	}
+	for _, rule := range rules {
+		if !found[rule] {
+			t.Errorf("%s isn't noticed: %v", rule, c.Violations())
+		}
+		delete(found, rule)
+	}
+	for rule := range found {
+		t.Errorf("%s is noticed: %v", rule, c.Violations())
+	}
+}
+
+// invariantTests are ways to break a rule, and the rules that are then said to be broken.
+var invariantTests = []struct {
+	name  string
+	act   func(c *Cluster, j *userJob)
+	rules []string
+}{
+	{"nothing", func(c *Cluster, _ *userJob) { c.BeginQuiescence(); c.Advance(2 * time.Minute) }, []string{}},
+	{"no controller answers", func(c *Cluster, _ *userJob) { // nobody answers, and nothing is placed
+		for _, n := range c.controllers {
+			n.freeze()
+		}
+		c.BeginQuiescence()
+		c.Advance(2 * time.Minute)
+	}, []string{"forgotten", "left_waiting", "unserved"}},
+	{"two processes under one term", func(c *Cluster, _ *userJob) { // two processes give orders under one term
+		const term = 99
+		c.checkFencingToken(term<<termBits, "node-0#1")
+		c.checkFencingToken(term<<termBits|1, "node-1#1")
+	}, []string{"two_owners"}},
+	{"two shards", func(c *Cluster, _ *userJob) { // a machine is in two shards
+		r := records.Machines{Type: "small", Zone: "a", Machines: []records.Machine{{Name: "vm-000000"}}}
+		for id := range 2 {
+			key := records.KeyMachines(id+1, 1, uint64(id+900))
+			c.state.keys[key] = protocol.KeyValue{Key: key, Value: records.Encode(r), Version: 1}
+		}
+		c.BeginQuiescence()
+	}, []string{"two_shards"}},
+	{"contradicting final states", func(c *Cluster, j *userJob) { // a final state that another node contradicts, asked at the same time
+		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Done))
+	}, []string{"went_back", "not_done"}},
+	{"older answer", func(c *Cluster, j *userJob) { // an older answer
+		j.cancelRequested = true
+		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		c.checkReported(j, j.reported, protocol.EncodeJobState(j.spec.ID, protocol.Queued))
+	}, []string{"went_back"}},
+	{"start after a cancellation", func(c *Cluster, j *userJob) { // an order that is sent, and a task that goes on, after a cancellation
+		j.cancelRequested = true
+		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		w := c.agents["vm-000000"]
+		w.hang(true)
+		w.startAttempt(protocol.Order{Job: j.spec.ID, TaskIndex: 3, Attempt: 9}, c.now.Add(2*time.Second))
+		w.startAttempt(protocol.Order{Job: j.spec.ID, TaskIndex: 3, Attempt: 10}, c.now.Add(4*time.Second))
+	}, []string{"started_cancelled"}},
+	{"task goes on after a cancellation", func(c *Cluster, j *userJob) { // a hung machine that never loses its lease
+		c.Advance(2 * time.Second)
+		j.cancelRequested = true
+		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		for _, n := range c.controllers {
+			n.freeze()
+		}
+		for range 45 {
+			for _, w := range c.agents {
+				w.leaseFrom = c.now
+				w.armLease()
+			}
+			c.Advance(time.Second)
+		}
+	}, []string{"ran_cancelled"}},
+	{"job that cannot run is known", func(c *Cluster, j *userJob) { // a job that can't run, known to a node
+		j.spec.CPUs = 1000
+		c.Query(0, j.spec.ID, func(int, string) {})
+		c.Advance(time.Second)
+	}, []string{"invented"}},
+	{"unknown job is known", func(c *Cluster, _ *userJob) { // one that nobody sent, answered all the same
+		delete(c.jobs, "run-000001")
+		c.Query(0, "run-000001", func(int, string) {})
+		c.CancelJob(0, "run-000001", func(int, string) {})
+		c.Advance(time.Second)
+	}, []string{"invented"}},
+}
+
+// TestInvariants sees to it that broken rules are noticed.
+func TestInvariants(t *testing.T) {
+	for _, test := range invariantTests {
+		t.Run(test.name, func(t *testing.T) { breaking(t, test.act, test.rules...) })
+	}
+}
+
+// TestTriggers sees to it that what is placed at a moment runs once, and on its side.
+func TestTriggers(t *testing.T) {
+	c := New(Options{Seed: 1, Controllers: 3, Machines: 2})
+	var order []string
+	note := func(s string) func() { return func() { order = append(order, s) } }
+	c.onNext(onWrite, "b/q/", false, note("after"))
+	c.onNext(onWrite, "b/q/", true, note("before"))
+	c.onNext(onWrite, "b/f/", true, note("never"))
+	for range 2 {
+		c.withTriggers(onWrite, []string{"e/term", "b/q/run-000001"}, note("write"))
+	}
+	if got := strings.Join(order, " "); got != "before write after write" {
+		t.Error(got)
+	}
+}
--- a/internal/simulator/ports.go
+++ b/internal/simulator/ports.go
@@ -12,7 +12,7 @@
 // that is bound there and doesn't listen does so: it lets a listener in that is meant to
 // be there, as both share addresses, but the system gives the port to nobody else. It is
 // called with the lock held.
-func (l *Live) reservePort() (string, error) {
+func (l *Loopback) reservePort() (string, error) {
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return "", err
--- /dev/null
+++ b/internal/simulator/state_service.go
@@ -0,0 +1,429 @@
+package simulator
+
+import (
+	"encoding/json"
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// stateService simulates the state service.
+type stateService struct {
+	c        *Cluster
+	revision uint64
+	keys     map[string]protocol.KeyValue
+	history  []change
+	leases   map[uint64]*lease
+	lastID   uint64
+	watches  []*watch
+	outage   bool
+	refused  map[string]bool // nodes that alone get 503
+	// Transactions are applied this much late, and up to delayJitter later, and unanswered:
+	// all of them, or delayedShare.
+	delayedBy, delayJitter time.Duration
+	delayedShare           float64
+	lostReplyShare         float64       // of transactions is applied at once, and its answer lost
+	slow                   time.Duration // up to this long a share of the requests takes
+	slowShare              float64
+	slowWatches            time.Duration // watches are answered this much later
+
+	requestBucket, writeBucket *records.Budget // what the settings allow a second
+	writes, rateLimited        int             // changes made, and requests refused for their number
+}
+
+// under lists the items whose keys have a prefix, in order.
+func (s *stateService) under(prefix string) []protocol.KeyValue {
+	var list []protocol.KeyValue
+	for key, it := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			list = append(list, it)
+		}
+	}
+	slices.SortFunc(list, func(a, b protocol.KeyValue) int { return strings.Compare(a.Key, b.Key) })
+	return list
+}
+
+type change struct {
+	revision uint64
+	event    protocol.Event
+}
+
+type lease struct {
+	id     uint64
+	ttl    time.Duration
+	expiry *event
+	keys   map[string]bool
+}
+
+type watch struct {
+	from    string // the node that waits
+	prefix  string
+	after   uint64
+	respond respondFunc
+	closed  bool
+}
+
+func newStateService(c *Cluster) *stateService {
+	rps, changes := c.settings.StateRPS, c.settings.StateWriteRPS
+	return &stateService{c: c, keys: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, refused: map[string]bool{},
+		requestBucket: records.NewBudget(rps, rps, c.now), writeBucket: records.NewBudget(changes, changes, c.now)}
+}
+
+func (s *stateService) leader() string {
+	it, ok := s.keys[records.KeyLeader]
+	if !ok {
+		return ""
+	}
+	var l records.Leader
+	_ = json.Unmarshal(it.Value, &l)
+	return l.Node
+}
+
+// setOutage begins or ends an outage. Afterwards every lease has its full time.
+func (s *stateService) setOutage(on bool) {
+	s.outage = on
+	for _, id := range s.leaseIDs() {
+		s.extend(s.leases[id])
+	}
+	if !on {
+		s.notify()
+	}
+}
+
+// readmit serves a node again that was refused alone, or all of them.
+func (s *stateService) readmit(nodes ...string) {
+	for _, name := range nodes {
+		delete(s.refused, name)
+	}
+	if len(nodes) == 0 {
+		clear(s.refused)
+	}
+	s.notify()
+}
+
+func (s *stateService) leaseIDs() []uint64 {
+	var ids []uint64
+	for id := range s.leases {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+func (s *stateService) extend(l *lease) {
+	if l.expiry != nil {
+		l.expiry.run = nil
+	}
+	l.expiry = s.c.after(l.ttl, func() {
+		if !s.outage {
+			s.end(l)
+		}
+	})
+}
+
+func (s *stateService) end(l *lease) {
+	if s.leases[l.id] == nil {
+		return
+	}
+	delete(s.leases, l.id)
+	l.expiry.run = nil
+	var keys []string
+	for k := range l.keys {
+		keys = append(keys, k)
+	}
+	if len(keys) == 0 {
+		return
+	}
+	slices.Sort(keys)
+	s.revision++
+	for _, k := range keys {
+		s.remove(k)
+	}
+	s.notify()
+}
+
+func (s *stateService) remove(key string) {
+	it, ok := s.keys[key]
+	if !ok {
+		return
+	}
+	if l := s.leases[it.Lease]; l != nil {
+		delete(l.keys, key)
+	}
+	delete(s.keys, key)
+	s.history = append(s.history, change{s.revision, protocol.Event{Key: key, Deleted: true, Version: s.revision}})
+}
+
+func (s *stateService) put(op protocol.Op) {
+	if old, ok := s.keys[op.Put]; ok {
+		if l := s.leases[old.Lease]; l != nil {
+			delete(l.keys, op.Put)
+		}
+	}
+	s.keys[op.Put] = protocol.KeyValue{Key: op.Put, Value: op.Value, Version: s.revision, Lease: op.Lease}
+	if l := s.leases[op.Lease]; l != nil {
+		l.keys[op.Put] = true
+	}
+	if s.c.externalUsers {
+		s.c.learnFromRecord(op)
+	}
+	s.c.migrations.observe(s.c, op)
+	s.history = append(s.history, change{s.revision, protocol.Event{Key: op.Put, Value: op.Value, Version: s.revision}})
+}
+
+// notify answers the watches that have events.
+func (s *stateService) notify() {
+	if s.outage {
+		return
+	}
+	keep := s.watches[:0]
+	var ready []*watch
+	for _, w := range s.watches {
+		if w.closed {
+			continue
+		}
+		// An open watch of a node that is refused waits, as all do in an outage.
+		if len(s.eventsFor(w)) > 0 && !s.refused[w.from] {
+			ready = append(ready, w)
+		} else {
+			keep = append(keep, w)
+		}
+	}
+	s.watches = keep
+	for _, w := range ready {
+		w.closed = true
+		w.respond(200, protocol.EncodeEvents(s.eventsFor(w), s.revision))
+	}
+}
+
+func (s *stateService) eventsFor(w *watch) []protocol.Event {
+	var list []protocol.Event
+	i, _ := slices.BinarySearchFunc(s.history, w.after+1, func(c change, r uint64) int { return int(int64(c.revision) - int64(r)) })
+	for _, c := range s.history[i:] {
+		if strings.HasPrefix(c.event.Key, w.prefix) {
+			list = append(list, c.event)
+		}
+	}
+	return list
+}
+
+func (s *stateService) serve(from, method, target string, body []byte, respond respondFunc) {
+	if s.slowShare > 0 && s.c.rng.Float64() < s.slowShare {
+		wait := time.Duration(s.c.rng.Int64N(int64(s.slow)))
+		if s.c.rng.IntN(2) == 0 { // it is carried out late, or at once and answered late
+			s.c.after(wait, func() { s.handle(from, method, target, body, respond) })
+			return
+		}
+		answer := respond
+		respond = func(status int, body []byte) { s.c.after(wait, func() { answer(status, body) }) }
+	}
+	s.handle(from, method, target, body, respond)
+}
+
+func (s *stateService) handle(from, method, target string, body []byte, respond respondFunc) {
+	if s.outage || s.refused[from] {
+		respond(503, nil)
+		return
+	}
+	if !s.requestBucket.Take(s.c.now, 1) {
+		s.rateLimited++
+		respond(429, nil)
+		return
+	}
+	path, query := protocol.Query(target)
+	switch {
+	case path == protocol.PathTransactions:
+		s.transaction(body, respond)
+	case path == protocol.PathKeys:
+		s.list(query, respond)
+	case path == protocol.PathWatch:
+		s.watch(from, query, respond)
+	case path == protocol.PathLeases:
+		s.grantLease(body, respond)
+	case strings.HasPrefix(path, protocol.PathLeases+"/"):
+		s.changeLease(method, strings.TrimPrefix(path, protocol.PathLeases+"/"), respond)
+	case strings.HasPrefix(path, protocol.PathKeys+"/"):
+		it, ok := s.keys[strings.TrimPrefix(path, protocol.PathKeys+"/")]
+		if !ok {
+			respond(404, protocol.EncodeRevision(s.revision))
+			return
+		}
+		respond(200, protocol.EncodeKeyValue(it))
+	default:
+		respond(400, nil)
+	}
+}
+
+// transaction applies a compare-and-swap at once, or late, or without a reply.
+func (s *stateService) transaction(body []byte, respond respondFunc) {
+	t, err := protocol.ParseTxn(body)
+	if err != nil || len(t.Ops) > s.c.settings.TxnOps || len(t.Conditions) > 4*s.c.settings.TxnOps {
+		respond(400, nil)
+		return
+	}
+	if !s.writeBucket.Take(s.c.now, float64(len(t.Ops))) {
+		s.rateLimited++
+		respond(429, nil)
+		return
+	}
+	s.writes += len(t.Ops)
+	if len(t.Ops) == 0 {
+		s.commit(t, respond)
+		return
+	}
+	if s.delayedBy > 0 && (s.delayedShare == 0 || s.c.rng.Float64() < s.delayedShare) {
+		delay := s.delayedBy
+		if s.delayJitter > 0 {
+			delay += time.Duration(s.c.rng.Int64N(int64(s.delayJitter)))
+		}
+		s.c.after(delay, func() { s.commit(t, ignoreResponse) })
+		return
+	}
+	if s.lostReplyShare > 0 && s.c.rng.Float64() < s.lostReplyShare {
+		s.c.withTriggers(onLostReply, nil, func() { s.commit(t, ignoreResponse) })
+		return
+	}
+	s.commit(t, respond)
+}
+
+// list answers with the items under a prefix, in order.
+func (s *stateService) list(query url.Values, respond respondFunc) {
+	prefix, after, limit, _ := protocol.RangeQuery(query)
+	var names []string
+	for k := range s.keys {
+		if strings.HasPrefix(k, prefix) && k > after {
+			names = append(names, k)
+		}
+	}
+	slices.Sort(names)
+	more := len(names) > limit
+	var items []protocol.KeyValue
+	for _, k := range names[:min(limit, len(names))] {
+		items = append(items, s.keys[k])
+	}
+	respond(200, protocol.EncodeRange(items, more, s.revision))
+}
+
+// watch answers with the events after a revision, or waits for them.
+func (s *stateService) watch(from string, query url.Values, respond respondFunc) {
+	if late := s.slowWatches; late > 0 {
+		answer := respond
+		respond = func(status int, body []byte) { s.c.after(late, func() { answer(status, body) }) }
+	}
+	prefix, after, _, wait := protocol.RangeQuery(query)
+	since, _ := strconv.ParseUint(after, 10, 64)
+	w := &watch{from: from, prefix: prefix, after: since, respond: respond}
+	if events := s.eventsFor(w); len(events) > 0 {
+		respond(200, protocol.EncodeEvents(events, s.revision))
+		return
+	}
+	s.watches = append(s.watches, w)
+	s.c.after(wait, func() {
+		if !w.closed && !s.outage && !s.refused[w.from] {
+			w.closed = true
+			respond(200, protocol.EncodeEvents(nil, s.revision))
+		}
+	})
+}
+
+// grantLease makes a lease.
+func (s *stateService) grantLease(body []byte, respond respondFunc) {
+	ttl, err := protocol.ParseLeaseRequest(body)
+	if err != nil {
+		respond(400, nil)
+		return
+	}
+	s.lastID++
+	l := &lease{id: s.lastID, ttl: ttl, keys: map[string]bool{}}
+	s.leases[l.id] = l
+	s.extend(l)
+	respond(200, protocol.EncodeLease(l.id))
+}
+
+// changeLease renews or ends the lease that the rest of a path names.
+func (s *stateService) changeLease(method, rest string, respond respondFunc) {
+	rest, renew := strings.CutSuffix(rest, "/touch")
+	id, _ := strconv.ParseUint(rest, 10, 64)
+	l := s.leases[id]
+	switch {
+	case l == nil:
+		respond(404, nil)
+	case renew:
+		s.extend(l)
+		respond(200, protocol.EncodeLease(id))
+	case method == "DELETE":
+		s.end(l)
+		respond(200, nil)
+	default:
+		respond(400, nil)
+	}
+}
+
+// check says with which status a transaction is refused; 0 when it isn't.
+func (s *stateService) check(t *protocol.Txn) (status int, body []byte) {
+	for _, op := range t.Ops {
+		if op.Put != "" && op.Lease != 0 && s.leases[op.Lease] == nil {
+			return 400, nil
+		}
+		if len(op.Value) > s.c.settings.ValueBytes {
+			s.c.violate("limit", "a value of %d bytes for %s", len(op.Value), op.Put)
+			return 400, nil
+		}
+	}
+	var failed []string
+	for _, k := range t.Conditions {
+		if s.keys[k.Key].Version != k.Version {
+			failed = append(failed, k.Key)
+		}
+	}
+	if failed != nil {
+		return 409, protocol.EncodeFailedConditions(failed, s.revision)
+	}
+	return 0, nil
+}
+
+// commit applies a transaction if its conditions hold.
+func (s *stateService) commit(t *protocol.Txn, respond respondFunc) {
+	if status, body := s.check(t); status != 0 {
+		respond(status, body)
+		return
+	}
+	var written []string
+	elects := false
+	for _, op := range t.Ops {
+		written = append(written, op.Put+op.Delete)
+		elects = elects || op.Put == records.KeyLeader
+	}
+	s.c.fireTriggers(onWrite, written, true)
+	if elects {
+		s.c.fireTriggers(onLeader, nil, true)
+	}
+	s.apply(t.Ops)
+	respond(200, protocol.EncodeRevision(s.revision))
+	s.notify()
+	s.c.fireTriggers(onWrite, written, false)
+	if elects {
+		s.c.fireTriggers(onLeader, nil, false)
+		s.c.deliverStaleHeartbeats()
+	}
+}
+
+// apply carries out the changes of a transaction under one new revision.
+func (s *stateService) apply(ops []protocol.Op) {
+	if len(ops) == 0 {
+		return
+	}
+	s.revision++
+	for _, op := range ops {
+		if op.Put != "" {
+			s.put(op)
+		} else {
+			s.remove(op.Delete)
+		}
+	}
+}
--- a/internal/simulator/stream.go
+++ b/internal/simulator/stream.go
@@ -13,9 +13,9 @@
 	lines int       // on their way
 }
 
-// tell puts a line on the stream to another controller.
-func (n *node) tell(o *node, body []byte) {
-	c, l := n.c, link{n.name, o.name}
+// sendLine puts a line on the stream to another controller.
+func (n *controllerHost) sendLine(o *controllerHost, body []byte) {
+	c, l := n.cluster, link{n.name, o.name}
 	s := c.streams[l]
 	if s == nil {
 		s = &stream{}
@@ -23,7 +23,7 @@
 	}
 	deliver := func() {
 		if o.core != nil {
-			o.run(func() { o.apply(o.core.PeerMessage(c.now, body)) })
+			o.whenFree(func() { o.apply(o.core.PeerMessage(c.now, body)) })
 		}
 	}
 	if c.links[l] != nil {
