--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -145,49 +145,11 @@
 			u.pinned++
 		}
 	}
-	c.log.Debug("fleet", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "fixed", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmetDemand), "lag", c.schedulingLag.Round(time.Millisecond),
+	c.log.Debug("fleet", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "fixed", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmetDemand), "lag", c.overload.Lag().Round(time.Millisecond),
 		"traffic", fmt.Sprintf("%+v", c.requestCounts))
 	c.requestCounts = requestCounts{}
 }
 
-// preferMajorityZone keeps the leader in the zone that holds most machines, so that
-// a cut between zones parts it from as few of them as can be. It hands over
-// only to a zone with a node that lately said it can lead.
-func (l *leader) preferMajorityZone() {
-	c := l.controller
-	if !c.hasPeersInOtherZones() || c.storeDown() {
-		return
-	}
-	count := map[string]int{}
-	up := 0
-	for _, m := range l.fleetList {
-		if m.registered && c.now.Sub(m.lastSeen) < l.suspectAfter() {
-			count[m.Zone]++
-			up++
-		}
-	}
-	for zone, k := range count {
-		if k*3 <= up*2 || up < 3 {
-			continue
-		}
-		if c.election.preferredZone != zone && l.requestedZone != zone {
-			l.requestedZone = zone
-			l.journal.extra = append(l.journal.extra, protocol.Op{Put: records.KeyPrefer,
-				Value: records.Encode(records.Prefer{Zone: zone})})
-		}
-		if zone == c.cfg.Zone || c.election.preferredZone != zone || c.now.Sub(l.electedAt) < 10*time.Second {
-			continue
-		}
-		for i := range c.cfg.Peers {
-			p := &c.cfg.Peers[i]
-			if v := c.peers[p.Name]; p.Zone == zone && v != nil && v.storeReachable && !v.disconnected && c.now.Sub(v.heardAt) < 2500*time.Millisecond {
-				c.resign("most machines are in zone "+zone, 3*time.Second)
-				return
-			}
-		}
-	}
-}
-
 func (l *leader) saveTypes() {
 	var list []protocol.MachineType
 	for _, t := range l.controller.types {
--- a/internal/coordination/deferred_heartbeats.go
+++ b/internal/coordination/deferred_heartbeats.go
@@ -27,7 +27,7 @@
 
 // leaderSuspect reports whether nobody leads, or the leader has just fallen silent.
 func (c *Controller) leaderSuspect() bool {
-	name := c.otherLeader()
+	name := c.election.OtherLeader()
 	if name == "" {
 		return true
 	}
@@ -89,7 +89,7 @@
 func (c *Controller) expireDeferred() {
 	h := &c.deferred
 	for len(h.queue) > 0 && !h.queue[0].deadline.After(c.now) {
-		c.reply(h.queue[0].id, 421, protocol.EncodeRedirect(c.otherLeader()))
+		c.reply(h.queue[0].id, 421, protocol.EncodeRedirect(c.election.OtherLeader()))
 		h.queue = h.queue[1:]
 	}
 }
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"brasskeel/internal/config"
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -33,7 +34,7 @@
 		c, l := leading(phaseReconciling)
 		again := strings.Contains(test.name, "again")
 		if again {
-			c.election.disconnectedUntil = c.now.Add(disconnectedFor)
+			c.election.Disconnect(leadership.Peers{Configured: 1})
 		}
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}, {Name: "n2", Zone: "a"}}
 		c.teams["red"].CPUsMax = 100
@@ -74,8 +75,8 @@
 				t.Errorf("a leader that %s gave up %s before it gave way", test.name, m.Name)
 			}
 		}
-		if !again && c.disconnected() == test.stays {
-			t.Errorf("a leader that %s calls itself disconnected: %t", test.name, c.disconnected())
+		if !again && c.election.Disconnected() == test.stays {
+			t.Errorf("a leader that %s calls itself disconnected: %t", test.name, c.election.Disconnected())
 		}
 	}
 }
@@ -83,10 +84,9 @@
 // The lead isn't handed to a node of the better zone that calls itself disconnected.
 func TestNoHandOverToDisconnected(t *testing.T) {
 	for _, disconnected := range []bool{false, true} {
-		c, l := leading(phaseActive)
-		c.cfg.Zone = "b"
+		c, l := leadingIn("b", phaseActive)
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		c.election.preferredZone = "a"
+		showElection(c, protocol.KeyValue{Key: records.KeyPrefer, Value: records.Encode(records.Prefer{Zone: "a"}), Version: 9})
 		c.now = c.now.Add(time.Minute)
 		for i := range 5 {
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
--- a/internal/coordination/drain_controller.go
+++ b/internal/coordination/drain_controller.go
@@ -34,21 +34,11 @@
 func (c *Controller) drainStep() {
 	servesShards := c.sharding != nil && c.sharding.owner != nil && len(c.sharding.owner.shards) > 0
 	if c.leader != nil && !servesShards && !c.storeDown() && c.eligiblePeer() {
-		c.resign("controller drained", drainCampaignPause)
+		c.election.Resign("controller drained", drainCampaignPause)
 	}
 	c.after(drainInterval, c.drainStep)
 }
 
-// eligiblePeer reports whether a peer was heard lately that may lead.
-func (c *Controller) eligiblePeer() bool {
-	for _, p := range c.peers {
-		if p.storeReachable && !p.disconnected && c.now.Sub(p.heardAt) < 2500*time.Millisecond {
-			return true
-		}
-	}
-	return false
-}
-
 // drain lets the leader know that this member is to own nothing.
 func (s *sharding) drain() {
 	s.draining = true
--- /dev/null
+++ b/internal/coordination/election_test.go
@@ -0,0 +1,21 @@
+package coordination
+
+import (
+	"strings"
+
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// showElection lets a controller read these keys of the election from the state service.
+func showElection(c *Controller, items ...protocol.KeyValue) {
+	c.take()
+	c.election.Follow()
+	for _, call := range c.take().Calls {
+		if strings.HasPrefix(call.Target, protocol.RangeTarget(records.PrefixElection, "", 500)) {
+			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRange(items, false, 9)})
+			return
+		}
+	}
+	panic("the keys of the election aren't read")
+}
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -140,12 +140,12 @@
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	m.recorded, m.lastReached, m.Spec = true, c.now, c.types["small"]
-	l.lease.validUntil = c.now
+	l.lease.ValidUntil = c.now
 	l.runPlacementRound()
 	if len(m.attempts) > 0 {
 		t.Error("placed without a lease")
 	}
-	l.lease.validUntil, l.jobsKnownAt = c.now, c.now.Add(time.Hour)
+	l.lease.ValidUntil, l.jobsKnownAt = c.now, c.now.Add(time.Hour)
 	c.now = c.now.Add(l.gracePeriod())
 	if !l.holdsLease() {
 		t.Error("not entitled within its grace")
@@ -157,33 +157,6 @@
 	}
 }
 
-// A candidate is elected only while nobody leads and in the term after the one it read, and
-// its key goes with its lease: a transaction that is carried out late elects nobody.
-func TestElectionIsConditional(t *testing.T) {
-	c, _ := leading(phaseActive)
-	c.leader = nil
-	c.take()
-	c.election.term, c.election.termVersion = 4, 33
-	c.campaign()
-	var lease uint64
-	for _, call := range c.take().Calls {
-		if call.Target == protocol.PathLeases {
-			lease = call.ID
-		}
-	}
-	e := c.Result(c.now, lease, Outcome{Answered: true, Status: 200, Body: protocol.EncodeLease(77)})
-	txn, err := protocol.ParseTxn(e.Calls[0].Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !demands(txn, records.KeyLeader, 0) || !demands(txn, records.KeyTerm, 33) {
-		t.Errorf("elected under %+v", txn.Conditions)
-	}
-	if txn.Ops[0].Put != records.KeyLeader || txn.Ops[0].Lease != 77 {
-		t.Errorf("the key goes with lease %d", txn.Ops[0].Lease)
-	}
-}
-
 // A start in an answer to a report is carried out before the worker's next report, or
 // never. A response of the worker's may be older than that answer, and so may prove
 // nothing by lacking the task; the next report does, and the start is sent once more.
--- a/internal/coordination/journal.go
+++ b/internal/coordination/journal.go
@@ -330,7 +330,7 @@
 		return
 	case txnFailed:
 		if slices.Contains(failed, records.KeyLeader) {
-			c.stepDown("the leader key has changed")
+			c.election.StepDown("the leader key has changed")
 			return
 		}
 		g.requeue(b, func(chunk *chunk) bool { return slices.Contains(failed, records.KeyChunk(chunk.job.ID, chunk.index)) })
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -4,41 +4,22 @@
 	"time"
 
 	"brasskeel/internal/coordination/balance"
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
 
-// recoveryPhase is how far a new leader has come.
-type recoveryPhase uint8
-
-const (
-	phaseLoading     recoveryPhase = iota + 1 // reads the records
-	phaseReconciling                          // waits for every worker's report before placing
-	phaseActive
-)
-
-// probeAfter is how long a new leader lets workers come by themselves before it
-// asks them. They find it when their next report is due, or later; those that an
-// earlier leader without the state service still answers come only after its grace.
-const (
-	probeAfter       = 50 * time.Millisecond
-	maxProbeFailures = 2 // times without an answer, and the leader waits no longer for it
-)
-
 // leader is what a leader keeps in memory. All of it is rebuilt from the state
 // service and from reports by the next one. It serves all workers itself, as their owner.
 type leader struct {
 	workerSessions
-	epoch        ownershipEpoch // of all machines
-	term         uint64
-	version      uint64    // of the leader key; every write of ours demands it
-	loadedAt     time.Time // when the records were read
-	fenced       bool      // the grace beyond its lease is over
-	electedAt    time.Time
-	phase        recoveryPhase
-	reconciledAt time.Time
+	epoch   ownershipEpoch // of all machines
+	term    uint64
+	version uint64 // of the leader key; every write of ours demands it
+	fenced  bool   // the grace beyond its lease is over
+	recovery
 
 	jobsByAge []*job // by submission
 	// nextBroadcast is the place in order of the job whose progress peers are told next.
@@ -53,20 +34,19 @@
 	ceilingPolicy      *balance.CeilingPolicy // of the job whose turn it is; nil without
 	shards             *shardCoordinator      // nil when this leader serves all machines itself
 
-	pendingLog            ratelog.Throttle // of why tasks are pending
-	requestedZone         string           // zone last recorded as the better one for leaders
-	placementRequested    bool
-	reconcileCheckPending bool
-	accepting             []*machine                        // that took tasks at the start of the round
-	withRoom              []*machine                        // of them, those with room for the smallest task that waits
-	acceptingZones        []string                          // of the opened machines
-	candidateBuffer       []candidate                       // reused by every job's turn
-	unplaceable           []placement.Shape                 // found no machine with room in this round
-	victimSearches        map[victimSearchKey]*victimSearch // for work to stop, in this round
-	victimBuffer          []*attempt                        // reused by every look at a machine's work
-	examined              int                               // machines looked at in this round
-	examineLimit          int                               // how many it may look at
-	imageIDs              map[string]placement.ImageID
+	pendingLog         ratelog.Throttle // of why tasks are pending
+	requestedZone      string           // zone last recorded as the better one for leaders
+	placementRequested bool
+	accepting          []*machine                        // that took tasks at the start of the round
+	withRoom           []*machine                        // of them, those with room for the smallest task that waits
+	acceptingZones     []string                          // of the opened machines
+	candidateBuffer    []candidate                       // reused by every job's turn
+	unplaceable        []placement.Shape                 // found no machine with room in this round
+	victimSearches     map[victimSearchKey]*victimSearch // for work to stop, in this round
+	victimBuffer       []*attempt                        // reused by every look at a machine's work
+	examined           int                               // machines looked at in this round
+	examineLimit       int                               // how many it may look at
+	imageIDs           map[string]placement.ImageID
 }
 
 // usage is what a team's attempts take, those not proven gone included.
@@ -173,8 +153,9 @@
 	task int
 }
 
-func (c *Controller) becomeLeader(term, version, leaseID uint64, ttl time.Duration, validUntil time.Time) {
-	l := &leader{workerSessions: newWorkerSessions(c, lease{leaseID, ttl, validUntil}), term: term, version: version, electedAt: c.now, phase: phaseLoading,
+// becomeLeader begins to lead under a mandate: it recovers what is recorded first.
+func (c *Controller) becomeLeader(m leadership.Mandate) {
+	l := &leader{workerSessions: newWorkerSessions(c, m.Lease), term: m.Term, version: m.Version, recovery: newRecovery(c.now),
 		teamUsage: map[string]*usage{}, stopping: map[string]usage{}, estimateCorrection: map[string]float64{},
 		terminated: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, victimSearches: map[victimSearchKey]*victimSearch{}, examineLimit: baseExamineLimit}
 	for name := range c.teams {
@@ -183,10 +164,10 @@
 	l.listener = l
 	l.rebalancer = newRebalancer(l)
 	// The leader before may have had the shortest lease, which leaves the longest grace.
-	l.epoch = ownershipEpoch{term: term, since: c.now, predecessorUntil: c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))}
+	l.epoch = ownershipEpoch{term: m.Term, since: c.now, predecessorUntil: c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))}
 	l.journal.init(l)
 	l.autoscaler.init(l)
-	if c.sharding == nil && c.election.sharded {
+	if c.sharding == nil && c.election.Sharded() {
 		// Other controllers may own shards: this one takes them back first.
 		c.startSharding(false)
 	}
@@ -194,9 +175,9 @@
 		l.shards = newShardCoordinator(l, c.sharding, c.op.Sharding == nil)
 	}
 	c.leader = l
-	c.log.Info("became leader", "term", term)
+	c.log.Info("became leader", "term", m.Term)
 	c.broadcastStatus()
-	l.renew()
+	leadership.KeepLease(electionHost{c}, electionHost{c}, &l.lease, l)
 	l.load()
 	l.every(detectorInterval, l.detectFailures)
 	l.every(time.Second, l.maintain)
@@ -216,8 +197,8 @@
 	// The dearer the last round was, the longer until the next, so that rounds take
 	// no more than about half of a small share of a processor.
 	delay := 8*time.Millisecond + time.Duration(len(l.jobsByAge))*20*time.Microsecond + time.Duration(l.examined)*pausePerExamined
-	if l.controller.lagging() {
-		delay += l.controller.schedulingLag / 2
+	if l.controller.overload.Defers() {
+		delay += l.controller.overload.Lag() / 2
 	}
 	l.controller.after(delay, func() {
 		if l.alive() {
--- /dev/null
+++ b/internal/coordination/leader_zone.go
@@ -0,0 +1,40 @@
+package coordination
+
+import (
+	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// preferMajorityZone keeps the leader in the zone that holds most machines, so that
+// a cut between zones parts it from as few of them as can be. It hands over
+// only to a zone with a controller that lately said it can lead.
+func (l *leader) preferMajorityZone() {
+	c := l.controller
+	if !c.hasPeersInOtherZones() || c.storeDown() {
+		return
+	}
+	zone, ok := leadership.MajorityZone(l.liveMachinesByZone())
+	if !ok {
+		return
+	}
+	if c.election.PreferredZone() != zone && l.requestedZone != zone {
+		l.requestedZone = zone
+		l.journal.extra = append(l.journal.extra, protocol.Op{Put: records.KeyPrefer,
+			Value: records.Encode(records.Prefer{Zone: zone})})
+	}
+	if c.election.HandsOverTo(zone) && c.eligiblePeerIn(zone) {
+		c.election.Resign("most machines are in zone "+zone, leadership.HandOverPause)
+	}
+}
+
+// liveMachinesByZone counts the machines whose workers were heard lately.
+func (l *leader) liveMachinesByZone() map[string]int {
+	count := map[string]int{}
+	for _, m := range l.fleetList {
+		if m.registered && l.controller.now.Sub(m.lastSeen) < l.suspectAfter() {
+			count[m.Zone]++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/coordination/leadership/harness_test.go
@@ -0,0 +1,130 @@
+package leadership
+
+import (
+	"log/slog"
+	"sort"
+	"time"
+
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+const base = 2 * time.Second
+
+var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
+
+// harness is the clock, the store and the host of an election under test. Requests wait in
+// it until the test answers them.
+type harness struct {
+	*Election
+	now    time.Time
+	timers []plannedRun
+
+	lists    []func([]protocol.KeyValue, uint64)
+	wanted   []func() bool
+	watches  []func(WatchAnswer)
+	grants   []func(uint64, bool)
+	ttls     []time.Duration // asked for
+	renewals []func(Renewal)
+	revoked  []uint64
+	txns     []*protocol.Txn
+	commits  []func(bool, uint64)
+
+	mandates    []Mandate
+	deposed     int
+	updates     int
+	overloaded  bool
+	peersSilent bool
+}
+
+type plannedRun struct {
+	at  time.Time
+	run func()
+}
+
+func newHarness() *harness {
+	h := &harness{now: start}
+	h.Election = New(Settings{Node: "n0", Zone: "a", BootID: 7, BaseTTL: base}, slog.New(slog.DiscardHandler), h, h, h)
+	return h
+}
+
+func (h *harness) Now() time.Time { return h.now }
+func (h *harness) After(d time.Duration, f func()) {
+	h.timers = append(h.timers, plannedRun{h.now.Add(d), f})
+}
+func (h *harness) Jitter(time.Duration) time.Duration { return 0 }
+
+func (h *harness) List(_ string, wanted func() bool, done func([]protocol.KeyValue, uint64)) {
+	h.lists, h.wanted = append(h.lists, done), append(h.wanted, wanted)
+}
+
+func (h *harness) Watch(_ string, _ uint64, done func(WatchAnswer)) {
+	h.watches = append(h.watches, done)
+}
+
+func (h *harness) GrantLease(ttl time.Duration, done func(uint64, bool)) {
+	h.ttls, h.grants = append(h.ttls, ttl), append(h.grants, done)
+}
+
+func (h *harness) RenewLease(_ uint64, _ time.Duration, done func(Renewal)) {
+	h.renewals = append(h.renewals, done)
+}
+
+func (h *harness) RevokeLease(lease uint64) { h.revoked = append(h.revoked, lease) }
+
+func (h *harness) Commit(t *protocol.Txn, done func(bool, uint64)) {
+	h.txns, h.commits = append(h.txns, t), append(h.commits, done)
+}
+
+func (h *harness) Elected(m Mandate)    { h.mandates = append(h.mandates, m) }
+func (h *harness) Deposed()             { h.deposed++ }
+func (h *harness) LeaderUpdated()       { h.updates++ }
+func (h *harness) LostToOverload() bool { return h.overloaded }
+func (h *harness) PeersSilent() bool    { return h.peersSilent }
+
+// pass lets time go by, with the timers that are due.
+func (h *harness) pass(d time.Duration) {
+	end := h.now.Add(d)
+	for {
+		sort.SliceStable(h.timers, func(i, k int) bool { return h.timers[i].at.Before(h.timers[k].at) })
+		if len(h.timers) == 0 || h.timers[0].at.After(end) {
+			break
+		}
+		next := h.timers[0]
+		h.timers = h.timers[1:]
+		h.now = next.at
+		next.run()
+	}
+	h.now = end
+}
+
+// answerList answers the latest read of the keys.
+func (h *harness) answerList(items ...protocol.KeyValue) {
+	done := h.lists[len(h.lists)-1]
+	done(items, 40)
+}
+
+// answerWatch answers the latest watch.
+func (h *harness) answerWatch(answer WatchAnswer) { h.watches[len(h.watches)-1](answer) }
+
+func leaderItem(node string, term, boot, version, lease uint64) protocol.KeyValue {
+	return protocol.KeyValue{Key: records.KeyLeader, Version: version, Lease: lease,
+		Value: records.Encode(records.Leader{Node: node, Zone: "a", Term: term, Boot: boot})}
+}
+
+func termItem(term, version uint64) protocol.KeyValue {
+	return protocol.KeyValue{Key: records.KeyTerm, Version: version, Value: records.Encode(records.Term{Term: term})}
+}
+
+func zoneItem(zone string) protocol.KeyValue {
+	return protocol.KeyValue{Key: records.KeyPrefer, Version: 5, Value: records.Encode(records.Prefer{Zone: zone})}
+}
+
+// elect brings an election to lead in term 5 with lease 77.
+func (h *harness) elect() {
+	h.Follow()
+	h.answerList(termItem(4, 33))
+	h.pass(time.Second)
+	h.grants[0](77, true)
+	h.commits[0](true, 50)
+}
--- /dev/null
+++ b/internal/coordination/leadership/policy_test.go
@@ -0,0 +1,157 @@
+package leadership
+
+import (
+	"testing"
+	"time"
+
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// Leaders of a large fleet that lost a short lease for being busy left the same
+// work to the next one, and none ever got through with it.
+func TestLeaseGrowsWithChanges(t *testing.T) {
+	p, now := NewTTLPolicy(base), start
+	if got := p.TTL(now, false); got != base {
+		t.Errorf("after a calm time %s, want %s", got, base)
+	}
+	for i, want := range []time.Duration{2 * base, 2 * base, 4 * base, 4 * base} {
+		p.LeaderChanged(now)
+		if got := p.TTL(now, false); got != want {
+			t.Errorf("after %d changes %s, want %s", i+1, got, want)
+		}
+	}
+	now = now.Add(changeWindow + time.Second)
+	if got := p.TTL(now, false); got != base {
+		t.Errorf("after a calm time again %s, want %s", got, base)
+	}
+}
+
+// Silent peers count as one change, and a loss to overload as many for a while.
+func TestTTL(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		changes     int
+		peersSilent bool
+		lost        time.Duration // ago; 0: never
+		want        time.Duration
+	}{
+		{"calm", 0, false, 0, base},
+		{"silent peers", 0, true, 0, 2 * base},
+		{"silent peers and a change", 1, true, 0, 2 * base},
+		{"silent peers and two changes", 2, true, 0, 4 * base},
+		{"lost to overload", 0, false, time.Second, 4 * base},
+		{"lost to overload long ago", 0, false, overloadWindow, base},
+	} {
+		p := NewTTLPolicy(base)
+		for range test.changes {
+			p.LeaderChanged(start)
+		}
+		if test.lost > 0 {
+			p.LostToOverload(start.Add(-test.lost))
+		}
+		if got := p.TTL(start, test.peersSilent); got != test.want {
+			t.Errorf("%s: %s, want %s", test.name, got, test.want)
+		}
+	}
+}
+
+func TestMajorityZone(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		machines map[string]int
+		want     string
+	}{
+		{"no machines", nil, ""},
+		{"too few to say", map[string]int{"a": 2}, ""},
+		{"one zone", map[string]int{"a": 3}, "a"},
+		{"two thirds", map[string]int{"a": 4, "b": 2}, ""},
+		{"more than two thirds", map[string]int{"a": 2, "b": 5}, "b"},
+		{"three zones", map[string]int{"a": 2, "b": 2, "c": 2}, ""},
+	} {
+		zone, ok := MajorityZone(test.machines)
+		if zone != test.want || ok != (test.want != "") {
+			t.Errorf("%s: %q %t, want %q", test.name, zone, ok, test.want)
+		}
+	}
+}
+
+// Values that can't be read change nothing, a read of all keys forgets what isn't there any
+// more, and the preferred zone stays.
+func TestView(t *testing.T) {
+	var v view
+	for _, test := range []struct {
+		name      string
+		items     []protocol.KeyValue
+		newLeader bool
+		want      view
+	}{
+		{"nothing", nil, false, view{}},
+		{"a leader", []protocol.KeyValue{leaderItem("n1", 4, 1, 20, 9), termItem(4, 20), zoneItem("b"), {Key: records.KeySharded}}, true,
+			view{leader: records.Leader{Node: "n1", Zone: "a", Term: 4, Boot: 1}, leaderVersion: 20, leaderLease: 9, term: 4, termVersion: 20, preferredZone: "b", sharded: true}},
+		{"odd values", []protocol.KeyValue{{Key: records.KeyLeader, Value: []byte(`"?"`), Version: 30}, {Key: records.KeyTerm, Value: []byte("{"), Version: 30}}, false,
+			view{preferredZone: "b"}},
+		{"nobody", []protocol.KeyValue{termItem(4, 20)}, false, view{term: 4, termVersion: 20, preferredZone: "b"}},
+	} {
+		if got := v.replace(test.items); got != test.newLeader || v != test.want {
+			t.Errorf("%s: new leader %t, %+v", test.name, got, v)
+		}
+	}
+}
+
+// holder is one whose lease is renewed in a test.
+type holder struct {
+	holds                  bool
+	sent, renewed, expired int
+}
+
+func (h *holder) HoldsAuthority() bool { return h.holds }
+func (h *holder) RenewalSent()         { h.sent++ }
+func (h *holder) LeaseRenewed()        { h.renewed++ }
+func (h *holder) LeaseExpired()        { h.expired++ }
+
+// A lease is renewed at each three tenths of its time, sooner after a failure, and no more
+// once it has expired or its holder doesn't need it.
+func TestKeeper(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		renewal Renewal
+		keeps   bool
+		next    time.Duration // -1: never
+		valid   bool          // for longer than before
+	}{
+		{"renewed", RenewalApplied, true, base * 3 / 10, true},
+		{"without an answer", RenewalUnknown, true, renewalRetry, false},
+		{"expired", RenewalExpired, true, -1, false},
+		{"not needed any more", RenewalApplied, false, -1, false},
+	} {
+		h, who := newHarness(), &holder{holds: true}
+		lease := GrantedLease(77, base, h.now)
+		granted := lease.ValidUntil
+		h.pass(time.Second)
+		KeepLease(h, h, &lease, who)
+		sent := h.now
+		h.pass(100 * time.Millisecond) // for the answer, which counts from when it was asked for
+		who.holds = test.keeps
+		h.renewals[0](test.renewal)
+		want := granted
+		if test.valid {
+			want = sent.Add(base - ClockDrift(base))
+		}
+		if !lease.ValidUntil.Equal(want) {
+			t.Errorf("%s: valid for %s longer than due", test.name, lease.ValidUntil.Sub(want))
+		}
+		if test.next < 0 {
+			if h.pass(time.Hour); len(h.renewals) != 1 {
+				t.Errorf("%s: renewed again", test.name)
+			}
+			continue
+		}
+		if h.pass(test.next - 1); len(h.renewals) != 1 {
+			t.Errorf("%s: renewed again before %s", test.name, test.next)
+		}
+		if h.pass(1); len(h.renewals) != 2 || who.sent != 2 {
+			t.Errorf("%s: %d renewals after %s", test.name, len(h.renewals), test.next)
+		}
+	}
+}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -10,6 +10,7 @@
 
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -24,7 +25,7 @@
 	cfg.Peers = append(cfg.Peers[:0:0], cfg.Peers...)
 	cfg.Peers = append(cfg.Peers, config.Peer{Name: c.cfg.Name, Zone: c.cfg.Zone})
 	f := New(&cfg, c.op, slog.New(slog.DiscardHandler), 2, c.now)
-	f.election.leader.Node = c.cfg.Name
+	showElection(f, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: c.cfg.Name, Term: 1}), Version: 1})
 	return f
 }
 
@@ -406,7 +407,8 @@
 	if got := rented(); got < 50 || got > 100 {
 		t.Errorf("%d rented once they were up", got)
 	}
-	c.overloadedAt, c.overloadedSince = c.now.Add(-time.Second), c.now.Add(-time.Second)
+	c.overload.Observe(c.now.Add(-time.Second), overload.Overloaded+1)
+	c.overload.Observe(c.now, 0)
 	if got := rented(); got != 0 || c.limits.Total(limits.ServedMachines) == 0 {
 		t.Errorf("%d rented while timers are late", got)
 	}
@@ -422,13 +424,13 @@
 	start := c.now
 	for i := range 20 {
 		c.after(0, func() {})
-		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + lagOverloaded + time.Millisecond))
+		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + overload.Overloaded + time.Millisecond))
 	}
-	if !c.persistentlyOverloaded() || l.mayScaleOut() {
-		t.Errorf("strained: %t", c.persistentlyOverloaded())
+	if !c.overload.Persistent(c.now) || l.mayScaleOut() {
+		t.Errorf("strained: %t", c.overload.Persistent(c.now))
 	}
-	c.now = c.now.Add(overloadGap + time.Second)
-	if c.persistentlyOverloaded() {
+	c.now = c.now.Add(3 * time.Second) // in which it kept up
+	if c.overload.Persistent(c.now) {
 		t.Error("strained after it kept up")
 	}
 }
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -80,7 +81,8 @@
 
 // lead lets a node that nobody leads become the leader, and answers what it reads.
 func (r *fakeStore) lead(c *Controller) *leader {
-	c.becomeLeader(2, 20, 5, 2*time.Second, c.now.Add(2*time.Second))
+	c.election.Lead(leadership.Mandate{Term: 2, Version: 20, ElectedAt: c.now,
+		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}})
 	calls := c.take().Calls
 	for len(calls) > 0 {
 		call := calls[0]
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -117,7 +117,7 @@
 	}
 	if l == nil || !l.holdsLease() {
 		// Never 200 here: it would hold the worker while its lease runs out.
-		c.reply(id, 421, protocol.EncodeRedirect(c.otherLeader()))
+		c.reply(id, 421, protocol.EncodeRedirect(c.election.OtherLeader()))
 		return
 	}
 	r, err := protocol.ParseHeartbeat(body)
@@ -127,7 +127,7 @@
 	}
 	if r.FencingToken>>fencingBits > l.term {
 		// A later leader has already spoken to this worker.
-		c.stepDown("a worker has seen a later term")
+		c.election.StepDown("a worker has seen a later term")
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return
 	}
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machines_test.go
@@ -7,19 +7,26 @@
 	"time"
 
 	"brasskeel/internal/config"
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/protocol"
 )
 
 // leading makes a node that leads in the given phase, with nothing running.
 func leading(p recoveryPhase) (*Controller, *leader) {
+	return leadingIn("a", p)
+}
+
+// leadingIn is leading for a node of the given zone.
+func leadingIn(zone string, p recoveryPhase) (*Controller, *leader) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
-	cfg := &config.Settings{Name: "n0", Zone: "a", ReportInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
+	cfg := &config.Settings{Name: "n0", Zone: zone, ReportInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
 		CancelWithin: 40 * time.Second, CPUShare: 0.3, Sockets: 900, StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 4,
 		Teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}}
 	c := New(cfg, config.DefaultOperator(), slog.New(slog.DiscardHandler), 1, now)
 	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 3, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
 		BootTime: 10 * time.Second, Zones: []string{"a"}}})
-	c.becomeLeader(1, 10, 5, 2*time.Second, now.Add(time.Hour))
+	c.election.Lead(leadership.Mandate{Term: 1, Version: 10, ElectedAt: now,
+		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: now.Add(time.Hour)}})
 	c.leader.phase, c.leader.jobsKnownAt = p, now.Add(time.Hour)
 	c.leader.loaded, c.leader.probesNewWorkers = p != phaseLoading, p == phaseActive
 	c.take()
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"brasskeel/internal/config"
+	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -197,7 +198,7 @@
 // what another node has told it to be over costs nothing.
 func TestPollsShareChecks(t *testing.T) {
 	c, _ := leading(phaseActive)
-	c.stepDown("test")
+	c.election.StepDown("test")
 	c.take()
 	checks, answered := 0, 0
 	for i := range 2000 {
@@ -379,8 +380,7 @@
 	if k := lines("team limit"); k < 2 || k > 4 {
 		t.Errorf("the limit is told %d times in a minute: %s", k, out.String())
 	}
-	c.stepDown("test")
-	c.election.leaderVersion = 0
+	c.election.StepDown("test")
 	for range 20 {
 		c.now = c.now.Add(time.Second)
 		c.logAvailability()
@@ -425,25 +425,24 @@
 	}
 	rest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks = 12 })
 	critical := addTestJob(l, "run-000002", func(j *protocol.Job) { j.Tasks, j.Priority = 2, protocol.Critical })
-	c.schedulingLag = 2 * lagOverloaded
+	c.overload.Observe(c.now, 2*overload.Overloaded)
 	l.runPlacementRound()
 	if critical.liveAttempts != 2 || rest.liveAttempts != 0 {
 		t.Errorf("while late: %d critical tasks and %d others placed", critical.liveAttempts, rest.liveAttempts)
 	}
-	c.schedulingLag = 0
+	c.overload.Observe(c.now, 0)
 	l.runPlacementRound()
 	if rest.liveAttempts != 12 {
 		t.Errorf("%d of 12 tasks placed once it isn't late", rest.liveAttempts)
 	}
 	base := c.op.LeaderLease()
-	c.overloadedAt = c.now
-	c.stepDown("test")
-	c.election.leaderChanges = nil
-	if got := c.campaignLeaseTTL(); got != 4*base {
+	c.overload.Observe(c.now, 2*overload.Overloaded)
+	c.election.StepDown("test")
+	if got := c.election.CampaignTTL(); got != 4*base {
 		t.Errorf("after a lease lost for being late %s, want %s", got, 4*base)
 	}
-	c.now = c.now.Add(overloadLossWindow)
-	if got := c.campaignLeaseTTL(); got != base {
-		t.Errorf("after %s %s, want %s", overloadLossWindow, got, base)
+	c.now = c.now.Add(2 * time.Minute)
+	if got := c.election.CampaignTTL(); got != base {
+		t.Errorf("after two minutes %s, want %s", got, base)
 	}
 }
--- /dev/null
+++ b/internal/coordination/overload/monitor_test.go
@@ -0,0 +1,84 @@
+package overload
+
+import (
+	"testing"
+	"time"
+)
+
+var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
+
+// Each level begins above its lag, and the next timer that is on time ends it.
+func TestLevels(t *testing.T) {
+	for _, test := range []struct {
+		lag                       time.Duration
+		defers, overloaded, sheds bool
+	}{
+		{-time.Second, false, false, false},
+		{Deferring, false, false, false},
+		{Deferring + 1, true, false, false},
+		{Overloaded, true, false, false},
+		{Overloaded + 1, true, true, false},
+		{Shedding, true, true, false},
+		{Shedding + 1, true, true, true},
+	} {
+		var m Monitor
+		m.Observe(start, test.lag)
+		if m.Defers() != test.defers || m.Overloaded() != test.overloaded || m.Sheds() != test.sheds {
+			t.Errorf("%s: defers %t, overloaded %t, sheds %t", test.lag, m.Defers(), m.Overloaded(), m.Sheds())
+		}
+		m.Observe(start, 0)
+		if m.Defers() || m.Lag() != 0 {
+			t.Errorf("%s: it defers work after a timer that was on time", test.lag)
+		}
+	}
+}
+
+// Overload is persistent once it lasts for more than persistentAfter without a pause of more
+// than recoveryGap, and ends with such a pause.
+func TestPersistent(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		interval time.Duration
+		timers   int
+		later    time.Duration
+		want     bool
+	}{
+		{"never overloaded", 0, 0, 0, false},
+		{"overloaded once", 0, 1, 0, false},
+		{"for just persistentAfter", time.Second, 6, 0, false},
+		{"for longer", time.Second, 7, 0, true},
+		{"with pauses that are short enough", recoveryGap, 4, 0, true},
+		{"with pauses in which it kept up", recoveryGap + 1, 10, 0, false},
+		{"a moment ago", time.Second, 7, recoveryGap, true},
+		{"some time ago", time.Second, 7, recoveryGap + 1, false},
+	} {
+		var m Monitor
+		now := start
+		for i := range test.timers {
+			now = start.Add(time.Duration(i) * test.interval)
+			m.Observe(now, Overloaded+1)
+		}
+		if got := m.Persistent(now.Add(test.later)); got != test.want {
+			t.Errorf("%s: %t", test.name, got)
+		}
+	}
+}
+
+// What was overloaded lately and the peak are remembered beyond the timers that follow.
+func TestMemory(t *testing.T) {
+	var m Monitor
+	if m.Within(start, time.Hour) {
+		t.Error("overloaded before any timer")
+	}
+	m.Observe(start, 2*Overloaded)
+	m.Observe(start.Add(time.Second), time.Millisecond)
+	if now := start.Add(time.Second); !m.Within(now, time.Second+1) || m.Within(now, time.Second) {
+		t.Error("not overloaded a second ago")
+	}
+	if peak := m.TakePeak(); peak != 2*Overloaded {
+		t.Errorf("peak %s", peak)
+	}
+	if peak := m.TakePeak(); peak != 0 {
+		t.Errorf("peak %s after it was taken", peak)
+	}
+}
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -5,34 +5,17 @@
 	"testing"
 	"time"
 
+	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
 
-// Leaders of a large fleet that lost a short lease for being busy left the same
-// work to the next one, and none ever got through with it.
-func TestLeaseGrowsWithChanges(t *testing.T) {
+// The longer a leader's lease, the shorter its grace: together with a worker's
+// lease they stay within the time that a cancellation has.
+func TestGracePeriodFitsLease(t *testing.T) {
 	c, l := leading(phaseActive)
-	base := c.op.LeaderLease()
-	c.stepDown("test")
-	c.election.leaderChanges = nil
-	if got := c.campaignLeaseTTL(); got != base {
-		t.Errorf("after a calm time %s, want %s", got, base)
-	}
-	for i, want := range []time.Duration{2 * base, 2 * base, 4 * base, 4 * base} {
-		c.noteLeaderChange()
-		if got := c.campaignLeaseTTL(); got != want {
-			t.Errorf("after %d changes %s, want %s", i+1, got, want)
-		}
-	}
-	c.now = c.now.Add(leaderChangeWindow + time.Second)
-	if got := c.campaignLeaseTTL(); got != base {
-		t.Errorf("after a calm time again %s, want %s", got, base)
-	}
-	// The longer a leader's lease, the shorter its grace: together with a worker's
-	// lease they stay within the time that a cancellation has.
-	l.lease.ttl = 4 * base
-	if sum := l.lease.ttl + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
+	l.lease.TTL = 4 * c.op.LeaderLease()
+	if sum := l.lease.TTL + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
 		t.Errorf("lease, grace and worker's lease take %s of %s", sum, c.cfg.CancelWithin)
 	}
 }
@@ -62,7 +45,7 @@
 func TestFarBehindShedsPolls(t *testing.T) {
 	c, _ := leading(phaseActive)
 	c.admission.rememberAccepted("run-000001")
-	c.schedulingLag = 2 * lagShedsQueries
+	c.overload.Observe(c.now, 2*overload.Shedding)
 	e := c.Request(c.now, 1, "GET", protocol.PathJobs+"/run-000001", nil)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 503 || e.Replies[0].RetryAfter == 0 {
 		t.Errorf("a poll: %+v", e.Replies)
--- a/internal/coordination/peer_broadcast.go
+++ b/internal/coordination/peer_broadcast.go
@@ -62,7 +62,7 @@
 
 // newPeerMessage begins a message with what each one tells.
 func (c *Controller) newPeerMessage() peerMessage {
-	m := peerMessage{Node: c.cfg.Name, Disconnected: c.disconnected(), WorkersUnreachable: c.workersUnreachable(), StoreReachable: !c.storeDown() && c.now.Sub(c.storeAnsweredAt) < 5*time.Second}
+	m := peerMessage{Node: c.cfg.Name, Disconnected: c.election.Disconnected(), WorkersUnreachable: c.workersUnreachable(), StoreReachable: !c.storeDown() && c.now.Sub(c.storeAnsweredAt) < 5*time.Second}
 	if c.leader != nil {
 		m.Term = c.leader.term
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -5,6 +5,7 @@
 	"errors"
 	"time"
 
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/protocol"
 )
 
@@ -61,7 +62,7 @@
 			}
 		}
 		if c.leader != nil && m.Term > c.leader.term {
-			c.stepDown("a peer leads with a later term")
+			c.election.StepDown("a peer leads with a later term")
 		}
 	}
 	return c.take()
@@ -95,23 +96,77 @@
 	return false
 }
 
-// heardFromPeer reports whether another node was heard lately.
+// Times after which a peer that isn't heard counts no more. A peer tells of itself each
+// second.
+const (
+	peerFreshFor    = 3 * time.Second         // for what it said last
+	peerEligibleFor = 2500 * time.Millisecond // as one to hand the leadership to
+)
+
+func (p *peerStatus) fresh(now time.Time) bool { return now.Sub(p.heardAt) < peerFreshFor }
+
+// canLead reports whether a peer said of itself that it reaches the state service, and not
+// that it lost connectivity to the workers.
+func (p *peerStatus) canLead() bool { return p.storeReachable && !p.disconnected }
+
+// eligible reports whether the leadership may be handed to a peer.
+func (p *peerStatus) eligible(now time.Time) bool {
+	return p.canLead() && now.Sub(p.heardAt) < peerEligibleFor
+}
+
+// heardFromPeer reports whether another controller was heard lately.
 func (c *Controller) heardFromPeer() bool {
 	for _, p := range c.peers {
-		if c.now.Sub(p.heardAt) < 3*time.Second {
+		if p.fresh(c.now) {
 			return true
 		}
 	}
 	return false
 }
 
-// peerReachesStore reports whether another node lately said that the state
+// peerReachesStore reports whether another controller lately said that the state
 // service serves it.
 func (c *Controller) peerReachesStore() bool {
 	for _, p := range c.peers {
-		if p.storeReachable && c.now.Sub(p.heardAt) < 3*time.Second {
+		if p.storeReachable && p.fresh(c.now) {
+			return true
+		}
+	}
+	return false
+}
+
+// eligiblePeer reports whether any peer may be handed the leadership.
+func (c *Controller) eligiblePeer() bool {
+	for _, p := range c.peers {
+		if p.eligible(c.now) {
 			return true
 		}
 	}
 	return false
 }
+
+// eligiblePeerIn reports whether a peer of a zone may be handed the leadership.
+func (c *Controller) eligiblePeerIn(zone string) bool {
+	for i := range c.cfg.Peers {
+		peer := &c.cfg.Peers[i]
+		if p := c.peers[peer.Name]; peer.Zone == zone && p != nil && p.eligible(c.now) {
+			return true
+		}
+	}
+	return false
+}
+
+// countPeers counts the peers by what those that were heard lately said of themselves.
+func (c *Controller) countPeers() leadership.Peers {
+	count := leadership.Peers{Configured: len(c.cfg.Peers)}
+	for _, p := range c.peers {
+		switch {
+		case !p.fresh(c.now):
+		case p.disconnected:
+			count.Disconnected++
+		case p.storeReachable:
+			count.Eligible++
+		}
+	}
+	return count
+}
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -24,7 +24,7 @@
 		what = "loading records"
 	case c.leader != nil && !c.leader.jobsKnownAt.IsZero() && !c.leader.holdsLease():
 		what = "leader lease expired"
-	case c.leader == nil && c.otherLeader() == "":
+	case c.leader == nil && c.election.OtherLeader() == "":
 		what = "no leader known"
 	}
 	if what != c.trouble {
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -13,7 +13,7 @@
 // highest score among the machines with room.
 func (l *leader) runPlacementRound() {
 	c := l.controller
-	if l.phase != phaseActive || c.storeDown() || !c.now.Before(l.lease.validUntil) {
+	if l.phase != phaseActive || c.storeDown() || !c.now.Before(l.lease.ValidUntil) {
 		return // new placements need the state service
 	}
 	l.checkQuotas()
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, j := range order {
-		if j.agedTier(c.now.Round(0)) >= tierBestEffort && c.overloaded() {
+		if j.agedTier(c.now.Round(0)) >= tierBestEffort && c.overload.Overloaded() {
 			// Each start makes reports and records to come. A leader alone with thousands
 			// of tasks of a few seconds lost its lease to them again and again.
 			l.autoscaler.demandIncomplete = true
@@ -80,7 +80,7 @@
 		l.examineLimit = baseExamineLimit
 	}
 	if l.autoscaler.demandIncomplete {
-		l.controller.after(interruptedRoundPause+c.schedulingLag/2, l.requestPlacementIfLeading)
+		l.controller.after(interruptedRoundPause+c.overload.Lag()/2, l.requestPlacementIfLeading)
 	} else if len(l.autoscaler.unmetDemand) > 0 {
 		l.scheduleScaleOut()
 	}
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -78,10 +78,10 @@
 	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != phaseActive || c.storeDown() || l.autoscaler.demandIncomplete {
 		return false
 	}
-	if c.now.Sub(l.reconciledAt) < c.reconnectTime() || l.lease.validUntil.Sub(c.now) < l.lease.ttl/2 {
+	if c.now.Sub(l.reconciledAt) < c.reconnectTime() || l.lease.ValidUntil.Sub(c.now) < l.lease.TTL/2 {
 		return false
 	}
-	return !c.lagging() && !c.persistentlyOverloaded() && len(l.journal.urgent) <= c.cfg.TxnOps
+	return !c.overload.Defers() && !c.overload.Persistent(c.now) && len(l.journal.urgent) <= c.cfg.TxnOps
 }
 
 // planMigrations begins the moves that pay.
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"brasskeel/internal/coordination/balance"
+	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -16,7 +18,7 @@
 	t.Helper()
 	c, l, a := balancedLead(t)
 	c.op.Balance.Moves, c.op.Balance.MoveMargin = true, 1.5
-	l.reconciledAt, l.lease = c.now.Add(-time.Minute), lease{id: 5, ttl: 2 * time.Second, validUntil: c.now.Add(2 * time.Second)}
+	l.reconciledAt, l.lease = c.now.Add(-time.Minute), leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}
 	l.rebalancer.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
 	to = l.newMachine("vm-2", "small", "a", false)
 	to.registered, to.recorded, to.lastSeen, to.lastAnswered, to.lastReached = true, true, c.now, c.now, c.now
@@ -112,9 +114,14 @@
 		{name: "the state service is away", change: func(c *Controller, _ *leader) { c.storeFailingSince = c.now.Add(-time.Minute) }},
 		{name: "machines are still to be heard", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
 		{name: "the leader still settles", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
-		{name: "the right is near its end", change: func(c *Controller, l *leader) { l.lease.validUntil = c.now.Add(500 * time.Millisecond) }},
-		{name: "timers are late", change: func(c *Controller, _ *leader) { c.schedulingLag = lagDefersWork + 1 }},
-		{name: "more to serve than the share allows", change: func(c *Controller, _ *leader) { c.overloadedAt, c.overloadedSince = c.now, c.now.Add(-time.Minute) }},
+		{name: "the right is near its end", change: func(c *Controller, l *leader) { l.lease.ValidUntil = c.now.Add(500 * time.Millisecond) }},
+		{name: "timers are late", change: func(c *Controller, _ *leader) { c.overload.Observe(c.now, overload.Deferring+1) }},
+		{name: "more to serve than the share allows", change: func(c *Controller, _ *leader) {
+			for ago := 10 * time.Second; ago >= time.Second; ago -= time.Second {
+				c.overload.Observe(c.now.Add(-ago), overload.Overloaded+1)
+			}
+			c.overload.Observe(c.now, 0)
+		}},
 		{name: "the last round ended early", change: func(_ *Controller, l *leader) { l.autoscaler.demandIncomplete = true }},
 		{name: "records are behind", change: func(c *Controller, l *leader) { l.journal.urgent = make([]*chunk, c.cfg.TxnOps+1) }},
 	} {
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -30,7 +30,7 @@
 // target names the controller that a machine's worker is to try, empty for the next one in turn.
 func (s *redirector) target(machine string) string {
 	c := s.controller
-	leader := c.otherLeader()
+	leader := c.election.OtherLeader()
 	if p := c.peers[leader]; p != nil && (p.workersUnreachable || c.now.Sub(p.heardAt) > leaderHeardWithin) {
 		return ""
 	}
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -44,7 +45,7 @@
 		c, l := leading(phaseActive)
 		c.cfg.WorkerLease, c.cfg.CancelWithin = test.lease, test.cancel
 		l.jobsKnownAt = c.now
-		l.lease.validUntil = c.now.Add(time.Hour) // it is renewed, but no watch is answered
+		l.lease.ValidUntil = c.now.Add(time.Hour) // it is renewed, but no watch is answered
 		known, last := l.jobsKnownAt, time.Time{}
 		for i := range 8000 {
 			at := known.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -60,7 +61,7 @@
 		}
 		// An outage must cost no more than that: all but a second and the clocks' drift
 		// is used.
-		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+clockDrift(test.cancel+test.lease) {
+		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+leadership.ClockDrift(test.cancel+test.lease) {
 			t.Errorf("lease %s, cancel_s %s: %s are given away", test.lease, test.cancel, rest)
 		}
 	}
@@ -140,7 +141,7 @@
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, placedAt: c.now, recorded: true}
 	l.attach(a)
-	l.lease.validUntil = c.now.Add(time.Hour)
+	l.lease.ValidUntil = c.now.Add(time.Hour)
 	c.now = c.now.Add(startFreshness + time.Millisecond)
 	l.sendOrders(m)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, report(4))
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -33,10 +33,10 @@
 // mayScaleOut reports whether anything may be rented now.
 func (l *leader) mayScaleOut() bool {
 	c, f := l.controller, &l.autoscaler
-	if l.phase != phaseActive || c.storeDown() || len(c.types) == 0 || !c.now.Before(l.lease.validUntil) || f.demandIncomplete {
+	if l.phase != phaseActive || c.storeDown() || len(c.types) == 0 || !c.now.Before(l.lease.ValidUntil) || f.demandIncomplete {
 		return false
 	}
-	if c.persistentlyOverloaded() || len(l.fleetList) > l.forecastCapacity() && l.overloadedLately() {
+	if c.overload.Persistent(c.now) || len(l.fleetList) > l.forecastCapacity() && l.overloadedLately() {
 		c.limits.Reached(limits.ServedMachines)
 		return false
 	}
@@ -73,7 +73,7 @@
 // one, or the owner of a shard.
 func (l *leader) overloadedLately() bool {
 	c := l.controller
-	if !c.overloadedAt.IsZero() && c.now.Sub(c.overloadedAt) < overloadMemory {
+	if c.overload.Within(c.now, overloadMemory) {
 		return true
 	}
 	return l.shards != nil && l.shards.ownerOverloaded()
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -61,23 +61,8 @@
 func (l *leader) orphanReported(*machine, *protocol.TaskStatus) bool { return true }
 
 // newerTokenSeen implements observer.
-func (l *leader) newerTokenSeen(*machine) { l.controller.stepDown("a worker has seen a later term") }
-
-// checkReconciled ends the new leader's wait once nobody is left to be heard.
-func (l *leader) checkReconciled() {
-	if l.phase != phaseReconciling {
-		return
-	}
-	if l.reconcileCheckPending {
-		return
-	}
-	l.reconcileCheckPending = true
-	l.controller.after(10*time.Millisecond, func() {
-		l.reconcileCheckPending = false
-		if l.alive() && l.phase == phaseReconciling && l.enoughReconciled() {
-			l.activate()
-		}
-	})
+func (l *leader) newerTokenSeen(*machine) {
+	l.controller.election.StepDown("a worker has seen a later term")
 }
 
 // taskExitReported implements observer.
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -329,7 +329,7 @@
 		return
 	}
 	f.channel.CheckTimeouts(o.controller.now)
-	s := &shard.Status{Load: shard.Load{CPUShare: o.controller.processorLoad.share, Lag: o.controller.takePeakLag(), HeartbeatRate: float64(o.heartbeats), Machines: len(o.fleetList)}}
+	s := &shard.Status{Load: shard.Load{CPUShare: o.controller.processorLoad.share, Lag: o.controller.overload.TakePeak(), HeartbeatRate: float64(o.heartbeats), Machines: len(o.fleetList)}}
 	o.heartbeats = 0
 	for _, m := range o.fleetList {
 		if late, ok := o.unhealthy(m); ok {
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
@@ -121,7 +122,7 @@
 // ownerOverloaded reports whether an owner told lately that its timers fire too late.
 func (sl *shardCoordinator) ownerOverloaded() bool {
 	for _, owner := range sl.channels {
-		if owner.status.Load.Lag > lagOverloaded && sl.leader.controller.now.Sub(owner.heard) <= overloadMemory {
+		if owner.status.Load.Lag > overload.Overloaded && sl.leader.controller.now.Sub(owner.heard) <= overloadMemory {
 			return true
 		}
 	}
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"brasskeel/internal/config"
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -89,7 +90,7 @@
 	c, _ := leading(phaseActive)
 	c.leader = nil
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), loaded: true, member: shard.Member{Name: "n0", Incarnation: 1}}
-	o := newShardOwner(c.sharding, lease{id: 3, ttl: 2 * time.Second, validUntil: c.now.Add(time.Hour)})
+	o := newShardOwner(c.sharding, leadership.Lease{ID: 3, TTL: 2 * time.Second, ValidUntil: c.now.Add(time.Hour)})
 	c.sharding.owner = o
 	o.jobsKnownAt = c.now.Add(time.Hour)
 	o.shards[1] = &ownedShard{epoch: ownershipEpoch{term: term, since: c.now, predecessorUntil: c.now}}
@@ -169,7 +170,7 @@
 	o := ownerOf(t, 7)
 	c, s := o.controller, &o.sharding.redirector
 	*s = newRedirector(c)
-	c.election.leaderVersion, c.election.leader = 1, records.Leader{Node: "n1", Term: 9}
+	showElection(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
 	c.peers["n1"] = &peerStatus{heardAt: c.now}
 	if got := s.target("vm-7"); got != "n1" {
 		t.Fatalf("sent to %q", got)
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -117,17 +118,13 @@
 		return
 	}
 	s.joining = true
-	c, ttl, sent := s.controller, s.controller.op.LeaderLease(), s.controller.now
-	c.store("POST", protocol.PathLeases, protocol.EncodeLeaseRequest(ttl), storeTimeout, func(o Outcome) {
-		leaseID, err := uint64(0), error(nil)
-		if o.Answered && o.Status == 200 {
-			leaseID, err = protocol.ParseLease(o.Body)
-		}
-		if leaseID == 0 || err != nil {
+	ttl, sent := s.controller.op.LeaderLease(), s.controller.now
+	electionHost{s.controller}.GrantLease(ttl, func(leaseID uint64, granted bool) {
+		if !granted {
 			s.retryJoin()
 			return
 		}
-		s.writeFirstMemberRecord(lease{leaseID, ttl, sent.Add(ttl - clockDrift(ttl))})
+		s.writeFirstMemberRecord(leadership.GrantedLease(leaseID, ttl, sent))
 	})
 }
 
@@ -140,19 +137,19 @@
 
 // writeFirstMemberRecord writes the member's record, on the version of whatever stands there: an
 // earlier life's write that comes late fails.
-func (s *sharding) writeFirstMemberRecord(r lease) {
+func (s *sharding) writeFirstMemberRecord(r leadership.Lease) {
 	c := s.controller
-	member := shard.MemberRecord{Member: shard.Member{Name: c.cfg.Name, Incarnation: r.id}, Zone: c.cfg.Zone, Draining: s.draining}
+	member := shard.MemberRecord{Member: shard.Member{Name: c.cfg.Name, Incarnation: r.ID}, Zone: c.cfg.Zone, Draining: s.draining}
 	_, version := s.table.Member(c.cfg.Name)
 	key := records.KeyMember(c.cfg.Name)
 	value := records.Encode(member)
 	c.storeTxn(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
-		Ops:        []protocol.Op{{Put: key, Value: value, Lease: r.id}},
+		Ops:        []protocol.Op{{Put: key, Value: value, Lease: r.ID}},
 	}, func(res txnResult, revision uint64, _ []string) {
 		if res != txnApplied {
 			// Ending the lease also ends what the transaction may have written.
-			c.store("DELETE", protocol.LeaseTarget(r.id), nil, storeTimeout, func(Outcome) {})
+			electionHost{c}.RevokeLease(r.ID)
 			s.loadTable()
 			s.retryJoin()
 			return
@@ -161,38 +158,12 @@
 		s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: revision})
 		s.member = member.Member
 		s.owner = newShardOwner(s, r)
-		c.log.Info("shard membership acquired", "incarnation", r.id, "draining", s.draining)
-		s.renewLease(s.owner)
+		c.log.Info("shard membership acquired", "incarnation", r.ID, "draining", s.draining)
+		leadership.KeepLease(electionHost{c}, electionHost{c}, &s.owner.lease, s.owner)
 		s.ownershipChanged()
 	})
 }
 
-// renewLease keeps the member's lease.
-func (s *sharding) renewLease(own *shardOwner) {
-	c, ttl, sent := s.controller, own.lease.ttl, s.controller.now
-	c.store("POST", protocol.RenewLeaseTarget(own.lease.id), nil, ttl/2, func(o Outcome) {
-		if s.owner != own {
-			return
-		}
-		next := ttl * 3 / 10
-		switch {
-		case o.Answered && o.Status == 200:
-			own.lease.validUntil = sent.Add(ttl - clockDrift(ttl))
-		case o.Answered && o.Status == 404:
-			s.leave("its lease has ended")
-			s.loadTable()
-			return
-		default:
-			next = 200 * time.Millisecond
-		}
-		c.after(next, func() {
-			if s.owner == own {
-				s.renewLease(own)
-			}
-		})
-	})
-}
-
 // leave gives up all that the member owned, and what was kept in memory for it.
 func (s *sharding) leave(why string) {
 	s.controller.log.Warn("shard membership lost", "incarnation", s.member.Incarnation, "reason", why)
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
@@ -51,7 +52,7 @@
 	h.epoch.paused = !h.served()
 }
 
-func newShardOwner(s *sharding, r lease) *shardOwner {
+func newShardOwner(s *sharding, r leadership.Lease) *shardOwner {
 	o := &shardOwner{workerSessions: newWorkerSessions(s.controller, r), sharding: s, shards: map[shard.ID]*ownedShard{}, movedAway: map[string]shard.ID{}}
 	o.listener, o.probesNewWorkers = o, true
 	o.feed = newChangeFeed(o)
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -4,6 +4,8 @@
 	"slices"
 	"time"
 
+	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -12,7 +14,7 @@
 // plan decides on owners, and writes one change at a time.
 func (sl *shardCoordinator) plan() {
 	l, c := sl.leader, sl.leader.controller
-	if sl.writing || !sl.sharding.loaded || l.phase == phaseLoading || c.storeDown() || !c.now.Before(l.lease.validUntil) {
+	if sl.writing || !sl.sharding.loaded || l.phase == phaseLoading || c.storeDown() || !c.now.Before(l.lease.ValidUntil) {
 		return
 	}
 	if change := sl.canceledMove(); change != nil {
@@ -45,8 +47,9 @@
 func (sl *shardCoordinator) maxAssignments() int { return max(1, sl.leader.controller.cfg.TxnOps-2) }
 
 func (sl *shardCoordinator) leaderState() shard.LeaderState {
-	e := &sl.leader.controller.election
-	return shard.LeaderState{LeaderVersion: sl.leader.version, Term: e.term, TermVersion: e.termVersion, ShardingRecorded: e.sharded}
+	e := sl.leader.controller.election
+	term, version := e.Term()
+	return shard.LeaderState{LeaderVersion: sl.leader.version, Term: term, TermVersion: version, ShardingRecorded: e.Sharded()}
 }
 
 // canceledMove takes an intent back whose member is gone.
@@ -78,7 +81,7 @@
 			return
 		}
 		if slices.Contains(failed, records.KeyLeader) {
-			c.stepDown("the leader key has changed")
+			c.election.StepDown("the leader key has changed")
 			return
 		}
 		// It may have been applied, or may yet be: what stands there decides.
@@ -87,10 +90,7 @@
 }
 
 func (sl *shardCoordinator) applied(change *shard.Change, revision uint64) {
-	e := &sl.leader.controller.election
-	if change.Term > e.term {
-		e.term, e.termVersion = change.Term, revision
-	}
+	sl.leader.controller.election.TermRaised(change.Term, revision)
 	sl.sharding.table.Applied(change, revision)
 	sl.sharding.ownershipChanged()
 }
@@ -108,7 +108,7 @@
 			sl.leader.controller.after(200*time.Millisecond, sl.readAgain)
 			return
 		}
-		sl.leader.controller.applyElectionKey(it.Key, it.Value, it.Version)
+		sl.leader.controller.election.TermRead(it)
 		sl.writing = false
 		sl.sharding.loadTable()
 	})
@@ -125,7 +125,7 @@
 			if vouched, blind, shown := owner.shownReachability(c.now); shown {
 				member.ShownReachable, member.Partitioned = vouched, blind
 			}
-			member.Fit = !member.Partitioned && member.UnheardFor <= ownerTimeout && member.Load.Lag <= lagOverloaded
+			member.Fit = !member.Partitioned && member.UnheardFor <= ownerTimeout && member.Load.Lag <= overload.Overloaded
 		}
 		if sl.retiring && m.Name != c.cfg.Name {
 			member.Draining = true
@@ -187,5 +187,5 @@
 	if sl.unreadableVersion[id] != version {
 		sl.unreadableVersion[id], sl.unreadableSince[id] = version, c.now
 	}
-	return c.now.Sub(sl.unreadableSince[id]) > c.answerFreshness()+clockDrift(c.cfg.CancelWithin)+deadlineMargin
+	return c.now.Sub(sl.unreadableSince[id]) > c.answerFreshness()+leadership.ClockDrift(c.cfg.CancelWithin)+deadlineMargin
 }
--- a/internal/coordination/shard_reachability.go
+++ b/internal/coordination/shard_reachability.go
@@ -76,7 +76,7 @@
 	value := records.Encode(shard.MemberRecord{Member: s.member, Zone: c.cfg.Zone, Draining: s.draining, Reachability: s.reachability})
 	c.storeTxn(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
-		Ops:        []protocol.Op{{Put: key, Value: value, Lease: own.lease.id}},
+		Ops:        []protocol.Op{{Put: key, Value: value, Lease: own.lease.ID}},
 	}, func(res txnResult, revision uint64, _ []string) {
 		s.writingMember = false
 		if s.owner != own {
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -27,7 +27,7 @@
 		c.reply(id, 200, protocol.EncodeJobStatus(job, f.state, f.done, 0))
 		return
 	}
-	if c.schedulingLag > lagShedsQueries {
+	if c.overload.Sheds() {
 		c.refuse(id, 503, "busy")
 		return
 	}
@@ -145,7 +145,7 @@
 		if j := c.leader.jobs[job]; j != nil {
 			done, running = j.doneTasks, j.runningTasks
 		}
-	} else if p := c.peers[c.election.leader.Node]; p != nil {
+	} else if p := c.peers[c.election.LeaderNode()]; p != nil {
 		if heard, ok := p.progress[job]; ok && c.now.Sub(heard.receivedAt) <= progressTTL {
 			done, running = heard.done(), heard.running()
 		}
--- /dev/null
+++ b/internal/coordination/timers.go
@@ -0,0 +1,69 @@
+package coordination
+
+import (
+	"container/heap"
+	"time"
+)
+
+// Next is when Tick is due; zero when nothing is planned.
+func (c *Controller) Next() time.Time {
+	if len(c.timers) == 0 {
+		return time.Time{}
+	}
+	return c.timers[0].at
+}
+
+type timer struct {
+	at  time.Time
+	seq uint64
+	run func()
+}
+
+type timerHeap []*timer
+
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	if h[i].at.Equal(h[j].at) {
+		return h[i].seq < h[j].seq
+	}
+	return h[i].at.Before(h[j].at)
+}
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(*timer)) }
+func (h *timerHeap) Pop() any {
+	old := *h
+	t := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return t
+}
+
+// runDueTimers runs the timers whose time has come, those included that they set for now.
+func (c *Controller) runDueTimers() {
+	for len(c.timers) > 0 && !c.timers[0].at.After(c.now) {
+		t := heap.Pop(&c.timers).(*timer)
+		if t.run != nil {
+			t.run()
+		}
+	}
+}
+
+// after runs f once d has passed. Setting the timer's run to nil cancels it.
+func (c *Controller) after(d time.Duration, f func()) *timer {
+	c.lastTimerSeq++
+	t := &timer{at: c.now.Add(d), seq: c.lastTimerSeq, run: f}
+	heap.Push(&c.timers, t)
+	return t
+}
+
+// every runs f each d for the life of the process.
+func (c *Controller) every(d time.Duration, f func()) {
+	c.after(d, func() { f(); c.every(d, f) })
+}
+
+// jitter is a random duration below d.
+func (c *Controller) jitter(d time.Duration) time.Duration {
+	if d <= 0 {
+		return 0
+	}
+	return time.Duration(c.rng.Int64N(int64(d)))
+}
--- a/internal/coordination/worker_probes.go
+++ b/internal/coordination/worker_probes.go
@@ -121,7 +121,7 @@
 // asking hundreds at once takes longer than the answers are waited for.
 func (s *workerSessions) probeBatch(list []*machine) {
 	most := max(minProbeBatch, len(s.fleetList)/probeBatchDivisor)
-	if s.controller.lagging() {
+	if s.controller.overload.Defers() {
 		most /= 3
 	}
 	for i := range list {
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"time"
 
+	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
 )
@@ -22,7 +23,7 @@
 	jobsKnownAt time.Time       // all that was recorded of jobs before it is known here; zero: nothing is
 	machines    map[string]*machine
 	fleetList   []*machine // the same, in the order they became known
-	lease       lease
+	lease       leadership.Lease
 
 	detectorResetAt time.Time       // last time that silence of workers said nothing
 	lastScan        time.Time       // when the machines were last looked at
@@ -87,14 +88,7 @@
 // fencingBits are those of a token below its term.
 const fencingBits = 16
 
-// lease is a lease in the state service that an owner's answers rest on.
-type lease struct {
-	id         uint64
-	ttl        time.Duration
-	validUntil time.Time // until when no one else can have taken over
-}
-
-func newWorkerSessions(c *Controller, r lease) workerSessions {
+func newWorkerSessions(c *Controller, r leadership.Lease) workerSessions {
 	return workerSessions{controller: c, lease: r, jobs: map[string]*job{}, machines: map[string]*machine{}}
 }
 
@@ -116,13 +110,13 @@
 // lets lease, grace and worker lease together stay within the time a cancellation has;
 // what the owner knows bounds it further (answerFreshness).
 func (s *workerSessions) gracePeriod() time.Duration {
-	return s.controller.gracePeriodAfter(s.lease.ttl)
+	return s.controller.gracePeriodAfter(s.lease.TTL)
 }
 
 // gracePeriodAfter is the grace of an owner with a lease of the given time.
 func (c *Controller) gracePeriodAfter(lease time.Duration) time.Duration {
 	settings := c.cfg
-	return max(0, settings.CancelWithin-settings.WorkerLease-clockDrift(2*settings.WorkerLease)-lease-2*time.Second)
+	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.ClockDrift(2*settings.WorkerLease)-lease-2*time.Second)
 }
 
 // holdsLease reports whether this owner may still answer workers: it may hold its lease, or
@@ -132,7 +126,7 @@
 	if s.jobsKnownAt.IsZero() || s.controller.now.After(s.jobsKnownAt.Add(s.controller.answerFreshness())) {
 		return false
 	}
-	return !s.controller.now.After(s.lease.validUntil.Add(s.gracePeriod()))
+	return !s.controller.now.After(s.lease.ValidUntil.Add(s.gracePeriod()))
 }
 
 // answerFreshness is how long after an owner last knew of every cancellation it may go on
@@ -146,7 +140,7 @@
 // it was asked for, and a report that is read late as when it was sent.
 func (c *Controller) answerFreshness() time.Duration {
 	settings := c.cfg
-	return max(0, settings.CancelWithin-settings.WorkerLease-clockDrift(settings.CancelWithin+settings.WorkerLease)-deadlineMargin)
+	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.ClockDrift(settings.CancelWithin+settings.WorkerLease)-deadlineMargin)
 }
 
 // startFreshness is how long after that it may send starts that were recorded before. The
@@ -187,7 +181,7 @@
 		last = m.epochSeenAt
 	}
 	last = latest(last, m.lastAnswered, m.incarnationSince)
-	return last.Add(c.WorkerLease + clockDrift(c.WorkerLease) + deadlineMargin)
+	return last.Add(c.WorkerLease + leadership.ClockDrift(c.WorkerLease) + deadlineMargin)
 }
 
 // fencingToken is the token for one worker.
