--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -9,7 +9,6 @@
 	"maps"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -29,12 +28,12 @@
 	settings, operator := settingsFlags(c)
 	top := c.Flags().Int("top", hottestShown, "how many of the hottest machines to list")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		s, _, err := load(*settings, *operator)
+		s, _, err := loadSettings(*settings, *operator)
 		if err != nil {
 			return err
 		}
 		if *top < 0 {
-			return fmt.Errorf("--top is %d, not 0 or more", *top)
+			return &optionError{"--top", fmt.Sprintf("is %d, not 0 or more", *top)}
 		}
 		ctx, cancel := context.WithTimeout(cmd.Context(), stateTimeout)
 		defer cancel()
@@ -42,40 +41,39 @@
 		if err != nil {
 			return err
 		}
-		f.show(cmd.OutOrStdout(), *top)
-		return nil
+		return f.show(cmd.OutOrStdout(), *top)
 	}
 	return c
 }
 
-// fleetLoad is what the records tell of machines and of what runs there.
-type fleetLoad struct {
-	types    map[string]*protocol.MachineType
-	machines map[string]*machineLoad
-	jobs     map[string]*records.Job
-	demand   map[string]float64 // CPUs of unfinished tasks, by team
-	surges   records.Surges
-	moved    map[string]int // tasks that are on record as moved in the surge under way, by team
-	odd      []string       // keys that can't be read
+// fleetReport is what the records tell of machines and of what runs there.
+type fleetReport struct {
+	types          map[string]*protocol.MachineType
+	machines       map[string]*machineLoad
+	jobs           map[string]*records.Job
+	demand         map[string]float64 // CPUs of unfinished tasks, by team
+	surges         records.Surges
+	moved          map[string]int // tasks that are on record as moved in the surge under way, by team
+	unreadableKeys []string       // keys that can't be read
 }
 
 // machineLoad is one machine, and what its attempts reserve by team.
 type machineLoad struct {
 	name, machineType, zone string
-	teams                   map[string]placement.Resources
-	all                     placement.Resources
+	reservedByTeam          map[string]placement.Resources
+	reserved                placement.Resources
 	share                   float64 // of the resource that most is taken of
 }
 
-func newFleetLoad() *fleetLoad {
-	return &fleetLoad{types: map[string]*protocol.MachineType{}, machines: map[string]*machineLoad{},
+func newFleetReport() *fleetReport {
+	return &fleetReport{types: map[string]*protocol.MachineType{}, machines: map[string]*machineLoad{},
 		jobs: map[string]*records.Job{}, demand: map[string]float64{}, moved: map[string]int{}}
 }
 
 // readFleet reads the records. They are read one kind after the other while work goes on, so
 // that single tasks may be counted twice or not at all.
-func readFleet(ctx context.Context, s *config.Settings) (*fleetLoad, error) {
-	f := newFleetLoad()
+func readFleet(ctx context.Context, s *config.Settings) (*fleetReport, error) {
+	f := newFleetReport()
 	for _, part := range []struct {
 		prefix string
 		take   func(protocol.KeyValue) error
@@ -85,27 +83,27 @@
 	} {
 		err := readKeys(ctx, s, part.prefix, func(it protocol.KeyValue) {
 			if part.take(it) != nil {
-				f.odd = append(f.odd, it.Key)
+				f.unreadableKeys = append(f.unreadableKeys, it.Key)
 			}
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	f.weigh()
+	f.computeShares()
 	return f, nil
 }
 
-// weigh sets what part of each machine is taken.
-func (f *fleetLoad) weigh() {
+// computeShares sets what part of each machine is taken.
+func (f *fleetReport) computeShares() {
 	for _, m := range f.machines {
 		if t := f.types[m.machineType]; t != nil {
-			m.share = balance.Share(m.all, placement.Capacity(t))
+			m.share = balance.Share(m.reserved, placement.Capacity(t))
 		}
 	}
 }
 
-func (f *fleetLoad) takeTypes(it protocol.KeyValue) error {
+func (f *fleetReport) takeTypes(it protocol.KeyValue) error {
 	var types []protocol.MachineType
 	err := json.Unmarshal(it.Value, &types)
 	for i := range types {
@@ -114,11 +112,11 @@
 	return err
 }
 
-func (f *fleetLoad) takeSurges(it protocol.KeyValue) error {
+func (f *fleetReport) takeSurges(it protocol.KeyValue) error {
 	return protocol.Decode(it.Value, &f.surges)
 }
 
-func (f *fleetLoad) takeJob(it protocol.KeyValue) error {
+func (f *fleetReport) takeJob(it protocol.KeyValue) error {
 	var r records.Job
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
@@ -130,22 +128,22 @@
 	return nil
 }
 
-func (f *fleetLoad) takeMachines(it protocol.KeyValue) error {
+func (f *fleetReport) takeMachines(it protocol.KeyValue) error {
 	var r records.Machines
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
 	}
 	for _, m := range r.Machines {
-		f.machines[m.Name] = &machineLoad{name: m.Name, machineType: r.Type, zone: r.Zone, teams: map[string]placement.Resources{}}
+		f.machines[m.Name] = &machineLoad{name: m.Name, machineType: r.Type, zone: r.Zone, reservedByTeam: map[string]placement.Resources{}}
 	}
 	return nil
 }
 
-func (f *fleetLoad) takeChunk(it protocol.KeyValue) error {
+func (f *fleetReport) takeChunk(it protocol.KeyValue) error {
 	id, index, ok := records.ParseChunkKey(it.Key)
 	job := f.jobs[id]
 	if !ok {
-		return fmt.Errorf("no chunk's key: %q", it.Key)
+		return &keyError{"chunk", it.Key}
 	}
 	var r records.Chunk
 	if err := protocol.Decode(it.Value, &r); err != nil || job == nil {
@@ -175,64 +173,66 @@
 	for _, t := range r.Tasks {
 		if m := f.machines[t.Machine]; m != nil {
 			needs := placement.Needs(spec)
-			m.teams[spec.Team] = m.teams[spec.Team].Plus(needs)
-			m.all = m.all.Plus(needs)
+			m.reservedByTeam[spec.Team] = m.reservedByTeam[spec.Team].Plus(needs)
+			m.reserved = m.reserved.Plus(needs)
 		}
 	}
 	return nil
 }
 
 // show prints the fleet as a whole, surges, and the hottest machines.
-func (f *fleetLoad) show(out io.Writer, top int) {
+func (f *fleetReport) show(to io.Writer, top int) error {
+	out := &output{to: to}
 	list := slices.SortedFunc(maps.Values(f.machines), func(a, b *machineLoad) int {
 		return cmp.Or(cmp.Compare(b.share, a.share), cmp.Compare(a.name, b.name))
 	})
 	if len(list) == 0 {
-		fmt.Fprintln(out, "no machines on record")
+		out.printf("no machines on record\n")
 	} else {
 		sum := 0.0
 		for _, m := range list {
 			sum += m.share
 		}
-		fmt.Fprintf(out, "%d machines: mean %.0f%%, 99%% of them below %.0f%%, hottest %.0f%%\n",
+		out.printf("%d machines: mean %.0f%%, 99%% of them below %.0f%%, hottest %.0f%%\n",
 			len(list), 100*sum/float64(len(list)), 100*list[len(list)/100].share, 100*list[0].share)
 	}
 	f.showSurges(out)
 	if len(list) > 0 && top > 0 {
-		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "\nMACHINE\tTYPE\tZONE\tTAKEN\tBY")
-		for _, m := range list[:min(top, len(list))] {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%s\n", m.name, m.machineType, m.zone, 100*m.share, f.byTeam(m))
-		}
-		w.Flush()
+		out.table(func(rows *output) {
+			rows.printf("\nMACHINE\tTYPE\tZONE\tTAKEN\tBY\n")
+			for _, m := range list[:min(top, len(list))] {
+				rows.printf("%s\t%s\t%s\t%.0f%%\t%s\n", m.name, m.machineType, m.zone, 100*m.share, f.byTeam(m))
+			}
+		})
 	}
-	for _, key := range f.odd {
-		fmt.Fprintln(out, "unreadable:", key)
+	for _, key := range f.unreadableKeys {
+		out.printf("unreadable: %s\n", key)
 	}
+	return out.err
 }
 
-func (f *fleetLoad) showSurges(out io.Writer) {
+func (f *fleetReport) showSurges(out *output) {
 	if len(f.surges) == 0 {
-		fmt.Fprintln(out, "no team surges")
+		out.printf("no team surges\n")
 		return
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "\nSURGING TEAM\tSINCE\tUSUAL CPUS\tWANTED CPUS\tMOVED TASKS")
-	for _, team := range slices.Sorted(maps.Keys(f.surges)) {
-		r := f.surges[team]
-		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%d\n", team, time.UnixMilli(int64(r.Number)).UTC().Format(time.DateTime), r.Level, f.demand[team], f.moved[team])
-	}
-	w.Flush()
+	out.table(func(rows *output) {
+		rows.printf("\nSURGING TEAM\tSINCE\tUSUAL CPUS\tWANTED CPUS\tMOVED TASKS\n")
+		for _, team := range slices.Sorted(maps.Keys(f.surges)) {
+			r := f.surges[team]
+			rows.printf("%s\t%s\t%.0f\t%.0f\t%d\n", team, time.UnixMilli(int64(r.Number)).UTC().Format(time.DateTime), r.Level, f.demand[team], f.moved[team])
+		}
+	})
 }
 
 // byTeam lists which part of a machine teams take, the largest first.
-func (f *fleetLoad) byTeam(m *machineLoad) string {
+func (f *fleetReport) byTeam(m *machineLoad) string {
 	capacity := placement.Resources{}
 	if t := f.types[m.machineType]; t != nil {
 		capacity = placement.Capacity(t)
 	}
-	share := func(team string) float64 { return balance.Share(m.teams[team], capacity) }
-	teams := slices.SortedFunc(maps.Keys(m.teams), func(a, b string) int { return cmp.Or(cmp.Compare(share(b), share(a)), cmp.Compare(a, b)) })
+	share := func(team string) float64 { return balance.Share(m.reservedByTeam[team], capacity) }
+	teams := slices.SortedFunc(maps.Keys(m.reservedByTeam), func(a, b string) int { return cmp.Or(cmp.Compare(share(b), share(a)), cmp.Compare(a, b)) })
 	var parts []string
 	for _, team := range teams {
 		parts = append(parts, fmt.Sprintf("%s %.0f%%", team, 100*share(team)))
--- a/cmd/brasskeel/balance_test.go
+++ b/cmd/brasskeel/balance_test.go
@@ -11,7 +11,7 @@
 // What operators are shown of loads follows the records: who takes which part of a machine,
 // who surges, and what can't be read.
 func TestBalanceShown(t *testing.T) {
-	f := newFleetLoad()
+	f := newFleetReport()
 	job := func(id, team string, tasks int, cpus float64) records.Job {
 		return records.Job{Chunk: 96, Spec: &protocol.Job{ID: id, Team: team, Tasks: tasks, CPUs: cpus, MemoryGB: 1}}
 	}
@@ -39,9 +39,11 @@
 			t.Errorf("%s: %v", it.key, err)
 		}
 	}
-	f.weigh()
+	f.computeShares()
 	var out strings.Builder
-	f.show(&out, 1)
+	if err := f.show(&out, 1); err != nil {
+		t.Fatal(err)
+	}
 	for _, want := range []string{"2 machines: mean 62%", "hottest 75%", "red", "2025-12-02", "2           6            2", "vm-2", "red 50%, blue 25%"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q isn't shown:\n%s", want, out.String())
--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -30,23 +30,23 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	}
-	return 0, fmt.Errorf("LOG_LEVEL is %q, not error, info or debug", name)
+	return 0, &optionError{"LOG_LEVEL", fmt.Sprintf("is %q, not error, info or debug", name)}
 }
 
-// control ties the core to the network: what happens goes in as steps, and
+// controllerProcess ties the core to the network: what happens goes in as steps, and
 // what the steps ask for is done.
-type control struct {
-	cfg   *config.Settings
-	node  *coordination.Controller
-	loop  *transport.Loop
-	peers *transport.Peers
-	timer *time.Timer
-	armed time.Time
-	trace *tracer       // nil: spans are dropped
-	ready chan struct{} // closed once the core has started
+type controllerProcess struct {
+	cfg     *config.Settings
+	core    *coordination.Controller
+	loop    *transport.Loop
+	peers   *transport.PeerStreams
+	timer   *time.Timer
+	timerAt time.Time
+	trace   *tracer       // nil: spans are dropped
+	ready   chan struct{} // closed once the core has started
 }
 
-func runControl(cfg *config.Settings, op config.Operator, trace *tracer, level slog.Level) error {
+func runController(cfg *config.Settings, op config.Operator, trace *tracer, level slog.Level) error {
 	// The program's share is a fraction of one core: more threads would only
 	// take turns. Half of the memory is left for the runtime and the sockets.
 	runtime.GOMAXPROCS(1)
@@ -58,8 +58,8 @@
 	slog.SetDefault(log)
 	slog.SetLogLoggerLevel(slog.LevelDebug)
 
-	c := &control{cfg: cfg, trace: trace, ready: make(chan struct{})}
-	c.node = coordination.New(cfg, op, log, rand.Uint64(), time.Now())
+	c := &controllerProcess{cfg: cfg, trace: trace, ready: make(chan struct{})}
+	c.core = coordination.New(cfg, op, log, rand.Uint64(), time.Now())
 	c.loop = transport.NewLoop(cfg.Listen, cfg.State, cfg.Sockets, c, log)
 	var addrs []string
 	for _, p := range cfg.Peers {
@@ -68,14 +68,14 @@
 	c.timer = time.AfterFunc(time.Hour, func() { c.loop.Post(c.tick) })
 	c.timer.Stop()
 	var err error
-	c.peers, err = transport.NewPeers(cfg.PeerListen, cfg.Name, addrs, func(line []byte) {
+	c.peers, err = transport.NewPeerStreams(cfg.PeerListen, cfg.Name, addrs, func(line []byte) {
 		<-c.ready
-		c.loop.Post(func() { c.apply(c.node.PeerMessage(time.Now(), line)) })
+		c.loop.Post(func() { c.apply(c.core.PeerMessage(time.Now(), line)) })
 	}, log)
 	if err != nil {
 		return err
 	}
-	if most, known := openFiles(); known && most < uint64(cfg.Sockets+otherFiles) {
+	if most, known := maxDescriptors(); known && most < uint64(cfg.Sockets+reservedDescriptors) {
 		log.Warn("too few file descriptors for the configured sockets", "descriptors", most, "sockets", cfg.Sockets)
 	}
 	log.Info("controller starting", "listen", cfg.Listen, "peer_listen", cfg.PeerListen, "zone", cfg.Zone)
@@ -83,27 +83,27 @@
 	if err := c.loop.Run(); err != nil {
 		return err
 	}
-	return errors.New("the event loop ended")
+	return errLoopEnded
 }
 
 // Times of a planned end. drainWithin bounds how long a controller goes on after it was asked
 // to end; what it has not given up by then, others take over as after a crash.
 const (
-	drainWithin = 20 * time.Second
-	drainLook   = 100 * time.Millisecond
+	drainWithin       = 20 * time.Second
+	drainPollInterval = 100 * time.Millisecond
 )
 
 // drainOnTerminate lets a termination signal drain the controller before the process ends.
-func (c *control) drainOnTerminate(log *slog.Logger) {
+func (c *controllerProcess) drainOnTerminate(log *slog.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, unix.SIGTERM)
 	go func() {
 		<-signals
 		<-c.ready
-		c.loop.Post(func() { c.apply(c.node.Drain(time.Now())) })
-		for end := time.Now().Add(drainWithin); time.Now().Before(end); time.Sleep(drainLook) {
+		c.loop.Post(func() { c.apply(c.core.Drain(time.Now())) })
+		for end := time.Now().Add(drainWithin); time.Now().Before(end); time.Sleep(drainPollInterval) {
 			drained := make(chan bool, 1)
-			c.loop.Post(func() { drained <- c.node.Drained() })
+			c.loop.Post(func() { drained <- c.core.Drained() })
 			if <-drained {
 				log.Info("controller drained")
 				c.trace.close()
@@ -116,13 +116,13 @@
 	}()
 }
 
-// otherFiles is how many file descriptors the process needs beside sockets: its standard
+// reservedDescriptors is how many file descriptors the process needs beside sockets: its standard
 // streams, the settings, and what the runtime and the event loop hold.
-const otherFiles = 16
+const reservedDescriptors = 16
 
-// openFiles is how many file descriptors the process may hold. The runtime has raised the
+// maxDescriptors is how many file descriptors the process may hold. The runtime has raised the
 // soft limit to the hard one by now.
-func openFiles() (most uint64, known bool) {
+func maxDescriptors() (most uint64, known bool) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, false
@@ -140,22 +140,22 @@
 }
 
 // Ready implements transport.Handler.
-func (c *control) Ready() {
-	c.apply(c.node.Start(time.Now()))
+func (c *controllerProcess) Ready() {
+	c.apply(c.core.Start(time.Now()))
 	close(c.ready)
 }
 
 // Request implements transport.Handler.
-func (c *control) Request(id uint64, method, target string, body []byte) {
-	c.apply(c.node.Request(time.Now(), id, method, target, body))
+func (c *controllerProcess) Request(id uint64, method, target string, body []byte) {
+	c.apply(c.core.Request(time.Now(), id, method, target, body))
 }
 
-func (c *control) tick() {
-	c.armed = time.Time{}
-	c.apply(c.node.Tick(time.Now()))
+func (c *controllerProcess) tick() {
+	c.timerAt = time.Time{}
+	c.apply(c.core.Tick(time.Now()))
 }
 
-func (c *control) apply(e coordination.Effects) {
+func (c *controllerProcess) apply(e coordination.Effects) {
 	for i := range e.Replies {
 		r := &e.Replies[i]
 		c.loop.Reply(r.ID, r.Status, r.RetryAfter, r.Body, r.Close)
@@ -171,8 +171,8 @@
 		}
 		id := k.ID
 		c.loop.Call(addr, k.Method, k.Target, k.Body, k.Timeout, func(status int, body []byte, err error) {
-			c.apply(c.node.Result(time.Now(), id, coordination.Outcome{Status: status, Body: body,
-				Answered: err == nil, NotSent: errors.Is(err, transport.ErrNotSent), Busy: errors.Is(err, transport.ErrBusy)}))
+			c.apply(c.core.Result(time.Now(), id, coordination.Outcome{Status: status, Body: body,
+				Answered: err == nil, NotSent: errors.Is(err, transport.ErrNotSent), Busy: errors.Is(err, transport.ErrNoSocket)}))
 		})
 	}
 	for i := range e.Broadcasts {
@@ -183,13 +183,13 @@
 	}
 	c.trace.record(e.Spans)
 	if len(e.Broadcasts) > 0 { // once a second
-		c.node.ProcessorUsed(time.Now(), processorTime())
-		c.node.PeerLinesLost(c.peers.Dropped())
-		k := c.loop.Counts()
-		c.node.Sockets(k.Crowded, k.Shed, k.Busy)
+		c.core.ProcessorUsed(time.Now(), processorTime())
+		c.core.PeerLinesLost(c.peers.TakeDropped())
+		k := c.loop.TakeCounts()
+		c.core.Sockets(k.ClosedWhenCrowded, k.ClosedForRoom, k.CallsWithoutSocket)
 	}
-	if next := c.node.Next(); !next.IsZero() && (c.armed.IsZero() || next.Before(c.armed)) {
-		c.armed = next
+	if next := c.core.Next(); !next.IsZero() && (c.timerAt.IsZero() || next.Before(c.timerAt)) {
+		c.timerAt = next
 		c.timer.Reset(max(0, time.Until(next)))
 	}
 }
--- a/cmd/brasskeel/main.go
+++ b/cmd/brasskeel/main.go
@@ -38,7 +38,7 @@
 	return settings, operator
 }
 
-func load(settings, operator string) (*config.Settings, config.Operator, error) {
+func loadSettings(settings, operator string) (*config.Settings, config.Operator, error) {
 	s, err := config.Load(settings)
 	if err != nil {
 		return nil, config.Operator{}, err
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		s, o, err := load(*settings, *operator)
+		s, o, err := loadSettings(*settings, *operator)
 		if err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 		if err != nil {
 			return err
 		}
-		return runControl(s, o, trace, level)
+		return runController(s, o, trace, level)
 	}
 	return c
 }
@@ -73,17 +73,20 @@
 	c := &cobra.Command{Use: "check", Short: "Check settings files", Args: cobra.NoArgs}
 	settings, operator := settingsFlags(c)
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		s, _, err := load(*settings, *operator)
+		s, _, err := loadSettings(*settings, *operator)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "settings of %s are good: %d other controllers, %d teams\n", s.Name, len(s.Peers), len(s.Teams))
-		return nil
+		_, err = fmt.Fprintf(cmd.OutOrStdout(), "settings of %s are good: %d other controllers, %d teams\n", s.Name, len(s.Peers), len(s.Teams))
+		return err
 	}
 	return c
 }
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "brasskeel", version) }}
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			_, err := fmt.Fprintln(cmd.OutOrStdout(), "brasskeel", version)
+			return err
+		}}
 }
--- a/cmd/brasskeel/shards.go
+++ b/cmd/brasskeel/shards.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"io"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -18,59 +17,60 @@
 	c := &cobra.Command{Use: "shards", Short: "Show which controller serves which shard of the machines", Args: cobra.NoArgs}
 	settings, operator := settingsFlags(c)
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		s, _, err := load(*settings, *operator)
+		s, _, err := loadSettings(*settings, *operator)
 		if err != nil {
 			return err
 		}
 		ctx, cancel := context.WithTimeout(cmd.Context(), stateTimeout)
 		defer cancel()
-		table, odd, err := readShards(ctx, s)
+		table, unreadable, err := readShards(ctx, s)
 		if err != nil {
 			return err
 		}
-		showShards(cmd.OutOrStdout(), table, odd)
-		return nil
+		return showShards(cmd.OutOrStdout(), table, unreadable)
 	}
 	return c
 }
 
 // readShards reads the records of shards from the state service, and what is wrong with those
 // that can't be read.
-func readShards(ctx context.Context, s *config.Settings) (table *shard.Table, odd []error, err error) {
+func readShards(ctx context.Context, s *config.Settings) (table *shard.Table, unreadable []error, err error) {
 	table = shard.NewTable()
 	err = readKeys(ctx, s, records.PrefixShards, func(it protocol.KeyValue) {
 		if err := table.Put(it.Key, it.Value, it.Version); err != nil {
-			odd = append(odd, err)
+			unreadable = append(unreadable, err)
 		}
 	})
-	return table, odd, err
+	return table, unreadable, err
 }
 
 // showShards prints who owns what, and the controllers that may own shards.
-func showShards(out io.Writer, table *shard.Table, odd []error) {
+func showShards(to io.Writer, table *shard.Table, unreadable []error) error {
+	out := &output{to: to}
 	if table.Empty() {
-		fmt.Fprintln(out, "no shards: the leader serves all machines")
+		out.printf("no shards: the leader serves all machines\n")
 	} else {
-		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "SHARD\tOWNER\tTERM\tMOVES TO\tOWNERS SO FAR")
-		for _, id := range table.IDs() {
-			fmt.Fprintln(w, shardLine(table, id))
-		}
-		w.Flush()
+		out.table(func(rows *output) {
+			rows.printf("SHARD\tOWNER\tTERM\tMOVES TO\tOWNERS SO FAR\n")
+			for _, id := range table.IDs() {
+				rows.printf("%s\n", shardLine(table, id))
+			}
+		})
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "\nCONTROLLER\tZONE\tSHARDS\t")
-	for _, m := range table.Members() {
-		note := ""
-		if m.Draining {
-			note = "drains"
+	out.table(func(rows *output) {
+		rows.printf("\nCONTROLLER\tZONE\tSHARDS\t\n")
+		for _, m := range table.Members() {
+			note := ""
+			if m.Draining {
+				note = "drains"
+			}
+			rows.printf("%s\t%s\t%d\t%s\n", m.Name, m.Zone, len(table.OwnedBy(m.Member)), note)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", m.Name, m.Zone, len(table.OwnedBy(m.Member)), note)
-	}
-	w.Flush()
-	for _, err := range odd {
-		fmt.Fprintln(out, err)
+	})
+	for _, err := range unreadable {
+		out.printf("%v\n", err)
 	}
+	return out.err
 }
 
 func shardLine(table *shard.Table, id shard.ID) string {
--- a/cmd/brasskeel/state.go
+++ b/cmd/brasskeel/state.go
@@ -13,9 +13,9 @@
 
 // Bounds of reading the state service for an operator.
 const (
-	stateTimeout = 10 * time.Second
-	statePage    = 500
-	stateBody    = 1 << 20 // of a page; the state service answers with half of it
+	stateTimeout  = 10 * time.Second
+	statePageKeys = 500
+	maxPageBytes  = 1 << 20 // of a page; the state service answers with half of it
 )
 
 // readKeys reads all keys with a prefix from the state service, page by page.
@@ -37,7 +37,7 @@
 }
 
 func readPage(ctx context.Context, addr, prefix, after string) (items []protocol.KeyValue, more bool, err error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+protocol.RangeTarget(prefix, after, statePage), nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+protocol.RangeTarget(prefix, after, statePageKeys), nil)
 	if err != nil {
 		return nil, false, err
 	}
@@ -45,13 +45,13 @@
 	if err != nil {
 		return nil, false, err
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, stateBody))
+	defer func() { _ = response.Body.Close() }() // all that counts was read
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return nil, false, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, false, fmt.Errorf("status %d", response.StatusCode)
+		return nil, false, &statusError{response.StatusCode}
 	}
 	items, more, _, err = protocol.ParseRange(body)
 	return items, more, err
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -209,8 +209,8 @@
 	if err != nil || response.StatusCode == http.StatusServiceUnavailable {
 		return response.StatusCode, 0, err
 	}
-	_, state, _, _, err := protocol.ParseJobStatus(answer)
-	return response.StatusCode, state, err
+	job, err := protocol.ParseJobStatus(answer)
+	return response.StatusCode, job.State, err
 }
 
 func TestParseExternal(t *testing.T) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,10 +1,7 @@
-// Package config reads the platform's settings (TOML) and the operators' own
-// (JSON, checked against a schema).
 package config
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"math"
 	"net/netip"
@@ -18,7 +15,7 @@
 type Peer struct {
 	Name string
 	Zone string
-	Addr string
+	Addr string // address with a port, where it serves its peers
 }
 
 // Team has a guarantee and a limit. A team without a limit, as guests are, has
@@ -41,45 +38,49 @@
 	return most
 }
 
-// Objective restates an aim of the users.
+// Objective is a service-level objective that the platform states for a class of jobs. Which
+// of the amounts count depends on the kind.
 type Objective struct {
 	Kind   string
 	Class  string
 	Within time.Duration
 	After  time.Duration
-	Share  float64
-	Times  float64
+	Share  float64 // of the class's jobs, 0 to 1
+	Times  float64 // of the estimated runtime
 }
 
 // Settings is what the platform hands over at the start.
 type Settings struct {
-	Name       string
+	Name       string // of this controller, unique among the peers
 	Zone       string
-	Listen     string
-	PeerListen string
+	Listen     string // address with a port, for users and workers
+	PeerListen string // address with a port, for other controllers
 	Peers      []Peer
-	Cloud      string
-	State      string
+	Cloud      string // address with a port
+	State      string // of the state service, address with a port
 
 	Teams      []Team
 	Objectives []Objective
-	TimeBound  time.Duration
+	// TimeBound is how far the times of day of two machines may be apart.
+	TimeBound time.Duration
 
-	ReportInterval time.Duration
-	WorkerLease    time.Duration
-	CancelWithin   time.Duration
+	HeartbeatInterval time.Duration // between a worker's heartbeats
+	// WorkerLease is how long a worker's tasks go on after its last heartbeat that was answered.
+	WorkerLease time.Duration
+	// CancelWithin is within which time a cancelled job's tasks must have ended.
+	CancelWithin time.Duration
 
-	StateRPS      float64
-	StateWriteRPS float64
-	ValueBytes    int
-	TxnOps        int
+	StateRPS      float64 // requests a second to the state service
+	StateWriteRPS float64 // of them, changes of keys
+	ValueBytes    int     // largest value of a key
+	TxnOps        int     // most operations in a transaction
 
-	CloudRPS float64
-	ListLag  time.Duration
+	CloudRPS float64       // requests a second to the cloud
+	ListLag  time.Duration // by which the cloud's list of machines may be old
 
-	CPUShare    float64
+	CPUShare    float64 // of one core
 	MemoryBytes int64
-	Sockets     int
+	Sockets     int // open at a time
 }
 
 type file struct {
@@ -151,11 +152,15 @@
 	minSockets = 32
 )
 
+// maxAmount is more than any setting may be, so that it can be counted with.
+const maxAmount = 1e9
+
 // minCancelSlack is what a cancellation must have beyond a worker's lease, for a leader to
 // learn of it before it renews another one.
 const minCancelSlack = 3 * time.Second
 
-// Load reads and checks the platform's settings.
+// Load reads the platform's settings from a file and checks them. Its errors are those of
+// os.ReadFile and of Parse.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -164,111 +169,153 @@
 	return Parse(raw)
 }
 
-// Parse reads and checks settings. Unknown fields are ignored.
+// Parse reads and checks settings. Unknown fields are ignored. The error is a *SettingError,
+// or wraps the error of the TOML decoder.
 func Parse(raw []byte) (*Settings, error) {
 	var f file
 	if err := toml.NewDecoder(bytes.NewReader(raw)).Decode(&f); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &Settings{Name: f.Name, Zone: f.Zone, Listen: f.Listen, PeerListen: f.PeerListen,
-		Cloud: f.Services.Cloud, State: f.Services.State}
+	s := &Settings{}
+	for _, read := range [...]func(*file, *Settings) error{(*file).readController, (*file).readPeers, (*file).readTeams,
+		(*file).checkAmounts, (*file).readWorkers} {
+		if err := read(&f, s); err != nil {
+			return nil, err
+		}
+	}
+	f.readObjectives(s)
+	f.readLimits(s)
+	return s, nil
+}
+
+// readController reads what this controller is called, and where it and the services listen.
+func (f *file) readController(s *Settings) error {
+	s.Name, s.Zone, s.Listen, s.PeerListen = f.Name, f.Zone, f.Listen, f.PeerListen
+	s.Cloud, s.State = f.Services.Cloud, f.Services.State
 	if s.Name == "" {
-		return nil, errors.New("settings: host_name is missing")
+		return missing("host_name")
 	}
 	if s.Zone == "" {
-		return nil, errors.New("settings: domain is missing")
+		return missing("domain")
 	}
-	for _, a := range []struct{ name, addr string }{
+	for _, a := range [...]struct{ name, addr string }{
 		{"public_addr", s.Listen}, {"back", s.PeerListen}, {"endpoints.cloud", s.Cloud}, {"endpoints.state", s.State}} {
 		if err := checkAddr(a.name, a.addr); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	hosts := map[string]bool{s.Name: true}
+	return nil
+}
+
+func (f *file) readPeers(s *Settings) error {
+	named := map[string]bool{s.Name: true}
 	for _, p := range f.Peers {
 		if p.Name == "" {
-			return nil, errors.New("settings: a seed has no host_name")
+			return &SettingError{Name: "a seed", Reason: "has no host_name"}
 		}
-		if hosts[p.Name] {
-			return nil, fmt.Errorf("settings: host %q is named twice", p.Name)
+		if named[p.Name] {
+			return &SettingError{Name: fmt.Sprintf("host %q", p.Name), Reason: "is named twice"}
 		}
-		hosts[p.Name] = true
+		named[p.Name] = true
 		if err := checkAddr("endpoint of seed "+p.Name, p.Addr); err != nil {
-			return nil, err
+			return err
 		}
 		s.Peers = append(s.Peers, Peer(p))
 	}
-	teams := map[string]bool{}
+	return nil
+}
+
+func (f *file) readTeams(s *Settings) error {
+	named := map[string]bool{}
 	for _, t := range f.Params.Teams {
-		if t.Name == "" || teams[t.Name] {
-			return nil, fmt.Errorf("settings: team %q has no name of its own", t.Name)
+		if t.Name == "" || named[t.Name] {
+			return teamError(t.Name, "has no name of its own")
 		}
-		teams[t.Name] = true
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		named[t.Name] = true
+		for _, v := range [...]float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
 			if !(v >= 0) || math.IsInf(v, 0) {
-				return nil, fmt.Errorf("settings: team %q has an impossible amount", t.Name)
+				return teamError(t.Name, "has an impossible amount")
 			}
 		}
 		t.CPUsMax, t.GPUsMax = limit(t.CPUsMax), limit(t.GPUsMax)
 		if t.CPUsMax < t.CPUs || t.GPUsMax < t.GPUs {
-			return nil, fmt.Errorf("settings: team %q has a maximum below its guarantee", t.Name)
+			return teamError(t.Name, "has a maximum below its guarantee")
 		}
 		s.Teams = append(s.Teams, Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
 	}
 	if len(s.Teams) == 0 {
-		return nil, errors.New("settings: facts.teams is missing")
+		return missing("facts.teams")
 	}
+	return nil
+}
+
+func (f *file) readObjectives(s *Settings) {
 	for _, o := range f.Params.Objectives {
 		s.Objectives = append(s.Objectives, Objective{Kind: o.Kind, Class: o.Class, Share: o.Share, Times: o.Times,
 			Within: seconds(o.WithinS), After: seconds(o.AfterS)})
 	}
-	w, st, cl, q := &f.Params.Workers, &f.Params.State, &f.Params.Cloud, &f.Params.Quota
-	for _, v := range []struct {
+}
+
+// checkAmounts refuses amounts that are not positive, and those that a controller can't work
+// with.
+func (f *file) checkAmounts(*Settings) error {
+	workers, state, cloud, quota := &f.Params.Workers, &f.Params.State, &f.Params.Cloud, &f.Params.Quota
+	for _, v := range [...]struct {
 		name  string
 		value float64
 	}{
-		{"workers.report_s", w.ReportS}, {"workers.lease_s", w.LeaseS}, {"workers.cancel_s", w.CancelS},
-		{"state.rps", st.RPS}, {"state.write_rps", st.WriteRPS}, {"state.value_kb", st.ValueKB},
-		{"state.txn_ops", float64(st.TxnOps)}, {"cloud.rps", cl.RPS},
-		{"quota.cpu", q.CPU}, {"quota.ram_mb", q.RAMMB}, {"quota.sockets", float64(q.Sockets)},
+		{"workers.report_s", workers.ReportS}, {"workers.lease_s", workers.LeaseS}, {"workers.cancel_s", workers.CancelS},
+		{"state.rps", state.RPS}, {"state.write_rps", state.WriteRPS}, {"state.value_kb", state.ValueKB},
+		{"state.txn_ops", float64(state.TxnOps)}, {"cloud.rps", cloud.RPS},
+		{"quota.cpu", quota.CPU}, {"quota.ram_mb", quota.RAMMB}, {"quota.sockets", float64(quota.Sockets)},
 	} {
-		if !(v.value > 0) || v.value > 1e9 {
-			return nil, fmt.Errorf("settings: facts.%s must be above zero", v.name)
+		if !(v.value > 0) || v.value > maxAmount {
+			return &SettingError{Name: "facts." + v.name, Reason: "must be above zero"}
 		}
 	}
-	for _, v := range []struct {
+	for _, v := range [...]struct {
 		name         string
 		value, least float64
 	}{
-		{"state.txn_ops", float64(st.TxnOps), minTxnOps}, {"state.value_kb", st.ValueKB, minValueKB},
-		{"quota.sockets", float64(q.Sockets), minSockets},
+		{"state.txn_ops", float64(state.TxnOps), minTxnOps}, {"state.value_kb", state.ValueKB, minValueKB},
+		{"quota.sockets", float64(quota.Sockets), minSockets},
 	} {
 		if v.value < v.least {
-			return nil, fmt.Errorf("settings: facts.%s must be %g or more", v.name, v.least)
+			return &SettingError{Name: "facts." + v.name, Reason: fmt.Sprintf("must be %g or more", v.least)}
 		}
 	}
-	if !(cl.ListLagS >= 0) || !(f.Params.TimeBoundMS >= 0) {
-		return nil, errors.New("settings: facts.cloud.list_lag_s and facts.time_bound_ms must not be negative")
+	if !(cloud.ListLagS >= 0) || !(f.Params.TimeBoundMS >= 0) {
+		return &SettingError{Name: "facts.cloud.list_lag_s and facts.time_bound_ms", Reason: "must not be negative"}
 	}
-	s.TimeBound = seconds(f.Params.TimeBoundMS / 1000)
-	s.ReportInterval, s.WorkerLease, s.CancelWithin = seconds(w.ReportS), seconds(w.LeaseS), seconds(w.CancelS)
+	return nil
+}
+
+func (f *file) readWorkers(s *Settings) error {
+	workers := &f.Params.Workers
+	s.HeartbeatInterval, s.WorkerLease, s.CancelWithin = seconds(workers.ReportS), seconds(workers.LeaseS), seconds(workers.CancelS)
 	if s.CancelWithin < s.WorkerLease+minCancelSlack {
 		// A worker that can't be reached ends its tasks with its lease and not before.
-		return nil, fmt.Errorf("settings: facts.workers.cancel_s must exceed lease_s by %s or more", minCancelSlack)
+		return &SettingError{Name: "facts.workers.cancel_s", Reason: fmt.Sprintf("must exceed lease_s by %s or more", minCancelSlack)}
 	}
-	s.StateRPS, s.StateWriteRPS, s.TxnOps = st.RPS, st.WriteRPS, st.TxnOps
-	s.ValueBytes = int(st.ValueKB * 1024)
-	s.CloudRPS, s.ListLag = cl.RPS, seconds(cl.ListLagS)
-	s.CPUShare, s.MemoryBytes, s.Sockets = q.CPU, int64(q.RAMMB*(1<<20)), q.Sockets
-	return s, nil
+	return nil
+}
+
+// readLimits reads the limits of the services and of this controller, which were checked.
+func (f *file) readLimits(s *Settings) {
+	state, cloud, quota := &f.Params.State, &f.Params.Cloud, &f.Params.Quota
+	s.TimeBound = seconds(f.Params.TimeBoundMS / 1000)
+	s.StateRPS, s.StateWriteRPS, s.TxnOps = state.RPS, state.WriteRPS, state.TxnOps
+	s.ValueBytes = int(state.ValueKB * 1024)
+	s.CloudRPS, s.ListLag = cloud.RPS, seconds(cloud.ListLagS)
+	s.CPUShare, s.MemoryBytes, s.Sockets = quota.CPU, int64(quota.RAMMB*(1<<20)), quota.Sockets
 }
 
 func checkAddr(name, addr string) error {
 	if addr == "" {
-		return fmt.Errorf("settings: %s is missing", name)
+		return missing(name)
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return fmt.Errorf("settings: %s: %q is not an address with a port", name, addr)
+		return &SettingError{Name: name + ":", Reason: fmt.Sprintf("%q is not an address with a port", addr), Err: err}
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -65,6 +65,9 @@
 	if err != nil || guest.Teams[0].CPUs != 0 || guest.Teams[0].CPUsMax != NoLimit {
 		t.Errorf("a team without guarantee and limit: %+v, %v", guest, err)
 	}
+}
+
+func TestParseRefuses(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`public_addr = "10.0.0.1:8080"`, ``, "public_addr is missing"},
 		{`public_addr = "10.0.0.1:8080"`, `public_addr = "here"`, "not an address"},
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -3,7 +3,6 @@
 import (
 	_ "embed"
 	"encoding/json"
-	"fmt"
 	"os"
 	"time"
 
@@ -21,10 +20,11 @@
 	RoomWeight  float64 `json:"roomWeight"`
 	// HeadroomShare is the free room kept beyond what runs, as a share of it.
 	HeadroomShare float64 `json:"headroomShare"`
-	// IdleSeconds is how long a machine that is not needed stays after its last
-	// task ended.
+	// IdleSeconds is how long a machine that is not needed is kept after its last task ended,
+	// before it is scaled in.
 	IdleSeconds float64 `json:"idleSeconds"`
-	// LeaderLeaseSeconds is how long a leader that fell silent stays leader.
+	// LeaderLeaseSeconds is the time of a leader's lease: for so long it stays leader after it
+	// last renewed it.
 	LeaderLeaseSeconds float64 `json:"leaderLeaseSeconds"`
 	// Spot allows renting spot machines for jobs that may use them.
 	Spot bool `json:"spot"`
@@ -102,7 +102,8 @@
 // LeaderLease is LeaderLeaseSeconds as a duration.
 func (o *Operator) LeaderLease() time.Duration { return seconds(o.LeaderLeaseSeconds) }
 
-// LoadOperator reads the operators' settings; an empty path gives the defaults.
+// LoadOperator reads the operators' settings from a file; an empty path gives the defaults. Its
+// errors are those of os.ReadFile and of ParseOperator.
 func LoadOperator(path string) (Operator, error) {
 	o := DefaultOperator()
 	if path == "" {
@@ -115,7 +116,8 @@
 	return o, ParseOperator(raw, &o)
 }
 
-// ParseOperator checks raw against the schema and sets what it names in o.
+// ParseOperator checks raw against the schema and sets what it names in o. What is wrong with
+// raw comes as an *OperatorError.
 func ParseOperator(raw []byte, o *Operator) error {
 	var schema jsonschema.Schema
 	if err := json.Unmarshal(operatorSchema, &schema); err != nil {
@@ -127,10 +129,10 @@
 	}
 	var value any
 	if err := json.Unmarshal(raw, &value); err != nil {
-		return fmt.Errorf("operator settings: %w", err)
+		return &OperatorError{err}
 	}
 	if err := resolved.Validate(value); err != nil {
-		return fmt.Errorf("operator settings: %w", err)
+		return &OperatorError{err}
 	}
 	return json.Unmarshal(raw, o)
 }
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -21,7 +21,7 @@
 			WithinS: o.Within.Seconds(), AfterS: o.After.Seconds(), Share: o.Share, Times: o.Times})
 	}
 	w, st, cl, q := &f.Params.Workers, &f.Params.State, &f.Params.Cloud, &f.Params.Quota
-	w.ReportS, w.LeaseS, w.CancelS = s.ReportInterval.Seconds(), s.WorkerLease.Seconds(), s.CancelWithin.Seconds()
+	w.ReportS, w.LeaseS, w.CancelS = s.HeartbeatInterval.Seconds(), s.WorkerLease.Seconds(), s.CancelWithin.Seconds()
 	st.RPS, st.WriteRPS, st.TxnOps = s.StateRPS, s.StateWriteRPS, s.TxnOps
 	st.ValueKB = float64(s.ValueBytes) / 1024
 	cl.RPS, cl.ListLagS = s.CloudRPS, s.ListLag.Seconds()
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -8,7 +8,7 @@
 // registrationTimeout is when every live worker has found this leader: the longest interval
 // between reports, and a report or two that were lost on nodes that are gone.
 func (l *leader) registrationTimeout() time.Duration {
-	return l.controller.cfg.ReportInterval*5/4 + 6*time.Second
+	return l.controller.cfg.HeartbeatInterval*5/4 + 6*time.Second
 }
 
 // detectFailures looks for machines that have fallen silent. Silence proves
--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -13,7 +13,7 @@
 func cutZone(t *testing.T, interval, span time.Duration) (given string, asked int) {
 	t.Helper()
 	c, l := leading(phaseActive)
-	c.cfg.ReportInterval = interval
+	c.cfg.HeartbeatInterval = interval
 	start := c.now
 	var cut, others []*machine
 	for i := range 30 {
@@ -72,7 +72,7 @@
 // Between reports that come in time nobody is asked.
 func TestNoProbesBetweenReports(t *testing.T) {
 	c, l := leading(phaseActive)
-	c.cfg.ReportInterval = 4 * time.Second
+	c.cfg.HeartbeatInterval = 4 * time.Second
 	m := addTestMachine(l, "vm-1", true)
 	m.addr, m.lastReached, m.registeredAt = "x", c.now, c.now
 	for since := time.Duration(0); since < 4*time.Second; since += detectorInterval {
@@ -92,7 +92,7 @@
 // Where one worker of a zone doesn't answer, the others of it are asked sooner.
 func TestDoubtfulZoneIsAskedSooner(t *testing.T) {
 	c, l := leading(phaseActive)
-	c.cfg.ReportInterval = 4 * time.Second
+	c.cfg.HeartbeatInterval = 4 * time.Second
 	lost, near, far := addTestMachine(l, "vm-1", true), addTestMachine(l, "vm-2", true), addTestMachine(l, "vm-3", true)
 	for _, m := range []*machine{lost, near, far} {
 		m.addr, m.lastReached, m.registeredAt = "x", c.now, c.now
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machines_test.go
@@ -19,7 +19,7 @@
 // leadingIn is leading for a node of the given zone.
 func leadingIn(zone string, p recoveryPhase) (*Controller, *leader) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
-	cfg := &config.Settings{Name: "n0", Zone: zone, ReportInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
+	cfg := &config.Settings{Name: "n0", Zone: zone, HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
 		CancelWithin: 40 * time.Second, CPUShare: 0.3, Sockets: 900, StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 4,
 		Teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}}
 	c := New(cfg, config.DefaultOperator(), slog.New(slog.DiscardHandler), 1, now)
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -62,7 +62,7 @@
 	c := l.controller
 	wait := c.reconnectTime()
 	if len(l.machines) == 0 {
-		wait = c.cfg.ReportInterval / 2
+		wait = c.cfg.HeartbeatInterval / 2
 	}
 	l.recordsLoaded(c.now, wait)
 	l.loaded = true
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -66,7 +66,7 @@
 // fleet grows.
 func (l *leader) forecastCapacity() int {
 	c := l.controller.cfg
-	return int(min(c.CPUShare*float64(c.ReportInterval)/float64(heartbeatCost), 1e9))
+	return int(min(c.CPUShare*float64(c.HeartbeatInterval)/float64(heartbeatCost), 1e9))
 }
 
 // overloadedLately reports whether the controllers that serve the fleet have been late by now: this
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -357,9 +357,7 @@
 	bestGap := gap * maxRemainingGap
 	for i := range v.shards {
 		s := &v.shards[i]
-		if s.Owner != busiest.Member || s.Moving || s.Unowned || s.Machines == 0 || now.Sub(p.movedAt[s.ID]) < moveCooldown ||
-			p.reachFailures.recent(now, idlest.Member, s.Zone) ||
-			s.Zone != "" && s.Zone != idlest.Zone && s.Zone == busiest.Zone {
+		if s.Owner != busiest.Member || !p.canRebalance(now, s, busiest, idlest) {
 			continue
 		}
 		left := gap - 2*perMachine*float64(s.Machines)
@@ -373,8 +371,13 @@
 	return best
 }
 
-// Forget drops what is remembered of shards that are gone.
-func (p *Planner) Forget(id ID) {
-	delete(p.movedAt, id)
-	delete(p.pending, id)
+// canRebalance reports whether a shard of the busiest controller may move to the idlest now.
+func (p *Planner) canRebalance(now time.Time, s *Shard, busiest, idlest *Controller) bool {
+	if s.Moving || s.Unowned || s.Machines == 0 || now.Sub(p.movedAt[s.ID]) < moveCooldown {
+		return false
+	}
+	if p.reachFailures.recent(now, idlest.Member, s.Zone) {
+		return false
+	}
+	return s.Zone == "" || s.Zone == idlest.Zone || s.Zone != busiest.Zone
 }
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -48,7 +48,7 @@
 func takeFitting[T any](list []T, room, whole int, size func(*T) int) (part, rest []T, left int) {
 	for i := range list {
 		k := size(&list[i])
-		if k > room && !(room == whole && i == 0) {
+		if k > room && (room != whole || i != 0) {
 			return list[:i:i], list[i:], room
 		}
 		room -= k
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -34,7 +34,7 @@
 		return false
 	}
 	// One that is unreachable gets its orders when it reports.
-	return !s.controller.now.Before(m.ordersPausedUntil) && s.controller.now.Sub(m.lastSeen) <= s.controller.cfg.ReportInterval*3/2
+	return !s.controller.now.Before(m.ordersPausedUntil) && s.controller.now.Sub(m.lastSeen) <= s.controller.cfg.HeartbeatInterval*3/2
 }
 
 // sendOrders sends a worker what it must do without waiting for its report.
@@ -153,7 +153,7 @@
 			a.directToken = 0
 		}
 	}
-	m.ordersPausedUntil = s.controller.now.Add(s.controller.cfg.ReportInterval)
+	m.ordersPausedUntil = s.controller.now.Add(s.controller.cfg.HeartbeatInterval)
 }
 
 // isNewer reports whether a report is newer than what is known of the machine.
--- a/internal/coordination/worker_probes.go
+++ b/internal/coordination/worker_probes.go
@@ -42,11 +42,11 @@
 // suspectAfter is the silence after which a machine takes nothing new, and
 // unresponsiveAfter the one after which it is given up.
 func (s *workerSessions) suspectAfter() time.Duration {
-	return s.controller.cfg.ReportInterval*5/4 + 700*time.Millisecond
+	return s.controller.cfg.HeartbeatInterval*5/4 + 700*time.Millisecond
 }
 
 func (s *workerSessions) unresponsiveAfter() time.Duration {
-	return max(s.controller.cfg.ReportInterval*2+time.Second, 4*time.Second)
+	return max(s.controller.cfg.HeartbeatInterval*2+time.Second, 4*time.Second)
 }
 
 // probeAfter is the silence after which a worker is asked. Where reports are further
@@ -57,16 +57,16 @@
 	if s.suspectZones[zone] {
 		return minProbeAfter
 	}
-	return max(minProbeAfter, s.controller.cfg.ReportInterval)
+	return max(minProbeAfter, s.controller.cfg.HeartbeatInterval)
 }
 
 // A machine that nothing of ours was seen to reach for this long is asked, and
 // given up when that fails for longer still, although its reports arrive.
 func (s *workerSessions) unreachedProbeAfter() time.Duration {
-	return 2*s.controller.cfg.ReportInterval + time.Second
+	return 2*s.controller.cfg.HeartbeatInterval + time.Second
 }
 func (s *workerSessions) unreachedReleaseAfter() time.Duration {
-	return 3*s.controller.cfg.ReportInterval + 4*time.Second
+	return 3*s.controller.cfg.HeartbeatInterval + 4*time.Second
 }
 
 // unreachableProbes is how many calls in a row a worker leaves unanswered that counts as lost to
@@ -211,5 +211,5 @@
 // longest interval between reports, and the second that a worker takes to try the next
 // node.
 func (c *Controller) reconnectTime() time.Duration {
-	return c.cfg.ReportInterval*5/4 + 1200*time.Millisecond
+	return c.cfg.HeartbeatInterval*5/4 + 1200*time.Millisecond
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 )
 
@@ -20,8 +19,6 @@
 	MaxListed    = 500
 )
 
-var errImpossible = errors.New("an answer that makes no sense")
-
 type wireMachineType struct {
 	Name             string   `json:"label"`
 	CPUs             float64  `json:"cpus"`
@@ -54,12 +51,12 @@
 		return nil, err
 	}
 	if len(w.Types) == 0 {
-		return nil, errImpossible
+		return nil, responseError("hullForms", reasonMissing)
 	}
 	types := make([]MachineType, 0, len(w.Types))
 	for _, t := range w.Types {
-		if t.Name == "" || t.CPUs <= 0 || t.MemoryGB < 0 || t.GPUs < 0 || t.Price < 0 || t.BootTime < 0 || t.BootTime > maxSeconds {
-			return nil, errImpossible
+		if err := t.validate(); err != nil {
+			return nil, err
 		}
 		types = append(types, MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
 			FetchGBPerSecond: t.FetchGBPerSecond, PricePerHour: t.Price, SpotPricePerHour: t.SpotPrice, BootTime: Seconds(t.BootTime), Zones: t.Zones})
@@ -67,6 +64,19 @@
 	return types, nil
 }
 
+// validate refuses types that nothing could be placed on or counted with.
+func (w *wireMachineType) validate() error {
+	switch {
+	case w.Name == "":
+		return responseError("label", reasonMissing)
+	case w.CPUs <= 0 || w.MemoryGB < 0 || w.GPUs < 0 || w.Price < 0:
+		return responseError("hullForms", "has an impossible amount")
+	case w.BootTime < 0 || w.BootTime > maxSeconds:
+		return responseError("readyS", "is not a duration")
+	}
+	return nil
+}
+
 // EncodeProvision asks for machines.
 func EncodeProvision(request, typ, zone string, spot bool, count int) []byte {
 	return Encode(ProvisionRequest{request, typ, zone, spot, count})
@@ -81,11 +91,11 @@
 		return nil, err
 	}
 	if w.Names == nil {
-		return nil, errImpossible
+		return nil, responseError("decks", reasonMissing)
 	}
 	for _, n := range w.Names {
-		if n == "" || len(n) > maxNameBytes {
-			return nil, errImpossible
+		if !validName(n) {
+			return nil, responseError("decks", "holds something that is not a name")
 		}
 	}
 	return w.Names, nil
@@ -105,6 +115,8 @@
 	return t
 }
 
+var machineStateNames = map[string]MachineState{"starting": Booting, "running": Up, "failed": Failed}
+
 // ParseMachines reads one page of the cloud's list.
 func ParseMachines(body []byte) (list []ListedMachine, more bool, err error) {
 	var w struct {
@@ -115,12 +127,17 @@
 		return nil, false, err
 	}
 	if w.Machines == nil || w.More == nil {
-		return nil, false, errImpossible
+		return nil, false, responseError("decks", "or more "+reasonMissing)
 	}
 	for _, m := range w.Machines {
-		state := map[string]MachineState{"starting": Booting, "running": Up, "failed": Failed}[m.State]
-		if m.Name == "" || len(m.Name) > maxNameBytes || state == 0 || !validAmount(m.Age, maxSeconds) {
-			return nil, false, errImpossible
+		state := machineStateNames[m.State]
+		switch {
+		case !validName(m.Name):
+			return nil, false, responseError("nameId", "is missing or not a name")
+		case state == 0:
+			return nil, false, responseError("bearing", "is missing or unknown")
+		case !validAmount(m.Age):
+			return nil, false, responseError("ageS", "is not a duration")
 		}
 		list = append(list, ListedMachine{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 			State: state, Age: Seconds(m.Age)})
--- a/internal/protocol/model.go
+++ b/internal/protocol/model.go
@@ -1,6 +1,3 @@
-// Package protocol holds what the interfaces speak: the wire's types, their
-// validation, and the mapping to the words the rest of the program uses. The
-// wire's own vocabulary stays in this package.
 package protocol
 
 import "time"
--- a/internal/protocol/simulator_codec.go
+++ b/internal/protocol/simulator_codec.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// This file speaks the other side of the interfaces: what workers, the cloud,
-// the state service and users send. Stand-ins use it.
+// This file holds the codec of the other side of each interface: what workers, the cloud, the
+// state service and users send and read. The simulator and tests use it.
 
 func wireName[T comparable](names map[string]T, v T) string {
 	best := ""
@@ -49,26 +49,34 @@
 	return raw
 }
 
+// JobStatus is what a user is told of a job.
+type JobStatus struct {
+	ID            string
+	State         JobState
+	Done, Running int // tasks; 0 in the answer to a submission, which doesn't tell
+}
+
 // ParseJobStatus reads what a user is told of a job.
-func ParseJobStatus(body []byte) (id string, s JobState, done, running int, err error) {
+func ParseJobStatus(body []byte) (JobStatus, error) {
 	var w struct {
 		ID      string `json:"nameId"`
 		State   string `json:"bearing"`
 		Done    int    `json:"done"`
 		Running int    `json:"running"`
 	}
-	if err = json.Unmarshal(body, &w); err != nil {
-		return "", 0, 0, 0, err
+	if err := json.Unmarshal(body, &w); err != nil {
+		return JobStatus{}, err
 	}
+	status := JobStatus{ID: w.ID, Done: w.Done, Running: w.Running}
 	for i, name := range jobStateNames {
 		if name != "" && name == w.State {
-			s = JobState(i)
+			status.State = JobState(i)
 		}
 	}
-	if s == 0 {
-		return "", 0, 0, 0, errImpossible
+	if status.State == 0 {
+		return JobStatus{}, responseError("bearing", "is missing or unknown")
 	}
-	return w.ID, s, w.Done, w.Running, nil
+	return status, nil
 }
 
 // String is the state as users read it.
@@ -112,7 +120,7 @@
 		job, index, ok := splitTask(o.Task)
 		kind := map[string]OrderKind{"run": Start, "stop": Stop, "clear": Forget}[o.Kind]
 		if !ok || kind == 0 {
-			return nil, nil, nil, errImpossible
+			return nil, nil, nil, responseError("orders", "holds something that is not an order")
 		}
 		orders = append(orders, Order{Kind: kind, Job: job, TaskIndex: index, Attempt: o.Attempt, Grace: Seconds(o.Grace)})
 	}
--- a/internal/protocol/state_service.go
+++ b/internal/protocol/state_service.go
@@ -60,8 +60,11 @@
 }
 
 func (w *wireKeyValue) keyValue() (KeyValue, error) {
-	if w.Key == "" || w.Version == 0 {
-		return KeyValue{}, errImpossible
+	if w.Key == "" {
+		return KeyValue{}, responseError("path", reasonMissing)
+	}
+	if w.Version == 0 {
+		return KeyValue{}, responseError("entry", reasonMissing)
 	}
 	return KeyValue(*w), nil
 }
@@ -98,7 +101,7 @@
 		return nil, false, 0, err
 	}
 	if w.Items == nil || w.More == nil || w.Revision == nil {
-		return nil, false, 0, errImpossible
+		return nil, false, 0, responseError("entries", "or more or logbook "+reasonMissing)
 	}
 	items = make([]KeyValue, 0, len(w.Items))
 	for i := range w.Items {
@@ -139,7 +142,7 @@
 		return 0, err
 	}
 	if w.Revision == nil {
-		return 0, errImpossible
+		return 0, responseError("logbook", reasonMissing)
 	}
 	return *w.Revision, nil
 }
@@ -153,7 +156,7 @@
 		return nil, err
 	}
 	if len(w.Failed) == 0 {
-		return nil, errImpossible
+		return nil, responseError("failed", "names no condition")
 	}
 	return w.Failed, nil
 }
@@ -172,7 +175,7 @@
 		return 0, err
 	}
 	if w.Lease == 0 {
-		return 0, errImpossible
+		return 0, responseError("warrant", reasonMissing)
 	}
 	return w.Lease, nil
 }
@@ -206,7 +209,7 @@
 		return nil, 0, err
 	}
 	if w.Revision == nil {
-		return nil, 0, errImpossible
+		return nil, 0, responseError("logbook", reasonMissing)
 	}
 	events := make([]Event, 0, len(w.Events))
 	for _, e := range w.Events {
@@ -216,7 +219,7 @@
 		case e.Delete != "":
 			events = append(events, Event{Key: e.Delete, Deleted: true, Version: e.Version})
 		default:
-			return nil, 0, errImpossible
+			return nil, 0, responseError("news", "holds an event without a key")
 		}
 	}
 	return events, *w.Revision, nil
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -116,102 +116,147 @@
 	Deadline           *float64 `json:"tideS"`
 }
 
-// ParseJob reads a submission. The error names the field that is wrong.
+// ParseJob reads a submission. The error is ErrNotObject, a *FieldError that names the first
+// field that is wrong, or wraps the error of encoding/json. Its text is shown to the user.
 func ParseJob(body []byte) (*Job, error) {
 	body = bytes.TrimSpace(body)
 	if len(body) == 0 || body[0] != '{' {
-		return nil, fmt.Errorf("the body is not a JSON object")
+		return nil, ErrNotObject
 	}
 	var w wireJob
 	if err := json.Unmarshal(body, &w); err != nil {
 		return nil, fmt.Errorf("bad JSON: %w", err)
 	}
 	j := &Job{}
-	for _, f := range []struct {
+	for _, read := range [...]func(*wireJob, *Job) error{(*wireJob).readNames, (*wireJob).readKind, (*wireJob).readSize,
+		(*wireJob).readDurations, (*wireJob).readFlags, (*wireJob).readMachineTypes, (*wireJob).readZone, (*wireJob).readDeadline} {
+		if err := read(&w, j); err != nil {
+			return nil, err
+		}
+	}
+	return j, nil
+}
+
+func (w *wireJob) readNames(j *Job) error {
+	for _, f := range [...]struct {
 		name string
 		from *string
 		to   *string
 	}{{"nameId", w.ID, &j.ID}, {"berth", w.Class, &j.Class}, {"crew", w.Team, &j.Team}, {"hull", w.Image, &j.Image}} {
-		if f.from == nil || *f.from == "" || len(*f.from) > maxNameBytes {
-			return nil, fmt.Errorf("%s is missing or not a name", f.name)
+		if f.from == nil || !validName(*f.from) {
+			return submissionError(f.name, "is missing or not a name")
 		}
 		*f.to = *f.from
 	}
 	if !ValidJobID(j.ID) {
-		return nil, fmt.Errorf("nameId is not of the form %s000000", jobIDPrefix)
+		return submissionError("nameId", "is not of the form "+jobIDPrefix+"000000")
 	}
+	return nil
+}
+
+func (w *wireJob) readKind(j *Job) error {
 	if w.Kind == nil || kindNames[*w.Kind] == 0 {
-		return nil, fmt.Errorf("rig is missing or unknown")
+		return submissionError("rig", "is missing or unknown")
 	}
 	j.Kind = kindNames[*w.Kind]
 	if w.Priority == nil || priorityNames[*w.Priority] == 0 {
-		return nil, fmt.Errorf("precedence is missing or unknown")
+		return submissionError("precedence", "is missing or unknown")
 	}
 	j.Priority = priorityNames[*w.Priority]
+	return nil
+}
+
+func (w *wireJob) readSize(j *Job) error {
 	if w.Tasks == nil || *w.Tasks < 1 || *w.Tasks > MaxTasks {
-		return nil, fmt.Errorf("oars is missing or not within 1 to %d", MaxTasks)
+		return submissionError("oars", fmt.Sprintf("is missing or not within 1 to %d", MaxTasks))
 	}
 	j.Tasks = int(*w.Tasks)
-	for _, f := range []struct {
+	for _, f := range [...]struct {
 		name string
 		from *float64
 		to   *float64
 	}{{"cpus", w.CPUs, &j.CPUs}, {"gpus", w.GPUs, &j.GPUs}, {"memGb", w.MemoryGB, &j.MemoryGB}, {"pullGb", w.ImageGB, &j.ImageGB}} {
-		if f.from == nil || !validAmount(*f.from, maxAmount) {
-			return nil, fmt.Errorf("%s is missing or not an amount", f.name)
+		if f.from == nil || !validAmount(*f.from) {
+			return submissionError(f.name, "is missing or not an amount")
 		}
 		*f.to = *f.from
 	}
-	for _, f := range []struct {
+	return nil
+}
+
+func (w *wireJob) readDurations(j *Job) error {
+	for _, f := range [...]struct {
 		name string
 		from *float64
 		to   *time.Duration
-	}{{"passageS", w.EstimatedRuntime, &j.EstimatedRuntime}, {"mooringS", w.CheckpointInterval, &j.CheckpointInterval}, {"stowS", w.CheckpointDuration, &j.CheckpointDuration}} {
-		if f.from == nil || !validAmount(*f.from, maxSeconds) {
-			return nil, fmt.Errorf("%s is missing or not a duration", f.name)
+	}{{"passageS", w.EstimatedRuntime, &j.EstimatedRuntime}, {"mooringS", w.CheckpointInterval, &j.CheckpointInterval},
+		{"stowS", w.CheckpointDuration, &j.CheckpointDuration}} {
+		if f.from == nil || !validAmount(*f.from) {
+			return submissionError(f.name, "is missing or not a duration")
 		}
 		*f.to = Seconds(*f.from)
 	}
-	for _, f := range []struct {
+	return nil
+}
+
+func (w *wireJob) readFlags(j *Job) error {
+	for _, f := range [...]struct {
 		name string
 		from *bool
 		to   *bool
 	}{{"oneZone", w.OneZone, &j.OneZone}, {"apart", w.Spread, &j.Spread}, {"driftwood", w.AllowSpot, &j.AllowSpot}} {
 		if f.from == nil {
-			return nil, fmt.Errorf("%s is missing", f.name)
+			return submissionError(f.name, reasonMissing)
 		}
 		*f.to = *f.from
 	}
-	if w.MachineTypes != nil {
-		if len(w.MachineTypes) == 0 || len(w.MachineTypes) > maxMachineTypes {
-			return nil, fmt.Errorf("hullForms names no type or too many")
-		}
-		for _, t := range w.MachineTypes {
-			if t == "" || len(t) > maxNameBytes {
-				return nil, fmt.Errorf("hullForms holds something that is not a name")
-			}
-		}
-		j.MachineTypes = w.MachineTypes
+	return nil
+}
+
+func (w *wireJob) readMachineTypes(j *Job) error {
+	if w.MachineTypes == nil {
+		return nil // any type will do
 	}
-	if w.Zone != nil {
-		if *w.Zone == "" || len(*w.Zone) > maxNameBytes {
-			return nil, fmt.Errorf("harbour is not a name")
-		}
-		j.Zone = *w.Zone
+	if len(w.MachineTypes) == 0 || len(w.MachineTypes) > maxMachineTypes {
+		return submissionError("hullForms", "names no type or too many")
 	}
-	if w.Deadline != nil {
-		if !validAmount(*w.Deadline, maxSeconds) {
-			return nil, fmt.Errorf("tideS is not a duration")
+	for _, t := range w.MachineTypes {
+		if !validName(t) {
+			return submissionError("hullForms", "holds something that is not a name")
 		}
-		j.Deadline, j.HasDeadline = Seconds(*w.Deadline), true
 	}
-	return j, nil
+	j.MachineTypes = w.MachineTypes
+	return nil
 }
 
-func validAmount(v, most float64) bool {
-	return v >= 0 && v <= most && !math.IsNaN(v)
+func (w *wireJob) readZone(j *Job) error {
+	if w.Zone == nil {
+		return nil // any zone will do
+	}
+	if !validName(*w.Zone) {
+		return submissionError("harbour", "is not a name")
+	}
+	j.Zone = *w.Zone
+	return nil
 }
 
+func (w *wireJob) readDeadline(j *Job) error {
+	if w.Deadline == nil {
+		return nil
+	}
+	if !validAmount(*w.Deadline) {
+		return submissionError("tideS", "is not a duration")
+	}
+	j.Deadline, j.HasDeadline = Seconds(*w.Deadline), true
+	return nil
+}
+
+// validName reports whether a name may stand in a record, whose size is limited.
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
+
+// validAmount reports whether an amount or a number of seconds can be counted with.
+func validAmount(v float64) bool { return v >= 0 && v <= maxAmount && !math.IsNaN(v) }
+
 // Seconds turns the wire's decimal seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -1,7 +1,6 @@
 package protocol
 
 import (
-	"errors"
 	"strconv"
 	"strings"
 	"time"
@@ -85,8 +84,6 @@
 	"no_room": ExitNoRoom, "busy": ExitBusy, "unknown": ExitUnknown,
 	"peers": ExitGang, "alone": ExitGang}
 
-var errHeartbeat = errors.New("not a worker's report")
-
 // ParseHeartbeat reads a worker's report, from a request or from a response. A
 // report that can't be understood in full is refused whole: a task left out
 // of it would be taken for gone.
@@ -95,14 +92,14 @@
 	if err := Decode(body, &w); err != nil {
 		return nil, err
 	}
-	if w.Machine == "" || len(w.Machine) > maxNameBytes || w.Incarnation == nil || w.Sequence == nil || *w.Incarnation == 0 {
-		return nil, errHeartbeat
+	if err := w.validate(); err != nil {
+		return nil, err
 	}
 	r := &Heartbeat{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
 		Incarnation: *w.Incarnation, Sequence: *w.Sequence, FencingToken: w.FencingToken}
 	if w.PreemptionNotice != nil {
-		if !validAmount(max(*w.PreemptionNotice, 0), maxSeconds) {
-			return nil, errHeartbeat
+		if !validAmount(max(*w.PreemptionNotice, 0)) {
+			return nil, heartbeatError("recallS", "is not a duration")
 		}
 		r.HasPreemptionNotice, r.PreemptionNotice = true, Seconds(max(*w.PreemptionNotice, 0))
 	}
@@ -114,7 +111,7 @@
 		job, index, ok := splitTask(t.Task)
 		state := taskStateNames[t.State]
 		if !ok || state == 0 {
-			return nil, errHeartbeat
+			return nil, heartbeatError("oars", "holds a task without a name or state")
 		}
 		r.Tasks = append(r.Tasks, TaskStatus{Job: job, TaskIndex: index, Attempt: t.Attempt, State: state,
 			Reason: exitReasonNames[t.Reason], Checkpointed: t.Checkpointed})
@@ -122,6 +119,18 @@
 	return r, nil
 }
 
+func (w *wireHeartbeat) validate() error {
+	switch {
+	case !validName(w.Machine):
+		return heartbeatError("deck", "is missing or not a name")
+	case w.Incarnation == nil || *w.Incarnation == 0:
+		return heartbeatError("watch", reasonMissing)
+	case w.Sequence == nil:
+		return heartbeatError("logSeq", reasonMissing)
+	}
+	return nil
+}
+
 func splitTask(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
 	if i <= 0 || len(name) > maxNameBytes {
--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -260,7 +260,7 @@
 		w.statusChanged()
 		return
 	}
-	d := w.c.settings.ReportInterval
+	d := w.c.settings.HeartbeatInterval
 	w.scheduleHeartbeat(d*3/4 + time.Duration(w.c.rng.Int64N(int64(d/2))))
 }
 
--- a/internal/simulator/ceiling_invariant.go
+++ b/internal/simulator/ceiling_invariant.go
@@ -25,7 +25,7 @@
 // maxTimeBelow is for how long there may be room below the ceiling while tasks go above: a
 // report's longest interval, and time for a round of placement and its record.
 func (c *Cluster) maxTimeBelow() time.Duration {
-	return c.settings.ReportInterval*5/4 + 3*time.Second
+	return c.settings.HeartbeatInterval*5/4 + 3*time.Second
 }
 
 // CheckCeiling begins to check a team's ceiling; a share of 0 ends it.
@@ -86,7 +86,7 @@
 // takesWork reports whether a leader has reason to place tasks on the agent's machine.
 func (w *agent) takesWork() bool {
 	return !w.dead && !w.hung && !w.unheard && !w.failedTasks && w.preemptionAt.IsZero() &&
-		w.c.now.Sub(w.lastReply) <= w.c.settings.ReportInterval*2
+		w.c.now.Sub(w.lastReply) <= w.c.settings.HeartbeatInterval*2
 }
 
 // free is what no task takes of a machine.
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -163,8 +163,8 @@
 			{Name: "blue", CPUs: 16, CPUsMax: 32},
 			{Name: "guest", CPUsMax: config.NoLimit, GPUsMax: config.NoLimit},
 		},
-		Objectives:     []config.Objective{{Kind: "guarantee", Within: 5 * time.Second, Share: 0.9}},
-		ReportInterval: 2 * time.Second, WorkerLease: 15 * time.Second, CancelWithin: 40 * time.Second,
+		Objectives:        []config.Objective{{Kind: "guarantee", Within: 5 * time.Second, Share: 0.9}},
+		HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second, CancelWithin: 40 * time.Second,
 		StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12,
 		CloudRPS: 4, ListLag: 5 * time.Second,
 		CPUShare: 0.1, MemoryBytes: 98 << 20, Sockets: 900,
@@ -174,7 +174,7 @@
 		for i := range limited {
 			limited[i].CPUs, limited[i].CPUsMax = 2000, 6000
 		}
-		s.ReportInterval, s.WorkerLease, s.CancelWithin = 4*time.Second, 28*time.Second, 48*time.Second
+		s.HeartbeatInterval, s.WorkerLease, s.CancelWithin = 4*time.Second, 28*time.Second, 48*time.Second
 		s.StateRPS, s.StateWriteRPS, s.TxnOps, s.ListLag = 400, 150, 16, 12*time.Second
 		s.CPUShare, s.MemoryBytes, s.Sockets = 0.3, 322<<20, 2900
 	}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -109,9 +109,9 @@
 				j.accepted = true
 				c.checkReported(j, told, body)
 			}
-			_, s, d, r, err := protocol.ParseJobStatus(body)
+			job, err := protocol.ParseJobStatus(body)
 			if err == nil {
-				done(status, fmt.Sprintf("%s done=%d running=%d", s, d, r))
+				done(status, fmt.Sprintf("%s done=%d running=%d", job.State, job.Done, job.Running))
 				return
 			}
 		}
@@ -197,8 +197,8 @@
 		case status == 200:
 			j.accepted = true
 			c.checkReported(j, told, body)
-			if _, s, _, _, err := protocol.ParseJobStatus(body); err != nil || !s.Final() {
-				c.violate("went_back", "%s is cancelled and called %s", id, s)
+			if job, err := protocol.ParseJobStatus(body); err != nil || !job.State.Final() {
+				c.violate("went_back", "%s is cancelled and called %s", id, job.State)
 			}
 		case status == 404 && known:
 			c.violate("forgotten", "%s gets 404 for its cancellation", id)
@@ -208,8 +208,8 @@
 }
 
 func stateOf(body []byte) string {
-	if _, s, _, _, err := protocol.ParseJobStatus(body); err == nil {
-		return s.String()
+	if job, err := protocol.ParseJobStatus(body); err == nil {
+		return job.State.String()
 	}
 	return ""
 }
@@ -242,10 +242,11 @@
 // checkReported checks what a user is told of a job against what was told before the
 // request was sent, and what is true.
 func (c *Cluster) checkReported(j *userJob, told protocol.JobState, body []byte) {
-	_, s, _, _, err := protocol.ParseJobStatus(body)
+	answer, err := protocol.ParseJobStatus(body)
 	if err != nil {
 		return
 	}
+	s := answer.State
 	if told != 0 && s != told {
 		c.violate("went_back", "%s was %s and is %s", j.spec.ID, told, s)
 	}
--- a/internal/transport/http1.go
+++ b/internal/transport/http1.go
@@ -1,5 +1,3 @@
-// Package transport moves bytes: one gnet event loop that serves and calls
-// HTTP/1.1, and HTTP/2 streams between controllers. It knows nothing of jobs.
 package transport
 
 import (
@@ -16,14 +14,20 @@
 	maxHeaders      = 64
 )
 
-// Parse errors of the HTTP/1.1 codec. StatusOf gives the status a server
-// answers them with.
+// Parse errors of the HTTP/1.1 codec. StatusOf gives the status a server answers them with.
+// They carry no field or position: whoever sends such messages gets one error on each, so that
+// none may cost an allocation.
 var (
-	errIncomplete   = errors.New("http1: message is incomplete")
-	ErrMalformed    = errors.New("http1: malformed message")
+	// errIncomplete says that more input is needed.
+	errIncomplete = errors.New("http1: message is incomplete")
+	// ErrMalformed is a message that breaks the grammar of RFC 9112.
+	ErrMalformed = errors.New("http1: malformed message")
+	// ErrHeadTooLarge is a start line and headers above 16 KiB, or more than 64 headers.
 	ErrHeadTooLarge = errors.New("http1: head too large")
+	// ErrBodyTooLarge is a body above 64 KiB of a request or 32 MiB of a response.
 	ErrBodyTooLarge = errors.New("http1: body too large")
-	ErrVersion      = errors.New("http1: unsupported version")
+	// ErrVersion is a request of another version than 1.0 and 1.1.
+	ErrVersion = errors.New("http1: unsupported version")
 )
 
 // StatusOf maps a parse error to the status that tells the sender about it.
@@ -48,8 +52,8 @@
 	expectContinue bool
 }
 
-// head holds what the header section says about framing.
-type head struct {
+// headers holds what the header section says about framing.
+type headers struct {
 	length         int64
 	hasLength      bool
 	chunked        bool
@@ -68,48 +72,60 @@
 		skipped += 2
 	}
 	rest := buf[skipped:]
-	line, n, err := nextLine(rest, 0)
+	text, n, err := nextLine(rest, 0)
 	if err != nil {
 		return 0, err
 	}
+	line, err := parseRequestLine(text)
+	if err != nil {
+		return 0, err
+	}
+	var h headers
+	n, err = parseHeaders(rest, n, &h)
+	if err != nil {
+		return 0, err
+	}
+	m.method, m.target = string(line.method), string(line.target)
+	m.close = h.close || (line.oldVersion && !h.keepAlive)
+	m.expectContinue = h.expectContinue
+	used, err := parseBody(rest, n, &h, maxRequestBody, m)
+	if err != nil {
+		return 0, err
+	}
+	return skipped + used, nil
+}
+
+// requestLine is the first line of a request; its parts alias the input.
+type requestLine struct {
+	method, target []byte
+	oldVersion     bool // HTTP/1.0, whose connections end unless asked otherwise
+}
+
+func parseRequestLine(line []byte) (requestLine, error) {
 	first := bytes.IndexByte(line, ' ')
 	last := bytes.LastIndexByte(line, ' ')
 	if first <= 0 || last <= first+1 || !isToken(line[:first]) {
-		return 0, ErrMalformed
+		return requestLine{}, ErrMalformed
 	}
 	target, version := line[first+1:last], line[last+1:]
 	for _, c := range target {
 		if c <= ' ' || c == 0x7f {
-			return 0, ErrMalformed
+			return requestLine{}, ErrMalformed
 		}
 	}
 	if target[0] != '/' && target[0] != '*' {
-		return 0, ErrMalformed
+		return requestLine{}, ErrMalformed
 	}
-	old := false
 	switch string(version) {
 	case "HTTP/1.1":
+		return requestLine{line[:first], target, false}, nil
 	case "HTTP/1.0":
-		old = true
-	default:
-		if bytes.HasPrefix(version, []byte("HTTP/")) {
-			return 0, ErrVersion
-		}
-		return 0, ErrMalformed
+		return requestLine{line[:first], target, true}, nil
 	}
-	var h head
-	n, err = parseHeaders(rest, n, &h)
-	if err != nil {
-		return 0, err
-	}
-	m.method, m.target = string(line[:first]), string(target)
-	m.close = h.close || (old && !h.keepAlive)
-	m.expectContinue = h.expectContinue
-	used, err := parseBody(rest, n, &h, maxRequestBody, m)
-	if err != nil {
-		return 0, err
+	if bytes.HasPrefix(version, []byte("HTTP/")) {
+		return requestLine{}, ErrVersion
 	}
-	return skipped + used, nil
+	return requestLine{}, ErrMalformed
 }
 
 // parseResponse reads one response from the front of buf; eof says that the
@@ -121,17 +137,11 @@
 		if err != nil {
 			return 0, err
 		}
-		if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
-			return 0, ErrMalformed
-		}
-		if len(line) > 12 && line[12] != ' ' {
-			return 0, ErrMalformed
-		}
-		status, err := strconv.Atoi(string(line[9:12]))
-		if err != nil || status < 100 {
-			return 0, ErrMalformed
+		status, err := parseStatusLine(line)
+		if err != nil {
+			return 0, err
 		}
-		var h head
+		var h headers
 		n, err = parseHeaders(buf, n, &h)
 		if err != nil {
 			return 0, err
@@ -156,6 +166,21 @@
 	}
 }
 
+// parseStatusLine reads the status of a response's first line.
+func parseStatusLine(line []byte) (int, error) {
+	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
+		return 0, ErrMalformed
+	}
+	if len(line) > 12 && line[12] != ' ' {
+		return 0, ErrMalformed
+	}
+	status, err := strconv.Atoi(string(line[9:12]))
+	if err != nil || status < 100 {
+		return 0, ErrMalformed
+	}
+	return status, nil
+}
+
 // nextLine returns the line that begins at from, without its end, and where
 // the next one begins.
 func nextLine(buf []byte, from int) ([]byte, int, error) {
@@ -174,218 +199,3 @@
 	}
 	return buf[from : from+i-1], from + i + 1, nil
 }
-
-func parseHeaders(buf []byte, from int, h *head) (int, error) {
-	for count := 0; ; count++ {
-		line, next, err := nextLine(buf, from)
-		if err != nil {
-			return 0, err
-		}
-		from = next
-		if len(line) == 0 {
-			// Both framings at once is how requests are smuggled past a proxy.
-			if h.chunked && h.hasLength {
-				return 0, ErrMalformed
-			}
-			return from, nil
-		}
-		if count == maxHeaders {
-			return 0, ErrHeadTooLarge
-		}
-		colon := bytes.IndexByte(line, ':')
-		if colon <= 0 || !isToken(line[:colon]) {
-			return 0, ErrMalformed
-		}
-		value := bytes.Trim(line[colon+1:], " \t")
-		for _, c := range value {
-			if c < ' ' && c != '\t' || c == 0x7f {
-				return 0, ErrMalformed
-			}
-		}
-		switch name := line[:colon]; {
-		case foldEqual(name, "content-length"):
-			length, ok := parseLength(value)
-			if !ok || h.hasLength && length != h.length {
-				return 0, ErrMalformed
-			}
-			h.length, h.hasLength = length, true
-		case foldEqual(name, "transfer-encoding"):
-			if h.chunked || !foldEqual(value, "chunked") {
-				return 0, ErrMalformed
-			}
-			h.chunked = true
-		case foldEqual(name, "connection"):
-			for _, option := range bytes.Split(value, []byte{','}) {
-				option = bytes.Trim(option, " \t")
-				if foldEqual(option, "close") {
-					h.close = true
-				} else if foldEqual(option, "keep-alive") {
-					h.keepAlive = true
-				}
-			}
-		case foldEqual(name, "expect"):
-			h.expectContinue = foldEqual(value, "100-continue")
-		}
-	}
-}
-
-func parseLength(value []byte) (int64, bool) {
-	if len(value) == 0 || len(value) > 15 {
-		return 0, false
-	}
-	var n int64
-	for _, c := range value {
-		if c < '0' || c > '9' {
-			return 0, false
-		}
-		n = n*10 + int64(c-'0')
-	}
-	return n, true
-}
-
-func parseBody(buf []byte, from int, h *head, limit int, m *message) (int, error) {
-	if h.chunked {
-		return parseChunks(buf, from, limit, m)
-	}
-	if h.length > int64(limit) {
-		return 0, ErrBodyTooLarge
-	}
-	end := from + int(h.length)
-	if len(buf) < end {
-		return 0, errIncomplete
-	}
-	m.body = buf[from:end]
-	return end, nil
-}
-
-func parseChunks(buf []byte, from, limit int, m *message) (int, error) {
-	var body []byte
-	for {
-		i := bytes.IndexByte(buf[from:], '\n')
-		if i < 0 {
-			if len(buf)-from > 256 {
-				return 0, ErrMalformed
-			}
-			return 0, errIncomplete
-		}
-		if i == 0 || i > 256 || buf[from+i-1] != '\r' {
-			return 0, ErrMalformed
-		}
-		size := buf[from : from+i-1]
-		if j := bytes.IndexByte(size, ';'); j >= 0 {
-			size = size[:j]
-		}
-		size = bytes.Trim(size, " \t")
-		if len(size) == 0 || len(size) > 8 {
-			return 0, ErrMalformed
-		}
-		n, err := strconv.ParseUint(string(size), 16, 32)
-		if err != nil {
-			return 0, ErrMalformed
-		}
-		from += i + 1
-		if n == 0 {
-			break
-		}
-		if len(body)+int(n) > limit {
-			return 0, ErrBodyTooLarge
-		}
-		if len(buf) < from+int(n)+2 {
-			return 0, errIncomplete
-		}
-		body = append(body, buf[from:from+int(n)]...)
-		from += int(n)
-		if buf[from] != '\r' || buf[from+1] != '\n' {
-			return 0, ErrMalformed
-		}
-		from += 2
-	}
-	// Trailer fields are read past; nothing here uses them.
-	for count := 0; ; count++ {
-		i := bytes.IndexByte(buf[from:], '\n')
-		if i < 0 {
-			if len(buf)-from > maxHead {
-				return 0, ErrHeadTooLarge
-			}
-			return 0, errIncomplete
-		}
-		if i == 0 || buf[from+i-1] != '\r' || count > maxHeaders {
-			return 0, ErrMalformed
-		}
-		from += i + 1
-		if i == 1 {
-			m.body = body
-			return from, nil
-		}
-	}
-}
-
-func isToken(b []byte) bool {
-	for _, c := range b {
-		switch {
-		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
-		case bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0:
-		default:
-			return false
-		}
-	}
-	return len(b) > 0
-}
-
-func foldEqual(b []byte, lower string) bool {
-	if len(b) != len(lower) {
-		return false
-	}
-	for i, c := range b {
-		if c >= 'A' && c <= 'Z' {
-			c += 'a' - 'A'
-		}
-		if c != lower[i] {
-			return false
-		}
-	}
-	return true
-}
-
-func appendRequest(dst []byte, method, host, target string, body []byte) []byte {
-	dst = append(dst, method...)
-	dst = append(dst, ' ')
-	dst = append(dst, target...)
-	dst = append(dst, " HTTP/1.1\r\nHost: "...)
-	dst = append(dst, host...)
-	if len(body) > 0 {
-		dst = append(dst, "\r\nContent-Type: application/json"...)
-	}
-	if len(body) > 0 || method == "POST" {
-		dst = append(dst, "\r\nContent-Length: "...)
-		dst = strconv.AppendInt(dst, int64(len(body)), 10)
-	}
-	dst = append(dst, "\r\n\r\n"...)
-	return append(dst, body...)
-}
-
-var reasons = map[int]string{
-	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request",
-	422: "Unprocessable Content", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-	500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout",
-	505: "HTTP Version Not Supported",
-}
-
-func appendResponse(dst []byte, status, retryAfter int, body []byte, close bool) []byte {
-	dst = append(dst, "HTTP/1.1 "...)
-	dst = strconv.AppendInt(dst, int64(status), 10)
-	dst = append(dst, ' ')
-	dst = append(dst, reasons[status]...)
-	dst = append(dst, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-	dst = strconv.AppendInt(dst, int64(len(body)), 10)
-	if retryAfter > 0 {
-		dst = append(dst, "\r\nRetry-After: "...)
-		dst = strconv.AppendInt(dst, int64(retryAfter), 10)
-	}
-	if close {
-		dst = append(dst, "\r\nConnection: close"...)
-	}
-	dst = append(dst, "\r\n\r\n"...)
-	return append(dst, body...)
-}
--- a/internal/transport/http1_test.go
+++ b/internal/transport/http1_test.go
@@ -7,15 +7,18 @@
 	"testing"
 )
 
-func TestParseRequest(t *testing.T) {
+// requestTest is a request, and what is read of it.
+type requestTest struct {
+	name, in string
+	err      error
+	body     string
+	rest     string
+	close    bool
+}
+
+func requestTests() []requestTest {
 	long := strings.Repeat("a", maxHead)
-	for _, c := range []struct {
-		name, in string
-		err      error
-		body     string
-		rest     string
-		close    bool
-	}{
+	return []requestTest{
 		{name: "plain", in: "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"},
 		{name: "body and more", in: "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET", body: "abc", rest: "GET"},
 		{name: "chunked", in: "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=1\r\nab\r\n1\r\nc\r\n0\r\nT: v\r\n\r\n", body: "abc"},
@@ -46,7 +49,11 @@
 		{name: "endless line", in: "GET /" + long + long, err: ErrHeadTooLarge},
 		{name: "large header", in: "GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n", err: ErrHeadTooLarge},
 		{name: "many headers", in: "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", maxHeaders+1) + "\r\n", err: ErrHeadTooLarge},
-	} {
+	}
+}
+
+func TestParseRequest(t *testing.T) {
+	for _, c := range requestTests() {
 		t.Run(c.name, func(t *testing.T) {
 			var m message
 			n, err := parseRequest([]byte(c.in), &m)
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -35,7 +36,9 @@
 		panic(err)
 	}
 	addr := ln.Addr().String()
-	ln.Close()
+	if err := ln.Close(); err != nil {
+		panic(err)
+	}
 	e := &echo{ready: make(chan struct{})}
 	e.loop = NewLoop(addr, addr, 64, e, slog.New(slog.DiscardHandler))
 	go func() {
@@ -47,13 +50,16 @@
 	return e, addr
 })
 
+// hello answers every request.
+func hello(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }
+
 func talk(t *testing.T, addr, send string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if _, err := io.WriteString(c, send); err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +109,7 @@
 			t.Fatalf("got %+v", r)
 		}
 	}
-	if r := call(addr, "/hold", 50*time.Millisecond); r.err != ErrTimeout {
+	if r := call(addr, "/hold", 50*time.Millisecond); !errors.Is(r.err, ErrTimeout) {
 		t.Errorf("an unanswered call: got %+v", r)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,8 +117,10 @@
 		t.Fatal(err)
 	}
 	nobody := ln.Addr().String()
-	ln.Close()
-	if r := call(nobody, "/", 5*time.Second); r.err != ErrNotSent {
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if r := call(nobody, "/", 5*time.Second); !errors.Is(r.err, ErrNotSent) {
 		t.Errorf("a refused connection: got %+v", r)
 	}
 }
@@ -122,14 +130,14 @@
 // waited in vain, and a controller took live machines for dead.
 func TestMoreHostsThanSockets(t *testing.T) {
 	e, _ := startLoop()
-	for i := range 2 * e.loop.maxConns * outgoingShare / 100 {
+	for i := range 2 * e.loop.maxSockets * maxOutboundPercent / 100 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "hello") })}
+		server := &http.Server{Handler: http.HandlerFunc(hello)}
 		go func() { _ = server.Serve(ln) }()
-		t.Cleanup(func() { server.Close() })
+		t.Cleanup(func() { _ = server.Close() })
 		out := make(chan error, 1)
 		e.loop.Post(func() {
 			e.loop.Call(ln.Addr().String(), "GET", "/", nil, 5*time.Second, func(_ int, _ []byte, err error) { out <- err })
@@ -150,9 +158,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "hello") })}
+	server := &http.Server{Handler: http.HandlerFunc(hello)}
 	go func() { _ = server.Serve(idle) }()
-	t.Cleanup(func() { server.Close() })
+	t.Cleanup(func() { _ = server.Close() })
 	const calls = 20
 	out := make(chan error, calls)
 	e.loop.Post(func() {
@@ -165,14 +173,14 @@
 			t.Fatal(err)
 		}
 	}
-	clients := make([]net.Conn, e.loop.maxConns*3/4)
+	clients := make([]net.Conn, e.loop.maxSockets*3/4)
 	for round := range 2 {
 		for i := range clients {
 			if round == 0 {
 				if clients[i], err = net.Dial("tcp", addr); err != nil {
 					t.Fatal(err)
 				}
-				defer clients[i].Close()
+				defer func() { _ = clients[i].Close() }()
 			}
 			if _, err := io.WriteString(clients[i], "GET /a HTTP/1.1\r\n\r\n"); err != nil {
 				t.Fatalf("round %d, client %d: %v", round, i, err)
@@ -181,14 +189,16 @@
 			if err != nil {
 				t.Fatalf("round %d, client %d: %v", round, i, err)
 			}
-			resp.Body.Close()
+			if err := resp.Body.Close(); err != nil {
+				t.Fatal(err)
+			}
 		}
 	}
 	type count struct{ accepted, outgoing int }
 	got := make(chan count, 1)
-	e.loop.Post(func() { got <- count{e.loop.accepted.Len(), e.loop.outgoing} })
-	if c := <-got; c.accepted < len(clients) || c.accepted+c.outgoing > e.loop.maxConns {
-		t.Errorf("%d accepted and %d of ours with a limit of %d", c.accepted, c.outgoing, e.loop.maxConns)
+	e.loop.Post(func() { got <- count{e.loop.accepted.Len(), e.loop.outbound} })
+	if c := <-got; c.accepted < len(clients) || c.accepted+c.outgoing > e.loop.maxSockets {
+		t.Errorf("%d accepted and %d of ours with a limit of %d", c.accepted, c.outgoing, e.loop.maxSockets)
 	}
 	// Connections and calls are no threads: 2,000 are the most that a process may have.
 	if tasks, err := os.ReadDir("/proc/self/task"); err == nil && len(tasks) > 100 {
@@ -205,17 +215,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer ln.Close()
+		defer func() { _ = ln.Close() }()
 		return ln.Addr().String()
 	}
 	a, b := addr(), addr()
-	first, err := NewPeers(a, "one", nil, func([]byte) {}, log)
+	first, err := NewPeerStreams(a, "one", nil, func([]byte) {}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first.Publish([]byte("one"))
 	got := make(chan string, 4)
-	if _, err := NewPeers(b, "two", []string{a}, func(line []byte) { got <- string(line) }, log); err != nil {
+	if _, err := NewPeerStreams(b, "two", []string{a}, func(line []byte) { got <- string(line) }, log); err != nil {
 		t.Fatal(err)
 	}
 	if line := <-got; line != "one" {
--- a/internal/transport/peer_streams.go
+++ b/internal/transport/peer_streams.go
@@ -15,24 +15,24 @@
 
 // Limits of the streams between controllers.
 const (
-	peerPath     = "/peer/v1/events"
-	peerRetry    = time.Second
-	peerSilence  = 10 * time.Second
-	peerQueue    = 16
-	maxPeerConns = 16
-	acceptRetry  = 100 * time.Millisecond
+	peerPath           = "/peer/v1/events"
+	peerRedialInterval = time.Second
+	peerReadTimeout    = 10 * time.Second
+	peerQueueLength    = 16
+	maxPeerConns       = 16
+	acceptRetry        = 100 * time.Millisecond
 )
 
 // MaxPeerLine is the length of the longest line that a stream takes.
 const MaxPeerLine = 64 << 10
 
-// peerName is the field of a request for a stream that names who asks.
-const peerName = "node"
+// peerNameParam is the field of a request for a stream that names who asks.
+const peerNameParam = "node"
 
-// Peers keeps one HTTP/2 stream to each other controller, on which that
+// PeerStreams keeps one HTTP/2 stream to each other controller, on which that
 // controller tells its events, a line each. They are hints: a lost one is
 // made up for by the next.
-type Peers struct {
+type PeerStreams struct {
 	name    string
 	receive func(line []byte)
 	log     *slog.Logger
@@ -59,10 +59,10 @@
 	}
 }
 
-// NewPeers serves events on listen and receives those of the peers, handing
+// NewPeerStreams serves events on listen and receives those of the peers, handing
 // each to receive, from goroutines of its own. name tells the peers whose stream it is.
-func NewPeers(listen, name string, peers []string, receive func(line []byte), log *slog.Logger) (*Peers, error) {
-	p := &Peers{name: name, receive: receive, log: log, streams: map[*stream]struct{}{}}
+func NewPeerStreams(listen, name string, peers []string, receive func(line []byte), log *slog.Logger) (*PeerStreams, error) {
+	p := &PeerStreams{name: name, receive: receive, log: log, streams: map[*stream]struct{}{}}
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 
 // Publish tells every peer that listens. A peer that can't keep up misses
 // events.
-func (p *Peers) Publish(line []byte) {
+func (p *PeerStreams) Publish(line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.last = line
@@ -88,7 +88,7 @@
 }
 
 // Send tells one peer, if it listens. A peer that can't keep up misses the line.
-func (p *Peers) Send(name string, line []byte) {
+func (p *PeerStreams) Send(name string, line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.streams {
@@ -98,8 +98,8 @@
 	}
 }
 
-// Dropped tells how many lines peers missed since it was last asked.
-func (p *Peers) Dropped() int {
+// TakeDropped tells how many lines peers missed since it was last asked.
+func (p *PeerStreams) TakeDropped() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	count := p.dropped
@@ -107,15 +107,15 @@
 	return count
 }
 
-func (p *Peers) serve(ln net.Listener) {
+func (p *PeerStreams) serve(ln net.Listener) {
 	server := &http.Server{
-		Handler:     http.HandlerFunc(p.events),
+		Handler:     http.HandlerFunc(p.serveStream),
 		Protocols:   plainHTTP2(),
 		IdleTimeout: time.Minute,
 		HTTP2:       &http.HTTP2Config{MaxConcurrentStreams: 4, SendPingTimeout: 15 * time.Second},
 		ErrorLog:    slog.NewLogLogger(p.log.Handler(), slog.LevelDebug),
 	}
-	err := server.Serve(&boundedListener{Listener: ln, most: maxPeerConns})
+	err := server.Serve(&limitedListener{Listener: ln, maxOpen: maxPeerConns})
 	p.log.Error("peer listener failed", "error", err)
 }
 
@@ -126,49 +126,49 @@
 	return p
 }
 
-// boundedListener closes connections beyond a number at once.
-type boundedListener struct {
+// limitedListener closes connections beyond a number at once.
+type limitedListener struct {
 	net.Listener
-	most int32
-	open atomic.Int32
+	maxOpen int32
+	open    atomic.Int32
 }
 
 // Accept implements net.Listener. Errors of accepting, such as a lack of sockets, pass.
-func (l *boundedListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		switch {
 		case err != nil:
 			time.Sleep(acceptRetry)
-		case l.open.Add(1) > l.most:
+		case l.open.Add(1) > l.maxOpen:
 			l.open.Add(-1)
-			c.Close()
+			_ = c.Close() // nothing was read from it
 		default:
-			return &boundedConn{Conn: c, listener: l}, nil
+			return &limitedConn{Conn: c, listener: l}, nil
 		}
 	}
 }
 
-type boundedConn struct {
+type limitedConn struct {
 	net.Conn
-	listener *boundedListener
+	listener *limitedListener
 	closed   atomic.Bool
 }
 
 // Close implements net.Conn.
-func (c *boundedConn) Close() error {
+func (c *limitedConn) Close() error {
 	if !c.closed.Swap(true) {
 		c.listener.open.Add(-1)
 	}
 	return c.Conn.Close()
 }
 
-func (p *Peers) events(w http.ResponseWriter, r *http.Request) {
+func (p *PeerStreams) serveStream(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != peerPath || r.Method != http.MethodGet {
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	s := &stream{name: r.URL.Query().Get(peerName), lines: make(chan []byte, peerQueue)}
+	s := &stream{name: r.URL.Query().Get(peerNameParam), lines: make(chan []byte, peerQueueLength)}
 	p.mu.Lock()
 	if p.last != nil {
 		s.lines <- p.last
@@ -193,7 +193,7 @@
 	}
 }
 
-func (p *Peers) follow(addr string) {
+func (p *PeerStreams) follow(addr string) {
 	transport := &http.Transport{
 		Protocols:         plainHTTP2(),
 		DialContext:       (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -201,21 +201,21 @@
 		ForceAttemptHTTP2: true,
 	}
 	for {
-		if err := p.stream(transport, addr); err != nil {
+		if err := p.readStream(transport, addr); err != nil {
 			p.log.Debug("peer stream ended", "peer", addr, "error", err)
 		}
 		transport.CloseIdleConnections()
-		time.Sleep(peerRetry)
+		time.Sleep(peerRedialInterval)
 	}
 }
 
-func (p *Peers) stream(t *http.Transport, addr string) error {
+func (p *PeerStreams) readStream(t *http.Transport, addr string) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	// A peer tells something every second; one that doesn't is dialled anew.
-	watchdog := time.AfterFunc(peerSilence, cancel)
+	watchdog := time.AfterFunc(peerReadTimeout, cancel)
 	defer watchdog.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+peerPath+"?"+url.Values{peerName: {p.name}}.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+peerPath+"?"+url.Values{peerNameParam: {p.name}}.Encode(), nil)
 	if err != nil {
 		return err
 	}
@@ -223,11 +223,11 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // all that counts was read
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 4096), MaxPeerLine+1) // and its end
 	for lines.Scan() {
-		watchdog.Reset(peerSilence)
+		watchdog.Reset(peerReadTimeout)
 		p.receive(append([]byte(nil), lines.Bytes()...))
 	}
 	if err := lines.Err(); err != nil {
