--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -115,7 +115,7 @@
 	}
 	t.done = true
 	j.doneTasks++
-	j.failures, j.trials = 0, 0
+	j.history.Succeeded()
 	if t.live != nil {
 		l.stopAttempt(t.live, 0)
 	} else if k := slices.Index(j.retryQueue, i); k >= 0 {
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -3,6 +3,7 @@
 import (
 	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/coordination/quarantine"
 )
 
 // acceptsTasks reports whether a machine takes new tasks: it has reported to this
@@ -13,12 +14,6 @@
 		l.controller.now.Sub(m.lastSeen) <= l.suspectAfter() && l.unansweredFor(m) <= l.suspectAfter()+lostHeartbeatDelay
 }
 
-// candidate and candidates are machines that may take tasks of a job.
-type (
-	candidate  = placement.Candidate
-	candidates = placement.Candidates
-)
-
 // imageID numbers an image for this leadership.
 func (l *leader) imageID(name string) placement.ImageID {
 	id, ok := l.imageIDs[name]
@@ -46,18 +41,18 @@
 }
 
 // findCandidates finds the machines that a job's tasks may be placed on now.
-func (l *leader) findCandidates(j *job) candidates {
-	l.candidateBuffer = l.candidateBuffer[:0]
-	l.ceilingPolicy = l.rebalancer.ceilingPolicy(j)
+func (l *leader) findCandidates(j *job) placement.Candidates {
+	l.round.candidates = l.round.candidates[:0]
+	l.round.ceilingPolicy = l.rebalancer.ceilingPolicy(j)
 	s := placement.ShapeOf(j.Job)
 	// Where nothing found room before, nothing of the same kind and size will, and
 	// while enough waits to be recorded, nothing is to be placed.
-	if l.journal.full() || s.KnownNotToFit(l.unplaceable) {
-		return candidates{}
+	if l.journal.full() || s.KnownNotToFit(l.round.unplaceable) {
+		return placement.Candidates{}
 	}
-	l.examined += len(l.withRoom)
+	l.round.examined += len(l.round.withRoom)
 	room := false
-	for i, m := range l.withRoom {
+	for i, m := range l.round.withRoom {
 		if !m.HasRoom(j.Job) || !m.Allows(j.Job) {
 			continue
 		}
@@ -66,13 +61,13 @@
 			continue // it would soon have to leave again
 		}
 		if !l.avoidsMachine(j, m) {
-			l.candidateBuffer = append(l.candidateBuffer, l.scoreCandidate(m, j, int32(i)))
+			l.round.candidates = append(l.round.candidates, l.scoreCandidate(m, j, int32(i)))
 		}
 	}
 	if !room {
-		l.unplaceable = append(l.unplaceable, s)
+		l.round.unplaceable = append(l.round.unplaceable, s)
 	}
-	return placement.NewCandidates(l.candidateBuffer)
+	return placement.NewCandidates(l.round.candidates)
 }
 
 // canTake reports whether an open machine may take one more task of a job, zones
@@ -86,14 +81,14 @@
 
 // avoidsMachine reports whether a job stays away from a machine that failed it.
 func (l *leader) avoidsMachine(j *job, m *machine) bool {
-	return m.failuresByJob[j.ID] > 0 && len(j.failedMachines) < 3
+	return m.failuresByJob[j.ID] > 0 && j.history.Machines() < quarantine.ManyMachines
 }
 
 // bestMachine is the machine with the highest score that a job's rules about zones allow, nil
 // without any. Machines that are being emptied come only after all others.
-func (l *leader) bestMachine(c *candidates, j *job) *machine {
+func (l *leader) bestMachine(c *placement.Candidates, j *job) *machine {
 	for k := c.Best(); k != nil; k = c.Best() {
-		if m := l.withRoom[k.Machine]; j.zoneAllowed(m.Zone) {
+		if m := l.round.withRoom[k.Machine]; j.zoneAllowed(m.Zone) {
 			return m
 		}
 		// What is placed meanwhile opens no zone to the job again.
@@ -103,9 +98,9 @@
 }
 
 // rerankBest looks anew at the best machine after it was given a task.
-func (l *leader) rerankBest(c *candidates, j *job) {
+func (l *leader) rerankBest(c *placement.Candidates, j *job) {
 	k := c.Best()
-	m := l.withRoom[k.Machine]
+	m := l.round.withRoom[k.Machine]
 	if !l.canTake(m, j) {
 		c.DropBest()
 		return
@@ -114,11 +109,11 @@
 }
 
 // scoreCandidate gives what ranks a machine, by its place among those with room, for a job.
-func (l *leader) scoreCandidate(m *machine, j *job, place int32) candidate {
-	k := candidate{Machine: place, LastResort: m.Consolidating, Score: l.scoreWeights().Score(&m.Machine, j.placementTask()),
+func (l *leader) scoreCandidate(m *machine, j *job, place int32) placement.Candidate {
+	k := placement.Candidate{Machine: place, LastResort: m.Consolidating, Score: l.scoreWeights().Score(&m.Machine, j.placementTask()),
 		FreeCPUs: m.Spec.CPUs - m.Allocated.CPUs}
-	if l.ceilingPolicy != nil {
-		l.rebalancer.applyPolicy(l.ceilingPolicy, m, &k)
+	if l.round.ceilingPolicy != nil {
+		l.rebalancer.applyPolicy(l.round.ceilingPolicy, m, &k)
 	}
 	return k
 }
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -36,7 +36,7 @@
 		return
 	}
 	j := &job{Job: r.Spec, submitted: time.UnixMilli(r.Submitted), chunkSize: r.Chunk, zones: map[string]int{},
-		failedMachines: map[string]struct{}{}, imageID: l.imageID(r.Spec.Image)}
+		imageID: l.imageID(r.Spec.Image)}
 	j.chunks = make([]*chunk, (j.Tasks+j.chunkSize-1)/j.chunkSize)
 	l.jobs[j.ID] = j
 	if !j.AllowSpot && j.Kind == protocol.Service {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -6,6 +6,8 @@
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/coordination/quarantine"
+	"brasskeel/internal/coordination/queue"
 	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
@@ -23,29 +25,20 @@
 
 	jobsByAge []*job // by submission
 	// nextBroadcast is the place in order of the job whose progress peers are told next.
-	nextBroadcast      int
-	teamUsage          map[string]*usage
-	estimateCorrection map[string]float64   // of estimates, by class
-	stopping           map[string]usage     // of the teams' work, what was told to stop
-	terminated         map[string]time.Time // machines proven gone, while lists may still show them
-	journal            journal
-	autoscaler         autoscaler
-	rebalancer         *rebalancer            // nil while balance is off
-	ceilingPolicy      *balance.CeilingPolicy // of the job whose turn it is; nil without
-	shards             *shardCoordinator      // nil when this leader serves all machines itself
+	nextBroadcast int
+	teamUsage     map[string]*usage
+	corrections   queue.Corrections    // of estimates
+	stopping      map[string]usage     // of the teams' work, what was told to stop
+	terminated    map[string]time.Time // machines proven gone, while lists may still show them
+	journal       journal
+	autoscaler    autoscaler
+	rebalancer    *rebalancer       // nil while balance is off
+	shards        *shardCoordinator // nil when this leader serves all machines itself
 
 	pendingLog         ratelog.Throttle // of why tasks are pending
 	requestedZone      string           // zone last recorded as the better one for leaders
 	placementRequested bool
-	accepting          []*machine                        // that took tasks at the start of the round
-	withRoom           []*machine                        // of them, those with room for the smallest task that waits
-	acceptingZones     []string                          // of the opened machines
-	candidateBuffer    []candidate                       // reused by every job's turn
-	unplaceable        []placement.Shape                 // found no machine with room in this round
-	victimSearches     map[victimSearchKey]*victimSearch // for work to stop, in this round
-	victimBuffer       []*attempt                        // reused by every look at a machine's work
-	examined           int                               // machines looked at in this round
-	examineLimit       int                               // how many it may look at
+	round              placementRound
 	imageIDs           map[string]placement.ImageID
 }
 
@@ -69,12 +62,8 @@
 	firstUnstarted     int            // first task that was never started
 	zones              map[string]int // live attempts and their zones
 	quotaChecked       bool
-	withinQuota        bool      // its team's guarantee when it came
-	failures           int       // since the last success
-	trials             int       // of them, single tasks tried since the job became suspect
-	lastBroken         time.Time // when a task last failed after it had run
-	runningSince       time.Time // when the first of the tasks that run began
-	failedMachines     map[string]struct{}
+	withinQuota        bool               // its team's guarantee when it came
+	history            quarantine.History // of its failures
 	backoffUntil       time.Time
 	preemptionTimerSet bool // its patience has a timer
 	imageID            int32
@@ -156,8 +145,8 @@
 // becomeLeader begins to lead under a mandate: it recovers what is recorded first.
 func (c *Controller) becomeLeader(m leadership.Mandate) {
 	l := &leader{workerSessions: newWorkerSessions(c, m.Lease), term: m.Term, version: m.Version, recovery: newRecovery(c.now),
-		teamUsage: map[string]*usage{}, stopping: map[string]usage{}, estimateCorrection: map[string]float64{},
-		terminated: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, victimSearches: map[victimSearchKey]*victimSearch{}, examineLimit: baseExamineLimit}
+		teamUsage: map[string]*usage{}, stopping: map[string]usage{}, corrections: queue.Corrections{},
+		terminated: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, round: newPlacementRound()}
 	for name := range c.teams {
 		l.teamUsage[name] = &usage{}
 	}
@@ -196,7 +185,7 @@
 	l.placementRequested = true
 	// The dearer the last round was, the longer until the next, so that rounds take
 	// no more than about half of a small share of a processor.
-	delay := 8*time.Millisecond + time.Duration(len(l.jobsByAge))*20*time.Microsecond + time.Duration(l.examined)*pausePerExamined
+	delay := 8*time.Millisecond + time.Duration(len(l.jobsByAge))*20*time.Microsecond + time.Duration(l.round.examined)*pausePerExamined
 	if l.controller.overload.Defers() {
 		delay += l.controller.overload.Lag() / 2
 	}
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machines_test.go
@@ -80,7 +80,7 @@
 	c, l := leading(phaseActive)
 	c.op.ImageWeight, c.op.RoomWeight = 1, 1
 	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1},
-		zones: map[string]int{}, failedMachines: map[string]struct{}{}, imageID: l.imageID("a")}
+		zones: map[string]int{}, imageID: l.imageID("a")}
 	var list []*machine
 	for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
 		m := l.newMachine(name, "small", "a", false)
@@ -88,7 +88,7 @@
 		list = append(list, m)
 	}
 	list[0].Allocated.CPUs, list[1].Allocated.CPUs, list[2].Allocated.CPUs = 2, 0, 1
-	l.accepting, l.withRoom = list, list
+	l.round.accepting, l.round.withRoom = list, list
 	best := func() *machine {
 		c := l.findCandidates(j)
 		return l.bestMachine(&c, j)
@@ -120,21 +120,25 @@
 		return &job{Job: &protocol.Job{Class: "c", Kind: protocol.Batch, Tasks: tasks, CPUs: 1, EstimatedRuntime: 10 * time.Second,
 			Deadline: 40 * time.Second, HasDeadline: true}, submitted: wall.Add(-age), doneTasks: done}
 	}
+	weight := func(j *job) float64 {
+		b := l.backlog(j, wall)
+		return b.Weight()
+	}
 	fresh, large := jobOf(10, 0, 0), jobOf(20, 0, 0)
 	late, rest := jobOf(10, 0, 50*time.Second), jobOf(10, 9, 50*time.Second)
 	old := jobOf(20, 0, 5*time.Hour)
 	order := []*job{rest, fresh, large, late}
 	for i := 1; i < len(order); i++ {
-		if a, b := l.queueWeight(order[i-1], wall), l.queueWeight(order[i], wall); a >= b {
+		if a, b := weight(order[i-1]), weight(order[i]); a >= b {
 			t.Errorf("weight %d is %g, weight %d is %g", i-1, a, i, b)
 		}
 	}
-	if a, b := l.queueWeight(old, wall), l.queueWeight(fresh, wall); a >= b {
+	if a, b := weight(old), weight(fresh); a >= b {
 		t.Errorf("a job that waited for hours counts %g, a fresh one %g", a, b)
 	}
-	l.estimateCorrection["c"] = 5 // tasks of the class take five times their estimates
-	if a, b := l.queueWeight(fresh, wall), l.queueWeight(jobOf(2, 0, 0), wall); a <= b {
-		t.Errorf("with a bias: %g and %g", a, b)
+	l.corrections["c"] = 5 // tasks of the class take five times their estimates
+	if a, b := weight(fresh), weight(jobOf(2, 0, 0)); a <= b {
+		t.Errorf("with a correction: %g and %g", a, b)
 	}
 }
 
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -11,6 +11,8 @@
 
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/overload"
+	"brasskeel/internal/coordination/quarantine"
+	"brasskeel/internal/coordination/queue"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -60,7 +62,7 @@
 			j := addTestJob(l, fmt.Sprintf("run-%06d", 10+i), func(*protocol.Job) {})
 			if works { // tasks of it run elsewhere
 				l.taskRuns(j)
-				c.now = c.now.Add(workingAfter)
+				c.now = c.now.Add(quarantine.WorkingAfter)
 			}
 			fail(l, m, j)
 		}
@@ -97,7 +99,7 @@
 		j.chunk(0).starts = nil
 		last = j.backoffUntil.Sub(c.now)
 	}
-	if last != trialBackoffMax {
+	if last != quarantine.TrialBackoffMax {
 		t.Errorf("after 12 trials %s until the next", last)
 	}
 	c.now = j.backoffUntil
@@ -106,7 +108,7 @@
 	}
 	l.runPlacementRound()
 	l.taskRuns(j)
-	c.now = c.now.Add(workingAfter)
+	c.now = c.now.Add(quarantine.WorkingAfter)
 	l.runPlacementRound()
 	if j.liveAttempts != j.Tasks {
 		t.Errorf("%d of %d tasks placed after one has run", j.liveAttempts, j.Tasks)
@@ -138,7 +140,7 @@
 				l.setTaskState(a, protocol.Running)
 			}
 		}
-		c.now = c.now.Add(unbrokenAfter + time.Second)
+		c.now = c.now.Add(quarantine.UnbrokenAfter + time.Second)
 		for _, m := range l.fleetList {
 			m.lastSeen, m.lastAnswered = c.now, c.now
 		}
@@ -304,7 +306,7 @@
 			t.Errorf("%s: dear machines rented %t", test.job.Team, rents)
 		}
 	}
-	c.now = c.now.Add(starvingAfter)
+	c.now = c.now.Add(queue.StarvingAfter)
 	clear(l.autoscaler.requested)
 	l.autoscaler.unmetDemand = []demand{{guest, guest.Tasks}}
 	l.autoscaler.unavailableUntil[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
@@ -400,7 +402,7 @@
 	first := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks, j.CPUs = 1, 3 })
 	l.runPlacementRound()
 	large := addTestJob(l, "run-000002", func(j *protocol.Job) { j.Tasks, j.CPUs, j.Priority = 1, 4, protocol.Low })
-	large.submitted = c.now.Add(-starvingAfter)
+	large.submitted = c.now.Add(-queue.StarvingAfter)
 	small := addTestJob(l, "run-000003", func(*protocol.Job) {})
 	l.runPlacementRound()
 	if first.liveAttempts != 1 || small.liveAttempts != 0 {
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -117,8 +117,8 @@
 			m.lastSeen, m.lastAnswered = c.now, c.now
 		}
 		l.runPlacementRound()
-		if l.examined > 2*baseExamineLimit {
-			t.Errorf("a round looked at %d machines, more than %d", l.examined, 2*baseExamineLimit)
+		if l.round.examined > 2*baseExamineLimit {
+			t.Errorf("a round looked at %d machines, more than %d", l.round.examined, 2*baseExamineLimit)
 		}
 		rounds++
 	}
@@ -150,7 +150,7 @@
 		t.Fatalf("%d replicas wait, want half of 600", waiting)
 	}
 	l.runPlacementRound()
-	if most := 2 * overloadMachines; l.examined > most {
-		t.Errorf("a round looked at %d machines, more than %d", l.examined, most)
+	if most := 2 * overloadMachines; l.round.examined > most {
+		t.Errorf("a round looked at %d machines, more than %d", l.round.examined, most)
 	}
 }
--- /dev/null
+++ b/internal/coordination/preemption/preemption_test.go
@@ -0,0 +1,150 @@
+package preemption
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/protocol"
+)
+
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+
+func TestChoose(t *testing.T) {
+	work := func(name string, change func(*Work[string])) Work[string] {
+		w := Work[string]{Attempt: name, Priority: protocol.Low, Submitted: start, Lost: 10, Needs: placement.Resources{CPUs: 2, MemGB: 4}, Job: name}
+		if change != nil {
+			change(&w)
+		}
+		return w
+	}
+	for _, c := range []struct {
+		name    string
+		free    placement.Resources
+		needs   placement.Resources
+		work    []Work[string]
+		victims []string
+		cost    float64
+		ok      bool
+	}{
+		{name: "nothing gives way", needs: placement.Resources{CPUs: 1}},
+		{name: "one is enough", needs: placement.Resources{CPUs: 2}, work: []Work[string]{work("a", nil), work("b", nil)},
+			victims: []string{"a"}, cost: 11, ok: true},
+		{name: "room that is left counts", free: placement.Resources{CPUs: 2}, needs: placement.Resources{CPUs: 4},
+			work: []Work[string]{work("a", nil), work("b", nil)}, victims: []string{"a"}, cost: 11, ok: true},
+		{name: "two are needed", needs: placement.Resources{CPUs: 3}, work: []Work[string]{work("a", nil), work("b", nil)},
+			victims: []string{"a", "b"}, cost: 22, ok: true},
+		{name: "all are too little", needs: placement.Resources{CPUs: 5}, work: []Work[string]{work("a", nil), work("b", nil)}},
+		{name: "memory counts", needs: placement.Resources{CPUs: 1, MemGB: 6}, work: []Work[string]{work("a", nil), work("b", nil)},
+			victims: []string{"a", "b"}, cost: 22, ok: true},
+		{name: "no GPU", needs: placement.Resources{GPUs: 1}, work: []Work[string]{work("a", nil)}},
+		{name: "the lowest priority first", needs: placement.Resources{CPUs: 2},
+			work:    []Work[string]{work("a", func(w *Work[string]) { w.Priority = protocol.Standard }), work("b", func(w *Work[string]) { w.Lost = 50 })},
+			victims: []string{"b"}, cost: 51, ok: true},
+		{name: "the latest job first", needs: placement.Resources{CPUs: 2},
+			work:    []Work[string]{work("a", func(w *Work[string]) { w.Lost = 0 }), work("b", func(w *Work[string]) { w.Submitted = start.Add(time.Second) })},
+			victims: []string{"b"}, cost: 11, ok: true},
+		{name: "the least work of a job's", needs: placement.Resources{CPUs: 2},
+			work: []Work[string]{work("a", nil), work("b", func(w *Work[string]) { w.Job, w.Task, w.Lost = "a", 1, 5 })}, victims: []string{"b"}, cost: 6, ok: true},
+		{name: "the first task of equals", needs: placement.Resources{CPUs: 2},
+			work: []Work[string]{work("a", func(w *Work[string]) { w.Task = 7 }), work("b", func(w *Work[string]) { w.Job, w.Task = "a", 2 })}, victims: []string{"b"}, cost: 11, ok: true},
+	} {
+		victims, cost, ok := Choose(c.free, c.needs, c.work)
+		var names []string
+		for _, v := range victims {
+			names = append(names, v.Attempt)
+		}
+		if !slices.Equal(names, c.victims) || cost != c.cost || ok != c.ok {
+			t.Errorf("%s: %q at %g, %t", c.name, names, cost, ok)
+		}
+	}
+}
+
+// fakeMachines have room for tasks of one size at costs that rise from task to task.
+type fakeMachines struct {
+	costs    map[string][]float64 // of the next tasks; none left: no room
+	excluded string
+	asked    int
+	taken    []string
+}
+
+func (f *fakeMachines) Excluded(machine string) bool { return machine == f.excluded }
+
+func (f *fakeMachines) Cost(machine string) (float64, bool) {
+	f.asked++
+	if c := f.costs[machine]; len(c) > 0 {
+		return c[0], true
+	}
+	return 0, false
+}
+
+func (f *fakeMachines) Preempt(machine string) {
+	f.taken = append(f.taken, machine)
+	f.costs[machine] = f.costs[machine][1:]
+}
+
+// Tasks are given the machines that cost least, those of equal cost in their order.
+func TestSearch(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		costs    map[string][]float64
+		excluded string
+		want     []string // machines of the tasks, until there is no more room
+	}{
+		{name: "no room", costs: map[string][]float64{}},
+		{name: "the cheapest first", costs: map[string][]float64{"a": {5}, "b": {1}, "c": {3}}, want: []string{"b", "c", "a"}},
+		{name: "in order among equals", costs: map[string][]float64{"a": {1, 1}, "b": {1}, "c": {1}}, want: []string{"a", "a", "b", "c"}},
+		{name: "a cost that rises", costs: map[string][]float64{"a": {1, 9}, "b": {2, 3}}, want: []string{"a", "b", "b", "a"}},
+		{name: "room that is free", costs: map[string][]float64{"a": {1}, "b": {0, 0, 4}}, want: []string{"b", "b", "a", "b"}},
+		{name: "one that the job can't use", costs: map[string][]float64{"a": {1}, "b": {2}}, excluded: "a", want: []string{"b"}},
+	} {
+		f := &fakeMachines{costs: c.costs, excluded: c.excluded}
+		var s Search[string]
+		for i, m := range []string{"a", "b", "c"} {
+			s.Add(m, i, 3)
+		}
+		s.Begin(f, placement.Resources{CPUs: 1})
+		for s.Next(f) {
+		}
+		if !slices.Equal(f.taken, c.want) {
+			t.Errorf("%s: %q, want %q", c.name, f.taken, c.want)
+		}
+	}
+}
+
+// What is exhausted is looked at again for smaller tasks alone, what a job couldn't use for
+// every later one.
+func TestSearchOfSeveralJobs(t *testing.T) {
+	f := &fakeMachines{costs: map[string][]float64{}}
+	var s Search[string]
+	for i := range 100 {
+		s.Add(fmt.Sprint(i), i, 100)
+	}
+	if s.Begun() {
+		t.Error("begun before a job's turn")
+	}
+	s.Begin(f, placement.Resources{CPUs: 4, MemGB: 4})
+	if !s.Begun() || f.asked != 100 || s.Next(f) {
+		t.Errorf("%d asked, or room on none", f.asked)
+	}
+	f.costs["7"] = []float64{1, 1}
+	s.Begin(f, placement.Resources{CPUs: 4, MemGB: 5})
+	if f.asked != 100 || s.Next(f) {
+		t.Errorf("%d asked for a larger task", f.asked)
+	}
+	s.Begin(f, placement.Resources{CPUs: 5, MemGB: 3})
+	if f.asked != 200 || !s.Next(f) || f.taken[0] != "7" {
+		t.Errorf("%d asked for one that takes less memory, on %q", f.asked, f.taken)
+	}
+	f.excluded = "7"
+	if s.Next(f) {
+		t.Error("an excluded machine is used")
+	}
+	f.excluded = ""
+	s.Begin(f, placement.Resources{CPUs: 5, MemGB: 5})
+	if !s.Next(f) || s.Next(f) {
+		t.Error("a machine that another job couldn't use")
+	}
+}
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -5,6 +5,7 @@
 
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
 )
 
@@ -27,7 +28,7 @@
 }
 
 // applyPolicy lets a judge change what ranks a machine.
-func (b *rebalancer) applyPolicy(g *balance.CeilingPolicy, m *machine, k *candidate) {
+func (b *rebalancer) applyPolicy(g *balance.CeilingPolicy, m *machine, k *placement.Candidate) {
 	k.AboveCeiling = g.Exceeds(&m.Machine, m.load)
 	k.Score -= g.Penalty(&m.Machine, m.load, b.l.controller.op.ImageWeight)
 }
@@ -58,10 +59,10 @@
 }
 
 // roomAboveCeiling is how many more tasks of a job the machines that are left would take.
-func (l *leader) roomAboveCeiling(c *candidates, j *job) int {
+func (l *leader) roomAboveCeiling(c *placement.Candidates, j *job) int {
 	count := 0
 	for k := range c.All {
-		m := l.withRoom[k.Machine]
+		m := l.round.withRoom[k.Machine]
 		if j.zoneAllowed(m.Zone) {
 			count += m.TaskCapacity(j.Job)
 		}
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -157,7 +157,7 @@
 	if w.Running {
 		w.Ran = b.l.controller.now.Sub(a.stateSince)
 	}
-	likely := time.Duration(float64(j.EstimatedRuntime) * b.l.correctionOf(j.Class) * m.load.Speed.Slowness())
+	likely := time.Duration(float64(j.EstimatedRuntime) * b.l.corrections.Of(j.Class) * m.load.Speed.Slowness())
 	w.Remaining = max(0, likely-w.Ran) // one that is overdue may end at any moment
 	return w
 }
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -139,7 +139,7 @@
 	for left > 0 && p.planned < p.limit {
 		o, ok := bestOffer(p.offers, j.Job, left, zones.allows)
 		// One that has waited for too long gets a machine to begin on.
-		if !ok || l.overpriced(j, o) && !(left == wanted && j.starving(l.controller.now.Round(0))) {
+		if !ok || l.overpriced(j, o) && !(left == wanted && j.standing(l.controller.now.Round(0)).Starving()) {
 			return
 		}
 		count := p.pack(p.addMachine(o), j, zones, left)
