--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -30,6 +30,7 @@
 	LogFile      string // what its processes wrote to standard error
 
 	loopback  *Loopback
+	binary    string // its program
 	settings  config.Settings
 	transport *http.Transport     // of those who ask it
 	current   atomic.Pointer[run] // the latest process, nil before the first
@@ -45,7 +46,7 @@
 // newControllerProcess prepares a controller: its ports, its addresses of the services, and its
 // connections to the other controllers. It is called with the lock held.
 func newControllerProcess(l *Loopback, n *controllerHost) (*ControllerProcess, error) {
-	k := &ControllerProcess{loopback: l, settings: l.cluster.settings,
+	k := &ControllerProcess{loopback: l, binary: l.options.Binary, settings: l.cluster.settings,
 		SettingsFile: filepath.Join(l.options.Dir, n.name+".toml"),
 		LogFile:      filepath.Join(l.options.Dir, n.name+".log"),
 		transport:    &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}}
@@ -85,6 +86,9 @@
 	return os.WriteFile(k.SettingsFile, raw, 0o644)
 }
 
+// SetBinary lets the controller run another program from its next start on.
+func (k *ControllerProcess) SetBinary(path string) { k.binary = path }
+
 // Name is the controller's name.
 func (k *ControllerProcess) Name() string { return k.settings.Name }
 
@@ -110,7 +114,7 @@
 	if k.loopback.options.Operator != "" {
 		arguments = append(arguments, "--operator", k.loopback.options.Operator)
 	}
-	p := &run{command: exec.Command(k.loopback.options.Binary, arguments...), exited: make(chan struct{})}
+	p := &run{command: exec.Command(k.binary, arguments...), exited: make(chan struct{})}
 	p.command.Stderr = log
 	// In a process group of its own, an interrupt from the terminal reaches only the
 	// stand-in; when that dies without a word, its controllers die, too.
--- /dev/null
+++ b/internal/simulator/loopback_versions_test.go
@@ -0,0 +1,66 @@
+package simulator
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+
+	"brasskeel/internal/protocol"
+)
+
+// TestLoopbackMixedVersions runs controllers of this version beside one of another version, the
+// program that OTHER_BINARY names. While jobs run it kills each controller in turn and starts
+// the other version in its place, until all have changed, and then back: what one version writes
+// or says the other must take.
+func TestLoopbackMixedVersions(t *testing.T) {
+	other := os.Getenv("OTHER_BINARY")
+	if other == "" {
+		t.Skip("set OTHER_BINARY to run it")
+	}
+	binary := filepath.Join(t.TempDir(), "brasskeel")
+	if out, err := exec.Command("go", "build", "-o", binary, "brasskeel/cmd/brasskeel").CombinedOutput(); err != nil {
+		t.Fatalf("go build: %v\n%s", err, out)
+	}
+	for name, operator := range map[string]string{"one leader": "", "shards": "../../deploy/operator.shards.json", "balance": "../../deploy/operator.balance.json"} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			mixedVersions(newLiveTest(t, binary, operator), binary, other)
+		})
+	}
+}
+
+func mixedVersions(t *liveTest, binary, other string) {
+	versions := []string{binary, binary, binary}
+	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= liveTasks })
+	for round := range 2 * len(versions) {
+		// Each controller in turn, first to the other version and then back.
+		index := round % len(versions)
+		k := t.Controllers()[index]
+		k.Kill()
+		if versions[index] == binary {
+			versions[index] = other
+		} else {
+			versions[index] = binary
+		}
+		k.SetBinary(versions[index])
+		if err := k.Start(); err != nil {
+			t.Fatal(err)
+		}
+		job := fmt.Sprintf("run-%06d", 200+round)
+		t.Do(func(c *Cluster) { c.submitLive(job, protocol.Batch, liveTasks, surgeRun/5) })
+		t.await("a job to be done with another mix of versions", func(c *Cluster) bool { return c.reported(job) == protocol.Done })
+		t.awaitAnswered(index, job)
+	}
+	t.Do(func(c *Cluster) { c.submitBatch(earlyJobs, liveJobs) })
+	t.awaitAllDone()
+}
+
+// awaitAnswered waits until a node answers for a job.
+func (t *liveTest) awaitAnswered(node int, job string) {
+	t.Helper()
+	answered := false
+	t.Do(func(c *Cluster) { c.askUntilKnown(node, job, func() { answered = true }) })
+	t.await("the node to answer for a job", func(*Cluster) bool { return answered })
+}
