--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -99,7 +99,7 @@
 	if s == protocol.Running {
 		l.taskRuns(a.job)
 		l.rebalancer.attemptRuns(a)
-		if !a.inherited {
+		if !a.delivery.Inherited {
 			l.controller.log.Debug("task runs", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
 				"within", a.job.withinQuota, "placed", l.controller.now.Sub(a.placedAt), "age", l.controller.now.Round(0).Sub(a.job.submitted))
 		}
@@ -184,7 +184,7 @@
 		l.countStop(a, 1)
 	}
 	a.stopGrace, a.stopSentAt = grace, time.Time{}
-	if a.neverSent() && !l.writeInFlight(a) {
+	if a.delivery.NeverSent() && !l.writeInFlight(a) {
 		l.detach(a, "never sent")
 		return
 	}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -127,7 +127,7 @@
 	type use struct{ machines, emptying, pinned, cpus, services, used float64 }
 	var spot, fixed use
 	for _, m := range l.fleetList {
-		if !m.registered || m.Spec == nil {
+		if !m.session.Registered || m.Spec == nil {
 			continue
 		}
 		u := &fixed
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -39,7 +39,7 @@
 		BootTime: 10 * time.Second, Zones: []string{"a"}}})
 	for i := range machines {
 		m := l.newMachine(fmt.Sprintf("vm-%06d", i), "small", "a", false)
-		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
+		m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.Incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 	}
 	for i := range jobs {
 		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(i)})
@@ -73,7 +73,7 @@
 func runAll(l *leader) {
 	for _, m := range l.fleetList {
 		for _, a := range m.attempts {
-			a.recorded, a.reported, a.state, a.stateSince = true, true, protocol.Running, l.controller.now
+			a.recorded, a.delivery.Reported, a.state, a.stateSince = true, true, protocol.Running, l.controller.now
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		fill(l)
 		c.take()
 		m := l.fleetList[0]
-		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, FencingToken: l.epoch.fencingToken()}
+		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, FencingToken: l.epoch.BaseToken()}
 		for _, a := range m.sortedAttempts() {
 			r.Tasks = append(r.Tasks, protocol.TaskStatus{Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, State: protocol.Running})
 		}
@@ -151,11 +151,11 @@
 		spec.Tasks, spec.CPUs, spec.MemoryGB = 15000, 0.05, 0.05
 		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
 		m, j := l.fleetList[0], l.jobsByAge[0]
-		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: l.epoch.fencingToken()}
+		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: l.epoch.BaseToken()}
 		for i := range exits {
 			l.assign(j, i, m)
 			a := j.task(i).live
-			a.recorded, a.reported = true, true
+			a.recorded, a.delivery.Reported = true, true
 			l.setTaskState(a, protocol.Running)
 			r.Tasks = append(r.Tasks, protocol.TaskStatus{Job: j.ID, TaskIndex: i, Attempt: 1, State: protocol.Exited, Reason: protocol.ExitDone})
 		}
@@ -197,7 +197,7 @@
 func bootingFleet(machines int) *leader {
 	_, l := largeLead(machines, 2*benchJobs(machines))
 	for _, m := range l.fleetList {
-		m.registered = false
+		m.session.Registered = false
 	}
 	for i, j := range l.jobsByAge {
 		j.OneZone, j.MemoryGB = i%4 == 0, 4+float64(i%50)/20
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -25,7 +25,7 @@
 }
 
 func (l *leader) booting(m *machine) bool {
-	return !m.registered && !m.draining && !m.releasing && m.Spec != nil && !l.awaitsRegistration(m)
+	return !m.session.Registered && m.lifecycle.inService() && m.Spec != nil && !l.awaitsRegistration(m)
 }
 
 func (l *leader) bootOverdue(m *machine) bool {
@@ -36,7 +36,7 @@
 // earlier leader, and merely not to this one yet: new leaders returned such machines as
 // if they had never come up.
 func (l *leader) awaitsRegistration(m *machine) bool {
-	return m.inherited && l.bootOverdue(m) && l.controller.now.Sub(l.loadedAt) < l.registrationTimeout()
+	return m.inherited && l.bootOverdue(m) && l.controller.now.Sub(l.loadedAt) < l.controller.timing().RegistrationTimeout()
 }
 
 func (l *leader) bootProgress() bootProgress {
@@ -50,7 +50,7 @@
 			if l.bootOverdue(m) {
 				b.overdue = append(b.overdue, m)
 			}
-		case m.registered && m.Spec != nil && l.controller.now.Sub(m.provisionedAt) < max(m.Spec.BootTime*bootTimeoutFactor, m.Spec.BootTime+bootTimeoutMargin):
+		case m.session.Registered && m.Spec != nil && l.controller.now.Sub(m.provisionedAt) < max(m.Spec.BootTime*bootTimeoutFactor, m.Spec.BootTime+bootTimeoutMargin):
 			b.booted++
 		}
 	}
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -4,14 +4,19 @@
 	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/coordination/quarantine"
+	"brasskeel/internal/coordination/sessions"
 )
 
 // acceptsTasks reports whether a machine takes new tasks: it has reported to this
 // leader and been reached by it, is not on its way out, and isn't silent. One whose reports don't come
 // while it answers calls loses all that runs there once its lease is over.
 func (l *leader) acceptsTasks(m *machine) bool {
-	return m.registered && !m.lastReached.IsZero() && m.recorded && m.Spec != nil && !m.draining && !m.releasing && m.preemptionAt.IsZero() && m.failedProbes == 0 &&
-		l.controller.now.Sub(m.lastSeen) <= l.suspectAfter() && l.unansweredFor(m) <= l.suspectAfter()+lostHeartbeatDelay
+	if !m.session.Registered || m.session.LastReached.IsZero() || !m.recorded || m.Spec == nil || !m.lifecycle.inService() ||
+		m.lifecycle.preemptionNoticed() || m.session.FailedProbes != 0 {
+		return false
+	}
+	suspectAfter := l.controller.timing().SuspectAfter()
+	return l.controller.now.Sub(m.session.LastSeen) <= suspectAfter && l.unansweredFor(m) <= suspectAfter+sessions.LostHeartbeatDelay
 }
 
 // imageID numbers an image for this leadership.
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -9,6 +9,7 @@
 
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -45,7 +46,7 @@
 			m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 			m.inherited, m.recorded = true, true
 			j.chunk(i)
-			a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, stateSince: c.now}
+			a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now}
 			l.attach(a)
 		}
 		l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
@@ -60,7 +61,7 @@
 			}
 			for i, m := range l.fleetList {
 				if i < test.heard {
-					m.registered, m.lastSeen, m.lastReached, m.lastAnswered, m.registeredAt = true, c.now, c.now, c.now, c.now
+					m.session.Registered, m.session.LastSeen, m.session.LastReached, m.session.LastAnswered, m.session.RegisteredAt = true, c.now, c.now, c.now, c.now
 				}
 			}
 			if c.leader != nil {
@@ -71,7 +72,7 @@
 			t.Errorf("a leader that %s stays: %t", test.name, stays)
 		}
 		for _, m := range l.fleetList {
-			if !test.stays && m.releasing {
+			if !test.stays && m.lifecycle.releasing() {
 				t.Errorf("a leader that %s gave up %s before it gave way", test.name, m.Name)
 			}
 		}
@@ -90,7 +91,7 @@
 		c.now = c.now.Add(time.Minute)
 		for i := range 5 {
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
-			m.registered, m.lastSeen = true, c.now
+			m.session.Registered, m.session.LastSeen = true, c.now
 		}
 		c.peers["n1"] = &peerStatus{heardAt: c.now, storeReachable: true, disconnected: disconnected}
 		l.preferMajorityZone()
@@ -113,7 +114,7 @@
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 		m.inherited, m.recorded, m.addr = true, true, "x"
-		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, inherited: true, stateSince: c.now})
+		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now})
 	}
 	l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
 	begin := c.now
@@ -132,7 +133,7 @@
 		t.Errorf("it gave way after %s", took)
 	}
 	for _, m := range l.fleetList {
-		if m.releasing {
+		if m.lifecycle.releasing() {
 			t.Errorf("%s was given up before", m.Name)
 		}
 	}
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -8,10 +8,10 @@
 
 // drainMachine takes a machine out of use.
 func (l *leader) drainMachine(m *machine) {
-	if m.draining {
+	if m.lifecycle.draining {
 		return
 	}
-	m.draining = true
+	m.lifecycle.draining = true
 	for _, a := range m.sortedAttempts() {
 		l.stopAttempt(a, l.checkpointGrace(a))
 	}
--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -18,11 +18,11 @@
 	var cut, others []*machine
 	for i := range 30 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "b", false)
-		m.registered, m.recorded, m.incarnation, m.addr = true, true, 1, fmt.Sprintf("addr-%02d", i)
-		m.lastSeen, m.lastReached, m.registeredAt = c.now, c.now, c.now
+		m.session.Registered, m.recorded, m.session.Incarnation, m.addr = true, true, 1, fmt.Sprintf("addr-%02d", i)
+		m.session.LastSeen, m.session.LastReached, m.session.RegisteredAt = c.now, c.now, c.now
 		if i < 12 {
 			m.Zone = "a"
-			m.lastSeen = c.now.Add(-interval * 5 / 4 * time.Duration(i) / 12) // the longest between reports
+			m.session.LastSeen = c.now.Add(-interval * 5 / 4 * time.Duration(i) / 12) // the longest between reports
 			cut = append(cut, m)
 		} else {
 			others = append(others, m)
@@ -43,7 +43,7 @@
 	}
 	for now := start; now.Sub(start) < span; now = now.Add(50 * time.Millisecond) {
 		for _, m := range others {
-			m.lastSeen, m.lastReached = now, now
+			m.session.LastSeen, m.session.LastReached = now, now
 		}
 		for len(open) > 0 && !open[0].at.After(now) {
 			id := open[0].id
@@ -52,7 +52,7 @@
 		}
 		calls(c.Tick(now))
 		for _, m := range cut {
-			if m.releasing {
+			if m.lifecycle.releasing() {
 				return m.Name, asked
 			}
 		}
@@ -74,17 +74,17 @@
 	c, l := leading(phaseActive)
 	c.cfg.HeartbeatInterval = 4 * time.Second
 	m := addTestMachine(l, "vm-1", true)
-	m.addr, m.lastReached, m.registeredAt = "x", c.now, c.now
+	m.addr, m.session.LastReached, m.session.RegisteredAt = "x", c.now, c.now
 	for since := time.Duration(0); since < 4*time.Second; since += detectorInterval {
-		c.now = m.lastSeen.Add(since)
+		c.now = m.session.LastSeen.Add(since)
 		l.detectFailures()
 	}
-	if m.probeInFlight {
+	if m.session.ProbeInFlight {
 		t.Error("a machine is asked before its report is due")
 	}
-	c.now = m.lastSeen.Add(4*time.Second + detectorInterval)
+	c.now = m.session.LastSeen.Add(4*time.Second + detectorInterval)
 	l.detectFailures()
-	if !m.probeInFlight {
+	if !m.session.ProbeInFlight {
 		t.Error("a machine that is late isn't asked")
 	}
 }
@@ -95,15 +95,15 @@
 	c.cfg.HeartbeatInterval = 4 * time.Second
 	lost, near, far := addTestMachine(l, "vm-1", true), addTestMachine(l, "vm-2", true), addTestMachine(l, "vm-3", true)
 	for _, m := range []*machine{lost, near, far} {
-		m.addr, m.lastReached, m.registeredAt = "x", c.now, c.now
+		m.addr, m.session.LastReached, m.session.RegisteredAt = "x", c.now, c.now
 	}
-	lost.failedProbes, far.Zone = 1, "b"
-	c.now = c.now.Add(minProbeAfter)
-	l.lastScan = c.now // it hasn't stood still meanwhile
-	l.detectFailures() // sees the doubt
+	lost.session.FailedProbes, far.Zone = 1, "b"
+	c.now = c.now.Add(c.timing().ProbeAfter(true))
+	l.detector.Scan(c.now) // it hasn't stood still meanwhile
+	l.detectFailures()     // sees the doubt
 	c.now = c.now.Add(detectorInterval)
 	l.detectFailures()
-	if !near.probeInFlight || far.probeInFlight {
-		t.Errorf("asked: the same zone %t, another %t", near.probeInFlight, far.probeInFlight)
+	if !near.session.ProbeInFlight || far.session.ProbeInFlight {
+		t.Errorf("asked: the same zone %t, another %t", near.session.ProbeInFlight, far.session.ProbeInFlight)
 	}
 }
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -41,7 +42,7 @@
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
-	m.recorded, m.lastReached = true, c.now
+	m.recorded, m.session.LastReached = true, c.now
 	chunk := j.chunk(0)
 	chunk.version = 7
 	l.journal.busy = false // with the record of the machine
@@ -70,20 +71,20 @@
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
-	a := &attempt{job: j, number: 1, machine: m, recorded: true, directToken: l.fencingToken(m), directIncarnation: 1}
+	a := &attempt{job: j, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{DirectToken: m.session.Token(), DirectIncarnation: 1}}
 	l.attach(a)
-	m.directStartToken = a.directToken
+	m.session.DirectStartToken = a.delivery.DirectToken
 	l.endJob(j, protocol.Cancelled)
-	below := l.fencingToken(m)
+	below := m.session.Token()
 	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, report(5))
 	if j.task(0).live != a || l.teamUsage["red"].cpus != 1 {
 		t.Fatal("gone while its start may still be carried out")
 	}
-	if l.fencingToken(m) <= below {
+	if m.session.Token() <= below {
 		t.Fatal("the start isn't fenced off")
 	}
 	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small",
-		Zone: "a", Incarnation: 1, Sequence: 6, FencingToken: l.fencingToken(m)}))
+		Zone: "a", Incarnation: 1, Sequence: 6, FencingToken: m.session.Token()}))
 	if j.task(0).live != nil || l.teamUsage["red"].cpus != 0 {
 		t.Error("still there although no start can be carried out any more")
 	}
@@ -99,7 +100,7 @@
 	j := l.jobs[s.ID]
 	m := l.newMachine("vm-1", "small", "a", false)
 	for i := range 2 {
-		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, reported: true})
+		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Reported: true}})
 	}
 	other := &job{Job: spec("run-000002"), zones: map[string]int{}}
 	if l.withinLimit(other) {
@@ -122,7 +123,7 @@
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
-	m.lastReached, m.Spec = c.now, c.types["small"]
+	m.session.LastReached, m.Spec = c.now, c.types["small"]
 	for _, recorded := range []bool{false, true} {
 		m.recorded = recorded
 		l.runPlacementRound()
@@ -139,7 +140,7 @@
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
-	m.recorded, m.lastReached, m.Spec = true, c.now, c.types["small"]
+	m.recorded, m.session.LastReached, m.Spec = true, c.now, c.types["small"]
 	l.lease.ValidUntil = c.now
 	l.runPlacementRound()
 	if len(m.attempts) > 0 {
@@ -165,14 +166,14 @@
 	j, _ := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
-	a := &attempt{job: j, number: 1, machine: m, recorded: true, sentIncarnation: 1, sentSequence: 3}
+	a := &attempt{job: j, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{SentIncarnation: 1, SentSequence: 3}}
 	l.attach(a)
 	r, err := protocol.ParseHeartbeat(report(4))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.stopAttempt(a, 0)
-	l.takeHeartbeat(m, r, false) // on its way since before the answer
+	l.takeResponse(m, r) // on its way since before the answer
 	if j.task(0).live != a {
 		t.Fatal("a response that may be older than the start proves it gone")
 	}
@@ -199,18 +200,18 @@
 	c, l := leading(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
-	answered := m.lastAnswered
+	answered := m.session.LastAnswered
 	c.now = c.now.Add(10 * time.Second)
 	r, err := protocol.ParseHeartbeat(report(5))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Incarnation, r.FencingToken = 2, l.fencingToken(m)
-	l.takeHeartbeat(m, r, false) // a response: its reports don't come
+	r.Incarnation, r.FencingToken = 2, m.session.Token()
+	l.takeResponse(m, r) // a response: its reports don't come
 	if proof := l.terminationProofAt(m); proof.Before(c.now.Add(c.cfg.WorkerLease)) {
 		t.Errorf("taken for dead %s after its session began, its lease is %s", proof.Sub(c.now), c.cfg.WorkerLease)
 	}
-	if m.lastAnswered != answered {
+	if m.session.LastAnswered != answered {
 		t.Error("a session that began counts as a report that was answered")
 	}
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -2,61 +2,80 @@
 
 import (
 	"slices"
+	"time"
 
 	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 )
 
-// answerHeartbeat answers a report of a machine that this owner serves.
+// heartbeatMessage is the place of a worker's heartbeat among its messages, and
+// responseMessage that of the status in a response of the worker's to a call.
+func heartbeatMessage(r *protocol.Heartbeat) sessions.Message {
+	return sessions.Message{Incarnation: r.Incarnation, Sequence: r.Sequence, Token: r.FencingToken, Heartbeat: true}
+}
+
+func responseMessage(r *protocol.Heartbeat) sessions.Message {
+	return sessions.Message{Incarnation: r.Incarnation, Sequence: r.Sequence, Token: r.FencingToken}
+}
+
+// answerHeartbeat answers a heartbeat of a machine that this owner serves.
 func (s *workerSessions) answerHeartbeat(m *machine, id uint64, r *protocol.Heartbeat) {
 	c := s.controller
-	if m.registered && (r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Sequence <= m.heartbeatSeq) {
-		// A copy, or a report that was held up: a worker has one report in flight,
-		// so it has given this one up, and no answer of it can renew the lease.
+	arrival := m.session.Arrival(heartbeatMessage(r))
+	if arrival == sessions.Stale {
 		c.reply(id, 503, protocol.EncodeError("a newer report came before"))
 		return
 	}
-	m.lastAnswered = c.now
-	if m.registered && r.Incarnation == m.incarnation && r.Sequence <= m.sequence {
-		// Overtaken by a response of the worker's. It tells nothing new, and orders
-		// in its answer would be judged by the wrong list of tasks. But the answer
-		// renews the lease all the same, so it ends what must not go on.
-		m.heartbeatSeq = r.Sequence
-		c.reply(id, 200, protocol.EncodeHeartbeatResponse(s.fencingToken(m), s.stopsOfEnded(r)))
+	m.session.LastAnswered = c.now
+	if arrival == sessions.Overtaken {
+		// Orders in its answer would be judged by the wrong list of tasks. But the answer
+		// renews the worker's lease all the same, so it ends what must not go on.
+		m.session.HeartbeatSequence = r.Sequence
+		c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), s.stopsOfEnded(r)))
 		return
 	}
-	orders := s.takeHeartbeat(m, r, true)
-	c.reply(id, 200, protocol.EncodeHeartbeatResponse(s.fencingToken(m), orders))
+	orders := s.takeHeartbeat(m, r)
+	c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), orders))
 	if len(orders) > 0 {
-		c.log.Debug("orders", "machine", m.Name, "count", len(orders), "seq", r.Sequence)
+		c.log.Debug("orders sent with a heartbeat's answer", "machine", m.Name, "count", len(orders), "sequence", r.Sequence)
 	}
 }
 
-// takeHeartbeat brings what is known of a machine up to a newer report. With
-// reported set it came as a report, whose answer may carry orders; otherwise
-// as the body of a response of the worker's.
-func (s *workerSessions) takeHeartbeat(m *machine, r *protocol.Heartbeat, reported bool) []protocol.Order {
-	s.noteWorker(m, r)
-	s.noteDelivery(m, r, reported)
-	if r.HasPreemptionNotice && m.preemptionAt.IsZero() {
-		m.preemptionAt = s.controller.now.Add(r.PreemptionNotice)
-		s.controller.logSampled("machine will be taken", "machine", m.Name, "in", r.PreemptionNotice)
+// takeHeartbeat brings what is known of a machine up to its newest heartbeat, and returns
+// the orders for its answer.
+func (s *workerSessions) takeHeartbeat(m *machine, r *protocol.Heartbeat) []protocol.Order {
+	return s.takeStatus(m, r, heartbeatMessage(r))
+}
+
+// takeResponse does so from the status in a response of the worker's to a call. That carries
+// no orders: those that are wanted go out by another call, or with the next heartbeat.
+func (s *workerSessions) takeResponse(m *machine, r *protocol.Heartbeat) {
+	s.takeStatus(m, r, responseMessage(r))
+}
+
+func (s *workerSessions) takeStatus(m *machine, r *protocol.Heartbeat, message sessions.Message) []protocol.Order {
+	s.noteWorker(m, r, message)
+	s.noteDelivery(m, message)
+	if r.HasPreemptionNotice && !m.lifecycle.preemptionNoticed() {
+		m.lifecycle.preemptionAt = s.controller.now.Add(r.PreemptionNotice)
+		s.controller.logSampled("machine preemption noticed", "machine", m.Name, "duration", r.PreemptionNotice)
 		s.listener.preemptionNoticed(m)
 	}
 	if !s.loaded && !m.attemptsKnown {
 		// Whether a task belongs here isn't known yet; the answer renews the lease,
-		// and ends what must not go on. The same report's content will come again.
+		// and ends what must not go on. The same status will come again.
 		return s.stopsOfEnded(r)
 	}
-	if !m.reconciled {
-		m.reconciled = true
+	if !m.session.Reconciled {
+		m.session.Reconciled = true
 		s.listener.tasksReconciled(m)
 	}
-	orphanStops, forgets := s.takeTasks(m, r, reported)
+	orphans, forgets := s.takeTasks(m, r, message.Heartbeat)
 	room := protocol.NewOrderBudget()
-	orders := s.fitOrders(&room, orphanStops)
-	orders = append(orders, s.takeAbsent(m, r, reported, room)...)
-	if !reported {
+	orders := s.fitOrders(&room, orphans)
+	orders = append(orders, s.takeAbsent(m, message, room)...)
+	if !message.Heartbeat {
 		return nil
 	}
 	room = protocol.NewOrderBudget()
@@ -64,7 +83,7 @@
 }
 
 // fitOrders leaves out what one message can't hold. All of it is found wanting again by the
-// worker's next report.
+// worker's next heartbeat.
 func (s *workerSessions) fitOrders(room *protocol.OrderBudget, orders []protocol.Order) []protocol.Order {
 	fit, cut := room.Fit(orders)
 	if cut {
@@ -73,61 +92,51 @@
 	return fit
 }
 
-// noteWorker takes what a report tells of the worker itself.
-func (s *workerSessions) noteWorker(m *machine, r *protocol.Heartbeat) {
+// noteWorker takes what a message tells of the worker itself.
+func (s *workerSessions) noteWorker(m *machine, r *protocol.Heartbeat, message sessions.Message) {
 	c := s.controller
-	if !m.registered {
-		m.registered = true
+	if !m.session.Registered {
+		m.session.Registered = true
 		m.Zone, m.Type, m.Spot = r.Zone, r.Type, r.Spot
-		m.registeredAt = c.now
-		c.log.Debug("machine reports", "machine", m.Name, "type", m.Type, "zone", m.Zone, "session", r.Incarnation)
+		m.session.RegisteredAt = c.now
+		c.log.Debug("worker registered", "machine", m.Name, "type", m.Type, "zone", m.Zone, "incarnation", r.Incarnation)
 		s.listener.workerRegistered(m)
 	}
-	newIncarnation := r.Incarnation != m.incarnation
-	m.incarnation, m.sequence, m.seenToken, m.lastSeen = r.Incarnation, r.Sequence, r.FencingToken, c.now
+	began := m.session.Take(message, c.now)
 	if r.Addr != "" && r.Addr != m.addr {
 		m.addr = r.Addr
 		s.listener.addressChanged(m)
 	}
-	if m.epochSeenAt.IsZero() && r.FencingToken >= m.epoch.fencingToken() {
-		m.epochSeenAt = c.now
-	}
-	if newIncarnation {
-		m.heartbeatSeq = 0
-		// A session has its whole lease from its beginning, which was no later than now,
-		// whether or not a report of it is ever answered. A machine whose reports reach
-		// nobody gets its work by direct starts all the same, session after session; when
-		// it then fell silent, its tasks were taken for ended long before they were.
-		m.incarnationSince = c.now
+	if began {
 		s.listener.incarnationBegan(m)
 	}
 }
 
-// noteDelivery takes what a report proves of what we sent: a response of the worker's
-// proves a call, and a report that shows a token we raised proves an answer.
-func (s *workerSessions) noteDelivery(m *machine, r *protocol.Heartbeat, reported bool) {
-	switch {
-	case !reported:
-		s.confirmReached(m, s.controller.now)
-	case !m.tokenConfirmed && !m.tokenSentSince.IsZero() && r.FencingToken >= s.fencingToken(m):
-		m.tokenConfirmed = true
-		s.confirmReached(m, m.tokenSentSince)
+// noteDelivery takes what a message proves of what was sent to the worker.
+func (s *workerSessions) noteDelivery(m *machine, message sessions.Message) {
+	if at, proven := m.session.Confirms(message, s.controller.now); proven {
+		s.confirmReached(m, at)
 	}
-	if !reported {
+	if !message.Heartbeat {
 		return
 	}
-	m.heartbeatSeq = r.Sequence
-	if m.tokenSentSince.IsZero() { // its answer is the first of this owner's
-		m.tokenSentSince = s.controller.now
-	}
-	if m.lastReached.IsZero() && s.probesNewWorkers {
+	m.session.Answering(message.Sequence, s.controller.now)
+	if m.session.LastReached.IsZero() && s.probesNewWorkers {
 		s.probe(m)
 	}
 }
 
-// takeTasks takes the tasks of a report. It returns orders, and those that let the worker
-// forget exited tasks, which need a token of their own.
-func (s *workerSessions) takeTasks(m *machine, r *protocol.Heartbeat, reported bool) (orders, forgets []protocol.Order) {
+// confirmReached notes that something sent arrived at the worker, at a time or after it.
+func (s *workerSessions) confirmReached(m *machine, at time.Time) {
+	m.session.FailedProbes = 0
+	s.listener.workerReached(m)
+	m.session.Reached(at)
+}
+
+// takeTasks takes the tasks that a worker holds. It returns orders that stop orphans, which
+// only a heartbeat's answer may carry, and those that let the worker forget exited tasks,
+// which need a token of their own.
+func (s *workerSessions) takeTasks(m *machine, r *protocol.Heartbeat, heartbeat bool) (orphans, forgets []protocol.Order) {
 	s.heartbeatCount++
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
@@ -137,25 +146,30 @@
 		}
 		if a != nil {
 			a.lastHeartbeat = s.heartbeatCount
-			a.reported = true
+			a.delivery.Reported = true
 		}
 		switch {
 		case t.State == protocol.Exited:
 			if s.listener.taskExitReported(m, a, t) {
-				forgets = append(forgets, protocol.Order{Kind: protocol.Forget, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt})
+				forgets = append(forgets, taskOrder(protocol.Forget, t))
 			}
 		case a != nil:
 			s.listener.taskStateReported(a, t.State)
-		case reported && s.listener.orphanReported(m, t):
-			orders = append(orders, protocol.Order{Kind: protocol.Stop, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt})
+		case heartbeat && s.listener.orphanReported(m, t):
+			orphans = append(orphans, taskOrder(protocol.Stop, t))
 		}
 	}
-	return orders, forgets
+	return orphans, forgets
+}
+
+// taskOrder is an order for a task as its worker reported it.
+func taskOrder(kind protocol.OrderKind, t *protocol.TaskStatus) protocol.Order {
+	return protocol.Order{Kind: kind, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt}
 }
 
-// takeAbsent judges the attempts that a report lacks, in a fixed order. Starts are sent as
+// takeAbsent judges the attempts that a message lacks, in a fixed order. Starts are sent as
 // far as there is room beside the stops, which go first.
-func (s *workerSessions) takeAbsent(m *machine, r *protocol.Heartbeat, reported bool, room protocol.OrderBudget) []protocol.Order {
+func (s *workerSessions) takeAbsent(m *machine, message sessions.Message, room protocol.OrderBudget) []protocol.Order {
 	for _, a := range m.attemptList {
 		if a.stopRequested {
 			room.Reserve(a.job.ID)
@@ -168,16 +182,47 @@
 		}
 	}
 	slices.SortFunc(absent, compareAttempts)
-	var orders []protocol.Order
+	var starts []protocol.Order
 	for _, a := range absent {
-		if order, ok := s.judgeAbsent(m, a, r, reported, &room); ok {
-			orders = append(orders, order)
+		if a.recorded && s.judgeAbsent(m, a, message) && s.startInAnswer(m, a, message, &room) {
+			starts = append(starts, startOrder(a))
 		}
 	}
-	return orders
+	return starts
 }
 
-// stopOrders end the tasks of the latest report that are to end.
+// judgeAbsent judges an attempt that a message lacks, and reports whether its start is to be
+// sent.
+func (s *workerSessions) judgeAbsent(m *machine, a *attempt, message sessions.Message) (start bool) {
+	switch verdict, reason := a.delivery.Absent(message, m.session.Epoch.BaseToken()); {
+	case verdict == sessions.Terminated:
+		s.listener.attemptTerminated(a, reason)
+	case verdict == sessions.Unfenced:
+		s.raiseFencingToken(m, a.delivery.DirectToken)
+	case verdict == sessions.NotStarted && a.stopRequested:
+		s.listener.attemptTerminated(a, "never started")
+	case verdict == sessions.NotStarted:
+		return s.startsAllowed()
+	}
+	return false
+}
+
+// startInAnswer sends a start with the answer of a heartbeat, if there is room for it, or by
+// a call of its own at the end of the step if there is no heartbeat to answer.
+func (s *workerSessions) startInAnswer(m *machine, a *attempt, message sessions.Message, room *protocol.OrderBudget) (sent bool) {
+	if !message.Heartbeat {
+		s.scheduleOrders(m)
+		return false
+	}
+	if !room.Reserve(a.job.ID) {
+		s.controller.limits.Reached(limits.OrdersPerMessage)
+		return false // the next heartbeat lacks it, too
+	}
+	a.delivery.Sent(message.Incarnation, message.Sequence)
+	return true
+}
+
+// stopOrders end the tasks of the latest message that are to end.
 func (s *workerSessions) stopOrders(m *machine) []protocol.Order {
 	if m.stopCount == 0 {
 		return nil
@@ -194,87 +239,27 @@
 	return orders
 }
 
-// forgetOrders let the worker forget exited tasks. A cleared attempt is unknown to the
+// forgetOrders let the worker forget exited tasks. A forgotten attempt is unknown to the
 // worker, so that a late copy of its direct start would start it once more. Copies below
-// the worker's token are refused: raise it, and clear once the worker is seen to know.
+// the worker's token are refused: raise it, and forget once the worker is seen to know.
 func (s *workerSessions) forgetOrders(m *machine, r *protocol.Heartbeat, forgets []protocol.Order) []protocol.Order {
-	if len(forgets) == 0 || m.directStartToken == 0 || r.FencingToken > m.directStartToken {
+	if len(forgets) == 0 || m.session.DirectStartToken == 0 || r.FencingToken > m.session.DirectStartToken {
 		return forgets
 	}
-	s.raiseFencingToken(m, m.directStartToken)
+	s.raiseFencingToken(m, m.session.DirectStartToken)
 	return nil
 }
 
-// stopsOfEnded are the orders that end the tasks of a report whose jobs are over. They
-// name attempts, so they are right however old the report is.
+// stopsOfEnded are the orders that end the tasks of a heartbeat whose jobs are over. They
+// name attempts, so they are right however old the heartbeat is.
 func (s *workerSessions) stopsOfEnded(r *protocol.Heartbeat) []protocol.Order {
 	var orders []protocol.Order
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if j := s.jobs[t.Job]; t.State != protocol.Exited && j != nil && j.finalState != 0 {
-			orders = append(orders, protocol.Order{Kind: protocol.Stop, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt})
+			orders = append(orders, taskOrder(protocol.Stop, t))
 		}
 	}
 	room := protocol.NewOrderBudget()
 	return s.fitOrders(&room, orders)
 }
-
-// judgeAbsent judges an attempt that a newer report lacks. Absence is proof only
-// once nothing that was sent can still start it. One that is to be started now takes its
-// order's room.
-func (s *workerSessions) judgeAbsent(m *machine, a *attempt, r *protocol.Heartbeat, reported bool, room *protocol.OrderBudget) (protocol.Order, bool) {
-	none := protocol.Order{}
-	if !a.recorded {
-		return none, false
-	}
-	switch {
-	case a.reported:
-		s.listener.attemptTerminated(a, "no longer reported")
-		return none, false
-	case a.inherited:
-		// An earlier leader may have sent the start, directly too. A worker
-		// that has seen our token refuses it.
-		if r.FencingToken >= m.epoch.fencingToken() {
-			s.listener.attemptTerminated(a, "not held by the worker")
-		}
-		return none, false
-	case a.directPending:
-		return none, false // its response is on the way
-	case a.directToken != 0 && r.Incarnation > a.directIncarnation:
-		// Refused from now on, however late it comes: it names a session that is
-		// over. Where answers don't reach the worker this proof comes alone.
-		s.listener.attemptTerminated(a, "the worker's lease expired")
-		return none, false
-	case a.directToken != 0:
-		// Unanswered: it may be carried out minutes later, until the worker
-		// has seen a higher token.
-		if r.FencingToken <= a.directToken {
-			s.raiseFencingToken(m, a.directToken)
-			return none, false
-		}
-		a.directToken = 0
-	case a.sentIncarnation != 0 && a.sentIncarnation != r.Incarnation:
-		s.listener.attemptTerminated(a, "the worker's lease expired")
-		return none, false
-	case a.sentIncarnation != 0 && (!reported || r.Sequence <= a.sentSequence):
-		// A response of the worker's may be older than the answer that carries
-		// the start; only its next report proves that the answer was lost.
-		return none, false
-	}
-	if a.stopRequested || !s.startsAllowed() {
-		if a.stopRequested {
-			s.listener.attemptTerminated(a, "never started")
-		}
-		return none, false
-	}
-	if !reported {
-		s.scheduleOrders(m)
-		return none, false
-	}
-	if !room.Reserve(a.job.ID) {
-		s.controller.limits.Reached(limits.OrdersPerMessage)
-		return none, false // the next report lacks it, too
-	}
-	a.sentIncarnation, a.sentSequence = r.Incarnation, r.Sequence
-	return startOrder(a), true
-}
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -137,14 +137,14 @@
 		if m.addr == "" {
 			m.addr = it.Addr
 		}
-		m.unlistedSince = time.Time{}
-		if it.State == protocol.Failed && !m.releasing {
+		m.lifecycle.unlistedSince = time.Time{}
+		if it.State == protocol.Failed && !m.lifecycle.releasing() {
 			// It has stopped on its own, which is proof; returning it takes it
 			// off the list.
 			for _, a := range m.sortedAttempts() {
 				l.detach(a, "machine failed")
 			}
-			m.draining = true
+			m.lifecycle.draining = true
 			l.release(m, "failed")
 		}
 	}
@@ -152,15 +152,15 @@
 		// A list may be as old as twice its lag. One that should show the
 		// machine and doesn't proves that it is gone, once that holds for
 		// longer than any list can lag.
-		if seen[m.Name] || m.releasing || c.now.Sub(m.provisionedAt) < 3*c.cfg.ListLag+10*time.Second {
+		if seen[m.Name] || m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < 3*c.cfg.ListLag+10*time.Second {
 			continue
 		}
-		if m.registered && c.now.Sub(m.lastSeen) < 3*c.cfg.ListLag {
+		if m.session.Registered && c.now.Sub(m.session.LastSeen) < 3*c.cfg.ListLag {
 			continue
 		}
-		if m.unlistedSince.IsZero() {
-			m.unlistedSince = c.now
-		} else if c.now.Sub(m.unlistedSince) > 2*c.cfg.ListLag+5*time.Second {
+		if m.lifecycle.unlistedSince.IsZero() {
+			m.lifecycle.unlistedSince = c.now
+		} else if c.now.Sub(m.lifecycle.unlistedSince) > 2*c.cfg.ListLag+5*time.Second {
 			l.release(m, "not listed")
 		}
 	}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -9,6 +9,7 @@
 	"brasskeel/internal/coordination/quarantine"
 	"brasskeel/internal/coordination/queue"
 	"brasskeel/internal/coordination/ratelog"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
@@ -17,7 +18,7 @@
 // service and from reports by the next one. It serves all workers itself, as their owner.
 type leader struct {
 	workerSessions
-	epoch   ownershipEpoch // of all machines
+	epoch   sessions.Epoch // of all machines
 	term    uint64
 	version uint64 // of the leader key; every write of ours demands it
 	fenced  bool   // the grace beyond its lease is over
@@ -114,27 +115,17 @@
 	machine  *machine
 	placedAt time.Time
 
-	recorded      bool // in the state service: its start may be sent
-	ownerNotified bool // the owner of its machine's shard was told of it
-	inherited     bool // recorded by an earlier leader; whether it was sent is unknown
-	reported      bool // the worker reported it
-	state         protocol.TaskState
-	stateSince    time.Time // start of the state
-
-	// How its start went out. A start in a report's answer is executed before
-	// the worker's next report or never; a direct one may be executed late.
-	sentIncarnation   uint64
-	sentSequence      uint64 // of the report whose answer carried it
-	directPending     bool   // a direct start awaits its response
-	directToken       uint64 // of an unanswered direct start; 0 when none
-	directIncarnation uint64 // that it named
+	recorded   bool // in the state service: its start may be sent
+	delivery   sessions.Delivery
+	state      protocol.TaskState
+	stateSince time.Time
 
 	stopRequested bool
-	stopGrace     time.Duration
+	stopGrace     time.Duration // to save in, once it is told to stop
 	stopSentAt    time.Time
 
 	listIndex     int    // in its machine's list
-	lastHeartbeat uint64 // the last one that held it
+	lastHeartbeat uint64 // the last message of its worker's that held it
 }
 
 type taskKey struct {
@@ -153,7 +144,7 @@
 	l.listener = l
 	l.rebalancer = newRebalancer(l)
 	// The leader before may have had the shortest lease, which leaves the longest grace.
-	l.epoch = ownershipEpoch{term: m.Term, since: c.now, predecessorUntil: c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))}
+	l.epoch = sessions.Epoch{Term: m.Term, Since: c.now, PredecessorUntil: c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))}
 	l.journal.init(l)
 	l.autoscaler.init(l)
 	if c.sharding == nil && c.election.Sharded() {
--- a/internal/coordination/leader_zone.go
+++ b/internal/coordination/leader_zone.go
@@ -32,7 +32,7 @@
 func (l *leader) liveMachinesByZone() map[string]int {
 	count := map[string]int{}
 	for _, m := range l.fleetList {
-		if m.registered && l.controller.now.Sub(m.lastSeen) < l.suspectAfter() {
+		if m.session.Registered && l.controller.now.Sub(m.session.LastSeen) < l.controller.timing().SuspectAfter() {
 			count[m.Zone]++
 		}
 	}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -147,8 +147,8 @@
 	if calls := readList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MaxListed {
 		t.Fatalf("not read in %d calls", calls)
 	}
-	if len(l.machines) != count || !last.unlistedSince.IsZero() {
-		t.Errorf("%d machines are known, the last one is missing: %t", len(l.machines), !last.unlistedSince.IsZero())
+	if len(l.machines) != count || !last.lifecycle.unlistedSince.IsZero() {
+		t.Errorf("%d machines are known, the last one is missing: %t", len(l.machines), !last.lifecycle.unlistedSince.IsZero())
 	}
 }
 
@@ -228,8 +228,8 @@
 			for _, o := range orders {
 				stopped[o.TaskIndex] = true
 			}
-			m.sequence++
-			body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.sequence, FencingToken: l.epoch.fencingToken(),
+			m.session.Sequence++
+			body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.session.Sequence, FencingToken: l.epoch.BaseToken(),
 				Tasks: reported(m)})
 			next = append(next, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body}).Calls...)
 		}
@@ -239,8 +239,8 @@
 		t.Errorf("%d of %d tasks were stopped", len(stopped), tasks)
 	}
 	// The same by the answer of a report.
-	m.sequence++
-	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.sequence, FencingToken: l.epoch.fencingToken(), Tasks: reported(m)}
+	m.session.Sequence++
+	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.session.Sequence, FencingToken: l.epoch.BaseToken(), Tasks: reported(m)}
 	e := c.Request(c.now, 99, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(r))
 	if len(e.Replies) != 1 || len(e.Replies[0].Body) > protocol.MaxBody {
 		t.Fatalf("answers: %d", len(e.Replies))
@@ -393,7 +393,7 @@
 	boot := func(count int, up bool) {
 		for range count {
 			m := l.newMachine(fmt.Sprintf("vm-b%06d", len(l.fleetList)), "small", "a", false)
-			m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached = up, true, c.now, c.now, c.now
+			m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached = up, true, c.now, c.now, c.now
 		}
 	}
 	first := rented()
@@ -402,7 +402,7 @@
 		t.Errorf("%d rented, and %d more before they were up", first, got)
 	}
 	for _, m := range l.fleetList {
-		m.registered = true
+		m.session.Registered = true
 	}
 	if got := rented(); got < 50 || got > 100 {
 		t.Errorf("%d rented once they were up", got)
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -132,7 +133,7 @@
 			continue
 		}
 		a := &attempt{job: j, task: base + t.Offset, number: t.Attempt, machine: m, placedAt: l.controller.now,
-			recorded: true, inherited: true, stateSince: l.controller.now}
+			recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: l.controller.now}
 		// Outcomes are read before chunks: a job that was cancelled just
 		// before the leadership changed still has attempts to be stopped.
 		a.stopRequested = j.finalState != 0
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machine.go
@@ -6,6 +6,7 @@
 
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
@@ -14,78 +15,55 @@
 type machine struct {
 	placement.Machine
 	load          *balance.Load // nil while balance is off
-	addr          string
+	addr          string        // that its worker is called at; empty: unknown
 	provisionedAt time.Time
 	inherited     bool   // known from an earlier leader's record
 	recorded      bool   // a record that names it is written: placements may name it
 	group         *group // whose record that is
-	removed       bool
-	epoch         *ownershipEpoch // of who serves it here
+	removed       bool   // proven gone, or not served here any more
 
-	// From reports.
-	registered       bool // it has reported to this leader
-	incarnation      uint64
-	sequence         uint64
-	seenToken        uint64    // highest it has seen
-	reconciled       bool      // its tasks were compared with the records
-	epochSeenAt      time.Time // when it was first heard with a token of this term
-	lastSeen         time.Time // last sign of life
-	lastAnswered     time.Time // last time a report of it was answered
-	incarnationSince time.Time // when its session was first heard of; it began no later
-	heartbeatSeq     uint64    // highest of a report of this session, responses aside
-	// Reports may arrive while answers and commands don't reach the worker, and a
-	// report may be a late copy. Neither is a sign that the machine is of use to us:
-	// that takes a response to a call, or a report with a token we raised.
-	lastReached    time.Time // last proof that something of ours arrived; zero: none yet
-	registeredAt   time.Time
-	tokenSentSince time.Time // since when answers carry the machine's present token
-	tokenConfirmed bool      // a report has shown it
-	preemptionAt   time.Time // when the cloud takes it; zero without notice
+	session   sessions.Session
+	orders    orderQueue
+	lifecycle lifecycle
 
 	attempts       map[taskKey]*attempt
 	attemptList    []*attempt // the same, in no order
 	replicaCount   int
 	onDemandCPUs   float64                        // CPUs taken by work that may not use spot machines
 	cpusByPriority [protocol.Critical + 1]float64 // CPUs taken, by priority
-	stopCount      int                            // attempts that were told to end
+	stopCount      int                            // attempts that are to stop
 	emptySince     time.Time
 
-	fencingOffset     uint16 // raises the token for this worker alone
-	directStartToken  uint64 // of the last direct start: late copies of it die above it
-	ordersInFlight    bool
-	ordersDue         bool
-	startsDeferred    bool // starts wait until the leader's knowledge is fresh
-	ordersPausedUntil time.Time
-	probeInFlight     bool
-	failedProbes      int // probes in a row without an answer
-
 	// Of a machine in a shard.
 	shard            shard.ID                  // 0: none
 	registeredBefore bool                      // its worker was heard by somebody before
 	attemptsKnown    bool                      // the leader told of all attempts that may be on it
-	incarnationReset bool                      // its worker lost its memory
+	incarnationReset bool                      // its worker counts its incarnations from the beginning again
 	reservedMoves    int                       // moves whose room is held here
 	newerTokenSeen   bool                      // its worker has seen a later token than its shard's
 	exits            map[taskKey]*reportedExit // that the leader was told of
 	orphans          map[taskKey]uint64        // attempts it was asked about
 	orphanStops      map[taskKey]uint64        // and those that are to end
 
-	failuresByJob    map[string]int // failed attempts by job since the last success
-	quarantined      bool
-	draining         bool // to be returned: takes nothing more
-	releasing        bool // its release was asked for
-	releaseRevocable bool // for its silence alone, and no such call can have been carried out
-	releaseInFlight  bool // the call is under way
-	releaseSentAt    time.Time
-	unlistedSince    time.Time // since when lists that should show it don't
+	failuresByJob map[string]int // failed attempts by job since the last success
+	quarantined   bool
+}
+
+// orderQueue is what keeps a worker's orders from being sent to it at once.
+type orderQueue struct {
+	due            bool // to be sent at the end of the step
+	inFlight       bool // a call with orders awaits its response
+	startsDeferred bool // starts wait until the knowledge of jobs is fresh
+	pausedUntil    time.Time
 }
 
+// newMachine adds a machine that the leader has learned of.
 func (l *leader) newMachine(name, typ, zone string, spot bool) *machine {
 	m := &machine{Machine: placement.Machine{Name: name, Type: typ, Zone: zone, Spot: spot, Spec: l.controller.types[typ]}, provisionedAt: l.controller.now,
 		attempts: map[taskKey]*attempt{}, emptySince: l.controller.now, failuresByJob: map[string]int{}}
 	m.load = l.rebalancer.newLoad()
 	if l.shards == nil {
-		m.epoch = &l.epoch
+		m.session.Epoch = &l.epoch
 	}
 	l.machines[name] = m
 	l.fleetList = append(l.fleetList, m)
@@ -125,7 +103,7 @@
 		c.reply(id, 400, protocol.EncodeError("not a worker's report"))
 		return
 	}
-	if r.FencingToken>>fencingBits > l.term {
+	if sessions.TermOf(r.FencingToken) > l.term {
 		// A later leader has already spoken to this worker.
 		c.election.StepDown("a worker has seen a later term")
 		c.reply(id, 421, protocol.EncodeRedirect(""))
--- a/internal/coordination/machines_test.go
+++ b/internal/coordination/machine_test.go
@@ -8,6 +8,7 @@
 
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 )
 
@@ -48,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.takeHeartbeat(m, r, false)
+	l.takeResponse(m, r)
 	later := start.Add(3 * time.Second)
 	e := c.Request(later, 2, "POST", protocol.PathHeartbeat, report(5))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 {
@@ -84,7 +85,7 @@
 	var list []*machine
 	for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
 		m := l.newMachine(name, "small", "a", false)
-		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached = true, true, l.controller.now, l.controller.now, l.controller.now
+		m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached = true, true, l.controller.now, l.controller.now, l.controller.now
 		list = append(list, m)
 	}
 	list[0].Allocated.CPUs, list[1].Allocated.CPUs, list[2].Allocated.CPUs = 2, 0, 1
@@ -168,25 +169,25 @@
 	if l.acceptsTasks(m) {
 		t.Error("a report alone, perhaps a late copy, opens a machine for work")
 	}
-	if !m.probeInFlight {
+	if !m.session.ProbeInFlight {
 		t.Error("a machine that reports for the first time isn't asked")
 	}
-	if report(1, 11, l.fencingToken(m)); !l.acceptsTasks(m) {
+	if report(1, 11, m.session.Token()); !l.acceptsTasks(m) {
 		t.Error("a report that shows our token doesn't open the machine")
 	}
-	answered, heard := m.lastAnswered, m.lastSeen
-	if r := report(1, 11, 0); r.Status != 503 || m.lastAnswered != answered || m.lastSeen != heard {
-		t.Errorf("a copy: status %d, answered %s later, heard %s later", r.Status, m.lastAnswered.Sub(answered), m.lastSeen.Sub(heard))
+	answered, heard := m.session.LastAnswered, m.session.LastSeen
+	if r := report(1, 11, 0); r.Status != 503 || m.session.LastAnswered != answered || m.session.LastSeen != heard {
+		t.Errorf("a copy: status %d, answered %s later, heard %s later", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(heard))
 	}
-	l.takeHeartbeat(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.fencingToken()}, false)
-	if r := report(1, 12, 0); r.Status != 200 || !m.lastAnswered.After(answered) || m.sequence != 13 {
-		t.Errorf("a report overtaken by a response: status %d, number %d", r.Status, m.sequence)
+	l.takeResponse(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.BaseToken()})
+	if r := report(1, 12, 0); r.Status != 200 || !m.session.LastAnswered.After(answered) || m.session.Sequence != 13 {
+		t.Errorf("a report overtaken by a response: status %d, number %d", r.Status, m.session.Sequence)
 	}
-	if r := report(2, 14, 0); r.Status != 200 || m.incarnation != 2 {
-		t.Errorf("the next session: status %d, session %d", r.Status, m.incarnation)
+	if r := report(2, 14, 0); r.Status != 200 || m.session.Incarnation != 2 {
+		t.Errorf("the next session: status %d, session %d", r.Status, m.session.Incarnation)
 	}
-	if r := report(1, 20, 0); r.Status != 503 || m.incarnation != 2 {
-		t.Errorf("a copy of the session before: status %d, session %d", r.Status, m.incarnation)
+	if r := report(1, 20, 0); r.Status != 503 || m.session.Incarnation != 2 {
+		t.Errorf("a copy of the session before: status %d, session %d", r.Status, m.session.Incarnation)
 	}
 	l.machineTerminated(m, "returned")
 	c.now = c.now.Add(10 * time.Minute)
@@ -202,17 +203,17 @@
 	for _, lost := range []bool{true, false} {
 		c, l := leading(phaseActive)
 		m := l.newMachine("vm-1", "small", "a", false)
-		m.registered, m.recorded, m.addr, m.lastReached, m.incarnation, m.sequence = true, true, "x", c.now, 2, 50
+		m.session.Registered, m.recorded, m.addr, m.session.LastReached, m.session.Incarnation, m.session.Sequence = true, true, "x", c.now, 2, 50
 		if !lost {
-			m.incarnation = 1
+			m.session.Incarnation = 1
 		}
 		l.probe(m)
 		call := c.take().Calls[0]
-		m.incarnation = 2
+		m.session.Incarnation = 2
 		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 		c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
-		if m.releasing != lost || m.incarnation != 2 {
-			t.Errorf("lost %t: to be returned %t, session %d", lost, m.releasing, m.incarnation)
+		if m.lifecycle.releasing() != lost || m.session.Incarnation != 2 {
+			t.Errorf("lost %t: to be returned %t, session %d", lost, m.lifecycle.releasing(), m.session.Incarnation)
 		}
 	}
 }
@@ -231,12 +232,12 @@
 	} {
 		c, l := leading(phaseActive)
 		m := l.newMachine("vm-1", "small", "a", false)
-		m.registered, m.recorded, m.addr, m.lastReached, m.incarnation, m.sequence = true, true, "x", c.now, 1, 50
+		m.session.Registered, m.recorded, m.addr, m.session.LastReached, m.session.Incarnation, m.session.Sequence = true, true, "x", c.now, 1, 50
 		c.take()
-		l.release(m, releaseUnresponsiveReason)
+		l.release(m, unresponsive)
 		call := c.take().Calls[0]
 		l.confirmReached(m, c.now)
-		if !m.releasing {
+		if !m.lifecycle.releasing() {
 			t.Errorf("%s: kept while the call was under way", test.name)
 		}
 		c.Result(c.now, call.ID, test.out)
@@ -245,8 +246,8 @@
 			body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		}
-		if m.releasing == test.kept {
-			t.Errorf("%s: to be returned %t after it answered", test.name, m.releasing)
+		if m.lifecycle.releasing() == test.kept {
+			t.Errorf("%s: to be returned %t after it answered", test.name, m.lifecycle.releasing())
 		}
 	}
 }
@@ -266,7 +267,7 @@
 	}
 	for i, m := range l.fleetList {
 		if i < 8 {
-			m.reconciled, m.lastReached = true, c.now
+			m.session.Reconciled, m.session.LastReached = true, c.now
 		}
 	}
 	if !l.enoughReconciled() {
@@ -290,17 +291,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.takeHeartbeat(m, r, false) // an answer to a call
+		l.takeResponse(m, r) // an answer to a call
 		l.detectFailures()
-		if open := l.acceptsTasks(m); open != (c.now.Sub(begin) <= l.suspectAfter()+lostHeartbeatDelay) {
+		if open := l.acceptsTasks(m); open != (c.now.Sub(begin) <= l.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay) {
 			t.Fatalf("open %t after %s without a report", open, c.now.Sub(begin))
 		}
-		if m.releasing && c.now.Sub(begin) <= 2*c.cfg.WorkerLease {
+		if m.lifecycle.releasing() && c.now.Sub(begin) <= 2*c.cfg.WorkerLease {
 			t.Fatalf("given up after %s", c.now.Sub(begin))
 		}
 	}
 	l.detectFailures()
-	if !m.releasing {
+	if !m.lifecycle.releasing() {
 		t.Error("not given up after two leases")
 	}
 }
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -31,7 +31,7 @@
 func addTestMachine(l *leader, name string, up bool) *machine {
 	m := l.newMachine(name, "small", "a", true)
 	if up {
-		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, l.controller.now, l.controller.now, l.controller.now, 1, "x"
+		m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.Incarnation, m.addr = true, true, l.controller.now, l.controller.now, l.controller.now, 1, "x"
 	}
 	return m
 }
@@ -86,7 +86,7 @@
 	for range 12 {
 		c.now = j.backoffUntil
 		for _, m := range l.fleetList {
-			m.lastSeen, m.lastAnswered = c.now, c.now
+			m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 		}
 		l.runPlacementRound()
 		if j.liveAttempts != 1 {
@@ -104,7 +104,7 @@
 	}
 	c.now = j.backoffUntil
 	for _, m := range l.fleetList {
-		m.lastSeen, m.lastAnswered = c.now, c.now
+		m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 	}
 	l.runPlacementRound()
 	l.taskRuns(j)
@@ -142,7 +142,7 @@
 		}
 		c.now = c.now.Add(quarantine.UnbrokenAfter + time.Second)
 		for _, m := range l.fleetList {
-			m.lastSeen, m.lastAnswered = c.now, c.now
+			m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 		}
 		l.runPlacementRound()
 		if j.liveAttempts != j.Tasks {
@@ -186,7 +186,7 @@
 		l.releaseOverdueBoots()
 		returned := 0
 		for _, m := range l.fleetList {
-			if m.releasing {
+			if m.lifecycle.releasing() {
 				returned++
 			}
 		}
@@ -330,7 +330,7 @@
 		c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 		l.teamUsage["guest"], l.teamUsage["red"] = &usage{}, &usage{}
 		m := l.newMachine("vm-1", "small", "a", test.spot)
-		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
+		m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.Incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 		j := addTestJob(l, "run-000001", func(j *protocol.Job) {
 			j.Team, j.Tasks, j.CheckpointInterval, j.CheckpointDuration = test.team, 1, 30*time.Second, 3*time.Second
 		})
@@ -339,10 +339,10 @@
 			t.Fatalf("%+v: not placed", test)
 		}
 		a := m.attemptList[0]
-		a.recorded, a.reported = true, true
+		a.recorded, a.delivery.Reported = true, true
 		l.setTaskState(a, protocol.Running)
 		c.now = c.now.Add(opportunisticMinimumRun + time.Second)
-		m.lastSeen, m.lastAnswered, m.Consolidating = c.now, c.now, true
+		m.session.LastSeen, m.session.LastAnswered, m.Consolidating = c.now, c.now, true
 		l.scaleIn()
 		if a.stopRequested != test.leaves {
 			t.Errorf("%+v: told to stop %t", test, a.stopRequested)
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, m := range l.fleetList {
-		if !m.probeInFlight {
+		if !m.session.ProbeInFlight {
 			t.Fatalf("%s is not asked", m.Name)
 		}
 	}
@@ -114,7 +114,7 @@
 	for _, when := range []time.Duration{0, 3 * time.Second, time.Second, time.Second} { // patience passes
 		c.now = c.now.Add(when)
 		for _, m := range l.fleetList {
-			m.lastSeen, m.lastAnswered = c.now, c.now
+			m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 		}
 		l.runPlacementRound()
 		if l.round.examined > 2*baseExamineLimit {
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -66,7 +66,7 @@
 // observeRunTime takes a completed task's run time into what is known of its class and of its
 // machine.
 func (l *leader) observeRunTime(a *attempt) {
-	if a.state != protocol.Running || a.inherited || a.job.EstimatedRuntime <= 0 {
+	if a.state != protocol.Running || a.delivery.Inherited || a.job.EstimatedRuntime <= 0 {
 		return
 	}
 	run := l.controller.now.Sub(a.stateSince)
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -78,7 +78,7 @@
 	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != phaseActive || c.storeDown() || l.autoscaler.demandIncomplete {
 		return false
 	}
-	if c.now.Sub(l.reconciledAt) < c.reconnectTime() || l.lease.ValidUntil.Sub(c.now) < l.lease.TTL/2 {
+	if c.now.Sub(l.reconciledAt) < c.timing().ReconnectTime() || l.lease.ValidUntil.Sub(c.now) < l.lease.TTL/2 {
 		return false
 	}
 	return !c.overload.Defers() && !c.overload.Persistent(c.now) && len(l.journal.urgent) <= c.cfg.TxnOps
@@ -146,7 +146,7 @@
 	j := a.job
 	surge := b.surgeOf(j)
 	return surge != 0 && j.Kind == protocol.Batch && j.finalState == 0 && j.task(a.task).migratedInSurge != surge &&
-		a.recorded && a.reported && !a.stopRequested && (a.state == protocol.Running || a.state == protocol.Fetching)
+		a.recorded && a.delivery.Reported && !a.stopRequested && (a.state == protocol.Running || a.state == protocol.Fetching)
 }
 
 // migratableWork is an attempt as the planner sees it.
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -21,8 +21,8 @@
 	l.reconciledAt, l.lease = c.now.Add(-time.Minute), leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}
 	l.rebalancer.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
 	to = l.newMachine("vm-2", "small", "a", false)
-	to.registered, to.recorded, to.lastSeen, to.lastAnswered, to.lastReached = true, true, c.now, c.now, c.now
-	a.reported = true
+	to.session.Registered, to.recorded, to.session.LastSeen, to.session.LastAnswered, to.session.LastReached = true, true, c.now, c.now, c.now
+	a.delivery.Reported = true
 	l.setTaskState(a, protocol.Running)
 	l.rebalancer.startMigration(a, to)
 	l.rebalancer.migrationRecorded(a)
@@ -42,7 +42,7 @@
 		t.Errorf("held %+v although the move took too long", to.Incoming)
 	}
 	l, _, to = movingLead(t)
-	to.draining = true
+	to.lifecycle.draining = true
 	l.rebalancer.migrationStep()
 	if len(l.rebalancer.migrations.active) != 0 || to.Incoming != (placement.Resources{}) {
 		t.Errorf("held %+v although the target is lost", to.Incoming)
@@ -69,8 +69,8 @@
 	}{
 		{name: "all is well", lands: true},
 		{name: "the target is gone", change: func(l *leader, _ *attempt, to *machine) { to.removed = true }, waits: true},
-		{name: "the target is silent", change: func(l *leader, _ *attempt, to *machine) { to.lastSeen = l.controller.now.Add(-time.Minute) }, waits: true},
-		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.preemptionAt = l.controller.now }, waits: true},
+		{name: "the target is silent", change: func(l *leader, _ *attempt, to *machine) { to.session.LastSeen = l.controller.now.Add(-time.Minute) }, waits: true},
+		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.lifecycle.preemptionAt = l.controller.now }, waits: true},
 		{name: "the target is full", change: func(_ *leader, _ *attempt, to *machine) { to.Allocated.CPUs = 4 }, waits: true},
 		{name: "the team is at its limit", change: func(l *leader, _ *attempt, _ *machine) { l.teamUsage["red"].cpus = 16 }, waits: true},
 		{name: "its zone is closed", change: func(_ *leader, a *attempt, _ *machine) { a.job.OneZone, a.job.zones["b"] = true, 1 }, waits: true},
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -62,7 +62,7 @@
 		m.load.Reserve(t.id, placement.Needs(a.job.Job))
 	}
 	// What an earlier leader's attempts wait for isn't known.
-	if !a.inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.CachedGB(a.job.imageID) == 0 {
+	if !a.delivery.Inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.CachedGB(a.job.imageID) == 0 {
 		m.load.Fetches.Add(b.l.controller.now, a.job.imageID, a.job.ImageGB, m.Spec.FetchGBPerSecond)
 	}
 }
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -18,7 +18,7 @@
 	l.rebalancer = newRebalancer(l)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
-	m.recorded, m.lastReached = true, c.now
+	m.recorded, m.session.LastReached = true, c.now
 	s := spec("run-000001")
 	s.Image, s.ImageGB = "img-1", 2
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: s})
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -60,7 +60,7 @@
 // startReconciling follows once all records are read.
 func (l *leader) startReconciling() {
 	c := l.controller
-	wait := c.reconnectTime()
+	wait := c.timing().ReconnectTime()
 	if len(l.machines) == 0 {
 		wait = c.cfg.HeartbeatInterval / 2
 	}
@@ -131,7 +131,7 @@
 			continue
 		}
 		known++
-		if !m.reconciled && m.failedProbes < maxProbeFailures && !(listed && m.addr == "") && !l.ownerUnheard(m) {
+		if !m.session.Reconciled && m.session.FailedProbes < maxProbeFailures && !(listed && m.addr == "") && !l.ownerUnheard(m) {
 			missing++
 		}
 	}
--- a/internal/coordination/redirect.go
+++ b/internal/coordination/redirect.go
@@ -1,6 +1,10 @@
 package coordination
 
-import "time"
+import (
+	"time"
+
+	"brasskeel/internal/coordination/sessions"
+)
 
 // redirector says where a controller that neither serves a worker nor leads sends it. The leader
 // knows who serves it; but where the worker can't reach the leader, it came back from there
@@ -15,7 +19,7 @@
 	// redirectReturnWindow is within which time a worker that was sent to the leader and comes back is
 	// taken not to have reached it: the time-out of a report, the pause after it, and as
 	// much again.
-	redirectReturnWindow = 2 * lostHeartbeatDelay
+	redirectReturnWindow = 2 * sessions.LostHeartbeatDelay
 	// maxRememberedRedirects bounds how many are remembered before old ones are dropped.
 	maxRememberedRedirects = 1024
 	// leaderHeardWithin is how long ago a leader that was heard before must have been heard to be
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -20,7 +20,7 @@
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 	add := func(i int) *machine {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
-		m.registered, m.recorded, m.lastSeen, m.lastAnswered, m.lastReached, m.incarnation, m.addr, m.epochSeenAt = true, true, c.now, c.now, c.now, 1, "x", c.now
+		m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.Incarnation, m.addr, m.session.EpochSeenAt = true, true, c.now, c.now, c.now, 1, "x", c.now
 		return m
 	}
 	for i := range 10 {
@@ -34,7 +34,7 @@
 			c.now = c.now.Add(detectorInterval)
 			for i, m := range l.fleetList {
 				if i >= len(cut) {
-					m.lastSeen, m.lastAnswered, m.lastReached = c.now, c.now, c.now
+					m.session.LastSeen, m.session.LastAnswered, m.session.LastReached = c.now, c.now, c.now
 				}
 			}
 			l.detectFailures()
@@ -43,7 +43,7 @@
 	}
 	releasing := func() (count int) {
 		for _, m := range cut {
-			if m.releasing {
+			if m.lifecycle.releasing() {
 				count++
 			}
 		}
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -123,7 +123,7 @@
 	c, l := leading(phaseActive)
 	_, body := running(c, l, 4)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
-	l.machines["vm-1"].sequence = 9
+	l.machines["vm-1"].session.Sequence = 9
 	l.endJob(l.jobs["run-000001"], protocol.Cancelled)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -4,6 +4,7 @@
 	"sort"
 	"time"
 
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 )
 
@@ -14,7 +15,7 @@
 	l.releaseOverdueBoots()
 	used, free, fixedRoom := 0.0, 0.0, 0.0
 	for _, m := range l.fleetList {
-		if m.Spec != nil && m.registered && !m.draining && !m.releasing {
+		if m.Spec != nil && m.session.Registered && m.lifecycle.inService() {
 			used += m.Allocated.CPUs
 			if !m.Consolidating {
 				free += m.Spec.CPUs - m.Allocated.CPUs
@@ -27,16 +28,16 @@
 	var candidates []*machine
 	plan := &lazyPlanner{leader: l}
 	for _, m := range append([]*machine(nil), l.fleetList...) {
-		if m.releasing {
+		if m.lifecycle.releasing() {
 			continue
 		}
 		age := c.now.Sub(m.provisionedAt)
 		switch {
-		case m.draining && len(m.attempts) == 0:
+		case m.lifecycle.draining && len(m.attempts) == 0:
 			l.release(m, "drained")
-		case m.Spec == nil && m.registered && len(m.attempts) == 0:
+		case m.Spec == nil && m.session.Registered && len(m.attempts) == 0:
 			l.release(m, "unknown type")
-		case !m.preemptionAt.IsZero() && c.now.After(m.preemptionAt.Add(2*time.Second)) && len(m.attempts) == 0:
+		case m.lifecycle.preemptionNoticed() && c.now.After(m.lifecycle.preemptionAt.Add(2*time.Second)) && len(m.attempts) == 0:
 			l.release(m, "taken")
 		case m.Consolidating && len(m.attempts) == 0 && m.reservedMoves == 0 && age > minimumBilledTime && c.now.Sub(m.emptySince) > c.op.Idle():
 			l.release(m, "not needed")
@@ -44,7 +45,7 @@
 		case m.Consolidating && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(plan.get(), true):
 			m.Consolidating = false // it stays for its replicas, so others may use it, too
 			plan.get().CancelEvacuation(&m.Machine)
-		case m.registered && m.recorded && m.Spec != nil && !m.draining && !m.Consolidating && m.reservedMoves == 0 && m.preemptionAt.IsZero():
+		case m.session.Registered && m.recorded && m.Spec != nil && !m.lifecycle.draining && !m.Consolidating && m.reservedMoves == 0 && !m.lifecycle.preemptionNoticed():
 			candidates = append(candidates, m)
 		}
 	}
@@ -129,32 +130,32 @@
 	return offer{spec: m.Spec, spot: m.Spot}.price() / m.Spec.CPUs
 }
 
-// releaseUnresponsiveReason is why a machine is given up that may yet be heard again.
-const releaseUnresponsiveReason = "silent"
+// unresponsive is why a machine is given up that may yet be heard again.
+const unresponsive = "unresponsive"
 
-// revokeRelease takes back the return of a machine that was given up as silent and has been
-// reached since, if the cloud can't have carried it out. Where the cloud is away as
+// revokeRelease takes back the release of a machine that was given up as unresponsive and
+// has been reached since, if the cloud can't have carried it out. Where the cloud is away as
 // well, machines that were cut off for a moment would otherwise all be lost once it
 // answers.
 func (l *leader) revokeRelease(m *machine) {
-	if m.releasing && m.releaseRevocable && !m.releaseInFlight && !m.draining {
-		m.releasing, m.releaseRevocable = false, false
-		l.controller.logSampled("machine heard before it was returned", "machine", m.Name)
+	if m.lifecycle.revoke() {
+		l.controller.logSampled("machine release revoked", "machine", m.Name)
 		l.requestPlacement()
 	}
 }
 
 // release returns a machine. The answer proves that it and all on it is gone.
-func (l *leader) release(m *machine, why string) {
-	if m.releasing || m.removed {
+func (l *leader) release(m *machine, reason string) {
+	if m.removed || !m.lifecycle.wantRelease(reason == unresponsive) {
 		return
 	}
-	m.releasing = true
-	m.releaseRevocable = why == releaseUnresponsiveReason
-	l.controller.logSampled("returning machine", "machine", m.Name, "why", why, "attempts", len(m.attempts), "up", m.registered, "quiet", l.controller.now.Sub(latest(m.lastSeen, m.provisionedAt)).Round(time.Millisecond))
+	quiet := l.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.provisionedAt))
+	l.controller.logSampled("machine release requested", "machine", m.Name, "reason", reason, "attempts", len(m.attempts),
+		"registered", m.session.Registered, "silent", quiet.Round(time.Millisecond))
 	l.sendReleases()
 }
 
+// sendReleases asks the cloud to take machines, as many as a call holds.
 func (l *leader) sendReleases() {
 	c, f := l.controller, &l.autoscaler
 	if f.releaseInFlight {
@@ -163,7 +164,7 @@
 	var names []string
 	var list []*machine
 	for _, m := range l.fleetList {
-		if m.releasing && c.now.Sub(m.releaseSentAt) > releaseRetry && len(names) < protocol.MaxTerminate {
+		if m.lifecycle.releasing() && c.now.Sub(m.lifecycle.releaseSentAt) > releaseRetry && len(names) < protocol.MaxTerminate {
 			names = append(names, m.Name)
 			list = append(list, m)
 		}
@@ -172,7 +173,7 @@
 		return
 	}
 	for _, m := range list {
-		m.releaseSentAt, m.releaseInFlight = c.now, true
+		m.lifecycle.releaseSent(c.now)
 	}
 	f.releaseInFlight = true
 	c.call(Cloud, "", "POST", protocol.PathTerminate, protocol.EncodeTerminate(names), cloudTimeout, func(out Outcome) {
@@ -180,9 +181,9 @@
 			return
 		}
 		f.releaseInFlight = false
+		refused := out.Answered && (out.Status == 503 || out.Status == 429)
 		for _, m := range list {
-			m.releaseInFlight = false
-			m.releaseRevocable = m.releaseRevocable && out.Answered && (out.Status == 503 || out.Status == 429) // not carried out
+			m.lifecycle.releaseReturned(refused)
 		}
 		if out.Answered && out.Status == 200 {
 			for _, m := range list {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -247,7 +247,7 @@
 	l := p.l
 	used, free := 0.0, 0.0
 	for _, m := range l.fleetList {
-		if m.Spec == nil || !m.registered {
+		if m.Spec == nil || !m.session.Registered {
 			continue
 		}
 		used += m.Allocated.CPUs
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -29,7 +29,7 @@
 // workerReached implements observer.
 func (l *leader) workerReached(m *machine) {
 	l.revokeRelease(m)
-	if m.lastReached.IsZero() {
+	if m.session.LastReached.IsZero() {
 		l.requestPlacement()
 		l.checkReconciled()
 	}
@@ -41,7 +41,7 @@
 // incarnationReset implements observer: the worker's sessions and numbers say no more which of
 // its messages is the newer one.
 func (l *leader) incarnationReset(m *machine) {
-	m.draining = true
+	m.lifecycle.draining = true
 	l.release(m, "its worker began anew")
 }
 
--- /dev/null
+++ b/internal/coordination/sessions/sessions_test.go
@@ -0,0 +1,255 @@
+package sessions
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
+
+func served(term uint64) *Session { return &Session{Epoch: &Epoch{Term: term, Since: start}} }
+
+func TestArrivalOfHeartbeats(t *testing.T) {
+	s := served(1)
+	if got := s.Arrival(Message{Incarnation: 3, Sequence: 9}); got != Newest {
+		t.Errorf("the first heartbeat: %d", got)
+	}
+	s.Registered = true
+	s.Take(Message{Incarnation: 3, Sequence: 9}, start)
+	s.Answering(9, start)
+	s.Take(Message{Incarnation: 3, Sequence: 12}, start) // a response to a call
+	for _, test := range []struct {
+		name                  string
+		incarnation, sequence uint64
+		want                  Arrival
+	}{
+		{"a copy", 3, 9, Stale},
+		{"an older one", 3, 4, Stale},
+		{"of an earlier incarnation", 2, 40, Stale},
+		{"overtaken by the response", 3, 11, Overtaken},
+		{"newer than the response", 3, 13, Newest},
+		{"of the next incarnation", 4, 1, Newest},
+	} {
+		if got := s.Arrival(Message{Incarnation: test.incarnation, Sequence: test.sequence, Heartbeat: true}); got != test.want {
+			t.Errorf("%s: %d, want %d", test.name, got, test.want)
+		}
+	}
+}
+
+func TestTokensRiseAndNeverWrap(t *testing.T) {
+	s := served(7)
+	if s.Token() != 7<<TokenBits || TermOf(s.Token()) != 7 {
+		t.Fatalf("the first token is %x", s.Token())
+	}
+	if err := s.RaiseToken(s.Token()-1, start); err != nil || s.Token() != 7<<TokenBits {
+		t.Errorf("raised above a lower token: %x, %v", s.Token(), err)
+	}
+	for range 1<<TokenBits - 1 {
+		before := s.Token()
+		if err := s.RaiseToken(before, start); err != nil || s.Token() <= before {
+			t.Fatalf("%x after %x, %v", s.Token(), before, err)
+		}
+	}
+	last := s.Token()
+	if err := s.RaiseToken(last, start); !errors.Is(err, ErrTokensExhausted) || s.Token() != last || TermOf(last) != 7 {
+		t.Errorf("beyond the last token: %x, %v", s.Token(), err)
+	}
+}
+
+func TestWhatProvesThatSomethingArrived(t *testing.T) {
+	s := served(1)
+	heartbeat := func(token uint64) Message { return Message{Incarnation: 1, Sequence: 1, Token: token, Heartbeat: true} }
+	if _, proven := s.Confirms(heartbeat(s.Token()), start); proven {
+		t.Error("a token that no answer carried yet proves an answer")
+	}
+	s.Answering(1, start)
+	later := start.Add(time.Second)
+	if at, proven := s.Confirms(heartbeat(s.Token()), later); !proven || !at.Equal(start) {
+		t.Errorf("the token of the first answer proves %t, at %s", proven, at)
+	}
+	if _, proven := s.Confirms(heartbeat(s.Token()), later); proven {
+		t.Error("the same token proves a second answer")
+	}
+	if err := s.RaiseToken(s.Token(), later); err != nil {
+		t.Fatal(err)
+	}
+	if _, proven := s.Confirms(heartbeat(s.Token()-1), later); proven {
+		t.Error("an older token proves an answer")
+	}
+	if at, proven := s.Confirms(heartbeat(s.Token()), later.Add(time.Second)); !proven || !at.Equal(later) {
+		t.Errorf("a raised token proves %t, at %s", proven, at)
+	}
+	if at, proven := s.Confirms(Message{}, later); !proven || !at.Equal(later) {
+		t.Errorf("a response proves %t, at %s", proven, at)
+	}
+}
+
+func TestTerminationProof(t *testing.T) {
+	const lease = 15 * time.Second
+	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
+	for _, test := range []struct {
+		name                           string
+		predecessor, seen, began, last time.Time
+		want                           time.Time
+	}{
+		{name: "never heard", predecessor: at(20), want: at(35)},
+		{name: "has seen the epoch's token", predecessor: at(20), seen: at(5), want: at(20)},
+		{name: "was answered since", predecessor: at(20), seen: at(5), last: at(9), want: at(24)},
+		{name: "answered, and hasn't seen the token", predecessor: at(20), last: at(9), want: at(35)},
+		{name: "began an incarnation", predecessor: at(20), seen: at(5), last: at(9), began: at(12), want: at(27)},
+	} {
+		s := served(1)
+		s.Epoch.PredecessorUntil, s.EpochSeenAt, s.IncarnationSince, s.LastAnswered = test.predecessor, test.seen, test.began, test.last
+		if got := s.TerminationProof(lease); !got.Equal(test.want) {
+			t.Errorf("%s: after %s, want %s", test.name, got.Sub(start), test.want.Sub(start))
+		}
+	}
+}
+
+func TestIncarnationHasItsWholeLease(t *testing.T) {
+	s := served(1)
+	if !s.Take(Message{Incarnation: 1, Sequence: 5}, start) {
+		t.Error("the first message begins no incarnation")
+	}
+	s.Answering(5, start)
+	if s.Take(Message{Incarnation: 1, Sequence: 6}, start.Add(time.Second)) {
+		t.Error("the next message begins an incarnation")
+	}
+	if later := start.Add(time.Minute); !s.Take(Message{Incarnation: 2, Sequence: 1}, later) || !s.IncarnationSince.Equal(later) || s.HeartbeatSequence != 0 {
+		t.Errorf("an incarnation began: %+v", s.Numbering)
+	}
+}
+
+func TestAbsence(t *testing.T) {
+	const base = 5 << TokenBits
+	heartbeat := Message{Incarnation: 3, Sequence: 20, Token: base + 1, Heartbeat: true}
+	response := Message{Incarnation: 3, Sequence: 20, Token: base + 1}
+	for _, test := range []struct {
+		name     string
+		delivery Delivery
+		message  Message
+		want     Absence
+		reason   string
+	}{
+		{"never sent", Delivery{}, heartbeat, NotStarted, ""},
+		{"was reported", Delivery{Reported: true, DirectPending: true}, heartbeat, Terminated, NoLongerReported},
+		{"inherited, token seen", Delivery{Inherited: true}, heartbeat, Terminated, NotHeld},
+		{"inherited, token not seen", Delivery{Inherited: true}, Message{Token: base - 1, Heartbeat: true}, Undecided, ""},
+		{"direct start under way", Delivery{DirectPending: true, DirectToken: base, DirectIncarnation: 1}, heartbeat, Undecided, ""},
+		{"unanswered direct start, fenced", Delivery{DirectToken: base, DirectIncarnation: 3}, heartbeat, NotStarted, ""},
+		{"unanswered direct start, not fenced", Delivery{DirectToken: base + 1, DirectIncarnation: 3}, heartbeat, Unfenced, ""},
+		{"unanswered direct start, another incarnation", Delivery{DirectToken: base + 9, DirectIncarnation: 2}, response, Terminated, LeaseExpired},
+		{"sent to an earlier incarnation", Delivery{SentIncarnation: 2, SentSequence: 40}, response, Terminated, LeaseExpired},
+		{"sent with an answer, next heartbeat", Delivery{SentIncarnation: 3, SentSequence: 19}, heartbeat, NotStarted, ""},
+		{"sent with an answer, response", Delivery{SentIncarnation: 3, SentSequence: 19}, response, Undecided, ""},
+		{"sent with a later answer", Delivery{SentIncarnation: 3, SentSequence: 20}, heartbeat, Undecided, ""},
+	} {
+		got, reason := test.delivery.Absent(test.message, base)
+		if got != test.want || reason != test.reason {
+			t.Errorf("%s: %d %q, want %d %q", test.name, got, reason, test.want, test.reason)
+		}
+	}
+}
+
+func TestNeverSent(t *testing.T) {
+	for name, change := range map[string]func(*Delivery){
+		"inherited":      func(d *Delivery) { d.Inherited = true },
+		"owner notified": func(d *Delivery) { d.OwnerNotified = true },
+		"reported":       func(d *Delivery) { d.Reported = true },
+		"in an answer":   func(d *Delivery) { d.Sent(1, 2) },
+		"by a call":      func(d *Delivery) { d.SendDirect(1, 2) },
+	} {
+		var d Delivery
+		if !d.NeverSent() {
+			t.Fatal("the zero value was sent")
+		}
+		if change(&d); d.NeverSent() {
+			t.Errorf("%s: never sent", name)
+		}
+	}
+}
+
+func TestPresumedDead(t *testing.T) {
+	timing := Timing{HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second}
+	for _, test := range []struct {
+		name    string
+		silence Silence
+		want    bool
+	}{
+		{"in contact", Silence{Unseen: 2 * time.Second}, false},
+		{"silent", Silence{Unseen: 5*time.Second + 1}, true},
+		{"silent for less", Silence{Unseen: 5 * time.Second, FailedProbes: 2}, false},
+		{"doesn't answer probes", Silence{Unseen: 4 * time.Second, FailedProbes: 3}, true},
+		{"doesn't answer probes, was seen", Silence{Unseen: 3 * time.Second, FailedProbes: 3}, false},
+		{"nothing reaches it", Silence{Unreached: 11 * time.Second, FailedProbes: 4}, true},
+		{"nothing reaches it, for less", Silence{Unreached: 10 * time.Second, FailedProbes: 4}, false},
+		{"nothing was seen to reach it, and it answers", Silence{Unreached: time.Minute}, false},
+		{"its heartbeats reach nobody", Silence{Unanswered: 31 * time.Second}, true},
+		{"its heartbeats reach nobody, for less", Silence{Unanswered: 30 * time.Second}, false},
+	} {
+		if got := timing.PresumedDead(test.silence); got != test.want {
+			t.Errorf("%s: %t", test.name, got)
+		}
+	}
+}
+
+func TestPartitioned(t *testing.T) {
+	for _, test := range []struct {
+		machines, suspect int
+		want              bool
+	}{{2, 2, false}, {3, 3, true}, {10, 6, false}, {10, 7, true}, {100, 3, false}} {
+		h := DomainHealth{Machines: test.machines, Suspect: test.suspect}
+		if got := h.Partitioned(); got != test.want {
+			t.Errorf("%d of %d are suspect: %t", test.suspect, test.machines, got)
+		}
+	}
+}
+
+func TestSilenceCountsFromReset(t *testing.T) {
+	var d Detector
+	s := served(1)
+	s.RegisteredAt = start
+	now := start.Add(time.Minute)
+	if d.Unanswered(s, now) != 0 || d.Unreached(s, now) != 0 {
+		t.Error("a worker that isn't registered counts as silent")
+	}
+	s.Registered = true
+	if d.Unanswered(s, now) != time.Minute || d.Unreached(s, now) != time.Minute {
+		t.Error("silence doesn't count from the registration")
+	}
+	d.Reset(now.Add(-time.Second))
+	if d.Unanswered(s, now) != time.Second || d.Unreached(s, now) != time.Second {
+		t.Error("silence doesn't count anew")
+	}
+}
+
+func TestScanFindsStalls(t *testing.T) {
+	var d Detector
+	d.Scan(start)
+	if d.Scan(start.Add(time.Second)) {
+		t.Error("a second between scans is a stall")
+	}
+	if !d.Scan(start.Add(2*time.Second + 1)) {
+		t.Error("more than a second between scans is none")
+	}
+}
+
+func TestProbesTakeTurns(t *testing.T) {
+	var d Detector
+	probed := make([]int, 10)
+	for range 5 {
+		d.EachInTurn(len(probed), 4, func(i int) bool {
+			if i == 3 {
+				return false // one is under way
+			}
+			probed[i]++
+			return true
+		})
+	}
+	for i, count := range probed {
+		if i != 3 && (count < 2 || count > 3) {
+			t.Errorf("worker %d was probed %d times: %v", i, count, probed)
+		}
+	}
+}
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 )
 
@@ -172,11 +173,11 @@
 
 func (f *changeFeed) workerEntry(m *machine) shard.Worker {
 	w := shard.Worker{Machine: m.Name, Shard: m.shard, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, IncarnationReset: m.incarnationReset}
-	if m.registered {
-		w.Incarnation, w.Reconciled, w.Reached = m.incarnation, m.reconciled, !m.lastReached.IsZero()
+	if m.session.Registered {
+		w.Incarnation, w.Reconciled, w.Reached = m.session.Incarnation, m.session.Reconciled, !m.session.LastReached.IsZero()
 	}
-	if !m.preemptionAt.IsZero() {
-		w.PreemptionMillis = max(1, m.preemptionAt.Sub(f.owner.controller.now).Milliseconds())
+	if m.lifecycle.preemptionNoticed() {
+		w.PreemptionMillis = max(1, m.lifecycle.preemptionAt.Sub(f.owner.controller.now).Milliseconds())
 	}
 	return w
 }
@@ -243,7 +244,7 @@
 // applyMachine takes a machine and all attempts that may be on it.
 func (o *shardOwner) applyMachine(k *shard.Machine) {
 	h := o.shards[k.Shard]
-	if h == nil || h.epoch.term != k.Term {
+	if h == nil || h.epoch.Term != k.Term {
 		return // it was meant for an earlier or a later tenure
 	}
 	m := o.machines[k.Name]
@@ -346,11 +347,11 @@
 // unhealthy tells of a worker that isn't well.
 func (o *shardOwner) unhealthy(m *machine) (shard.UnhealthyWorker, bool) {
 	silent, unreached, unreported := o.silentFor(m), o.unreachedFor(m), o.unansweredFor(m)
-	if !o.expected(m) || silent <= o.suspectAfter() && m.failedProbes == 0 && unreached <= o.unreachedProbeAfter() && unreported <= o.suspectAfter()+lostHeartbeatDelay {
+	if !o.expected(m) || silent <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unreported <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
 		return shard.UnhealthyWorker{}, false
 	}
 	return shard.UnhealthyWorker{Machine: m.Name, SilentMillis: silent.Milliseconds(), UnreachedMillis: unreached.Milliseconds(),
-		UnansweredMillis: unreported.Milliseconds(), FailedCalls: m.failedProbes}, true
+		UnansweredMillis: unreported.Milliseconds(), FailedCalls: m.session.FailedProbes}, true
 }
 
 // sweepExits drops exits that were forgotten long ago.
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -6,6 +6,7 @@
 
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -25,7 +26,7 @@
 	l.shards = newShardCoordinator(l, c.sharding, false)
 	l.shards.ownershipChanged()
 	m := l.newMachine("vm-1", "small", "a", false)
-	m.shard, m.recorded, m.registered, m.group = 1, true, true, &group{applied: true}
+	m.shard, m.recorded, m.session.Registered, m.group = 1, true, true, &group{applied: true}
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
 	l.assign(l.jobsByAge[0], 0, m)
 	a := l.jobsByAge[0].task(0).live
@@ -73,7 +74,7 @@
 func TestSilenceOfAnOwnerIsNoneOfItsWorkers(t *testing.T) {
 	l, a := shardedLead(t)
 	l.shards.receive("n1", seen(l, "n1", 5, 1))
-	a.machine.lastSeen, a.machine.lastAnswered, a.machine.lastReached, a.machine.registeredAt = l.controller.now, l.controller.now, l.controller.now, l.controller.now
+	a.machine.session.LastSeen, a.machine.session.LastAnswered, a.machine.session.LastReached, a.machine.session.RegisteredAt = l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	l.controller.now = l.controller.now.Add(time.Minute)
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
 		t.Errorf("%s is given up while nobody tells of it", a.machine.Name)
@@ -93,7 +94,7 @@
 	o := newShardOwner(c.sharding, leadership.Lease{ID: 3, TTL: 2 * time.Second, ValidUntil: c.now.Add(time.Hour)})
 	c.sharding.owner = o
 	o.jobsKnownAt = c.now.Add(time.Hour)
-	o.shards[1] = &ownedShard{epoch: ownershipEpoch{term: term, since: c.now, predecessorUntil: c.now}}
+	o.shards[1] = &ownedShard{epoch: sessions.Epoch{Term: term, Since: c.now, PredecessorUntil: c.now}}
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-1", Type: "small", Zone: "a"}, o.shards[1])
 	o.feed.connect("n1", 9)
 	c.take()
@@ -148,9 +149,9 @@
 	l, a := shardedLead(t)
 	l.shards.receive("n1", seen(l, "n1", 5, 1))
 	m := a.machine
-	m.failedProbes, m.lastSeen, m.lastAnswered, m.lastReached, m.registeredAt = unreachableProbes, l.controller.now, l.controller.now, l.controller.now, l.controller.now
+	m.session.FailedProbes, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.RegisteredAt = sessions.UnreachableProbes, l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	owner, other := l.shards.channels["n1"], l.shards.channels["n2"]
-	later := l.controller.now.Add(l.unresponsiveAfter() + time.Second)
+	later := l.controller.now.Add(l.controller.timing().UnresponsiveAfter() + time.Second)
 	silent := func(untried bool) bool {
 		l.controller.now = later
 		owner.heard, other.heard, l.shards.heardSinceByShard[1] = later, later, later.Add(-time.Minute)
@@ -175,7 +176,7 @@
 	if got := s.target("vm-7"); got != "n1" {
 		t.Fatalf("sent to %q", got)
 	}
-	c.now = c.now.Add(lostHeartbeatDelay)
+	c.now = c.now.Add(sessions.LostHeartbeatDelay)
 	c.peers["n1"].heardAt = c.now
 	if got := s.target("vm-7"); got != "" {
 		t.Errorf("sent to %q again", got)
@@ -266,7 +267,7 @@
 func TestReleaseWhileAnEarlierOwnerMayAnswer(t *testing.T) {
 	released := func(wait time.Duration) bool {
 		o := ownerOf(t, 7)
-		o.shards[1].epoch.predecessorUntil = o.controller.now.Add(wait)
+		o.shards[1].epoch.PredecessorUntil = o.controller.now.Add(wait)
 		put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 		next := shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 8}
 		put(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
@@ -305,7 +306,7 @@
 	put(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}}, 4)
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-2", Type: "small", Zone: "a"}, o.shards[1])
 	status := func(machine string, seq, term uint64) int {
-		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: machine, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: term << fencingBits})
+		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: machine, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: term << sessions.TokenBits})
 		return o.controller.Request(o.controller.now, seq, "POST", protocol.PathHeartbeat, body).Replies[0].Status
 	}
 	if got := status("vm-1", 1, 9); got != 421 {
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -35,10 +35,10 @@
 		return // all of it will be told with the machine
 	}
 	switch {
-	case a.stopRequested && (a.ownerNotified || a.inherited):
+	case a.stopRequested && (a.delivery.OwnerNotified || a.delivery.Inherited):
 		owner.pending.Stops = append(owner.pending.Stops, shard.Stop{Task: attemptTask(a), GraceMillis: a.stopGrace.Milliseconds()})
-	case a.recorded && !a.ownerNotified && !a.inherited:
-		a.ownerNotified = true
+	case a.recorded && !a.delivery.OwnerNotified && !a.delivery.Inherited:
+		a.delivery.OwnerNotified = true
 		owner.pending.Starts = append(owner.pending.Starts, shard.Start{Task: attemptTask(a)})
 	default:
 		return
@@ -162,13 +162,13 @@
 // machineEntry is a machine with all attempts that may be on it.
 func (sl *shardCoordinator) machineEntry(m *machine, term uint64) shard.Machine {
 	k := shard.Machine{Shard: m.shard, Term: term, Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Heard: m.registered || m.inherited && !sl.leader.booting(m)}
+		Heard: m.session.Registered || m.inherited && !sl.leader.booting(m)}
 	for _, a := range m.sortedAttempts() {
 		if !a.recorded {
 			continue
 		}
-		k.Starts = append(k.Starts, shard.Start{Task: attemptTask(a), FirstNotice: !a.ownerNotified && !a.inherited, Stopping: a.stopRequested, GraceMillis: a.stopGrace.Milliseconds()})
-		a.ownerNotified = true
+		k.Starts = append(k.Starts, shard.Start{Task: attemptTask(a), FirstNotice: !a.delivery.OwnerNotified && !a.delivery.Inherited, Stopping: a.stopRequested, GraceMillis: a.stopGrace.Milliseconds()})
+		a.delivery.OwnerNotified = true
 	}
 	return k
 }
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
@@ -82,7 +83,7 @@
 	for i := range seen.TaskStates {
 		s := &seen.TaskStates[i]
 		if a := sl.attemptOf(owner, &s.Task); a != nil {
-			a.reported = true
+			a.delivery.Reported = true
 			l.taskStateReported(a, s.State)
 		}
 	}
@@ -132,29 +133,29 @@
 	if w.Incarnation == 0 {
 		return // not heard by this owner yet
 	}
-	if !m.registered {
-		m.registered, m.registeredAt = true, c.now
+	if !m.session.Registered {
+		m.session.Registered, m.session.RegisteredAt = true, c.now
 		l.workerRegistered(m)
 	}
-	if w.Incarnation != m.incarnation {
-		m.incarnation = w.Incarnation
+	if w.Incarnation != m.session.Incarnation {
+		m.session.Incarnation = w.Incarnation
 		l.incarnationBegan(m)
 	}
 	sl.moveAnswered(m.shard)
-	m.lastSeen, m.lastAnswered = c.now, c.now
+	m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 	if w.Reached {
 		l.workerReached(m)
-		m.lastReached = c.now
+		m.session.LastReached = c.now
 	}
-	if w.PreemptionMillis > 0 && m.preemptionAt.IsZero() {
-		m.preemptionAt = c.now.Add(time.Duration(w.PreemptionMillis) * time.Millisecond)
+	if w.PreemptionMillis > 0 && !m.lifecycle.preemptionNoticed() {
+		m.lifecycle.preemptionAt = c.now.Add(time.Duration(w.PreemptionMillis) * time.Millisecond)
 		l.preemptionNoticed(m)
 	}
-	if w.Reconciled && !m.reconciled {
-		m.reconciled = true
+	if w.Reconciled && !m.session.Reconciled {
+		m.session.Reconciled = true
 		l.tasksReconciled(m)
 	}
-	if w.IncarnationReset && !m.draining {
+	if w.IncarnationReset && !m.lifecycle.draining {
 		l.incarnationReset(m)
 	}
 }
@@ -192,29 +193,29 @@
 		if owner.announcedTerms[m.shard] == 0 || sl.machineOf(owner, m.Name) == nil {
 			continue
 		}
-		if m.registered {
+		if m.session.Registered {
 			known++
 		}
 		w := late[m.Name]
 		if w == nil {
-			if m.registered {
-				m.lastSeen, m.lastAnswered, m.failedProbes = c.now, c.now, 0
-				if !m.lastReached.IsZero() {
+			if m.session.Registered {
+				m.session.LastSeen, m.session.LastAnswered, m.session.FailedProbes = c.now, c.now, 0
+				if !m.session.LastReached.IsZero() {
 					l.workerReached(m)
-					m.lastReached = c.now
+					m.session.LastReached = c.now
 				}
 			}
 			continue
 		}
-		if m.registered && (w.FailedCalls >= unreachableProbes || time.Duration(w.UnansweredMillis)*time.Millisecond > c.maxUnanswered()) {
+		if m.session.Registered && (w.FailedCalls >= sessions.UnreachableProbes || time.Duration(w.UnansweredMillis)*time.Millisecond > c.maxUnanswered()) {
 			lost++
 		}
-		m.failedProbes = w.FailedCalls
-		if m.registered {
-			m.lastSeen = c.now.Add(-time.Duration(w.SilentMillis) * time.Millisecond)
-			m.lastAnswered = c.now.Add(-time.Duration(w.UnansweredMillis) * time.Millisecond)
-			if !m.lastReached.IsZero() {
-				m.lastReached = c.now.Add(-time.Duration(w.UnreachedMillis) * time.Millisecond)
+		m.session.FailedProbes = w.FailedCalls
+		if m.session.Registered {
+			m.session.LastSeen = c.now.Add(-time.Duration(w.SilentMillis) * time.Millisecond)
+			m.session.LastAnswered = c.now.Add(-time.Duration(w.UnansweredMillis) * time.Millisecond)
+			if !m.session.LastReached.IsZero() {
+				m.session.LastReached = c.now.Add(-time.Duration(w.UnreachedMillis) * time.Millisecond)
 			}
 		}
 		if w.FailedCalls > 0 {
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -9,6 +9,7 @@
 
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -32,7 +33,7 @@
 
 // ownedShard is a shard that this owner serves.
 type ownedShard struct {
-	epoch           ownershipEpoch
+	epoch           sessions.Epoch
 	moving          bool // nothing is answered or sent any more
 	handingOver     bool // the release is being written
 	superseded      bool // a worker has seen a later owner's token
@@ -44,12 +45,12 @@
 // setMoving and setSuperseded pause the tenure, or let it go on.
 func (h *ownedShard) setMoving(on bool) {
 	h.moving = on
-	h.epoch.paused = !h.served()
+	h.epoch.Paused = !h.served()
 }
 
 func (h *ownedShard) setSuperseded(on bool) {
 	h.superseded = on
-	h.epoch.paused = !h.served()
+	h.epoch.Paused = !h.served()
 }
 
 func newShardOwner(s *sharding, r leadership.Lease) *shardOwner {
@@ -66,7 +67,7 @@
 	s := o.sharding
 	for id, h := range o.shards {
 		r, _, ok := s.table.Record(id)
-		if !ok || r.Owner.Member != s.member || r.Owner.Term != h.epoch.term {
+		if !ok || r.Owner.Member != s.member || r.Owner.Term != h.epoch.Term {
 			o.loseShard(id)
 		}
 	}
@@ -88,13 +89,13 @@
 // acquireShard begins to serve a shard.
 func (o *shardOwner) acquireShard(id shard.ID, r shard.OwnerRecord) {
 	c := o.controller
-	t := ownershipEpoch{term: r.Owner.Term, since: c.now, predecessorUntil: c.now}
+	t := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
 	if !r.HandedOver {
 		// Whoever owned it before may go on without the state service for its grace.
-		t.predecessorUntil = c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))
+		t.PredecessorUntil = c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))
 	}
 	o.shards[id] = &ownedShard{epoch: t}
-	c.log.Info("shard ownership acquired", "shard", id, "term", t.term, "handed_over", r.HandedOver)
+	c.log.Info("shard ownership acquired", "shard", id, "term", t.Term, "handed_over", r.HandedOver)
 }
 
 // loseShard forgets a shard that is somebody else's.
@@ -113,7 +114,7 @@
 
 // forgetMachine drops what is known of a machine that isn't served any more.
 func (o *shardOwner) forgetMachine(m *machine) {
-	m.removed, m.epoch = true, nil
+	m.removed, m.session.Epoch = true, nil
 	delete(o.machines, m.Name)
 	for _, a := range m.attemptList {
 		delete(a.job.held, a)
@@ -155,7 +156,7 @@
 	// An owner that took over from one that did not release, and gives the shard away before
 	// that one's grace is over, can't say that nobody answers its workers: the next owner
 	// took their silence for a proof while the first of the three went on answering them.
-	change := s.table.HandOver(id, s.member, !o.controller.now.Before(h.epoch.predecessorUntil))
+	change := s.table.HandOver(id, s.member, !o.controller.now.Before(h.epoch.PredecessorUntil))
 	if change == nil {
 		h.handingOver = false
 		return
@@ -180,7 +181,7 @@
 func (o *shardOwner) handleHeartbeat(id uint64, r *protocol.Heartbeat, body []byte) bool {
 	c := o.controller
 	m := o.machines[r.Machine]
-	if m == nil || m.epoch == nil {
+	if m == nil || m.session.Epoch == nil {
 		return o.redirectMoved(id, r)
 	}
 	h := o.shards[m.shard]
@@ -196,7 +197,7 @@
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return true
 	}
-	if r.FencingToken>>fencingBits > m.epoch.term {
+	if sessions.TermOf(r.FencingToken) > m.session.Epoch.Term {
 		o.newerTokenSeen(m)
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return true
@@ -267,7 +268,7 @@
 }
 
 func (o *shardOwner) newMachine(k shard.Machine, h *ownedShard) *machine {
-	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, epoch: &h.epoch,
+	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, session: sessions.Session{Epoch: &h.epoch},
 		attempts: map[taskKey]*attempt{}, exits: map[taskKey]*reportedExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
 	o.machines[k.Name] = m
 	o.fleetList = append(o.fleetList, m)
@@ -277,13 +278,13 @@
 
 // unheardLimit is how long a worker has been silent, since its shard was taken at the most.
 func (o *shardOwner) silentFor(m *machine) time.Duration {
-	return o.controller.now.Sub(latest(m.lastSeen, m.epoch.since, o.detectorResetAt))
+	return o.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.session.Epoch.Since, o.detector.ResetAt()))
 }
 
 // watchWorkers asks workers that fell silent, and proves what silence proves.
 func (o *shardOwner) watchWorkers() {
-	if o.stalled() || o.controller.storeDown() || !o.holdsLease() {
-		o.detectorResetAt = o.controller.now // workers that got no answer look for another node
+	if o.detector.Scan(o.controller.now) || o.controller.storeDown() || !o.holdsLease() {
+		o.detector.Reset(o.controller.now) // workers that got no answer look for another node
 		return
 	}
 	var ask []*machine
@@ -293,24 +294,24 @@
 			continue
 		}
 		silent := o.silentFor(m)
-		if m.failedProbes > 0 {
+		if m.session.FailedProbes > 0 {
 			doubtful[m.Zone] = true
 		}
-		if o.expected(m) && (o.wantsProbe(m, silent) || !m.registered && silent > probeAfter) {
+		if o.expected(m) && (o.wantsProbe(m, silent) || !m.session.Registered && silent > probeAfter) {
 			ask = append(ask, m)
 		}
-		if silent > o.suspectAfter() && len(m.attemptList) > 0 {
+		if silent > o.controller.timing().SuspectAfter() && len(m.attemptList) > 0 {
 			o.terminateExpired(m)
 		}
 	}
-	o.suspectZones = doubtful
+	o.detector.SetSuspectZones(doubtful)
 	o.probeBatch(ask)
 }
 
 // expected reports whether a machine's worker should be up: it was heard here, or by the
 // leader, or ran tasks.
 func (o *shardOwner) expected(m *machine) bool {
-	return m.registered || m.registeredBefore || len(m.attemptList) > 0
+	return m.session.Registered || m.registeredBefore || len(m.attemptList) > 0
 }
 
 // workerRegistered implements observer.
@@ -330,7 +331,7 @@
 
 // workerReached implements observer.
 func (o *shardOwner) workerReached(m *machine) {
-	if m.lastReached.IsZero() {
+	if m.session.LastReached.IsZero() {
 		o.feed.workerChanged(m)
 	}
 }
@@ -451,7 +452,7 @@
 
 // addAttempt takes an attempt that the leader told of.
 func (o *shardOwner) addAttempt(m *machine, r shard.Start, inherited bool) {
-	a := &attempt{job: o.job(r.Job), task: r.TaskIndex, number: r.Attempt, machine: m, recorded: true, inherited: inherited, stateSince: o.controller.now}
+	a := &attempt{job: o.job(r.Job), task: r.TaskIndex, number: r.Attempt, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: inherited}, stateSince: o.controller.now}
 	o.track(a)
 	if a.job.held == nil {
 		a.job.held = map[*attempt]struct{}{}
@@ -483,7 +484,7 @@
 		a.machine.stopCount++
 	}
 	a.stopGrace, a.stopSentAt = grace, time.Time{}
-	if a.neverSent() {
+	if a.delivery.NeverSent() {
 		o.attemptTerminated(a, "never sent")
 		return
 	}
@@ -499,7 +500,7 @@
 	grants := map[shard.ID]uint64{}
 	for id, h := range o.shards {
 		if h.served() {
-			grants[id] = h.epoch.term
+			grants[id] = h.epoch.Term
 		}
 	}
 	return grants
--- a/internal/coordination/shard_reachability.go
+++ b/internal/coordination/shard_reachability.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -35,11 +36,11 @@
 func (o *shardOwner) currentReachability() shard.ReachabilityReport {
 	var reach shard.ReachabilityReport
 	for _, m := range o.fleetList {
-		if !m.registered {
+		if !m.session.Registered {
 			continue
 		}
 		reach.Workers++
-		if m.failedProbes >= unreachableProbes || o.unansweredFor(m) > o.controller.maxUnanswered() {
+		if m.session.FailedProbes >= sessions.UnreachableProbes || o.unansweredFor(m) > o.controller.maxUnanswered() {
 			reach.Unreachable++
 		}
 	}
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -4,12 +4,14 @@
 	"time"
 
 	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 )
 
 // ordersTimeout is how long a worker has to answer orders.
 const ordersTimeout = 1200 * time.Millisecond
 
+// startOrder is the order that starts an attempt.
 func startOrder(a *attempt) protocol.Order {
 	return protocol.Order{Kind: protocol.Start, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number}
 }
@@ -23,21 +25,16 @@
 	return protocol.Order{Kind: protocol.Stop, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, Grace: a.stopGrace}, true
 }
 
-// neverSent reports whether no start of an attempt can be on its way.
-func (a *attempt) neverSent() bool {
-	return !a.inherited && !a.ownerNotified && !a.reported && a.sentIncarnation == 0 && !a.directPending && a.directToken == 0
-}
-
-// acceptsOrders reports whether orders can be sent to a worker without waiting for its report.
+// acceptsOrders reports whether orders can be sent to a worker without waiting for its heartbeat.
 func (s *workerSessions) acceptsOrders(m *machine) bool {
-	if !s.alive() || m.ordersInFlight || m.removed || !m.registered || m.addr == "" || !s.loaded && !m.attemptsKnown || !s.serves(m) || !s.holdsLease() {
+	if !s.alive() || m.orders.inFlight || m.removed || !m.session.Registered || m.addr == "" || !s.loaded && !m.attemptsKnown || !s.serves(m) || !s.holdsLease() {
 		return false
 	}
-	// One that is unreachable gets its orders when it reports.
-	return !s.controller.now.Before(m.ordersPausedUntil) && s.controller.now.Sub(m.lastSeen) <= s.controller.cfg.HeartbeatInterval*3/2
+	// One that is unreachable gets its orders with its next heartbeat.
+	return !s.controller.now.Before(m.orders.pausedUntil) && s.controller.now.Sub(m.session.LastSeen) <= s.controller.cfg.HeartbeatInterval*3/2
 }
 
-// sendOrders sends a worker what it must do without waiting for its report.
+// sendOrders sends a worker what it must do without waiting for its heartbeat.
 func (s *workerSessions) sendOrders(m *machine) {
 	if !s.acceptsOrders(m) {
 		return
@@ -46,15 +43,14 @@
 	if len(orders) == 0 {
 		return
 	}
-	token, incarnation := s.fencingToken(m), m.incarnation
+	token, incarnation := m.session.Token(), m.session.Incarnation
 	for _, a := range starts {
-		a.directPending = true
-		a.directToken, a.directIncarnation = token, incarnation
+		a.delivery.SendDirect(token, incarnation)
 	}
 	if len(starts) > 0 {
-		m.directStartToken = token
+		m.session.DirectStartToken = token
 	}
-	m.ordersInFlight = true
+	m.orders.inFlight = true
 	body := protocol.EncodeDirectOrders(token, incarnation, orders)
 	s.controller.call(Worker, m.addr, "POST", protocol.PathOrders, body, ordersTimeout, func(out Outcome) {
 		if s.alive() {
@@ -93,9 +89,9 @@
 // report, if anything is.
 func (s *workerSessions) pendingOrder(a *attempt) (order protocol.Order, wanted bool) {
 	switch {
-	case a.stopRequested && a.reported && a.stopSentAt.IsZero():
+	case a.stopRequested && a.delivery.Reported && a.stopSentAt.IsZero():
 		return s.stopOrder(a)
-	case a.stopRequested || !a.recorded || !a.neverSent():
+	case a.stopRequested || !a.recorded || !a.delivery.NeverSent():
 		return protocol.Order{}, false
 	}
 	return startOrder(a), true
@@ -103,17 +99,17 @@
 
 // deferStarts keeps a machine's starts until knowledge is fresh.
 func (s *workerSessions) deferStarts(m *machine) {
-	if !m.startsDeferred {
-		m.startsDeferred = true
+	if !m.orders.startsDeferred {
+		m.orders.startsDeferred = true
 		s.deferredStarts = append(s.deferredStarts, m)
 	}
 }
 
 // ordersAnswered takes what came of orders that were sent.
 func (s *workerSessions) ordersAnswered(m *machine, incarnation uint64, starts []*attempt, out Outcome) {
-	m.ordersInFlight = false
+	m.orders.inFlight = false
 	for _, a := range starts {
-		a.directPending = false
+		a.delivery.DirectPending = false
 	}
 	var r *protocol.Heartbeat
 	if out.Answered && (out.Status == 200 || out.Status == 409) {
@@ -124,20 +120,20 @@
 		return
 	}
 	for _, a := range starts {
-		a.directToken = 0
+		a.delivery.DirectAnswered()
 		if out.Status == 200 {
-			a.sentIncarnation, a.sentSequence = incarnation, r.Sequence
+			a.delivery.Sent(incarnation, r.Sequence)
 		}
 	}
-	if m.epoch == nil {
+	if m.session.Epoch == nil {
 		return // its shard went to another owner meanwhile
 	}
-	if r.FencingToken>>fencingBits > m.epoch.term {
+	if sessions.TermOf(r.FencingToken) > m.session.Epoch.Term {
 		s.listener.newerTokenSeen(m)
 		return
 	}
-	if !m.removed && m.isNewer(r) {
-		s.takeHeartbeat(m, r, false)
+	if !m.removed && m.session.IsNewer(responseMessage(r)) {
+		s.takeResponse(m, r)
 	}
 	if out.Status == 200 {
 		s.sendOrders(m)
@@ -150,13 +146,8 @@
 func (s *workerSessions) ordersUnanswered(m *machine, starts []*attempt, out Outcome) {
 	if out.NotSent || out.Answered && out.Status == 400 {
 		for _, a := range starts {
-			a.directToken = 0
+			a.delivery.DirectAnswered()
 		}
 	}
-	m.ordersPausedUntil = s.controller.now.Add(s.controller.cfg.HeartbeatInterval)
-}
-
-// isNewer reports whether a report is newer than what is known of the machine.
-func (m *machine) isNewer(r *protocol.Heartbeat) bool {
-	return r.Incarnation > m.incarnation || r.Incarnation == m.incarnation && r.Sequence > m.sequence
+	m.orders.pausedUntil = s.controller.now.Add(s.controller.cfg.HeartbeatInterval)
 }
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -6,18 +6,21 @@
 
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 )
 
-// workerSessions serves the workers of machines: it answers their reports, sends them orders, asks
-// those that fall silent, and learns which attempts are gone. It places nothing and
-// records nothing; what it learns it tells its observer, who places.
+// workerSessions serves the workers of machines, for a leader or for the owner of shards: it
+// answers their heartbeats, sends them orders, probes those that fall silent, and learns
+// which attempts are terminated. It places nothing and records nothing; what it learns it
+// tells its listener, who places.
 type workerSessions struct {
-	controller       *Controller
-	listener         sessionListener
-	ended            bool // it serves nobody any more
-	loaded           bool // all attempts that may be on its machines are known
-	probesNewWorkers bool // workers that report for the first time are asked whether calls reach them
+	controller *Controller
+	listener   sessionListener
+	ended      bool // it serves nobody any more
+	loaded     bool // all attempts that may be on its machines are known
+	// probesNewWorkers: workers that register are asked whether calls reach them.
+	probesNewWorkers bool
 
 	jobs        map[string]*job // the unfinished ones
 	jobsKnownAt time.Time       // all that was recorded of jobs before it is known here; zero: nothing is
@@ -25,73 +28,57 @@
 	fleetList   []*machine // the same, in the order they became known
 	lease       leadership.Lease
 
-	detectorResetAt time.Time       // last time that silence of workers said nothing
-	lastScan        time.Time       // when the machines were last looked at
-	probeCursor     int             // which of the machines to be asked comes next
-	suspectZones    map[string]bool // zones where a worker did not answer when it was last asked
-	heartbeatCount  uint64          // taken, to tell which attempts the latest one holds
-	ordersDue       []*machine      // machines with orders to send at the end of the step
-	deferredStarts  []*machine      // machines whose starts wait for fresh knowledge
+	detector       sessions.Detector
+	heartbeatCount uint64     // taken, responses included, to tell which attempts the latest one holds
+	ordersDue      []*machine // machines with orders to send at the end of the step
+	deferredStarts []*machine // machines whose starts wait for fresh knowledge of jobs
 }
 
 // sessionListener is told what workers show.
 type sessionListener interface {
-	// workerRegistered: a machine's worker reports here for the first time.
+	// workerRegistered: a machine's worker sends a heartbeat here for the first time.
 	workerRegistered(m *machine)
-	// incarnationBegan: the worker lost all tasks and images of an earlier session.
+	// incarnationBegan: the worker lost all tasks and images of an earlier incarnation.
 	incarnationBegan(m *machine)
+	// incarnationReset: the worker counts its incarnations from the beginning again.
+	incarnationReset(m *machine)
 	// addressChanged: the worker is to be called at another address.
 	addressChanged(m *machine)
 	// preemptionNoticed: the cloud will take the machine.
 	preemptionNoticed(m *machine)
-	// tasksReconciled: a report of the machine was compared with what is known.
+	// tasksReconciled: the tasks that the worker holds were compared with what is known.
 	tasksReconciled(m *machine)
-	// workerReached: something of ours arrived at the worker.
+	// workerReached: something that was sent arrived at the worker.
 	workerReached(m *machine)
-	// probeFailed: a call to the worker got no answer.
+	// probeFailed: a probe of the worker got no answer.
 	probeFailed(m *machine)
-	// incarnationReset: the worker counts its sessions from the beginning again.
-	incarnationReset(m *machine)
+	// newerTokenSeen: the worker has seen a token of a later epoch than its machine's.
+	newerTokenSeen(m *machine)
 	// taskStateReported: an attempt's state, which may be the same as before.
 	taskStateReported(a *attempt, s protocol.TaskState)
 	// taskExitReported tells whether the worker may forget an exited task; a is nil for one
 	// that isn't known here.
 	taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool)
-	// attemptTerminated: it was proven that an attempt is gone and can't start any more.
-	attemptTerminated(a *attempt, why string)
 	// orphanReported tells whether a task that isn't known here is to be stopped.
 	orphanReported(m *machine, t *protocol.TaskStatus) (stop bool)
+	// attemptTerminated: it was proven that an attempt is gone and can't start any more.
+	attemptTerminated(a *attempt, reason string)
 	// jobRecorded: there is a record of an unfinished job; live says that it was just
 	// written. jobEnded: its outcome is recorded. jobRemoved: its record was removed.
 	jobRecorded(id string, value json.RawMessage, live bool)
 	jobEnded(j *job, s protocol.JobState)
 	jobRemoved(id string)
-	// newerTokenSeen: a worker has seen a token above those of its machine's tenure.
-	newerTokenSeen(m *machine)
-}
-
-// ownershipEpoch is the time for which an owner serves machines, under one token.
-type ownershipEpoch struct {
-	term  uint64 // of the token
-	since time.Time
-	// Until when whoever served the machines before may have answered their workers.
-	predecessorUntil time.Time
-	paused           bool // nothing is answered or sent
 }
 
 // serves reports whether a machine's worker is this owner's to answer and to call now.
-func (s *workerSessions) serves(m *machine) bool { return m.epoch != nil && !m.epoch.paused }
-
-// fencingToken is the lowest token of the tenure; fences make it higher for single workers.
-func (e *ownershipEpoch) fencingToken() uint64 { return e.term << fencingBits }
-
-// fencingBits are those of a token below its term.
-const fencingBits = 16
+func (s *workerSessions) serves(m *machine) bool { return m.session.Served() }
 
+// newWorkerSessions serves nobody until machines are added and jobs are known.
 func newWorkerSessions(c *Controller, r leadership.Lease) workerSessions {
 	return workerSessions{controller: c, lease: r, jobs: map[string]*job{}, machines: map[string]*machine{}}
 }
 
+// alive reports whether the owner still serves.
 func (s *workerSessions) alive() bool { return !s.ended }
 
 // every runs f each d while the owner serves.
@@ -105,7 +92,7 @@
 }
 
 // gracePeriod is how long an owner whose lease may have ended goes on answering
-// reports, so that an outage of the state service doesn't end every task. Whoever comes
+// heartbeats, so that an outage of the state service doesn't end every task. Whoever comes
 // next waits for its end before it takes silence for a proof. It is never longer than
 // lets lease, grace and worker lease together stay within the time a cancellation has;
 // what the owner knows bounds it further (answerFreshness).
@@ -113,7 +100,7 @@
 	return s.controller.gracePeriodAfter(s.lease.TTL)
 }
 
-// gracePeriodAfter is the grace of an owner with a lease of the given time.
+// gracePeriodAfter is the grace period of an owner with a lease of the given time.
 func (c *Controller) gracePeriodAfter(lease time.Duration) time.Duration {
 	settings := c.cfg
 	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.ClockDrift(2*settings.WorkerLease)-lease-2*time.Second)
@@ -131,13 +118,13 @@
 
 // answerFreshness is how long after an owner last knew of every cancellation it may go on
 // answering workers. One that it doesn't know of was confirmed after that; an answer
-// renews a worker's lease, counted from when the report was sent, so from before the
+// renews a worker's lease, counted from when the heartbeat was sent, so from before the
 // answer. The lease of a leader doesn't stand for what it knows: one that was elected and
 // then refused before it had read the records held it, and renewed the leases of tasks
 // whose cancellation was older than its term.
 //
 // Nothing is owed to the delay of the loop: a watch that is read late is as old as when
-// it was asked for, and a report that is read late as when it was sent.
+// it was asked for, and a heartbeat that is read late as when it was sent.
 func (c *Controller) answerFreshness() time.Duration {
 	settings := c.cfg
 	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.ClockDrift(settings.CancelWithin+settings.WorkerLease)-deadlineMargin)
@@ -158,70 +145,63 @@
 		s.jobsKnownAt = at
 	}
 	// An owner that is behind reads its watches late, and is short of fresh knowledge most
-	// of the time: what it withheld goes out now, and doesn't wait for the machines' reports.
+	// of the time: what it deferred goes out now, and doesn't wait for the machines' heartbeats.
 	if len(s.deferredStarts) > 0 && s.startsAllowed() {
 		for _, m := range s.deferredStarts {
-			m.startsDeferred = false
+			m.orders.startsDeferred = false
 			s.scheduleOrders(m)
 		}
 		s.deferredStarts = s.deferredStarts[:0]
 	}
 }
 
-// terminationProofAt is when a machine that has been silent since the tenure began has
-// certainly ended its tasks: whoever served it before may have answered it until its
-// own grace ended.
+// terminationProofAt is when a machine that stays silent has certainly ended its tasks.
 func (s *workerSessions) terminationProofAt(m *machine) time.Time {
-	c := s.controller.cfg
-	last := m.epoch.predecessorUntil
-	if !m.epochSeenAt.IsZero() {
-		// It has seen our token and takes no other's answer any more. Until then an
-		// earlier owner's may have renewed its lease: a token that came with a
-		// direct command says nothing of when that was.
-		last = m.epochSeenAt
-	}
-	last = latest(last, m.lastAnswered, m.incarnationSince)
-	return last.Add(c.WorkerLease + leadership.ClockDrift(c.WorkerLease) + deadlineMargin)
-}
-
-// fencingToken is the token for one worker.
-func (s *workerSessions) fencingToken(m *machine) uint64 {
-	return m.epoch.fencingToken() | uint64(m.fencingOffset)
+	lease := s.controller.cfg.WorkerLease
+	return m.session.TerminationProof(lease + leadership.ClockDrift(lease) + deadlineMargin)
 }
 
-// raiseFencingToken makes the worker's token exceed one that it may have seen: that of
-// a direct start, or its present one, when only a report with a new token can tell
-// whether answers reach it. The fence never wraps: a lower token would be ignored.
+// raiseFencingToken makes the worker's token exceed one that it may have seen.
 func (s *workerSessions) raiseFencingToken(m *machine, above uint64) {
-	if s.fencingToken(m) > above {
-		return
-	}
-	if m.fencingOffset == 1<<fencingBits-1 {
+	if err := m.session.RaiseToken(above, s.controller.now); err != nil {
 		s.controller.limits.Reached(limits.TokenRaises)
-		return
 	}
-	m.fencingOffset++
-	m.tokenSentSince, m.tokenConfirmed = s.controller.now, false
 }
 
-// flushOrders runs at the end of each step: it sends the orders that the step left.
+// timing derives the failure detector's times from the settings.
+func (c *Controller) timing() sessions.Timing {
+	return sessions.Timing{HeartbeatInterval: c.cfg.HeartbeatInterval, WorkerLease: c.cfg.WorkerLease}
+}
+
+// unansweredFor is how long no heartbeat of a machine has been answered, and unreachedFor how
+// long nothing sent was seen to arrive there.
+func (s *workerSessions) unansweredFor(m *machine) time.Duration {
+	return s.detector.Unanswered(&m.session, s.controller.now)
+}
+
+func (s *workerSessions) unreachedFor(m *machine) time.Duration {
+	return s.detector.Unreached(&m.session, s.controller.now)
+}
+
+// flushOrders sends the orders that a step left, at its end.
 func (s *workerSessions) flushOrders() {
 	for i := 0; i < len(s.ordersDue); i++ {
 		m := s.ordersDue[i]
-		m.ordersDue = false
+		m.orders.due = false
 		s.sendOrders(m)
 	}
 	s.ordersDue = s.ordersDue[:0]
 }
 
+// scheduleOrders wants a machine's orders sent at the end of the step.
 func (s *workerSessions) scheduleOrders(m *machine) {
-	if !m.ordersDue {
-		m.ordersDue = true
+	if !m.orders.due {
+		m.orders.due = true
 		s.ordersDue = append(s.ordersDue, m)
 	}
 }
 
-// track adds an attempt to those of its machine, drop takes it out.
+// track adds an attempt to those of its machine, untrack takes it out.
 func (s *workerSessions) track(a *attempt) {
 	m := a.machine
 	m.attempts[taskKey{a.job.ID, a.task}] = a
