--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -5,7 +5,6 @@
 
 	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/protocol"
-	"brasskeel/internal/records"
 )
 
 // Bounds of what admission keeps in memory: a small part of what the smallest controllers
@@ -15,9 +14,9 @@
 	maxAccepted = 50_000
 )
 
-// admission serves users. It works the same on every node: jobs and their
-// final states are written to the state service before the user is told, and
-// the leader learns of them from there.
+// admission serves users. It works the same on every controller: jobs and their final states
+// are written to the state service before the user is told, and the leader learns of them from
+// there. It never tells a user of a state that it hasn't written, or read since the request.
 type admission struct {
 	limits         *limits.Counters
 	maxUnannounced int
@@ -46,6 +45,7 @@
 	done  int
 }
 
+// statusQuery is a request for a job's status that waits for a check.
 type statusQuery struct {
 	id  uint64
 	job string
@@ -97,7 +97,7 @@
 	a.accepted[job] = struct{}{}
 }
 
-// routeRequest sends a request to whoever serves it.
+// routeRequest hands a request to whoever serves it, and answers those for nobody.
 func (c *Controller) routeRequest(id uint64, method, target string, body []byte) {
 	route, job := protocol.ParseTarget(target)
 	want := "POST"
@@ -165,89 +165,13 @@
 		Body: protocol.EncodeError("too much at once")})
 }
 
-// readJobState reads a job's state afresh: 0 when it was never accepted. The record
-// is read before the outcome: a job whose record is gone by the first read has
-// its outcome by the second.
-func (c *Controller) readJobState(job string, done func(s protocol.JobState, ok bool)) {
-	c.storeGet(records.KeyActive(job), func(_ protocol.KeyValue, active, ok bool) {
-		if !ok {
-			done(0, false)
-			return
-		}
-		c.storeGet(records.KeyOutcome(job), func(it protocol.KeyValue, found, ok bool) {
-			switch {
-			case !ok:
-				done(0, false)
-			case found:
-				s, count, err := records.DecodeOutcome(it.Value)
-				if err != nil {
-					done(0, false)
-					return
-				}
-				c.admission.rememberOutcome(job, s, count)
-				done(s, true)
-			case active:
-				c.admission.rememberAccepted(job)
-				s, _, _ := c.knownProgress(job)
-				done(s, true)
-			default:
-				done(0, true)
-			}
-		})
-	})
-}
-
-func (c *Controller) cancel(id uint64, job string) {
-	if !protocol.ValidJobID(job) {
-		c.reply(id, 404, protocol.EncodeError("no such job"))
-		return
-	}
-	if f, ok := c.admission.outcomes[job]; ok {
-		c.reply(id, 200, protocol.EncodeJobState(job, f.state))
-		return
-	}
-	if c.storeDown() {
+// refuseFailedTxn refuses a request whose transaction was neither applied nor compared. The
+// state service may only have too much to do; that it doesn't answer another controller can
+// help with.
+func (c *Controller) refuseFailedTxn(id uint64, r txnResult) {
+	if r == txnRefused && !c.storeDown() {
+		c.refuseForNow(id)
+	} else {
 		c.refuseWithoutStore(id)
-		return
-	}
-	c.admission.openRequests++
-	finish := func(s protocol.JobState, ok bool) {
-		c.admission.openRequests--
-		switch {
-		case !ok || s != 0 && !s.Final():
-			c.refuseWithoutStore(id)
-		case s == 0:
-			c.reply(id, 404, protocol.EncodeError("no such job"))
-		default:
-			c.reply(id, 200, protocol.EncodeJobState(job, s))
-		}
 	}
-	c.storeGet(records.KeyActive(job), func(it protocol.KeyValue, found, ok bool) {
-		if !ok {
-			finish(0, false)
-			return
-		}
-		if !found {
-			c.readJobState(job, finish)
-			return
-		}
-		_, done, _ := c.knownProgress(job)
-		// The outcome is created at most once, by this or by the leader's
-		// "done"; whoever comes second learns what the first wrote. The user is
-		// told only after that.
-		c.storeTxn(&protocol.Txn{
-			Conditions: []protocol.Condition{{Key: records.KeyActive(job), Version: it.Version}, {Key: records.KeyOutcome(job)}},
-			Ops:        []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
-		}, func(r txnResult, _ uint64, _ []string) {
-			switch r {
-			case txnApplied:
-				c.admission.learnOutcome(job, protocol.Cancelled, done)
-				finish(protocol.Cancelled, true)
-			case txnFailed, txnUnknown:
-				c.readJobState(job, finish)
-			default:
-				finish(0, false)
-			}
-		})
-	})
 }
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -195,9 +195,8 @@
 	}
 }
 
-func machine(taken float64, images ...placement.ImageID) *placement.Machine {
+func machine(images ...placement.ImageID) *placement.Machine {
 	m := &placement.Machine{Spec: &protocol.MachineType{CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPerSecond: 1}}
-	m.Allocated.CPUs = taken
 	for _, id := range images {
 		m.Images.Add(id, 3, 20)
 	}
@@ -223,9 +222,9 @@
 		{name: "others", other: 3}, {name: "one that takes it all", large: true}, {name: "a second one", team: 1, large: true, want: true},
 		{name: "a long queue", queue: 6, want: true}, {name: "a queue", queue: 5}, {name: "a long queue, and the image", queue: 6, holds: true},
 	} {
-		l, m := &Load{}, machine(0)
+		l, m := &Load{}, machine()
 		if c.holds {
-			m = machine(0, 1)
+			m = machine(1)
 		}
 		for range c.team {
 			l.Reserve(1, placement.Resources{CPUs: 1, MemGB: 1})
@@ -251,7 +250,7 @@
 func TestTrade(t *testing.T) {
 	weights := placement.Weights{Image: 1, Room: 0}
 	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 3}, Image: 1}
-	hot, cold := machine(0, 1), machine(0)
+	hot, cold := machine(1), machine()
 	busy, idle := &Load{}, &Load{}
 	busy.Reserve(1, placement.Resources{CPUs: 2, MemGB: 2}) // as far as the ceiling
 	for _, c := range []struct {
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -65,7 +65,7 @@
 		return cmp.Or(cmp.Compare(t.overload(&b), t.overload(&a)), cmp.Compare(a.Name, b.Name))
 	})
 	var moves []Migration
-	cool := p.leastLoaded(t)
+	cool := p.leastLoaded()
 	for i := range hot[:min(len(hot), maxSources)] {
 		if len(moves) >= t.MaxMigrations {
 			break
@@ -91,7 +91,7 @@
 }
 
 // leastLoaded are the open machines with most room, a bounded number of them.
-func (p *Planner) leastLoaded(t MigrationTerms) []*LoadedMachine {
+func (p *Planner) leastLoaded() []*LoadedMachine {
 	var list []*LoadedMachine
 	for i := range p.machines {
 		if s := &p.machines[i]; s.Load != nil && !s.Consolidating && p.open(s.Machine) {
--- a/internal/coordination/balance/rebalance_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -84,48 +84,51 @@
 	}
 }
 
+// costCases are moves of one of three tasks off a machine, and whether any is made.
+var costCases = []struct {
+	name   string
+	change func(*Work)
+	board  func(*board)
+	moves  bool
+}{
+	{name: "one that pays", moves: true},
+	{name: "unsaved work of minutes", change: func(w *Work) { w.Checkpoints, w.Ran, w.Remaining = false, 4*time.Minute, 5*time.Minute }},
+	{name: "unsaved work that began", change: func(w *Work) { w.Checkpoints, w.Ran = false, time.Second }, moves: true},
+	{name: "a huge image", change: func(w *Work) { w.ImageGB = 60; w.Remaining = 10 * time.Minute }},
+	{name: "saving that takes long", change: func(w *Work) { w.CheckpointDuration = 30 * time.Second }},
+	{name: "work about to end", change: func(w *Work) { w.Remaining = 2 * time.Second }},
+	{name: "overdue work", change: func(w *Work) { w.Remaining = 0 }},
+	{name: "half of what was estimated", change: func(w *Work) { w.Remaining /= 2 }, moves: true},
+	{name: "half as long again", change: func(w *Work) { w.Remaining = w.Remaining * 3 / 2 }, moves: true},
+	{name: "busy links", board: func(b *board) {
+		for _, s := range b.sites[1:] {
+			s.Load.Fetches.Add(start, 9, 40, 1)
+		}
+	}},
+	{name: "targets as slow", board: func(b *board) {
+		b.terms.Trade = 0
+		for _, s := range b.sites {
+			s.Load.Speed = Speed{sum: 10, weight: 10}
+		}
+	}},
+	{name: "a slow machine", board: func(b *board) {
+		b.terms.Trade = 0
+		b.sites[0].Load.Speed = Speed{sum: 10, weight: 10}
+	}, moves: true},
+	{name: "an even load", board: func(b *board) { b.terms.CeilingShare = 1 }},
+	{name: "another zone", change: func(w *Work) { w.MayUse = func(zone string) bool { return zone != "a" } }},
+	{name: "a replica", change: func(w *Work) { w.Kind = protocol.Service }},
+	{name: "a gang", change: func(w *Work) { w.Kind = protocol.Gang }},
+	{name: "full targets", board: func(b *board) {
+		for _, s := range b.sites[1:] {
+			s.Incoming = placement.Resources{CPUs: 4}
+		}
+	}},
+}
+
 // A move that costs more than it saves isn't made, with estimates wrong by half both ways.
 func TestMovesThatDoNotPay(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		change func(*Work)
-		board  func(*board)
-		moves  bool
-	}{
-		{name: "one that pays", moves: true},
-		{name: "unsaved work of minutes", change: func(w *Work) { w.Checkpoints, w.Ran, w.Remaining = false, 4*time.Minute, 5*time.Minute }},
-		{name: "unsaved work that began", change: func(w *Work) { w.Checkpoints, w.Ran = false, time.Second }, moves: true},
-		{name: "a huge image", change: func(w *Work) { w.ImageGB = 60; w.Remaining = 10 * time.Minute }},
-		{name: "saving that takes long", change: func(w *Work) { w.CheckpointDuration = 30 * time.Second }},
-		{name: "work about to end", change: func(w *Work) { w.Remaining = 2 * time.Second }},
-		{name: "overdue work", change: func(w *Work) { w.Remaining = 0 }},
-		{name: "half of what was estimated", change: func(w *Work) { w.Remaining /= 2 }, moves: true},
-		{name: "half as long again", change: func(w *Work) { w.Remaining = w.Remaining * 3 / 2 }, moves: true},
-		{name: "busy links", board: func(b *board) {
-			for _, s := range b.sites[1:] {
-				s.Load.Fetches.Add(start, 9, 40, 1)
-			}
-		}},
-		{name: "targets as slow", board: func(b *board) {
-			b.terms.Trade = 0
-			for _, s := range b.sites {
-				s.Load.Speed = Speed{sum: 10, weight: 10}
-			}
-		}},
-		{name: "a slow machine", board: func(b *board) {
-			b.terms.Trade = 0
-			b.sites[0].Load.Speed = Speed{sum: 10, weight: 10}
-		}, moves: true},
-		{name: "an even load", board: func(b *board) { b.terms.CeilingShare = 1 }},
-		{name: "another zone", change: func(w *Work) { w.MayUse = func(zone string) bool { return zone != "a" } }},
-		{name: "a replica", change: func(w *Work) { w.Kind = protocol.Service }},
-		{name: "a gang", change: func(w *Work) { w.Kind = protocol.Gang }},
-		{name: "full targets", board: func(b *board) {
-			for _, s := range b.sites[1:] {
-				s.Incoming = placement.Resources{CPUs: 4}
-			}
-		}},
-	} {
+	for _, c := range costCases {
 		b := newBoard(3)
 		for range 3 {
 			b.runs(0, 1, func(w *Work) {
--- /dev/null
+++ b/internal/coordination/cancellation.go
@@ -0,0 +1,112 @@
+package coordination
+
+import (
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// jobPresence is what a fresh read tells of whether a job exists.
+type jobPresence uint8
+
+const (
+	presenceUnknown jobPresence = iota // the state service didn't answer, or with what can't be read
+	jobAbsent                          // it was never accepted
+	jobPresent
+)
+
+// jobRead is the result of a fresh read of a job.
+type jobRead struct {
+	presence jobPresence
+	state    protocol.JobState // of one that is present
+}
+
+// readJobState reads a job's state afresh. The record is read before the outcome: a job whose
+// record is gone by the first read has its outcome by the second.
+func (c *Controller) readJobState(job string, done func(jobRead)) {
+	c.storeGet(records.KeyActive(job), func(_ protocol.KeyValue, active, ok bool) {
+		if !ok {
+			done(jobRead{})
+			return
+		}
+		c.storeGet(records.KeyOutcome(job), func(it protocol.KeyValue, found, ok bool) {
+			switch {
+			case !ok:
+				done(jobRead{})
+			case found:
+				s, count, err := records.DecodeOutcome(it.Value)
+				if err != nil {
+					done(jobRead{})
+					return
+				}
+				c.admission.rememberOutcome(job, s, count)
+				done(jobRead{jobPresent, s})
+			case active:
+				c.admission.rememberAccepted(job)
+				s, _, _ := c.knownProgress(job)
+				done(jobRead{jobPresent, s})
+			default:
+				done(jobRead{presence: jobAbsent})
+			}
+		})
+	})
+}
+
+// cancel answers a request to cancel a job.
+func (c *Controller) cancel(id uint64, job string) {
+	if !protocol.ValidJobID(job) {
+		c.reply(id, 404, protocol.EncodeError("no such job"))
+		return
+	}
+	if f, ok := c.admission.outcomes[job]; ok {
+		c.reply(id, 200, protocol.EncodeJobState(job, f.state))
+		return
+	}
+	if c.storeDown() {
+		c.refuseWithoutStore(id)
+		return
+	}
+	c.admission.openRequests++
+	finish := func(r jobRead) {
+		c.admission.openRequests--
+		switch {
+		case r.presence == jobPresent && r.state.Final():
+			c.reply(id, 200, protocol.EncodeJobState(job, r.state))
+		case r.presence == jobAbsent:
+			c.reply(id, 404, protocol.EncodeError("no such job"))
+		default:
+			c.refuseWithoutStore(id)
+		}
+	}
+	c.storeGet(records.KeyActive(job), func(it protocol.KeyValue, found, ok bool) {
+		switch {
+		case !ok:
+			finish(jobRead{})
+		case !found:
+			c.readJobState(job, finish)
+		default:
+			c.writeCancellation(job, it.Version, finish)
+		}
+	})
+}
+
+// writeCancellation records that a job is cancelled, unless it has another outcome by then.
+// version is that of its record.
+func (c *Controller) writeCancellation(job string, version uint64, finish func(jobRead)) {
+	_, done, _ := c.knownProgress(job)
+	// The outcome is created at most once, by this or by the leader's "done"; whoever comes
+	// second learns what the first wrote. The user is told only after that.
+	c.storeTxn(&protocol.Txn{
+		Conditions: []protocol.Condition{{Key: records.KeyActive(job), Version: version}, {Key: records.KeyOutcome(job)}},
+		Ops:        []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
+	}, func(r txnResult, _ uint64, _ []string) {
+		switch r {
+		case txnApplied:
+			c.admission.learnOutcome(job, protocol.Cancelled, done)
+			finish(jobRead{jobPresent, protocol.Cancelled})
+		case txnFailed, txnUnknown:
+			c.readJobState(job, finish)
+		default:
+			finish(jobRead{})
+		}
+	})
+}
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -39,7 +39,7 @@
 // cancellation that came first, or an older write of its own from doing harm.
 func TestRecordsAreConditional(t *testing.T) {
 	c, l := leading(phaseActive)
-	j, _ := running(c, l, 4)
+	j, _ := running(c, l)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	m.recorded, m.session.LastReached = true, c.now
@@ -55,7 +55,7 @@
 	}
 	// So does the outcome: whoever writes it first decides.
 	c, l = leading(phaseActive)
-	j, _ = running(c, l, 4)
+	j, _ = running(c, l)
 	l.journal.puts = nil
 	l.taskDone(j, 0)
 	txn = nextTxn(t, c)
@@ -68,7 +68,7 @@
 // proof only under a token above that of the start; until then it counts for its team.
 func TestUnansweredStartIsFenced(t *testing.T) {
 	c, l := leading(phaseActive)
-	j, _ := running(c, l, 4)
+	j, _ := running(c, l)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{DirectToken: m.session.Token(), DirectIncarnation: 1}}
@@ -163,7 +163,7 @@
 // nothing by lacking the task; the next report does, and the start is sent once more.
 func TestStartInAnswer(t *testing.T) {
 	c, l := leading(phaseActive)
-	j, _ := running(c, l, 4)
+	j, _ := running(c, l)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{SentIncarnation: 1, SentSequence: 3}}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -71,11 +71,8 @@
 
 	shapeKey placement.ShapeKey // made on first use
 
-	runTimes      balance.Runs // of its completed tasks
-	heldSurge     uint64       // surge in which tasks waited for a machine below the ceiling
-	heldSince     time.Time
-	heldTimerSet  bool   // the end of that wait has a timer
-	exceededSurge uint64 // surge in which they may go above it
+	runTimes balance.Runs // of its completed tasks
+	ceiling  ceilingHold  // of its team's surge
 
 	progressBroadcast bool // peers were told of tasks that run or are done
 
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// What operators see, at level info, of work that waits and of a node that can't act:
-// logged when it changes, and from time to time while it lasts.
+// What operators see, at level info, of tasks that are pending and of a controller that can't
+// act: logged when it changes, and from time to time while it lasts.
 
 // pendingLogAfter is how long a task is pending before operators hear of it.
 const pendingLogAfter = 5 * time.Second
 
-// logAvailability tells of a node that knows no leader, follows another one, or can't reach
-// the state service.
+// logAvailability tells operators that this controller can't place, or can't promise anything
+// to users: it knows no leader, doesn't lead yet or any more, or can't reach the state service.
 func (c *Controller) logAvailability() {
 	what := ""
 	switch {
@@ -43,20 +43,20 @@
 	}
 }
 
-// pendingReason is why tasks wait for machines.
+// pendingReason is why tasks are pending.
 type pendingReason uint8
 
 const (
-	pendingRoom pendingReason = iota // more will have room soon
-	pendingTeamLimit
-	pendingQuarantine
-	pendingZoneRules
-	pendingRecords
-	pendingBoots
-	pendingCloudCapacity
-	pendingPrice
-	pendingReports
-	pendingSurgeCeiling
+	pendingRoom          pendingReason = iota // more will have room soon
+	pendingTeamLimit                          // the team's limit is reached
+	pendingQuarantine                         // the job fails everywhere
+	pendingZoneRules                          // its rules about zones leave none
+	pendingRecords                            // the round ended early: records are behind
+	pendingBoots                              // machines boot
+	pendingCloudCapacity                      // the cloud has no instance that it may use
+	pendingPrice                              // those that the cloud has are too dear for it
+	pendingReports                            // a new leader still waits for heartbeats
+	pendingSurgeCeiling                       // room is above the ceiling of a team that surges
 	pendingReasonCount
 )
 
@@ -69,7 +69,8 @@
 	}[r]
 }
 
-// pendingReasonOf tells why a job's tasks wait.
+// pendingReasonOf is why a job's tasks are pending, the first that applies. booting says whether
+// any machine boots, open which instances the cloud offers.
 func (l *leader) pendingReasonOf(j *job, booting bool, open []offer) pendingReason {
 	switch {
 	case l.phase != phaseActive:
@@ -87,76 +88,89 @@
 	case booting:
 		return pendingBoots
 	}
-	any := false
+	reason := pendingCloudCapacity
 	for _, o := range open {
 		if o.allows(j.Job) && j.zoneAllowed(o.zone) {
 			if !l.overpriced(j, o) {
 				return pendingRoom
 			}
-			any = true
+			reason = pendingPrice
 		}
 	}
-	if any {
-		return pendingPrice
-	}
-	return pendingCloudCapacity
+	return reason
 }
 
-// logPendingReasons tells why work waits.
-func (l *leader) logPendingReasons() {
-	c := l.controller
-	if !l.pendingLog.Open(c.now) {
-		return
-	}
-	b := l.bootProgress()
+// pendingSummary counts the jobs and tasks that are pending, by reason.
+type pendingSummary struct {
+	jobs, tasks [pendingReasonCount]int
+	longest     *job // of those without a task that runs or is done; nil: none
+}
+
+// summarizePending looks at all jobs that have been pending for long enough to tell.
+func (l *leader) summarizePending(booting bool) (sum pendingSummary) {
 	var open []offer
-	var jobs, tasks [pendingReasonCount]int
-	var longest *job
+	now := l.controller.now.Round(0)
 	for _, j := range l.jobsByAge {
 		left := j.pendingTasks()
-		if left == 0 || c.now.Round(0).Sub(j.submitted) < pendingLogAfter {
+		if left == 0 || now.Sub(j.submitted) < pendingLogAfter {
 			continue
 		}
 		if open == nil {
 			open = l.offers()
 		}
-		r := l.pendingReasonOf(j, b.longest != nil, open)
-		jobs[r]++
-		tasks[r] += left
-		if j.liveAttempts == 0 && j.doneTasks == 0 && (longest == nil || j.submitted.Before(longest.submitted)) {
-			longest = j
+		r := l.pendingReasonOf(j, booting, open)
+		sum.jobs[r]++
+		sum.tasks[r] += left
+		if j.liveAttempts == 0 && j.doneTasks == 0 && (sum.longest == nil || j.submitted.Before(sum.longest.submitted)) {
+			sum.longest = j
 		}
 	}
-	var kinds, counts []string
-	for r := pendingReason(0); r < pendingReasonCount; r++ {
-		if jobs[r] > 0 {
-			kinds = append(kinds, r.String())
-			counts = append(counts, fmt.Sprintf("%s: %d jobs, %d tasks", r, jobs[r], tasks[r]))
+	return sum
+}
+
+// describe lists the reasons, alone and with their counts.
+func (sum *pendingSummary) describe() (reasons, counts []string) {
+	for r := range pendingReasonCount {
+		if sum.jobs[r] > 0 {
+			reasons = append(reasons, r.String())
+			counts = append(counts, fmt.Sprintf("%s: %d jobs, %d tasks", r, sum.jobs[r], sum.tasks[r]))
 		}
 	}
-	if len(b.overdue) > 0 {
-		kinds = append(kinds, "late boots")
+	return reasons, counts
+}
+
+// logPendingReasons tells operators why tasks are pending.
+func (l *leader) logPendingReasons() {
+	c := l.controller
+	if !l.pendingLog.Open(c.now) {
+		return
+	}
+	boots := l.bootProgress()
+	sum := l.summarizePending(boots.longest != nil)
+	reasons, counts := sum.describe()
+	if len(boots.overdue) > 0 {
+		reasons = append(reasons, "late boots")
 	}
-	slices.Sort(kinds)
-	if !l.pendingLog.Allow(c.now, strings.Join(kinds, "; ")) {
+	slices.Sort(reasons)
+	if !l.pendingLog.Allow(c.now, strings.Join(reasons, "; ")) {
 		return
 	}
-	if len(kinds) == 0 {
+	if len(reasons) == 0 {
 		c.log.Info("no tasks pending")
 		return
 	}
-	args := []any{"reason", strings.Join(counts, "; ")}
-	if b.longest != nil {
+	attributes := []any{"reason", strings.Join(counts, "; ")}
+	if boots.longest != nil {
 		booting := 0
 		for _, m := range l.fleetList {
 			if l.booting(m) {
 				booting++
 			}
 		}
-		args = append(args, "booting", booting, "longest_boot", c.now.Sub(b.longest.provisionedAt).Round(time.Second), "late_boots", len(b.overdue))
+		attributes = append(attributes, "booting", booting, "longest_boot", c.now.Sub(boots.longest.provisionedAt).Round(time.Second), "late_boots", len(boots.overdue))
 	}
-	if longest != nil {
-		args = append(args, "job", longest.ID, "duration", c.now.Round(0).Sub(longest.submitted).Round(time.Second))
+	if sum.longest != nil {
+		attributes = append(attributes, "job", sum.longest.ID, "duration", c.now.Round(0).Sub(sum.longest.submitted).Round(time.Second))
 	}
-	c.log.Info("tasks pending", args...)
+	c.log.Info("tasks pending", attributes...)
 }
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -34,12 +34,12 @@
 
 // Candidates are the machines that may take tasks of a job, the best one first. They are
 // scored once, not once per task: placing one changes the score of its own machine alone.
-type Candidates struct{ list []Candidate }
+type Candidates struct{ list byRank }
 
 // NewCandidates orders candidates; the list is theirs from here on.
 func NewCandidates(list []Candidate) Candidates {
 	c := Candidates{list}
-	heap.Init(&c)
+	heap.Init(&c.list)
 	return c
 }
 
@@ -62,22 +62,27 @@
 }
 
 // DropBest takes the best one out.
-func (c *Candidates) DropBest() { heap.Pop(c) }
+func (c *Candidates) DropBest() { heap.Pop(&c.list) }
 
 // UpdateBest ranks the best one anew, after it was given a task.
 func (c *Candidates) UpdateBest(k Candidate) {
 	c.list[0] = k
-	heap.Fix(c, 0)
+	heap.Fix(&c.list, 0)
 }
 
-// Len, Less, Swap, Push and Pop implement heap.Interface.
-func (c *Candidates) Len() int           { return len(c.list) }
-func (c *Candidates) Less(i, k int) bool { return c.list[i].before(&c.list[k]) }
-func (c *Candidates) Swap(i, k int)      { c.list[i], c.list[k] = c.list[k], c.list[i] }
-func (c *Candidates) Push(x any)         { c.list = append(c.list, x.(Candidate)) }
-func (c *Candidates) Pop() any {
-	last := len(c.list) - 1
-	c.list = c.list[:last]
+// byRank are candidates as a heap (container/heap) with the best one on top.
+type byRank []Candidate
+
+func (h byRank) Len() int           { return len(h) }
+func (h byRank) Less(i, k int) bool { return h[i].before(&h[k]) }
+func (h byRank) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+
+// Push is there for heap.Interface alone: candidates are given at once.
+func (h *byRank) Push(x any) { *h = append(*h, x.(Candidate)) }
+
+// Pop takes the last candidate out. It returns nothing, so that nothing is boxed.
+func (h *byRank) Pop() any {
+	*h = (*h)[:len(*h)-1]
 	return nil
 }
 
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -135,13 +135,7 @@
 		// of tasks of a few seconds lost its lease to them again and again.
 		return interruptRound
 	}
-	left := j.pendingTasks()
-	if l.anyZoneAllowed(j) {
-		left = l.placeJob(j, tier)
-		if left > 0 && j.standing(now.Round(0)).Starving() {
-			l.reserveMachine(j)
-		}
-	}
+	left := l.placeOrReserve(j, tier)
 	if left > 0 && (l.journal.full() || l.round.exceeded()) {
 		// The rest waits for records or for the next round, not for room: nothing is stopped
 		// for it, and what it needs of the fleet shows once room is all that it lacks.
@@ -160,6 +154,19 @@
 	return continueRound
 }
 
+// placeOrReserve places what it can of a job and returns how many tasks are left. For one that
+// is starving it keeps a machine.
+func (l *leader) placeOrReserve(j *job, tier queue.Tier) int {
+	if !l.anyZoneAllowed(j) {
+		return j.pendingTasks()
+	}
+	left := l.placeJob(j, tier)
+	if left > 0 && j.standing(l.controller.now.Round(0)).Starving() {
+		l.reserveMachine(j)
+	}
+	return left
+}
+
 // reserveMachine keeps the machine with most free room for one task of a job that is starving.
 // Where small tasks take each bit of room that frees, a large one never finds enough
 // of it in one place, although its turn comes first.
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -18,8 +18,8 @@
 	ceilingWaitDivisor = 4
 )
 
-// ceilingPolicy says how machines are judged for a job's tasks; nil where its team has no surge, or
-// where its work never waits for a ceiling.
+// ceilingPolicy is the policy for a job's tasks; nil where its team has no surge, or where its
+// work never waits for a ceiling.
 func (b *rebalancer) ceilingPolicy(j *job) *balance.CeilingPolicy {
 	if b.surgeOf(j) == 0 || j.Priority == protocol.Critical || j.withinQuota || j.Kind == protocol.Gang {
 		return nil
@@ -27,34 +27,52 @@
 	return &balance.CeilingPolicy{Settings: b.settings, Now: b.l.controller.now, Team: b.teams[j.Team].id, Task: j.placementTask()}
 }
 
-// applyPolicy lets a judge change what ranks a machine.
-func (b *rebalancer) applyPolicy(g *balance.CeilingPolicy, m *machine, k *placement.Candidate) {
-	k.AboveCeiling = g.Exceeds(&m.Machine, m.load)
-	k.Score -= g.Penalty(&m.Machine, m.load, b.l.controller.op.ImageWeight)
+// applyPolicy lets a policy change what ranks a machine.
+func (b *rebalancer) applyPolicy(policy *balance.CeilingPolicy, m *machine, k *placement.Candidate) {
+	k.AboveCeiling = policy.Exceeds(&m.Machine, m.load)
+	k.Score -= policy.Penalty(&m.Machine, m.load, b.l.controller.op.ImageWeight)
 }
 
-// mayExceedCeiling reports whether a job's tasks may go above the ceiling, as nothing else will do in
-// time.
+// ceilingState is how a job's tasks stand to the ceiling of their team's surge.
+type ceilingState uint8
+
+// A job goes from ceilingUntouched to ceilingWaits when only machines above the ceiling have
+// room, and on to ceilingExceeded when nothing else will do in time. Another surge begins anew.
+const (
+	ceilingUntouched ceilingState = iota
+	ceilingWaits
+	ceilingExceeded
+)
+
+// ceilingHold is a job's wait for machines below the ceiling.
+type ceilingHold struct {
+	surge    uint64 // to which the rest belongs; 0: none yet
+	state    ceilingState
+	since    time.Time // when it began to wait
+	timerSet bool      // the end of the wait has a timer
+}
+
+// mayExceedCeiling reports whether a job's tasks may go above the ceiling, as nothing else will
+// do in time. Its team must be in a surge.
 func (b *rebalancer) mayExceedCeiling(j *job) bool {
-	c, surge := b.l.controller, b.surgeOf(j)
-	if j.exceededSurge == surge {
-		return true
+	c, hold, surge := b.l.controller, &j.ceiling, b.surgeOf(j)
+	if hold.surge != surge {
+		*hold = ceilingHold{surge: surge, state: ceilingWaits, since: c.now}
 	}
-	if j.heldSurge != surge {
-		j.heldSurge, j.heldSince, j.heldTimerSet = surge, c.now, false
+	if hold.state == ceilingExceeded {
+		return true
 	}
-	most := b.ceilingWait(j)
-	until := j.heldSince.Add(most)
+	until := hold.since.Add(b.ceilingWait(j))
 	if c.now.Before(until) && b.bootsInTime(j, until) {
-		if !j.heldTimerSet {
-			j.heldTimerSet = true
+		if !hold.timerSet {
+			hold.timerSet = true
 			c.after(until.Sub(c.now)+time.Millisecond, b.l.requestPlacementIfLeading)
 		}
 		return false
 	}
-	j.exceededSurge = surge
+	hold.state = ceilingExceeded
 	c.limits.Reached(limits.SurgeCeiling)
-	c.log.Debug("surge ceiling exceeded", "job", j.ID, "team", j.Team, "tasks", j.pendingTasks(), "duration", c.now.Sub(j.heldSince))
+	c.log.Debug("surge ceiling exceeded", "job", j.ID, "team", j.Team, "tasks", j.pendingTasks(), "duration", c.now.Sub(hold.since))
 	return true
 }
 
@@ -73,7 +91,7 @@
 // waitsForCeiling reports whether a job's tasks wait for a machine below the ceiling.
 func (b *rebalancer) waitsForCeiling(j *job) bool {
 	surge := b.surgeOf(j)
-	return surge != 0 && j.heldSurge == surge && j.exceededSurge != surge && b.ceilingPolicy(j) != nil
+	return surge != 0 && j.ceiling.surge == surge && j.ceiling.state == ceilingWaits && b.ceilingPolicy(j) != nil
 }
 
 // ceilingWait is how long a job may be held: a part of the shortest time that its users give it.
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -29,8 +29,8 @@
 }
 
 // stateReport is a report that shows an attempt in a state.
-func stateReport(a *attempt, session, seq uint64, s protocol.TaskState) []byte {
-	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: a.machine.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: 1 << 16,
+func stateReport(a *attempt, seq uint64, s protocol.TaskState) []byte {
+	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: a.machine.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16,
 		Tasks: []protocol.TaskStatus{{Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, State: s}}})
 }
 
@@ -42,12 +42,12 @@
 	if r, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
 		t.Fatalf("reserved %+v by %d, %s queued", r, tasks, queued())
 	}
-	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, stateReport(a, 1, 5, protocol.Fetching))
-	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, stateReport(a, 1, 4, protocol.Running)) // a copy, or held up
+	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, stateReport(a, 5, protocol.Fetching))
+	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, stateReport(a, 4, protocol.Running)) // a copy, or held up
 	if queued() != 2*time.Second {
 		t.Errorf("%s queued after an older report", queued())
 	}
-	c.Request(c.now, 4, "POST", protocol.PathHeartbeat, stateReport(a, 1, 6, protocol.Running))
+	c.Request(c.now, 4, "POST", protocol.PathHeartbeat, stateReport(a, 6, protocol.Running))
 	if queued() != 0 {
 		t.Errorf("%s queued while the task runs", queued())
 	}
@@ -56,7 +56,7 @@
 	if _, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 0 || queued() != 0 {
 		t.Errorf("%d tasks and %s queued in a new session", tasks, queued())
 	}
-	c.Request(c.now, 6, "POST", protocol.PathHeartbeat, stateReport(a, 1, 9, protocol.Running))
+	c.Request(c.now, 6, "POST", protocol.PathHeartbeat, stateReport(a, 9, protocol.Running))
 	if _, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 0 {
 		t.Errorf("%d tasks after a report of an earlier session", tasks)
 	}
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -12,10 +12,10 @@
 )
 
 // running adds a job of one task that runs on vm-1, and gives a report that shows it.
-func running(c *Controller, l *leader, seq uint64) (*job, []byte) {
+func running(c *Controller, l *leader) (*job, []byte) {
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
 	j := l.jobs["run-000001"]
-	return j, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16,
+	return j, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 1 << 16,
 		Tasks: []protocol.TaskStatus{{Job: j.ID, TaskIndex: 0, Attempt: 1, State: protocol.Running}}})
 }
 
@@ -73,7 +73,7 @@
 func TestLeaderAnswersOnceItKnows(t *testing.T) {
 	c, l := leading(phaseLoading)
 	l.jobsKnownAt = time.Time{}
-	_, body := running(c, l, 4)
+	_, body := running(c, l)
 	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 0 {
 		t.Fatalf("answered before anything was read: %+v", e.Replies)
 	}
@@ -121,7 +121,7 @@
 // are over, although the list of the report may be out of date.
 func TestOvertakenReportEndsCancelled(t *testing.T) {
 	c, l := leading(phaseActive)
-	_, body := running(c, l, 4)
+	_, body := running(c, l)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	l.machines["vm-1"].session.Sequence = 9
 	l.endJob(l.jobs["run-000001"], protocol.Cancelled)
@@ -136,7 +136,7 @@
 func TestStartsNeedFreshKnowledge(t *testing.T) {
 	c, l := leading(phaseActive)
 	l.jobsKnownAt = c.now
-	j, _ := running(c, l, 4)
+	j, _ := running(c, l)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, placedAt: c.now, recorded: true}
@@ -163,7 +163,7 @@
 func TestPeersTellOfCancellations(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.cfg.Peers = append(c.cfg.Peers, struct{ Name, Zone, Addr string }{Name: "n1", Zone: "a"})
-	_, body := running(c, l, 4)
+	_, body := running(c, l)
 	raw, err := json.Marshal(peerMessage{Node: "n1", Cancelled: map[string]int{"run-000001": 0}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -7,17 +7,20 @@
 	"brasskeel/internal/records"
 )
 
-// statusCheckShare is the part of the state service's requests that one node's checks of
-// polls take at the most, as a divisor. A check serves dozens of polls, and when users
-// ask ever more often, more share one: with a check as soon as the last one was over,
-// those of three nodes alone took more than the service allows, and submissions were
-// refused for it.
+// statusCheckShare is the part of the state service's requests that one controller's status
+// checks take at the most, as a divisor. A check serves dozens of queries, and when users ask
+// ever more often, more share one: with a check as soon as the last one was over, those of
+// three controllers alone took more than the service allows, and submissions were refused for
+// it.
 const statusCheckShare = 12
 
+// statusCheckInterval is the least time between two status checks.
+
 func (c *Controller) statusCheckInterval() time.Duration {
 	return max(10*time.Millisecond, time.Duration(statusCheckShare/c.cfg.StateRPS*float64(time.Second)))
 }
 
+// queryStatus answers a request for a job's status.
 func (c *Controller) queryStatus(id uint64, job string) {
 	if !protocol.ValidJobID(job) {
 		c.reply(id, 404, protocol.EncodeError("no such job"))
@@ -42,6 +45,7 @@
 	c.checkStatuses()
 }
 
+// answerStatus answers with what is known here, once it is known to be no older than the request.
 func (c *Controller) answerStatus(id uint64, job string) {
 	s, done, running := c.knownProgress(job)
 	if f, ok := c.admission.outcomes[job]; ok {
@@ -50,9 +54,41 @@
 	c.reply(id, 200, protocol.EncodeJobStatus(job, s, done, running))
 }
 
-// checkStatuses learns of many jobs with one transaction that only compares: whether each
-// has an outcome, and of those this node hasn't heard of, whether they exist. Both are
-// told as of the same moment.
+// statusCheck is a transaction that only compares: whether each of some jobs has an outcome, and
+// of those this controller hasn't heard of, whether they exist. Both are told as of the same
+// moment.
+type statusCheck struct {
+	txn     *protocol.Txn
+	queries []statusQuery
+	unknown map[string]bool // jobs that may not exist
+}
+
+// nextCheck takes the queries that wait into a check, as far as its conditions reach.
+func (a *admission) nextCheck(maxConditions int) statusCheck {
+	check := statusCheck{txn: &protocol.Txn{}, unknown: map[string]bool{}}
+	listed := map[string]bool{}
+	count := 0
+	for _, q := range a.queries {
+		if !listed[q.job] {
+			if len(check.txn.Conditions)+2 > maxConditions {
+				break
+			}
+			listed[q.job] = true
+			check.txn.Conditions = append(check.txn.Conditions, protocol.Condition{Key: records.KeyOutcome(q.job)})
+			if _, ok := a.accepted[q.job]; !ok {
+				check.unknown[q.job] = true
+				check.txn.Conditions = append(check.txn.Conditions, protocol.Condition{Key: records.KeyActive(q.job)})
+			}
+		}
+		count++
+	}
+	check.queries = a.queries[:count:count]
+	a.queries = append([]statusQuery(nil), a.queries[count:]...)
+	return check
+}
+
+// checkStatuses answers the status queries that wait, many with one check, one check after the
+// other and no more often than statusCheckInterval.
 func (c *Controller) checkStatuses() {
 	a := &c.admission
 	if a.checking || len(a.queries) == 0 {
@@ -64,65 +100,50 @@
 		return
 	}
 	a.lastCheck = c.now
-	t := &protocol.Txn{}
-	listed, unsure := map[string]bool{}, map[string]bool{}
-	count := 0
-	for _, p := range a.queries {
-		if !listed[p.job] {
-			if len(t.Conditions)+2 > c.maxConditions() {
-				break
-			}
-			listed[p.job] = true
-			t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyOutcome(p.job)})
-			if _, ok := a.accepted[p.job]; !ok {
-				unsure[p.job] = true
-				t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyActive(p.job)})
-			}
-		}
-		count++
-	}
-	batch := a.queries[:count:count]
-	a.queries = append([]statusQuery(nil), a.queries[count:]...)
-	c.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
+	check := a.nextCheck(c.maxConditions())
+	c.storeTxn(check.txn, func(r txnResult, _ uint64, failed []string) {
 		a.checking = false
-		a.openRequests -= len(batch)
-		exists := map[string]bool{}
-		for _, key := range failed {
-			exists[key] = true
-		}
-		reads := map[string][]uint64{}
-		for _, p := range batch {
-			_, final := a.outcomes[p.job]
-			switch {
-			case r == txnRefused && !c.storeDown():
-				c.refuseForNow(p.id)
-			case r != txnApplied && r != txnFailed:
-				c.refuseWithoutStore(p.id)
-			case final:
-				c.answerStatus(p.id, p.job)
-			case exists[records.KeyOutcome(p.job)]:
-				reads[p.job] = append(reads[p.job], p.id)
-			case unsure[p.job] && !exists[records.KeyActive(p.job)]:
-				c.reply(p.id, 404, protocol.EncodeError("no such job"))
-			default:
-				a.rememberAccepted(p.job)
-				c.answerStatus(p.id, p.job)
-			}
-		}
-		for _, p := range batch {
-			if ids := reads[p.job]; ids != nil {
-				delete(reads, p.job)
-				c.readOutcome(p.job, ids)
-			}
-		}
+		a.openRequests -= len(check.queries)
+		c.answerCheck(check, r, failed)
 		c.checkStatuses()
 	})
 }
 
-// readOutcome answers the polls for a job that is known to be over.
+// answerCheck answers the queries of a check; failed are the keys that exist.
+func (c *Controller) answerCheck(check statusCheck, r txnResult, failed []string) {
+	exists := map[string]bool{}
+	for _, key := range failed {
+		exists[key] = true
+	}
+	reads := map[string][]uint64{} // queries for jobs that are over, by job
+	for _, q := range check.queries {
+		_, final := c.admission.outcomes[q.job]
+		switch {
+		case r != txnApplied && r != txnFailed:
+			c.refuseFailedTxn(q.id, r)
+		case final:
+			c.answerStatus(q.id, q.job)
+		case exists[records.KeyOutcome(q.job)]:
+			reads[q.job] = append(reads[q.job], q.id)
+		case check.unknown[q.job] && !exists[records.KeyActive(q.job)]:
+			c.reply(q.id, 404, protocol.EncodeError("no such job"))
+		default:
+			c.admission.rememberAccepted(q.job)
+			c.answerStatus(q.id, q.job)
+		}
+	}
+	for _, q := range check.queries {
+		if ids := reads[q.job]; ids != nil {
+			delete(reads, q.job)
+			c.readOutcome(q.job, ids)
+		}
+	}
+}
+
+// readOutcome answers the queries for a job that is known to be over.
 func (c *Controller) readOutcome(job string, ids []uint64) {
 	c.admission.openRequests += len(ids)
-	c.storeGet(records.KeyOutcome(job), func(it protocol.KeyValue, found, ok bool) {
+	c.storeGet(records.KeyOutcome(job), func(it protocol.KeyValue, found, _ bool) {
 		c.admission.openRequests -= len(ids)
 		if found {
 			if s, done, err := records.DecodeOutcome(it.Value); err == nil {
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"slices"
 
 	"brasskeel/internal/protocol"
@@ -15,6 +16,8 @@
 	requests []uint64
 }
 
+// submit answers the submission of a job. Submissions are idempotent by the job's ID: one of a
+// known job gets its state.
 func (c *Controller) submit(id uint64, body []byte) {
 	job, err := protocol.ParseJob(body)
 	if err != nil {
@@ -30,24 +33,12 @@
 		return
 	}
 	c.admission.openRequests++
-	if reason := c.rejectionReason(job); reason != "" {
-		// A known job gets its state whatever the limits say by now.
-		c.readJobState(job.ID, func(s protocol.JobState, ok bool) {
-			c.admission.openRequests--
-			switch {
-			case !ok:
-				c.refuseWithoutStore(id)
-			case s == 0:
-				c.reply(id, 422, protocol.EncodeError(reason))
-			default:
-				c.reply(id, 200, protocol.EncodeJobState(job.ID, s))
-			}
-		})
+	if err := c.checkRunnable(job); err != nil {
+		c.rejectUnlessKnown(id, job, err)
 		return
 	}
-	record := records.Job{Submitted: records.Millis(c.now), Chunk: records.ChunkSize(c.cfg.ValueBytes), Spec: job}
-	raw := records.Encode(record)
-	if len(raw) > c.cfg.ValueBytes {
+	record := records.Encode(records.Job{Submitted: records.Millis(c.now), Chunk: records.ChunkSize(c.cfg.ValueBytes), Spec: job})
+	if len(record) > c.cfg.ValueBytes {
 		c.admission.openRequests--
 		c.reply(id, 400, protocol.EncodeError("the job's description is too long"))
 		return
@@ -58,23 +49,36 @@
 			return
 		}
 	}
-	c.admission.submissions = append(c.admission.submissions, &submission{job, raw, []uint64{id}})
+	c.admission.submissions = append(c.admission.submissions, &submission{job, record, []uint64{id}})
 	c.writeSubmissions()
 }
 
-// writeSubmissions writes the records of the jobs that came while the last transaction
-// was under way. Half a transaction at the most: all of it is refused at once when the
-// state service has too little left.
-func (c *Controller) writeSubmissions() {
-	a := &c.admission
-	if a.submitting || len(a.submissions) == 0 {
-		return
-	}
-	a.submitting = true
+// rejectUnlessKnown answers the submission of a job that could never run. A known job gets its
+// state whatever the limits say by now.
+func (c *Controller) rejectUnlessKnown(id uint64, job *protocol.Job, reason error) {
+	c.readJobState(job.ID, func(r jobRead) {
+		c.admission.openRequests--
+		switch r.presence {
+		case jobPresent:
+			c.reply(id, 200, protocol.EncodeJobState(job.ID, r.state))
+		case jobAbsent:
+			c.reply(id, 422, protocol.EncodeError(reason.Error()))
+		default:
+			c.refuseWithoutStore(id)
+		}
+	})
+}
+
+// maxSubmissionBytes bounds the records in one transaction of submissions.
+const maxSubmissionBytes = 32 << 10
+
+// nextSubmissions takes the submissions that wait into a transaction. Half a transaction at the
+// most: all of it is refused at once when the state service has too little left.
+func (a *admission) nextSubmissions(txnOps int) ([]*submission, *protocol.Txn) {
 	t := &protocol.Txn{}
 	count, size := 0, 0
 	for _, s := range a.submissions {
-		if count == max(1, c.cfg.TxnOps/2) || count > 0 && size+len(s.record) > 32<<10 {
+		if count == max(1, txnOps/2) || count > 0 && size+len(s.record) > maxSubmissionBytes {
 			break
 		}
 		// The job exists once this is applied, and only then is the user told. The
@@ -86,6 +90,18 @@
 	}
 	group := a.submissions[:count:count]
 	a.submissions = append([]*submission(nil), a.submissions[count:]...)
+	return group, t
+}
+
+// writeSubmissions writes the records of the jobs that came while the last transaction was
+// under way.
+func (c *Controller) writeSubmissions() {
+	a := &c.admission
+	if a.submitting || len(a.submissions) == 0 {
+		return
+	}
+	a.submitting = true
+	group, t := a.nextSubmissions(c.cfg.TxnOps)
 	c.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
 		a.submitting = false
 		var again []*submission
@@ -98,14 +114,7 @@
 			case r == txnFailed && len(failed) > 0:
 				again = append(again, s) // another of the group was known already
 			default:
-				a.openRequests -= len(s.requests)
-				for _, id := range s.requests {
-					if r == txnRefused && !c.storeDown() {
-						c.refuseForNow(id) // too much at once
-					} else {
-						c.refuseWithoutStore(id)
-					}
-				}
+				c.refuseSubmission(s, r)
 			}
 		}
 		a.submissions = append(again, a.submissions...)
@@ -113,6 +122,15 @@
 	})
 }
 
+// refuseSubmission refuses all requests for a submission that couldn't be written.
+func (c *Controller) refuseSubmission(s *submission, r txnResult) {
+	c.admission.openRequests -= len(s.requests)
+	for _, id := range s.requests {
+		c.refuseFailedTxn(id, r)
+	}
+}
+
+// replyAccepted tells of a job whose record is written.
 func (c *Controller) replyAccepted(s *submission) {
 	c.admission.openRequests -= len(s.requests)
 	c.admission.rememberAccepted(s.job.ID)
@@ -127,24 +145,32 @@
 	}
 }
 
+// replyExisting tells of a job that was known already.
 func (c *Controller) replyExisting(s *submission) {
-	c.readJobState(s.job.ID, func(state protocol.JobState, ok bool) {
+	c.readJobState(s.job.ID, func(r jobRead) {
 		c.admission.openRequests -= len(s.requests)
 		for _, id := range s.requests {
-			if !ok || state == 0 {
+			if r.presence != jobPresent {
 				c.refuseWithoutStore(id)
 				continue
 			}
-			c.reply(id, 200, protocol.EncodeJobState(s.job.ID, state))
+			c.reply(id, 200, protocol.EncodeJobState(s.job.ID, r.state))
 		}
 	})
 }
 
-// rejectionReason tells why a job can't ever run; empty when it can.
-func (c *Controller) rejectionReason(j *protocol.Job) string {
+// Reasons why a job can't ever run. Users see the texts.
+var (
+	errUnknownTeam   = errors.New("unknown team")
+	errNoMachineType = errors.New("a task fits no allowed machine type")
+	errOverTeamLimit = errors.New("the job needs more than its team's limit")
+)
+
+// checkRunnable returns why a job can't ever run, or nil.
+func (c *Controller) checkRunnable(j *protocol.Job) error {
 	team := c.teams[j.Team]
 	if team == nil {
-		return "unknown team"
+		return errUnknownTeam
 	}
 	fits := false
 	for _, t := range c.types {
@@ -154,14 +180,14 @@
 		}
 	}
 	if !fits {
-		return "a task fits no allowed machine type"
+		return errNoMachineType
 	}
-	at := 1.0
+	together := 1.0 // tasks that must run at the same time
 	if j.Kind != protocol.Batch {
-		at = float64(j.Tasks)
+		together = float64(j.Tasks)
 	}
-	if at*j.CPUs > team.CPUsMax+protocol.Epsilon || at*j.GPUs > team.GPUsMax+protocol.Epsilon {
-		return "the job needs more than its team's limit"
+	if together*j.CPUs > team.CPUsMax+protocol.Epsilon || together*j.GPUs > team.GPUsMax+protocol.Epsilon {
+		return errOverTeamLimit
 	}
-	return ""
+	return nil
 }
