--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -8,8 +8,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// attach makes an attempt count: for its machine, its team's limit and its
-// job's zones, until detach.
+// attach makes an attempt count for its machine, its team's limit and its job's zones,
+// until detach.
 func (l *leader) attach(a *attempt) {
 	j, m := a.job, a.machine
 	j.task(a.task).live = a
@@ -41,13 +41,13 @@
 
 // detach ends an attempt's account. It must be called only on proof that the
 // attempt is gone and can't start any more.
-func (l *leader) detach(a *attempt, why string) {
+func (l *leader) detach(a *attempt, reason string) {
 	j, m := a.job, a.machine
 	t := j.task(a.task)
 	if t.live != a {
 		return
 	}
-	l.controller.log.Debug("attempt gone", "job", j.ID, "task", a.task, "attempt", a.number, "machine", m.Name, "why", why)
+	l.controller.log.Debug("attempt terminated", "job", j.ID, "task", a.task, "attempt", a.number, "machine", m.Name, "reason", reason)
 	l.rebalancer.attemptDetached(a)
 	l.setTaskState(a, 0)
 	t.live = nil
@@ -100,7 +100,7 @@
 		l.taskRuns(a.job)
 		l.rebalancer.attemptRuns(a)
 		if !a.delivery.Inherited {
-			l.controller.log.Debug("task runs", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
+			l.controller.log.Debug("task running", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
 				"within", a.job.withinQuota, "placed", l.controller.now.Sub(a.placedAt), "age", l.controller.now.Round(0).Sub(a.job.submitted))
 		}
 	}
@@ -148,7 +148,7 @@
 		return
 	}
 	j.finalState = s
-	l.controller.log.Debug("job over", "job", j.ID, "cancelled", s == protocol.Cancelled, "done", j.doneTasks, "live", j.liveAttempts)
+	l.controller.log.Debug("job finished", "job", j.ID, "cancelled", s == protocol.Cancelled, "done", j.doneTasks, "live", j.liveAttempts)
 	j.retryQueue = nil
 	j.firstUnstarted = j.Tasks
 	for _, chunk := range j.chunks {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"brasskeel/internal/coordination/autoscaler"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -33,16 +34,16 @@
 	tasks int
 }
 
-// autoscaler rents and returns machines.
-type autoscaler struct {
+// scaler is what a leader keeps to rent and return machines.
+type scaler struct {
 	callBudget           *records.Budget
 	unmetDemand          []demand
 	displacedReplicas    map[*job]int // replicas that silent machines are kept for, until there is room
 	demandIncomplete     bool         // the last round ended early: unmet isn't all there is
 	scaleOutScheduled    bool
 	requestCount         uint64
-	unavailableUntil     map[offerKey]time.Time // offers without capacity
-	requested            map[offerKey]int       // machines asked for, by offer
+	unavailableUntil     map[autoscaler.OfferKey]time.Time // offers without capacity
+	requested            map[autoscaler.OfferKey]int       // machines asked for, by offer
 	releaseInFlight      bool
 	inventoryInFlight    bool
 	inventoryRequestedAt time.Time // when the list was last asked for
@@ -53,10 +54,10 @@
 	largestOnDemand      float64 // CPUs of the largest job seen that may not use spot machines
 }
 
-func (f *autoscaler) init(l *leader) {
+func (f *scaler) init(l *leader) {
 	rps := l.controller.cfg.CloudRPS
 	f.callBudget = records.NewBudget(rps*0.9, rps*1.5, l.controller.now)
-	f.unavailableUntil, f.requested = map[offerKey]time.Time{}, map[offerKey]int{}
+	f.unavailableUntil, f.requested = map[autoscaler.OfferKey]time.Time{}, map[autoscaler.OfferKey]int{}
 }
 
 // scheduleScaleOut wants the fleet looked at before its next turn.
@@ -145,7 +146,7 @@
 			u.pinned++
 		}
 	}
-	c.log.Debug("fleet", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "fixed", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmetDemand), "lag", c.overload.Lag().Round(time.Millisecond),
+	c.log.Debug("fleet utilization", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "on_demand", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmetDemand), "lag", c.overload.Lag().Round(time.Millisecond),
 		"traffic", fmt.Sprintf("%+v", c.requestCounts))
 	c.requestCounts = requestCounts{}
 }
--- /dev/null
+++ b/internal/coordination/autoscaler/offers.go
@@ -0,0 +1,138 @@
+package autoscaler
+
+import (
+	"cmp"
+	"slices"
+
+	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/protocol"
+)
+
+// Offer is one kind of machine that can be rented.
+type Offer struct {
+	Spec *protocol.MachineType
+	Zone string
+	Spot bool // for less, and taken back by the cloud at any time
+}
+
+// OfferKey names an offer, whatever its price is now.
+type OfferKey struct {
+	Type, Zone string
+	Spot       bool
+}
+
+// Key is the name of the offer.
+func (o Offer) Key() OfferKey { return OfferKey{o.Spec.Name, o.Zone, o.Spot} }
+
+// Price is that of a machine for an hour.
+func (o Offer) Price() float64 {
+	if o.Spot {
+		return o.Spec.SpotPricePerHour
+	}
+	return o.Spec.PricePerHour
+}
+
+// PricePerCPU is the price of a machine by the CPUs that it has.
+func (o Offer) PricePerCPU() float64 { return o.Price() / o.Spec.CPUs }
+
+// Allows reports whether a job's tasks may run on such a machine.
+func (o Offer) Allows(j *protocol.Job) bool {
+	return j.AllowsType(o.Spec.Name) && o.Spec.Fits(j) && (j.Zone == "" || j.Zone == o.Zone) && (j.AllowSpot || !o.Spot)
+}
+
+// tasksPerMachine is how many tasks of a job a machine of the offer holds.
+func (o Offer) tasksPerMachine(j *protocol.Job) float64 {
+	fit := float64(placement.MaxTaskReportBytes / protocol.TaskStatusBytes(j.ID))
+	if j.CPUs > 0 {
+		fit = min(fit, float64(int(o.Spec.CPUs/j.CPUs+protocol.Epsilon)))
+	}
+	if j.GPUs > 0 {
+		fit = min(fit, float64(int(o.Spec.GPUs/j.GPUs+protocol.Epsilon)))
+	}
+	if j.MemoryGB > 0 {
+		fit = min(fit, float64(int(o.Spec.MemoryGB/j.MemoryGB+protocol.Epsilon)))
+	}
+	return fit
+}
+
+func (k OfferKey) compare(o OfferKey) int {
+	return cmp.Or(cmp.Compare(k.Type, o.Type), cmp.Compare(k.Zone, o.Zone), compareBool(k.Spot, o.Spot))
+}
+
+// compareBool has false first.
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return 1
+	}
+	return -1
+}
+
+// Catalog is what the cloud offers.
+type Catalog struct {
+	Types map[string]*protocol.MachineType
+	Spot  bool // spot machines may be rented
+}
+
+// Offers are those that are available, cheapest per CPU first.
+func (c Catalog) Offers(available func(OfferKey) bool) []Offer {
+	var list []Offer
+	add := func(o Offer) {
+		if available(o.Key()) {
+			list = append(list, o)
+		}
+	}
+	for _, t := range c.Types {
+		for _, zone := range t.Zones {
+			add(Offer{t, zone, false})
+			if c.Spot && t.SpotPricePerHour > 0 {
+				add(Offer{t, zone, true})
+			}
+		}
+	}
+	slices.SortFunc(list, func(a, b Offer) int {
+		return cmp.Or(cmp.Compare(a.PricePerCPU(), b.PricePerCPU()), a.Key().compare(b.Key()))
+	})
+	return list
+}
+
+// opportunisticPriceFactor is how many times the lowest price per CPU, of all that a job may
+// use, is paid for work that takes what is idle.
+const opportunisticPriceFactor = 1.5
+
+// TooExpensive reports whether an offer costs too much for a job that takes what is idle, and
+// what is cheap.
+func (c Catalog) TooExpensive(j *protocol.Job, o Offer) bool {
+	lowest := 0.0
+	for _, t := range c.Types {
+		for _, spot := range []bool{false, c.Spot && t.SpotPricePerHour > 0 && j.AllowSpot} {
+			price := Offer{Spec: t, Spot: spot}.PricePerCPU()
+			if j.AllowsType(t.Name) && t.Fits(j) && (lowest == 0 || price < lowest) {
+				lowest = price
+			}
+		}
+	}
+	return o.PricePerCPU() > opportunisticPriceFactor*lowest
+}
+
+// Best is the cheapest of some offers for tasks of a job, by the price of the share of a
+// machine that they use; a machine much too large for the tasks that are left counts in full.
+// It is false where none will do.
+func Best(offers []Offer, j *protocol.Job, tasks int, zoneAllowed func(zone string) bool) (best Offer, found bool) {
+	bestCost := 0.0
+	for _, o := range offers {
+		if !o.Allows(j) || !zoneAllowed(o.Zone) {
+			continue
+		}
+		fit := o.tasksPerMachine(j)
+		if fit < 1 {
+			continue
+		}
+		if cost := o.Price() / min(fit, float64(max(tasks, 2))); !found || cost < bestCost {
+			best, bestCost, found = o, cost, true
+		}
+	}
+	return best, found
+}
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -1,6 +1,10 @@
 package coordination
 
-import "time"
+import (
+	"time"
+
+	"brasskeel/internal/coordination/autoscaler"
+)
 
 // Machines that boot late, or never. A machine overdue is replaced and in the end
 // returned. Where most are overdue at once the cloud is slow, and replacements would be
@@ -72,10 +76,10 @@
 
 // bootingBins lists the room of machines that boot, leaving out those that are replaced:
 // some never come up, and work doesn't wait for them.
-func (l *leader) bootingBins() []*bin {
+func (l *leader) bootingBins() []*autoscaler.Bin {
 	b := l.bootProgress()
 	without := b.replaced()
-	var bins []*bin
+	var bins []*autoscaler.Bin
 	for _, m := range l.fleetList {
 		if !l.booting(m) {
 			continue
@@ -84,7 +88,7 @@
 			without--
 			continue
 		}
-		bins = append(bins, newBin(offer{m.Spec, m.Zone, m.Spot}))
+		bins = append(bins, autoscaler.NewBin(m.offer()))
 	}
 	return bins
 }
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		room = true
-		if m.Consolidating && j.CheckpointInterval > 0 && l.overpriced(j, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
+		if m.Consolidating && j.CheckpointInterval > 0 && l.overpriced(j, m.offer()) {
 			continue // it would soon have to leave again
 		}
 		if !l.avoidsMachine(j, m) {
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -48,7 +48,7 @@
 		if !m.replicasFitElsewhere(plan.get(), false) {
 			continue
 		}
-		c.logSampled("moving replicas", "machine", m.Name, "attempts", len(m.attempts))
+		c.logSampled("replicas evicted for consolidation", "machine", m.Name, "attempts", len(m.attempts))
 		if !m.Consolidating {
 			fixedRoom -= l.onDemandRoom(m)
 		}
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"slices"
 	"time"
 
 	"brasskeel/internal/coordination/limits"
@@ -115,57 +116,71 @@
 
 func (r *inventoryRead) end() { r.leader.autoscaler.inventoryInFlight = false }
 
+// reconcileInventory compares an inventory that was read in full with the machines that are
+// known.
 func (l *leader) reconcileInventory(list []protocol.ListedMachine) {
-	c := l.controller
-	seen := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for i := range list {
-		it := &list[i]
-		seen[it.Name] = true
-		m := l.machines[it.Name]
-		if m == nil {
-			if at, ok := l.terminated[it.Name]; ok && c.now.Sub(at) < 3*c.cfg.ListLag+10*time.Second {
-				continue // the list is older than its end
-			}
-			if it.State == protocol.Failed {
-				m = l.adoptMachine(it.Name, it.Type, it.Zone, it.Spot, it.Age)
-				l.machineTerminated(m, "failed")
-				l.releaseUnknownFailed(it.Name)
-				continue
-			}
-			m = l.adoptMachine(it.Name, it.Type, it.Zone, it.Spot, it.Age)
-		}
-		if m.addr == "" {
-			m.addr = it.Addr
-		}
-		m.lifecycle.unlistedSince = time.Time{}
-		if it.State == protocol.Failed && !m.lifecycle.releasing() {
-			// It has stopped on its own, which is proof; returning it takes it
-			// off the list.
-			for _, a := range m.sortedAttempts() {
-				l.detach(a, "machine failed")
-			}
-			m.lifecycle.draining = true
-			l.release(m, "failed")
+		listed[list[i].Name] = true
+		l.reconcileListed(&list[i])
+	}
+	for _, m := range slices.Clone(l.fleetList) {
+		if !listed[m.Name] {
+			l.reconcileUnlisted(m)
 		}
 	}
-	for _, m := range append([]*machine(nil), l.fleetList...) {
-		// A list may be as old as twice its lag. One that should show the
-		// machine and doesn't proves that it is gone, once that holds for
-		// longer than any list can lag.
-		if seen[m.Name] || m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < 3*c.cfg.ListLag+10*time.Second {
-			continue
+}
+
+// reconcileListed takes in a machine that the inventory shows.
+func (l *leader) reconcileListed(it *protocol.ListedMachine) {
+	c := l.controller
+	m := l.machines[it.Name]
+	if m == nil {
+		if at, ok := l.terminated[it.Name]; ok && c.now.Sub(at) < c.inventoryHorizon() {
+			return // the inventory is older than its end
 		}
-		if m.session.Registered && c.now.Sub(m.session.LastSeen) < 3*c.cfg.ListLag {
-			continue
+		m = l.adoptMachine(it.Name, it.Type, it.Zone, it.Spot, it.Age)
+		if it.State == protocol.Failed {
+			l.machineTerminated(m, "failed")
+			l.releaseUnknownFailed(it.Name)
+			return
 		}
-		if m.lifecycle.unlistedSince.IsZero() {
-			m.lifecycle.unlistedSince = c.now
-		} else if c.now.Sub(m.lifecycle.unlistedSince) > 2*c.cfg.ListLag+5*time.Second {
-			l.release(m, "not listed")
+	}
+	if m.addr == "" {
+		m.addr = it.Addr
+	}
+	m.lifecycle.unlistedSince = time.Time{}
+	if it.State == protocol.Failed && !m.lifecycle.releasing() {
+		// It has stopped on its own, which is proof; returning it takes it off the list.
+		for _, a := range m.sortedAttempts() {
+			l.detach(a, "machine failed")
 		}
+		m.lifecycle.draining = true
+		l.release(m, "failed")
 	}
 }
 
+// reconcileUnlisted releases a machine that inventories lack. One may be as old as twice its
+// lag. One that should show the machine and doesn't proves that it is gone, once that holds
+// for longer than any inventory can lag.
+func (l *leader) reconcileUnlisted(m *machine) {
+	c := l.controller
+	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.inventoryHorizon() {
+		return
+	}
+	if m.session.Registered && c.now.Sub(m.session.LastSeen) < 3*c.cfg.ListLag {
+		return
+	}
+	if m.lifecycle.unlistedSince.IsZero() {
+		m.lifecycle.unlistedSince = c.now
+	} else if c.now.Sub(m.lifecycle.unlistedSince) > 2*c.cfg.ListLag+5*time.Second {
+		l.release(m, "not listed")
+	}
+}
+
+// inventoryHorizon is how long after a change any inventory that is read shows it.
+func (c *Controller) inventoryHorizon() time.Duration { return 3*c.cfg.ListLag + 10*time.Second }
+
 // releaseUnknownFailed takes a failed machine that nobody knows off the list.
 func (l *leader) releaseUnknownFailed(name string) {
 	if l.autoscaler.callBudget.Take(l.controller.now, 1) {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -32,7 +32,7 @@
 	stopping      map[string]usage     // of the teams' work, what was told to stop
 	terminated    map[string]time.Time // machines proven gone, while lists may still show them
 	journal       journal
-	autoscaler    autoscaler
+	autoscaler    scaler
 	rebalancer    *rebalancer       // nil while balance is off
 	shards        *shardCoordinator // nil when this leader serves all machines itself
 
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -449,12 +449,12 @@
 	}
 	l = bootingFleet(machines)
 	g := l.newScaleOutPlan()
-	g.limit = maxPlannedMachines
+	g.Limit = maxPlannedMachines
 	for _, d := range l.autoscaler.unmetDemand {
-		g.planDemand(d)
+		g.Add(l.plannedDemand(d))
 	}
-	if g.binsVisited > perBin*machines {
-		t.Errorf("%d bins were looked at in a fleet of %d", g.binsVisited, machines)
+	if g.BinsVisited > perBin*machines {
+		t.Errorf("%d bins were looked at in a fleet of %d", g.BinsVisited, machines)
 	}
 }
 
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -76,7 +76,7 @@
 	m := l.newMachine(name, typ, zone, spot)
 	m.provisionedAt = l.controller.now.Add(-age)
 	if l.phase != phaseLoading { // else its record may be read yet
-		l.controller.logSampled("unexpected machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
+		l.controller.logSampled("unrecorded machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
 		l.journal.putMachine(m)
 	}
 	return m
@@ -140,19 +140,19 @@
 }
 
 // machineTerminated ends a machine on proof: all that was on it is gone.
-func (l *leader) machineTerminated(m *machine, why string) {
+func (l *leader) machineTerminated(m *machine, reason string) {
 	if m.removed {
 		return
 	}
 	m.removed = true
-	l.controller.logSampled("machine gone", "machine", m.Name, "why", why, "attempts", len(m.attempts))
+	l.controller.logSampled("machine terminated", "machine", m.Name, "reason", reason, "attempts", len(m.attempts))
 	l.terminated[m.Name] = l.controller.now
 	delete(l.machines, m.Name)
 	if i := slices.Index(l.fleetList, m); i >= 0 {
 		l.fleetList = slices.Delete(l.fleetList, i, i+1)
 	}
 	for _, a := range m.sortedAttempts() {
-		l.detach(a, "machine gone")
+		l.detach(a, "machine terminated")
 	}
 	if l.shards != nil {
 		l.shards.machineTerminated(m)
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"brasskeel/internal/config"
+	"brasskeel/internal/coordination/autoscaler"
 	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/coordination/quarantine"
 	"brasskeel/internal/coordination/queue"
@@ -289,12 +290,12 @@
 	l.teamUsage["guest"] = &usage{}
 	guest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Team = "guest" })
 	other := addTestJob(l, "run-000002", func(*protocol.Job) {})
-	dear := offer{spec: c.types["small"], zone: "a"} // twice the price of a spot machine
-	if !l.overpriced(guest, dear) || l.overpriced(other, dear) || l.overpriced(guest, offer{spec: dear.spec, zone: "a", spot: true}) {
+	dear := autoscaler.Offer{Spec: c.types["small"], Zone: "a"} // twice the price of a spot machine
+	if !l.overpriced(guest, dear) || l.overpriced(other, dear) || l.overpriced(guest, autoscaler.Offer{Spec: dear.Spec, Zone: "a", Spot: true}) {
 		t.Error("prices are judged wrongly")
 	}
 	// Spot machines have run out.
-	l.autoscaler.unavailableUntil[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
+	l.autoscaler.unavailableUntil[autoscaler.Offer{Spec: dear.Spec, Zone: "a", Spot: true}.Key()] = c.now.Add(time.Hour)
 	for _, test := range []struct {
 		job   *job
 		rents bool
@@ -309,7 +310,7 @@
 	c.now = c.now.Add(queue.StarvingAfter)
 	clear(l.autoscaler.requested)
 	l.autoscaler.unmetDemand = []demand{{guest, guest.Tasks}}
-	l.autoscaler.unavailableUntil[offer{spec: dear.spec, zone: "a", spot: true}.key()] = c.now.Add(time.Hour)
+	l.autoscaler.unavailableUntil[autoscaler.Offer{Spec: dear.Spec, Zone: "a", Spot: true}.Key()] = c.now.Add(time.Hour)
 	c.take()
 	l.scaleOut()
 	if calls := c.take().Calls; len(calls) != 1 || !bytes.Contains(calls[0].Body, []byte(`"howMany":1}`)) {
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"brasskeel/internal/coordination/autoscaler"
 )
 
 // What operators see, at level info, of tasks that are pending and of a controller that can't
@@ -71,7 +73,7 @@
 
 // pendingReasonOf is why a job's tasks are pending, the first that applies. booting says whether
 // any machine boots, open which instances the cloud offers.
-func (l *leader) pendingReasonOf(j *job, booting bool, open []offer) pendingReason {
+func (l *leader) pendingReasonOf(j *job, booting bool, open []autoscaler.Offer) pendingReason {
 	switch {
 	case l.phase != phaseActive:
 		return pendingReports
@@ -90,7 +92,7 @@
 	}
 	reason := pendingCloudCapacity
 	for _, o := range open {
-		if o.allows(j.Job) && j.zoneAllowed(o.zone) {
+		if o.Allows(j.Job) && j.zoneAllowed(o.Zone) {
 			if !l.overpriced(j, o) {
 				return pendingRoom
 			}
@@ -108,7 +110,7 @@
 
 // summarizePending looks at all jobs that have been pending for long enough to tell.
 func (l *leader) summarizePending(booting bool) (sum pendingSummary) {
-	var open []offer
+	var open []autoscaler.Offer
 	now := l.controller.now.Round(0)
 	for _, j := range l.jobsByAge {
 		left := j.pendingTasks()
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -4,19 +4,20 @@
 	"fmt"
 	"time"
 
+	"brasskeel/internal/coordination/autoscaler"
 	"brasskeel/internal/protocol"
 )
 
 // requestMachines asks the cloud for machines.
-func (l *leader) requestMachines(o offer, count int) {
+func (l *leader) requestMachines(o autoscaler.Offer, count int) {
 	c, f := l.controller, &l.autoscaler
 	f.requestCount++
 	// Never used again, by this node or another: terms are unique, and so is
 	// the counter within one.
 	name := fmt.Sprintf("t%d-%d", l.term, f.requestCount)
-	key := o.key()
+	key := o.Key()
 	f.requested[key] += count
-	c.call(Cloud, "", "POST", protocol.PathMachines, protocol.EncodeProvision(name, o.spec.Name, o.zone, o.spot, count), cloudTimeout, func(out Outcome) {
+	c.call(Cloud, "", "POST", protocol.PathMachines, protocol.EncodeProvision(name, o.Spec.Name, o.Zone, o.Spot, count), cloudTimeout, func(out Outcome) {
 		if !l.alive() {
 			return
 		}
@@ -29,17 +30,17 @@
 			}
 			for _, m := range names {
 				if l.machines[m] == nil && l.terminated[m].IsZero() {
-					l.journal.putMachine(l.newMachine(m, o.spec.Name, o.zone, o.spot))
+					l.journal.putMachine(l.newMachine(m, o.Spec.Name, o.Zone, o.Spot))
 				}
 			}
-			c.log.Info("machines rented", "type", o.spec.Name, "zone", o.zone, "spot", o.spot, "asked", count, "got", len(names))
+			c.log.Info("machines provisioned", "type", o.Spec.Name, "zone", o.Zone, "spot", o.Spot, "requested", count, "count", len(names))
 			if len(names) < count {
 				f.unavailableUntil[key] = c.now.Add(noCapacityPause)
 			}
 			l.scheduleScaleOut()
 		case out.Answered && out.Status == 503 && protocol.NoCapacity(out.Body):
 			if c.now.Sub(f.unavailableUntil[key]) > noCapacityPause { // else it was so the last time, too
-				c.log.Info("no capacity", "type", o.spec.Name, "zone", o.zone, "spot", o.spot)
+				c.log.Info("instance offer without capacity", "type", o.Spec.Name, "zone", o.Zone, "spot", o.Spot)
 			}
 			f.unavailableUntil[key] = c.now.Add(noCapacityPause)
 			l.scheduleScaleOut()
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/autoscaler"
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/coordination/placement"
@@ -117,8 +118,8 @@
 		b.likelyBoots = l.likelyBootTimes()
 	}
 	for kind, up := range b.likelyBoots {
-		t := l.controller.types[kind.typ]
-		if t != nil && !up.After(until) && (offer{t, kind.zone, kind.spot}).allows(j.Job) && j.zoneAllowed(kind.zone) {
+		t := l.controller.types[kind.Type]
+		if t != nil && !up.After(until) && (autoscaler.Offer{Spec: t, Zone: kind.Zone, Spot: kind.Spot}).Allows(j.Job) && j.zoneAllowed(kind.Zone) {
 			return true
 		}
 	}
@@ -127,13 +128,13 @@
 
 // likelyBootTimes is when the first of the machines of a kind that boot is likely to be up. Those
 // that are late count for nothing.
-func (l *leader) likelyBootTimes() map[offerKey]time.Time {
-	list := map[offerKey]time.Time{}
+func (l *leader) likelyBootTimes() map[autoscaler.OfferKey]time.Time {
+	list := map[autoscaler.OfferKey]time.Time{}
 	for _, m := range l.fleetList {
 		if !l.booting(m) || l.bootOverdue(m) {
 			continue
 		}
-		key, up := offerKey{m.Type, m.Zone, m.Spot}, m.provisionedAt.Add(m.Spec.BootTime)
+		key, up := autoscaler.OfferKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.provisionedAt.Add(m.Spec.BootTime)
 		if first, ok := list[key]; !ok || up.Before(first) {
 			list[key] = up
 		}
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/autoscaler"
 	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/placement"
 	"brasskeel/internal/protocol"
@@ -18,7 +19,7 @@
 	teams       map[string]*balancedTeam
 	classes     map[classOnType]*balance.Runs
 	migrations  migrations
-	likelyBoots map[offerKey]time.Time // when the first machine of a kind is likely up; nil: not looked at in this round
+	likelyBoots map[autoscaler.OfferKey]time.Time // when the first machine of a kind is likely up; nil: not looked at in this round
 }
 
 // balancedTeam is a team with its surge.
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"brasskeel/internal/coordination/autoscaler"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -54,7 +55,7 @@
 		t.Errorf("without room %d of 4 are returned, and %d replicas want room", got, l.autoscaler.displacedReplicas[l.jobsByAge[0]])
 	}
 	l.scaleOut()
-	if rented := l.autoscaler.requested[offer{c.types["small"], "a", false}.key()]; rented != 4 {
+	if rented := l.autoscaler.requested[autoscaler.Offer{Spec: c.types["small"], Zone: "a"}.Key()]; rented != 4 {
 		t.Errorf("%d machines are rented for eight replicas of half a machine", rented)
 	}
 	add(20)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"slices"
 	"sort"
 	"time"
 
@@ -8,67 +9,95 @@
 	"brasskeel/internal/protocol"
 )
 
-// scaleIn returns machines that are not needed: empty ones beyond the headroom,
-// ones that never came up, and ones given up.
+// scaleIn returns machines that are not needed: empty ones beyond the headroom, ones that
+// never came up, and ones given up. Tasks spread over all machines, and waiting for one to be
+// empty by chance would keep them all: so it marks machines to be consolidated, which take
+// tasks only when no other has room.
 func (l *leader) scaleIn() {
-	c := l.controller
 	l.releaseOverdueBoots()
-	used, free, fixedRoom := 0.0, 0.0, 0.0
-	for _, m := range l.fleetList {
-		if m.Spec != nil && m.session.Registered && m.lifecycle.inService() {
-			used += m.Allocated.CPUs
-			if !m.Consolidating {
-				free += m.Spec.CPUs - m.Allocated.CPUs
-				fixedRoom += l.onDemandRoom(m)
-			}
-		}
-	}
-	want := l.headroomFor(used)
-	fixedNeed := l.onDemandReserve()
+	room := l.spareRoom()
 	var candidates []*machine
-	plan := &lazyPlanner{leader: l}
-	for _, m := range append([]*machine(nil), l.fleetList...) {
-		if m.lifecycle.releasing() {
-			continue
-		}
-		age := c.now.Sub(m.provisionedAt)
-		switch {
-		case m.lifecycle.draining && len(m.attempts) == 0:
-			l.release(m, "drained")
-		case m.Spec == nil && m.session.Registered && len(m.attempts) == 0:
-			l.release(m, "unknown type")
-		case m.lifecycle.preemptionNoticed() && c.now.After(m.lifecycle.preemptionAt.Add(2*time.Second)) && len(m.attempts) == 0:
-			l.release(m, "taken")
-		case m.Consolidating && len(m.attempts) == 0 && m.reservedMoves == 0 && age > minimumBilledTime && c.now.Sub(m.emptySince) > c.op.Idle():
-			l.release(m, "not needed")
-		case m.Consolidating && l.evictOpportunistic(m):
-		case m.Consolidating && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(plan.get(), true):
-			m.Consolidating = false // it stays for its replicas, so others may use it, too
-			plan.get().CancelEvacuation(&m.Machine)
-		case m.session.Registered && m.recorded && m.Spec != nil && !m.lifecycle.draining && !m.Consolidating && m.reservedMoves == 0 && !m.lifecycle.preemptionNoticed():
+	planner := &lazyPlanner{leader: l}
+	for _, m := range slices.Clone(l.fleetList) {
+		if !m.lifecycle.releasing() && l.retire(m, planner) {
 			candidates = append(candidates, m)
 		}
 	}
 	if l.autoscaler.demandIncomplete {
 		return // what seems to be free is needed as soon as records allow
 	}
-	// Tasks spread over all machines: waiting for one to be empty by chance
-	// would keep them all.
 	sortByPriceDescending(candidates)
 	for _, m := range candidates {
-		room := l.onDemandRoom(m)
-		if free-(m.Spec.CPUs-m.Allocated.CPUs) < want+m.Allocated.CPUs || room > 0 && fixedRoom-room < fixedNeed {
-			continue
-		}
 		// Replicas would hold it for long, unless they can go elsewhere.
-		if m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(plan.get(), false)) {
+		if !room.spares(l, m) || m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(planner.get(), false)) {
 			continue
 		}
-		free -= m.Spec.CPUs - m.Allocated.CPUs
-		fixedRoom -= room
+		room.remove(l, m)
 		m.Consolidating = true
-		c.log.Debug("emptying machine", "machine", m.Name, "cpus", m.Allocated.CPUs)
+		l.controller.log.Debug("machine marked for consolidation", "machine", m.Name, "cpus", m.Allocated.CPUs)
+	}
+}
+
+// retire releases a machine that is empty and not needed, or lets one that is being
+// consolidated go on, and reports whether it may be consolidated next.
+func (l *leader) retire(m *machine, planner *lazyPlanner) (candidate bool) {
+	c := l.controller
+	empty := len(m.attempts) == 0
+	switch {
+	case m.lifecycle.draining && empty:
+		l.release(m, "drained")
+	case m.Spec == nil && m.session.Registered && empty:
+		l.release(m, "unknown type")
+	case m.lifecycle.preemptionNoticed() && c.now.After(m.lifecycle.preemptionAt.Add(2*time.Second)) && empty:
+		l.release(m, "preempted")
+	case m.Consolidating && empty && m.reservedMoves == 0 && c.now.Sub(m.provisionedAt) > minimumBilledTime && c.now.Sub(m.emptySince) > c.op.Idle():
+		l.release(m, "not needed")
+	case m.Consolidating && l.evictOpportunistic(m):
+	case m.Consolidating && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(planner.get(), true):
+		m.Consolidating = false // it stays for its replicas, so others may use it, too
+		planner.get().CancelEvacuation(&m.Machine)
+	default:
+		return m.session.Registered && m.recorded && m.Spec != nil && !m.lifecycle.draining && !m.Consolidating &&
+			m.reservedMoves == 0 && !m.lifecycle.preemptionNoticed()
+	}
+	return false
+}
+
+// spareRoom is the room of machines in service that aren't being consolidated, in CPUs.
+type spareRoom struct {
+	free            float64
+	onDemand        float64 // that work which may not use spot machines can have
+	headroom        float64 // wanted of the free room
+	onDemandReserve float64 // wanted of the other
+}
+
+func (l *leader) spareRoom() spareRoom {
+	var room spareRoom
+	used := 0.0
+	for _, m := range l.fleetList {
+		if m.Spec == nil || !m.session.Registered || !m.lifecycle.inService() {
+			continue
+		}
+		used += m.Allocated.CPUs
+		if !m.Consolidating {
+			room.free += m.Spec.CPUs - m.Allocated.CPUs
+			room.onDemand += l.onDemandRoom(m)
+		}
 	}
+	room.headroom, room.onDemandReserve = l.headroomFor(used), l.onDemandReserve()
+	return room
+}
+
+// spares reports whether a machine can be done without: what runs there must fit elsewhere.
+func (r *spareRoom) spares(l *leader, m *machine) bool {
+	onDemand := l.onDemandRoom(m)
+	return r.free-(m.Spec.CPUs-m.Allocated.CPUs) >= r.headroom+m.Allocated.CPUs && (onDemand <= 0 || r.onDemand-onDemand >= r.onDemandReserve)
+}
+
+// remove takes a machine's room out.
+func (r *spareRoom) remove(l *leader, m *machine) {
+	r.free -= m.Spec.CPUs - m.Allocated.CPUs
+	r.onDemand -= l.onDemandRoom(m)
 }
 
 // opportunisticMinimumRun is how long a guest's task runs before it has to leave a dear machine.
@@ -83,7 +112,7 @@
 	}
 	for _, a := range m.attemptList {
 		if a.stopRequested || a.job.CheckpointInterval == 0 || a.state != protocol.Running || l.controller.now.Sub(a.stateSince) < opportunisticMinimumRun ||
-			!l.overpriced(a.job, offer{spec: m.Spec, zone: m.Zone, spot: m.Spot}) {
+			!l.overpriced(a.job, m.offer()) {
 			return false
 		}
 	}
@@ -119,17 +148,13 @@
 func sortByPriceDescending(list []*machine) {
 	sort.SliceStable(list, func(i, k int) bool {
 		a, b := list[i], list[k]
-		if pa, pb := a.pricePerCPU(), b.pricePerCPU(); pa != pb {
+		if pa, pb := a.offer().PricePerCPU(), b.offer().PricePerCPU(); pa != pb {
 			return pa > pb
 		}
 		return a.Allocated.CPUs < b.Allocated.CPUs
 	})
 }
 
-func (m *machine) pricePerCPU() float64 {
-	return offer{spec: m.Spec, spot: m.Spot}.price() / m.Spec.CPUs
-}
-
 // unresponsive is why a machine is given up that may yet be heard again.
 const unresponsive = "unresponsive"
 
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -8,25 +8,25 @@
 
 // What a leader makes of what workers show.
 
-// workerRegistered implements observer.
+// workerRegistered implements sessionListener.
 func (l *leader) workerRegistered(*machine) { l.requestPlacement() }
 
-// incarnationBegan implements observer.
+// incarnationBegan implements sessionListener.
 func (l *leader) incarnationBegan(m *machine) {
 	m.Images.Reset()
 	l.rebalancer.incarnationBegan(m)
 }
 
-// addressChanged implements observer.
+// addressChanged implements sessionListener.
 func (l *leader) addressChanged(m *machine) { l.journal.changeGroup(m.group) }
 
-// preemptionNoticed implements observer.
+// preemptionNoticed implements sessionListener.
 func (l *leader) preemptionNoticed(m *machine) { l.drainForPreemption(m) }
 
-// tasksReconciled implements observer.
+// tasksReconciled implements sessionListener.
 func (l *leader) tasksReconciled(*machine) { l.checkReconciled() }
 
-// workerReached implements observer.
+// workerReached implements sessionListener.
 func (l *leader) workerReached(m *machine) {
 	l.revokeRelease(m)
 	if m.session.LastReached.IsZero() {
@@ -35,17 +35,17 @@
 	}
 }
 
-// probeFailed implements observer.
+// probeFailed implements sessionListener.
 func (l *leader) probeFailed(*machine) { l.checkReconciled() }
 
-// incarnationReset implements observer: the worker's sessions and numbers say no more which of
+// incarnationReset implements sessionListener: the worker's incarnations and numbers say no more which of
 // its messages is the newer one.
 func (l *leader) incarnationReset(m *machine) {
 	m.lifecycle.draining = true
 	l.release(m, "its worker began anew")
 }
 
-// taskStateReported implements observer.
+// taskStateReported implements sessionListener.
 func (l *leader) taskStateReported(a *attempt, s protocol.TaskState) {
 	m := a.machine
 	if s == protocol.Running && a.state != protocol.Running {
@@ -54,18 +54,18 @@
 	l.setTaskState(a, s)
 }
 
-// attemptTerminated implements observer.
-func (l *leader) attemptTerminated(a *attempt, why string) { l.detach(a, why) }
+// attemptTerminated implements sessionListener.
+func (l *leader) attemptTerminated(a *attempt, reason string) { l.detach(a, reason) }
 
-// orphanReported implements observer: not a task of ours on this machine, or not any more.
+// orphanReported implements sessionListener: not a task of ours on this machine, or not any more.
 func (l *leader) orphanReported(*machine, *protocol.TaskStatus) bool { return true }
 
-// newerTokenSeen implements observer.
+// newerTokenSeen implements sessionListener.
 func (l *leader) newerTokenSeen(*machine) {
 	l.controller.election.StepDown("a worker has seen a later term")
 }
 
-// taskExitReported implements observer.
+// taskExitReported implements sessionListener.
 func (l *leader) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) bool {
 	j := l.jobs[t.Job]
 	if t.Reason == protocol.ExitDone && j != nil && t.TaskIndex < j.Tasks {
@@ -83,7 +83,7 @@
 			l.attemptFailed(m, a)
 		}
 		if t.Reason == protocol.ExitNoRoom || t.Reason == protocol.ExitBusy || t.Reason == protocol.ExitUnknown {
-			l.controller.logSampled("start refused", "machine", m.Name, "job", t.Job, "task", t.TaskIndex, "why", t.Reason)
+			l.controller.logSampled("task start refused", "machine", m.Name, "job", t.Job, "task", t.TaskIndex, "reason", t.Reason)
 			j.backoffUntil = l.controller.now.Add(500 * time.Millisecond)
 			l.controller.after(510*time.Millisecond, func() {
 				if l.alive() {
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -314,38 +314,38 @@
 	return m.session.Registered || m.registeredBefore || len(m.attemptList) > 0
 }
 
-// workerRegistered implements observer.
+// workerRegistered implements sessionListener.
 func (o *shardOwner) workerRegistered(m *machine) { o.feed.workerChanged(m) }
 
-// incarnationBegan implements observer.
+// incarnationBegan implements sessionListener.
 func (o *shardOwner) incarnationBegan(m *machine) { o.feed.workerChanged(m) }
 
-// addressChanged implements observer.
+// addressChanged implements sessionListener.
 func (o *shardOwner) addressChanged(m *machine) { o.feed.workerChanged(m) }
 
-// preemptionNoticed implements observer.
+// preemptionNoticed implements sessionListener.
 func (o *shardOwner) preemptionNoticed(m *machine) { o.feed.workerChanged(m) }
 
-// tasksReconciled implements observer.
+// tasksReconciled implements sessionListener.
 func (o *shardOwner) tasksReconciled(m *machine) { o.feed.workerChanged(m) }
 
-// workerReached implements observer.
+// workerReached implements sessionListener.
 func (o *shardOwner) workerReached(m *machine) {
 	if m.session.LastReached.IsZero() {
 		o.feed.workerChanged(m)
 	}
 }
 
-// probeFailed implements observer: the status tells it.
+// probeFailed implements sessionListener: the status tells it.
 func (o *shardOwner) probeFailed(*machine) {}
 
-// incarnationReset implements observer.
+// incarnationReset implements sessionListener.
 func (o *shardOwner) incarnationReset(m *machine) {
 	m.incarnationReset = true
 	o.feed.workerChanged(m)
 }
 
-// taskStateReported implements observer.
+// taskStateReported implements sessionListener.
 func (o *shardOwner) taskStateReported(a *attempt, s protocol.TaskState) {
 	if a.state != s {
 		a.state, a.stateSince = s, o.controller.now
@@ -363,7 +363,7 @@
 // exitResendInterval is when the leader is told of an exit once more.
 const exitResendInterval = 3 * time.Second
 
-// taskExitReported implements observer. The exit is the proof that the attempt is gone; the
+// taskExitReported implements sessionListener. The exit is the proof that the attempt is gone; the
 // leader says when the worker may forget it.
 func (o *shardOwner) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool) {
 	key := taskKey{t.Job, t.TaskIndex}
@@ -385,14 +385,14 @@
 	return k.forget
 }
 
-// attemptTerminated implements observer.
+// attemptTerminated implements sessionListener.
 func (o *shardOwner) attemptTerminated(a *attempt, why string) {
 	o.controller.log.Debug("attempt terminated", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name, "reason", why)
 	o.removeAttempt(a)
 	o.feed.terminated(a, why)
 }
 
-// orphanReported implements observer: only the leader knows whether a task that it didn't
+// orphanReported implements sessionListener: only the leader knows whether a task that it didn't
 // tell of is to end.
 func (o *shardOwner) orphanReported(m *machine, t *protocol.TaskStatus) (stop bool) {
 	key := taskKey{t.Job, t.TaskIndex}
@@ -407,7 +407,7 @@
 	return false
 }
 
-// newerTokenSeen implements observer: somebody took the shard after this owner, which will
+// newerTokenSeen implements sessionListener: somebody took the shard after this owner, which will
 // see it in the table.
 func (o *shardOwner) newerTokenSeen(m *machine) {
 	o.controller.log.Info("worker has a later fencing token", "machine", m.Name, "shard", m.shard)
@@ -419,10 +419,10 @@
 	}
 }
 
-// jobRecorded implements observer: of a job, the owner needs no more than its name.
+// jobRecorded implements sessionListener: of a job, the owner needs no more than its name.
 func (o *shardOwner) jobRecorded(id string, _ json.RawMessage, _ bool) { o.job(id) }
 
-// jobEnded implements observer: its tasks are stopped without waiting for the leader.
+// jobEnded implements sessionListener: its tasks are stopped without waiting for the leader.
 func (o *shardOwner) jobEnded(j *job, s protocol.JobState) {
 	j.finalState = s
 	held := slices.Collect(maps.Keys(j.held))
@@ -434,7 +434,7 @@
 	}
 }
 
-// jobRemoved implements observer.
+// jobRemoved implements sessionListener.
 func (o *shardOwner) jobRemoved(id string) { delete(o.jobs, id) }
 
 // job gives a job by its name, known or not.
--- a/internal/coordination/types.go
+++ b/internal/coordination/types.go
@@ -49,6 +49,6 @@
 	c.types = make(map[string]*protocol.MachineType, len(types))
 	for i := range types {
 		c.types[types[i].Name] = &types[i]
-		c.log.Debug("machine type", "type", types[i].Name, "zones", types[i].Zones, "price", types[i].PricePerHour, "spot", types[i].SpotPricePerHour)
+		c.log.Debug("machine type loaded", "type", types[i].Name, "zones", types[i].Zones, "price", types[i].PricePerHour, "spot", types[i].SpotPricePerHour)
 	}
 }
