--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -15,11 +15,12 @@
 
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination"
+	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/transport"
 )
 
 // A peer's stream takes every line that the core makes: this doesn't compile otherwise.
-const _ = uint(transport.MaxPeerLine - coordination.MaxPeerMessage)
+const _ = uint(transport.MaxPeerLine - peers.MaxMessage)
 
 func logLevel(name string) (slog.Level, error) {
 	switch name {
@@ -164,7 +165,7 @@
 		k := &e.Calls[i]
 		addr := k.Addr
 		switch k.To {
-		case coordination.State:
+		case coordination.StateService:
 			addr = c.cfg.State
 		case coordination.Cloud:
 			addr = c.cfg.Cloud
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -117,7 +117,7 @@
 		c.health(id)
 		return
 	case protocol.RouteHeartbeat:
-		c.requestCounts.Reports++
+		c.requestCounts.Heartbeats++
 		c.heartbeat(id, body)
 		return
 	}
@@ -131,7 +131,7 @@
 		c.requestCounts.Submissions++
 		c.submit(id, body)
 	case protocol.RouteJob:
-		c.requestCounts.Polls++
+		c.requestCounts.StatusQueries++
 		c.queryStatus(id, job)
 	case protocol.RouteCancel:
 		c.cancel(id, job)
@@ -143,7 +143,7 @@
 // cut off from both. In an outage that peers confirm, no node is better than
 // another, and leaving the balancer would only cost time when it ends.
 func (c *Controller) health(id uint64) {
-	if c.storeDown() && len(c.cfg.Peers) > 0 && (c.peerReachesStore() || !c.heardFromPeer()) {
+	if c.storeDown() && len(c.cfg.Peers) > 0 && (c.peers.StoreReachable(c.now) || !c.peers.AnyFresh(c.now)) {
 		c.refuse(id, 503, "the state service refuses this node")
 		return
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -121,7 +121,7 @@
 	atSizes(b, func(b *testing.B, machines int) {
 		c, l := largeLead(machines, benchJobs(machines))
 		fill(l)
-		c.take()
+		c.takeEffects()
 		m := l.fleetList[0]
 		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, FencingToken: l.epoch.BaseToken()}
 		for _, a := range m.sortedAttempts() {
@@ -160,7 +160,7 @@
 			r.Tasks = append(r.Tasks, protocol.TaskStatus{Job: j.ID, TaskIndex: i, Attempt: 1, State: protocol.Exited, Reason: protocol.ExitDone})
 		}
 		body := protocol.EncodeHeartbeat(r)
-		c.take()
+		c.takeEffects()
 		b.StartTimer()
 		c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body)
 	}
@@ -183,7 +183,7 @@
 			atSizes(b, func(b *testing.B, machines int) {
 				_, l := largeLead(machines, benchJobs(machines))
 				fill(l)
-				l.controller.take()
+				l.controller.takeEffects()
 				for b.Loop() {
 					l.autoscaler.callBudget.Take(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now)) // nothing is asked of the cloud
 					step.run(l)
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -42,7 +42,7 @@
 
 // scoreWeights are those that operators set.
 func (l *leader) scoreWeights() placement.Weights {
-	return placement.Weights{Image: l.controller.op.ImageWeight, Room: l.controller.op.RoomWeight}
+	return placement.Weights{Image: l.controller.operator.ImageWeight, Room: l.controller.operator.RoomWeight}
 }
 
 // findCandidates finds the machines that a job's tasks may be placed on now.
--- a/internal/coordination/deferred_heartbeats.go
+++ b/internal/coordination/deferred_heartbeats.go
@@ -7,20 +7,20 @@
 	"brasskeel/internal/protocol"
 )
 
-// deferredHeartbeat is a worker's report that waits for a leader to be known.
+// deferredHeartbeat is a worker's heartbeat that waits for a leader to be known.
 type deferredHeartbeat struct {
-	id       uint64
+	id       uint64 // of the request
 	body     []byte
-	deadline time.Time
+	deadline time.Time // when it is answered without a leader
 }
 
 const (
-	// maxHeartbeatDeferral is how long a report is held at the most: a worker waits 4 s, and an
-	// election takes about a leader's lease.
+	// maxHeartbeatDeferral is how long a heartbeat is deferred at the most: a worker waits 4 s,
+	// and an election takes about a leader's lease.
 	maxHeartbeatDeferral = 2500 * time.Millisecond
-	// A leader tells its peers every second how it is. One heard lately that now says
-	// nothing for leaderSuspectAfter may have lost its power; one that said nothing for long is
-	// rather cut off from this node alone.
+	// A leader broadcasts its status every second. One heard lately that now says nothing for
+	// leaderSuspectAfter may have lost its power; one that said nothing until
+	// leaderSuspectUntil is rather partitioned from this controller alone.
 	leaderSuspectAfter = 2200 * time.Millisecond
 	leaderSuspectUntil = 15 * time.Second
 )
@@ -35,28 +35,28 @@
 	if p == nil {
 		return false
 	}
-	quiet := c.now.Sub(p.heardAt)
+	quiet := c.now.Sub(p.HeardAt)
 	return quiet > leaderSuspectAfter && quiet < leaderSuspectUntil
 }
 
-// deferredHeartbeats are reports that wait, in the order in which they came. All are held for the
-// same time at the most, so that the first is the first to be given up.
+// deferredHeartbeats wait in the order in which they came. All are deferred for the same time
+// at the most, so that the first is the first to expire.
 type deferredHeartbeats struct {
 	queue       []deferredHeartbeat
-	expiryTimer *timer // at which the first one is given up
-	// until is when a report is given up that was held before and is taken up again; zero
-	// while none is.
+	expiryTimer *timer // of the first one; nil without any
+	// requeueDeadline is that of a heartbeat that was deferred before and is taken up again;
+	// zero while none is.
 	requeueDeadline time.Time
 }
 
-// takeAll empties the list.
+// takeAll empties the queue.
 func (h *deferredHeartbeats) takeAll() []deferredHeartbeat {
-	list := h.queue
+	queue := h.queue
 	h.queue = nil
-	return list
+	return queue
 }
 
-// deferHeartbeat keeps a report until a leader is known. A worker that is sent to a
+// deferHeartbeat keeps a heartbeat until a leader is known. A worker that is sent to a
 // machine without power waits there for 4 s, and where all controllers but one are
 // silent it went from one to the next until its lease was over.
 func (c *Controller) deferHeartbeat(id uint64, body []byte) {
@@ -65,15 +65,15 @@
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return
 	}
-	until := c.deferred.requeueDeadline
-	if until.IsZero() {
-		until = c.now.Add(maxHeartbeatDeferral)
+	deadline := c.deferred.requeueDeadline
+	if deadline.IsZero() {
+		deadline = c.now.Add(maxHeartbeatDeferral)
 	}
-	c.deferred.queue = append(c.deferred.queue, deferredHeartbeat{id: id, body: body, deadline: until})
+	c.deferred.queue = append(c.deferred.queue, deferredHeartbeat{id: id, body: body, deadline: deadline})
 	c.armDeferralTimer()
 }
 
-// armDeferralTimer sets the timer for the report that is the first to be given up.
+// armDeferralTimer sets the timer for the heartbeat that is the first to expire.
 func (c *Controller) armDeferralTimer() {
 	if c.deferred.expiryTimer != nil || len(c.deferred.queue) == 0 {
 		return
@@ -85,7 +85,7 @@
 	})
 }
 
-// expireDeferred gives up the reports that were held for long enough.
+// expireDeferred answers the heartbeats that were deferred for long enough.
 func (c *Controller) expireDeferred() {
 	h := &c.deferred
 	for len(h.queue) > 0 && !h.queue[0].deadline.After(c.now) {
@@ -94,15 +94,15 @@
 	}
 }
 
-// resumeDeferred takes the reports that were held, now that a leader is known. One that
-// has just been elected knows no cancellation yet, and must not answer.
+// resumeDeferred takes up the deferred heartbeats once a leader is known. One that has just
+// been elected knows no cancellation yet, and must not answer.
 func (c *Controller) resumeDeferred() {
 	if len(c.deferred.queue) == 0 || c.leader == nil && c.leaderSuspect() || c.leader != nil && c.leader.jobsKnownAt.IsZero() {
 		return
 	}
-	for _, h := range c.deferred.takeAll() {
-		c.deferred.requeueDeadline = h.deadline
-		c.heartbeat(h.id, h.body)
+	for _, deferred := range c.deferred.takeAll() {
+		c.deferred.requeueDeadline = deferred.deadline
+		c.heartbeat(deferred.id, deferred.body)
 	}
 	c.deferred.requeueDeadline = time.Time{}
 }
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
@@ -9,6 +8,7 @@
 
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -53,11 +53,8 @@
 		for range 60 { // 15 s, the length of a lease
 			c.now = c.now.Add(detectorInterval)
 			for i, disconnected := range test.peers {
-				raw, err := json.Marshal(peerMessage{Node: fmt.Sprintf("n%d", i+1), StoreReachable: true, Disconnected: disconnected})
-				if err != nil {
-					t.Fatal(err)
-				}
-				c.PeerMessage(c.now, raw)
+				m := peers.Message{Sender: fmt.Sprintf("n%d", i+1), StoreReachable: true, Disconnected: disconnected}
+				c.PeerMessage(c.now, m.Encode())
 			}
 			for i, m := range l.fleetList {
 				if i < test.heard {
@@ -93,7 +90,7 @@
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
 			m.session.Registered, m.session.LastSeen = true, c.now
 		}
-		c.peers["n1"] = &peerStatus{heardAt: c.now, storeReachable: true, disconnected: disconnected}
+		c.peers["n1"] = &peers.Status{HeardAt: c.now, StoreReachable: true, Disconnected: disconnected}
 		l.preferMajorityZone()
 		if stays := c.leader == l; stays != disconnected {
 			t.Errorf("with the peer disconnected %t the leader stays: %t", disconnected, stays)
@@ -106,7 +103,7 @@
 func TestLeaderThatReachesNobodyGivesWaySoon(t *testing.T) {
 	c, l := leading(phaseReconciling)
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	c.peers["n1"] = &peerStatus{heardAt: c.now, storeReachable: true}
+	c.peers["n1"] = &peers.Status{HeardAt: c.now, StoreReachable: true}
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
@@ -118,12 +115,12 @@
 	}
 	l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
 	begin := c.now
-	c.take()
+	c.takeEffects()
 	for c.leader == l && c.now.Sub(begin) < 15*time.Second {
 		c.now = c.now.Add(detectorInterval)
-		c.peers["n1"].heardAt = c.now
+		c.peers["n1"].HeardAt = c.now
 		l.detectFailures()
-		for _, call := range c.take().Calls {
+		for _, call := range c.takeEffects().Calls {
 			if call.To == Worker {
 				c.Result(c.now, call.ID, Outcome{})
 			}
--- a/internal/coordination/drain_controller.go
+++ b/internal/coordination/drain_controller.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// drainInterval is how often a controller that is to be drained looks whether it can give more
-// up, and drainCampaignPause how long it doesn't stand for election after it gave the lead up.
+// drainInterval is how often a controller that drains looks whether it can give more up, and
+// drainCampaignPause how long it doesn't campaign after it resigned.
 const (
 	drainInterval      = 200 * time.Millisecond
 	drainCampaignPause = 20 * time.Second
+	drainRecordRetry   = 300 * time.Millisecond
 )
 
 // Drain lets the controller give up what it has before a planned end: its shards move to
-// others while jobs run, then the lead passes on. It answers users as before. Nothing is
+// others while jobs run, then the leadership passes on. It answers users as before. Nothing is
 // given up that nobody else can take.
 func (c *Controller) Drain(now time.Time) Effects {
 	c.now = now
@@ -22,7 +23,7 @@
 		}
 		c.drainStep()
 	}
-	return c.take()
+	return c.takeEffects()
 }
 
 // Drained reports whether the controller neither leads nor serves workers.
@@ -30,10 +31,10 @@
 	return c.leader == nil && (c.sharding == nil || c.sharding.owner == nil || len(c.sharding.owner.shards) == 0)
 }
 
-// drainStep gives up the lead once there is nothing else to give up.
+// drainStep resigns the leadership once there is nothing else to give up.
 func (c *Controller) drainStep() {
 	servesShards := c.sharding != nil && c.sharding.owner != nil && len(c.sharding.owner.shards) > 0
-	if c.leader != nil && !servesShards && !c.storeDown() && c.eligiblePeer() {
+	if c.leader != nil && !servesShards && !c.storeDown() && c.peers.AnyEligible(c.now) {
 		c.election.Resign("controller drained", drainCampaignPause)
 	}
 	c.after(drainInterval, c.drainStep)
@@ -50,12 +51,13 @@
 // recordDraining lets the member's record say that it drains, however often it must be written.
 func (s *sharding) recordDraining(own *shardOwner) {
 	s.writeMember(own, func(applied bool) {
-		if !applied {
-			s.controller.after(300*time.Millisecond, func() {
-				if s.owner == own {
-					s.recordDraining(own)
-				}
-			})
+		if applied {
+			return
 		}
+		s.controller.after(drainRecordRetry, func() {
+			if s.owner == own {
+				s.recordDraining(own)
+			}
+		})
 	})
 }
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -9,43 +9,43 @@
 // Service is whom a call goes to.
 type Service uint8
 
-// Services a node calls.
+// Services that a controller calls.
 const (
-	State Service = iota + 1
+	StateService Service = iota + 1
 	Cloud
 	Worker
 )
 
-// Reply answers a request that came in.
+// Reply answers the request with the same ID.
 type Reply struct {
 	ID         uint64
 	Status     int
-	RetryAfter int // seconds; 0 for none
-	Close      bool
+	RetryAfter int  // seconds; 0 for none
+	Close      bool // the connection ends with it
 	Body       []byte
 }
 
-// Call is a request to be sent. Its outcome comes back through Node.Result.
+// Call is a request to be sent. Its outcome comes back through Controller.Result, once.
 type Call struct {
 	ID      uint64
 	To      Service
-	Addr    string // of a worker
+	Addr    string // host:port of a worker; empty for the others
 	Method  string
 	Target  string
 	Body    []byte
 	Timeout time.Duration
 }
 
-// Broadcast is told to every peer.
+// Broadcast is a message to every peer. It may be lost.
 type Broadcast struct{ Body []byte }
 
-// Unicast is told to one peer, by name. It may be lost.
+// Unicast is a message to one peer, by name. It may be lost.
 type Unicast struct {
 	To   string
 	Body []byte
 }
 
-// Effects is what one step asks for, in order.
+// Effects is what one step asks for, each list in order.
 type Effects struct {
 	Replies    []Reply
 	Calls      []Call
@@ -67,9 +67,11 @@
 }
 
 // requestCounts counts requests in and calls out, for the log.
-type requestCounts struct{ Reports, Polls, Submissions, ToState, ToCloud, ToWorkers int }
+type requestCounts struct{ Heartbeats, StatusQueries, Submissions, StateCalls, CloudCalls, WorkerCalls int }
 
-func (c *Controller) take() Effects {
+// takeEffects ends a step: what it left to be written, ordered and delivered goes out, and its
+// effects are handed over.
+func (c *Controller) takeEffects() Effects {
 	for again := true; again; again = len(c.localMessages) > 0 {
 		c.deliverLocal()
 		if c.leader != nil {
@@ -79,30 +81,33 @@
 			s.owner.flushOrders()
 		}
 	}
-	out := c.effects
+	effects := c.effects
 	c.effects = Effects{}
-	return out
+	return effects
 }
 
+// reply answers a request.
 func (c *Controller) reply(id uint64, status int, body []byte) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, Body: body})
 }
 
-// refuse tells a client to come back.
+// refuse sends a client away for a second.
 func (c *Controller) refuse(id uint64, status int, reason string) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.EncodeError(reason)})
 }
 
+// call sends a request; done runs in the step that takes its outcome. Requests to the state
+// service go through store.
 func (c *Controller) call(to Service, addr, method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
 	c.lastCallID++
 	c.pendingCalls[c.lastCallID] = done
 	switch to {
-	case State:
-		c.requestCounts.ToState++
+	case StateService:
+		c.requestCounts.StateCalls++
 	case Cloud:
-		c.requestCounts.ToCloud++
+		c.requestCounts.CloudCalls++
 	case Worker:
-		c.requestCounts.ToWorkers++
+		c.requestCounts.WorkerCalls++
 	}
 	c.effects.Calls = append(c.effects.Calls, Call{ID: c.lastCallID, To: to, Addr: addr, Method: method, Target: target,
 		Body: body, Timeout: timeout})
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -12,7 +12,7 @@
 const overloadLossCause = 3 * time.Second
 
 func (c *Controller) newElection() *leadership.Election {
-	settings := leadership.Settings{Node: c.cfg.Name, Zone: c.cfg.Zone, BootID: c.bootID, BaseTTL: c.op.LeaderLease()}
+	settings := leadership.Settings{Name: c.cfg.Name, Zone: c.cfg.Zone, BootID: c.bootID, BaseTTL: c.operator.LeaderLease()}
 	host := electionHost{c}
 	return leadership.New(settings, c.log, host, host, host)
 }
@@ -107,7 +107,7 @@
 // PeersSilent implements leadership.Host.
 func (h electionHost) PeersSilent() bool {
 	c := h.controller
-	return len(c.cfg.Peers) > 0 && len(c.peers) > 0 && !c.heardFromPeer()
+	return len(c.cfg.Peers) > 0 && len(c.peers) > 0 && !c.peers.AnyFresh(c.now)
 }
 
 // resignDisconnected hands over because of the machines that this controller doesn't reach,
--- a/internal/coordination/election_test.go
+++ b/internal/coordination/election_test.go
@@ -9,9 +9,9 @@
 
 // showElection lets a controller read these keys of the election from the state service.
 func showElection(c *Controller, items ...protocol.KeyValue) {
-	c.take()
+	c.takeEffects()
 	c.election.Follow()
-	for _, call := range c.take().Calls {
+	for _, call := range c.takeEffects().Calls {
 		if strings.HasPrefix(call.Target, protocol.RangeTarget(records.PrefixElection, "", 500)) {
 			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRange(items, false, 9)})
 			return
--- a/internal/coordination/groups_test.go
+++ b/internal/coordination/groups_test.go
@@ -14,11 +14,11 @@
 // records plays the state service for a leader's transactions: it applies those
 // under way, and those that they lead to, and keeps the records of machines.
 func groupRecords(c *Controller, kept map[string]json.RawMessage) (writes int) {
-	e := c.take()
+	e := c.takeEffects()
 	for len(e.Calls) > 0 {
 		var next []Call
 		for _, call := range e.Calls {
-			if call.To != State || call.Target != protocol.PathTransactions {
+			if call.To != StateService || call.Target != protocol.PathTransactions {
 				continue
 			}
 			t, err := protocol.ParseTxn(call.Body)
@@ -125,7 +125,7 @@
 	next.now = next.now.Add(2 * probeAfter)
 	leader.detectFailures()
 	asked := false
-	for _, call := range next.take().Calls {
+	for _, call := range next.takeEffects().Calls {
 		asked = asked || call.To == Worker && call.Addr == "x"
 	}
 	if !asked {
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -12,8 +12,8 @@
 // nextTxn is the transaction that a step sends.
 func nextTxn(t *testing.T, c *Controller) *protocol.Txn {
 	t.Helper()
-	for _, call := range c.take().Calls {
-		if call.To == State && call.Target == protocol.PathTransactions {
+	for _, call := range c.takeEffects().Calls {
+		if call.To == StateService && call.Target == protocol.PathTransactions {
 			txn, err := protocol.ParseTxn(call.Body)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/coordination/instance_offers.go
+++ b/internal/coordination/instance_offers.go
@@ -7,7 +7,7 @@
 
 // catalog is what the cloud offers, as far as operators let it be rented.
 func (l *leader) catalog() autoscaler.Catalog {
-	return autoscaler.Catalog{Types: l.controller.types, Spot: l.controller.op.Spot}
+	return autoscaler.Catalog{Types: l.controller.types, Spot: l.controller.operator.Spot}
 }
 
 // offers lists what can be rented now, cheapest per CPU first.
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -15,17 +15,17 @@
 )
 
 // leader is what a leader keeps in memory. All of it is rebuilt from the state
-// service and from reports by the next one. It serves all workers itself, as their owner.
+// service and from heartbeats by the next one. Without shards it serves all workers itself.
 type leader struct {
 	workerSessions
 	epoch   sessions.Epoch // of all machines
 	term    uint64
 	version uint64 // of the leader key; every write of ours demands it
-	fenced  bool   // the grace beyond its lease is over
+	fenced  bool   // its lease and the grace period after it are over: it answers no worker
 	recovery
 
 	jobsByAge []*job // by submission
-	// nextBroadcast is the place in order of the job whose progress peers are told next.
+	// nextBroadcast is the index in jobsByAge of the job whose progress is broadcast next.
 	nextBroadcast int
 	teamUsage     map[string]*usage
 	corrections   queue.Corrections    // of estimates
@@ -43,7 +43,7 @@
 	imageIDs           map[string]placement.ImageID
 }
 
-// usage is what a team's attempts take, those not proven gone included.
+// usage is what a team's attempts take, those not proven terminated included.
 type usage struct{ cpus, gpus float64 }
 
 // job is an unfinished job.
@@ -141,7 +141,7 @@
 	l.listener = l
 	l.rebalancer = newRebalancer(l)
 	// The leader before may have had the shortest lease, which leaves the longest grace.
-	l.epoch = sessions.Epoch{Term: m.Term, Since: c.now, PredecessorUntil: c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))}
+	l.epoch = sessions.Epoch{Term: m.Term, Since: c.now, PredecessorUntil: c.now.Add(c.gracePeriodAfter(c.operator.LeaderLease()))}
 	l.journal.init(l)
 	l.autoscaler.init(l)
 	if c.sharding == nil && c.election.Sharded() {
@@ -149,7 +149,7 @@
 		c.startSharding(false)
 	}
 	if c.sharding != nil {
-		l.shards = newShardCoordinator(l, c.sharding, c.op.Sharding == nil)
+		l.shards = newShardCoordinator(l, c.sharding, c.operator.Sharding == nil)
 	}
 	c.leader = l
 	c.log.Info("became leader", "term", m.Term)
@@ -185,8 +185,7 @@
 	})
 }
 
-// finishStep runs at the end of each step: it sends what the step left to be
-// written and ordered.
+// finishStep ends a step: what it left to be written and ordered is sent.
 func (l *leader) finishStep() {
 	l.journal.flush()
 	l.flushOrders()
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -57,7 +57,7 @@
 
 // Settings are those of one controller.
 type Settings struct {
-	Node    string // the controller's name
+	Name    string // the controller's name
 	Zone    string
 	BootID  uint64        // tells this process from earlier ones of the same name
 	BaseTTL time.Duration // of the leader lease in calm times
@@ -149,7 +149,7 @@
 		e.scheduleCampaign()
 		return
 	}
-	if leader := e.view.leader; leader.Node == e.settings.Node && leader.Boot != e.settings.BootID && e.view.leaderLease != 0 {
+	if leader := e.view.leader; leader.Node == e.settings.Name && leader.Boot != e.settings.BootID && e.view.leaderLease != 0 {
 		// This controller's earlier process led. It is gone for good and all its
 		// late writes are conditional on the key that goes with this lease.
 		e.log.Info("revoking lease of previous process", "term", leader.Term)
@@ -205,7 +205,7 @@
 // claim asks the store to elect this controller in the next term.
 func (e *Election) claim(lease Lease) {
 	term := e.view.term + 1
-	leader := records.Leader{Node: e.settings.Node, Zone: e.settings.Zone, Term: term, Boot: e.settings.BootID}
+	leader := records.Leader{Node: e.settings.Name, Zone: e.settings.Zone, Term: term, Boot: e.settings.BootID}
 	e.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: records.KeyLeader}, {Key: records.KeyTerm, Version: e.view.termVersion}},
 		Ops: []protocol.Op{
@@ -303,13 +303,13 @@
 // Role is what this controller is to the election now.
 func (e *Election) Role() Role { return e.role }
 
-// LeaderNode is the name of the leader, this controller included; empty when nobody is known
+// LeaderName is the name of the leader, this controller included; empty when nobody is known
 // to lead.
-func (e *Election) LeaderNode() string { return e.view.leader.Node }
+func (e *Election) LeaderName() string { return e.view.leader.Node }
 
 // OtherLeader is the name of the leader if that is another controller; empty otherwise.
 func (e *Election) OtherLeader() string {
-	if e.view.leaderVersion == 0 || e.view.leader.Node == e.settings.Node {
+	if e.view.leaderVersion == 0 || e.view.leader.Node == e.settings.Name {
 		return ""
 	}
 	return e.view.leader.Node
--- a/internal/coordination/leadership/election_test.go
+++ b/internal/coordination/leadership/election_test.go
@@ -69,18 +69,7 @@
 	h.answerList(termItem(4, 33))
 	h.pass(time.Second)
 	h.grants[0](77, true)
-	txn := h.txns[0]
-	demands := map[string]uint64{}
-	for _, condition := range txn.Conditions {
-		demands[condition.Key] = condition.Version
-	}
-	leader, demanded := demands[records.KeyLeader]
-	if !demanded || leader != 0 || demands[records.KeyTerm] != 33 {
-		t.Errorf("elected under %+v", txn.Conditions)
-	}
-	if txn.Ops[0].Put != records.KeyLeader || txn.Ops[0].Lease != 77 {
-		t.Errorf("the key goes with lease %d", txn.Ops[0].Lease)
-	}
+	checkClaim(t, h.txns[0])
 	granted := h.now
 	h.pass(100 * time.Millisecond)
 	h.commits[0](true, 50)
@@ -99,6 +88,22 @@
 	}
 }
 
+// checkClaim checks a candidate's transaction with lease 77, after a term of version 33.
+func checkClaim(t *testing.T, txn *protocol.Txn) {
+	t.Helper()
+	demands := map[string]uint64{}
+	for _, condition := range txn.Conditions {
+		demands[condition.Key] = condition.Version
+	}
+	leader, demanded := demands[records.KeyLeader]
+	if !demanded || leader != 0 || demands[records.KeyTerm] != 33 {
+		t.Errorf("elected under %+v", txn.Conditions)
+	}
+	if txn.Ops[0].Put != records.KeyLeader || txn.Ops[0].Lease != 77 {
+		t.Errorf("the key goes with lease %d", txn.Ops[0].Lease)
+	}
+}
+
 // A campaign that fails leaves no lease behind, and is repeated on keys that are read anew.
 func TestFailedCampaign(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -44,7 +44,7 @@
 
 func newHarness() *harness {
 	h := &harness{now: start}
-	h.Election = New(Settings{Node: "n0", Zone: "a", BootID: 7, BaseTTL: base}, slog.New(slog.DiscardHandler), h, h, h)
+	h.Election = New(Settings{Name: "n0", Zone: "a", BootID: 7, BaseTTL: base}, slog.New(slog.DiscardHandler), h, h, h)
 	return h
 }
 
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -11,6 +11,7 @@
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/coordination/overload"
+	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -24,7 +25,7 @@
 	cfg.Name = "n1"
 	cfg.Peers = append(cfg.Peers[:0:0], cfg.Peers...)
 	cfg.Peers = append(cfg.Peers, config.Peer{Name: c.cfg.Name, Zone: c.cfg.Zone})
-	f := New(&cfg, c.op, slog.New(slog.DiscardHandler), 2, c.now)
+	f := New(&cfg, c.operator, slog.New(slog.DiscardHandler), 2, c.now)
 	showElection(f, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: c.cfg.Name, Term: 1}), Version: 1})
 	return f
 }
@@ -33,7 +34,7 @@
 func tellPeer(c, f *Controller) (longest int) {
 	c.effects = Effects{}
 	c.broadcastStatus()
-	for _, p := range c.take().Broadcasts {
+	for _, p := range c.takeEffects().Broadcasts {
 		longest = max(longest, len(p.Body))
 		f.PeerMessage(c.now, p.Body)
 	}
@@ -51,7 +52,7 @@
 	}
 	f := follower(c)
 	for turn := range 3 {
-		if longest := tellPeer(c, f); longest > MaxPeerMessage {
+		if longest := tellPeer(c, f); longest > peers.MaxMessage {
 			t.Fatalf("turn %d: a line of %d bytes", turn, longest)
 		}
 	}
@@ -82,7 +83,7 @@
 	}
 	f := follower(c)
 	for range 5 {
-		if longest := tellPeer(c, f); longest > MaxPeerMessage {
+		if longest := tellPeer(c, f); longest > peers.MaxMessage {
 			t.Fatalf("a line of %d bytes", longest)
 		}
 	}
@@ -112,7 +113,7 @@
 	c.effects = Effects{}
 	l.readInventory()
 	for range 10_000 {
-		e := c.take()
+		e := c.takeEffects()
 		for _, call := range e.Calls {
 			if call.To != Cloud || !strings.HasPrefix(call.Target, protocol.PathMachines+"?") {
 				continue
@@ -175,7 +176,7 @@
 	again := protocol.EncodeMachines([]protocol.ListedMachine{{Name: "vm-000001", Type: "small", Zone: "a", State: protocol.Up}}, true)
 	calls := 0
 	for range 20 {
-		for _, call := range c.take().Calls {
+		for _, call := range c.takeEffects().Calls {
 			if call.To == Cloud {
 				calls++
 				c.effects.Calls = append(c.effects.Calls, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: again}).Calls...)
@@ -201,7 +202,7 @@
 		l.jobsByAge[0].firstUnstarted = i + 1
 	}
 	runAll(l)
-	c.take()
+	c.takeEffects()
 	return c, l, m
 }
 
@@ -211,7 +212,7 @@
 	c, l, m := crowded(tasks)
 	l.endJob(l.jobsByAge[0], protocol.Cancelled)
 	stopped := map[int]bool{}
-	calls := c.take().Calls
+	calls := c.takeEffects().Calls
 	for range 20 {
 		var next []Call
 		for _, call := range calls {
@@ -302,7 +303,7 @@
 		c.admission.queries = append(c.admission.queries, statusQuery{uint64(i), fmt.Sprintf("run-%018d", i)})
 	}
 	c.checkStatuses()
-	for _, call := range c.take().Calls {
+	for _, call := range c.takeEffects().Calls {
 		if len(call.Body) > protocol.MaxBody {
 			t.Errorf("%s %s: %d bytes", call.Method, call.Target, len(call.Body))
 		}
@@ -335,7 +336,7 @@
 func (c *Controller) holdOne(id uint64) []Reply {
 	c.effects = Effects{}
 	c.deferHeartbeat(id, nil)
-	return c.take().Replies
+	return c.takeEffects().Replies
 }
 
 // A leader renews its lease between the records of a large fleet: taken in one step, they
@@ -379,7 +380,7 @@
 		clear(l.autoscaler.requested)
 		c.effects = Effects{}
 		l.scaleOut()
-		for _, call := range c.take().Calls {
+		for _, call := range c.takeEffects().Calls {
 			if call.To == Cloud {
 				r, err := protocol.ParseProvision(call.Body)
 				if err != nil {
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -25,7 +25,7 @@
 
 // answer gives the response to a call; status 0 for none.
 func (r *fakeStore) answer(call Call) (status int, body []byte) {
-	if call.To != State {
+	if call.To != StateService {
 		return 0, nil
 	}
 	path, query := protocol.Query(call.Target)
@@ -83,7 +83,7 @@
 func (r *fakeStore) lead(c *Controller) *leader {
 	c.election.Lead(leadership.Mandate{Term: 2, Version: 20, ElectedAt: c.now,
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}})
-	calls := c.take().Calls
+	calls := c.takeEffects().Calls
 	for len(calls) > 0 {
 		call := calls[0]
 		calls = calls[1:]
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -30,7 +30,7 @@
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: now.Add(time.Hour)}})
 	c.leader.phase, c.leader.jobsKnownAt = p, now.Add(time.Hour)
 	c.leader.loaded, c.leader.probesNewWorkers = p != phaseLoading, p == phaseActive
-	c.take()
+	c.takeEffects()
 	return c, c.leader
 }
 
@@ -79,7 +79,7 @@
 // free room; one that is being emptied comes last.
 func TestBest(t *testing.T) {
 	c, l := leading(phaseActive)
-	c.op.ImageWeight, c.op.RoomWeight = 1, 1
+	c.operator.ImageWeight, c.operator.RoomWeight = 1, 1
 	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1},
 		zones: map[string]int{}, imageID: l.imageID("a")}
 	var list []*machine
@@ -208,7 +208,7 @@
 			m.session.Incarnation = 1
 		}
 		l.probe(m)
-		call := c.take().Calls[0]
+		call := c.takeEffects().Calls[0]
 		m.session.Incarnation = 2
 		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 		c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
@@ -233,16 +233,16 @@
 		c, l := leading(phaseActive)
 		m := l.newMachine("vm-1", "small", "a", false)
 		m.session.Registered, m.recorded, m.addr, m.session.LastReached, m.session.Incarnation, m.session.Sequence = true, true, "x", c.now, 1, 50
-		c.take()
+		c.takeEffects()
 		l.release(m, unresponsive)
-		call := c.take().Calls[0]
+		call := c.takeEffects().Calls[0]
 		l.confirmReached(m, c.now)
 		if !m.lifecycle.releasing() {
 			t.Errorf("%s: kept while the call was under way", test.name)
 		}
 		c.Result(c.now, call.ID, test.out)
 		l.probe(m)
-		for _, call := range c.take().Calls {
+		for _, call := range c.takeEffects().Calls {
 			body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		}
@@ -261,7 +261,7 @@
 		m.inherited, m.provisionedAt = true, c.now.Add(-time.Hour)
 	}
 	l.readInventory()
-	c.Result(c.now, c.take().Calls[0].ID, Outcome{Answered: true, Status: 503})
+	c.Result(c.now, c.takeEffects().Calls[0].ID, Outcome{Answered: true, Status: 503})
 	if l.enoughReconciled() {
 		t.Error("nobody was heard and the list is unknown")
 	}
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -12,6 +12,7 @@
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/autoscaler"
 	"brasskeel/internal/coordination/overload"
+	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/coordination/quarantine"
 	"brasskeel/internal/coordination/queue"
 	"brasskeel/internal/protocol"
@@ -202,7 +203,7 @@
 func TestPollsShareChecks(t *testing.T) {
 	c, _ := leading(phaseActive)
 	c.election.StepDown("test")
-	c.take()
+	c.takeEffects()
 	checks, answered := 0, 0
 	for i := range 2000 {
 		c.now = c.now.Add(5 * time.Millisecond)
@@ -230,7 +231,7 @@
 	}
 
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	raw, err := json.Marshal(peerMessage{Node: "n1", Done: map[string]int{"run-000999": 3}})
+	raw, err := json.Marshal(peers.Message{Sender: "n1", Done: map[string]int{"run-000999": 3}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -256,7 +257,7 @@
 // keep the others from being accepted.
 func TestSubmissionsShareTransactions(t *testing.T) {
 	c, _ := leading(phaseActive)
-	c.take()
+	c.takeEffects()
 	var calls []Call
 	for i := range 5 {
 		e := c.Request(c.now, uint64(i), "POST", protocol.PathJobs, protocol.EncodeJob(benchJob(2+i)))
@@ -300,10 +301,10 @@
 		job   *job
 		rents bool
 	}{{guest, false}, {other, true}} {
-		c.take()
+		c.takeEffects()
 		l.autoscaler.unmetDemand = []demand{{test.job, 4}}
 		l.scaleOut()
-		if rents := len(c.take().Calls) > 0; rents != test.rents {
+		if rents := len(c.takeEffects().Calls) > 0; rents != test.rents {
 			t.Errorf("%s: dear machines rented %t", test.job.Team, rents)
 		}
 	}
@@ -311,9 +312,9 @@
 	clear(l.autoscaler.requested)
 	l.autoscaler.unmetDemand = []demand{{guest, guest.Tasks}}
 	l.autoscaler.unavailableUntil[autoscaler.Offer{Spec: dear.Spec, Zone: "a", Spot: true}.Key()] = c.now.Add(time.Hour)
-	c.take()
+	c.takeEffects()
 	l.scaleOut()
-	if calls := c.take().Calls; len(calls) != 1 || !bytes.Contains(calls[0].Body, []byte(`"howMany":1}`)) {
+	if calls := c.takeEffects().Calls; len(calls) != 1 || !bytes.Contains(calls[0].Body, []byte(`"howMany":1}`)) {
 		t.Errorf("for a guest's job that is overdue: %d calls, want one machine", len(calls))
 	}
 }
@@ -438,7 +439,7 @@
 	if rest.liveAttempts != 12 {
 		t.Errorf("%d of 12 tasks placed once it isn't late", rest.liveAttempts)
 	}
-	base := c.op.LeaderLease()
+	base := c.operator.LeaderLease()
 	c.overload.Observe(c.now, 2*overload.Overloaded)
 	c.election.StepDown("test")
 	if got := c.election.CampaignTTL(); got != 4*base {
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -14,7 +14,7 @@
 // lease they stay within the time that a cancellation has.
 func TestGracePeriodFitsLease(t *testing.T) {
 	c, l := leading(phaseActive)
-	l.lease.TTL = 4 * c.op.LeaderLease()
+	l.lease.TTL = 4 * c.operator.LeaderLease()
 	if sum := l.lease.TTL + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
 		t.Errorf("lease, grace and worker's lease take %s of %s", sum, c.cfg.CancelWithin)
 	}
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -29,19 +29,19 @@
 	case c.leader == nil && c.election.OtherLeader() == "":
 		what = "no leader known"
 	}
-	if what != c.trouble {
-		c.troubleSince = c.now
+	if what != c.unavailability {
+		c.unavailableSince = c.now
 	}
 	if what == "" {
 		if c.availabilityLog.Allow(c.now, "") {
 			c.log.Info("controller available")
 		}
-		c.trouble = ""
+		c.unavailability = ""
 		return
 	}
-	c.trouble = what
-	if c.now.Sub(c.troubleSince) >= 2*time.Second && c.availabilityLog.Allow(c.now, what) {
-		c.log.Warn("controller unavailable", "reason", what, "duration", c.now.Sub(c.troubleSince).Round(time.Second))
+	c.unavailability = what
+	if c.now.Sub(c.unavailableSince) >= 2*time.Second && c.availabilityLog.Allow(c.now, what) {
+		c.log.Warn("controller unavailable", "reason", what, "duration", c.now.Sub(c.unavailableSince).Round(time.Second))
 	}
 }
 
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -31,7 +31,7 @@
 // applyPolicy lets a policy change what ranks a machine.
 func (b *rebalancer) applyPolicy(policy *balance.CeilingPolicy, m *machine, k *placement.Candidate) {
 	k.AboveCeiling = policy.Exceeds(&m.Machine, m.load)
-	k.Score -= policy.Penalty(&m.Machine, m.load, b.l.controller.op.ImageWeight)
+	k.Score -= policy.Penalty(&m.Machine, m.load, b.l.controller.operator.ImageWeight)
 }
 
 // ceilingState is how a job's tasks stand to the ceiling of their team's surge.
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -75,7 +75,7 @@
 // and neither it nor the state service has more to do than it can.
 func (b *rebalancer) mayMigrate() bool {
 	l, c := b.l, b.l.controller
-	if l.controller.op.Balance == nil || !l.controller.op.Balance.Moves || l.phase != phaseActive || c.storeDown() || l.autoscaler.demandIncomplete {
+	if l.controller.operator.Balance == nil || !l.controller.operator.Balance.Moves || l.phase != phaseActive || c.storeDown() || l.autoscaler.demandIncomplete {
 		return false
 	}
 	if c.now.Sub(l.reconciledAt) < c.timing().ReconnectTime() || l.lease.ValidUntil.Sub(c.now) < l.lease.TTL/2 {
@@ -95,7 +95,7 @@
 	if len(sources) == 0 {
 		return
 	}
-	terms := balance.MigrationTerms{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.op.Balance.MoveMargin, MaxMigrations: most,
+	terms := balance.MigrationTerms{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MoveMargin, MaxMigrations: most,
 		WriteDuration: time.Duration(float64(time.Second) / c.cfg.StateWriteRPS)}
 	moves := l.newPlanner().Rebalance(terms, sources)
 	if len(moves) == 0 {
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -17,7 +17,7 @@
 func movingLead(t *testing.T) (l *leader, a *attempt, to *machine) {
 	t.Helper()
 	c, l, a := balancedLead(t)
-	c.op.Balance.Moves, c.op.Balance.MoveMargin = true, 1.5
+	c.operator.Balance.Moves, c.operator.Balance.MoveMargin = true, 1.5
 	l.reconciledAt, l.lease = c.now.Add(-time.Minute), leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}
 	l.rebalancer.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
 	to = l.newMachine("vm-2", "small", "a", false)
@@ -110,7 +110,7 @@
 		may    bool
 	}{
 		{name: "all is well", may: true},
-		{name: "moves are off", change: func(c *Controller, _ *leader) { c.op.Balance.Moves = false }},
+		{name: "moves are off", change: func(c *Controller, _ *leader) { c.operator.Balance.Moves = false }},
 		{name: "the state service is away", change: func(c *Controller, _ *leader) { c.storeFailingSince = c.now.Add(-time.Minute) }},
 		{name: "machines are still to be heard", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
 		{name: "the leader still settles", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -32,7 +32,7 @@
 type classOnType struct{ class, machineType string }
 
 func newRebalancer(l *leader) *rebalancer {
-	o := l.controller.op.Balance
+	o := l.controller.operator.Balance
 	if o == nil {
 		return nil
 	}
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -14,7 +14,7 @@
 func balancedLead(t *testing.T) (*Controller, *leader, *attempt) {
 	t.Helper()
 	c, l := leading(phaseActive)
-	c.op.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
+	c.operator.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
 	l.rebalancer = newRebalancer(l)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -122,18 +122,31 @@
 	if len(l.fleetList) == 0 {
 		return false
 	}
-	listed := l.autoscaler.inventoryComplete // where the cloud is away, addresses come with reports alone
-	missing, known := 0, 0
+	missing, expected := 0, 0
 	for _, m := range l.fleetList {
-		// One that only a lagging list tells of may be gone already.
-		booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.BootTime)
-		if len(m.attempts) == 0 && !booted {
+		if !l.expectsTasks(m) {
 			continue
 		}
-		known++
-		if !m.session.Reconciled && m.session.FailedProbes < maxProbeFailures && !(listed && m.addr == "") && !l.ownerUnheard(m) {
+		expected++
+		if l.awaitsTasks(m) {
 			missing++
 		}
 	}
-	return missing*missingDivisor <= known
+	return missing*missingDivisor <= expected
+}
+
+// expectsTasks reports whether a machine's worker should be up. One that only a lagging list
+// tells of may be terminated already.
+func (l *leader) expectsTasks(m *machine) bool {
+	booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.BootTime)
+	return len(m.attempts) > 0 || booted
+}
+
+// awaitsTasks reports whether a machine may still tell its tasks.
+func (l *leader) awaitsTasks(m *machine) bool {
+	if m.session.Reconciled || m.session.FailedProbes >= maxProbeFailures || l.ownerUnheard(m) {
+		return false
+	}
+	// While the cloud can't be asked, addresses come with heartbeats alone.
+	return m.addr != "" || !l.autoscaler.inventoryComplete
 }
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -28,7 +28,7 @@
 		add(i)
 	}
 	l.runPlacementRound()
-	c.take()
+	c.takeEffects()
 	cut := l.fleetList[:4:4]
 	pass := func(d time.Duration) {
 		for ; d > 0; d -= detectorInterval {
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -81,7 +82,7 @@
 	l.jobKey(records.KeyOutcome("run-000001"), records.EncodeOutcome(protocol.Cancelled, 0), false)
 	l.noteJobsKnown(asked)
 	c.resumeDeferred()
-	e := c.take()
+	e := c.takeEffects()
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
 		t.Fatalf("got %+v, want the lease renewed and the task ended", e.Replies)
 	}
@@ -102,7 +103,7 @@
 	l.jobsKnownAt = c.now
 	asked := c.now
 	l.watchJobs(7)
-	calls := c.take().Calls
+	calls := c.takeEffects().Calls
 	call := calls[len(calls)-1]
 	if !strings.HasPrefix(call.Target, protocol.PathWatch) {
 		t.Fatalf("asks %s", call.Target)
@@ -149,7 +150,7 @@
 		t.Fatalf("a start is sent %s after all was known: %+v %+v", startFreshness, orders, e.Calls)
 	}
 	l.noteJobsKnown(c.now)
-	calls := c.take().Calls
+	calls := c.takeEffects().Calls
 	if len(calls) != 1 || calls[0].To != Worker || calls[0].Target != protocol.PathOrders {
 		t.Fatalf("got %+v, want the start that was withheld", calls)
 	}
@@ -164,7 +165,7 @@
 	c, l := leading(phaseActive)
 	c.cfg.Peers = append(c.cfg.Peers, struct{ Name, Zone, Addr string }{Name: "n1", Zone: "a"})
 	_, body := running(c, l)
-	raw, err := json.Marshal(peerMessage{Node: "n1", Cancelled: map[string]int{"run-000001": 0}})
+	raw, err := json.Marshal(peers.Message{Sender: "n1", Cancelled: map[string]int{"run-000001": 0}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -50,7 +50,7 @@
 		l.release(m, "unknown type")
 	case m.lifecycle.preemptionNoticed() && c.now.After(m.lifecycle.preemptionAt.Add(2*time.Second)) && empty:
 		l.release(m, "preempted")
-	case m.Consolidating && empty && m.reservedMoves == 0 && c.now.Sub(m.provisionedAt) > minimumBilledTime && c.now.Sub(m.emptySince) > c.op.Idle():
+	case m.Consolidating && empty && m.reservedMoves == 0 && c.now.Sub(m.provisionedAt) > minimumBilledTime && c.now.Sub(m.emptySince) > c.operator.Idle():
 		l.release(m, "not needed")
 	case m.Consolidating && l.evictOpportunistic(m):
 	case m.Consolidating && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(planner.get(), true):
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -151,7 +151,7 @@
 // headroomFor is the free room wanted beyond what is used.
 func (l *leader) headroomFor(used float64) float64 {
 	if l.needsHeadroom() {
-		return l.controller.op.HeadroomShare * used
+		return l.controller.operator.HeadroomShare * used
 	}
 	return 0
 }
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -31,7 +31,7 @@
 
 func newShardCoordinator(l *leader, s *sharding, retiring bool) *shardCoordinator {
 	c := 1
-	if sh := l.controller.op.Sharding; sh != nil {
+	if sh := l.controller.operator.Sharding; sh != nil {
 		c = sh.ShardsPerController * (1 + len(l.controller.cfg.Peers))
 	}
 	return &shardCoordinator{leader: l, sharding: s, count: c, retiring: retiring, planner: shard.NewPlanner(), channels: map[string]*ownerChannel{}, moves: map[shard.ID]*shardMove{},
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -6,6 +6,7 @@
 
 	"brasskeel/internal/config"
 	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
@@ -17,7 +18,7 @@
 func shardedLead(t *testing.T) (*leader, *attempt) {
 	t.Helper()
 	c, l := leading(phaseActive)
-	c.op.Sharding = &config.Sharding{ShardsPerController: 1}
+	c.operator.Sharding = &config.Sharding{ShardsPerController: 1}
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), loaded: true}
 	for _, node := range []string{"n1", "n2"} {
 		put(t, c.sharding.table, records.KeyMember(node), shard.MemberRecord{Member: shard.Member{Name: node, Incarnation: 1}}, 3)
@@ -97,7 +98,7 @@
 	o.shards[1] = &ownedShard{epoch: sessions.Epoch{Term: term, Since: c.now, PredecessorUntil: c.now}}
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-1", Type: "small", Zone: "a"}, o.shards[1])
 	o.feed.connect("n1", 9)
-	c.take()
+	c.takeEffects()
 	return o
 }
 
@@ -172,23 +173,23 @@
 	c, s := o.controller, &o.sharding.redirector
 	*s = newRedirector(c)
 	showElection(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
-	c.peers["n1"] = &peerStatus{heardAt: c.now}
+	c.peers["n1"] = &peers.Status{HeardAt: c.now}
 	if got := s.target("vm-7"); got != "n1" {
 		t.Fatalf("sent to %q", got)
 	}
 	c.now = c.now.Add(sessions.LostHeartbeatDelay)
-	c.peers["n1"].heardAt = c.now
+	c.peers["n1"].HeardAt = c.now
 	if got := s.target("vm-7"); got != "" {
 		t.Errorf("sent to %q again", got)
 	}
 	if got := s.target("vm-8"); got != "n1" {
 		t.Errorf("another one is sent to %q", got)
 	}
-	c.peers["n1"].workersUnreachable = true
+	c.peers["n1"].WorkersUnreachable = true
 	if got := s.target("vm-9"); got != "" {
 		t.Errorf("sent to %q, which lost its workers", got)
 	}
-	c.peers["n1"].workersUnreachable, c.now = false, c.now.Add(leaderHeardWithin+time.Second)
+	c.peers["n1"].WorkersUnreachable, c.now = false, c.now.Add(leaderHeardWithin+time.Second)
 	if got := s.target("vm-9"); got != "" {
 		t.Errorf("sent to %q, which isn't heard", got)
 	}
@@ -203,7 +204,7 @@
 	o.attemptTerminated(o.machines["vm-1"].attemptList[0], "no longer reported")
 	gone := func() (count int, last uint64) {
 		f.flush()
-		for _, s := range o.controller.take().Unicasts {
+		for _, s := range o.controller.takeEffects().Unicasts {
 			line, err := parseShardMessage(s.Body)
 			if err != nil {
 				t.Fatal(err)
@@ -246,14 +247,14 @@
 		t.Fatal("the worker may not forget it")
 	}
 	o.feed.flush()
-	o.controller.take()
+	o.controller.takeEffects()
 	o.feed.connect("n2", 10)
 	o.feed.receive("n2", instructions(o, 7))
 	if len(m.attemptList) != 1 {
 		t.Fatal("the next leader's list was not taken")
 	}
 	o.feed.flush()
-	o.controller.take()
+	o.controller.takeEffects()
 	if o.taskExitReported(m, m.attemptList[0], &exit) {
 		t.Error("the worker may forget it before the next leader knows")
 	}
@@ -272,7 +273,7 @@
 		next := shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 8}
 		put(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
 		o.applyTable()
-		for _, k := range o.controller.take().Calls {
+		for _, k := range o.controller.takeEffects().Calls {
 			if k.Target != protocol.PathTransactions {
 				continue
 			}
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -118,7 +118,7 @@
 		return
 	}
 	s.joining = true
-	ttl, sent := s.controller.op.LeaderLease(), s.controller.now
+	ttl, sent := s.controller.operator.LeaderLease(), s.controller.now
 	electionHost{s.controller}.GrantLease(ttl, func(leaseID uint64, granted bool) {
 		if !granted {
 			s.retryJoin()
--- a/internal/coordination/shard_messages.go
+++ b/internal/coordination/shard_messages.go
@@ -5,6 +5,7 @@
 	"errors"
 
 	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
@@ -27,7 +28,7 @@
 	if err != nil { // lines hold only strings and finite numbers
 		panic(err)
 	}
-	if len(raw) > MaxPeerMessage {
+	if len(raw) > peers.MaxMessage {
 		c.limits.Reached(limits.PeerMessage)
 		return
 	}
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -92,7 +92,7 @@
 	t := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
 	if !r.HandedOver {
 		// Whoever owned it before may go on without the state service for its grace.
-		t.PredecessorUntil = c.now.Add(c.gracePeriodAfter(c.op.LeaderLease()))
+		t.PredecessorUntil = c.now.Add(c.gracePeriodAfter(c.operator.LeaderLease()))
 	}
 	o.shards[id] = &ownedShard{epoch: t}
 	c.log.Info("shard ownership acquired", "shard", id, "term", t.Term, "handed_over", r.HandedOver)
--- a/internal/coordination/shard_reachability.go
+++ b/internal/coordination/shard_reachability.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// workersUnreachable reports whether this controller lately lost most of its workers.
+// WorkersUnreachable reports whether this controller lately lost most of its workers.
 func (c *Controller) workersUnreachable() bool {
 	return c.sharding != nil && c.now.Before(c.sharding.partitionedUntil)
 }
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -166,9 +166,9 @@
 		if j := c.leader.jobs[job]; j != nil {
 			done, running = j.doneTasks, j.runningTasks
 		}
-	} else if p := c.peers[c.election.LeaderNode()]; p != nil {
-		if heard, ok := p.progress[job]; ok && c.now.Sub(heard.receivedAt) <= progressTTL {
-			done, running = heard.done(), heard.running()
+	} else if p := c.peers[c.election.LeaderName()]; p != nil {
+		if progress, ok := p.Progress(job, c.now); ok {
+			done, running = progress.Done(), progress.Running()
 		}
 	}
 	if running > 0 || done > 0 {
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -29,7 +29,7 @@
 // store sends one request to the state service and notes whether it works.
 func (c *Controller) store(method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
 	c.storeCost.Spend(c.now, 1)
-	c.call(State, "", method, target, body, timeout, func(o Outcome) {
+	c.call(StateService, "", method, target, body, timeout, func(o Outcome) {
 		c.noteStore(o)
 		done(o)
 	})
@@ -38,7 +38,7 @@
 // storeWatch is store for watches, whose silence says nothing.
 func (c *Controller) storeWatch(prefix string, after uint64, wait time.Duration, done func(Outcome)) {
 	c.storeCost.Spend(c.now, 1)
-	c.call(State, "", "GET", protocol.WatchTarget(prefix, after, wait), nil, wait+4*time.Second, func(o Outcome) {
+	c.call(StateService, "", "GET", protocol.WatchTarget(prefix, after, wait), nil, wait+4*time.Second, func(o Outcome) {
 		if o.Answered {
 			c.noteStore(o)
 		}
--- a/internal/coordination/timers.go
+++ b/internal/coordination/timers.go
@@ -13,12 +13,14 @@
 	return c.timers[0].at
 }
 
+// timer is a function that runs in a step of its own.
 type timer struct {
 	at  time.Time
-	seq uint64
-	run func()
+	seq uint64 // of those for the same time, the first that was set runs first
+	run func() // nil once it is cancelled
 }
 
+// timerHeap holds the timers, the next one first (heap.Interface).
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/internal/simulator/controller_host.go
+++ b/internal/simulator/controller_host.go
@@ -179,7 +179,7 @@
 		finish(coordination.Outcome{Status: status, Body: body, Answered: status != 0})
 	}
 	switch call.To {
-	case coordination.State:
+	case coordination.StateService:
 		c.request(n.name, stateHost, func(respond respondFunc) { c.state.serve(n.name, call.Method, call.Target, call.Body, respond) }, done)
 	case coordination.Cloud:
 		c.request(n.name, cloudHost, func(respond respondFunc) { c.cloud.serve(n.name, call.Method, call.Target, call.Body, respond) }, done)
