--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -23,6 +23,7 @@
 	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/coordination/ratelog"
+	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -71,8 +72,8 @@
 	leader    *leader   // nil while following
 	sharding  *sharding // nil while the leader serves all machines
 
-	localMessages    []shardMessage // between this controller's own roles
-	rejectedMessages int            // of peers, about shards
+	localMessages    []shard.Message // between this controller's own roles
+	rejectedMessages int             // of peers, about shards
 }
 
 // New makes a controller that is about to start at now. bootID must differ from that of every
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -1,19 +1,19 @@
 package coordination
 
 import (
-	"bytes"
 	"errors"
 	"time"
 
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/peers"
+	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
 
 // PeerMessage takes a message from another controller.
 func (c *Controller) PeerMessage(now time.Time, body []byte) Effects {
 	c.now = now
-	if bytes.HasPrefix(body, shardMessagePrefix) {
+	if shard.IsMessage(body) {
 		c.receiveRawShardMessage(body)
 	} else if m, err := peers.Decode(body); err == nil && m.Sender != c.cfg.Name && c.isPeer(m.Sender) {
 		c.receivePeerMessage(&m)
@@ -41,8 +41,8 @@
 // receiveRawShardMessage takes a message about shards. Those that can't be read and those of
 // controllers that aren't peers are counted, and the first is logged.
 func (c *Controller) receiveRawShardMessage(body []byte) {
-	line, err := parseShardMessage(body)
-	if err == nil && !c.isPeer(line.Node) {
+	line, err := shard.ParseMessage(body)
+	if err == nil && !c.isPeer(line.From) {
 		err = errUnknownPeer
 	}
 	if err == nil {
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -1,11 +1,3 @@
-// Package shard divides the machines of a fleet into shards, each with one owner among
-// the controllers. It holds the records of owners, their changes, the planner that
-// decides who should own what, and the messages between the leader and owners. It does no
-// I/O, reads no clock and starts no goroutine.
-//
-// The state service alone says who owns a shard. A change of the owner is one transaction,
-// conditional on the version of the shard's record, and comes with a token above every one
-// before it.
 package shard
 
 import (
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -21,15 +21,11 @@
 	Draining bool
 	// Fit is whether it may be given more: it is heard, isn't late, and reaches most of
 	// the workers that it has.
-	Fit bool
-	// Blind is whether it doesn't reach most of its workers.
-	Partitioned bool
+	Fit          bool
+	Reachability Reachability
 	// Silent is how long nothing was heard of it, its lease notwithstanding.
 	UnheardFor time.Duration
-	// Vouched is whether the state service showed lately that it reaches its workers,
-	// although the leader doesn't hear it.
-	ShownReachable bool
-	Load           Load
+	Load       Load
 }
 
 // Shard is a shard as the planner sees it.
@@ -252,9 +248,9 @@
 		return 0
 	case c.Draining:
 		return ReasonDraining
-	case c.Partitioned:
+	case c.Reachability == WorkersUnreachable:
 		return ReasonPartitioned
-	case c.UnheardFor > unheardLimit || c.ShownReachable: // who vouches says that it doesn't hear the leader either
+	case c.UnheardFor > unheardLimit || c.Reachability == WorkersReachable: // who vouches says that it doesn't hear the leader either
 		return ReasonUnheard
 	case s.Zone != "" && c.Zone != s.Zone:
 		return ReasonZone
--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -30,7 +30,7 @@
 	}
 	for i := range v.shards {
 		s := &v.shards[i]
-		if c := v.controller(s.Owner); !s.Unowned && c != nil && c.Partitioned && s.Machines > 0 {
+		if c := v.controller(s.Owner); !s.Unowned && c != nil && c.Reachability == WorkersUnreachable && s.Machines > 0 {
 			p.reachFailures[reachFailure{c.Member, s.Zone}] = now
 		}
 	}
@@ -43,7 +43,7 @@
 	if c.Member == s.Owner || p.reachFailures.recent(now, c.Member, s.Zone) {
 		return false
 	}
-	return c.Fit || why == ReasonPartitioned && c.ShownReachable
+	return c.Fit || why == ReasonPartitioned && c.Reachability == WorkersReachable
 }
 
 // HasAlternative reports whether another controller than a zone's present owner may reach the
@@ -61,7 +61,7 @@
 // servesUnheard reports whether a shard would leave its owner only because the leader doesn't
 // hear it, while the state service shows that it reaches its workers.
 func (v *view) servesUnheard(s *Shard, why Reason) bool {
-	return why == ReasonUnheard && s.Machines > 0 && v.controller(s.Owner).ShownReachable
+	return why == ReasonUnheard && s.Machines > 0 && v.controller(s.Owner).Reachability == WorkersReachable
 }
 
 // hasCapacity reports whether a controller has the processor for a shard of an owner that serves
@@ -101,3 +101,54 @@
 	}
 	return machines / float64(max(1, all))
 }
+
+// Reachability is what is known of whether a controller reaches the workers of its shards.
+type Reachability uint8
+
+// What may be known of it.
+const (
+	// ReachabilityUnknown: nothing speaks against it, nor does the state service show it.
+	ReachabilityUnknown Reachability = iota
+	// WorkersReachable: the state service lately showed that it reaches most of them, although
+	// the leader doesn't hear it.
+	WorkersReachable
+	// WorkersUnreachable: it doesn't reach most of them.
+	WorkersUnreachable
+)
+
+// ReachabilityInterval is how often an owner that hears no leader writes its reachability into
+// its member record: one change each time, and none while the leader is heard.
+const ReachabilityInterval = 3 * time.Second
+
+// reachabilityValidity is for how long the leader takes what it wrote.
+const reachabilityValidity = 2 * ReachabilityInterval
+
+// ShownReachability follows what a member's record shows. The zero value has seen none.
+type ShownReachability struct {
+	report  ReachabilityReport
+	read    bool      // a record was looked at before
+	shownAt time.Time // when the report was first seen; zero where it may be old
+}
+
+// Update takes a member's record.
+func (s *ShownReachability) Update(now time.Time, m MemberRecord) {
+	if m.Reachability != nil && m.Reachability.Sequence != s.report.Sequence {
+		// What stood there at first may be old.
+		if s.read {
+			s.shownAt = now
+		}
+		s.report = *m.Reachability
+	}
+	s.read = true
+}
+
+// At is what is known at a time.
+func (s *ShownReachability) At(now time.Time) Reachability {
+	switch {
+	case s.shownAt.IsZero() || now.Sub(s.shownAt) > reachabilityValidity:
+		return ReachabilityUnknown
+	case Partitioned(s.report.Workers, s.report.Unreachable):
+		return WorkersUnreachable
+	}
+	return WorkersReachable
+}
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -181,8 +181,10 @@
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * time.Second)
 		for k := range controllers { // whoever has it reaches few of its workers
-			controllers[k].Partitioned = controllers[k].Member == shards[0].Owner
-			controllers[k].Fit = !controllers[k].Partitioned
+			controllers[k].Fit, controllers[k].Reachability = true, ReachabilityUnknown
+			if controllers[k].Member == shards[0].Owner {
+				controllers[k].Fit, controllers[k].Reachability = false, WorkersUnreachable
+			}
 		}
 		had[shards[0].Owner] = now
 		for _, d := range p.Plan(now, controllers, shards[:1]) {
@@ -215,7 +217,10 @@
 		for k := range controllers {
 			controllers[k].Load.Machines = 200
 		}
-		controllers[1].UnheardFor, controllers[1].Fit, controllers[1].ShownReachable = c.silent+time.Second, false, c.vouched
+		controllers[1].UnheardFor, controllers[1].Fit = c.silent+time.Second, false
+		if c.vouched {
+			controllers[1].Reachability = WorkersReachable
+		}
 		moved := 0
 		for _, d := range p.Plan(start, controllers, shards) {
 			if d.Reason == ReasonUnheard {
@@ -228,11 +233,14 @@
 	}
 }
 
-// Lines that are cut hold all that was told, in order, each within its room.
-func TestCut(t *testing.T) {
-	const room = 4000
+const messageRoom, entries = 4000, 200 // of the tests below
+
+func messageBytes(v any) int { return len(records.Encode(v)) }
+
+// much is more than one message takes.
+func much() (*Instructions, *Observations) {
 	in, seen := &Instructions{}, &Observations{Status: &Status{}}
-	for i := range 200 {
+	for i := range entries {
 		k := Task{Machine: fmt.Sprintf("vm-%06d", i), Job: "run-000001", TaskIndex: i, Attempt: 1}
 		in.Machines = append(in.Machines, Machine{Name: k.Machine, Type: "t", Zone: "z", Starts: []Start{{Task: k}, {Task: k}}})
 		in.Starts = append(in.Starts, Start{Task: k})
@@ -241,39 +249,53 @@
 		seen.Terminations = append(seen.Terminations, Termination{Task: k, Reason: "no longer reported"})
 		seen.Status.Unhealthy = append(seen.Status.Unhealthy, UnhealthyWorker{Machine: k.Machine, SilentMillis: 5000})
 	}
-	size := func(v any) int { return len(records.Encode(v)) }
-	machines, runs := 0, 0
+	return in, seen
+}
+
+// Messages that are cut from instructions hold all of them, in order, each within its room.
+func TestTakeFittingInstructions(t *testing.T) {
+	in, _ := much()
+	machines, starts, terminated := 0, 0, 0
 	for !in.Empty() {
-		line, _ := in.TakeFitting(room)
-		if size(line) > room || line.Empty() {
-			t.Fatalf("a line of %d bytes", size(line))
+		message, _ := in.TakeFitting(messageRoom)
+		if size := messageBytes(message); size > messageRoom || message.Empty() {
+			t.Fatalf("a message of %d bytes", size)
 		}
-		if len(line.Starts) > 0 && machines+len(line.Machines) < 200 {
-			t.Error("runs before their machines")
+		if len(message.Starts) > 0 && machines+len(message.Machines) < entries {
+			t.Error("starts before their machines")
 		}
-		machines, runs = machines+len(line.Machines), runs+len(line.Starts)
+		machines, starts = machines+len(message.Machines), starts+len(message.Starts)
+		terminated += len(message.TerminatedMachines)
+	}
+	if machines != entries || starts != entries || terminated != entries {
+		t.Errorf("%d machines, %d starts, %d terminated", machines, starts, terminated)
 	}
-	states, gone, late, parts := 0, 0, 0, 0
+}
+
+// Messages that are cut from observations hold all of them, the status in parts at the end.
+func TestTakeFittingObservations(t *testing.T) {
+	_, seen := much()
+	states, terminations, unhealthy, parts := 0, 0, 0, 0
 	for !seen.Empty() {
-		line := seen.TakeFitting(room)
-		if size(line) > room {
-			t.Fatalf("a line of %d bytes", size(line))
+		message := seen.TakeFitting(messageRoom)
+		if size := messageBytes(message); size > messageRoom {
+			t.Fatalf("a message of %d bytes", size)
 		}
-		states, gone = states+len(line.TaskStates), gone+len(line.Terminations)
-		if s := line.Status; s != nil {
-			if s.Part != parts || s.More != (late+len(s.Unhealthy) < 200) {
+		states, terminations = states+len(message.TaskStates), terminations+len(message.Terminations)
+		if s := message.Status; s != nil {
+			if s.Part != parts || s.More != (unhealthy+len(s.Unhealthy) < entries) {
 				t.Errorf("part %d: %+v", parts, s)
 			}
-			late, parts = late+len(s.Unhealthy), parts+1
+			unhealthy, parts = unhealthy+len(s.Unhealthy), parts+1
 		}
 	}
-	if machines != 200 || runs != 200 || states != 200 || gone != 200 || late != 200 || parts < 2 {
-		t.Errorf("%d machines, %d runs, %d states, %d gone, %d late in %d parts", machines, runs, states, gone, late, parts)
+	if states != entries || terminations != entries || unhealthy != entries || parts < 2 {
+		t.Errorf("%d states, %d terminations, %d unhealthy in %d parts", states, terminations, unhealthy, parts)
 	}
 }
 
-// A link notices a lost line and asks for a full account; a copy changes nothing.
-func TestLink(t *testing.T) {
+// A channel notices a lost message and asks for a snapshot; a copy changes nothing.
+func TestChannel(t *testing.T) {
 	e := Epoch{Term: 3, Member: member("a")}
 	from, to := NewChannel(e), NewChannel(e)
 	first, lost, third := from.NextHeader(start, true), from.NextHeader(start, true), from.NextHeader(start, true)
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -1,7 +1,7 @@
 package shard
 
-// Lines between the leader and owners have a limited length. What there is to tell waits in
-// one long line, from which parts are cut that fit. Lists are cut in the order in which the
+// Messages between the leader and owners have a limited length. What there is to tell waits in
+// one long message, from which parts are taken that fit. Lists are cut in the order in which the
 // other side takes them, so that nothing overtakes what was told before of the same task.
 
 // Bytes of an entry beside the names in it, at the most.
@@ -43,17 +43,29 @@
 	return size
 }
 
-// takeFitting takes entries from the front of a list as long as there is room, and returns what is
-// left of both. The first entry of an empty line is taken whatever its size.
-func takeFitting[T any](list []T, room, whole int, size func(*T) int) (part, rest []T, left int) {
-	for i := range list {
-		k := size(&list[i])
-		if k > room && (room != whole || i != 0) {
-			return list[:i:i], list[i:], room
+// cutter fills one message from lists that are cut in order. The first entry of an empty
+// message is taken whatever its size.
+type cutter struct {
+	room, whole int
+	cut         bool // a list had to be cut: what comes after it waits
+}
+
+// take takes entries from the front of a list as long as there is room, and leaves the rest.
+func take[T any](c *cutter, list *[]T, size func(*T) int) (part []T) {
+	if c.cut {
+		return nil
+	}
+	all := *list
+	for i := range all {
+		k := size(&all[i])
+		if k > c.room && (c.room != c.whole || i != 0) {
+			*list, c.cut = all[i:], true
+			return all[:i:i]
 		}
-		room -= k
+		c.room -= k
 	}
-	return list, nil, room
+	*list = nil
+	return all
 }
 
 // Empty reports whether there is nothing to tell.
@@ -61,22 +73,20 @@
 	return len(in.Machines)+len(in.TerminatedMachines)+len(in.Starts)+len(in.Stops)+len(in.Forgets) == 0
 }
 
-// TakeFitting takes from what there is to tell what fits one line, and returns it with the room that
-// is left.
-func (in *Instructions) TakeFitting(room int) (line Instructions, left int) {
-	whole := room
-	line.Machines, in.Machines, room = takeFitting(in.Machines, room, whole, (*Machine).Size)
-	if len(in.Machines) == 0 {
-		line.Starts, in.Starts, room = takeFitting(in.Starts, room, whole, (*Start).size)
-	}
-	if len(in.Machines)+len(in.Starts) == 0 {
-		line.Stops, in.Stops, room = takeFitting(in.Stops, room, whole, (*Stop).size)
-	}
-	if len(in.Machines)+len(in.Starts)+len(in.Stops) == 0 {
-		line.Forgets, in.Forgets, room = takeFitting(in.Forgets, room, whole, (*Task).size)
-		line.TerminatedMachines, in.TerminatedMachines, room = takeFitting(in.TerminatedMachines, room, whole, nameSize)
+// TakeFitting takes from what there is to tell what fits one message of so many bytes, and
+// returns it with the room that is left.
+func (in *Instructions) TakeFitting(room int) (message Instructions, left int) {
+	c := &cutter{room: room, whole: room}
+	message.Machines = take(c, &in.Machines, (*Machine).Size)
+	message.Starts = take(c, &in.Starts, (*Start).size)
+	message.Stops = take(c, &in.Stops, (*Stop).size)
+	if c.cut {
+		return message, c.room
 	}
-	return line, room
+	message.Forgets = take(c, &in.Forgets, (*Task).size)
+	c.cut = false // the names have no order to keep with what an owner may forget
+	message.TerminatedMachines = take(c, &in.TerminatedMachines, nameSize)
+	return message, c.room
 }
 
 // Empty reports whether there is nothing to tell.
@@ -84,36 +94,28 @@
 	return len(o.Workers)+len(o.TaskStates)+len(o.Exits)+len(o.Terminations)+len(o.Orphans) == 0 && o.Status == nil
 }
 
-// TakeFitting takes from what there is to tell what fits one line. The status comes after all else,
-// its late workers in several lines if they are many.
-func (o *Observations) TakeFitting(room int) (line Observations) {
-	whole := room
-	line.Workers, o.Workers, room = takeFitting(o.Workers, room, whole, (*Worker).size)
-	if len(o.Workers) == 0 {
-		line.TaskStates, o.TaskStates, room = takeFitting(o.TaskStates, room, whole, (*TaskState).size)
-	}
-	if len(o.Workers)+len(o.TaskStates) == 0 {
-		line.Exits, o.Exits, room = takeFitting(o.Exits, room, whole, (*Exit).size)
-	}
-	if len(o.Workers)+len(o.TaskStates)+len(o.Exits) == 0 {
-		line.Terminations, o.Terminations, room = takeFitting(o.Terminations, room, whole, (*Termination).size)
-	}
-	if len(o.Workers)+len(o.TaskStates)+len(o.Exits)+len(o.Terminations) == 0 {
-		line.Orphans, o.Orphans, room = takeFitting(o.Orphans, room, whole, (*Task).size)
-	}
-	if o.Status != nil && len(o.Workers)+len(o.TaskStates)+len(o.Exits)+len(o.Terminations)+len(o.Orphans) == 0 {
-		line.Status = o.Status.takeFitting(room, whole)
-		if !line.Status.More {
+// TakeFitting takes from what there is to tell what fits one message of so many bytes. The
+// status comes after all else, its unhealthy workers in several messages if they are many.
+func (o *Observations) TakeFitting(room int) (message Observations) {
+	c := &cutter{room: room, whole: room}
+	message.Workers = take(c, &o.Workers, (*Worker).size)
+	message.TaskStates = take(c, &o.TaskStates, (*TaskState).size)
+	message.Exits = take(c, &o.Exits, (*Exit).size)
+	message.Terminations = take(c, &o.Terminations, (*Termination).size)
+	message.Orphans = take(c, &o.Orphans, (*Task).size)
+	if o.Status != nil && !c.cut {
+		message.Status = o.Status.takeFitting(c)
+		if !message.Status.More {
 			o.Status = nil
 		}
 	}
-	return line
+	return message
 }
 
 // takeFitting takes the next part of a status.
-func (s *Status) takeFitting(room, whole int) *Status {
+func (s *Status) takeFitting(c *cutter) *Status {
 	part := &Status{Load: s.Load, Part: s.Part}
-	part.Unhealthy, s.Unhealthy, _ = takeFitting(s.Unhealthy, room, whole, (*UnhealthyWorker).size)
+	part.Unhealthy = take(c, &s.Unhealthy, (*UnhealthyWorker).size)
 	part.More = len(s.Unhealthy) > 0
 	s.Part++
 	return part
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -11,6 +11,19 @@
 	"brasskeel/internal/records"
 )
 
+// RecordError is a key of shards whose record can't be read. Callers find it with errors.As.
+type RecordError struct {
+	Key    string // in the state service
+	Reason string // names the shard or the member, and the value
+	Err    error  // of the decoder; nil where the value is JSON but no such record
+}
+
+// Error implements error.
+func (e *RecordError) Error() string { return e.Reason }
+
+// Unwrap gives the decoder's error.
+func (e *RecordError) Unwrap() error { return e.Err }
+
 // versioned is a record and the version of its key.
 type versioned[T any] struct {
 	value   T
@@ -38,7 +51,7 @@
 	}
 	number, ok := records.ParseOwnerKey(key)
 	if !ok {
-		return fmt.Errorf("unknown key %q", key)
+		return &RecordError{Key: key, Reason: fmt.Sprintf("unknown key %q", key)}
 	}
 	id := ID(number)
 	if version < t.records[id].version || version < t.unreadable[id] {
@@ -48,7 +61,7 @@
 	if err := protocol.Decode(value, &r); err != nil || r.Owner.Name == "" || r.Owner.Term == 0 {
 		delete(t.records, id)
 		t.unreadable[id] = version
-		return fmt.Errorf("unreadable owner of shard %d: %.200q", id, value)
+		return &RecordError{Key: key, Reason: fmt.Sprintf("unreadable owner of shard %d: %.200q", id, value), Err: err}
 	}
 	delete(t.unreadable, id)
 	t.records[id] = versioned[OwnerRecord]{r, version}
@@ -62,7 +75,7 @@
 	var m MemberRecord
 	if err := protocol.Decode(value, &m); err != nil || m.Name != node || m.Incarnation == 0 {
 		delete(t.members, node)
-		return fmt.Errorf("unreadable member %q: %.200q", node, value)
+		return &RecordError{Key: records.KeyMember(node), Reason: fmt.Sprintf("unreadable member %q: %.200q", node, value), Err: err}
 	}
 	t.members[node] = versioned[MemberRecord]{m, version}
 	return nil
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"slices"
 	"time"
 
 	"brasskeel/internal/coordination/sessions"
@@ -10,9 +9,6 @@
 
 // Lines between the leader and owners.
 const (
-	// messageInterval is the least time between lines to one side: what happens meanwhile shares
-	// one, since each line costs both sides some wake-ups.
-	messageInterval = 25 * time.Millisecond
 	// itemsPerMessage is about how many workers and states are gathered for one line at a time.
 	itemsPerMessage = 400
 	// exitRetention is how long an exit is remembered after the leader let it be forgotten.
@@ -22,24 +18,14 @@
 // changeFeed is what an owner tells the leader, and takes from it.
 type changeFeed struct {
 	owner          *shardOwner
-	channel        *shard.Channel // to the leader; nil while none is known
+	shard.Outbox   // to the leader; without a channel while none is known
 	leader         string
 	pending        shard.Observations // that is being filled
 	changedWorkers map[*machine]bool  // to be told in it
 	withTaskStates map[*machine]bool  // of them, those whose tasks' states are to be told, too
-	scheduled      bool               // a line waits for its time
-	blocked        bool               // more waits until lines are acknowledged
-	sentAt         time.Time
-	leaderHeard    time.Time // when a leader last told something
-	// gone are the proofs that the leader hasn't acknowledged. The attempts are forgotten
-	// here, so that no account tells of them: one whose only line was lost counted for ever.
-	unacknowledged []sentTermination
-}
-
-// sentTermination is a proof, and the line that told of it.
-type sentTermination struct {
-	message     uint64
-	termination shard.Termination
+	leaderHeard    time.Time          // when a leader last told something
+	// unacknowledged are the terminations that the leader may not know of yet.
+	unacknowledged shard.Unacknowledged
 }
 
 func newChangeFeed(o *shardOwner) *changeFeed {
@@ -76,50 +62,41 @@
 	return shard.Task{Machine: a.machine.Name, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number}
 }
 
-// schedule wants a line sent, at the end of the step or when the last one is long enough ago.
+// schedule wants a message sent.
 func (f *changeFeed) schedule() {
-	if f.scheduled {
-		return
-	}
-	f.scheduled = true
 	c := f.owner.controller
-	c.after(max(0, f.sentAt.Add(messageInterval).Sub(c.now)), func() {
-		f.scheduled = false
+	f.Schedule(c.now, c.runAfter, func() {
 		if f.owner.alive() {
 			f.flush()
 		}
 	})
 }
 
-// flush sends what there is to tell, as far as lines may be on their way, and begins a full
-// account if the leader lacks it.
+// flush sends what there is to tell, as far as messages may be on their way, and begins a
+// snapshot if the leader lacks it.
 func (f *changeFeed) flush() {
-	if f.channel == nil {
-		f.pending, f.changedWorkers = shard.Observations{}, map[*machine]bool{} // a full account will come
+	if f.Channel == nil {
+		f.pending, f.changedWorkers = shard.Observations{}, map[*machine]bool{} // a snapshot will come
 		return
 	}
-	if f.channel.SnapshotDue() {
+	if f.Channel.SnapshotDue() {
 		f.beginSnapshot()
 	}
-	first := true
-	for ; !f.channel.WindowFull() && (first || !f.pending.Empty() || len(f.changedWorkers) > 0); first = false {
+	f.Flush(f.hasPending, func() {
 		if len(f.pending.Workers)+len(f.pending.TaskStates) == 0 {
 			f.appendWorkers()
 		}
 		f.sendMessage(f.pending.TakeFitting(messageBudget))
-	}
-	f.blocked = !f.pending.Empty() || len(f.changedWorkers) > 0
+	})
 }
 
+func (f *changeFeed) hasPending() bool { return !f.pending.Empty() || len(f.changedWorkers) > 0 }
+
 // beginSnapshot wants all told that is known of the workers.
 func (f *changeFeed) beginSnapshot() {
 	gone := f.pending.Terminations
 	f.pending, f.changedWorkers, f.withTaskStates = shard.Observations{Status: f.pending.Status}, map[*machine]bool{}, map[*machine]bool{}
-	for i := range f.unacknowledged {
-		f.pending.Terminations = append(f.pending.Terminations, f.unacknowledged[i].termination)
-	}
-	f.pending.Terminations = append(f.pending.Terminations, gone...)
-	f.unacknowledged = nil // they are told anew
+	f.pending.Terminations = append(f.unacknowledged.Take(), gone...)
 	if f.pending.Status != nil && f.pending.Status.Part > 0 {
 		f.pending.Status = nil // half of it was told: the next one comes within a second
 	}
@@ -185,22 +162,19 @@
 // sendMessage sends a line.
 func (f *changeFeed) sendMessage(line shard.Observations) {
 	c := f.owner.controller
-	line.Header = f.channel.NextHeader(c.now, true)
-	for i := range line.Terminations {
-		f.unacknowledged = append(f.unacknowledged, sentTermination{line.Sequence, line.Terminations[i]})
-	}
+	line.Header = f.NextHeader(c.now, true)
+	f.unacknowledged.Sent(line.Sequence, line.Terminations)
 	line.ServedTerms = f.owner.servedTerms()
-	f.sentAt = c.now
-	c.sendShardMessage(f.leader, shardMessage{Observations: &line})
+	c.sendShardMessage(f.leader, shard.Message{Observations: &line})
 }
 
 // connect begins to talk to whoever leads.
 func (f *changeFeed) connect(leader string, term uint64) {
 	epoch := shard.Epoch{Term: term, Member: f.owner.sharding.member}
-	if f.channel != nil && f.channel.Epoch() == epoch || f.channel != nil && f.channel.Epoch().Term > term {
+	if f.Channel != nil && f.Channel.Epoch() == epoch || f.Channel != nil && f.Channel.Epoch().Term > term {
 		return
 	}
-	f.channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, nil // the leader lists what it knows
+	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.Unacknowledged{} // the leader lists what it knows
 	f.schedule()
 }
 
@@ -211,8 +185,8 @@
 	}
 	f.leaderHeard = f.owner.controller.now
 	f.connect(from, in.Epoch.Term)
-	taken := f.channel.Receive(in.Header)
-	f.unacknowledged = slices.DeleteFunc(f.unacknowledged, func(k sentTermination) bool { return k.message <= f.channel.Acknowledged() })
+	taken := f.Channel.Receive(in.Header)
+	f.unacknowledged.Acknowledged(f.Channel.Acknowledged())
 	if !taken {
 		return
 	}
@@ -236,7 +210,7 @@
 	for _, name := range in.TerminatedMachines {
 		f.owner.dropTerminatedMachine(name)
 	}
-	if f.channel.AckDue() || f.blocked && !f.channel.WindowFull() {
+	if f.Ready() {
 		f.schedule()
 	}
 }
@@ -284,7 +258,7 @@
 func (o *shardOwner) applyStart(r *shard.Start) {
 	m := o.machines[r.Machine]
 	if m == nil || !m.attemptsKnown || m.attempts[taskKey{r.Job, r.TaskIndex}] != nil {
-		o.feed.channel.RequestSnapshot()
+		o.feed.Channel.RequestSnapshot()
 		return
 	}
 	o.addAttempt(m, *r, false)
@@ -326,10 +300,10 @@
 func (o *shardOwner) sendStatus() {
 	o.writeReachability()
 	f := o.feed
-	if f.channel == nil {
+	if f.Channel == nil {
 		return
 	}
-	f.channel.CheckTimeouts(o.controller.now)
+	f.Channel.CheckTimeouts(o.controller.now)
 	s := &shard.Status{Load: shard.Load{CPUShare: o.controller.processorLoad.share, Lag: o.controller.overload.TakePeak(), HeartbeatRate: float64(o.heartbeats), Machines: len(o.fleetList)}}
 	o.heartbeats = 0
 	for _, m := range o.fleetList {
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -19,10 +19,9 @@
 	planner           *shard.Planner
 	channels          map[string]*ownerChannel // by node
 	heardSinceByShard map[shard.ID]time.Time   // since when the owner of a shard is heard without a break
-	moves             map[shard.ID]*shardMove  // under way
-	writing           bool                     // a change of owners is under way
-	unreadableSince   map[shard.ID]time.Time   // since when a record can't be read
-	unreadableVersion map[shard.ID]uint64      // that record's version
+	moves             *shard.Moves
+	writing           bool // a change of owners is under way
+	unreadable        *shard.UnreadableRecords
 }
 
 // ownerTimeout is after how long without a line an owner's word on its workers counts for
@@ -30,12 +29,12 @@
 const ownerTimeout = 2500 * time.Millisecond
 
 func newShardCoordinator(l *leader, s *sharding, retiring bool) *shardCoordinator {
-	c := 1
+	count := 1
 	if sh := l.controller.operator.Sharding; sh != nil {
-		c = sh.ShardsPerController * (1 + len(l.controller.cfg.Peers))
+		count = sh.ShardsPerController * (1 + len(l.controller.cfg.Peers))
 	}
-	return &shardCoordinator{leader: l, sharding: s, count: c, retiring: retiring, planner: shard.NewPlanner(), channels: map[string]*ownerChannel{}, moves: map[shard.ID]*shardMove{},
-		heardSinceByShard: map[shard.ID]time.Time{}, unreadableSince: map[shard.ID]time.Time{}, unreadableVersion: map[shard.ID]uint64{}}
+	return &shardCoordinator{leader: l, sharding: s, count: count, retiring: retiring, planner: shard.NewPlanner(), moves: shard.NewMoves(ownerTimeout),
+		channels: map[string]*ownerChannel{}, heardSinceByShard: map[shard.ID]time.Time{}, unreadable: shard.NewUnreadableRecords()}
 }
 
 // ownershipChanged acts on new owners and members.
@@ -44,13 +43,12 @@
 	for _, m := range sl.sharding.table.Members() {
 		owner := sl.channels[m.Name]
 		if owner == nil || owner.member != m.Member {
-			owner = &ownerChannel{member: m.Member, channel: shard.NewChannel(shard.Epoch{Term: sl.leader.term, Member: m.Member}),
+			owner = &ownerChannel{member: m.Member, Outbox: shard.Outbox{Channel: shard.NewChannel(shard.Epoch{Term: sl.leader.term, Member: m.Member})},
 				pendingMachines: map[*machine]bool{}, announcedTerms: map[shard.ID]uint64{}, heard: c.now}
 			sl.channels[m.Name] = owner
 			sl.schedule(owner)
 		}
-		owner.updateReachability(c.now, m)
-		owner.reachabilityRead = true
+		owner.shown.Update(c.now, m)
 	}
 	for node := range sl.channels {
 		if m, _ := sl.sharding.table.Member(node); m.Name == "" {
@@ -62,17 +60,17 @@
 			delete(sl.heardSinceByShard, id)
 		}
 	}
-	sl.updateMoves()
+	sl.moves.Update(c.now, sl.sharding.table)
 	sl.plan()
 }
 
 // channelToOwner is the link to who serves a shard, nil when nobody does.
 func (sl *shardCoordinator) channelToOwner(id shard.ID) *ownerChannel {
-	grant, ok := sl.sharding.table.Owner(id)
+	ownership, ok := sl.sharding.table.Owner(id)
 	if !ok {
 		return nil
 	}
-	if owner := sl.channels[grant.Name]; owner != nil && owner.member == grant.Member {
+	if owner := sl.channels[ownership.Name]; owner != nil && owner.member == ownership.Member {
 		return owner
 	}
 	return nil
@@ -137,8 +135,8 @@
 	sl.leader.checkReconciled()
 	for _, node := range sl.members() {
 		owner := sl.channels[node]
-		owner.channel.CheckTimeouts(sl.leader.controller.now)
-		if owner.channel.SnapshotDue() || owner.channel.AckDue() {
+		owner.Channel.CheckTimeouts(sl.leader.controller.now)
+		if owner.Channel.SnapshotDue() || owner.Channel.AckDue() {
 			sl.schedule(owner)
 		}
 	}
@@ -153,3 +151,74 @@
 	slices.Sort(nodes)
 	return nodes
 }
+
+// reachabilityAt is what is known of whether an owner that isn't heard reaches its workers.
+func (owner *ownerChannel) reachabilityAt(now time.Time) shard.Reachability {
+	if now.Sub(owner.heard) <= ownerTimeout {
+		return shard.ReachabilityUnknown
+	}
+	return owner.shown.At(now)
+}
+
+// hasAlternativeOwner reports whether a machine's owner doesn't reach its workers while another
+// controller may: then their silence says nothing of them.
+func (sl *shardCoordinator) hasAlternativeOwner(m *machine) bool {
+	owner := sl.channelToOwner(m.shard)
+	return owner != nil && owner.partitioned && owner.alternatives[m.Zone]
+}
+
+// updateAlternatives notes for a blind owner which zones' workers another controller may reach.
+func (sl *shardCoordinator) updateAlternatives(owner *ownerChannel) {
+	owner.alternatives = nil
+	if !owner.partitioned {
+		return
+	}
+	owner.alternatives = map[string]bool{}
+	controllers := sl.controllers()
+	for _, m := range sl.leader.fleetList {
+		if _, known := owner.alternatives[m.Zone]; !known {
+			owner.alternatives[m.Zone] = sl.planner.HasAlternative(sl.leader.controller.now, controllers, owner.member, m.Zone)
+		}
+	}
+}
+
+// ownerUnheard reports whether a machine's owner isn't heard, so that there is no point in
+// waiting for its tasks: with controllers that refuse each other's connections a new leader
+// waited its longest for two thirds of the fleet.
+func (l *leader) ownerUnheard(m *machine) bool {
+	if l.shards == nil {
+		return false
+	}
+	owner := l.shards.channelToOwner(m.shard)
+	return owner == nil || l.controller.now.Sub(owner.heard) > ownerTimeout
+}
+
+// resignIfDisconnected lets another node lead if this one hears no owner but itself, reaches no workers
+// either, and the state service shows that others do. It reports whether it did.
+func (sl *shardCoordinator) resignIfIsolated() bool {
+	l, c := sl.leader, sl.leader.controller
+	if c.now.Sub(l.reconciledAt) <= ownerTimeout {
+		return false
+	}
+	able := 0
+	for node, owner := range sl.channels {
+		if node == c.cfg.Name {
+			if owner.status.Load.Machines > 0 && !owner.partitioned {
+				return false
+			}
+			continue
+		}
+		reachability := owner.reachabilityAt(c.now)
+		if reachability == shard.ReachabilityUnknown && c.now.Sub(owner.heard) <= ownerUnheardLimit {
+			return false
+		}
+		if reachability == shard.WorkersReachable {
+			able++
+		}
+	}
+	return able > 0 && c.resignDisconnected("neither workers nor their owners are heard")
+}
+
+// ownerUnheardLimit is after how long without a line an owner counts as one that the leader can't
+// talk to.
+const ownerUnheardLimit = 6 * time.Second
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// ownerOf is an owner of shard 1 under a term, with one machine.
-func ownerOf(t *testing.T, term uint64) *shardOwner {
+// ownerOf is an owner of shard 1 under term 7, with one machine.
+func ownerOf(t *testing.T) *shardOwner {
 	t.Helper()
 	c, _ := leading(phaseActive)
 	c.leader = nil
@@ -95,7 +95,7 @@
 	o := newShardOwner(c.sharding, leadership.Lease{ID: 3, TTL: 2 * time.Second, ValidUntil: c.now.Add(time.Hour)})
 	c.sharding.owner = o
 	o.jobsKnownAt = c.now.Add(time.Hour)
-	o.shards[1] = &ownedShard{epoch: sessions.Epoch{Term: term, Since: c.now, PredecessorUntil: c.now}}
+	o.shards[1] = &ownedShard{epoch: sessions.Epoch{Term: 7, Since: c.now, PredecessorUntil: c.now}}
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-1", Type: "small", Zone: "a"}, o.shards[1])
 	o.feed.connect("n1", 9)
 	c.takeEffects()
@@ -105,19 +105,19 @@
 // instructions is a leader's line that lists the owner's machine with a task to run.
 func instructions(o *shardOwner, term uint64) *shard.Instructions {
 	run := shard.Start{Task: shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1}, FirstNotice: true}
-	return &shard.Instructions{Header: shard.Header{Epoch: o.feed.channel.Epoch(), Sequence: 1, Snapshot: true},
+	return &shard.Instructions{Header: shard.Header{Epoch: o.feed.Channel.Epoch(), Sequence: 1, Snapshot: true},
 		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Starts: []shard.Start{run}}}}
 }
 
 // A list that was made for another tenure of the shard isn't taken: it may lack what the owner
 // between them started.
 func TestListsOfOtherTenures(t *testing.T) {
-	o := ownerOf(t, 7)
+	o := ownerOf(t)
 	o.feed.receive("n1", instructions(o, 5))
 	if m := o.machines["vm-1"]; m.attemptsKnown || len(m.attemptList) != 0 {
 		t.Error("the list of an earlier tenure was taken")
 	}
-	o = ownerOf(t, 7)
+	o = ownerOf(t)
 	o.feed.receive("n1", instructions(o, 7))
 	if m := o.machines["vm-1"]; !m.attemptsKnown || len(m.attemptList) != 1 {
 		t.Error("the list was not taken")
@@ -126,7 +126,7 @@
 
 // An owner that is asked to release a shard answers none of its workers, and names the next.
 func TestReleasingOwnerIsSilent(t *testing.T) {
-	o := ownerOf(t, 7)
+	o := ownerOf(t)
 	put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 	next := shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 8}
 	record := shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}, Next: &next}
@@ -169,7 +169,7 @@
 
 // A worker that comes back from the leader tries all controllers in turn.
 func TestWorkersThatDoNotReachTheLeader(t *testing.T) {
-	o := ownerOf(t, 7)
+	o := ownerOf(t)
 	c, s := o.controller, &o.sharding.redirector
 	*s = newRedirector(c)
 	showElection(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
@@ -198,14 +198,14 @@
 // A proof that an attempt is gone is told again when its line was lost: the owner forgets the
 // attempt, so that no account of what it holds would tell of it.
 func TestLostProofIsToldAgain(t *testing.T) {
-	o := ownerOf(t, 7)
+	o := ownerOf(t)
 	f := o.feed
 	f.receive("n1", instructions(o, 7))
 	o.attemptTerminated(o.machines["vm-1"].attemptList[0], "no longer reported")
 	gone := func() (count int, last uint64) {
 		f.flush()
 		for _, s := range o.controller.takeEffects().Unicasts {
-			line, err := parseShardMessage(s.Body)
+			line, err := shard.ParseMessage(s.Body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -220,8 +220,8 @@
 	}
 	ask := func(ack uint64, again bool) {
 		o.controller.now = o.controller.now.Add(time.Second)
-		f.receive("n1", &shard.Instructions{Header: shard.Header{Epoch: f.channel.Epoch(), Acknowledged: ack, SnapshotRequested: again}})
-		f.channel.CheckTimeouts(o.controller.now)
+		f.receive("n1", &shard.Instructions{Header: shard.Header{Epoch: f.Channel.Epoch(), Acknowledged: ack, SnapshotRequested: again}})
+		f.Channel.CheckTimeouts(o.controller.now)
 	}
 	ask(last-1, true)
 	told, last = gone()
@@ -237,7 +237,7 @@
 // An exit that an earlier leader let be forgotten, and that the worker still reports, is told
 // to a leader that lists the attempt as running.
 func TestForgottenExitIsToldToTheNextLeader(t *testing.T) {
-	o := ownerOf(t, 7)
+	o := ownerOf(t)
 	o.feed.receive("n1", instructions(o, 7))
 	m := o.machines["vm-1"]
 	exit := protocol.TaskStatus{Job: "run-000001", TaskIndex: 0, Attempt: 1, State: protocol.Exited, Reason: protocol.ExitStopped}
@@ -267,7 +267,7 @@
 // workers says so, and the next owner waits for that.
 func TestReleaseWhileAnEarlierOwnerMayAnswer(t *testing.T) {
 	released := func(wait time.Duration) bool {
-		o := ownerOf(t, 7)
+		o := ownerOf(t)
 		o.shards[1].epoch.PredecessorUntil = o.controller.now.Add(wait)
 		put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 		next := shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 8}
@@ -302,7 +302,7 @@
 // An owner pauses when a worker has seen a later token, and goes on with the others once the
 // table, read since, shows that nobody took the shard.
 func TestOneWorkerWithALaterToken(t *testing.T) {
-	o := ownerOf(t, 7)
+	o := ownerOf(t)
 	put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 	put(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}}, 4)
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-2", Type: "small", Zone: "a"}, o.shards[1])
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -8,24 +8,17 @@
 
 // ownerChannel is how the leader talks to one owner.
 type ownerChannel struct {
-	member          shard.Member
-	channel         *shard.Channel
+	member shard.Member
+	shard.Outbox
 	pending         shard.Instructions  // that is being filled
 	pendingMachines map[*machine]bool   // machines whose complete lists are to be told in it
 	announcedTerms  map[shard.ID]uint64 // shards whose machines were told, and under which term
-	scheduled       bool
-	// blocked says that more waits to be told until lines are acknowledged.
-	blocked      bool
-	sentAt       time.Time
-	heard        time.Time // when it last told something
-	status       shard.Status
-	unhealthy    map[string]*shard.UnhealthyWorker // of the parts of a status that came so far
-	partitioned  bool                              // it doesn't reach most of its workers
-	alternatives map[string]bool                   // zones whose workers others may reach, of a blind owner
-
-	reachability     shard.ReachabilityReport // that the state service showed last
-	reachabilityRead bool                     // its record was looked at before
-	reachabilityAt   time.Time                // when it was first seen; zero where it may be old
+	heard           time.Time           // when it last told something
+	status          shard.Status
+	statusParts     shard.StatusParts
+	partitioned     bool                    // it doesn't reach most of its workers
+	alternatives    map[string]bool         // zones whose workers others may reach, of a blind owner
+	shown           shard.ShownReachability // by the state service
 }
 
 // attemptChanged tells the owner of an attempt's machine what is wanted of it.
@@ -74,38 +67,35 @@
 	}
 }
 
-// schedule wants a line sent to an owner.
+// schedule wants a message sent to an owner.
 func (sl *shardCoordinator) schedule(owner *ownerChannel) {
-	if owner.scheduled {
-		return
-	}
-	owner.scheduled = true
 	c := sl.leader.controller
-	c.after(max(0, owner.sentAt.Add(messageInterval).Sub(c.now)), func() {
-		owner.scheduled = false
+	owner.Schedule(c.now, c.runAfter, func() {
 		if sl.leader.alive() && sl.channels[owner.member.Name] == owner {
 			sl.flush(owner)
 		}
 	})
 }
 
-// flush sends what there is to tell an owner, as far as lines may be on their way.
+// flush sends what there is to tell an owner, as far as messages may be on their way.
 func (sl *shardCoordinator) flush(owner *ownerChannel) {
 	if sl.leader.phase == phaseLoading {
 		return
 	}
-	if owner.channel.SnapshotDue() {
+	if owner.Channel.SnapshotDue() {
 		sl.beginSnapshot(owner)
 	}
-	first := true
-	for ; !owner.channel.WindowFull() && (first || !owner.pending.Empty() || len(owner.pendingMachines) > 0); first = false {
+	owner.Flush(owner.hasPending, func() {
 		line, room := owner.pending.TakeFitting(messageBudget)
 		if owner.pending.Empty() && len(owner.pendingMachines) > 0 {
 			line.Machines = append(line.Machines, sl.nextMachines(owner, room)...)
 		}
 		sl.sendMessage(owner, line)
-	}
-	owner.blocked = !owner.pending.Empty() || len(owner.pendingMachines) > 0
+	})
+}
+
+func (owner *ownerChannel) hasPending() bool {
+	return !owner.pending.Empty() || len(owner.pendingMachines) > 0
 }
 
 // beginSnapshot wants all machines told of that an owner serves.
@@ -153,10 +143,9 @@
 
 func (sl *shardCoordinator) sendMessage(owner *ownerChannel, line shard.Instructions) {
 	c := sl.leader.controller
-	content := owner.channel.SnapshotDue() || !line.Empty()
-	line.Header = owner.channel.NextHeader(c.now, content)
-	owner.sentAt = c.now
-	c.sendShardMessage(owner.member.Name, shardMessage{Instructions: &line})
+	content := owner.Channel.SnapshotDue() || !line.Empty()
+	line.Header = owner.NextHeader(c.now, content)
+	c.sendShardMessage(owner.member.Name, shard.Message{Instructions: &line})
 }
 
 // machineEntry is a machine with all attempts that may be on it.
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
@@ -209,3 +210,79 @@
 		s.owner.sendStatus()
 	}
 }
+
+// writeReachability writes what this owner reaches into its member record, if it hears no leader and
+// the last account is old enough.
+func (o *shardOwner) writeReachability() {
+	c, s := o.controller, o.sharding
+	if s.member.Name == "" || s.writingMember || c.storeDown() || c.now.Sub(o.feed.leaderHeard) <= ownerTimeout || c.now.Sub(o.reachabilityAt) < shard.ReachabilityInterval {
+		return
+	}
+	o.reachabilityAt = c.now
+	o.reachabilityReports++
+	reach := o.currentReachability()
+	reach.Sequence = o.reachabilityReports
+	s.reachability = &reach
+	s.writeMember(o, func(bool) {})
+}
+
+// currentReachability counts the workers that this owner heard, and those that it lost.
+func (o *shardOwner) currentReachability() shard.ReachabilityReport {
+	var reach shard.ReachabilityReport
+	for _, m := range o.fleetList {
+		if !m.session.Registered {
+			continue
+		}
+		reach.Workers++
+		if m.session.FailedProbes >= sessions.UnreachableProbes || o.unansweredFor(m) > o.controller.maxUnanswered() {
+			reach.Unreachable++
+		}
+	}
+	return reach
+}
+
+// maxUnanswered is how long a worker's reports may go unanswered before it counts as lost to
+// its owner, whether or not it answers calls: where links break and come back every few
+// seconds calls get through now and then, and reports, which come rarely, don't.
+func (c *Controller) maxUnanswered() time.Duration { return c.cfg.WorkerLease / 3 }
+
+// partitionedHold is for how long after it lost most of its workers a controller tells the others
+// not to send workers to it: it doesn't see when they could reach it again.
+const partitionedHold = 20 * time.Second
+
+// updatePartitioned notes whether this controller reaches its workers.
+func (s *sharding) updatePartitioned() {
+	if reach := s.owner.currentReachability(); shard.Partitioned(reach.Workers, reach.Unreachable) {
+		s.partitionedUntil = s.controller.now.Add(partitionedHold)
+	}
+}
+
+// WorkersUnreachable reports whether this controller lately lost most of its workers.
+func (c *Controller) workersUnreachable() bool {
+	return c.sharding != nil && c.now.Before(c.sharding.partitionedUntil)
+}
+
+// writeMember writes the member's record anew, bound to the same lease.
+func (s *sharding) writeMember(own *shardOwner, done func(applied bool)) {
+	c := s.controller
+	s.writingMember = true
+	key := records.KeyMember(c.cfg.Name)
+	_, version := s.table.Member(c.cfg.Name)
+	value := records.Encode(shard.MemberRecord{Member: s.member, Zone: c.cfg.Zone, Draining: s.draining, Reachability: s.reachability})
+	c.storeTxn(&protocol.Txn{
+		Conditions: []protocol.Condition{{Key: key, Version: version}},
+		Ops:        []protocol.Op{{Put: key, Value: value, Lease: own.lease.ID}},
+	}, func(res txnResult, revision uint64, _ []string) {
+		s.writingMember = false
+		if s.owner != own {
+			return // it left, and joins as another member
+		}
+		if res == txnApplied {
+			s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: revision})
+			s.ownershipChanged()
+		} else if res != txnRefused {
+			s.loadTable() // it may have been applied
+		}
+		done(res == txnApplied)
+	})
+}
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -16,12 +16,12 @@
 		return
 	}
 	owner.heard = c.now
-	taken := owner.channel.Receive(seen.Header)
+	taken := owner.Channel.Receive(seen.Header)
 	sl.applyServedTerms(owner, seen.ServedTerms)
 	if taken {
 		sl.applyObservations(owner, seen)
 	}
-	if owner.channel.AckDue() || owner.blocked && !owner.channel.WindowFull() {
+	if owner.Ready() {
 		sl.schedule(owner)
 	}
 }
@@ -47,7 +47,7 @@
 		// The silence that another owner told of isn't this one's.
 		sl.heardSinceByShard[id] = sl.leader.controller.now
 		owner.announcedTerms[id] = term
-		sl.moveServed(owner, id)
+		sl.moveOver(sl.moves.Served(sl.leader.controller.now, id, owner.member.Name, sl.hasMachines))
 		for _, m := range sl.leader.fleetList {
 			if m.shard == id && m.inRecordedShard() {
 				owner.pendingMachines[m] = true
@@ -130,9 +130,14 @@
 		m.addr = w.Addr
 		l.addressChanged(m)
 	}
-	if w.Incarnation == 0 {
-		return // not heard by this owner yet
+	if w.Incarnation != 0 { // it was heard by this owner
+		sl.applySession(m, w)
 	}
+}
+
+// applySession takes what an owner that heard a worker tells of its session.
+func (sl *shardCoordinator) applySession(m *machine, w *shard.Worker) {
+	l, c := sl.leader, sl.leader.controller
 	if !m.session.Registered {
 		m.session.Registered, m.session.RegisteredAt = true, c.now
 		l.workerRegistered(m)
@@ -141,7 +146,7 @@
 		m.session.Incarnation = w.Incarnation
 		l.incarnationBegan(m)
 	}
-	sl.moveAnswered(m.shard)
+	sl.moveOver(sl.moves.Heard(m.shard))
 	m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 	if w.Reached {
 		l.workerReached(m)
@@ -175,51 +180,27 @@
 
 // applyStatus takes how an owner's workers are: those that it doesn't name are well.
 func (sl *shardCoordinator) applyStatus(owner *ownerChannel, s *shard.Status) {
-	l, c := sl.leader, sl.leader.controller
 	owner.status = *s
-	if s.Part == 0 || owner.unhealthy == nil {
-		owner.unhealthy = map[string]*shard.UnhealthyWorker{}
-	}
-	for i := range s.Unhealthy {
-		owner.unhealthy[s.Unhealthy[i].Machine] = &s.Unhealthy[i]
-	}
-	if s.More {
+	unhealthy, complete := owner.statusParts.Add(s)
+	if !complete {
 		return // who is well shows once all parts are there
 	}
-	late := owner.unhealthy
-	owner.unhealthy = nil
 	known, lost := 0, 0
-	for _, m := range l.fleetList {
+	for _, m := range sl.leader.fleetList {
 		if owner.announcedTerms[m.shard] == 0 || sl.machineOf(owner, m.Name) == nil {
 			continue
 		}
+		w := unhealthy[m.Name]
 		if m.session.Registered {
 			known++
-		}
-		w := late[m.Name]
-		if w == nil {
-			if m.session.Registered {
-				m.session.LastSeen, m.session.LastAnswered, m.session.FailedProbes = c.now, c.now, 0
-				if !m.session.LastReached.IsZero() {
-					l.workerReached(m)
-					m.session.LastReached = c.now
-				}
-			}
-			continue
-		}
-		if m.session.Registered && (w.FailedCalls >= sessions.UnreachableProbes || time.Duration(w.UnansweredMillis)*time.Millisecond > c.maxUnanswered()) {
-			lost++
-		}
-		m.session.FailedProbes = w.FailedCalls
-		if m.session.Registered {
-			m.session.LastSeen = c.now.Add(-time.Duration(w.SilentMillis) * time.Millisecond)
-			m.session.LastAnswered = c.now.Add(-time.Duration(w.UnansweredMillis) * time.Millisecond)
-			if !m.session.LastReached.IsZero() {
-				m.session.LastReached = c.now.Add(-time.Duration(w.UnreachedMillis) * time.Millisecond)
+			if w != nil && sl.lost(w) {
+				lost++
 			}
 		}
-		if w.FailedCalls > 0 {
-			l.probeFailed(m)
+		if w != nil {
+			sl.workerUnhealthy(m, w)
+		} else if m.session.Registered {
+			sl.workerHealthy(m)
 		}
 	}
 	owner.partitioned = shard.Partitioned(known, lost)
@@ -228,3 +209,34 @@
 		sl.plan()
 	}
 }
+
+// lost reports whether an owner doesn't reach a worker, or its heartbeats don't reach the owner.
+func (sl *shardCoordinator) lost(w *shard.UnhealthyWorker) bool {
+	return w.FailedCalls >= sessions.UnreachableProbes || millis(w.UnansweredMillis) > sl.leader.controller.maxUnanswered()
+}
+
+func (sl *shardCoordinator) workerHealthy(m *machine) {
+	now := sl.leader.controller.now
+	m.session.LastSeen, m.session.LastAnswered, m.session.FailedProbes = now, now, 0
+	if !m.session.LastReached.IsZero() {
+		sl.leader.workerReached(m)
+		m.session.LastReached = now
+	}
+}
+
+func (sl *shardCoordinator) workerUnhealthy(m *machine, w *shard.UnhealthyWorker) {
+	now := sl.leader.controller.now
+	m.session.FailedProbes = w.FailedCalls
+	if m.session.Registered {
+		m.session.LastSeen = now.Add(-millis(w.SilentMillis))
+		m.session.LastAnswered = now.Add(-millis(w.UnansweredMillis))
+		if !m.session.LastReached.IsZero() {
+			m.session.LastReached = now.Add(-millis(w.UnreachedMillis))
+		}
+	}
+	if w.FailedCalls > 0 {
+		sl.leader.probeFailed(m)
+	}
+}
+
+func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -1,7 +1,9 @@
 package coordination
 
 import (
+	"maps"
 	"slices"
+	"strconv"
 	"time"
 
 	"brasskeel/internal/coordination/leadership"
@@ -35,7 +37,7 @@
 	for _, d := range decisions {
 		if change := sl.sharding.table.ProposeMove(d.ID, d.To, sl.leaderState()); change != nil {
 			c.log.Info("shard move requested", "shard", d.ID, "to", d.To.Name, "reason", d.Reason.String())
-			sl.beginMove(d)
+			sl.moves.Begin(c.now, sl.sharding.table, d)
 			sl.write(change)
 			return
 		}
@@ -121,11 +123,11 @@
 	for _, m := range sl.sharding.table.Members() {
 		member := shard.Controller{Member: m.Member, Zone: m.Zone, Draining: m.Draining}
 		if owner := sl.channels[m.Name]; owner != nil && owner.member == m.Member {
-			member.Load, member.Partitioned, member.UnheardFor = owner.status.Load, owner.partitioned, c.now.Sub(owner.heard)
-			if vouched, blind, shown := owner.shownReachability(c.now); shown {
-				member.ShownReachable, member.Partitioned = vouched, blind
+			member.Load, member.UnheardFor, member.Reachability = owner.status.Load, c.now.Sub(owner.heard), owner.reachabilityAt(c.now)
+			if member.Reachability == shard.ReachabilityUnknown && owner.partitioned {
+				member.Reachability = shard.WorkersUnreachable
 			}
-			member.Fit = !member.Partitioned && member.UnheardFor <= ownerTimeout && member.Load.Lag <= overload.Overloaded
+			member.Fit = member.Reachability != shard.WorkersUnreachable && member.UnheardFor <= ownerTimeout && member.Load.Lag <= overload.Overloaded
 		}
 		if sl.retiring && m.Name != c.cfg.Name {
 			member.Draining = true
@@ -137,46 +139,20 @@
 
 // shards are those that there are, and those that are to be, as the planner sees them.
 func (sl *shardCoordinator) shards() []shard.Shard {
-	machines := map[shard.ID]map[string]int{}
-	for _, m := range sl.leader.fleetList {
-		if machines[m.shard] == nil {
-			machines[m.shard] = map[string]int{}
-		}
-		machines[m.shard][m.Zone]++
-	}
-	ids := sl.sharding.table.IDs()
-	if !sl.retiring {
-		for id := shard.ID(1); id <= shard.ID(sl.count); id++ {
-			ids = append(ids, id)
-		}
+	count := sl.count
+	if sl.retiring {
+		count = 0
 	}
-	slices.Sort(ids)
-	var list []shard.Shard
-	for _, id := range slices.Compact(ids) {
-		if s, ok := sl.plannedShard(id, machines[id]); ok {
-			list = append(list, s)
-		}
-	}
-	return list
+	return sl.sharding.table.Planned(count, sl.leader.machineShards, sl.previousOwnerEnded)
 }
 
-// plannedShard is a shard as the planner sees it; false when nothing can be planned for it.
-func (sl *shardCoordinator) plannedShard(id shard.ID, zones map[string]int) (shard.Shard, bool) {
-	s := shard.Shard{ID: id}
-	for zone, count := range zones {
-		s.Machines += count
-		if most := zones[s.Zone]; s.Zone == "" || count > most || count == most && zone < s.Zone {
-			s.Zone = zone
+// machineShards gives the shard and the zone of each machine.
+func (l *leader) machineShards(yield func(shard.ID, string) bool) {
+	for _, m := range l.fleetList {
+		if !yield(m.shard, m.Zone) {
+			return
 		}
 	}
-	if version, odd := sl.sharding.table.Unreadable(id); odd {
-		s.Unowned = true
-		return s, sl.previousOwnerEnded(id, version)
-	}
-	r, _, ok := sl.sharding.table.Record(id)
-	s.Owner, s.Moving = r.Owner.Member, r.Next != nil
-	s.Unowned = !ok || !sl.sharding.table.Alive(r.Owner.Member)
-	return s, true
 }
 
 // previousOwnerEnded reports whether whoever owned a shard whose record can't be read has surely
@@ -184,8 +160,57 @@
 // read it is at the end of what it knows.
 func (sl *shardCoordinator) previousOwnerEnded(id shard.ID, version uint64) bool {
 	c := sl.leader.controller
-	if sl.unreadableVersion[id] != version {
-		sl.unreadableVersion[id], sl.unreadableSince[id] = version, c.now
+	return sl.unreadable.Age(c.now, id, version) > c.answerFreshness()+leadership.ClockDrift(c.cfg.CancelWithin)+deadlineMargin
+}
+
+// shardForNewMachine is the shard that a new machine's record is to be in, 0 for none.
+func (l *leader) shardForNewMachine(m *machine) shard.ID {
+	if l.shards == nil {
+		return 0
 	}
-	return c.now.Sub(sl.unreadableSince[id]) > c.answerFreshness()+leadership.ClockDrift(c.cfg.CancelWithin)+deadlineMargin
+	return shard.ForNewMachine(m.Zone, l.shards.count, l.machineShards)
+}
+
+// assignUnshardedMachines moves machines whose record names no shard to records that do. Where both
+// stand, the one with a shard counts.
+func (l *leader) assignUnshardedMachines() {
+	old := map[string]bool{}
+	for _, m := range l.fleetList {
+		if m.group == nil || m.group.shard != 0 {
+			continue
+		}
+		if m.group.applied && !old[m.group.key] {
+			old[m.group.key] = true
+		}
+		l.journal.putMachine(m)
+	}
+	for _, key := range slices.Sorted(maps.Keys(old)) {
+		l.journal.remove(key)
+	}
+}
+
+func (sl *shardCoordinator) hasMachines(id shard.ID) bool {
+	for _, m := range sl.leader.fleetList {
+		if m.shard == id {
+			return true
+		}
+	}
+	return false
+}
+
+// moveOver tells operators of a move that is over, if one is.
+func (sl *shardCoordinator) moveOver(move *shard.Move) {
+	if move == nil {
+		return
+	}
+	c := sl.leader.controller
+	c.log.Info("shard moved", "shard", move.ID, "from", move.From, "to", move.To, "reason", move.Reason.String(),
+		"handed_over", move.HandedOver.Sub(move.Proposed), "served", move.Served.Sub(move.Proposed), "first_heartbeat", c.now.Sub(move.Proposed))
+	c.effects.Spans = append(c.effects.Spans, Span{Name: "shard move", From: move.Proposed, Until: c.now,
+		Attributes: []Attribute{{"shard", strconv.Itoa(int(move.ID))}, {"from", move.From}, {"to", move.To}, {"why", move.Reason.String()}},
+		Parts: []Span{
+			{Name: "release", From: move.Proposed, Until: move.HandedOver},
+			{Name: "take over", From: move.HandedOver, Until: move.Served},
+			{Name: "first report", From: move.Served, Until: c.now},
+		}})
 }
