--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -101,7 +101,7 @@
 		l.rebalancer.attemptRuns(a)
 		if !a.delivery.Inherited {
 			l.controller.log.Debug("task running", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
-				"within", a.job.withinQuota, "placed", l.controller.now.Sub(a.placedAt), "age", l.controller.now.Round(0).Sub(a.job.submitted))
+				"within", a.job.withinQuota(), "placed", l.controller.now.Sub(a.placedAt), "age", l.controller.now.Round(0).Sub(a.job.submitted))
 		}
 	}
 	a.state, a.stateSince = s, l.controller.now
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -45,7 +45,7 @@
 }
 
 // Reserved follows attempts, whoever ends first.
-func TestReserved(t *testing.T) {
+func TestLoadByTeam(t *testing.T) {
 	var l Load
 	l.Reserve(1, placement.Resources{CPUs: 2, MemGB: 4})
 	l.Reserve(2, placement.Resources{CPUs: 1, MemGB: 1})
@@ -204,9 +204,9 @@
 }
 
 // A machine is above its ceiling by the team's own work, and by what it has to fetch.
-func TestAbove(t *testing.T) {
+func TestExceeds(t *testing.T) {
 	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 2}, Image: 1}
-	judge := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, FetchQueue: 5 * time.Second}, Now: start, Team: 1, Task: task}
+	policy := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, FetchQueue: 5 * time.Second}, Now: start, Team: 1, Task: task}
 	large := task
 	large.Job = &protocol.Job{CPUs: 4, MemoryGB: 1, Image: "a", ImageGB: 2}
 	for _, c := range []struct {
@@ -235,7 +235,7 @@
 		if c.queue > 0 {
 			l.Fetches.Add(start, 9, c.queue, 1)
 		}
-		j := judge
+		j := policy
 		if c.large {
 			j.Task = large
 		}
--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -12,7 +12,7 @@
 }
 
 // Planner plans moves of running work on a fleet at a moment: replicas off machines that are to
-// be emptied (Empty), and tasks of surging teams off machines that are hot for them (Cool). It
+// be emptied (Evacuate), and tasks of surging teams off machines that are overloaded for them (Rebalance). It
 // decides nothing else; the same arguments after the same calls give the same plans.
 //
 // Machines are looked up by the image that they hold, and each search goes on where the last
@@ -47,8 +47,8 @@
 
 // NewPlanner is a planner for a fleet as it is now, of which some machines are open to new
 // tasks.
-func NewPlanner(sites []LoadedMachine, open func(*placement.Machine) bool) *Planner {
-	return &Planner{machines: sites, open: open, snapshot: NewSnapshot(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
+func NewPlanner(machines []LoadedMachine, open func(*placement.Machine) bool) *Planner {
+	return &Planner{machines: machines, open: open, snapshot: NewSnapshot(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
 }
 
 // Snapshot is the room that the plans so far take.
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -8,7 +8,7 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// Work is a task of a surging team that runs, or waits for its image, and may be moved once in
+// Work is a task of a surging team that runs, or waits for its image, and may migrate once in
 // the surge.
 type Work struct {
 	placement.Task
@@ -23,20 +23,21 @@
 	Owner any
 }
 
-// Source is a machine with work that may move.
+// Source is a machine with work that may migrate.
 type Source struct {
 	LoadedMachine
 	Work []Work
 }
 
-// Migration is one task's move, with what it is likely to save and to cost, in time of work.
+// Migration is one task's planned move, with what it is likely to save and to cost, in time of
+// work.
 type Migration struct {
 	Work         *Work
 	From, To     *placement.Machine
 	Saving, Cost time.Duration
 }
 
-// MigrationTerms are those on which moves are made.
+// MigrationTerms are the terms on which migrations are planned.
 type MigrationTerms struct {
 	Settings
 	Now           time.Time
@@ -48,39 +49,40 @@
 
 // Bounds of a plan: what it looks at doesn't grow with the fleet's square.
 const (
-	maxSources         = 16 // hottest machines that are looked at
-	maxTargets         = 48 // coolest machines, and machines that hold an image, for one task
+	maxSources         = 16 // most loaded machines that are looked at
+	maxTargets         = 48 // least loaded machines, and machines that hold an image, for one task
 	writesPerMigration = 2  // in the state service, for a move: the mark, and the new start
 	// Work that loses what it has done is moved only for several times the margin, and early.
 	unsavedMargin  = 2
 	unsavedDivisor = 4 // of what is left, that it may have run, as a divisor
 )
 
-// Rebalance plans moves off machines that are hot for the work on them: those whose team has more
+// Rebalance plans migrations off machines that are overloaded for the work on them: those whose team has more
 // than its ceiling there, whose fetches queue for too long, or that run it slower than others.
 // A machine's moves are tried as a whole and kept if any pays.
 func (p *Planner) Rebalance(t MigrationTerms, sources []Source) []Migration {
-	hot := slices.Clone(sources)
-	slices.SortStableFunc(hot, func(a, b Source) int {
+	mostLoaded := slices.Clone(sources)
+	slices.SortStableFunc(mostLoaded, func(a, b Source) int {
 		return cmp.Or(cmp.Compare(t.overload(&b), t.overload(&a)), cmp.Compare(a.Name, b.Name))
 	})
 	var moves []Migration
-	cool := p.leastLoaded()
-	for i := range hot[:min(len(hot), maxSources)] {
+	leastLoaded := p.leastLoaded()
+	for i := range mostLoaded[:min(len(mostLoaded), maxSources)] {
 		if len(moves) >= t.MaxMigrations {
 			break
 		}
-		c := &hotSpot{Planner: p, terms: t, source: &hot[i], coolest: cool, snapshot: p.snapshot}
-		planned := c.plan(t.MaxMigrations - len(moves))
+		spot := &hotSpot{Planner: p, terms: t, source: &mostLoaded[i], targets: leastLoaded, snapshot: p.snapshot}
+		planned := spot.plan(t.MaxMigrations - len(moves))
 		if len(planned) > 0 {
-			p.snapshot = c.snapshot
+			p.snapshot = spot.snapshot
 			moves = append(moves, planned...)
 		}
 	}
 	return moves
 }
 
-// overload is how hot a source is for the hottest of its teams, as a part of the ceiling.
+// overload is the load of a source by the team that loads it most, as a part of the ceiling, and
+// how much slower than usual it is.
 func (t *MigrationTerms) overload(s *Source) float64 {
 	most := 0.0
 	for i := range s.Work {
@@ -108,30 +110,30 @@
 	return list[:min(len(list), maxTargets)]
 }
 
-// hotSpot is a try to cool one machine.
+// hotSpot is an overloaded machine for which migrations are planned.
 type hotSpot struct {
 	*Planner
 	terms    MigrationTerms
 	source   *Source
-	coolest  []*LoadedMachine
+	targets  []*LoadedMachine
 	snapshot Snapshot
 }
 
 // plan finds the moves off the source that pay, the one that gains most first.
-func (c *hotSpot) plan(most int) []Migration {
-	work := make([]*Work, 0, len(c.source.Work))
-	for i := range c.source.Work {
-		work = append(work, &c.source.Work[i])
+func (h *hotSpot) plan(most int) []Migration {
+	work := make([]*Work, 0, len(h.source.Work))
+	for i := range h.source.Work {
+		work = append(work, &h.source.Work[i])
 	}
 	var moves []Migration
 	left := placement.Resources{} // of the source, by the moves so far
 	for len(moves) < most {
 		best, at := Migration{}, -1
 		for i, w := range work {
-			if w == nil || !isTask(w.Job) || !c.overloaded(w, left) {
+			if w == nil || !isTask(w.Job) || !h.overloaded(w, left) {
 				continue
 			}
-			if m, ok := c.target(w, left); ok && (at < 0 || m.Saving-m.Cost > best.Saving-best.Cost) {
+			if m, ok := h.bestTarget(w, left); ok && (at < 0 || m.Saving-m.Cost > best.Saving-best.Cost) {
 				best, at = m, i
 			}
 		}
@@ -141,60 +143,60 @@
 		work[at] = nil
 		needs := placement.Needs(best.Work.Job)
 		left = left.Plus(needs)
-		c.snapshot = c.snapshot.With(best.To.Name, needs)
+		h.snapshot = h.snapshot.With(best.To.Name, needs)
 		moves = append(moves, best)
 	}
 	return moves
 }
 
 // overloaded reports whether there is a reason to move work off the source.
-func (c *hotSpot) overloaded(w *Work, left placement.Resources) bool {
-	l := c.source.Load
+func (h *hotSpot) overloaded(w *Work, left placement.Resources) bool {
+	l := h.source.Load
 	r, tasks := l.Reserved(w.Team)
-	above := tasks > 1 && Share(r.Minus(left), placement.Capacity(c.source.Spec)) > c.terms.CeilingShare+shareEpsilon
-	queued := !w.Running && l.Fetches.Backlog(c.terms.Now, c.source.Spec.FetchGBPerSecond) > c.terms.FetchQueue
+	above := tasks > 1 && Share(r.Minus(left), placement.Capacity(h.source.Spec)) > h.terms.CeilingShare+shareEpsilon
+	queued := !w.Running && l.Fetches.Backlog(h.terms.Now, h.source.Spec.FetchGBPerSecond) > h.terms.FetchQueue
 	return above || queued || l.Speed.Slowness() > slowSourceAbove
 }
 
 // slowSourceAbove is how slow a machine must be to be left for that alone.
 const slowSourceAbove = 1.3
 
-// target finds where a move pays most.
-func (c *hotSpot) target(w *Work, left placement.Resources) (best Migration, found bool) {
+// bestTarget finds where a move pays most.
+func (h *hotSpot) bestTarget(w *Work, left placement.Resources) (best Migration, found bool) {
 	try := func(o *LoadedMachine) {
-		if o.Machine == c.source.Machine || o.Load == nil || o.Consolidating || !c.open(o.Machine) {
+		if o.Machine == h.source.Machine || o.Load == nil || o.Consolidating || !h.open(o.Machine) {
 			return // one that isn't open may be of an unknown type
 		}
-		if !w.MayUse(o.Zone) || !c.snapshot.fits(o.Machine, w.Job) {
+		if !w.MayUse(o.Zone) || !h.snapshot.fits(o.Machine, w.Job) {
 			return
 		}
-		if m, pays := c.evaluate(w, o, left); pays && (!found || m.Saving-m.Cost > best.Saving-best.Cost) {
+		if m, pays := h.evaluate(w, o, left); pays && (!found || m.Saving-m.Cost > best.Saving-best.Cost) {
 			best, found = m, true
 		}
 	}
-	for _, o := range c.coolest {
+	for _, o := range h.targets {
 		try(o)
 	}
-	if c.holders == nil {
-		c.index()
+	if h.holders == nil {
+		h.index()
 	}
-	holders := c.holders[cachedImage{w.Image, c.source.Zone}]
+	holders := h.holders[cachedImage{w.Image, h.source.Zone}]
 	for _, o := range holders[:min(len(holders), maxTargets)] {
 		try(o)
 	}
 	return best, found
 }
 
-// evaluate says what a move would save and cost, and whether it pays.
-func (c *hotSpot) evaluate(w *Work, o *LoadedMachine, left placement.Resources) (Migration, bool) {
-	t, src := &c.terms, c.source
+// evaluate says what a migration would save and cost, and whether it is worthwhile.
+func (h *hotSpot) evaluate(w *Work, o *LoadedMachine, left placement.Resources) (Migration, bool) {
+	t, src := &h.terms, h.source
 	move := Migration{Work: w, From: src.Machine, To: o.Machine}
-	planned := c.snapshot.Taken(o.Name)
+	planned := h.snapshot.Allocated(o.Name)
 	there, tasks := o.Load.Reserved(w.Team)
 	needs := placement.Needs(w.Job)
 	after := Share(there.Plus(planned).Plus(needs), placement.Capacity(o.Spec))
 	if (tasks > 0 || planned != (placement.Resources{})) && after > t.CeilingShare+shareEpsilon {
-		return move, false // it would be as hot there
+		return move, false // it would be as loaded there
 	}
 	here, _ := src.Load.Reserved(w.Team)
 	heat := max(0, Share(here.Minus(left), placement.Capacity(src.Spec))-after) / t.CeilingShare
@@ -212,12 +214,13 @@
 			move.Cost += seconds(w.ImageGB / o.Spec.FetchGBPerSecond)
 		}
 	}
-	return move, c.worthwhile(w, &move)
+	return move, h.worthwhile(w, &move)
 }
 
-// worthwhile adds what is lost of the work, and judges the move. Work about to end stays.
-func (c *hotSpot) worthwhile(w *Work, m *Migration) bool {
-	margin := c.terms.Margin
+// worthwhile adds what is lost of the work to the cost, and judges the migration. Work about to
+// end stays.
+func (h *hotSpot) worthwhile(w *Work, m *Migration) bool {
+	margin := h.terms.Margin
 	if w.Running && w.Checkpoints {
 		m.Cost += w.CheckpointDuration
 	}
--- a/internal/coordination/balance/rebalance_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -9,28 +9,28 @@
 	"brasskeel/internal/protocol"
 )
 
-// board is a small fleet to plan moves on: machines of four CPUs, of which the first is full
+// fleet is a small fleet to plan moves on: machines of four CPUs, of which the first is full
 // of a surging team's tasks.
-type board struct {
-	sites []LoadedMachine
-	work  []Work
-	terms MigrationTerms
+type fleet struct {
+	machines []LoadedMachine
+	work     []Work
+	terms    MigrationTerms
 }
 
-func newBoard(machines int) *board {
-	b := &board{terms: MigrationTerms{Settings: Settings{CeilingShare: 0.5, FetchQueue: 20 * time.Second, Trade: 20 * time.Second},
+func newFleet(machines int) *fleet {
+	b := &fleet{terms: MigrationTerms{Settings: Settings{CeilingShare: 0.5, FetchQueue: 20 * time.Second, Trade: 20 * time.Second},
 		Now: start, StopDuration: time.Second, WriteDuration: 25 * time.Millisecond, Margin: 1.5, MaxMigrations: 8}}
 	for i := range machines {
 		m := machine(0)
 		m.Name, m.Zone = fmt.Sprintf("vm-%04d", i), "a"
-		b.sites = append(b.sites, LoadedMachine{Machine: m, Load: &Load{}})
+		b.machines = append(b.machines, LoadedMachine{Machine: m, Load: &Load{}})
 	}
 	return b
 }
 
 // runs puts a task of a team on a machine.
-func (b *board) runs(site int, team Team, change func(*Work)) {
-	s := b.sites[site]
+func (b *fleet) runs(site int, team Team, change func(*Work)) {
+	s := b.machines[site]
 	job := &protocol.Job{Kind: protocol.Batch, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1, CheckpointInterval: 5 * time.Second, CheckpointDuration: time.Second}
 	w := Work{Task: placement.Task{Job: job, Image: 1}, Team: team, Running: true, Ran: 10 * time.Second, Remaining: 100 * time.Second,
 		Checkpoints: true, MayUse: func(string) bool { return true }, Owner: site}
@@ -43,9 +43,9 @@
 	b.work = append(b.work, w)
 }
 
-func (b *board) plan() []Migration {
+func (b *fleet) plan() []Migration {
 	var sources []Source
-	for i, s := range b.sites {
+	for i, s := range b.machines {
 		source := Source{LoadedMachine: s}
 		for _, w := range b.work {
 			if w.Owner == i {
@@ -56,13 +56,13 @@
 			sources = append(sources, source)
 		}
 	}
-	return NewPlanner(b.sites, func(*placement.Machine) bool { return true }).Rebalance(b.terms, sources)
+	return NewPlanner(b.machines, func(*placement.Machine) bool { return true }).Rebalance(b.terms, sources)
 }
 
 // A hot machine is cooled down to its ceiling and no further, by moves that pay; the same
 // board gives the same plan.
 func TestRebalance(t *testing.T) {
-	b := newBoard(4)
+	b := newFleet(4)
 	for range 4 {
 		b.runs(0, 1, nil)
 	}
@@ -71,7 +71,7 @@
 		t.Fatalf("%d moves", len(moves))
 	}
 	for i, m := range moves {
-		if m.From != b.sites[0].Machine || m.To == m.From || m.Saving.Seconds() <= 1.5*m.Cost.Seconds() {
+		if m.From != b.machines[0].Machine || m.To == m.From || m.Saving.Seconds() <= 1.5*m.Cost.Seconds() {
 			t.Errorf("move %+v", m)
 		}
 		if again := b.plan(); again[i].To != m.To || again[i].Saving != m.Saving {
@@ -88,7 +88,7 @@
 var costCases = []struct {
 	name   string
 	change func(*Work)
-	board  func(*board)
+	board  func(*fleet)
 	moves  bool
 }{
 	{name: "one that pays", moves: true},
@@ -100,36 +100,36 @@
 	{name: "overdue work", change: func(w *Work) { w.Remaining = 0 }},
 	{name: "half of what was estimated", change: func(w *Work) { w.Remaining /= 2 }, moves: true},
 	{name: "half as long again", change: func(w *Work) { w.Remaining = w.Remaining * 3 / 2 }, moves: true},
-	{name: "busy links", board: func(b *board) {
-		for _, s := range b.sites[1:] {
+	{name: "busy links", board: func(b *fleet) {
+		for _, s := range b.machines[1:] {
 			s.Load.Fetches.Add(start, 9, 40, 1)
 		}
 	}},
-	{name: "targets as slow", board: func(b *board) {
+	{name: "targets as slow", board: func(b *fleet) {
 		b.terms.Trade = 0
-		for _, s := range b.sites {
+		for _, s := range b.machines {
 			s.Load.Speed = Speed{sum: 10, weight: 10}
 		}
 	}},
-	{name: "a slow machine", board: func(b *board) {
+	{name: "a slow machine", board: func(b *fleet) {
 		b.terms.Trade = 0
-		b.sites[0].Load.Speed = Speed{sum: 10, weight: 10}
+		b.machines[0].Load.Speed = Speed{sum: 10, weight: 10}
 	}, moves: true},
-	{name: "an even load", board: func(b *board) { b.terms.CeilingShare = 1 }},
+	{name: "an even load", board: func(b *fleet) { b.terms.CeilingShare = 1 }},
 	{name: "another zone", change: func(w *Work) { w.MayUse = func(zone string) bool { return zone != "a" } }},
 	{name: "a replica", change: func(w *Work) { w.Kind = protocol.Service }},
 	{name: "a gang", change: func(w *Work) { w.Kind = protocol.Gang }},
-	{name: "full targets", board: func(b *board) {
-		for _, s := range b.sites[1:] {
+	{name: "full targets", board: func(b *fleet) {
+		for _, s := range b.machines[1:] {
 			s.Incoming = placement.Resources{CPUs: 4}
 		}
 	}},
 }
 
 // A move that costs more than it saves isn't made, with estimates wrong by half both ways.
-func TestMovesThatDoNotPay(t *testing.T) {
+func TestMigrationsNotWorthwhile(t *testing.T) {
 	for _, c := range costCases {
-		b := newBoard(3)
+		b := newFleet(3)
 		for range 3 {
 			b.runs(0, 1, func(w *Work) {
 				if c.change != nil {
@@ -147,12 +147,12 @@
 }
 
 // Tasks that wait behind a long queue of fetches go where theirs begins at once.
-func TestMovesOutOfAQueue(t *testing.T) {
-	b := newBoard(3)
+func TestMigrationsOutOfAQueue(t *testing.T) {
+	b := newFleet(3)
 	b.terms.Trade = 0
 	b.runs(0, 1, func(w *Work) { w.Running, w.Ran, w.Image = false, 0, 7 })
-	b.sites[0].Images.Reset()
-	b.sites[0].Load.Fetches.Add(start, 9, 50, 1)
+	b.machines[0].Images.Reset()
+	b.machines[0].Load.Fetches.Add(start, 9, 50, 1)
 	if moves := b.plan(); len(moves) != 1 {
 		t.Errorf("%d moves", len(moves))
 	}
@@ -160,14 +160,14 @@
 
 // A machine of an unknown type that holds the image isn't open, and isn't looked at further.
 func TestUnknownTypeIsNoTarget(t *testing.T) {
-	b := newBoard(2)
+	b := newFleet(2)
 	for range 3 {
 		b.runs(0, 1, nil)
 	}
-	b.sites[1].Images.Add(1, 1, 20)
-	b.sites[1].Spec = nil
-	sources := []Source{{LoadedMachine: b.sites[0], Work: b.work}}
-	if moves := NewPlanner(b.sites, func(m *placement.Machine) bool { return m.Spec != nil }).Rebalance(b.terms, sources); len(moves) != 0 {
+	b.machines[1].Images.Add(1, 1, 20)
+	b.machines[1].Spec = nil
+	sources := []Source{{LoadedMachine: b.machines[0], Work: b.work}}
+	if moves := NewPlanner(b.machines, func(m *placement.Machine) bool { return m.Spec != nil }).Rebalance(b.terms, sources); len(moves) != 0 {
 		t.Errorf("%d moves", len(moves))
 	}
 }
@@ -175,7 +175,7 @@
 // Two hot teams that would like each other's machines settle: moves that were made leave
 // nothing to be moved back.
 func TestPlansSettle(t *testing.T) {
-	b := newBoard(4)
+	b := newFleet(4)
 	for range 3 {
 		b.runs(0, 1, nil)
 		b.runs(1, 2, nil)
@@ -188,7 +188,7 @@
 		}
 		for _, m := range moves { // carried out, and not marked: each may move again
 			from, to := -1, -1
-			for i, s := range b.sites {
+			for i, s := range b.machines {
 				if s.Machine == m.From {
 					from = i
 				}
@@ -197,10 +197,10 @@
 				}
 			}
 			needs := placement.Needs(m.Work.Job)
-			b.sites[from].Allocated = b.sites[from].Allocated.Minus(needs)
-			b.sites[from].Load.Release(m.Work.Team, needs)
-			b.sites[to].Allocated = b.sites[to].Allocated.Plus(needs)
-			b.sites[to].Load.Reserve(m.Work.Team, needs)
+			b.machines[from].Allocated = b.machines[from].Allocated.Minus(needs)
+			b.machines[from].Load.Release(m.Work.Team, needs)
+			b.machines[to].Allocated = b.machines[to].Allocated.Plus(needs)
+			b.machines[to].Load.Reserve(m.Work.Team, needs)
 			for i := range b.work {
 				if b.work[i].Owner == from && b.work[i].Team == m.Work.Team {
 					b.work[i].Owner = to
@@ -219,22 +219,22 @@
 	s := NewSnapshot()
 	one := s.With("vm-1", placement.Resources{CPUs: 1})
 	two := one.With("vm-1", placement.Resources{CPUs: 2}).With("vm-2", placement.Resources{MemGB: 1})
-	if s.Targets() != 0 || one.Taken("vm-1").CPUs != 1 || two.Taken("vm-1").CPUs != 3 || one.Targets() != 1 || two.Targets() != 2 {
-		t.Errorf("%v, %v, %v", s.Targets(), one.Taken("vm-1"), two.Taken("vm-1"))
+	if s.Targets() != 0 || one.Allocated("vm-1").CPUs != 1 || two.Allocated("vm-1").CPUs != 3 || one.Targets() != 1 || two.Targets() != 2 {
+		t.Errorf("%v, %v, %v", s.Targets(), one.Allocated("vm-1"), two.Allocated("vm-1"))
 	}
 }
 
 // BenchmarkRebalance plans moves on a fleet in which one machine in eight is hot.
 func BenchmarkRebalance(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000} {
-		board := newBoard(machines)
+		board := newFleet(machines)
 		for i := range machines {
 			for range 1 + 3*(i%8/7) {
 				board.runs(i, 1, nil)
 			}
 		}
 		var sources []Source
-		for i, s := range board.sites {
+		for i, s := range board.machines {
 			if i%8 == 7 {
 				source := Source{LoadedMachine: s}
 				for _, w := range board.work[:4] {
@@ -246,7 +246,7 @@
 		}
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
-				p := NewPlanner(board.sites, func(*placement.Machine) bool { return true })
+				p := NewPlanner(board.machines, func(*placement.Machine) bool { return true })
 				if moves := p.Rebalance(board.terms, sources); len(moves) == 0 {
 					b.Fatal("nothing is planned")
 				}
--- a/internal/coordination/balance/snapshot.go
+++ b/internal/coordination/balance/snapshot.go
@@ -17,15 +17,15 @@
 // NewSnapshot is one without moves.
 func NewSnapshot() Snapshot { return Snapshot{iradix.New[placement.Resources]()} }
 
-// Taken is what planned moves take of a machine.
-func (s Snapshot) Taken(machine string) placement.Resources {
+// Allocated is what planned moves take of a machine.
+func (s Snapshot) Allocated(machine string) placement.Resources {
 	r, _ := s.taken.Get([]byte(machine))
 	return r
 }
 
 // With is a snapshot with one move more.
 func (s Snapshot) With(machine string, r placement.Resources) Snapshot {
-	taken, _, _ := s.taken.Insert([]byte(machine), s.Taken(machine).Plus(r))
+	taken, _, _ := s.taken.Insert([]byte(machine), s.Allocated(machine).Plus(r))
 	return Snapshot{taken}
 }
 
@@ -35,5 +35,5 @@
 // fits reports whether one more task of a job may move to a machine.
 func (s Snapshot) fits(m *placement.Machine, j *protocol.Job) bool {
 	return m.Allows(j) && m.FitsInReport(j) &&
-		m.Allocated.Plus(m.Incoming).Plus(s.Taken(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
+		m.Allocated.Plus(m.Incoming).Plus(s.Allocated(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -332,8 +332,8 @@
 	}
 }
 
-// BenchmarkPolls takes forty polls in, which one transaction checks.
-func BenchmarkPolls(b *testing.B) {
+// BenchmarkStatusQueries takes forty polls in, which one transaction checks.
+func BenchmarkStatusQueries(b *testing.B) {
 	c, _ := largeLead(1000, 40)
 	committed := protocol.EncodeRevision(7)
 	for i := range 40 {
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -39,7 +39,7 @@
 		if left == 0 {
 			return
 		}
-		if plan.get().Snapshot().Taken(m.Name) != (placement.Resources{}) {
+		if plan.get().Snapshot().Allocated(m.Name) != (placement.Resources{}) {
 			continue // replicas are to move here
 		}
 		if room := l.onDemandRoom(m); !m.Consolidating && room > 0 && fixedRoom-m.Spec.CPUs < l.onDemandReserve() {
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -5,10 +5,62 @@
 	"slices"
 	"time"
 
+	"brasskeel/internal/coordination/balance"
+	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/coordination/quarantine"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
 
+// job is an unfinished job as this leader, or the owner of a shard, knows it.
+type job struct {
+	*protocol.Job
+	submitted time.Time
+	chunkSize int      // tasks per chunk
+	chunks    []*chunk // made on first use
+
+	// How it ends.
+	finalState protocol.JobState // that is recorded; 0 while there is none
+	finishing  bool              // the outcome "done" is being written
+	removed    bool              // its records are being removed
+
+	// Its tasks. Pending are those in retryQueue, and all from firstUnstarted on.
+	doneTasks      int
+	runningTasks   int
+	liveAttempts   int // not proven gone
+	retryQueue     []int
+	firstUnstarted int            // first task that was never started
+	zones          map[string]int // live attempts by zone
+	runTimes       balance.Runs   // of completed tasks
+
+	// How it is served.
+	quota              quotaStanding
+	history            quarantine.History // of its failures
+	backoffUntil       time.Time          // until which no task of it is started
+	preemptionTimerSet bool               // the end of its preemption delay has a timer
+	ceiling            ceilingHold        // of its team's surge
+
+	imageID  placement.ImageID
+	shapeKey placement.ShapeKey // made on first use
+
+	progressBroadcast bool // peers were told of tasks that run or are done
+
+	// held are the attempts that a shard's owner holds; a leader has them in chunks.
+	held map[*attempt]struct{}
+}
+
+// quotaStanding is how a job stands to its team's quota, as of when it came.
+type quotaStanding uint8
+
+const (
+	quotaUnchecked quotaStanding = iota
+	quotaWithin
+	quotaExceeded
+)
+
+// withinQuota reports whether a job came within its team's quota.
+func (j *job) withinQuota() bool { return j.quota == quotaWithin }
+
 // jobRecorded implements observer.
 func (l *leader) jobRecorded(id string, value json.RawMessage, live bool) {
 	var r records.Job
@@ -31,6 +83,7 @@
 // jobRemoved implements observer: the leader removes records itself.
 func (l *leader) jobRemoved(string) {}
 
+// addJob takes in a job that is on record, if it isn't known yet.
 func (l *leader) addJob(r *records.Job) {
 	if l.jobs[r.Spec.ID] != nil {
 		return
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -3,10 +3,8 @@
 import (
 	"time"
 
-	"brasskeel/internal/coordination/balance"
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/placement"
-	"brasskeel/internal/coordination/quarantine"
 	"brasskeel/internal/coordination/queue"
 	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/coordination/sessions"
@@ -46,40 +44,6 @@
 // usage is what a team's attempts take, those not proven terminated included.
 type usage struct{ cpus, gpus float64 }
 
-// job is an unfinished job.
-type job struct {
-	*protocol.Job
-	submitted  time.Time
-	chunkSize  int // tasks per chunk
-	chunks     []*chunk
-	finalState protocol.JobState // final state that is recorded; 0 while there is none
-	finishing  bool              // the outcome "done" is being written
-	removed    bool              // its records are being removed
-
-	doneTasks          int
-	runningTasks       int
-	liveAttempts       int            // attempts not proven gone
-	retryQueue         []int          // tasks to be started again
-	firstUnstarted     int            // first task that was never started
-	zones              map[string]int // live attempts and their zones
-	quotaChecked       bool
-	withinQuota        bool               // its team's guarantee when it came
-	history            quarantine.History // of its failures
-	backoffUntil       time.Time
-	preemptionTimerSet bool // its patience has a timer
-	imageID            int32
-
-	shapeKey placement.ShapeKey // made on first use
-
-	runTimes balance.Runs // of its completed tasks
-	ceiling  ceilingHold  // of its team's surge
-
-	progressBroadcast bool // peers were told of tasks that run or are done
-
-	// held are the attempts that a shard's owner holds; a leader has them in chunks.
-	held map[*attempt]struct{}
-}
-
 // chunk is a run of a job's tasks that share a record.
 type chunk struct {
 	job       *job
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -73,7 +73,7 @@
 
 // Thousands of jobs that end within a second are told to peers within seconds, each at
 // least once: 500 of them were told a second, and what came beyond 5,000 was dropped.
-func TestManyFinalStatesAreTold(t *testing.T) {
+func TestManyOutcomesAreAnnounced(t *testing.T) {
 	c, _ := leading(phaseActive)
 	c.cfg.StateWriteRPS = 1000
 	c.admission.maxUnannounced = c.maxUnannounced()
@@ -280,7 +280,7 @@
 
 // What may wait follows the state service and the sockets: 400 requests were fewer than the
 // polls of a large fleet's users within a second.
-func TestWaitingFollowsSettings(t *testing.T) {
+func TestOpenRequestsFollowSettings(t *testing.T) {
 	c, _ := leading(phaseActive)
 	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 16, 15_000
 	for i := range 2000 {
@@ -460,7 +460,7 @@
 }
 
 // The adoption of a fleet is told of in a few lines.
-func TestBurstsOfLinesAreCounted(t *testing.T) {
+func TestBurstsOfLogLinesAreSampled(t *testing.T) {
 	c, l := leading(phaseActive)
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -76,7 +76,7 @@
 
 // A job that fails everywhere is tried with one task at a time, ever more slowly, and
 // all of it once a task runs for a while.
-func TestTrialOfFailingJob(t *testing.T) {
+func TestTrialsInQuarantine(t *testing.T) {
 	c, l := leading(phaseActive)
 	l.teamUsage["red"] = &usage{}
 	c.teams["red"].CPUsMax = 100
@@ -119,7 +119,7 @@
 
 // Replicas that faulty machines ended are started again although others of their job
 // run: a service is never done, and what failed in its long life doesn't add up.
-func TestServiceIsNoTrial(t *testing.T) {
+func TestServiceIsNotQuarantined(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.teamUsage["red"] = &usage{}
@@ -200,7 +200,7 @@
 
 // However many users ask, a node asks the state service a bounded number of times, and
 // what another node has told it to be over costs nothing.
-func TestPollsShareChecks(t *testing.T) {
+func TestStatusQueriesShareChecks(t *testing.T) {
 	c, _ := leading(phaseActive)
 	c.election.StepDown("test")
 	c.takeEffects()
@@ -361,7 +361,7 @@
 
 // Why work waits is told at level info: when it changes and from time to time, and no
 // more often.
-func TestWaitsAreTold(t *testing.T) {
+func TestPendingReasonsAreLogged(t *testing.T) {
 	c, l := leading(phaseActive)
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
@@ -396,7 +396,7 @@
 
 // A large task finds room although small ones would take each bit that frees: a machine
 // is kept for it once its job has waited for too long.
-func TestOverdueJobGetsRoom(t *testing.T) {
+func TestStarvingJobGetsRoom(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.teamUsage["red"] = &usage{}
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -42,7 +42,7 @@
 }
 
 // A node that is far behind sends away users who only ask, and serves the rest.
-func TestFarBehindShedsPolls(t *testing.T) {
+func TestOverloadShedsStatusQueries(t *testing.T) {
 	c, _ := leading(phaseActive)
 	c.admission.rememberAccepted("run-000001")
 	c.overload.Observe(c.now, 2*overload.Shedding)
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -1,6 +1,9 @@
 // Package placement ranks machines for tasks: what a machine has and what of it is taken,
 // which images it is taken to hold, the score, and the candidates in their order. It knows
 // neither the state service nor the network, reads no clock and starts no goroutine.
+//
+// It owns what is inferred of a machine's image cache. It never decides whose turn it is, and
+// never starts or stops anything.
 package placement
 
 import "brasskeel/internal/protocol"
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -41,7 +41,7 @@
 	if j.Priority == protocol.Critical {
 		return true
 	}
-	if !j.withinQuota {
+	if !j.withinQuota() {
 		return false
 	}
 	if !l.preemptionDelayOver(j) {
@@ -91,7 +91,7 @@
 	if a.job.Priority < j.Priority {
 		return true
 	}
-	return j.withinQuota && a.job.Team != j.Team && !a.job.withinQuota && a.job.Kind != protocol.Service && l.overQuota(a.job.Team)
+	return j.withinQuota() && a.job.Team != j.Team && !a.job.withinQuota() && a.job.Kind != protocol.Service && l.overQuota(a.job.Team)
 }
 
 // overQuota reports whether a team runs more than its quota, even once what
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -30,21 +30,24 @@
 		left := float64(j.Tasks - j.doneTasks)
 		s.cpus += left * j.CPUs
 		s.gpus += left * j.GPUs
-		if !j.quotaChecked {
-			j.quotaChecked = true
-			j.withinQuota = s.cpus <= team.CPUs+protocol.Epsilon && s.gpus <= team.GPUs+protocol.Epsilon
+		if j.quota != quotaUnchecked {
+			continue
+		}
+		j.quota = quotaExceeded
+		if s.cpus <= team.CPUs+protocol.Epsilon && s.gpus <= team.GPUs+protocol.Epsilon {
+			j.quota = quotaWithin
 		}
 	}
 }
 
 // standing is what a job's place in the queue follows from.
 func (j *job) standing(wall time.Time) queue.Standing {
-	return queue.Standing{Priority: j.Priority, WithinQuota: j.withinQuota, Started: j.liveAttempts > 0 || j.doneTasks > 0, Waited: wall.Sub(j.submitted)}
+	return queue.Standing{Priority: j.Priority, WithinQuota: j.withinQuota(), Started: j.liveAttempts > 0 || j.doneTasks > 0, Waited: wall.Sub(j.submitted)}
 }
 
 // tier is a job's tier, its wait aside.
 func (j *job) tier() queue.Tier {
-	return queue.Standing{Priority: j.Priority, WithinQuota: j.withinQuota}.Tier()
+	return queue.Standing{Priority: j.Priority, WithinQuota: j.withinQuota()}.Tier()
 }
 
 // backlog is the work of a job that is left. Its deadlines are good until the next call.
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -22,7 +22,7 @@
 // ceilingPolicy is the policy for a job's tasks; nil where its team has no surge, or where its
 // work never waits for a ceiling.
 func (b *rebalancer) ceilingPolicy(j *job) *balance.CeilingPolicy {
-	if b.surgeOf(j) == 0 || j.Priority == protocol.Critical || j.withinQuota || j.Kind == protocol.Gang {
+	if b.surgeOf(j) == 0 || j.Priority == protocol.Critical || j.withinQuota() || j.Kind == protocol.Gang {
 		return nil
 	}
 	return &balance.CeilingPolicy{Settings: b.settings, Now: b.l.controller.now, Team: b.teams[j.Team].id, Task: j.placementTask()}
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -11,8 +11,8 @@
 	"brasskeel/internal/records"
 )
 
-// Running work of surging teams that is moved off hot machines. A move goes by the steps of a
-// preemption, with a record before the first of them:
+// Running work of surging teams migrates off overloaded machines. A migration goes by the steps
+// of a preemption, with a record before the first of them:
 //
 //  1. that the task moves in this surge is recorded, and room is held on its target;
 //  2. the attempt is told to stop;
@@ -51,7 +51,7 @@
 	if b == nil {
 		return
 	}
-	for _, r := range b.migrations.sorted() {
+	for _, r := range b.migrations.sortedActive() {
 		if !b.l.controller.now.Before(r.deadline) || !b.l.acceptsTasks(r.target) {
 			b.abandonMigration(r, "target lost or deadline passed")
 		}
@@ -61,10 +61,10 @@
 	}
 }
 
-// sorted gives the moves under way in a fixed order.
-func (v *migrations) sorted() []*migration {
-	list := make([]*migration, 0, len(v.active))
-	for _, r := range v.active {
+// sortedActive gives the moves under way in a fixed order.
+func (s *migrations) sortedActive() []*migration {
+	list := make([]*migration, 0, len(s.active))
+	for _, r := range s.active {
 		list = append(list, r)
 	}
 	slices.SortFunc(list, func(x, y *migration) int { return compareAttempts(x.attempt, y.attempt) })
@@ -87,15 +87,15 @@
 // planMigrations begins the moves that pay.
 func (b *rebalancer) planMigrations() {
 	l, c := b.l, b.l.controller
-	most := max(minMigrations, len(l.fleetList)/migrationsDivisor) - len(b.migrations.active) - len(b.migrations.stopped)
-	if most <= 0 || !b.anySurge() {
+	room := max(minMigrations, len(l.fleetList)/migrationsDivisor) - len(b.migrations.active) - len(b.migrations.stopped)
+	if room <= 0 || !b.anySurge() {
 		return
 	}
 	sources := b.sources()
 	if len(sources) == 0 {
 		return
 	}
-	terms := balance.MigrationTerms{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MoveMargin, MaxMigrations: most,
+	terms := balance.MigrationTerms{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MoveMargin, MaxMigrations: room,
 		WriteDuration: time.Duration(float64(time.Second) / c.cfg.StateWriteRPS)}
 	moves := l.newPlanner().Rebalance(terms, sources)
 	if len(moves) == 0 {
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -30,7 +30,7 @@
 }
 
 // Room on the target is kept for the move and for nothing else, and given back in the end.
-func TestMoveHoldsRoom(t *testing.T) {
+func TestMigrationHoldsRoom(t *testing.T) {
 	whole := &protocol.Job{ID: "run-000009", CPUs: 4, MemoryGB: 1}
 	l, a, to := movingLead(t)
 	if !a.stopRequested || to.HasRoom(whole) {
@@ -60,7 +60,7 @@
 
 // A task whose old attempt is gone starts on its target if everything still allows it, and
 // waits like others otherwise. Either way the room isn't held any more.
-func TestMoveLands(t *testing.T) {
+func TestMigrationStartsOnTarget(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(l *leader, a *attempt, to *machine)
@@ -68,7 +68,7 @@
 		waits  bool
 	}{
 		{name: "all is well", lands: true},
-		{name: "the target is gone", change: func(l *leader, _ *attempt, to *machine) { to.removed = true }, waits: true},
+		{name: "the target is gone", change: func(_ *leader, _ *attempt, to *machine) { to.removed = true }, waits: true},
 		{name: "the target is silent", change: func(l *leader, _ *attempt, to *machine) { to.session.LastSeen = l.controller.now.Add(-time.Minute) }, waits: true},
 		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.lifecycle.preemptionAt = l.controller.now }, waits: true},
 		{name: "the target is full", change: func(_ *leader, _ *attempt, to *machine) { to.Allocated.CPUs = 4 }, waits: true},
@@ -103,7 +103,7 @@
 }
 
 // Moves begin only while this leader can stand behind them.
-func TestMayMove(t *testing.T) {
+func TestMayMigrate(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(c *Controller, l *leader)
@@ -137,7 +137,7 @@
 
 // That a task was moved stands in its record, for the next leader; a mark that can't be read
 // counts for all tasks of the record.
-func TestMarksOfMoves(t *testing.T) {
+func TestMigrationMarks(t *testing.T) {
 	l, a, _ := movingLead(t)
 	record := a.job.chunk(a.task)
 	var r records.Chunk
--- a/internal/coordination/victim_search.go
+++ b/internal/coordination/victim_search.go
@@ -31,7 +31,7 @@
 
 func victimSearchKeyOf(j *job) victimSearchKey {
 	k := victimSearchKey{zone: j.Zone, types: strings.Join(j.MachineTypes, " "), spot: j.AllowSpot, priority: j.Priority, tier: j.tier()}
-	if j.withinQuota {
+	if j.withinQuota() {
 		k.team = j.Team
 	}
 	return k
@@ -139,7 +139,7 @@
 // mayFreeEnough reports whether all work of lower priority on a machine would be enough. For a
 // job within its team's quota it isn't asked: what other teams borrowed gives way, too.
 func (v *victimChoice) mayFreeEnough(m *machine, cpus float64) bool {
-	if v.job.withinQuota {
+	if v.job.withinQuota() {
 		return true
 	}
 	for p := protocol.Priority(0); p < v.job.Priority; p++ {
