--- a/internal/coordination/shard/channel.go
+++ b/internal/coordination/shard/channel.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Header goes with each line between the leader and an owner.
+// Header goes with each message between the leader and an owner.
 type Header struct {
-	// Epoch tells which leader and which owner talk: lines of others are dropped.
+	// Epoch tells which leader and which owner talk: messages of others are dropped.
 	Epoch        Epoch  `json:"h"`
 	Sequence     uint64 `json:"q"` // of this line, from 1; 0 for one that only acknowledges
 	Acknowledged uint64 `json:"k"` // of the last line taken from the other side
-	// Reset begins a full account: what was told before is void.
+	// Reset begins a snapshot: what was told before is void.
 	Snapshot bool `json:"b,omitempty"`
-	// Again asks for a full account: lines were lost.
+	// Again asks for a snapshot: messages were lost.
 	SnapshotRequested bool `json:"g,omitempty"`
 }
 
@@ -20,55 +20,55 @@
 	Member Member `json:"m"`
 }
 
-// ackTimeout is how long a line may go without being acknowledged before all is told anew,
-// and minSnapshotInterval how long after a full account another one may be begun.
+// ackTimeout is how long a message may go without being acknowledged before all is told anew,
+// and minSnapshotInterval how long after a snapshot another one may be begun.
 const (
 	ackTimeout          = 2 * time.Second
 	minSnapshotInterval = 500 * time.Millisecond
 )
 
-// maxUnacknowledged is how many lines may be on their way without an acknowledgement: fewer than
-// a stream keeps for a peer that reads slowly. A full account of a large shard takes many more
-// lines than that; sent at once, most of them were lost, each time it was asked for again.
+// maxUnacknowledged is how many messages may be on their way without an acknowledgement: fewer than
+// a stream keeps for a peer that reads slowly. A snapshot of a large shard takes many more
+// messages than that; sent at once, most of them were lost, each time it was asked for again.
 const maxUnacknowledged = 8
 
-// Channel numbers the lines of one side and notices lost ones. Lines come in order, but some
-// may be missing: then the other side is asked for a full account. Nothing is repeated
+// Channel numbers the messages of one side and notices lost ones. Messages come in order, but some
+// may be missing: then the other side is asked for a snapshot. Nothing is repeated
 // otherwise.
 type Channel struct {
 	epoch               Epoch
 	sent                uint64
 	acknowledged        uint64
-	unacknowledgedSince time.Time // since when the oldest line without an acknowledgement waits
+	unacknowledgedSince time.Time // since when the oldest message without an acknowledgement waits
 	received            uint64
-	inOrder             bool // a full account was begun, and no line was lost since
-	snapshotDue         bool // the next line begins a full account
+	inOrder             bool // a snapshot was begun, and no message was lost since
+	snapshotDue         bool // the next message begins a snapshot
 	snapshotAt          time.Time
-	snapshotRequested   bool // the other side asks for a full account
-	ackDue              bool // a line was taken that isn't acknowledged
+	snapshotRequested   bool // the other side asks for a snapshot
+	ackDue              bool // a message was taken that isn't acknowledged
 }
 
-// NewChannel begins an epoch with a full account.
+// NewChannel begins an epoch with a snapshot.
 func NewChannel(e Epoch) *Channel { return &Channel{epoch: e, snapshotDue: true} }
 
 // Epoch is the link's.
 func (l *Channel) Epoch() Epoch { return l.epoch }
 
-// SnapshotDue reports whether the next line has to begin a full account.
+// SnapshotDue reports whether the next message has to begin a snapshot.
 func (l *Channel) SnapshotDue() bool { return l.snapshotDue }
 
-// WindowFull reports whether so many lines are on their way that others have to wait.
+// WindowFull reports whether so many messages are on their way that others have to wait.
 func (l *Channel) WindowFull() bool {
 	return l.sent-l.acknowledged >= maxUnacknowledged && !l.snapshotDue
 }
 
-// Acknowledged is the last line that the other side is known to have taken.
+// Acknowledged is the last message that the other side is known to have taken.
 func (l *Channel) Acknowledged() uint64 { return l.acknowledged }
 
-// AckDue reports whether lines were taken that the other side doesn't know to have arrived.
+// AckDue reports whether messages were taken that the other side doesn't know to have arrived.
 func (l *Channel) AckDue() bool { return l.ackDue }
 
-// NextHeader makes the header of the next line. Without content the line only acknowledges.
+// NextHeader makes the header of the next message. Without content the message only acknowledges.
 func (l *Channel) NextHeader(now time.Time, content bool) Header {
 	h := Header{Epoch: l.epoch, Acknowledged: l.received, SnapshotRequested: !l.inOrder}
 	l.ackDue = false
@@ -86,7 +86,7 @@
 	return h
 }
 
-// Receive looks at the header of a line that came, and reports whether its content is to be
+// Receive looks at the header of a message that came, and reports whether its content is to be
 // taken.
 func (l *Channel) Receive(h Header) bool {
 	if h.Epoch != l.epoch {
@@ -97,10 +97,10 @@
 		return false
 	}
 	if h.Sequence <= l.received {
-		return false // a copy: what it told may be long over, also where it began an account
+		return false // a copy: what it told may be long over, also where it began an report
 	}
 	if !h.Snapshot && (!l.inOrder || h.Sequence != l.received+1) {
-		// One of those after a lost line: a full account will come.
+		// One of those after a lost message: a snapshot will come.
 		l.inOrder, l.ackDue = false, true
 		return false
 	}
@@ -108,7 +108,7 @@
 	return true
 }
 
-// RequestSnapshot notes that a line contradicts what is known: a full account is asked for.
+// RequestSnapshot notes that a message contradicts what is known: a snapshot is asked for.
 func (l *Channel) RequestSnapshot() { l.inOrder, l.ackDue = false, true }
 
 func (l *Channel) receiveAck(h Header) {
--- a/internal/coordination/shard/envelope.go
+++ b/internal/coordination/shard/envelope.go
@@ -8,7 +8,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// Message is what the leader and an owner send each other, one line of JSON: instructions or
+// Message is what the leader and an owner send each other, one message of JSON: instructions or
 // observations.
 type Message struct {
 	From         string        `json:"shards"` // controller; first, to tell it from other lines
@@ -19,13 +19,13 @@
 // ErrEmptyMessage is a message with neither instructions nor observations.
 var ErrEmptyMessage = errors.New("a line about shards without content")
 
-// messagePrefix begins a line that is a Message.
+// messagePrefix begins a message that is a Message.
 var messagePrefix = []byte(`{"shards":`)
 
-// IsMessage reports whether a line from a peer is a Message, whether or not it can be read.
+// IsMessage reports whether a message from a peer is a Message, whether or not it can be read.
 func IsMessage(line []byte) bool { return bytes.HasPrefix(line, messagePrefix) }
 
-// ParseMessage reads a line. The error is ErrEmptyMessage or that of protocol.Decode.
+// ParseMessage reads a message. The error is ErrEmptyMessage or that of protocol.Decode.
 func ParseMessage(line []byte) (*Message, error) {
 	var m Message
 	if err := protocol.Decode(line, &m); err != nil {
@@ -37,7 +37,7 @@
 	return &m, nil
 }
 
-// Encode writes the message as one line, without its end.
+// Encode writes the message as one message, without its end.
 func (m *Message) Encode() []byte {
 	raw, err := json.Marshal(m)
 	if err != nil { // messages hold only strings and finite numbers
--- a/internal/coordination/shard/messages.go
+++ b/internal/coordination/shard/messages.go
@@ -37,7 +37,7 @@
 	Starts []Start `json:"r,omitempty"`
 }
 
-// Instructions is a line from the leader to an owner. It makes things faster and grants
+// Instructions is a message from the leader to an owner. It makes things faster and grants
 // nothing: the owner follows it only while the state service says that the shard is its
 // own, and what it tells to start was recorded before.
 type Instructions struct {
@@ -93,7 +93,7 @@
 	FailedCalls      int    `json:"f"` // calls in a row without an answer
 }
 
-// Observations is a line from an owner to the leader.
+// Observations is a message from an owner to the leader.
 type Observations struct {
 	Header
 	// Grants are the shards served, and the terms under which all of this was observed.
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -21,9 +21,10 @@
 	Draining bool
 	// Fit is whether it may be given more: it is heard, isn't late, and reaches most of
 	// the workers that it has.
-	Fit          bool
+	Fit bool
+	// Reachability is what is known of whether it reaches its workers.
 	Reachability Reachability
-	// Silent is how long nothing was heard of it, its lease notwithstanding.
+	// UnheardFor is how long nothing was heard of it, its lease notwithstanding.
 	UnheardFor time.Duration
 	Load       Load
 }
@@ -250,7 +251,7 @@
 		return ReasonDraining
 	case c.Reachability == WorkersUnreachable:
 		return ReasonPartitioned
-	case c.UnheardFor > unheardLimit || c.Reachability == WorkersReachable: // who vouches says that it doesn't hear the leader either
+	case c.UnheardFor > unheardLimit || c.Reachability == WorkersReachable: // who shows so says that it doesn't hear the leader either
 		return ReasonUnheard
 	case s.Zone != "" && c.Zone != s.Zone:
 		return ReasonZone
--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -37,8 +37,8 @@
 }
 
 // canTake reports whether a controller may be given a shard that is to leave its owner. A
-// blind owner's go to one that isn't heard, too, if the state service shows that it reaches
-// its workers: where controllers can't talk to each other, the leader may be the blind one.
+// partitioned owner's go to one that isn't heard, too, if the state service shows that it reaches
+// its workers: where controllers can't talk to each other, the leader may be the partitioned one.
 func (p *Planner) canTake(now time.Time, c *Controller, s *Shard, why Reason) bool {
 	if c.Member == s.Owner || p.reachFailures.recent(now, c.Member, s.Zone) {
 		return false
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -34,7 +34,7 @@
 	return len(w.Machine) + len(w.Addr) + len(w.Type) + len(w.Zone) + workerBytes
 }
 
-// Size is about how long the machine is in a line.
+// Size is about how long the machine is in a message.
 func (m *Machine) Size() int {
 	size := len(m.Name) + len(m.Addr) + len(m.Type) + len(m.Zone) + machineBytes
 	for i := range m.Starts {
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -7,9 +7,9 @@
 	"brasskeel/internal/coordination/shard"
 )
 
-// Lines between the leader and owners.
+// Messages between the leader and owners.
 const (
-	// itemsPerMessage is about how many workers and states are gathered for one line at a time.
+	// itemsPerMessage is about how many workers and states are gathered for one message at a time.
 	itemsPerMessage = 400
 	// exitRetention is how long an exit is remembered after the leader let it be forgotten.
 	exitRetention = 30 * time.Second
@@ -109,8 +109,8 @@
 	}
 }
 
-// appendWorkers adds workers that are to be told of, about as many as a line holds, and in a full
-// account the states of their tasks.
+// appendWorkers adds workers that are to be told of, about as many as a message holds, and in a full
+// report the states of their tasks.
 func (f *changeFeed) appendWorkers() {
 	if len(f.changedWorkers) == 0 {
 		return
@@ -159,7 +159,7 @@
 	return w
 }
 
-// sendMessage sends a line.
+// sendMessage sends a message.
 func (f *changeFeed) sendMessage(line shard.Observations) {
 	c := f.owner.controller
 	line.Header = f.NextHeader(c.now, true)
@@ -178,7 +178,7 @@
 	f.schedule()
 }
 
-// receive takes a line of the leader's.
+// receive takes a message of the leader's.
 func (f *changeFeed) receive(from string, in *shard.Instructions) {
 	if in.Epoch.Member != f.owner.sharding.member {
 		return // meant for an earlier life
@@ -192,7 +192,7 @@
 	}
 	if in.Snapshot {
 		for _, m := range f.owner.fleetList {
-			m.attemptsKnown = false // until the account lists it
+			m.attemptsKnown = false // until the snapshot lists it
 		}
 	}
 	for i := range in.Machines {
@@ -219,7 +219,7 @@
 func (o *shardOwner) applyMachine(k *shard.Machine) {
 	h := o.shards[k.Shard]
 	if h == nil || h.epoch.Term != k.Term {
-		return // it was meant for an earlier or a later tenure
+		return // it was meant for an earlier or a later ownership epoch
 	}
 	m := o.machines[k.Name]
 	if m == nil {
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -24,7 +24,7 @@
 	unreadable        *shard.UnreadableRecords
 }
 
-// ownerTimeout is after how long without a line an owner's word on its workers counts for
+// ownerTimeout is after how long without a message an owner's word on its workers counts for
 // nothing.
 const ownerTimeout = 2500 * time.Millisecond
 
@@ -64,7 +64,7 @@
 	sl.plan()
 }
 
-// channelToOwner is the link to who serves a shard, nil when nobody does.
+// channelToOwner is the channel to who serves a shard, nil when nobody does.
 func (sl *shardCoordinator) channelToOwner(id shard.ID) *ownerChannel {
 	ownership, ok := sl.sharding.table.Owner(id)
 	if !ok {
@@ -127,7 +127,7 @@
 	return false
 }
 
-// step is the regular turn: it watches the links and plans.
+// step is the regular turn: it watches the channels and plans.
 func (sl *shardCoordinator) step() {
 	if !sl.sharding.loaded || sl.leader.phase == phaseLoading {
 		return
@@ -167,7 +167,7 @@
 	return owner != nil && owner.partitioned && owner.alternatives[m.Zone]
 }
 
-// updateAlternatives notes for a blind owner which zones' workers another controller may reach.
+// updateAlternatives notes for a partitioned owner which zones' workers another controller may reach.
 func (sl *shardCoordinator) updateAlternatives(owner *ownerChannel) {
 	owner.alternatives = nil
 	if !owner.partitioned {
@@ -219,6 +219,6 @@
 	return able > 0 && c.resignDisconnected("neither workers nor their owners are heard")
 }
 
-// ownerUnheardLimit is after how long without a line an owner counts as one that the leader can't
+// ownerUnheardLimit is after how long without a message an owner counts as one that the leader can't
 // talk to.
 const ownerUnheardLimit = 6 * time.Second
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// seen is a line of an owner's that tells of a shard under a term.
+// seen is a message of an owner's that tells of a shard under a term.
 func seen(l *leader, node string, term, seq uint64) *shard.Observations {
 	member := shard.Member{Name: node, Incarnation: 1}
 	return &shard.Observations{Header: shard.Header{Epoch: shard.Epoch{Term: l.term, Member: member}, Sequence: seq, Snapshot: seq == 1},
@@ -102,14 +102,14 @@
 	return o
 }
 
-// instructions is a leader's line that lists the owner's machine with a task to run.
+// instructions is a leader's message that lists the owner's machine with a task to run.
 func instructions(o *shardOwner, term uint64) *shard.Instructions {
 	run := shard.Start{Task: shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1}, FirstNotice: true}
 	return &shard.Instructions{Header: shard.Header{Epoch: o.feed.Channel.Epoch(), Sequence: 1, Snapshot: true},
 		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Starts: []shard.Start{run}}}}
 }
 
-// A list that was made for another tenure of the shard isn't taken: it may lack what the owner
+// A list that was made for another ownership epoch of the shard isn't taken: it may lack what the owner
 // between them started.
 func TestListsOfOtherTenures(t *testing.T) {
 	o := ownerOf(t)
@@ -144,7 +144,7 @@
 	}
 }
 
-// The silence of workers that a blind owner tells of isn't theirs while another controller may
+// The silence of workers that a partitioned owner tells of isn't theirs while another controller may
 // reach them, and is once each has tried.
 func TestSilenceUnderABlindOwner(t *testing.T) {
 	l, a := shardedLead(t)
@@ -195,8 +195,8 @@
 	}
 }
 
-// A proof that an attempt is gone is told again when its line was lost: the owner forgets the
-// attempt, so that no account of what it holds would tell of it.
+// A proof that an attempt is gone is told again when its message was lost: the owner forgets the
+// attempt, so that no report of what it holds would tell of it.
 func TestLostProofIsToldAgain(t *testing.T) {
 	o := ownerOf(t)
 	f := o.feed
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -17,7 +17,7 @@
 	status          shard.Status
 	statusParts     shard.StatusParts
 	partitioned     bool                    // it doesn't reach most of its workers
-	alternatives    map[string]bool         // zones whose workers others may reach, of a blind owner
+	alternatives    map[string]bool         // zones whose workers others may reach, of a partitioned owner
 	shown           shard.ShownReachability // by the state service
 }
 
@@ -109,7 +109,7 @@
 }
 
 // nextMachines takes machines that an owner is to be told of, one at the least, as far as
-// there is room in a line.
+// there is room in a message.
 func (sl *shardCoordinator) nextMachines(owner *ownerChannel, room int) []shard.Machine {
 	var list []shard.Machine
 	for _, m := range sl.leader.fleetList {
@@ -131,7 +131,7 @@
 	return list
 }
 
-// messageSize is about how long a machine is in a line.
+// messageSize is about how long a machine is in a message.
 func (sl *shardCoordinator) messageSize(m *machine) int {
 	entry := shard.Machine{Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone}
 	size := entry.Size()
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -212,7 +212,7 @@
 }
 
 // writeReachability writes what this owner reaches into its member record, if it hears no leader and
-// the last account is old enough.
+// the last report is old enough.
 func (o *shardOwner) writeReachability() {
 	c, s := o.controller, o.sharding
 	if s.member.Name == "" || s.writingMember || c.storeDown() || c.now.Sub(o.feed.leaderHeard) <= ownerTimeout || c.now.Sub(o.reachabilityAt) < shard.ReachabilityInterval {
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -8,7 +8,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// receive takes a line of an owner's.
+// receive takes a message of an owner's.
 func (sl *shardCoordinator) receive(from string, seen *shard.Observations) {
 	c := sl.leader.controller
 	owner := sl.channels[from]
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -38,7 +38,7 @@
 
 func (h *ownedShard) served() bool { return !h.moving && !h.superseded }
 
-// setMoving and setSuperseded pause the tenure, or let it go on.
+// setMoving and setSuperseded pause the ownership epoch, or let it go on.
 func (h *ownedShard) setMoving(on bool) {
 	h.moving = on
 	h.epoch.Paused = !h.served()
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -22,7 +22,7 @@
 	return m
 }
 
-// unheardLimit is how long a worker has been silent, since its shard was taken at the most.
+// silentFor is how long a worker has been silent, since its shard was taken at the most.
 func (o *shardOwner) silentFor(m *machine) time.Duration {
 	return o.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.session.Epoch.Since, o.detector.ResetAt()))
 }
