--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -14,6 +14,23 @@
 	"brasskeel/internal/records"
 )
 
+// runInherited lets a leader know ten machines of the one before, each with a task, that it
+// hasn't heard yet.
+func runInherited(c *Controller, l *leader) {
+	c.teams["red"].CPUsMax = 100
+	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
+		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
+	j := l.jobsByAge[0]
+	for i := range 10 {
+		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
+		m.inherited, m.recorded = true, true
+		j.chunk(i)
+		a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now}
+		l.attach(a)
+	}
+	l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
+}
+
 // A leader that never hears most of the machines that ran tasks before gives way to
 // another node before it gives any of them up, once, unless all others did the same;
 // and nobody hands over to it for its zone meanwhile. A leader that was cut off from its
@@ -38,18 +55,7 @@
 			c.election.Disconnect(leadership.Peers{Configured: 1})
 		}
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}, {Name: "n2", Zone: "a"}}
-		c.teams["red"].CPUsMax = 100
-		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
-			Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
-		j := l.jobsByAge[0]
-		for i := range 10 {
-			m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
-			m.inherited, m.recorded = true, true
-			j.chunk(i)
-			a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now}
-			l.attach(a)
-		}
-		l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
+		runInherited(c, l)
 		for range 60 { // 15 s, the length of a lease
 			c.now = c.now.Add(detectorInterval)
 			for i, disconnected := range test.peers {
