--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -28,7 +28,7 @@
 	reservedReleaseCalls = 1
 )
 
-// demand is work without a machine.
+// demand is tasks of a job without a machine.
 type demand struct {
 	job   *job
 	tasks int
@@ -39,7 +39,7 @@
 	callBudget           *records.Budget
 	unmetDemand          []demand
 	displacedReplicas    map[*job]int // replicas that silent machines are kept for, until there is room
-	demandIncomplete     bool         // the last round ended early: unmet isn't all there is
+	demandIncomplete     bool         // the last round ended early: unmetDemand isn't all there is
 	scaleOutScheduled    bool
 	requestCount         uint64
 	unavailableUntil     map[autoscaler.OfferKey]time.Time // offers without capacity
@@ -125,28 +125,28 @@
 		return
 	}
 	f.loggedAt = c.now
-	type use struct{ machines, emptying, pinned, cpus, services, used float64 }
-	var spot, fixed use
+	type use struct{ machines, consolidating, holdingReplicas, cpus, replicaCPUs, allocated float64 }
+	var spot, onDemand use
 	for _, m := range l.fleetList {
 		if !m.session.Registered || m.Spec == nil {
 			continue
 		}
-		u := &fixed
+		u := &onDemand
 		if m.Spot {
 			u = &spot
 		}
 		u.machines++
 		u.cpus += m.Spec.CPUs
-		u.used += m.Allocated.CPUs
-		u.services += m.ReplicaCPUs
+		u.allocated += m.Allocated.CPUs
+		u.replicaCPUs += m.ReplicaCPUs
 		if m.Consolidating {
-			u.emptying++
+			u.consolidating++
 		}
 		if m.ReplicaCPUs > 0 {
-			u.pinned++
+			u.holdingReplicas++
 		}
 	}
-	c.log.Debug("fleet utilization", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "on_demand", fmt.Sprintf("%+v", fixed), "unmet", len(f.unmetDemand), "lag", c.overload.Lag().Round(time.Millisecond),
+	c.log.Debug("fleet utilization", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "on_demand", fmt.Sprintf("%+v", onDemand), "unmet", len(f.unmetDemand), "lag", c.overload.Lag().Round(time.Millisecond),
 		"traffic", fmt.Sprintf("%+v", c.requestCounts))
 	c.requestCounts = requestCounts{}
 }
--- a/internal/coordination/autoscaler/offers.go
+++ b/internal/coordination/autoscaler/offers.go
@@ -56,18 +56,15 @@
 }
 
 func (k OfferKey) compare(o OfferKey) int {
-	return cmp.Or(cmp.Compare(k.Type, o.Type), cmp.Compare(k.Zone, o.Zone), compareBool(k.Spot, o.Spot))
+	return cmp.Or(cmp.Compare(k.Type, o.Type), cmp.Compare(k.Zone, o.Zone), cmp.Compare(k.spotRank(), o.spotRank()))
 }
 
-// compareBool has false first.
-func compareBool(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case a:
+// spotRank orders ordinary machines before spot machines.
+func (k OfferKey) spotRank() int {
+	if k.Spot {
 		return 1
 	}
-	return -1
+	return 0
 }
 
 // Catalog is what the cloud offers.
--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -86,7 +86,7 @@
 	use(p.fillBins(d.Job, d.Shape, zones, left))
 	for left > 0 && !p.Full() {
 		offer, ok := Best(p.offers, d.Job, left, zones.allows)
-		if !ok || d.TooExpensive(offer) && !(left == d.Tasks && d.Starving()) {
+		if !ok || d.TooExpensive(offer) && (left != d.Tasks || !d.Starving()) {
 			return
 		}
 		count := p.pack(p.addMachine(offer), d.Job, zones, left)
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -21,28 +21,31 @@
 	slowReplacementDivisor = 4  // part of them that is replaced, as a divisor
 )
 
-// bootProgress is how the machines do that were rented lately.
+// bootProgress is how far the machines have come that were rented lately.
 type bootProgress struct {
-	overdue []*machine // not up, and overdue
-	booted  int        // up
+	overdue []*machine // not registered, and overdue
+	booted  int        // registered
 	longest *machine   // the one that boots for longest
 }
 
+// booting reports whether a machine is being started and hasn't registered yet.
 func (l *leader) booting(m *machine) bool {
 	return !m.session.Registered && m.lifecycle.inService() && m.Spec != nil && !l.awaitsRegistration(m)
 }
 
+// bootOverdue reports whether a machine should have registered by now.
 func (l *leader) bootOverdue(m *machine) bool {
 	return l.controller.now.Sub(m.provisionedAt) >= m.Spec.BootTime*overdueFactor+overdueMargin
 }
 
-// awaitsRegistration reports whether a machine that should be up by now may have reported to an
-// earlier leader, and merely not to this one yet: new leaders returned such machines as
+// awaitsRegistration reports whether a machine that should be up by now may have registered with
+// an earlier leader, and merely not to this one yet: new leaders returned such machines as
 // if they had never come up.
 func (l *leader) awaitsRegistration(m *machine) bool {
 	return m.inherited && l.bootOverdue(m) && l.controller.now.Sub(l.loadedAt) < l.controller.timing().RegistrationTimeout()
 }
 
+// bootProgress looks at the machines that boot, or booted lately.
 func (l *leader) bootProgress() bootProgress {
 	var b bootProgress
 	for _, m := range l.fleetList {
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -15,50 +15,62 @@
 // Services stay for long, and what they were spread over when the cluster was
 // busy would stay with them. A move takes a moment: the image is there.
 func (l *leader) consolidate() {
-	c := l.controller
-	if len(l.autoscaler.unmetDemand) > 0 || l.autoscaler.demandIncomplete || c.storeDown() || c.now.Sub(l.autoscaler.consolidatedAt) < consolidationPause {
+	c, f := l.controller, &l.autoscaler
+	if len(f.unmetDemand) > 0 || f.demandIncomplete || c.storeDown() || c.now.Sub(f.consolidatedAt) < consolidationPause {
 		return
 	}
-	fixedRoom := 0.0
-	var candidates []*machine
-	for _, m := range l.fleetList {
-		if !l.acceptsTasks(m) {
-			continue
-		}
-		if !m.Consolidating {
-			fixedRoom += l.onDemandRoom(m)
-		}
-		if m.holdsOnlyReplicas() && (m.Consolidating || m.Allocated.CPUs <= m.Spec.CPUs/2+protocol.Epsilon) && c.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
-			candidates = append(candidates, m)
-		}
-	}
-	sortByPriceDescending(candidates)
+	candidates, onDemandRoom := l.consolidationCandidates()
 	left := max(1, len(l.fleetList)/consolidationDivisor)
-	plan := &lazyPlanner{leader: l}
+	planner := &lazyPlanner{leader: l}
 	for _, m := range candidates {
 		if left == 0 {
 			return
 		}
-		if plan.get().Snapshot().Allocated(m.Name) != (placement.Resources{}) {
+		if planner.get().Snapshot().Allocated(m.Name) != (placement.Resources{}) {
 			continue // replicas are to move here
 		}
-		if room := l.onDemandRoom(m); !m.Consolidating && room > 0 && fixedRoom-m.Spec.CPUs < l.onDemandReserve() {
+		if room := l.onDemandRoom(m); !m.Consolidating && room > 0 && onDemandRoom-m.Spec.CPUs < l.onDemandReserve() {
 			continue
 		}
-		if !m.replicasFitElsewhere(plan.get(), false) {
+		if !m.replicasFitElsewhere(planner.get(), false) {
 			continue
 		}
-		c.logSampled("replicas evicted for consolidation", "machine", m.Name, "attempts", len(m.attempts))
 		if !m.Consolidating {
-			fixedRoom -= l.onDemandRoom(m)
+			onDemandRoom -= l.onDemandRoom(m)
 		}
-		l.autoscaler.consolidatedAt = c.now
-		m.Consolidating = true
+		l.evictReplicas(m)
 		left--
-		for _, a := range m.sortedAttempts() {
-			l.stopAttempt(a, 0)
+	}
+}
+
+// consolidationCandidates are the machines that hold only replicas and few of them, dearest
+// first, and the room that work which may not use spot machines can have on all machines that
+// aren't being consolidated, in CPUs.
+func (l *leader) consolidationCandidates() (candidates []*machine, onDemandRoom float64) {
+	for _, m := range l.fleetList {
+		if !l.acceptsTasks(m) {
+			continue
+		}
+		if !m.Consolidating {
+			onDemandRoom += l.onDemandRoom(m)
+		}
+		littleUsed := m.Consolidating || m.Allocated.CPUs <= m.Spec.CPUs/2+protocol.Epsilon
+		if m.holdsOnlyReplicas() && littleUsed && l.controller.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
+			candidates = append(candidates, m)
 		}
 	}
+	sortByPriceDescending(candidates)
+	return candidates, onDemandRoom
+}
+
+// evictReplicas stops what runs on a machine that is being consolidated, to start elsewhere.
+func (l *leader) evictReplicas(m *machine) {
+	l.controller.logSampled("replicas evicted for consolidation", "machine", m.Name, "attempts", len(m.attempts))
+	l.autoscaler.consolidatedAt = l.controller.now
+	m.Consolidating = true
+	for _, a := range m.sortedAttempts() {
+		l.stopAttempt(a, 0)
+	}
 }
 
 // newPlanner is a planner for the fleet as it is now.
--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -90,7 +90,7 @@
 }
 
 // Where one worker of a zone doesn't answer, the others of it are asked sooner.
-func TestDoubtfulZoneIsAskedSooner(t *testing.T) {
+func TestSuspectZoneIsProbedSooner(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.cfg.HeartbeatInterval = 4 * time.Second
 	lost, near, far := addTestMachine(l, "vm-1", true), addTestMachine(l, "vm-2", true), addTestMachine(l, "vm-3", true)
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -196,7 +196,7 @@
 // answered: a machine whose reports reach nobody gets work by direct starts in it, and when
 // it then falls silent its tasks go on until that lease is over. Counted from the last
 // answer, in a session before, they were taken for ended and started elsewhere meanwhile.
-func TestSessionHasItsWholeLease(t *testing.T) {
+func TestIncarnationHasItsWholeLease(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -8,7 +8,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// Bounds of reading the cloud's list, which takes a call for each 500 machines.
+// Bounds of reading the cloud's inventory, which takes a call for each 500 machines.
 const (
 	// inventoryCallDivisor is the part of the cloud's calls that lists take at the most, as a divisor:
 	// those of a large fleet, read as often as those of a small one, would leave no calls for
@@ -23,14 +23,14 @@
 	maxInventory = 250_000
 )
 
-// inventoryInterval is how often the cloud's list is read.
+// inventoryInterval is how often the cloud's inventory is read.
 func (l *leader) inventoryInterval() time.Duration {
 	pages := 1 + len(l.fleetList)/protocol.MaxListed
 	calls := time.Duration(float64(pages*inventoryCallDivisor) / l.controller.cfg.CloudRPS * float64(time.Second))
 	return max(l.controller.cfg.ListLag/2, 3*time.Second, calls)
 }
 
-// inventoryRead is one reading of the cloud's list, page by page.
+// inventoryRead is one reading of the cloud's inventory, page by page.
 type inventoryRead struct {
 	leader   *leader
 	machines []protocol.ListedMachine
@@ -38,7 +38,7 @@
 	tries    int    // of the next page
 }
 
-// readInventory reads the cloud's list and compares it with what is known.
+// readInventory reads the cloud's inventory and compares it with what is known.
 func (l *leader) readInventory() {
 	c, f := l.controller, &l.autoscaler
 	if f.inventoryInFlight || c.now.Sub(f.inventoryRequestedAt) < l.inventoryInterval() || !f.callBudget.Take(c.now, 1) {
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -109,17 +109,23 @@
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return
 	}
-	if _, ok := l.terminated[r.Machine]; ok && l.machines[r.Machine] == nil {
-		// Proven gone, and names are not used again: a copy that comes late,
-		// however much, brings no machine back.
-		c.reply(id, 503, protocol.EncodeError("the machine was returned"))
-		return
+	if m := l.machineOf(id, r); m != nil {
+		l.answerHeartbeat(m, id, r)
+	}
+}
+
+// machineOf is the machine of a worker that sent a heartbeat, adopted if no record tells of
+// it. One that was proven gone is answered so, and nil: names are not used again, and a copy
+// that comes late, however much, brings no machine back.
+func (l *leader) machineOf(id uint64, r *protocol.Heartbeat) *machine {
+	if m := l.machines[r.Machine]; m != nil {
+		return m
 	}
-	m := l.machines[r.Machine]
-	if m == nil {
-		m = l.adoptMachine(r.Machine, r.Type, r.Zone, r.Spot, 0)
+	if _, ok := l.terminated[r.Machine]; ok {
+		l.controller.reply(id, 503, protocol.EncodeError("the machine was returned"))
+		return nil
 	}
-	l.answerHeartbeat(m, id, r)
+	return l.adoptMachine(r.Machine, r.Type, r.Zone, r.Spot, 0)
 }
 
 func compareAttempts(a, b *attempt) int {
--- a/internal/coordination/machine_lifecycle.go
+++ b/internal/coordination/machine_lifecycle.go
@@ -20,7 +20,7 @@
 type lifecycle struct {
 	draining        bool
 	release         releaseState
-	releaseInFlight bool      // the call is under way
+	releaseInFlight bool      // the call awaits its answer
 	releaseSentAt   time.Time // when it was last made
 	preemptionAt    time.Time // when the cloud takes the machine by itself; zero without notice
 	unlistedSince   time.Time // since when inventories that should show it don't; zero: they do
--- /dev/null
+++ b/internal/coordination/machine_lifecycle_test.go
@@ -0,0 +1,42 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+)
+
+// A release that the cloud may have carried out is never taken back, nor is that of a machine
+// that drains; one that it refused, or that wasn't sent, is.
+func TestReleaseIsRevokedOnlyWhileItCannotHaveHappened(t *testing.T) {
+	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
+	sent := func(c *lifecycle) { c.releaseSent(now) }
+	answered := func(refused bool) func(*lifecycle) {
+		return func(c *lifecycle) { c.releaseSent(now); c.releaseReturned(refused) }
+	}
+	for _, test := range []struct {
+		name      string
+		revocable bool
+		change    func(*lifecycle)
+		revoked   bool
+	}{
+		{"not sent yet", true, func(*lifecycle) {}, true},
+		{"not for silence alone", false, func(*lifecycle) {}, false},
+		{"under way", true, sent, false},
+		{"refused", true, answered(true), true},
+		{"without a clear answer", true, answered(false), false},
+		{"without a clear answer, refused the next time", true, func(c *lifecycle) { answered(false)(c); answered(true)(c) }, false},
+		{"of a machine that drains", true, func(c *lifecycle) { c.draining = true }, false},
+	} {
+		var c lifecycle
+		if !c.inService() || !c.wantRelease(test.revocable) || c.inService() {
+			t.Fatalf("%s: the release doesn't begin: %+v", test.name, c)
+		}
+		if c.wantRelease(true) {
+			t.Errorf("%s: a second release begins", test.name)
+		}
+		test.change(&c)
+		if got := c.revoke(); got != test.revoked || c.releasing() == test.revoked {
+			t.Errorf("%s: revoked %t, %+v", test.name, got, c)
+		}
+	}
+}
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -143,55 +143,70 @@
 	}
 }
 
-// What a worker says in its reports, in order of arrival: only newer ones count,
-// copies that come late renew and prove nothing.
-func TestLateReports(t *testing.T) {
-	c, l := leading(phaseActive)
+// heartbeatsOf sends heartbeats of the machine vm-1 and gives their answers.
+func heartbeatsOf(t *testing.T, c *Controller) func(incarnation, sequence, token uint64) Reply {
+	t.Helper()
 	id := uint64(0)
-	report := func(session, seq, token uint64) Reply {
+	return func(incarnation, sequence, token uint64) Reply {
 		id++
 		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a",
-			Incarnation: session, Sequence: seq, FencingToken: token})
+			Incarnation: incarnation, Sequence: sequence, FencingToken: token})
 		e := c.Request(c.now.Add(time.Second), id, "POST", protocol.PathHeartbeat, body)
 		for _, r := range e.Replies {
 			if r.ID == id {
 				return r
 			}
 		}
-		t.Fatalf("report %d/%d is not answered", session, seq)
+		t.Fatalf("heartbeat %d/%d is not answered", incarnation, sequence)
 		return Reply{}
 	}
-	if r := report(1, 10, 0); r.Status != 200 {
-		t.Fatalf("the first report: %d", r.Status)
+}
+
+// A machine takes work once it is proven that something sent reaches its worker.
+func TestProofOfArrivalOpensMachine(t *testing.T) {
+	c, l := leading(phaseActive)
+	heartbeat := heartbeatsOf(t, c)
+	if r := heartbeat(1, 10, 0); r.Status != 200 {
+		t.Fatalf("the first heartbeat: %d", r.Status)
 	}
 	m := l.machines["vm-1"]
 	m.recorded, m.Spec = true, &protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
 	if l.acceptsTasks(m) {
-		t.Error("a report alone, perhaps a late copy, opens a machine for work")
+		t.Error("a heartbeat alone, perhaps a late copy, opens a machine for work")
 	}
 	if !m.session.ProbeInFlight {
-		t.Error("a machine that reports for the first time isn't asked")
+		t.Error("a machine whose worker registers isn't probed")
 	}
-	if report(1, 11, m.session.Token()); !l.acceptsTasks(m) {
-		t.Error("a report that shows our token doesn't open the machine")
+	if heartbeat(1, 11, m.session.Token()); !l.acceptsTasks(m) {
+		t.Error("a heartbeat that shows a token of this epoch doesn't open the machine")
 	}
+}
+
+// What a worker says in its heartbeats, in order of arrival: only newer ones count,
+// copies that come late renew and prove nothing.
+func TestLateReports(t *testing.T) {
+	c, l := leading(phaseActive)
+	heartbeat := heartbeatsOf(t, c)
+	heartbeat(1, 10, 0)
+	m := l.machines["vm-1"]
+	heartbeat(1, 11, m.session.Token())
 	answered, heard := m.session.LastAnswered, m.session.LastSeen
-	if r := report(1, 11, 0); r.Status != 503 || m.session.LastAnswered != answered || m.session.LastSeen != heard {
+	if r := heartbeat(1, 11, 0); r.Status != 503 || m.session.LastAnswered != answered || m.session.LastSeen != heard {
 		t.Errorf("a copy: status %d, answered %s later, heard %s later", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(heard))
 	}
 	l.takeResponse(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.BaseToken()})
-	if r := report(1, 12, 0); r.Status != 200 || !m.session.LastAnswered.After(answered) || m.session.Sequence != 13 {
-		t.Errorf("a report overtaken by a response: status %d, number %d", r.Status, m.session.Sequence)
+	if r := heartbeat(1, 12, 0); r.Status != 200 || !m.session.LastAnswered.After(answered) || m.session.Sequence != 13 {
+		t.Errorf("a heartbeat overtaken by a response: status %d, number %d", r.Status, m.session.Sequence)
 	}
-	if r := report(2, 14, 0); r.Status != 200 || m.session.Incarnation != 2 {
-		t.Errorf("the next session: status %d, session %d", r.Status, m.session.Incarnation)
+	if r := heartbeat(2, 14, 0); r.Status != 200 || m.session.Incarnation != 2 {
+		t.Errorf("the next incarnation: status %d, incarnation %d", r.Status, m.session.Incarnation)
 	}
-	if r := report(1, 20, 0); r.Status != 503 || m.session.Incarnation != 2 {
-		t.Errorf("a copy of the session before: status %d, session %d", r.Status, m.session.Incarnation)
+	if r := heartbeat(1, 20, 0); r.Status != 503 || m.session.Incarnation != 2 {
+		t.Errorf("a copy of the incarnation before: status %d, incarnation %d", r.Status, m.session.Incarnation)
 	}
 	l.machineTerminated(m, "returned")
 	c.now = c.now.Add(10 * time.Minute)
-	if r := report(2, 15, 0); r.Status != 503 || l.machines["vm-1"] != nil {
+	if r := heartbeat(2, 15, 0); r.Status != 503 || l.machines["vm-1"] != nil {
 		t.Errorf("a copy long after the machine's end: status %d", r.Status)
 	}
 }
@@ -199,7 +214,7 @@
 // A worker that answers under an older session than it was asked in has lost its
 // memory, and its machine is replaced; an answer that a newer session has overtaken
 // says nothing of the kind.
-func TestWorkerBeganAnew(t *testing.T) {
+func TestWorkerIncarnationReset(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		c, l := leading(phaseActive)
 		m := l.newMachine("vm-1", "small", "a", false)
@@ -278,7 +293,7 @@
 // A machine whose worker can't reach any controller answers calls all the same. Nothing
 // new starts there, since its lease isn't renewed, and it is given up once that has
 // lasted for two leases.
-func TestMuteMachine(t *testing.T) {
+func TestMachineWithUnansweredHeartbeats(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(4))
 	m := l.machines["vm-1"]
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -155,7 +155,7 @@
 
 // Boots that are late are replaced once; when most are, only a part is, and none is
 // given up soon. A new leader doesn't judge machines that may have been up for long.
-func TestLateBoots(t *testing.T) {
+func TestOverdueBoots(t *testing.T) {
 	count := func(late, came int, inherited bool) (*Controller, *leader) {
 		c, l := leading(phaseActive)
 		c.teams["red"].CPUsMax = 1000
@@ -285,7 +285,7 @@
 
 // Teams without a guarantee don't have dear machines rented, but one to begin on once
 // they have waited for long.
-func TestGuestsPay(t *testing.T) {
+func TestOpportunisticPrice(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 	l.teamUsage["guest"] = &usage{}
@@ -321,7 +321,7 @@
 
 // Guests' work that saves leaves a dear machine that is to be returned once nothing else is
 // on it, and isn't placed there again; other teams' work stays to its end.
-func TestGuestsLeaveDearMachines(t *testing.T) {
+func TestOpportunisticWorkLeavesExpensiveMachines(t *testing.T) {
 	for _, test := range []struct {
 		team   string
 		spot   bool
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -19,10 +19,9 @@
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
-	add := func(i int) *machine {
+	add := func(i int) {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 		m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.Incarnation, m.addr, m.session.EpochSeenAt = true, true, c.now, c.now, c.now, 1, "x", c.now
-		return m
 	}
 	for i := range 10 {
 		add(i)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -41,26 +41,39 @@
 // retire releases a machine that is empty and not needed, or lets one that is being
 // consolidated go on, and reports whether it may be consolidated next.
 func (l *leader) retire(m *machine, planner *lazyPlanner) (candidate bool) {
-	c := l.controller
-	empty := len(m.attempts) == 0
+	if reason := l.releaseReason(m); reason != "" {
+		l.release(m, reason)
+		return false
+	}
 	switch {
-	case m.lifecycle.draining && empty:
-		l.release(m, "drained")
-	case m.Spec == nil && m.session.Registered && empty:
-		l.release(m, "unknown type")
-	case m.lifecycle.preemptionNoticed() && c.now.After(m.lifecycle.preemptionAt.Add(2*time.Second)) && empty:
-		l.release(m, "preempted")
-	case m.Consolidating && empty && m.reservedMoves == 0 && c.now.Sub(m.provisionedAt) > minimumBilledTime && c.now.Sub(m.emptySince) > c.operator.Idle():
-		l.release(m, "not needed")
 	case m.Consolidating && l.evictOpportunistic(m):
+		return false
 	case m.Consolidating && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(planner.get(), true):
 		m.Consolidating = false // it stays for its replicas, so others may use it, too
 		planner.get().CancelEvacuation(&m.Machine)
-	default:
-		return m.session.Registered && m.recorded && m.Spec != nil && !m.lifecycle.draining && !m.Consolidating &&
-			m.reservedMoves == 0 && !m.lifecycle.preemptionNoticed()
+		return false
 	}
-	return false
+	return m.session.Registered && m.recorded && m.Spec != nil && !m.lifecycle.draining && !m.Consolidating &&
+		m.reservedMoves == 0 && !m.lifecycle.preemptionNoticed()
+}
+
+// releaseReason is why a machine isn't needed any more; empty if it is, or holds tasks.
+func (l *leader) releaseReason(m *machine) string {
+	now := l.controller.now
+	if len(m.attempts) > 0 {
+		return ""
+	}
+	switch {
+	case m.lifecycle.draining:
+		return "drained"
+	case m.Spec == nil && m.session.Registered:
+		return "unknown type"
+	case m.lifecycle.preemptionNoticed() && now.After(m.lifecycle.preemptionAt.Add(2*time.Second)):
+		return "preempted"
+	case m.Consolidating && m.reservedMoves == 0 && now.Sub(m.provisionedAt) > minimumBilledTime && now.Sub(m.emptySince) > l.controller.operator.Idle():
+		return "not needed"
+	}
+	return ""
 }
 
 // spareRoom is the room of machines in service that aren't being consolidated, in CPUs.
@@ -186,36 +199,45 @@
 	if f.releaseInFlight {
 		return
 	}
-	var names []string
-	var list []*machine
-	for _, m := range l.fleetList {
-		if m.lifecycle.releasing() && c.now.Sub(m.lifecycle.releaseSentAt) > releaseRetry && len(names) < protocol.MaxTerminate {
-			names = append(names, m.Name)
-			list = append(list, m)
-		}
-	}
-	if len(names) == 0 || !f.callBudget.Take(c.now, 1) {
+	list := l.pendingReleases()
+	if len(list) == 0 || !f.callBudget.Take(c.now, 1) {
 		return
 	}
+	var names []string
 	for _, m := range list {
 		m.lifecycle.releaseSent(c.now)
+		names = append(names, m.Name)
 	}
 	f.releaseInFlight = true
 	c.call(Cloud, "", "POST", protocol.PathTerminate, protocol.EncodeTerminate(names), cloudTimeout, func(out Outcome) {
-		if !l.alive() {
-			return
+		if l.alive() {
+			f.releaseInFlight = false
+			l.releasesAnswered(list, out)
 		}
-		f.releaseInFlight = false
-		refused := out.Answered && (out.Status == 503 || out.Status == 429)
-		for _, m := range list {
-			m.lifecycle.releaseReturned(refused)
+	})
+}
+
+// pendingReleases are machines whose release is to be sent, or sent again.
+func (l *leader) pendingReleases() (list []*machine) {
+	for _, m := range l.fleetList {
+		if m.lifecycle.releasing() && l.controller.now.Sub(m.lifecycle.releaseSentAt) > releaseRetry && len(list) < protocol.MaxTerminate {
+			list = append(list, m)
 		}
-		if out.Answered && out.Status == 200 {
-			for _, m := range list {
-				l.machineTerminated(m, "returned")
-			}
-			l.requestPlacement()
-			l.sendReleases()
+	}
+	return list
+}
+
+// releasesAnswered takes what came of a call that released machines.
+func (l *leader) releasesAnswered(list []*machine, out Outcome) {
+	refused := out.Answered && (out.Status == 503 || out.Status == 429)
+	for _, m := range list {
+		m.lifecycle.releaseReturned(refused)
+	}
+	if out.Answered && out.Status == 200 {
+		for _, m := range list {
+			l.machineTerminated(m, "returned")
 		}
-	})
+		l.requestPlacement()
+		l.sendReleases()
+	}
 }
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -38,11 +38,11 @@
 // probeFailed implements sessionListener.
 func (l *leader) probeFailed(*machine) { l.checkReconciled() }
 
-// incarnationReset implements sessionListener: the worker's incarnations and numbers say no more which of
-// its messages is the newer one.
+// incarnationReset implements sessionListener: the worker's incarnations and sequence numbers
+// say no more which of its messages is the newer one.
 func (l *leader) incarnationReset(m *machine) {
 	m.lifecycle.draining = true
-	l.release(m, "its worker began anew")
+	l.release(m, "worker incarnation reset")
 }
 
 // taskStateReported implements sessionListener.
@@ -57,7 +57,8 @@
 // attemptTerminated implements sessionListener.
 func (l *leader) attemptTerminated(a *attempt, reason string) { l.detach(a, reason) }
 
-// orphanReported implements sessionListener: not a task of ours on this machine, or not any more.
+// orphanReported implements sessionListener: the task isn't on record for
+// this machine, or not any more.
 func (l *leader) orphanReported(*machine, *protocol.TaskStatus) bool { return true }
 
 // newerTokenSeen implements sessionListener.
@@ -68,7 +69,8 @@
 // taskExitReported implements sessionListener.
 func (l *leader) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) bool {
 	j := l.jobs[t.Job]
-	if t.Reason == protocol.ExitDone && j != nil && t.TaskIndex < j.Tasks {
+	done := t.Reason == protocol.ExitDone && j != nil && t.TaskIndex < j.Tasks
+	if done {
 		if a != nil && a.state != 0 {
 			m.Images.Add(j.imageID, j.ImageGB, m.CacheGB())
 		}
@@ -79,23 +81,32 @@
 		l.taskDone(j, t.TaskIndex)
 	}
 	if a != nil {
-		if t.Reason == protocol.ExitError {
-			l.attemptFailed(m, a)
-		}
-		if t.Reason == protocol.ExitNoRoom || t.Reason == protocol.ExitBusy || t.Reason == protocol.ExitUnknown {
-			l.controller.logSampled("task start refused", "machine", m.Name, "job", t.Job, "task", t.TaskIndex, "reason", t.Reason)
-			j.backoffUntil = l.controller.now.Add(500 * time.Millisecond)
-			l.controller.after(510*time.Millisecond, func() {
-				if l.alive() {
-					l.requestPlacement()
-				}
-			})
-		}
-		l.detach(a, "exited")
+		l.attemptExited(m, a, t)
 	}
 	// A result is recorded before the worker forgets it.
-	if t.Reason == protocol.ExitDone && j != nil && t.TaskIndex < j.Tasks && j.finalState == 0 && !j.task(t.TaskIndex).saved {
-		return false
+	return !done || j.finalState != 0 || j.task(t.TaskIndex).saved
+}
+
+// Pauses after a worker refused a start: nothing of the job is placed for the first, and
+// placement runs again after the second.
+const (
+	refusedStartBackoff = 500 * time.Millisecond
+	refusedStartRetry   = 510 * time.Millisecond
+)
+
+// attemptExited ends an attempt whose task's exit was reported.
+func (l *leader) attemptExited(m *machine, a *attempt, t *protocol.TaskStatus) {
+	switch t.Reason {
+	case protocol.ExitError:
+		l.attemptFailed(m, a)
+	case protocol.ExitNoRoom, protocol.ExitBusy, protocol.ExitUnknown:
+		l.controller.logSampled("task start refused", "machine", m.Name, "job", t.Job, "task", t.TaskIndex, "reason", t.Reason)
+		a.job.backoffUntil = l.controller.now.Add(refusedStartBackoff)
+		l.controller.after(refusedStartRetry, func() {
+			if l.alive() {
+				l.requestPlacement()
+			}
+		})
 	}
-	return true
+	l.detach(a, "exited")
 }
--- a/internal/coordination/sessions/delivery.go
+++ b/internal/coordination/sessions/delivery.go
@@ -42,13 +42,13 @@
 type Absence uint8
 
 const (
-	// Undecided: a start may still be carried out.
+	// Undecided says that a start may still be carried out.
 	Undecided Absence = iota + 1
-	// Terminated: the attempt is gone and can't start any more.
+	// Terminated says that the attempt is gone and can't start any more.
 	Terminated
-	// Unfenced: a start may be carried out until the worker sees a token above DirectToken.
+	// Unfenced says that a start may be carried out until the worker sees a token above DirectToken.
 	Unfenced
-	// NotStarted: no start that was sent can be carried out; another may be sent.
+	// NotStarted says that no start that was sent can be carried out; another may be sent.
 	NotStarted
 )
 
--- a/internal/coordination/sessions/session.go
+++ b/internal/coordination/sessions/session.go
@@ -112,12 +112,12 @@
 type Arrival uint8
 
 const (
-	// Newest: it tells something new.
+	// Newest is one that tells something new.
 	Newest Arrival = iota + 1
-	// Overtaken: a response that the worker sent later has come before it. It tells
+	// Overtaken is one that a response which the worker sent later has come before. It tells
 	// nothing new, but its answer renews the worker's lease.
 	Overtaken
-	// Stale: a copy, or one that the worker has given up: it has one heartbeat in flight at
+	// Stale is a copy, or one that the worker has given up: it has one heartbeat in flight at
 	// a time, and no answer to this one renews its lease.
 	Stale
 )
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -95,14 +95,10 @@
 
 // redirect tells a worker who serves it.
 func (sl *shardCoordinator) redirect(id uint64, r *protocol.Heartbeat, body []byte) {
-	l, c := sl.leader, sl.leader.controller
-	if _, ok := l.terminated[r.Machine]; ok && l.machines[r.Machine] == nil {
-		c.reply(id, 503, protocol.EncodeError("the machine was returned"))
-		return
-	}
-	m := l.machines[r.Machine]
+	c := sl.leader.controller
+	m := sl.leader.machineOf(id, r)
 	if m == nil {
-		m = l.adoptMachine(r.Machine, r.Type, r.Zone, r.Spot, 0)
+		return
 	}
 	name := sl.sharding.ownerName(m.shard)
 	if name == "" || name == c.cfg.Name {
--- a/internal/coordination/types.go
+++ b/internal/coordination/types.go
@@ -11,7 +11,7 @@
 // loadTypes gets the machine types: from the state service, where leaders keep
 // them, or from the cloud. Without them no submission can be judged.
 func (c *Controller) loadTypes() {
-	c.storeGet(records.KeyTypes, func(it protocol.KeyValue, found, ok bool) {
+	c.storeGet(records.KeyTypes, func(it protocol.KeyValue, found, _ bool) {
 		if found {
 			var types []protocol.MachineType
 			if json.Unmarshal(it.Value, &types) == nil && len(types) > 0 {
@@ -32,6 +32,7 @@
 	})
 }
 
+// fetchTypes asks the cloud for the machine types.
 func (c *Controller) fetchTypes(done func(ok bool)) {
 	c.call(Cloud, "", "GET", protocol.PathMachineTypes, nil, 3*time.Second, func(o Outcome) {
 		if o.Answered && o.Status == 200 {
@@ -45,6 +46,7 @@
 	})
 }
 
+// setTypes replaces the machine types.
 func (c *Controller) setTypes(types []protocol.MachineType) {
 	c.types = make(map[string]*protocol.MachineType, len(types))
 	for i := range types {
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -86,7 +86,7 @@
 }
 
 // pendingOrder is what a worker is to be sent about an attempt without waiting for its
-// report, if anything is.
+// heartbeat, if anything is.
 func (s *workerSessions) pendingOrder(a *attempt) (order protocol.Order, wanted bool) {
 	switch {
 	case a.stopRequested && a.delivery.Reported && a.stopSentAt.IsZero():
