--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -78,8 +78,8 @@
 		prefix string
 		take   func(protocol.KeyValue) error
 	}{
-		{records.KeyTypes, f.takeTypes}, {records.PrefixSurges, f.takeSurges}, {records.PrefixActive, f.takeJob},
-		{records.PrefixMachines, f.takeMachines}, {records.PrefixChunks, f.takeChunk},
+		{records.KeyMachineTypes, f.takeTypes}, {records.PrefixSurges, f.takeSurges}, {records.PrefixActive, f.takeJob},
+		{records.PrefixMachineGroups, f.takeMachines}, {records.PrefixTaskBlocks, f.takeChunk},
 	} {
 		err := readKeys(ctx, s, part.prefix, func(it protocol.KeyValue) {
 			if part.take(it) != nil {
@@ -121,7 +121,7 @@
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
 	}
-	if r.Spec != nil && r.Chunk > 0 {
+	if r.Spec != nil && r.BlockSize > 0 {
 		f.jobs[r.Spec.ID] = &r
 		f.demand[r.Spec.Team] += float64(r.Spec.Tasks) * r.Spec.CPUs
 	}
@@ -129,7 +129,7 @@
 }
 
 func (f *fleetReport) takeMachines(it protocol.KeyValue) error {
-	var r records.Machines
+	var r records.MachineGroup
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
 	}
@@ -140,17 +140,17 @@
 }
 
 func (f *fleetReport) takeChunk(it protocol.KeyValue) error {
-	id, index, ok := records.ParseChunkKey(it.Key)
+	id, index, ok := records.ParseTaskBlockKey(it.Key)
 	job := f.jobs[id]
 	if !ok {
 		return &keyError{"chunk", it.Key}
 	}
-	var r records.Chunk
+	var r records.TaskBlock
 	if err := protocol.Decode(it.Value, &r); err != nil || job == nil {
 		return err // without a job: it has just ended
 	}
 	spec := job.Spec
-	done, err := r.IsDone(job.Chunk)
+	done, err := r.DoneTasks(job.BlockSize)
 	if err != nil {
 		return fmt.Errorf("chunk %d: %w", index, err)
 	}
@@ -160,7 +160,7 @@
 		}
 	}
 	if r.Surge != 0 && r.Surge == f.surges[spec.Team].Number {
-		moved, err := r.IsMoved(job.Chunk)
+		moved, err := r.MovedTasks(job.BlockSize)
 		if err != nil {
 			return fmt.Errorf("chunk %d: %w", index, err)
 		}
--- a/cmd/brasskeel/balance_test.go
+++ b/cmd/brasskeel/balance_test.go
@@ -13,9 +13,9 @@
 func TestBalanceShown(t *testing.T) {
 	f := newFleetReport()
 	job := func(id, team string, tasks int, cpus float64) records.Job {
-		return records.Job{Chunk: 96, Spec: &protocol.Job{ID: id, Team: team, Tasks: tasks, CPUs: cpus, MemoryGB: 1}}
+		return records.Job{BlockSize: 96, Spec: &protocol.Job{ID: id, Team: team, Tasks: tasks, CPUs: cpus, MemoryGB: 1}}
 	}
-	done := records.Chunk{Tasks: []records.TaskRecord{{Offset: 1, Attempt: 1, Machine: "vm-1"}, {Offset: 2, Attempt: 2, Machine: "vm-2"}, {Offset: 3, Attempt: 1}}}
+	done := records.TaskBlock{Tasks: []records.TaskEntry{{Offset: 1, Attempt: 1, Machine: "vm-1"}, {Offset: 2, Attempt: 2, Machine: "vm-2"}, {Offset: 3, Attempt: 1}}}
 	done.SetDone([]bool{true, false, false, false})
 	done.SetMoved(1764680000000, []bool{true, false, true, false})
 	for _, it := range []struct {
@@ -24,15 +24,15 @@
 		value any
 		bad   bool
 	}{
-		{f.takeTypes, records.KeyTypes, []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}, false},
+		{f.takeTypes, records.KeyMachineTypes, []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}, false},
 		{f.takeSurges, records.KeySurges, records.Surges{"red": {Number: 1764680000000, Level: 2}}, false},
 		{f.takeJob, records.KeyActive("run-1"), job("run-1", "red", 4, 2), false},
 		{f.takeJob, records.KeyActive("run-2"), job("run-2", "blue", 1, 1), false},
-		{f.takeMachines, records.KeyMachines(0, 1, 1), records.Machines{Type: "small", Zone: "a", Machines: []records.Machine{{Name: "vm-1"}, {Name: "vm-2"}}}, false},
-		{f.takeChunk, records.KeyChunk("run-1", 0), done, false},
-		{f.takeChunk, records.KeyChunk("run-2", 0), records.Chunk{Tasks: []records.TaskRecord{{Attempt: 1, Machine: "vm-2"}}}, false},
-		{f.takeChunk, records.KeyChunk("run-9", 0), records.Chunk{}, false}, // its job has just ended
-		{f.takeChunk, "c/odd", records.Chunk{}, true},
+		{f.takeMachines, records.KeyMachineGroup(0, 1, 1), records.MachineGroup{Type: "small", Zone: "a", Machines: []records.MachineEntry{{Name: "vm-1"}, {Name: "vm-2"}}}, false},
+		{f.takeChunk, records.KeyTaskBlock("run-1", 0), done, false},
+		{f.takeChunk, records.KeyTaskBlock("run-2", 0), records.TaskBlock{Tasks: []records.TaskEntry{{Attempt: 1, Machine: "vm-2"}}}, false},
+		{f.takeChunk, records.KeyTaskBlock("run-9", 0), records.TaskBlock{}, false}, // its job has just ended
+		{f.takeChunk, "c/odd", records.TaskBlock{}, true},
 		{f.takeMachines, "m/odd", "no record", true},
 	} {
 		if err := it.take(protocol.KeyValue{Key: it.key, Value: records.Encode(it.value)}); (err != nil) != it.bad {
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 )
 
@@ -143,7 +144,7 @@
 // cut off from both. In an outage that peers confirm, no node is better than
 // another, and leaving the balancer would only cost time when it ends.
 func (c *Controller) health(id uint64) {
-	if c.storeDown() && len(c.cfg.Peers) > 0 && (c.peers.StoreReachable(c.now) || !c.peers.AnyFresh(c.now)) {
+	if c.store.Unavailable() && len(c.cfg.Peers) > 0 && (c.peers.StoreReachable(c.now) || !c.peers.AnyFresh(c.now)) {
 		c.refuse(id, 503, "the state service refuses this node")
 		return
 	}
@@ -168,8 +169,8 @@
 // refuseFailedTxn refuses a request whose transaction was neither applied nor compared. The
 // state service may only have too much to do; that it doesn't answer another controller can
 // help with.
-func (c *Controller) refuseFailedTxn(id uint64, r txnResult) {
-	if r == txnRefused && !c.storeDown() {
+func (c *Controller) refuseFailedTxn(id uint64, r statestore.CommitResult) {
+	if r.Status == statestore.CommitRefused && !c.store.Unavailable() {
 		c.refuseForNow(id)
 	} else {
 		c.refuseWithoutStore(id)
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -82,7 +82,7 @@
 	}
 	l.rebalancer.migrationStopped(a)
 	if j.finalState == 0 {
-		l.journal.touchLazy(j.chunk(a.task))
+		l.writer.markLazy(j.block(a.task))
 	}
 	l.jobProgressed(j)
 	l.requestPlacement()
@@ -121,7 +121,7 @@
 	} else if k := slices.Index(j.retryQueue, i); k >= 0 {
 		j.retryQueue = slices.Delete(j.retryQueue, k, k+1)
 	}
-	l.journal.touchLazy(j.chunk(i))
+	l.writer.markLazy(j.block(i))
 	l.jobProgressed(j)
 }
 
@@ -133,11 +133,11 @@
 	}
 	if j.finalState == 0 && !j.finishing && j.Kind != protocol.Service && j.doneTasks == j.Tasks {
 		j.finishing = true
-		l.journal.finish(j)
+		l.writer.recordDone(j)
 	}
 	if j.finalState != 0 && j.liveAttempts == 0 && !j.removed {
 		j.removed = true
-		l.journal.removeJob(j)
+		l.writer.deleteJob(j)
 	}
 }
 
@@ -151,12 +151,12 @@
 	l.controller.log.Debug("job finished", "job", j.ID, "cancelled", s == protocol.Cancelled, "done", j.doneTasks, "live", j.liveAttempts)
 	j.retryQueue = nil
 	j.firstUnstarted = j.Tasks
-	for _, chunk := range j.chunks {
-		if chunk == nil {
+	for _, block := range j.blocks {
+		if block == nil {
 			continue
 		}
-		for i := range chunk.tasks {
-			if a := chunk.tasks[i].live; a != nil {
+		for i := range block.tasks {
+			if a := block.tasks[i].live; a != nil {
 				l.stopAttempt(a, 0)
 			}
 		}
@@ -194,7 +194,7 @@
 // writeInFlight reports whether a write that holds the attempt may be under
 // way; it is dealt with when that ends.
 func (l *leader) writeInFlight(a *attempt) bool {
-	return !a.recorded && a.job.chunk(a.task).inFlight
+	return !a.recorded && a.job.block(a.task).record.InFlight()
 }
 
 // countStop counts an attempt among those that were told to end, or takes it out.
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -7,7 +7,7 @@
 
 	"brasskeel/internal/coordination/autoscaler"
 	"brasskeel/internal/protocol"
-	"brasskeel/internal/records"
+	"brasskeel/internal/ratelimit"
 )
 
 // Times of the fleet's dealings with the cloud.
@@ -36,7 +36,7 @@
 
 // scaler is what a leader keeps to rent and return machines.
 type scaler struct {
-	callBudget           *records.Budget
+	callBudget           *ratelimit.TokenBucket
 	unmetDemand          []demand
 	displacedReplicas    map[*job]int // replicas that silent machines are kept for, until there is room
 	demandIncomplete     bool         // the last round ended early: unmetDemand isn't all there is
@@ -56,7 +56,7 @@
 
 func (f *scaler) init(l *leader) {
 	rps := l.controller.cfg.CloudRPS
-	f.callBudget = records.NewBudget(rps*0.9, rps*1.5, l.controller.now)
+	f.callBudget = ratelimit.NewTokenBucket(rps*0.9, rps*1.5, l.controller.now)
 	f.unavailableUntil, f.requested = map[autoscaler.OfferKey]time.Time{}, map[autoscaler.OfferKey]int{}
 }
 
@@ -91,7 +91,7 @@
 	l.logPendingReasons()
 	if c.now.Sub(f.typesRequestedAt) > typesInterval && f.callBudget.Take(c.now, 1) {
 		f.typesRequestedAt = c.now
-		c.fetchTypes(func(ok bool) {
+		c.fetchMachineTypes(func(ok bool) {
 			if ok && l.alive() {
 				for _, m := range l.fleetList {
 					m.Spec = c.types[m.Type]
@@ -157,5 +157,5 @@
 		list = append(list, *t)
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i].Name < list[k].Name })
-	l.journal.saveTypes(list)
+	l.writer.recordMachineTypes(list)
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -35,14 +35,14 @@
 	c.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
 	c.teams["blue"] = &config.Team{Name: "blue", CPUs: 3000, CPUsMax: 1e6}
 	l.teamUsage["blue"] = &usage{}
-	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 16, MemoryGB: 128, CacheGB: 35, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
+	c.setMachineTypes([]protocol.MachineType{{Name: "small", CPUs: 16, MemoryGB: 128, CacheGB: 35, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
 		BootTime: 10 * time.Second, Zones: []string{"a"}}})
 	for i := range machines {
 		m := l.newMachine(fmt.Sprintf("vm-%06d", i), "small", "a", false)
 		m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.Incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
 	}
 	for i := range jobs {
-		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(i)})
+		l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: benchJob(i)})
 	}
 	return c, l
 }
@@ -64,7 +64,7 @@
 func fill(l *leader) {
 	for range 10 + len(l.fleetList)/25 {
 		l.runPlacementRound()
-		l.journal.unsaved, l.journal.urgent = 0, nil
+		l.writer.unrecordedStarts, l.writer.urgent = 0, nil
 	}
 	runAll(l)
 }
@@ -98,7 +98,7 @@
 			for i := range machines {
 				j := benchJob(2 + i%8)
 				j.ID, j.Tasks = fmt.Sprintf("run-%06d", i), 1
-				l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: j})
+				l.addJob(&records.Job{SubmittedAt: records.UnixMillis(l.controller.now), BlockSize: 96, Spec: j})
 			}
 			b.StartTimer()
 			l.runPlacementRound()
@@ -149,7 +149,7 @@
 		c, l := largeLead(1000, 0)
 		spec := benchJob(2)
 		spec.Tasks, spec.CPUs, spec.MemoryGB = 15000, 0.05, 0.05
-		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
+		l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: spec})
 		m, j := l.fleetList[0], l.jobsByAge[0]
 		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: l.epoch.BaseToken()}
 		for i := range exits {
@@ -226,14 +226,14 @@
 		j := benchJob(0)
 		j.ID, j.Tasks, j.CPUs = fmt.Sprintf("run-%06d", i), 1, 7
 		j.Image = fmt.Sprintf("img-%d", i%20)
-		l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: j})
+		l.addJob(&records.Job{SubmittedAt: records.UnixMillis(l.controller.now), BlockSize: 96, Spec: j})
 		l.assign(l.jobsByAge[i], 0, m)
 		l.jobsByAge[i].firstUnstarted = 1
 		m.Images.Add(l.jobsByAge[i].imageID, 1.5, 35)
 		m.provisionedAt = l.controller.now.Add(-time.Hour)
 		big := benchJob(2)
 		big.ID, big.Tasks, big.CPUs = fmt.Sprintf("run-%06d", machines+i), 1, 3
-		l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: big})
+		l.addJob(&records.Job{SubmittedAt: records.UnixMillis(l.controller.now), BlockSize: 96, Spec: big})
 		if i%2 == 0 {
 			l.assign(l.jobsByAge[len(l.jobsByAge)-1], 0, m)
 			l.jobsByAge[len(l.jobsByAge)-1].firstUnstarted = 1
@@ -262,14 +262,14 @@
 // how much memory the loaded core holds.
 func BenchmarkLoad(b *testing.B) {
 	atSizes(b, func(b *testing.B, machines int) {
-		r := fleetRecords(machines)
+		service := fleetRecords(machines)
 		var l *leader
 		for b.Loop() {
 			b.StopTimer()
 			l = nil
 			c, _ := leading(phaseActive)
 			b.StartTimer()
-			if l = r.lead(c); l.phase != phaseReconciling {
+			if l = service.lead(c); l.phase != phaseReconciling {
 				b.Fatal("not loaded")
 			}
 		}
@@ -292,28 +292,28 @@
 }
 
 // fleetRecords are the records of a fleet whose machines run sixteen tasks each.
-func fleetRecords(machines int) *fakeStore {
-	r := &fakeStore{items: map[string]protocol.KeyValue{}}
+func fleetRecords(machines int) *fakeStateService {
+	service := &fakeStateService{items: map[string]protocol.KeyValue{}}
 	const perRecord, perMachine, perJob = 48, 16, 96
 	name := func(i int) string { return fmt.Sprintf("vm-%06d", i) }
 	for g := range (machines + perRecord - 1) / perRecord {
-		group := records.Machines{Type: "small", Zone: "a"}
+		group := records.MachineGroup{Type: "small", Zone: "a"}
 		for i := g * perRecord; i < min(machines, (g+1)*perRecord); i++ {
-			group.Machines = append(group.Machines, records.Machine{Name: name(i), Addr: "10.1.0.1:9000"})
+			group.Machines = append(group.Machines, records.MachineEntry{Name: name(i), Addr: "10.1.0.1:9000"})
 		}
-		r.put(records.KeyMachines(0, 1, uint64(g+1)), group)
+		service.put(records.KeyMachineGroup(0, 1, uint64(g+1)), group)
 	}
 	for i := range machines * perMachine / perJob {
 		job := benchJob(10*i + 2)
 		job.Tasks = perJob
-		r.put(records.KeyActive(job.ID), records.Job{Chunk: perJob, Spec: job})
-		chunk := records.Chunk{}
+		service.put(records.KeyActive(job.ID), records.Job{BlockSize: perJob, Spec: job})
+		block := records.TaskBlock{}
 		for task := range perJob {
-			chunk.Tasks = append(chunk.Tasks, records.TaskRecord{Offset: task, Attempt: 1, Machine: name((i*perJob + task) / perMachine)})
+			block.Tasks = append(block.Tasks, records.TaskEntry{Offset: task, Attempt: 1, Machine: name((i*perJob + task) / perMachine)})
 		}
-		r.put(records.KeyChunk(job.ID, 0), chunk)
+		service.put(records.KeyTaskBlock(job.ID, 0), block)
 	}
-	return r
+	return service
 }
 
 // BenchmarkSubmit takes a submission in and the answer of the state service.
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -23,24 +24,24 @@
 // readJobState reads a job's state afresh. The record is read before the outcome: a job whose
 // record is gone by the first read has its outcome by the second.
 func (c *Controller) readJobState(job string, done func(jobRead)) {
-	c.storeGet(records.KeyActive(job), func(_ protocol.KeyValue, active, ok bool) {
-		if !ok {
+	c.store.Get(records.KeyActive(job), func(active statestore.ReadResult) {
+		if active.Status == statestore.ReadUnknown {
 			done(jobRead{})
 			return
 		}
-		c.storeGet(records.KeyOutcome(job), func(it protocol.KeyValue, found, ok bool) {
+		c.store.Get(records.KeyOutcome(job), func(outcome statestore.ReadResult) {
 			switch {
-			case !ok:
+			case outcome.Status == statestore.ReadUnknown:
 				done(jobRead{})
-			case found:
-				s, count, err := records.DecodeOutcome(it.Value)
+			case outcome.Status == statestore.Found:
+				s, count, err := records.DecodeOutcome(outcome.Item.Value)
 				if err != nil {
 					done(jobRead{})
 					return
 				}
 				c.admission.rememberOutcome(job, s, count)
 				done(jobRead{jobPresent, s})
-			case active:
+			case active.Status == statestore.Found:
 				c.admission.rememberAccepted(job)
 				s, _, _ := c.knownProgress(job)
 				done(jobRead{jobPresent, s})
@@ -61,7 +62,7 @@
 		c.reply(id, 200, protocol.EncodeJobState(job, f.state))
 		return
 	}
-	if c.storeDown() {
+	if c.store.Unavailable() {
 		c.refuseWithoutStore(id)
 		return
 	}
@@ -77,14 +78,14 @@
 			c.refuseWithoutStore(id)
 		}
 	}
-	c.storeGet(records.KeyActive(job), func(it protocol.KeyValue, found, ok bool) {
-		switch {
-		case !ok:
+	c.store.Get(records.KeyActive(job), func(active statestore.ReadResult) {
+		switch active.Status {
+		case statestore.ReadUnknown:
 			finish(jobRead{})
-		case !found:
+		case statestore.Absent:
 			c.readJobState(job, finish)
 		default:
-			c.writeCancellation(job, it.Version, finish)
+			c.writeCancellation(job, active.Item.Version, finish)
 		}
 	})
 }
@@ -95,15 +96,15 @@
 	_, done, _ := c.knownProgress(job)
 	// The outcome is created at most once, by this or by the leader's "done"; whoever comes
 	// second learns what the first wrote. The user is told only after that.
-	c.storeTxn(&protocol.Txn{
+	c.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: records.KeyActive(job), Version: version}, {Key: records.KeyOutcome(job)}},
 		Ops:        []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
-	}, func(r txnResult, _ uint64, _ []string) {
-		switch r {
-		case txnApplied:
+	}, func(r statestore.CommitResult) {
+		switch r.Status {
+		case statestore.CommitApplied:
 			c.admission.learnOutcome(job, protocol.Cancelled, done)
 			finish(jobRead{jobPresent, protocol.Cancelled})
-		case txnFailed, txnUnknown:
+		case statestore.CommitConflict, statestore.CommitUnknown:
 			c.readJobState(job, finish)
 		default:
 			finish(jobRead{})
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -52,7 +52,7 @@
 	s := placement.ShapeOf(j.Job)
 	// Where nothing found room before, nothing of the same kind and size will, and
 	// while enough waits to be recorded, nothing is to be placed.
-	if l.journal.full() || s.KnownNotToFit(l.round.unplaceable) {
+	if l.writer.saturated() || s.KnownNotToFit(l.round.unplaceable) {
 		return placement.Candidates{}
 	}
 	l.round.examined += len(l.round.withRoom)
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -16,7 +16,7 @@
 // busy would stay with them. A move takes a moment: the image is there.
 func (l *leader) consolidate() {
 	c, f := l.controller, &l.autoscaler
-	if len(f.unmetDemand) > 0 || f.demandIncomplete || c.storeDown() || c.now.Sub(f.consolidatedAt) < consolidationPause {
+	if len(f.unmetDemand) > 0 || f.demandIncomplete || c.store.Unavailable() || c.now.Sub(f.consolidatedAt) < consolidationPause {
 		return
 	}
 	candidates, onDemandRoom := l.consolidationCandidates()
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -24,6 +24,7 @@
 	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/coordination/shard"
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -54,9 +55,7 @@
 	teams map[string]*config.Team
 	types map[string]*protocol.MachineType // empty until they are read
 
-	storeAnsweredAt   time.Time       // when the state service last answered as it should
-	storeFailingSince time.Time       // when it first failed since; zero while it works
-	storeCost         *records.Budget // of requests to the state service
+	store *statestore.Client
 
 	availabilityLog  ratelog.Throttle // of why this controller can't act
 	unavailability   string           // as it is now; empty without any
@@ -85,7 +84,7 @@
 	for i := range cfg.Teams {
 		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
-	c.storeCost = records.NewBudget(cfg.StateRPS*0.8, cfg.StateRPS*0.6, now)
+	c.store = statestore.NewClient(storeHost{c}, log, records.KeyTerm)
 	c.admission.init(c)
 	c.election = c.newElection()
 	return c
@@ -94,7 +93,7 @@
 // Start makes the first step: the controller follows the election and asks for machine types.
 func (c *Controller) Start(now time.Time) Effects {
 	c.now = now
-	c.storeAnsweredAt = now
+	c.store.Start()
 	for _, t := range c.cfg.Teams {
 		c.log.Info("team configured", "team", t.Name, "quota", t.CPUs, "limited", t.CPUsMax < config.NoLimit, "limit", t.CPUsMax)
 	}
@@ -102,9 +101,9 @@
 	if sh := c.operator.Sharding; sh != nil {
 		c.startSharding(sh.Drain)
 	}
-	c.loadTypes()
+	c.loadMachineTypes()
 	c.every(time.Second, c.broadcastStatus)
-	c.every(time.Second, c.checkStore)
+	c.every(time.Second, c.store.ProbeIfSilent)
 	c.every(time.Second, c.logAvailability)
 	return c.takeEffects()
 }
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -18,13 +18,13 @@
 // hasn't heard yet.
 func runInherited(c *Controller, l *leader) {
 	c.teams["red"].CPUsMax = 100
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 	j := l.jobsByAge[0]
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 		m.inherited, m.recorded = true, true
-		j.chunk(i)
+		j.block(i)
 		a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now}
 		l.attach(a)
 	}
@@ -90,7 +90,7 @@
 	for _, disconnected := range []bool{false, true} {
 		c, l := leadingIn("b", phaseActive)
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		showElection(c, protocol.KeyValue{Key: records.KeyPrefer, Value: records.Encode(records.Prefer{Zone: "a"}), Version: 9})
+		showElection(c, protocol.KeyValue{Key: records.KeyPreferredZone, Value: records.Encode(records.PreferredZone{Zone: "a"}), Version: 9})
 		c.now = c.now.Add(time.Minute)
 		for i := range 5 {
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
@@ -111,7 +111,7 @@
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
 	c.peers["n1"] = &peers.Status{HeardAt: c.now, StoreReachable: true}
 	c.teams["red"].CPUsMax = 100
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 	j := l.jobsByAge[0]
 	for i := range 10 {
--- a/internal/coordination/drain_controller.go
+++ b/internal/coordination/drain_controller.go
@@ -34,7 +34,7 @@
 // drainStep resigns the leadership once there is nothing else to give up.
 func (c *Controller) drainStep() {
 	servesShards := c.sharding != nil && c.sharding.owner != nil && len(c.sharding.owner.shards) > 0
-	if c.leader != nil && !servesShards && !c.storeDown() && c.peers.AnyEligible(c.now) {
+	if c.leader != nil && !servesShards && !c.store.Unavailable() && c.peers.AnyEligible(c.now) {
 		c.election.Resign("controller drained", drainCampaignPause)
 	}
 	c.after(drainInterval, c.drainStep)
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"brasskeel/internal/coordination/leadership"
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 )
 
@@ -32,43 +33,35 @@
 
 // List implements leadership.Store.
 func (h electionHost) List(prefix string, wanted func() bool, done func([]protocol.KeyValue, uint64)) {
-	h.controller.storeList(prefix, wanted, func(items []protocol.KeyValue, revision uint64, _ time.Time) { done(items, revision) })
+	h.controller.store.List(prefix, wanted, func(list statestore.ListResult) { done(list.Items, list.Revision) })
 }
 
 // Watch implements leadership.Store.
 func (h electionHost) Watch(prefix string, after uint64, done func(leadership.WatchAnswer)) {
-	h.controller.storeWatch(prefix, after, watchWait, func(o Outcome) {
-		answer := leadership.WatchAnswer{Result: leadership.WatchFailed}
-		if o.Answered && o.Status == 410 {
+	h.controller.store.Watch(prefix, after, watchWait, func(r statestore.WatchResult) {
+		answer := leadership.WatchAnswer{Result: leadership.WatchFailed, Events: r.Events, Revision: r.Revision}
+		switch r.Status {
+		case statestore.WatchEvents:
+			answer.Result = leadership.WatchDelivered
+		case statestore.WatchCompacted:
 			answer.Result = leadership.WatchCompacted
 		}
-		if o.Answered && o.Status == 200 {
-			if events, revision, err := protocol.ParseEvents(o.Body); err == nil {
-				answer = leadership.WatchAnswer{Result: leadership.WatchDelivered, Events: events, Revision: revision}
-			}
-		}
 		done(answer)
 	})
 }
 
 // GrantLease implements leadership.Store.
 func (h electionHost) GrantLease(ttl time.Duration, done func(lease uint64, granted bool)) {
-	h.controller.store("POST", protocol.PathLeases, protocol.EncodeLeaseRequest(ttl), storeTimeout, func(o Outcome) {
-		lease, err := uint64(0), error(nil)
-		if o.Answered && o.Status == 200 {
-			lease, err = protocol.ParseLease(o.Body)
-		}
-		done(lease, lease != 0 && err == nil)
-	})
+	h.controller.store.GrantLease(ttl, done)
 }
 
 // RenewLease implements leadership.Store. It is never delayed by a budget.
 func (h electionHost) RenewLease(lease uint64, timeout time.Duration, done func(leadership.Renewal)) {
-	h.controller.store("POST", protocol.RenewLeaseTarget(lease), nil, timeout, func(o Outcome) {
-		switch {
-		case o.Answered && o.Status == 200:
+	h.controller.store.RenewLease(lease, timeout, func(status statestore.LeaseStatus) {
+		switch status {
+		case statestore.LeaseHeld:
 			done(leadership.RenewalApplied)
-		case o.Answered && o.Status == 404:
+		case statestore.LeaseEnded:
 			done(leadership.RenewalExpired)
 		default:
 			done(leadership.RenewalUnknown)
@@ -78,12 +71,12 @@
 
 // RevokeLease implements leadership.Store.
 func (h electionHost) RevokeLease(lease uint64) {
-	h.controller.store("DELETE", protocol.LeaseTarget(lease), nil, storeTimeout, func(Outcome) {})
+	h.controller.store.RevokeLease(lease)
 }
 
 // Commit implements leadership.Store.
 func (h electionHost) Commit(t *protocol.Txn, done func(applied bool, revision uint64)) {
-	h.controller.storeTxn(t, func(r txnResult, revision uint64, _ []string) { done(r == txnApplied, revision) })
+	h.controller.store.Commit(t, func(r statestore.CommitResult) { done(r.Status == statestore.CommitApplied, r.Revision) })
 }
 
 // Elected implements leadership.Host.
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -20,7 +20,7 @@
 	if l.phase != phaseActive {
 		return
 	}
-	if stalled || c.storeDown() || !l.holdsLease() {
+	if stalled || c.store.Unavailable() || !l.holdsLease() {
 		// Nothing could be moved now, and workers that got no answer from this
 		// controller look for another: their silence counts anew from here.
 		l.detector.Reset(c.now)
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"brasskeel/internal/coordination/sessions"
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -40,15 +41,15 @@
 func TestRecordsAreConditional(t *testing.T) {
 	c, l := leading(phaseActive)
 	j, _ := running(c, l)
-	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
+	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
+	applyTransactions(c, e.Calls) // with the record of the machine
 	m := l.machines["vm-1"]
 	m.recorded, m.session.LastReached = true, c.now
-	chunk := j.chunk(0)
-	chunk.version = 7
-	l.journal.busy = false // with the record of the machine
+	block := j.block(0)
+	block.record = statestore.Loaded(7)
 	l.assign(j, 0, m)
 	txn := nextTxn(t, c)
-	for key, version := range map[string]uint64{records.KeyLeader: l.version, records.KeyOutcome(j.ID): 0, records.KeyChunk(j.ID, 0): 7} {
+	for key, version := range map[string]uint64{records.KeyLeader: l.version, records.KeyOutcome(j.ID): 0, records.KeyTaskBlock(j.ID, 0): 7} {
 		if !demands(txn, key, version) {
 			t.Errorf("a placement is recorded whatever %s is: %+v", key, txn.Conditions)
 		}
@@ -56,7 +57,7 @@
 	// So does the outcome: whoever writes it first decides.
 	c, l = leading(phaseActive)
 	j, _ = running(c, l)
-	l.journal.puts = nil
+	l.writer.newGroups = nil
 	l.taskDone(j, 0)
 	txn = nextTxn(t, c)
 	if !demands(txn, records.KeyLeader, l.version) || !demands(txn, records.KeyOutcome(j.ID), 0) {
@@ -96,7 +97,7 @@
 	c, l := leading(phaseActive)
 	s := spec("run-000001")
 	s.Tasks, s.CPUs, s.OneZone = 2, 8, true
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: s})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: s})
 	j := l.jobs[s.ID]
 	m := l.newMachine("vm-1", "small", "a", false)
 	for i := range 2 {
@@ -120,7 +121,7 @@
 // their machines, and takes those on others for gone.
 func TestWorkOnlyOnRecordedMachines(t *testing.T) {
 	c, l := leading(phaseActive)
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: spec("run-000001")})
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	m.session.LastReached, m.Spec = c.now, c.types["small"]
@@ -137,7 +138,7 @@
 // worker, whatever it knows: another may lead, and wait for the end of that grace only.
 func TestRightsEndWithTheLease(t *testing.T) {
 	c, l := leading(phaseActive)
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: spec("run-000001")})
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
 	m := l.machines["vm-1"]
 	m.recorded, m.session.LastReached, m.Spec = true, c.now, c.types["small"]
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -16,8 +16,8 @@
 type job struct {
 	*protocol.Job
 	submitted time.Time
-	chunkSize int      // tasks per chunk
-	chunks    []*chunk // made on first use
+	blockSize int          // tasks per block
+	blocks    []*taskBlock // made on first use
 
 	// How it ends.
 	finalState protocol.JobState // that is recorded; 0 while there is none
@@ -45,7 +45,7 @@
 
 	progressBroadcast bool // peers were told of tasks that run or are done
 
-	// held are the attempts that a shard's owner holds; a leader has them in chunks.
+	// held are the attempts that a shard's owner holds; a leader has them in blocks.
 	held map[*attempt]struct{}
 }
 
@@ -64,7 +64,7 @@
 // jobRecorded implements observer.
 func (l *leader) jobRecorded(id string, value json.RawMessage, live bool) {
 	var r records.Job
-	if err := protocol.Decode(value, &r); err != nil || r.Spec == nil || r.Chunk <= 0 || r.Spec.Tasks <= 0 {
+	if err := protocol.Decode(value, &r); err != nil || r.Spec == nil || r.BlockSize <= 0 || r.Spec.Tasks <= 0 {
 		l.controller.log.Error("unreadable job record", "job", id, "error", err)
 		return
 	}
@@ -72,7 +72,7 @@
 	if live {
 		// Its record took a change, too: where users submit many jobs a second, the
 		// leader's own records leave them what the state service takes.
-		l.journal.budget.Spend(l.controller.now, 1)
+		l.writer.commits.Spend(1)
 		l.requestPlacement()
 	}
 }
@@ -88,9 +88,9 @@
 	if l.jobs[r.Spec.ID] != nil {
 		return
 	}
-	j := &job{Job: r.Spec, submitted: time.UnixMilli(r.Submitted), chunkSize: r.Chunk, zones: map[string]int{},
+	j := &job{Job: r.Spec, submitted: time.UnixMilli(r.SubmittedAt), blockSize: r.BlockSize, zones: map[string]int{},
 		imageID: l.imageID(r.Spec.Image)}
-	j.chunks = make([]*chunk, (j.Tasks+j.chunkSize-1)/j.chunkSize)
+	j.blocks = make([]*taskBlock, (j.Tasks+j.blockSize-1)/j.blockSize)
 	l.jobs[j.ID] = j
 	if !j.AllowSpot && j.Kind == protocol.Service {
 		l.autoscaler.largestOnDemand = max(l.autoscaler.largestOnDemand, j.CPUs*float64(j.Tasks))
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -29,7 +29,7 @@
 	corrections   queue.Corrections    // of estimates
 	stopping      map[string]usage     // of the teams' work, what was told to stop
 	terminated    map[string]time.Time // machines proven gone, while lists may still show them
-	journal       journal
+	writer        recordWriter
 	autoscaler    scaler
 	rebalancer    *rebalancer       // nil while balance is off
 	shards        *shardCoordinator // nil when this leader serves all machines itself
@@ -44,28 +44,13 @@
 // usage is what a team's attempts take, those not proven terminated included.
 type usage struct{ cpus, gpus float64 }
 
-// chunk is a run of a job's tasks that share a record.
-type chunk struct {
-	job       *job
-	index     int
-	tasks     []task
-	version   uint64 // of its key; 0: no record yet
-	known     bool   // version is sure
-	dirty     bool
-	lazy      bool // no one waits for it; write by due
-	due       time.Time
-	inFlight  bool
-	starts    []*attempt // placed since the last write
-	migrating []*attempt // to be stopped once it is on record that they move
-}
-
 type task struct {
-	attempt         uint64 // the latest number used
-	live            *attempt
-	done            bool
-	saved           bool        // recorded as done
-	exit            *shard.Task // whose owner waits for that
-	migratedInSurge uint64      // surge in which it was moved; 0: none
+	attempt            uint64 // the latest number used
+	live               *attempt
+	done               bool
+	doneRecorded       bool        // recorded as done
+	unacknowledgedExit *shard.Task // whose owner waits for that
+	migratedInSurge    uint64      // surge in which it was moved; 0: none
 }
 
 // attempt is one try at a task on a machine, until proven gone.
@@ -106,7 +91,7 @@
 	l.rebalancer = newRebalancer(l)
 	// The leader before may have had the shortest lease, which leaves the longest grace.
 	l.epoch = sessions.Epoch{Term: m.Term, Since: c.now, PredecessorUntil: c.now.Add(c.gracePeriodAfter(c.operator.LeaderLease()))}
-	l.journal.init(l)
+	l.writer.init(l)
 	l.autoscaler.init(l)
 	if c.sharding == nil && c.election.Sharded() {
 		// Other controllers may own shards: this one takes them back first.
@@ -119,7 +104,7 @@
 	c.log.Info("became leader", "term", m.Term)
 	c.broadcastStatus()
 	leadership.KeepLease(electionHost{c}, electionHost{c}, &l.lease, l)
-	l.load()
+	l.loadRecords()
 	l.every(detectorInterval, l.detectFailures)
 	l.every(time.Second, l.maintain)
 }
@@ -151,7 +136,7 @@
 
 // finishStep ends a step: what it left to be written and ordered is sent.
 func (l *leader) finishStep() {
-	l.journal.flush()
+	l.writer.flush()
 	l.flushOrders()
 }
 
--- a/internal/coordination/leader_zone.go
+++ b/internal/coordination/leader_zone.go
@@ -2,7 +2,6 @@
 
 import (
 	"brasskeel/internal/coordination/leadership"
-	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
 
@@ -11,7 +10,7 @@
 // only to a zone with a controller that lately said it can lead.
 func (l *leader) preferMajorityZone() {
 	c := l.controller
-	if !c.hasPeersInOtherZones() || c.storeDown() {
+	if !c.hasPeersInOtherZones() || c.store.Unavailable() {
 		return
 	}
 	zone, ok := leadership.MajorityZone(l.liveMachinesByZone())
@@ -20,8 +19,7 @@
 	}
 	if c.election.PreferredZone() != zone && l.requestedZone != zone {
 		l.requestedZone = zone
-		l.journal.extra = append(l.journal.extra, protocol.Op{Put: records.KeyPrefer,
-			Value: records.Encode(records.Prefer{Zone: zone})})
+		l.writer.put(records.KeyPreferredZone, records.Encode(records.PreferredZone{Zone: zone}))
 	}
 	if c.election.HandsOverTo(zone) && c.eligiblePeerIn(zone) {
 		c.election.Resign("most machines are in zone "+zone, leadership.HandOverPause)
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -149,7 +149,7 @@
 		e.scheduleCampaign()
 		return
 	}
-	if leader := e.view.leader; leader.Node == e.settings.Name && leader.Boot != e.settings.BootID && e.view.leaderLease != 0 {
+	if leader := e.view.leader; leader.Node == e.settings.Name && leader.Incarnation != e.settings.BootID && e.view.leaderLease != 0 {
 		// This controller's earlier process led. It is gone for good and all its
 		// late writes are conditional on the key that goes with this lease.
 		e.log.Info("revoking lease of previous process", "term", leader.Term)
@@ -205,7 +205,7 @@
 // claim asks the store to elect this controller in the next term.
 func (e *Election) claim(lease Lease) {
 	term := e.view.term + 1
-	leader := records.Leader{Node: e.settings.Name, Zone: e.settings.Zone, Term: term, Boot: e.settings.BootID}
+	leader := records.Leader{Node: e.settings.Name, Zone: e.settings.Zone, Term: term, Incarnation: e.settings.BootID}
 	e.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: records.KeyLeader}, {Key: records.KeyTerm, Version: e.view.termVersion}},
 		Ops: []protocol.Op{
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -109,7 +109,7 @@
 
 func leaderItem(node string, term, boot, version, lease uint64) protocol.KeyValue {
 	return protocol.KeyValue{Key: records.KeyLeader, Version: version, Lease: lease,
-		Value: records.Encode(records.Leader{Node: node, Zone: "a", Term: term, Boot: boot})}
+		Value: records.Encode(records.Leader{Node: node, Zone: "a", Term: term, Incarnation: boot})}
 }
 
 func termItem(term, version uint64) protocol.KeyValue {
@@ -117,7 +117,7 @@
 }
 
 func zoneItem(zone string) protocol.KeyValue {
-	return protocol.KeyValue{Key: records.KeyPrefer, Version: 5, Value: records.Encode(records.Prefer{Zone: zone})}
+	return protocol.KeyValue{Key: records.KeyPreferredZone, Version: 5, Value: records.Encode(records.PreferredZone{Zone: zone})}
 }
 
 // elect brings an election to lead in term 5 with lease 77.
--- a/internal/coordination/leadership/view.go
+++ b/internal/coordination/leadership/view.go
@@ -49,8 +49,8 @@
 		}
 	case records.KeySharded:
 		v.sharded = true
-	case records.KeyPrefer:
-		var preference records.Prefer
+	case records.KeyPreferredZone:
+		var preference records.PreferredZone
 		if json.Unmarshal(value, &preference) == nil {
 			v.preferredZone = preference.Zone
 		}
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -37,13 +37,15 @@
 // maxDeferredHeartbeats bounds the reports that are held for a leader: each takes a socket.
 func (c *Controller) maxDeferredHeartbeats() int { return c.cfg.Sockets / 2 }
 
-// maxUnsaved bounds the placements that wait to be recorded, so that one round keeps
-// nothing else waiting for long: two transactions full of chunk records, and as many as
+// maxUnrecordedStarts bounds the placements that wait to be recorded, so that one round keeps
+// nothing else waiting for long: two transactions full of block records, and as many as
 // a small one's when transactions are small.
-func (g *journal) maxUnsaved() int { return max(minUnsaved, 2*g.l.controller.cfg.TxnOps*g.chunkTasks) }
+func (w *recordWriter) maxUnrecordedStarts() int {
+	return max(minUnrecordedStarts, 2*w.leader.controller.cfg.TxnOps*w.tasksPerBlock)
+}
 
-// minUnsaved is the least that maxUnsaved is.
-const minUnsaved = 2000
+// minUnrecordedStarts is the least that maxUnrecordedStarts is.
+const minUnrecordedStarts = 2000
 
 // maxUnannounced bounds the final states that wait to be told to peers: those of some seconds of
 // all changes that the state service takes.
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -14,6 +14,7 @@
 	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/ratelimit"
 	"brasskeel/internal/records"
 )
 
@@ -144,7 +145,7 @@
 	c, l := leading(phaseActive)
 	last := l.newMachine(fmt.Sprintf("vm-%06d", count-1), "small", "a", false)
 	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
-	l.autoscaler.callBudget = records.NewBudget(1000, 1000, c.now)
+	l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
 	if calls := readList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MaxListed {
 		t.Fatalf("not read in %d calls", calls)
 	}
@@ -195,7 +196,7 @@
 	c, l := largeLead(1, 0)
 	spec := benchJob(2)
 	spec.Tasks, spec.CPUs, spec.MemoryGB = tasks, 0.001, 0.001
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: spec})
 	m := l.fleetList[0]
 	for i := range tasks {
 		l.assign(l.jobsByAge[0], i, m)
@@ -269,7 +270,7 @@
 	c, l := largeLead(1, 0)
 	spec := benchJob(2)
 	spec.Tasks, spec.CPUs, spec.MemoryGB = 5000, 0.001, 0.001
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: spec})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: spec})
 	fill(l)
 	m := l.fleetList[0]
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: reported(m)}
@@ -343,26 +344,26 @@
 // kept a small share of a processor from it for longer than the lease.
 func TestRecordsAreTakenInSteps(t *testing.T) {
 	c, l := leading(phaseLoading)
-	r := fleetRecords(1000)
-	var machines, chunks []protocol.KeyValue
-	for key, it := range r.items {
+	service := fleetRecords(1000)
+	var machines, blocks []protocol.KeyValue
+	for key, it := range service.items {
 		switch {
-		case strings.HasPrefix(key, records.PrefixChunks):
-			chunks = append(chunks, it)
-		case strings.HasPrefix(key, records.PrefixMachines):
+		case strings.HasPrefix(key, records.PrefixTaskBlocks):
+			blocks = append(blocks, it)
+		case strings.HasPrefix(key, records.PrefixMachineGroups):
 			machines = append(machines, it)
 		default:
-			l.jobKey(key, it.Value, false)
+			l.applyJobRecord(key, it.Value, false)
 		}
 	}
-	l.takeRecords(machines, chunks)
+	l.applyRecords(machines, blocks)
 	steps := 1
 	for l.phase == phaseLoading && steps < 1000 {
-		c.Tick(c.now.Add(chunksPause))
+		c.Tick(c.now.Add(blockStepPause))
 		steps++
 	}
 	if steps < 5 || l.phase != phaseReconciling {
-		t.Errorf("%d records in %d steps, phase %d", len(chunks), steps, l.phase)
+		t.Errorf("%d records in %d steps, phase %d", len(blocks), steps, l.phase)
 	}
 }
 
@@ -376,7 +377,7 @@
 		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.pendingTasks()})
 	}
 	rented := func() (count int) {
-		l.autoscaler.callBudget = records.NewBudget(1000, 1000, c.now)
+		l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
 		clear(l.autoscaler.requested)
 		c.effects = Effects{}
 		l.scaleOut()
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/json"
 	"slices"
-	"time"
 
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -18,21 +18,21 @@
 // the jobs whose records are still there are asked for one by one; a job without a
 // record has no attempt left.
 func (s *workerSessions) loadJobs(done func(revision uint64)) {
-	s.controller.storeList(records.PrefixActive, s.alive, func(items []protocol.KeyValue, revision uint64, asked time.Time) {
-		for _, it := range items {
-			s.jobKey(it.Key, it.Value, false)
+	s.controller.store.List(records.PrefixActive, s.alive, func(list statestore.ListResult) {
+		for _, it := range list.Items {
+			s.applyJobRecord(it.Key, it.Value, false)
 		}
-		s.checkOutcomes(s.unfinished(), func() {
+		s.checkOutcomes(s.unfinishedJobs(), func() {
 			// Every outcome written before the list was asked for is known by now.
-			s.noteJobsKnown(asked)
+			s.noteJobsKnown(list.AskedAt)
 			s.controller.resumeDeferred()
-			done(revision)
+			done(list.Revision)
 		})
 	})
 }
 
-// unfinished are the jobs that aren't known to be over, in order.
-func (s *workerSessions) unfinished() []string {
+// unfinishedJobs are the jobs that aren't known to be over, in order.
+func (s *workerSessions) unfinishedJobs() []string {
 	var ids []string
 	for id, j := range s.jobs {
 		if j.finalState == 0 {
@@ -59,7 +59,7 @@
 		}
 		batch := batches[next]
 		next++
-		s.checkBatch(batch, func() {
+		s.checkOutcomeBatch(batch, func() {
 			if left--; left == 0 {
 				done()
 				return
@@ -72,30 +72,34 @@
 	}
 }
 
-// checkBatch compares outcomes with none in one transaction, as often as it takes, and
+// checkOutcomeBatch compares outcomes with none in one transaction, as often as it takes, and
 // reads those that are there.
-func (s *workerSessions) checkBatch(ids []string, done func()) {
+func (s *workerSessions) checkOutcomeBatch(ids []string, done func()) {
 	t := &protocol.Txn{}
 	for _, id := range ids {
 		t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyOutcome(id)})
 	}
-	s.controller.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
+	s.controller.store.Commit(t, func(r statestore.CommitResult) {
 		switch {
 		case !s.alive():
-		case r == txnApplied:
+		case r.Status == statestore.CommitApplied:
 			done()
-		case r == txnFailed:
-			s.readOutcomes(failed, done)
+		case r.Status == statestore.CommitConflict:
+			s.readOutcomes(r.Failed, done)
 		default:
-			s.retryRead(func() { s.checkBatch(ids, done) })
+			s.controller.store.RetryRead(s.alive, func() { s.checkOutcomeBatch(ids, done) })
 		}
 	})
 }
 
+// readOutcomes takes the records under some keys, however often it must ask.
 func (s *workerSessions) readOutcomes(keys []string, done func()) {
 	left := len(keys)
 	for _, key := range keys {
-		s.readOutcomeKey(key, func() {
+		s.controller.store.GetUntilKnown(key, s.alive, func(r statestore.ReadResult) {
+			if r.Status == statestore.Found {
+				s.applyJobRecord(r.Item.Key, r.Item.Value, false)
+			}
 			if left--; left == 0 {
 				done()
 			}
@@ -103,58 +107,33 @@
 	}
 }
 
-func (s *workerSessions) readOutcomeKey(key string, done func()) {
-	s.controller.storeGet(key, func(it protocol.KeyValue, found, ok bool) {
-		switch {
-		case !s.alive():
-		case !ok:
-			s.retryRead(func() { s.readOutcomeKey(key, done) })
-		default:
-			if found {
-				s.jobKey(it.Key, it.Value, false)
-			}
-			done()
-		}
-	})
-}
-
-// retryRead runs f after a short pause, if this leadership lasts.
-func (s *workerSessions) retryRead(f func()) {
-	s.controller.after(200*time.Millisecond+s.controller.jitter(100*time.Millisecond), func() {
-		if s.alive() {
-			f()
-		}
-	})
-}
-
 // watchJobs learns of submissions and of outcomes from a revision on.
 func (s *workerSessions) watchJobs(after uint64) {
 	asked := s.controller.now
-	s.controller.storeWatch(records.PrefixJobs, after, s.controller.jobsWatchWait(), func(out Outcome) {
+	store := s.controller.store
+	store.Watch(records.PrefixJobs, after, s.controller.jobsWatchWait(), func(r statestore.WatchResult) {
 		if !s.alive() {
 			return
 		}
-		if out.Answered && out.Status == 200 {
-			if events, revision, err := protocol.ParseEvents(out.Body); err == nil {
-				for _, ev := range events {
-					s.jobEvent(ev)
-				}
-				s.noteJobsKnown(asked)
-				s.watchJobs(max(after, revision))
-				return
+		switch r.Status {
+		case statestore.WatchEvents:
+			for _, ev := range r.Events {
+				s.applyJobEvent(ev)
 			}
+			s.noteJobsKnown(asked)
+			s.watchJobs(max(after, r.Revision))
+		case statestore.WatchCompacted:
+			s.loadJobs(s.watchJobs)
+		default:
+			store.RetryRead(s.alive, func() { s.watchJobs(after) })
 		}
-		if out.Answered && out.Status == 410 {
-			s.loadJobs(s.watchJobs) // too much has changed since
-			return
-		}
-		s.retryRead(func() { s.watchJobs(after) })
 	})
 }
 
-func (s *workerSessions) jobEvent(ev protocol.Event) {
+// applyJobEvent takes a change under PrefixJobs.
+func (s *workerSessions) applyJobEvent(ev protocol.Event) {
 	if !ev.Deleted {
-		s.jobKey(ev.Key, ev.Value, true)
+		s.applyJobRecord(ev.Key, ev.Value, true)
 		return
 	}
 	if id, ok := cutPrefix(ev.Key, records.PrefixActive); ok {
@@ -162,10 +141,11 @@
 	}
 }
 
-// jobKey takes a record under PrefixJobs; live says that it was just written.
-func (s *workerSessions) jobKey(key string, value json.RawMessage, live bool) {
+// applyJobRecord takes a record under PrefixJobs; justWritten tells one that a watch brought from those
+// that were there before.
+func (s *workerSessions) applyJobRecord(key string, value json.RawMessage, justWritten bool) {
 	if id, ok := cutPrefix(key, records.PrefixActive); ok {
-		s.listener.jobRecorded(id, value, live)
+		s.listener.jobRecorded(id, value, justWritten)
 		return
 	}
 	id, ok := cutPrefix(key, records.PrefixOutcome)
@@ -174,7 +154,7 @@
 	}
 	outcome, done, err := records.DecodeOutcome(value)
 	if err != nil {
-		s.controller.log.Error("unreadable outcome", "job", id, "err", err)
+		s.controller.log.Error("job outcome unreadable", "job", id, "error", err)
 		return
 	}
 	s.controller.admission.rememberOutcome(id, outcome, done) // who wrote it told the peers
@@ -183,6 +163,7 @@
 	}
 }
 
+// cutPrefix returns what follows a prefix, and whether s has the prefix and something after it.
 func cutPrefix(s, prefix string) (string, bool) {
 	if len(s) > len(prefix) && s[:len(prefix)] == prefix {
 		return s[len(prefix):], true
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -12,49 +12,49 @@
 	"brasskeel/internal/records"
 )
 
-// fakeStore answers a new leader's reads.
-type fakeStore struct {
+// fakeStateService answers a new leader's reads.
+type fakeStateService struct {
 	items map[string]protocol.KeyValue
 	asked []string // targets of what was read, and what transactions compare
 	hold  string   // a key whose read gets no answer
 }
 
-func (r *fakeStore) put(key string, value any) {
-	r.items[key] = protocol.KeyValue{Key: key, Value: records.Encode(value), Version: 3}
+func (s *fakeStateService) put(key string, value any) {
+	s.items[key] = protocol.KeyValue{Key: key, Value: records.Encode(value), Version: 3}
 }
 
 // answer gives the response to a call; status 0 for none.
-func (r *fakeStore) answer(call Call) (status int, body []byte) {
+func (s *fakeStateService) answer(call Call) (status int, body []byte) {
 	if call.To != StateService {
 		return 0, nil
 	}
 	path, query := protocol.Query(call.Target)
 	switch {
 	case path == protocol.PathTransactions:
-		return r.compare(call.Body)
+		return s.compare(call.Body)
 	case path == protocol.PathKeys:
 		prefix, after, limit, _ := protocol.RangeQuery(query)
-		r.asked = append(r.asked, prefix)
-		return r.list(prefix, after, limit)
+		s.asked = append(s.asked, prefix)
+		return s.list(prefix, after, limit)
 	case strings.HasPrefix(path, protocol.PathKeys+"/"):
 		key := strings.TrimPrefix(path, protocol.PathKeys+"/")
-		r.asked = append(r.asked, key)
-		if it, ok := r.items[key]; ok && key != r.hold {
+		s.asked = append(s.asked, key)
+		if it, ok := s.items[key]; ok && key != s.hold {
 			return 200, protocol.EncodeKeyValue(it)
 		}
 	}
 	return 0, nil
 }
 
-func (r *fakeStore) compare(body []byte) (int, []byte) {
+func (s *fakeStateService) compare(body []byte) (int, []byte) {
 	t, err := protocol.ParseTxn(body)
 	if err != nil || len(t.Ops) > 0 {
 		return 0, nil
 	}
 	var failed []string
 	for _, condition := range t.Conditions {
-		r.asked = append(r.asked, condition.Key)
-		if r.items[condition.Key].Version != condition.Version {
+		s.asked = append(s.asked, condition.Key)
+		if s.items[condition.Key].Version != condition.Version {
 			failed = append(failed, condition.Key)
 		}
 	}
@@ -64,9 +64,9 @@
 	return 200, protocol.EncodeRevision(9)
 }
 
-func (r *fakeStore) list(prefix, after string, limit int) (int, []byte) {
+func (s *fakeStateService) list(prefix, after string, limit int) (int, []byte) {
 	var keys []string
-	for k := range r.items {
+	for k := range s.items {
 		if strings.HasPrefix(k, prefix) && k > after {
 			keys = append(keys, k)
 		}
@@ -74,52 +74,52 @@
 	slices.Sort(keys)
 	var page []protocol.KeyValue
 	for _, k := range keys[:min(limit, len(keys))] {
-		page = append(page, r.items[k])
+		page = append(page, s.items[k])
 	}
 	return 200, protocol.EncodeRange(page, len(keys) > limit, 9)
 }
 
 // lead lets a node that nobody leads become the leader, and answers what it reads.
-func (r *fakeStore) lead(c *Controller) *leader {
+func (s *fakeStateService) lead(c *Controller) *leader {
 	c.election.Lead(leadership.Mandate{Term: 2, Version: 20, ElectedAt: c.now,
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}})
 	calls := c.takeEffects().Calls
 	for len(calls) > 0 {
 		call := calls[0]
 		calls = calls[1:]
-		if status, body := r.answer(call); status != 0 {
+		if status, body := s.answer(call); status != 0 {
 			calls = append(calls, c.Result(c.now, call.ID, Outcome{Answered: true, Status: status, Body: body}).Calls...)
 		}
 	}
 	// Records are taken in steps with pauses between.
-	for c.leader.phase == phaseLoading && !c.Next().After(c.now.Add(chunksPause)) {
-		c.Tick(c.now.Add(chunksPause))
+	for c.leader.phase == phaseLoading && !c.Next().After(c.now.Add(blockStepPause)) {
+		c.Tick(c.now.Add(blockStepPause))
 	}
 	return c.leader
 }
 
 // unfinishedJobs are records of jobs, of which the second is cancelled, and of many more
 // that were over long ago.
-func unfinishedJobs() *fakeStore {
-	r := &fakeStore{items: map[string]protocol.KeyValue{}}
+func unfinishedJobs() *fakeStateService {
+	service := &fakeStateService{items: map[string]protocol.KeyValue{}}
 	for i := range 3 {
 		id := fmt.Sprintf("run-%06d", i+1)
-		r.put(records.KeyActive(id), records.Job{Chunk: 8, Spec: spec(id)})
+		service.put(records.KeyActive(id), records.Job{BlockSize: 8, Spec: spec(id)})
 	}
 	for i := range 3000 {
-		r.put(records.KeyOutcome(fmt.Sprintf("run-%06d", 100000+i)), records.Outcome{State: "done", Done: 1})
+		service.put(records.KeyOutcome(fmt.Sprintf("run-%06d", 100000+i)), records.Outcome{State: "done", Done: 1})
 	}
-	r.put(records.KeyOutcome("run-000002"), records.Outcome{State: "cancelled"})
-	return r
+	service.put(records.KeyOutcome("run-000002"), records.Outcome{State: "cancelled"})
+	return service
 }
 
 // A new leader asks for the outcomes of unfinished jobs alone: outcomes are kept for
 // ever, and reading all of them made each election of a long-lived deployment longer.
 func TestLoadReadsOutcomesOfUnfinishedJobs(t *testing.T) {
 	c, _ := leading(phaseActive)
-	r := unfinishedJobs()
-	l := r.lead(c)
-	for _, key := range r.asked {
+	service := unfinishedJobs()
+	l := service.lead(c)
+	for _, key := range service.asked {
 		if key != records.PrefixActive && strings.HasPrefix(records.KeyOutcome("run-1"), key) || strings.HasPrefix(key, records.KeyOutcome("run-1")) {
 			t.Fatalf("%s was read", key)
 		}
@@ -136,9 +136,9 @@
 // renew the lease of a task whose job was cancelled.
 func TestLoadKnowsNothingBeforeOutcomes(t *testing.T) {
 	c, _ := leading(phaseActive)
-	r := unfinishedJobs()
-	r.hold = records.KeyOutcome("run-000002")
-	l := r.lead(c)
+	service := unfinishedJobs()
+	service.hold = records.KeyOutcome("run-000002")
+	l := service.lead(c)
 	if !l.jobsKnownAt.IsZero() || l.holdsLease() {
 		t.Fatalf("known as of %s", l.jobsKnownAt)
 	}
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -17,10 +17,10 @@
 	load          *balance.Load // nil while balance is off
 	addr          string        // that its worker is called at; empty: unknown
 	provisionedAt time.Time
-	inherited     bool   // known from an earlier leader's record
-	recorded      bool   // a record that names it is written: placements may name it
-	group         *group // whose record that is
-	removed       bool   // proven gone, or not served here any more
+	inherited     bool          // known from an earlier leader's record
+	recorded      bool          // a record that names it is written: placements may name it
+	group         *machineGroup // whose record that is
+	removed       bool          // proven gone, or not served here any more
 
 	session   sessions.Session
 	orders    orderQueue
@@ -77,7 +77,7 @@
 	m.provisionedAt = l.controller.now.Add(-age)
 	if l.phase != phaseLoading { // else its record may be read yet
 		l.controller.logSampled("unrecorded machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
-		l.journal.putMachine(m)
+		l.writer.recordMachine(m)
 	}
 	return m
 }
@@ -89,7 +89,7 @@
 		return
 	}
 	l := c.leader
-	if (l == nil && c.leaderSuspect() || l != nil && l.jobsKnownAt.IsZero()) && !c.storeDown() {
+	if (l == nil && c.leaderSuspect() || l != nil && l.jobsKnownAt.IsZero()) && !c.store.Unavailable() {
 		c.deferHeartbeat(id, body)
 		return
 	}
@@ -163,5 +163,5 @@
 	if l.shards != nil {
 		l.shards.machineTerminated(m)
 	}
-	l.journal.removeMachine(m)
+	l.writer.unrecordMachine(m)
 }
--- a/internal/coordination/groups_test.go
+++ b/internal/coordination/machine_groups_test.go
@@ -29,7 +29,7 @@
 				writes++
 				if op.Delete != "" {
 					delete(kept, op.Delete)
-				} else if _, ok := cutPrefix(op.Put, records.PrefixMachines); ok {
+				} else if _, ok := cutPrefix(op.Put, records.PrefixMachineGroups); ok {
 					kept[op.Put] = op.Value
 				}
 			}
@@ -44,7 +44,7 @@
 func names(kept map[string]json.RawMessage) []string {
 	_, l := leading(phaseLoading)
 	for key, value := range kept {
-		l.loadGroup(protocol.KeyValue{Key: key, Value: value})
+		l.loadMachineGroup(protocol.KeyValue{Key: key, Value: value})
 	}
 	var list []string
 	for name, m := range l.machines {
@@ -65,7 +65,7 @@
 	kept := map[string]json.RawMessage{}
 	const count = 320
 	for i := range count {
-		l.journal.putMachine(l.newMachine(fmt.Sprintf("vm-%03d", i), "small", "a", i%4 == 0))
+		l.writer.recordMachine(l.newMachine(fmt.Sprintf("vm-%03d", i), "small", "a", i%4 == 0))
 	}
 	writes := 0
 	for range 20 { // the budget of writes is small here
@@ -109,14 +109,14 @@
 func TestAddressesAreRecorded(t *testing.T) {
 	c, l := leading(phaseActive)
 	kept := map[string]json.RawMessage{}
-	l.journal.putMachine(l.newMachine("vm-1", "small", "a", false))
+	l.writer.recordMachine(l.newMachine("vm-1", "small", "a", false))
 	groupRecords(c, kept)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(4))
-	c.now = c.now.Add(groupDelay + time.Second)
+	c.now = c.now.Add(groupRewriteDelay + time.Second)
 	groupRecords(c, kept)
 	next, leader := leading(phaseLoading)
 	for key, value := range kept {
-		leader.loadGroup(protocol.KeyValue{Key: key, Value: value})
+		leader.loadMachineGroup(protocol.KeyValue{Key: key, Value: value})
 	}
 	if got := leader.machines["vm-1"]; got == nil || got.addr != "x" {
 		t.Fatalf("loaded %+v", got)
@@ -136,7 +136,7 @@
 // A record from before machines shared them is understood.
 func TestLoadsSingleMachine(t *testing.T) {
 	_, l := leading(phaseLoading)
-	l.loadGroup(protocol.KeyValue{Key: records.PrefixMachines + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
+	l.loadMachineGroup(protocol.KeyValue{Key: records.PrefixMachineGroups + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
 	if m := l.machines["vm-7"]; m == nil || !m.Spot || m.Type != "small" || !m.recorded {
 		t.Errorf("loaded %+v", m)
 	}
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -24,7 +24,7 @@
 		CancelWithin: 40 * time.Second, CPUShare: 0.3, Sockets: 900, StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 4,
 		Teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}}
 	c := New(cfg, config.DefaultOperator(), slog.New(slog.DiscardHandler), 1, now)
-	c.setTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 3, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
+	c.setMachineTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 3, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
 		BootTime: 10 * time.Second, Zones: []string{"a"}}})
 	c.election.Lead(leadership.Mandate{Term: 1, Version: 10, ElectedAt: now,
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: now.Add(time.Hour)}})
@@ -66,12 +66,12 @@
 	c, l := leading(phaseLoading)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(1))
 	m := l.machines["vm-1"]
-	if m == nil || len(l.journal.puts) != 0 {
-		t.Fatalf("machine %v, %d records to write while loading", m, len(l.journal.puts))
+	if m == nil || len(l.writer.newGroups) != 0 {
+		t.Fatalf("machine %v, %d records to write while loading", m, len(l.writer.newGroups))
 	}
 	l.startReconciling()
-	if len(l.journal.puts) != 1 || l.journal.puts[0].machines[0] != m {
-		t.Errorf("%d machine records to write", len(l.journal.puts))
+	if len(l.writer.newGroups) != 1 || l.writer.newGroups[0].machines[0] != m {
+		t.Errorf("%d machine records to write", len(l.writer.newGroups))
 	}
 }
 
--- a/internal/coordination/types.go
+++ b/internal/coordination/machine_types.go
@@ -4,19 +4,20 @@
 	"encoding/json"
 	"time"
 
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
 
-// loadTypes gets the machine types: from the state service, where leaders keep
+// loadMachineTypes gets the machine types: from the state service, where leaders keep
 // them, or from the cloud. Without them no submission can be judged.
-func (c *Controller) loadTypes() {
-	c.storeGet(records.KeyTypes, func(it protocol.KeyValue, found, _ bool) {
-		if found {
+func (c *Controller) loadMachineTypes() {
+	c.store.Get(records.KeyMachineTypes, func(r statestore.ReadResult) {
+		if r.Status == statestore.Found {
 			var types []protocol.MachineType
-			if json.Unmarshal(it.Value, &types) == nil && len(types) > 0 {
+			if json.Unmarshal(r.Item.Value, &types) == nil && len(types) > 0 {
 				if len(c.types) == 0 {
-					c.setTypes(types)
+					c.setMachineTypes(types)
 				}
 				return
 			}
@@ -24,20 +25,21 @@
 		if len(c.types) > 0 {
 			return
 		}
-		c.fetchTypes(func(ok bool) {
+		c.fetchMachineTypes(func(ok bool) {
 			if !ok {
-				c.after(time.Second+c.jitter(time.Second), c.loadTypes)
+				c.after(time.Second+c.jitter(time.Second), c.loadMachineTypes)
 			}
 		})
 	})
 }
 
-// fetchTypes asks the cloud for the machine types.
-func (c *Controller) fetchTypes(done func(ok bool)) {
+// fetchMachineTypes asks the cloud for the machine types.
+// fetchMachineTypes reads the machine types from the cloud, and tells done whether it has them.
+func (c *Controller) fetchMachineTypes(done func(ok bool)) {
 	c.call(Cloud, "", "GET", protocol.PathMachineTypes, nil, 3*time.Second, func(o Outcome) {
 		if o.Answered && o.Status == 200 {
 			if types, err := protocol.ParseMachineTypes(o.Body); err == nil {
-				c.setTypes(types)
+				c.setMachineTypes(types)
 				done(true)
 				return
 			}
@@ -46,8 +48,8 @@
 	})
 }
 
-// setTypes replaces the machine types.
-func (c *Controller) setTypes(types []protocol.MachineType) {
+// setMachineTypes replaces the machine types.
+func (c *Controller) setMachineTypes(types []protocol.MachineType) {
 	c.types = make(map[string]*protocol.MachineType, len(types))
 	for i := range types {
 		c.types[types[i].Name] = &types[i]
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -26,7 +26,7 @@
 	spec := &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 10, CPUs: 1,
 		MemoryGB: 1, Image: "a", ImageGB: 1, AllowSpot: true, EstimatedRuntime: 30 * time.Second}
 	change(spec)
-	l.addJob(&records.Job{Submitted: records.Millis(l.controller.now), Chunk: 96, Spec: spec})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(l.controller.now), BlockSize: 96, Spec: spec})
 	return l.jobs[id]
 }
 
@@ -94,11 +94,11 @@
 		if j.liveAttempts != 1 {
 			t.Fatalf("%d tasks placed of a job that fails everywhere", j.liveAttempts)
 		}
-		for _, a := range j.chunk(0).starts {
+		for _, a := range j.block(0).unrecorded {
 			l.attemptFailed(a.machine, a)
 			l.detach(a, "test")
 		}
-		j.chunk(0).starts = nil
+		j.block(0).unrecorded = nil
 		last = j.backoffUntil.Sub(c.now)
 	}
 	if last != quarantine.TrialBackoffMax {
@@ -245,10 +245,10 @@
 // Each job that comes leaves the leader's own records a change less.
 func TestSubmissionsCount(t *testing.T) {
 	c, l := leading(phaseActive)
-	before := l.journal.budget.Available(c.now)
-	record := records.Encode(records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
-	l.jobKey(records.KeyActive(benchJob(2).ID), record, true)
-	if after := l.journal.budget.Available(c.now); after != before-1 {
+	before := l.writer.commits.Available()
+	record := records.Encode(records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: benchJob(2)})
+	l.applyJobRecord(records.KeyActive(benchJob(2).ID), record, true)
+	if after := l.writer.commits.Available(); after != before-1 {
 		t.Errorf("%g changes are left of %g", after, before)
 	}
 }
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -61,17 +61,17 @@
 	_, l := largeLead(overloadMachines, 20)
 	huge := benchJob(2)
 	huge.ID, huge.Tasks = "run-999999", protocol.MaxTasks
-	l.addJob(&records.Job{Submitted: records.Millis(l.controller.now.Add(-time.Second)), Chunk: 96, Spec: huge})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(l.controller.now.Add(-time.Second)), BlockSize: 96, Spec: huge})
 	allocated := testing.AllocsPerRun(1, func() { fill(l) })
 	j := l.jobs[huge.ID]
 	made := 0
-	for _, chunk := range j.chunks {
-		if chunk != nil {
+	for _, block := range j.blocks {
+		if block != nil {
 			made++
 		}
 	}
 	if most := (j.liveAttempts+95)/96 + 1; made > most {
-		t.Errorf("%d chunks in memory for %d live tasks", made, j.liveAttempts)
+		t.Errorf("%d blocks in memory for %d live tasks", made, j.liveAttempts)
 	}
 	for _, o := range l.jobsByAge {
 		if o != j && o.Priority >= j.Priority && o.liveAttempts == 0 {
@@ -97,7 +97,7 @@
 			j := benchJob(2)
 			j.ID, j.Image = fmt.Sprintf("run-%06d", i), fmt.Sprintf("img-%d", i%20)
 			change(j)
-			l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: j})
+			l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: j})
 		}
 	}
 	add(0, 600, func(j *protocol.Job) { j.Priority, j.Team, j.CPUs = protocol.Low, "blue", 1 })
@@ -139,7 +139,7 @@
 	for i := range 100 {
 		j := benchJob(0)
 		j.ID, j.Tasks, j.Spread = fmt.Sprintf("run-%06d", i), 6, true
-		l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: j})
+		l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: j})
 	}
 	fill(l)
 	waiting := 0
--- a/internal/coordination/peer_broadcast.go
+++ b/internal/coordination/peer_broadcast.go
@@ -1,8 +1,6 @@
 package coordination
 
 import (
-	"time"
-
 	"brasskeel/internal/coordination/limits"
 	"brasskeel/internal/coordination/peers"
 	"brasskeel/internal/protocol"
@@ -19,10 +17,6 @@
 // outcomeBroadcasts is how often a final state is broadcast, since a message may be lost.
 const outcomeBroadcasts = 2
 
-// storeFreshFor is how long ago the state service must have answered for this controller to
-// say that it reaches it.
-const storeFreshFor = 5 * time.Second
-
 // broadcastStatus tells the peers how this controller is, which jobs are over and, from a
 // leader, how the others go on.
 func (c *Controller) broadcastStatus() {
@@ -50,7 +44,7 @@
 // newPeerMessage begins a message with what each one tells.
 func (c *Controller) newPeerMessage() peers.Message {
 	m := peers.Message{Sender: c.cfg.Name, Disconnected: c.election.Disconnected(), WorkersUnreachable: c.workersUnreachable(),
-		StoreReachable: !c.storeDown() && c.now.Sub(c.storeAnsweredAt) < storeFreshFor}
+		StoreReachable: c.store.Healthy()}
 	if c.leader != nil {
 		m.Term = c.leader.term
 	}
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -20,7 +20,7 @@
 func (c *Controller) logAvailability() {
 	what := ""
 	switch {
-	case c.storeDown():
+	case c.store.Unavailable():
 		what = "state service unavailable"
 	case c.leader != nil && c.leader.phase == phaseLoading && c.now.Sub(c.leader.electedAt) > pendingLogAfter:
 		what = "loading records"
--- a/internal/coordination/place_job.go
+++ b/internal/coordination/place_job.go
@@ -107,7 +107,7 @@
 	most = l.limitTrials(j, most)
 	var imageHolders *victimSearch
 	held := 0 // tasks that wait for room that isn't to be had by more machines
-	for placed := 0; placed < most && j.pendingTasks() > held && !l.journal.full(); placed++ {
+	for placed := 0; placed < most && j.pendingTasks() > held && !l.writer.saturated(); placed++ {
 		if !l.withinLimit(j) {
 			l.preemptWithinLimit(j)
 			return 0 // more machines wouldn't help
@@ -212,5 +212,5 @@
 	t.attempt++
 	a := &attempt{job: j, task: i, number: t.attempt, machine: m, placedAt: l.controller.now, stateSince: l.controller.now}
 	l.attach(a)
-	l.journal.start(a)
+	l.writer.recordStart(a)
 }
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -92,7 +92,7 @@
 // the highest score among the machines with room.
 func (l *leader) runPlacementRound() {
 	c := l.controller
-	if l.phase != phaseActive || c.storeDown() || !c.now.Before(l.lease.ValidUntil) {
+	if l.phase != phaseActive || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
 		return // new placements need the state service
 	}
 	l.checkQuotas()
@@ -136,7 +136,7 @@
 		return interruptRound
 	}
 	left := l.placeOrReserve(j, tier)
-	if left > 0 && (l.journal.full() || l.round.exceeded()) {
+	if left > 0 && (l.writer.saturated() || l.round.exceeded()) {
 		// The rest waits for records or for the next round, not for room: nothing is stopped
 		// for it, and what it needs of the fleet shows once room is all that it lacks.
 		return interruptRound
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -30,7 +30,7 @@
 			}
 			for _, m := range names {
 				if l.machines[m] == nil && l.terminated[m].IsZero() {
-					l.journal.putMachine(l.newMachine(m, o.Spec.Name, o.Zone, o.Spot))
+					l.writer.recordMachine(l.newMachine(m, o.Spec.Name, o.Zone, o.Spot))
 				}
 			}
 			c.log.Info("machines provisioned", "type", o.Spec.Name, "zone", o.Zone, "spot", o.Spot, "requested", count, "count", len(names))
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -75,13 +75,13 @@
 // and neither it nor the state service has more to do than it can.
 func (b *rebalancer) mayMigrate() bool {
 	l, c := b.l, b.l.controller
-	if l.controller.operator.Balance == nil || !l.controller.operator.Balance.Moves || l.phase != phaseActive || c.storeDown() || l.autoscaler.demandIncomplete {
+	if l.controller.operator.Balance == nil || !l.controller.operator.Balance.Moves || l.phase != phaseActive || c.store.Unavailable() || l.autoscaler.demandIncomplete {
 		return false
 	}
 	if c.now.Sub(l.reconciledAt) < c.timing().ReconnectTime() || l.lease.ValidUntil.Sub(c.now) < l.lease.TTL/2 {
 		return false
 	}
-	return !c.overload.Defers() && !c.overload.Persistent(c.now) && len(l.journal.urgent) <= c.cfg.TxnOps
+	return !c.overload.Defers() && !c.overload.Persistent(c.now) && len(l.writer.urgent) <= c.cfg.TxnOps
 }
 
 // planMigrations begins the moves that pay.
@@ -171,9 +171,9 @@
 	to.reserveIncoming(r.needs)
 	b.migrations.active[a] = r
 	b.migrations.started++
-	chunk := a.job.chunk(a.task)
-	chunk.migrating = append(chunk.migrating, a)
-	l.journal.touch(chunk)
+	block := a.job.block(a.task)
+	block.migrating = append(block.migrating, a)
+	l.writer.markUrgent(block)
 	l.controller.log.Debug("migration started", "job", a.job.ID, "task", a.task, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
 }
 
@@ -240,7 +240,7 @@
 func (l *leader) startMigrated(r *migration) bool {
 	j, i, m := r.attempt.job, r.attempt.task, r.target
 	t := j.task(i)
-	if j.finalState != 0 || t.done || t.live != nil || m.removed || !l.acceptsTasks(m) || l.controller.now.Before(j.backoffUntil) || l.journal.full() {
+	if j.finalState != 0 || t.done || t.live != nil || m.removed || !l.acceptsTasks(m) || l.controller.now.Before(j.backoffUntil) || l.writer.saturated() {
 		return false
 	}
 	if !l.canTake(m, j) || !j.zoneAllowed(m.Zone) || !l.withinLimit(j) {
@@ -255,34 +255,34 @@
 	return true
 }
 
-// encodeMigrated puts the marks of a chunk's tasks into its record: those of the latest surge.
-func (chunk *chunk) encodeMigrated(r *records.Chunk) {
+// encodeMigrated puts the marks of a block's tasks into its record: those of the latest surge.
+func (b *taskBlock) encodeMigrated(r *records.TaskBlock) {
 	surge := uint64(0)
-	for i := range chunk.tasks {
-		surge = max(surge, chunk.tasks[i].migratedInSurge)
+	for i := range b.tasks {
+		surge = max(surge, b.tasks[i].migratedInSurge)
 	}
 	if surge == 0 {
 		return
 	}
-	moved := make([]bool, len(chunk.tasks))
-	for i := range chunk.tasks {
-		moved[i] = chunk.tasks[i].migratedInSurge == surge
+	moved := make([]bool, len(b.tasks))
+	for i := range b.tasks {
+		moved[i] = b.tasks[i].migratedInSurge == surge
 	}
 	r.SetMoved(surge, moved)
 }
 
 // loadMigrated takes the marks of a record. Where they can't be read, all tasks count as moved.
-func (chunk *chunk) loadMigrated(r *records.Chunk, log *slog.Logger) {
+func (b *taskBlock) loadMigrated(r *records.TaskBlock, log *slog.Logger) {
 	if r.Surge == 0 && r.Moved == "" {
 		return
 	}
-	moved, err := r.IsMoved(len(chunk.tasks))
+	moved, err := r.MovedTasks(len(b.tasks))
 	if err != nil {
-		log.Error("unreadable migration marks", "job", chunk.job.ID, "chunk", chunk.index, "error", err)
+		log.Error("unreadable migration marks", "job", b.job.ID, "block", b.index, "error", err)
 	}
-	for i := range chunk.tasks {
+	for i := range b.tasks {
 		if err != nil || moved[i] {
-			chunk.tasks[i].migratedInSurge = r.Surge
+			b.tasks[i].migratedInSurge = r.Surge
 		}
 	}
 }
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -111,7 +111,7 @@
 	}{
 		{name: "all is well", may: true},
 		{name: "moves are off", change: func(c *Controller, _ *leader) { c.operator.Balance.Moves = false }},
-		{name: "the state service is away", change: func(c *Controller, _ *leader) { c.storeFailingSince = c.now.Add(-time.Minute) }},
+		{name: "the state service is away", change: func(c *Controller, _ *leader) { loseStateService(c) }},
 		{name: "machines are still to be heard", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
 		{name: "the leader still settles", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
 		{name: "the right is near its end", change: func(c *Controller, l *leader) { l.lease.ValidUntil = c.now.Add(500 * time.Millisecond) }},
@@ -123,7 +123,7 @@
 			c.overload.Observe(c.now, 0)
 		}},
 		{name: "the last round ended early", change: func(_ *Controller, l *leader) { l.autoscaler.demandIncomplete = true }},
-		{name: "records are behind", change: func(c *Controller, l *leader) { l.journal.urgent = make([]*chunk, c.cfg.TxnOps+1) }},
+		{name: "records are behind", change: func(c *Controller, l *leader) { l.writer.urgent = make([]*taskBlock, c.cfg.TxnOps+1) }},
 	} {
 		l, _, _ := movingLead(t)
 		if test.change != nil {
@@ -139,11 +139,11 @@
 // counts for all tasks of the record.
 func TestMigrationMarks(t *testing.T) {
 	l, a, _ := movingLead(t)
-	record := a.job.chunk(a.task)
-	var r records.Chunk
+	record := a.job.block(a.task)
+	var r records.TaskBlock
 	record.encodeMigrated(&r)
-	load := func(r records.Chunk) (moved int) {
-		tasks := &chunk{job: a.job, tasks: make([]task, len(record.tasks))}
+	load := func(r records.TaskBlock) (moved int) {
+		tasks := &taskBlock{job: a.job, tasks: make([]task, len(record.tasks))}
 		tasks.loadMigrated(&r, l.controller.log)
 		for i := range tasks.tasks {
 			if tasks.tasks[i].migratedInSurge == 7 {
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -161,7 +161,7 @@
 			surges[name] = records.Surge(r)
 		}
 	}
-	b.l.journal.extra = append(b.l.journal.extra, protocol.Op{Put: records.KeySurges, Value: records.Encode(surges)})
+	b.l.writer.put(records.KeySurges, records.Encode(surges))
 }
 
 // restoreSurges takes the surges on record.
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -21,7 +21,7 @@
 	m.recorded, m.session.LastReached = true, c.now
 	s := spec("run-000001")
 	s.Image, s.ImageGB = "img-1", 2
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: s})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: s})
 	l.assign(l.jobsByAge[0], 0, m)
 	a := l.jobsByAge[0].task(0).live
 	a.recorded = true
--- /dev/null
+++ b/internal/coordination/record_batch_test.go
@@ -0,0 +1,118 @@
+package coordination
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// placing is a leader that has sent a transaction with a placement of a task.
+func placing(t *testing.T) (c *Controller, a *attempt, transaction uint64) {
+	t.Helper()
+	c, l := leading(phaseActive)
+	j, _ := running(c, l)
+	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
+	applyTransactions(c, e.Calls) // with the record of the machine
+	m := l.machines["vm-1"]
+	m.recorded, m.session.LastReached = true, c.now
+	c.now = c.now.Add(time.Second)
+	l.assign(j, 0, m)
+	a = j.task(0).live
+	for _, call := range c.takeEffects().Calls {
+		if call.To == StateService && call.Target == protocol.PathTransactions {
+			transaction = call.ID
+		}
+	}
+	if a == nil || transaction == 0 {
+		t.Fatalf("attempt %v, transaction %d", a, transaction)
+	}
+	return c, a, transaction
+}
+
+// What becomes of a placement follows from what became of the transaction that holds it: it
+// is on record, or written again on the version that is read then, and only once it is on
+// record anything of it is sent.
+func TestPlacementFollowsItsTransaction(t *testing.T) {
+	const id = "run-000001"
+	block, outcome := records.KeyTaskBlock(id, 0), records.KeyOutcome(id)
+	conflict := func(key string) Outcome {
+		return Outcome{Answered: true, Status: 409, Body: protocol.EncodeFailedConditions([]string{key}, 9)}
+	}
+	for _, test := range []struct {
+		name     string
+		outcome  Outcome
+		recorded bool
+		reads    string // the key that is read for it
+	}{
+		{name: "applied", outcome: Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(21)}, recorded: true},
+		{name: "refused", outcome: Outcome{Answered: true, Status: 503}},
+		{name: "no answer", outcome: Outcome{}, reads: block},
+		{name: "another version of the block", outcome: conflict(block), reads: block},
+		{name: "the job is over", outcome: conflict(outcome), reads: outcome},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c, a, transaction := placing(t)
+			if a.job.ID != id {
+				t.Fatalf("job %s", a.job.ID)
+			}
+			e := c.Result(c.now, transaction, test.outcome)
+			if a.recorded != test.recorded {
+				t.Errorf("on record %t", a.recorded)
+			}
+			var reads []string
+			started := false
+			for _, call := range e.Calls {
+				if call.To == StateService && call.Method == "GET" {
+					reads = append(reads, call.Target)
+				}
+				started = started || call.To == Worker
+			}
+			if test.reads != "" && !slices.Contains(reads, protocol.KeyTarget(test.reads)) || test.reads == "" && len(reads) > 0 {
+				t.Errorf("reads %v", reads)
+			}
+			if started && !test.recorded {
+				t.Error("started without a record")
+			}
+		})
+	}
+}
+
+// A block whose version isn't sure is written again on the version that was read.
+func TestUnansweredBlockIsWrittenOnItsVersion(t *testing.T) {
+	c, a, transaction := placing(t)
+	e := c.Result(c.now, transaction, Outcome{})
+	key := records.KeyTaskBlock(a.job.ID, 0)
+	for _, call := range e.Calls {
+		if call.Target != protocol.KeyTarget(key) {
+			continue
+		}
+		item := protocol.KeyValue{Key: key, Value: records.Encode(records.TaskBlock{}), Version: 12}
+		e = c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeKeyValue(item)})
+	}
+	for _, call := range e.Calls {
+		if call.Target != protocol.PathTransactions {
+			continue
+		}
+		txn, err := protocol.ParseTxn(call.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !demands(txn, key, 12) || !demands(txn, records.KeyOutcome(a.job.ID), 0) {
+			t.Errorf("written under %+v", txn.Conditions)
+		}
+		return
+	}
+	t.Error("the placement isn't written again")
+}
+
+// A leader whose key has changed writes nothing more.
+func TestLeaderKeyConflictEndsLeadership(t *testing.T) {
+	c, _, transaction := placing(t)
+	c.Result(c.now, transaction, Outcome{Answered: true, Status: 409, Body: protocol.EncodeFailedConditions([]string{records.KeyLeader}, 9)})
+	if c.leader != nil {
+		t.Error("it leads on")
+	}
+}
--- /dev/null
+++ b/internal/coordination/record_writer.go
@@ -0,0 +1,291 @@
+package coordination
+
+import (
+	"encoding/json"
+	"slices"
+	"time"
+
+	"brasskeel/internal/coordination/limits"
+	"brasskeel/internal/coordination/statestore"
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// lazyWriteDelay is how long a record that nobody waits for may stay unwritten, so
+// that several changes share one write.
+const lazyWriteDelay = 700 * time.Millisecond
+
+// recordWriter holds a leader's records that are dirty, and fills transactions with them. Its
+// committer sends these one at a time, each conditional on the leader key's version, so that
+// one that is applied late, after another leader was elected, fails. Within a transaction
+// outcomes of jobs come first, then machines, as nothing starts on one before it is on
+// record, then blocks of tasks.
+type recordWriter struct {
+	leader           *leader
+	commits          *statestore.Committer
+	urgent           []*taskBlock
+	lazy             []*taskBlock
+	done             []*job          // to be recorded as done
+	newGroups        []*machineGroup // never written yet
+	changedGroups    []*machineGroup // to be written again some time
+	groupCount       uint64          // made by this leader
+	otherPuts        []protocol.Op
+	deletes          []string // keys
+	deletions        []jobDeletion
+	unrecordedStarts int
+	tasksPerBlock    int // of new jobs
+}
+
+// jobDeletion drops a job once the removal of its last key is applied.
+type jobDeletion struct {
+	lastKey string
+	job     *job
+}
+
+func (w *recordWriter) init(l *leader) {
+	settings := l.controller.cfg
+	w.leader = l
+	w.tasksPerBlock = records.TasksPerBlock(settings.ValueBytes)
+	w.commits = statestore.NewCommitter(l.controller.store, w, protocol.Condition{Key: records.KeyLeader, Version: l.version},
+		settings.TxnOps, settings.StateWriteRPS)
+}
+
+// flush sends the next transaction if there is one and it may be sent.
+func (w *recordWriter) flush() {
+	if w.leader.phase != phaseLoading {
+		w.commits.Flush()
+	}
+}
+
+// saturated reports whether so much waits to be recorded that nothing more is placed:
+// what would be placed now should be chosen among what there is once its record's
+// turn comes. A record holds what was placed of a block of a job's tasks, so the
+// bound is the records of about half a second, a few transactions at the least.
+func (w *recordWriter) saturated() bool {
+	settings := w.leader.controller.cfg
+	if w.unrecordedStarts >= w.maxUnrecordedStarts() {
+		w.leader.controller.limits.Reached(limits.UnrecordedPlacements)
+		return true
+	}
+	return len(w.urgent) >= max(4*settings.TxnOps, int(settings.StateWriteRPS/2))
+}
+
+// markUrgent wants a block written soon.
+func (w *recordWriter) markUrgent(block *taskBlock) {
+	if block.record.MarkUrgent() {
+		w.urgent = append(w.urgent, block)
+	}
+}
+
+// markLazy wants a block written some time.
+func (w *recordWriter) markLazy(block *taskBlock) {
+	if block.record.MarkLazy(w.leader.controller.now.Add(lazyWriteDelay)) {
+		w.lazy = append(w.lazy, block)
+	}
+}
+
+// recordStart wants a placement recorded; its start is sent after that.
+func (w *recordWriter) recordStart(a *attempt) {
+	block := a.job.block(a.task)
+	block.unrecorded = append(block.unrecorded, a)
+	w.unrecordedStarts++
+	w.markUrgent(block)
+}
+
+// recordDone wants it recorded that all tasks of a job are done.
+func (w *recordWriter) recordDone(j *job) { w.done = append(w.done, j) }
+
+// put wants a key written that nothing is conditional on.
+func (w *recordWriter) put(key string, value json.RawMessage) {
+	w.otherPuts = append(w.otherPuts, protocol.Op{Put: key, Value: value})
+}
+
+// deleteKey wants a key removed.
+func (w *recordWriter) deleteKey(key string) { w.deletes = append(w.deletes, key) }
+
+// deleteJob removes a job's records, the job's own last: by it a later leader
+// finds the others.
+func (w *recordWriter) deleteJob(j *job) {
+	for _, block := range j.blocks {
+		if block != nil && block.record.MayExist() {
+			w.deleteKey(records.KeyTaskBlock(j.ID, block.index))
+		}
+	}
+	key := records.KeyActive(j.ID)
+	w.deleteKey(key)
+	w.deletions = append(w.deletions, jobDeletion{key, j})
+}
+
+// recordMachineTypes keeps the machine types for controllers that can't reach the cloud.
+func (w *recordWriter) recordMachineTypes(types []protocol.MachineType) {
+	raw := records.Encode(types)
+	if len(raw) > w.leader.controller.cfg.ValueBytes {
+		w.leader.controller.limits.Reached(limits.MachineTypesRecord)
+		return
+	}
+	w.put(records.KeyMachineTypes, raw)
+}
+
+// Alive implements statestore.Source.
+func (w *recordWriter) Alive() bool { return w.leader.alive() }
+
+// Pending implements statestore.Source.
+func (w *recordWriter) Pending() statestore.Pending {
+	if len(w.urgent)+len(w.done)+len(w.newGroups)+len(w.otherPuts)+len(w.deletes) > 0 {
+		return statestore.Pending{Any: true}
+	}
+	now := w.leader.controller.now
+	var pending statestore.Pending
+	if len(w.lazy) > 0 {
+		pending = statestore.Pending{Any: true, In: max(0, w.lazy[0].record.Due().Sub(now))}
+	}
+	if len(w.changedGroups) > 0 {
+		if in := max(0, w.changedGroups[0].due.Sub(now)); !pending.Any || in < pending.In {
+			pending = statestore.Pending{Any: true, In: in}
+		}
+	}
+	return pending
+}
+
+// Fill implements statestore.Source.
+func (w *recordWriter) Fill(t *statestore.Transaction) statestore.Batch {
+	b := &recordBatch{writer: w}
+	w.fillOutcomes(t, b)
+	w.fillGroups(t, b)
+	w.fillBlocks(t, b)
+	for len(w.otherPuts) > 0 && t.HasRoom() {
+		op := w.otherPuts[0]
+		w.otherPuts = w.otherPuts[1:]
+		b.otherPuts = append(b.otherPuts, op)
+		t.Put(op.Put, op.Value)
+	}
+	for len(w.deletes) > 0 && t.HasRoom() {
+		key := w.deletes[0]
+		w.deletes = w.deletes[1:]
+		b.deletes = append(b.deletes, key)
+		t.Delete(key)
+	}
+	return b
+}
+
+func (w *recordWriter) fillOutcomes(t *statestore.Transaction, b *recordBatch) {
+	for len(w.done) > 0 && t.HasRoom() {
+		j := w.done[0]
+		w.done = w.done[1:]
+		if j.finalState != 0 {
+			continue // it was cancelled meanwhile
+		}
+		b.done = append(b.done, j)
+		key := records.KeyOutcome(j.ID)
+		t.Require(key, 0)
+		t.Put(key, records.EncodeOutcome(protocol.Done, j.Tasks))
+	}
+}
+
+func (w *recordWriter) fillGroups(t *statestore.Transaction, b *recordBatch) {
+	for t.HasRoom() {
+		group := w.nextGroup()
+		if group == nil {
+			return
+		}
+		b.groups = append(b.groups, group)
+		t.Put(group.key, group.encode())
+	}
+}
+
+// fillBlocks adds blocks of tasks: the urgent ones by priority, then those that wait longest.
+func (w *recordWriter) fillBlocks(t *statestore.Transaction, b *recordBatch) {
+	if len(w.urgent) > 1 {
+		slices.SortStableFunc(w.urgent, func(a, b *taskBlock) int { return int(b.job.Priority) - int(a.job.Priority) })
+	}
+	for len(w.urgent) > 0 && t.HasRoom() {
+		block := w.urgent[0]
+		w.urgent = w.urgent[1:]
+		w.fillBlock(t, b, block)
+	}
+	for len(w.lazy) > 0 && t.HasRoom() {
+		block := w.lazy[0]
+		w.lazy = w.lazy[1:]
+		if block.record.Lazy() { // else it became urgent and is in the other list
+			w.fillBlock(t, b, block)
+		}
+	}
+}
+
+// fillBlock adds a block's record. Placements that were given up by now are dropped here,
+// before anything of them is recorded or sent.
+func (w *recordWriter) fillBlock(t *statestore.Transaction, b *recordBatch, block *taskBlock) {
+	j := block.job
+	write := blockWrite{block: block, migrating: block.migrating}
+	block.migrating = nil
+	write.starts = w.takeStarts(block)
+	block.record.Clean() // also of what dropping placements asked for
+	if j.removed || j.finalState != 0 {
+		return
+	}
+	if j.finishing && len(write.starts) == 0 {
+		return // the outcome says it all
+	}
+	block.record.BeginWrite()
+	value, completed := block.encode()
+	write.completed = completed
+	b.blocks = append(b.blocks, write)
+	key := records.KeyTaskBlock(j.ID, block.index)
+	t.Require(key, block.record.Version())
+	// A start is never recorded, and so never sent, once the job is over.
+	t.Require(records.KeyOutcome(j.ID), 0)
+	t.Put(key, value)
+}
+
+// takeStarts takes the placements of a block that are to be recorded.
+func (w *recordWriter) takeStarts(block *taskBlock) []*attempt {
+	j := block.job
+	block.record.Clean()
+	starts := block.unrecorded
+	block.unrecorded = nil
+	w.unrecordedStarts -= len(starts)
+	keep := starts[:0]
+	for _, a := range starts {
+		switch {
+		case j.task(a.task).live != a:
+		case a.stopRequested || j.finalState != 0:
+			w.leader.detach(a, "given up before it was recorded")
+		default:
+			keep = append(keep, a)
+		}
+	}
+	return keep
+}
+
+// requeue wants a block written again with what a transaction that wasn't applied held.
+func (w *recordWriter) requeue(write *blockWrite) {
+	block := write.block
+	for _, a := range write.starts {
+		if block.job.task(a.task).live == a {
+			block.unrecorded = append(block.unrecorded, a)
+			w.unrecordedStarts++
+		}
+	}
+	block.migrating = append(block.migrating, write.migrating...)
+}
+
+// readOutcome learns how a job ended that another controller ended. Until it is known,
+// nothing of the job is written: the condition on its outcome fails.
+func (w *recordWriter) readOutcome(id string) {
+	l, c := w.leader, w.leader.controller
+	c.store.Get(records.KeyOutcome(id), func(r statestore.ReadResult) {
+		if !l.alive() {
+			return
+		}
+		if r.Status == statestore.Found {
+			l.applyJobRecord(r.Item.Key, r.Item.Value, true)
+			return
+		}
+		c.after(200*time.Millisecond, func() {
+			if l.alive() && l.jobs[id] != nil && l.jobs[id].finalState == 0 {
+				w.readOutcome(id)
+			}
+		})
+	})
+	w.commits.Pause(50 * time.Millisecond)
+}
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -68,7 +68,7 @@
 	l.loaded = true
 	for _, m := range l.fleetList {
 		if !m.recorded { // it reported while the records were read
-			l.journal.putMachine(m)
+			l.writer.recordMachine(m)
 		}
 	}
 	attempts := 0
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -17,7 +17,7 @@
 func TestReplicasOfSilentMachinesWaitForRoom(t *testing.T) {
 	c, l := leading(phaseActive)
 	c.teams["red"].CPUsMax = 100
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 	add := func(i int) {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -14,7 +14,7 @@
 
 // running adds a job of one task that runs on vm-1, and gives a report that shows it.
 func running(c *Controller, l *leader) (*job, []byte) {
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 8, Spec: spec("run-000001")})
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: spec("run-000001")})
 	j := l.jobs["run-000001"]
 	return j, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 1 << 16,
 		Tasks: []protocol.TaskStatus{{Job: j.ID, TaskIndex: 0, Attempt: 1, State: protocol.Running}}})
@@ -79,7 +79,7 @@
 		t.Fatalf("answered before anything was read: %+v", e.Replies)
 	}
 	asked := c.now.Add(-50 * time.Millisecond)
-	l.jobKey(records.KeyOutcome("run-000001"), records.EncodeOutcome(protocol.Cancelled, 0), false)
+	l.applyJobRecord(records.KeyOutcome("run-000001"), records.EncodeOutcome(protocol.Cancelled, 0), false)
 	l.noteJobsKnown(asked)
 	c.resumeDeferred()
 	e := c.takeEffects()
@@ -90,7 +90,8 @@
 		t.Errorf("knows all until %s, want when the list was asked for", l.jobsKnownAt)
 	}
 	// While the state service doesn't answer it, the worker is sent away at once.
-	l.jobsKnownAt, c.storeFailingSince = time.Time{}, c.now.Add(-time.Minute)
+	l.jobsKnownAt = time.Time{}
+	loseStateService(c)
 	if e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
 		t.Errorf("got %+v, want 421", e.Replies)
 	}
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -11,7 +11,7 @@
 // mayScaleOut reports whether anything may be rented now.
 func (l *leader) mayScaleOut() bool {
 	c, f := l.controller, &l.autoscaler
-	if l.phase != phaseActive || c.storeDown() || len(c.types) == 0 || !c.now.Before(l.lease.ValidUntil) || f.demandIncomplete {
+	if l.phase != phaseActive || c.store.Unavailable() || len(c.types) == 0 || !c.now.Before(l.lease.ValidUntil) || f.demandIncomplete {
 		return false
 	}
 	if c.overload.Persistent(c.now) || len(l.fleetList) > l.forecastCapacity() && l.overloadedLately() {
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -18,7 +18,7 @@
 }
 
 // addressChanged implements sessionListener.
-func (l *leader) addressChanged(m *machine) { l.journal.changeGroup(m.group) }
+func (l *leader) addressChanged(m *machine) { l.writer.rewriteGroup(m.group) }
 
 // preemptionNoticed implements sessionListener.
 func (l *leader) preemptionNoticed(m *machine) { l.drainForPreemption(m) }
@@ -84,7 +84,7 @@
 		l.attemptExited(m, a, t)
 	}
 	// A result is recorded before the worker forgets it.
-	return !done || j.finalState != 0 || j.task(t.TaskIndex).saved
+	return !done || j.finalState != 0 || j.task(t.TaskIndex).doneRecorded
 }
 
 // Pauses after a worker refused a start: nothing of the job is placed for the first, and
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -110,7 +110,7 @@
 
 // inRecordedShard reports whether a machine's shard is on record, so that an owner may be told.
 func (m *machine) inRecordedShard() bool {
-	return m.shard != 0 && m.group != nil && m.group.applied && m.recorded
+	return m.shard != 0 && m.group != nil && m.group.stored() && m.recorded
 }
 
 // ownerOverloaded reports whether an owner told lately that its timers fire too late.
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -27,8 +27,8 @@
 	l.shards = newShardCoordinator(l, c.sharding, false)
 	l.shards.ownershipChanged()
 	m := l.newMachine("vm-1", "small", "a", false)
-	m.shard, m.recorded, m.session.Registered, m.group = 1, true, true, &group{applied: true}
-	l.addJob(&records.Job{Submitted: records.Millis(c.now), Chunk: 96, Spec: benchJob(2)})
+	m.shard, m.recorded, m.session.Registered, m.group = 1, true, true, &machineGroup{stage: groupStored}
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: benchJob(2)})
 	l.assign(l.jobsByAge[0], 0, m)
 	a := l.jobsByAge[0].task(0).live
 	a.recorded = true
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -6,6 +6,7 @@
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -40,14 +41,14 @@
 	s.watchGeneration++
 	generation := s.watchGeneration
 	current := func() bool { return s.watchGeneration == generation }
-	s.controller.storeList(records.PrefixShards, current, func(items []protocol.KeyValue, revision uint64, _ time.Time) {
+	s.controller.store.List(records.PrefixShards, current, func(list statestore.ListResult) {
 		s.table = shard.NewTable()
-		for _, it := range items {
+		for _, it := range list.Items {
 			s.putRecord(it.Key, it)
 		}
 		s.loaded, s.tableGeneration = true, generation
 		s.ownershipChanged()
-		s.watchTable(revision, current)
+		s.watchTable(list.Revision, current)
 	})
 }
 
@@ -58,26 +59,20 @@
 }
 
 func (s *sharding) watchTable(after uint64, current func() bool) {
-	s.controller.storeWatch(records.PrefixShards, after, watchWait, func(o Outcome) {
+	store := s.controller.store
+	store.Watch(records.PrefixShards, after, watchWait, func(r statestore.WatchResult) {
 		if !current() {
 			return
 		}
-		if o.Answered && o.Status == 200 {
-			if events, revision, err := protocol.ParseEvents(o.Body); err == nil {
-				s.applyEvents(events)
-				s.watchTable(max(after, revision), current)
-				return
-			}
-		}
-		if o.Answered && o.Status == 410 {
+		switch r.Status {
+		case statestore.WatchEvents:
+			s.applyEvents(r.Events)
+			s.watchTable(max(after, r.Revision), current)
+		case statestore.WatchCompacted:
 			s.loadTable()
-			return
+		default:
+			store.RetryRead(current, s.loadTable)
 		}
-		s.controller.after(200*time.Millisecond+s.controller.jitter(100*time.Millisecond), func() {
-			if current() {
-				s.loadTable()
-			}
-		})
 	})
 }
 
@@ -120,7 +115,7 @@
 	}
 	s.joining = true
 	ttl, sent := s.controller.operator.LeaderLease(), s.controller.now
-	electionHost{s.controller}.GrantLease(ttl, func(leaseID uint64, granted bool) {
+	s.controller.store.GrantLease(ttl, func(leaseID uint64, granted bool) {
 		if !granted {
 			s.retryJoin()
 			return
@@ -144,19 +139,19 @@
 	_, version := s.table.Member(c.cfg.Name)
 	key := records.KeyMember(c.cfg.Name)
 	value := records.Encode(member)
-	c.storeTxn(&protocol.Txn{
+	c.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
 		Ops:        []protocol.Op{{Put: key, Value: value, Lease: r.ID}},
-	}, func(res txnResult, revision uint64, _ []string) {
-		if res != txnApplied {
+	}, func(result statestore.CommitResult) {
+		if result.Status != statestore.CommitApplied {
 			// Ending the lease also ends what the transaction may have written.
-			electionHost{c}.RevokeLease(r.ID)
+			c.store.RevokeLease(r.ID)
 			s.loadTable()
 			s.retryJoin()
 			return
 		}
 		s.joining = false
-		s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: revision})
+		s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: result.Revision})
 		s.member = member.Member
 		s.owner = newShardOwner(s, r)
 		c.log.Info("shard membership acquired", "incarnation", r.ID, "draining", s.draining)
@@ -187,7 +182,7 @@
 		l.shards.redirect(id, r, body)
 		return
 	}
-	if c.leader == nil && !c.leaderSuspect() || c.storeDown() {
+	if c.leader == nil && !c.leaderSuspect() || c.store.Unavailable() {
 		c.reply(id, 421, protocol.EncodeRedirect(s.redirector.target(r.Machine)))
 		return
 	}
@@ -215,7 +210,7 @@
 // the last report is old enough.
 func (o *shardOwner) writeReachability() {
 	c, s := o.controller, o.sharding
-	if s.member.Name == "" || s.writingMember || c.storeDown() || c.now.Sub(o.feed.leaderHeard) <= ownerTimeout || c.now.Sub(o.reachabilityAt) < shard.ReachabilityInterval {
+	if s.member.Name == "" || s.writingMember || c.store.Unavailable() || c.now.Sub(o.feed.leaderHeard) <= ownerTimeout || c.now.Sub(o.reachabilityAt) < shard.ReachabilityInterval {
 		return
 	}
 	o.reachabilityAt = c.now
@@ -269,20 +264,20 @@
 	key := records.KeyMember(c.cfg.Name)
 	_, version := s.table.Member(c.cfg.Name)
 	value := records.Encode(shard.MemberRecord{Member: s.member, Zone: c.cfg.Zone, Draining: s.draining, Reachability: s.reachability})
-	c.storeTxn(&protocol.Txn{
+	c.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
 		Ops:        []protocol.Op{{Put: key, Value: value, Lease: own.lease.ID}},
-	}, func(res txnResult, revision uint64, _ []string) {
+	}, func(result statestore.CommitResult) {
 		s.writingMember = false
 		if s.owner != own {
 			return // it left, and joins as another member
 		}
-		if res == txnApplied {
-			s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: revision})
+		if result.Status == statestore.CommitApplied {
+			s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: result.Revision})
 			s.ownershipChanged()
-		} else if res != txnRefused {
+		} else if result.Status != statestore.CommitRefused {
 			s.loadTable() // it may have been applied
 		}
-		done(res == txnApplied)
+		done(result.Status == statestore.CommitApplied)
 	})
 }
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -175,7 +175,7 @@
 		sl.forgetExit(e.Task)
 		return
 	}
-	sl.leader.jobs[e.Job].task(e.TaskIndex).exit = &e.Task // told once the result is recorded
+	sl.leader.jobs[e.Job].task(e.TaskIndex).unacknowledgedExit = &e.Task // told once the result is recorded
 }
 
 // applyStatus takes how an owner's workers are: those that it doesn't name are well.
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -7,6 +7,7 @@
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/sessions"
 	"brasskeel/internal/coordination/shard"
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -157,14 +158,14 @@
 		h.handingOver = false
 		return
 	}
-	o.controller.storeTxn(&change.Txn, func(res txnResult, revision uint64, _ []string) {
+	o.controller.store.Commit(&change.Txn, func(r statestore.CommitResult) {
 		h := o.shards[id]
 		if !o.alive() || h == nil {
 			return
 		}
 		h.handingOver = false
-		if res == txnApplied {
-			s.table.Applied(change, revision)
+		if r.Status == statestore.CommitApplied {
+			s.table.Applied(change, r.Revision)
 			s.ownershipChanged()
 			return
 		}
@@ -185,7 +186,7 @@
 		c.reply(id, 421, protocol.EncodeRedirect(o.nextOwner(m.shard)))
 		return true
 	}
-	if o.jobsKnownAt.IsZero() && !c.storeDown() {
+	if o.jobsKnownAt.IsZero() && !c.store.Unavailable() {
 		c.deferHeartbeat(id, body)
 		return true
 	}
@@ -233,10 +234,10 @@
 		return
 	}
 	o.loading, o.reload = true, false
-	o.controller.storeList(records.PrefixMachines, o.alive, func(items []protocol.KeyValue, _ uint64, _ time.Time) {
+	o.controller.store.List(records.PrefixMachineGroups, o.alive, func(list statestore.ListResult) {
 		o.loading = false
-		for _, it := range items {
-			o.loadGroup(it)
+		for _, it := range list.Items {
+			o.loadMachineGroup(it)
 		}
 		o.controller.resumeDeferred()
 		if o.reload {
@@ -245,13 +246,13 @@
 	})
 }
 
-func (o *shardOwner) loadGroup(it protocol.KeyValue) {
-	id := shard.ID(records.ShardOfMachines(it.Key))
+func (o *shardOwner) loadMachineGroup(it protocol.KeyValue) {
+	id := shard.ID(records.ShardOfGroupKey(it.Key))
 	h := o.shards[id]
 	if h == nil {
 		return
 	}
-	var r records.Machines
+	var r records.MachineGroup
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		o.controller.log.Error("machine record unreadable", "key", it.Key, "error", err)
 		return
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -9,14 +9,14 @@
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/overload"
 	"brasskeel/internal/coordination/shard"
-	"brasskeel/internal/protocol"
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/records"
 )
 
 // plan decides on owners, and writes one change at a time.
 func (sl *shardCoordinator) plan() {
 	l, c := sl.leader, sl.leader.controller
-	if sl.writing || !sl.sharding.loaded || l.phase == phaseLoading || c.storeDown() || !c.now.Before(l.lease.ValidUntil) {
+	if sl.writing || !sl.sharding.loaded || l.phase == phaseLoading || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
 		return
 	}
 	if change := sl.canceledMove(); change != nil {
@@ -72,17 +72,17 @@
 		return
 	}
 	sl.writing = true
-	l.journal.budget.Spend(c.now, float64(len(change.Txn.Ops)))
-	c.storeTxn(&change.Txn, func(r txnResult, revision uint64, failed []string) {
+	l.writer.commits.Spend(len(change.Txn.Ops))
+	c.store.Commit(&change.Txn, func(r statestore.CommitResult) {
 		if !l.alive() {
 			return
 		}
-		if r == txnApplied {
+		if r.Status == statestore.CommitApplied {
 			sl.writing = false
-			sl.applied(change, revision)
+			sl.applied(change, r.Revision)
 			return
 		}
-		if slices.Contains(failed, records.KeyLeader) {
+		if slices.Contains(r.Failed, records.KeyLeader) {
 			c.election.StepDown("the leader key has changed")
 			return
 		}
@@ -102,15 +102,15 @@
 	if !sl.leader.alive() {
 		return
 	}
-	sl.leader.controller.storeGet(records.KeyTerm, func(it protocol.KeyValue, found, ok bool) {
+	sl.leader.controller.store.Get(records.KeyTerm, func(r statestore.ReadResult) {
 		if !sl.leader.alive() {
 			return
 		}
-		if !ok || !found {
+		if r.Status != statestore.Found {
 			sl.leader.controller.after(200*time.Millisecond, sl.readAgain)
 			return
 		}
-		sl.leader.controller.election.TermRead(it)
+		sl.leader.controller.election.TermRead(r.Item)
 		sl.writing = false
 		sl.sharding.loadTable()
 	})
@@ -179,13 +179,13 @@
 		if m.group == nil || m.group.shard != 0 {
 			continue
 		}
-		if m.group.applied && !old[m.group.key] {
+		if m.group.stored() && !old[m.group.key] {
 			old[m.group.key] = true
 		}
-		l.journal.putMachine(m)
+		l.writer.recordMachine(m)
 	}
 	for _, key := range slices.Sorted(maps.Keys(old)) {
-		l.journal.remove(key)
+		l.writer.deleteKey(key)
 	}
 }
 
--- /dev/null
+++ b/internal/coordination/state_service.go
@@ -0,0 +1,43 @@
+package coordination
+
+import (
+	"time"
+
+	"brasskeel/internal/coordination/statestore"
+)
+
+// watchWait is how long a watch stays open without events.
+const watchWait = 8 * time.Second
+
+// jobsWatchWait is how long a watch of jobs stays open without events. A leader learns of
+// cancellations by it, and what it knows is as old as the watch that was answered last.
+func (c *Controller) jobsWatchWait() time.Duration {
+	return min(max(c.answerFreshness()/4, 250*time.Millisecond), time.Second)
+}
+
+// maxConditions is how many keys one transaction compares at the most.
+func (c *Controller) maxConditions() int { return statestore.MaxConditions(c.cfg.TxnOps) }
+
+// storeHost lets the client of the state service use a controller's clock, timers and calls.
+type storeHost struct{ controller *Controller }
+
+// Now implements statestore.Host.
+func (h storeHost) Now() time.Time { return h.controller.now }
+
+// After implements statestore.Host.
+func (h storeHost) After(d time.Duration, f func()) statestore.Timer {
+	return h.controller.after(d, f)
+}
+
+// Jitter implements statestore.Host.
+func (h storeHost) Jitter(d time.Duration) time.Duration { return h.controller.jitter(d) }
+
+// Send implements statestore.Host.
+func (h storeHost) Send(r statestore.Request, done func(statestore.Response)) {
+	h.controller.call(StateService, "", r.Method, r.Target, r.Body, r.Timeout, func(o Outcome) {
+		done(statestore.Response{Status: o.Status, Body: o.Body, Answered: o.Answered, NotSent: o.NotSent})
+	})
+}
+
+// Stop implements statestore.Timer.
+func (t *timer) Stop() { t.run = nil }
--- /dev/null
+++ b/internal/coordination/state_service_test.go
@@ -0,0 +1,52 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+
+	"brasskeel/internal/coordination/statestore"
+	"brasskeel/internal/protocol"
+)
+
+// loseStateService lets a controller's last request to the state service have failed a minute
+// ago.
+func loseStateService(c *Controller) {
+	now := c.now
+	c.now = now.Add(-time.Minute)
+	c.store.Get("any", func(statestore.ReadResult) {})
+	done := c.pendingCalls[c.lastCallID]
+	delete(c.pendingCalls, c.lastCallID)
+	done(Outcome{})
+	c.now = now
+}
+
+// applyTransactions answers the transactions among calls as applied.
+func applyTransactions(c *Controller, calls []Call) {
+	for _, call := range calls {
+		if call.To == StateService && call.Target == protocol.PathTransactions {
+			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(20)})
+		}
+	}
+}
+
+// Without answers the state service counts as unavailable, and is asked until it answers.
+func TestStateServiceIsProbedWhileUnavailable(t *testing.T) {
+	c, _ := leading(phaseActive)
+	loseStateService(c)
+	if !c.store.Unavailable() {
+		t.Fatal("available after a minute without an answer")
+	}
+	var probe uint64
+	for _, call := range c.Tick(c.now).Calls {
+		if call.To == StateService && call.Target == protocol.KeyTarget("e/term") {
+			probe = call.ID
+		}
+	}
+	if probe == 0 {
+		t.Fatal("it isn't asked again")
+	}
+	c.Result(c.now, probe, Outcome{Answered: true, Status: 404})
+	if c.store.Unavailable() {
+		t.Error("unavailable although it answers")
+	}
+}
--- /dev/null
+++ b/internal/coordination/statestore/client_test.go
@@ -0,0 +1,263 @@
+package statestore
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"brasskeel/internal/protocol"
+)
+
+func TestGet(t *testing.T) {
+	found := protocol.EncodeKeyValue(item("a", 7))
+	for _, test := range []struct {
+		name     string
+		response Response
+		status   ReadStatus
+		version  uint64
+	}{
+		{name: "found", response: answered(200, found), status: Found, version: 7},
+		{name: "absent", response: answered(404, nil), status: Absent},
+		{name: "no sense", response: answered(200, []byte(`{}`))},
+		{name: "refused", response: answered(503, nil)},
+		{name: "too much asked", response: answered(429, nil)},
+		{name: "no answer", response: Response{}},
+		{name: "not sent", response: Response{NotSent: true}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, c := newTestClient()
+			var got []ReadResult
+			c.Get("a", func(r ReadResult) { got = append(got, r) })
+			h.answer(t, test.response)
+			if len(got) != 1 || got[0].Status != test.status || got[0].Item.Version != test.version {
+				t.Errorf("got %+v", got)
+			}
+		})
+	}
+}
+
+// A read that must succeed is repeated after a pause until it does, and no longer than
+// somebody waits for it.
+func TestGetUntilKnown(t *testing.T) {
+	h, c := newTestClient()
+	alive, results := true, 0
+	c.GetUntilKnown("a", func() bool { return alive }, func(ReadResult) { results++ })
+	for range 3 {
+		h.answer(t, Response{})
+		if h.run(200*time.Millisecond, func() {}); len(h.sent) != 0 {
+			t.Fatal("asked again without a pause")
+		}
+		h.run(100*time.Millisecond, func() {})
+		h.sent = slices.DeleteFunc(h.sent, func(r sentRequest) bool { return r.Target == protocol.KeyTarget("probe") })
+	}
+	h.answer(t, answered(404, nil))
+	if results != 1 {
+		t.Fatalf("%d results", results)
+	}
+	c.GetUntilKnown("a", func() bool { return alive }, func(ReadResult) { results++ })
+	alive = false
+	h.answer(t, answered(404, nil))
+	if results != 1 {
+		t.Error("a result for somebody who is gone")
+	}
+}
+
+// A list goes on after each page, asks again for one that it didn't get, and holds the
+// revision of its first page and the time when that was asked for.
+func TestList(t *testing.T) {
+	h, c := newTestClient()
+	var got []ListResult
+	c.List("c/", always, func(r ListResult) { got = append(got, r) })
+	h.answer(t, Response{})
+	h.run(time.Second, func() {})
+	asked := h.now.Add(-time.Second + 300*time.Millisecond) // after the pause
+	h.sent = slices.DeleteFunc(h.sent, func(r sentRequest) bool { return r.Target == protocol.KeyTarget("probe") })
+	h.answer(t, answered(200, protocol.EncodeRange([]protocol.KeyValue{item("c/1", 3)}, true, 9)))
+	second := h.answer(t, answered(200, protocol.EncodeRange([]protocol.KeyValue{item("c/2", 4)}, false, 12)))
+	if second.Target != protocol.RangeTarget("c/", "c/1", pageSize) {
+		t.Errorf("the second page is %s", second.Target)
+	}
+	if len(got) != 1 || len(got[0].Items) != 2 || got[0].Revision != 9 || !got[0].AskedAt.Equal(asked) {
+		t.Errorf("got %+v, asked at %s", got, asked)
+	}
+}
+
+// A page that says there is more and holds nothing would be asked for for ever.
+func TestListRefusesEmptyPageWithMore(t *testing.T) {
+	h, c := newTestClient()
+	c.List("c/", always, func(ListResult) { t.Error("listed") })
+	h.answer(t, answered(200, protocol.EncodeRange([]protocol.KeyValue{}, true, 9)))
+	if len(h.sent) != 0 {
+		t.Error("asked on at once")
+	}
+}
+
+func TestWatch(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		response Response
+		status   WatchStatus
+		revision uint64
+	}{
+		{name: "changes", response: answered(200, protocol.EncodeEvents([]protocol.Event{{Key: "c/1", Deleted: true, Version: 12}}, 12)), status: WatchEvents, revision: 12},
+		{name: "none", response: answered(200, protocol.EncodeEvents(nil, 9)), status: WatchEvents, revision: 9},
+		{name: "too old", response: answered(410, nil), status: WatchCompacted},
+		{name: "no sense", response: answered(200, []byte(`{}`))},
+		{name: "refused", response: answered(503, nil)},
+		{name: "no answer", response: Response{}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, c := newTestClient()
+			var got []WatchResult
+			c.Watch("c/", 9, time.Second, func(r WatchResult) { got = append(got, r) })
+			h.answer(t, test.response)
+			if len(got) != 1 || got[0].Status != test.status || got[0].Revision != test.revision {
+				t.Errorf("got %+v", got)
+			}
+		})
+	}
+}
+
+// An answer that doesn't come says nothing of a transaction, nor does one that makes no sense.
+func TestCommit(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		response Response
+		want     CommitResult
+	}{
+		{name: "applied", response: answered(200, protocol.EncodeRevision(7)), want: CommitResult{Status: CommitApplied, Revision: 7}},
+		{name: "applied, no sense", response: answered(200, []byte(`{}`))},
+		{name: "conflict", response: answered(409, protocol.EncodeFailedConditions([]string{"a"}, 9)), want: CommitResult{Status: CommitConflict, Failed: []string{"a"}}},
+		{name: "conflict on nothing", response: answered(409, protocol.EncodeFailedConditions(nil, 9))},
+		{name: "refused", response: answered(503, nil), want: CommitResult{Status: CommitRefused}},
+		{name: "too much asked", response: answered(429, nil), want: CommitResult{Status: CommitRefused}},
+		{name: "lease ended", response: answered(400, nil), want: CommitResult{Status: CommitLeaseExpired}},
+		{name: "fault", response: answered(500, nil)},
+		{name: "no answer", response: Response{}},
+		{name: "not sent", response: Response{NotSent: true}, want: CommitResult{Status: CommitRefused}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, c := newTestClient()
+			var got []CommitResult
+			c.Commit(&protocol.Txn{}, func(r CommitResult) { got = append(got, r) })
+			h.answer(t, test.response)
+			if len(got) != 1 || got[0].Status != test.want.Status || got[0].Revision != test.want.Revision || !slices.Equal(got[0].Failed, test.want.Failed) {
+				t.Errorf("got %+v", got)
+			}
+			if len(h.sent) != 0 {
+				t.Error("sent again")
+			}
+		})
+	}
+}
+
+func TestLeases(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		response Response
+		granted  uint64
+		renewed  LeaseStatus
+	}{
+		{name: "yes", response: answered(200, protocol.EncodeLease(7)), granted: 7, renewed: LeaseHeld},
+		{name: "ended", response: answered(404, nil), renewed: LeaseEnded},
+		{name: "refused", response: answered(503, nil)},
+		{name: "no answer", response: Response{}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, c := newTestClient()
+			var id uint64
+			var granted bool
+			c.GrantLease(2*time.Second, func(gotID uint64, got bool) { id, granted = gotID, got })
+			h.answer(t, test.response)
+			if id != test.granted || granted != (test.granted != 0) {
+				t.Errorf("granted %d, %t", id, granted)
+			}
+			var status LeaseStatus
+			c.RenewLease(7, time.Second, func(got LeaseStatus) { status = got })
+			if r := h.answer(t, test.response); r.Target != protocol.RenewLeaseTarget(7) || r.Timeout != time.Second || status != test.renewed {
+				t.Errorf("%s within %s: renewed %d", r.Target, r.Timeout, status)
+			}
+			c.RevokeLease(7)
+			if r := h.answer(t, test.response); r.Method != "DELETE" || r.Target != protocol.LeaseTarget(7) {
+				t.Errorf("revoked by %s %s", r.Method, r.Target)
+			}
+		})
+	}
+}
+
+// What single responses tell of the service, as seen 1.3 s later.
+func TestHealth(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		response    Response
+		watch       bool
+		unavailable bool
+	}{
+		{name: "answers", response: answered(200, nil)},
+		{name: "says no", response: answered(404, nil)},
+		{name: "asked too much", response: answered(429, nil)},
+		{name: "refuses", response: answered(503, nil), unavailable: true},
+		{name: "has a fault", response: answered(500, nil), unavailable: true},
+		{name: "doesn't answer", response: Response{}, unavailable: true},
+		{name: "a watch is cut", response: Response{}, watch: true},
+		{name: "a watch is refused", response: answered(503, nil), watch: true, unavailable: true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, c := newTestClient()
+			if test.watch {
+				c.Watch("c/", 1, time.Second, func(WatchResult) {})
+			} else {
+				c.Get("a", func(ReadResult) {})
+			}
+			h.answer(t, test.response)
+			if c.Unavailable() {
+				t.Error("unavailable for a hiccup")
+			}
+			h.run(1300*time.Millisecond, func() {})
+			if c.Unavailable() != test.unavailable || c.Healthy() == test.unavailable {
+				t.Errorf("unavailable %t, healthy %t", c.Unavailable(), c.Healthy())
+			}
+		})
+	}
+}
+
+// A service that fails is asked again and again until it answers, and no more then.
+func TestProbesUntilRecovered(t *testing.T) {
+	h, c := newTestClient()
+	c.Get("a", func(ReadResult) {})
+	h.answer(t, Response{})
+	for range 5 {
+		h.run(300*time.Millisecond, func() {})
+		if r := h.answer(t, Response{}); r.Target != protocol.KeyTarget("probe") {
+			t.Fatalf("asked for %s", r.Target)
+		}
+	}
+	if !c.Unavailable() {
+		t.Fatal("available")
+	}
+	h.run(300*time.Millisecond, func() {})
+	h.answer(t, answered(404, nil))
+	h.run(10*time.Second, func() {})
+	if c.Unavailable() || len(h.sent) != 0 {
+		t.Errorf("unavailable %t, %d requests", c.Unavailable(), len(h.sent))
+	}
+}
+
+// Without answers for a while the service is asked once more; while it fails it is anyway.
+func TestProbeIfSilent(t *testing.T) {
+	h, c := newTestClient()
+	c.ProbeIfSilent()
+	if len(h.sent) != 0 {
+		t.Error("asked although it has just answered")
+	}
+	h.run(2*time.Second, func() {})
+	c.ProbeIfSilent()
+	h.answer(t, Response{})
+	c.ProbeIfSilent()
+	if len(h.sent) != 0 {
+		t.Error("asked twice")
+	}
+	if h.run(6*time.Second, func() {}); c.Healthy() {
+		t.Error("healthy without an answer")
+	}
+}
--- /dev/null
+++ b/internal/coordination/statestore/committer_test.go
@@ -0,0 +1,204 @@
+package statestore
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"brasskeel/internal/protocol"
+)
+
+// guard is the condition of all transactions here.
+var guard = protocol.Condition{Key: "guard", Version: 5}
+
+// newTestCommitter writes at most three keys at once and has ten a second.
+func newTestCommitter() (*fakeHost, *fakeSource, *Committer) {
+	h, c := newTestClient()
+	s := &fakeSource{}
+	return h, s, NewCommitter(c, s, guard, 3, 10/rateShare)
+}
+
+// sentTxn takes the transaction that was sent last, nil without one.
+func sentTxn(t *testing.T, h *fakeHost) *protocol.Txn {
+	t.Helper()
+	for _, r := range h.sent {
+		if r.Target == protocol.PathTransactions {
+			txn, err := protocol.ParseTxn(r.Body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			return txn
+		}
+	}
+	return nil
+}
+
+// What becomes of a transaction is told its batch, once, and when the next one may go out
+// depends on it.
+func TestOutcomeOfTransaction(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		response Response
+		history  string
+		pause    bool // before the next transaction
+	}{
+		{name: "applied", response: answered(200, protocol.EncodeRevision(7)), history: "applied [a b] at 7"},
+		{name: "conflict", response: answered(409, protocol.EncodeFailedConditions([]string{"b"}, 9)), history: "conflict on [b]"},
+		{name: "refused", response: answered(503, nil), history: "refused [a b]", pause: true},
+		{name: "too much asked", response: answered(429, nil), history: "refused [a b]", pause: true},
+		{name: "not sent", response: Response{NotSent: true}, history: "refused [a b]", pause: true},
+		{name: "no answer", response: Response{}, history: "unknown [a b]"},
+		{name: "fault", response: answered(500, nil), history: "unknown [a b]"},
+		{name: "no sense", response: answered(200, nil), history: "unknown [a b]"},
+		{name: "a lease that none names", response: answered(400, nil), history: "unknown [a b]"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, s, c := newTestCommitter()
+			s.keys = []string{"a", "b"}
+			c.Flush()
+			s.keys = []string{"c"}
+			if c.Flush(); len(h.sent) != 1 {
+				t.Fatalf("%d transactions at a time", len(h.sent))
+			}
+			txn := sentTxn(t, h)
+			if len(txn.Ops) != 2 || len(txn.Conditions) != 3 || txn.Conditions[0] != guard {
+				t.Errorf("sent %+v", txn)
+			}
+			h.answer(t, test.response)
+			if len(s.history) != 1 || s.history[0] != test.history {
+				t.Errorf("told %q, want %q", s.history, test.history)
+			}
+			c.Flush()
+			if paused := sentTxn(t, h) == nil; paused != test.pause {
+				t.Errorf("paused %t", paused)
+			}
+			h.run(250*time.Millisecond, c.Flush)
+			if sentTxn(t, h) == nil {
+				t.Error("nothing is sent after the pause")
+			}
+		})
+	}
+}
+
+// Nothing becomes of a transaction for a source that has ended, and nothing more is sent.
+func TestEndedSource(t *testing.T) {
+	h, s, c := newTestCommitter()
+	s.keys = []string{"a"}
+	c.Flush()
+	s.ended = true
+	h.answer(t, answered(200, protocol.EncodeRevision(7)))
+	s.keys = []string{"b"}
+	c.Flush()
+	if len(s.history) != 0 || len(h.sent) != 0 {
+		t.Errorf("told %q, %d requests", s.history, len(h.sent))
+	}
+}
+
+// Versions that aren't known are read, however often it takes, before anything else is sent.
+func TestRereadHoldsTransactions(t *testing.T) {
+	h, s, c := newTestCommitter()
+	versions := map[int]uint64{}
+	c.Reread([]string{"a", "b"}, func(place int, version uint64) { versions[place] = version })
+	s.keys = []string{"c"}
+	c.Flush()
+	h.answer(t, answered(200, protocol.EncodeKeyValue(item("a", 7))))
+	h.answer(t, Response{})
+	if c.Flush(); sentTxn(t, h) != nil || len(versions) != 1 || versions[0] != 7 {
+		t.Fatalf("versions %v", versions)
+	}
+	h.run(260*time.Millisecond, c.Flush)
+	h.answer(t, answered(404, nil))
+	if version, known := versions[1]; !known || version != 0 {
+		t.Errorf("versions %v", versions)
+	}
+	if c.Flush(); sentTxn(t, h) == nil {
+		t.Error("nothing is sent although all versions are known")
+	}
+}
+
+func TestRereadOfNothing(t *testing.T) {
+	h, s, c := newTestCommitter()
+	c.Reread(nil, func(int, uint64) { t.Error("something is read") })
+	s.keys = []string{"a"}
+	if c.Flush(); sentTxn(t, h) == nil {
+		t.Error("nothing is sent")
+	}
+}
+
+// What doesn't fit a transaction goes into the next, and what exceeds the budget waits.
+func TestRoomAndBudget(t *testing.T) {
+	h, s, c := newTestCommitter()
+	s.keys = strings.Split("abcdefghijklmn", "")
+	start := h.now
+	var sizes []int
+	step := func() {
+		c.Flush()
+		for sentTxn(t, h) != nil {
+			sizes = append(sizes, len(sentTxn(t, h).Ops))
+			h.answer(t, answered(200, protocol.EncodeRevision(7)))
+			c.Flush()
+		}
+	}
+	step()
+	if !slices.Equal(sizes, []int{3, 3, 2}) {
+		t.Fatalf("at once %v", sizes)
+	}
+	h.run(time.Second, step)
+	if len(s.keys) != 0 {
+		t.Errorf("%d keys wait after %s", len(s.keys), h.now.Sub(start))
+	}
+	if c.Spend(20); c.Available() > -10 {
+		t.Errorf("%g left after others wrote twenty", c.Available())
+	}
+}
+
+// What may wait is written when it is due, by the nearest of the timers asked for.
+func TestLazyWrites(t *testing.T) {
+	h, s, c := newTestCommitter()
+	s.pending = Pending{Any: true, In: time.Second}
+	c.Flush()
+	s.pending.In = 100 * time.Millisecond
+	c.Flush()
+	fired := 0
+	h.run(200*time.Millisecond, func() { fired++ })
+	if fired != 1 {
+		t.Errorf("%d timers fired", fired)
+	}
+	s.pending = Pending{}
+	if c.Flush(); len(h.sent) != 0 {
+		t.Error("sent without anything to write")
+	}
+	// A source may find nothing worth writing after all.
+	s.pending = Pending{Any: true}
+	if c.Flush(); len(h.sent) != 0 {
+		t.Error("an empty transaction is sent")
+	}
+}
+
+func TestTransactionHasRoom(t *testing.T) {
+	large := []byte(strings.Repeat("1", maxTransactionBytes))
+	for _, test := range []struct {
+		name string
+		fill func(*Transaction)
+		room bool
+	}{
+		{name: "empty", fill: func(*Transaction) {}, room: true},
+		{name: "one of two", fill: func(t *Transaction) { t.Delete("a") }, room: true},
+		{name: "two of two", fill: func(t *Transaction) { t.Delete("a"); t.Put("b", nil) }},
+		{name: "conditions take bytes alone", fill: func(t *Transaction) { t.Require("a", 1); t.Require("a", 1); t.Require("b", 0) }, room: true},
+		{name: "too many bytes", fill: func(t *Transaction) { t.Put("a", large) }},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var txn Transaction
+			txn.reset(2)
+			test.fill(&txn)
+			if txn.HasRoom() != test.room {
+				t.Errorf("room %t", txn.HasRoom())
+			}
+			if txn.reset(2); !txn.HasRoom() || len(txn.txn.Ops)+len(txn.txn.Conditions) != 0 {
+				t.Errorf("after a reset: %+v", txn)
+			}
+		})
+	}
+}
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -36,7 +37,7 @@
 	}
 	// Anything but a final state may have been overtaken at another node, so
 	// it needs a fresh read; without one there is no answer.
-	if c.storeDown() {
+	if c.store.Unavailable() {
 		c.refuseWithoutStore(id)
 		return
 	}
@@ -101,25 +102,25 @@
 	}
 	a.lastCheck = c.now
 	check := a.nextCheck(c.maxConditions())
-	c.storeTxn(check.txn, func(r txnResult, _ uint64, failed []string) {
+	c.store.Commit(check.txn, func(r statestore.CommitResult) {
 		a.checking = false
 		a.openRequests -= len(check.queries)
-		c.answerCheck(check, r, failed)
+		c.answerCheck(check, r)
 		c.checkStatuses()
 	})
 }
 
-// answerCheck answers the queries of a check; failed are the keys that exist.
-func (c *Controller) answerCheck(check statusCheck, r txnResult, failed []string) {
+// answerCheck answers the queries of a check. The keys that exist are those on which it failed.
+func (c *Controller) answerCheck(check statusCheck, r statestore.CommitResult) {
 	exists := map[string]bool{}
-	for _, key := range failed {
+	for _, key := range r.Failed {
 		exists[key] = true
 	}
 	reads := map[string][]uint64{} // queries for jobs that are over, by job
 	for _, q := range check.queries {
 		_, final := c.admission.outcomes[q.job]
 		switch {
-		case r != txnApplied && r != txnFailed:
+		case r.Status != statestore.CommitApplied && r.Status != statestore.CommitConflict:
 			c.refuseFailedTxn(q.id, r)
 		case final:
 			c.answerStatus(q.id, q.job)
@@ -143,10 +144,10 @@
 // readOutcome answers the queries for a job that is known to be over.
 func (c *Controller) readOutcome(job string, ids []uint64) {
 	c.admission.openRequests += len(ids)
-	c.storeGet(records.KeyOutcome(job), func(it protocol.KeyValue, found, _ bool) {
+	c.store.Get(records.KeyOutcome(job), func(r statestore.ReadResult) {
 		c.admission.openRequests -= len(ids)
-		if found {
-			if s, done, err := records.DecodeOutcome(it.Value); err == nil {
+		if r.Status == statestore.Found {
+			if s, done, err := records.DecodeOutcome(r.Item.Value); err == nil {
 				c.admission.rememberOutcome(job, s, done)
 			}
 		}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -5,6 +5,7 @@
 	"errors"
 	"slices"
 
+	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
 	"brasskeel/internal/records"
 )
@@ -28,7 +29,7 @@
 		c.reply(id, 200, protocol.EncodeJobState(job.ID, f.state))
 		return
 	}
-	if len(c.types) == 0 || c.storeDown() {
+	if len(c.types) == 0 || c.store.Unavailable() {
 		c.refuse(id, 503, "not ready to decide")
 		return
 	}
@@ -37,7 +38,7 @@
 		c.rejectUnlessKnown(id, job, err)
 		return
 	}
-	record := records.Encode(records.Job{Submitted: records.Millis(c.now), Chunk: records.ChunkSize(c.cfg.ValueBytes), Spec: job})
+	record := records.Encode(records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: records.TasksPerBlock(c.cfg.ValueBytes), Spec: job})
 	if len(record) > c.cfg.ValueBytes {
 		c.admission.openRequests--
 		c.reply(id, 400, protocol.EncodeError("the job's description is too long"))
@@ -102,16 +103,16 @@
 	}
 	a.submitting = true
 	group, t := a.nextSubmissions(c.cfg.TxnOps)
-	c.storeTxn(t, func(r txnResult, _ uint64, failed []string) {
+	c.store.Commit(t, func(r statestore.CommitResult) {
 		a.submitting = false
 		var again []*submission
 		for _, s := range group {
 			switch {
-			case r == txnApplied:
+			case r.Status == statestore.CommitApplied:
 				c.replyAccepted(s)
-			case r == txnFailed && (slices.Contains(failed, records.KeyActive(s.job.ID)) || slices.Contains(failed, records.KeyOutcome(s.job.ID))):
+			case r.Status == statestore.CommitConflict && (slices.Contains(r.Failed, records.KeyActive(s.job.ID)) || slices.Contains(r.Failed, records.KeyOutcome(s.job.ID))):
 				c.replyExisting(s)
-			case r == txnFailed && len(failed) > 0:
+			case r.Status == statestore.CommitConflict:
 				again = append(again, s) // another of the group was known already
 			default:
 				c.refuseSubmission(s, r)
@@ -123,7 +124,7 @@
 }
 
 // refuseSubmission refuses all requests for a submission that couldn't be written.
-func (c *Controller) refuseSubmission(s *submission, r txnResult) {
+func (c *Controller) refuseSubmission(s *submission, r statestore.CommitResult) {
 	c.admission.openRequests -= len(s.requests)
 	for _, id := range s.requests {
 		c.refuseFailedTxn(id, r)
--- /dev/null
+++ b/internal/coordination/task_blocks.go
@@ -0,0 +1,138 @@
+package coordination
+
+import (
+	"encoding/json"
+	"log/slog"
+
+	"brasskeel/internal/coordination/sessions"
+	"brasskeel/internal/coordination/statestore"
+	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
+)
+
+// taskBlock is a run of a job's tasks that share a record.
+type taskBlock struct {
+	job        *job
+	index      int // among the job's blocks
+	tasks      []task
+	record     statestore.RecordState
+	unrecorded []*attempt // placed since the last write
+	migrating  []*attempt // to be stopped once it is on record that they move
+}
+
+// block gives the block that holds a task, made on first use: a job may have
+// a hundred thousand tasks of which few run at a time.
+func (j *job) block(index int) *taskBlock {
+	i := index / j.blockSize
+	added := j.blocks[i]
+	if added == nil {
+		added = &taskBlock{job: j, index: i, tasks: make([]task, min(j.blockSize, j.Tasks-i*j.blockSize))}
+		j.blocks[i] = added
+	}
+	return added
+}
+
+func (j *job) task(i int) *task { return &j.block(i).tasks[i%j.blockSize] }
+
+// encode makes the block's record, and returns the tasks whose results it is the first to hold.
+func (b *taskBlock) encode() (value json.RawMessage, completed []*task) {
+	r := records.TaskBlock{}
+	done := make([]bool, len(b.tasks))
+	for i := range b.tasks {
+		t := &b.tasks[i]
+		done[i] = t.done
+		switch {
+		case t.done:
+			if !t.doneRecorded {
+				completed = append(completed, t)
+			}
+		case t.attempt > 0:
+			entry := records.TaskEntry{Offset: i, Attempt: t.attempt}
+			if t.live != nil {
+				entry.Machine = t.live.machine.Name
+			}
+			r.Tasks = append(r.Tasks, entry)
+		}
+	}
+	r.SetDone(done)
+	b.encodeMigrated(&r)
+	return records.Encode(r), completed
+}
+
+// loadTaskBlock takes in a record of a block of tasks. Jobs and machines are known by now.
+func (l *leader) loadTaskBlock(it protocol.KeyValue) {
+	id, index, ok := records.ParseTaskBlockKey(it.Key)
+	j := l.jobs[id]
+	if !ok || j == nil || index >= len(j.blocks) {
+		// Left behind by a job that is over: its removal was cut short.
+		l.writer.deleteKey(it.Key)
+		return
+	}
+	block := j.block(index * j.blockSize)
+	var r records.TaskBlock
+	if err := block.decode(it, &r, l.controller.log); err != nil {
+		l.controller.log.Error("unreadable record of tasks", "job", id, "block", index, "error", err)
+		return
+	}
+	for _, entry := range r.Tasks {
+		if entry.Offset >= 0 && entry.Offset < len(block.tasks) {
+			l.loadAttempt(block, &entry)
+		}
+	}
+	block.requeueIdle()
+}
+
+// decode takes the block's version, results and migrations from its record.
+func (b *taskBlock) decode(it protocol.KeyValue, r *records.TaskBlock, log *slog.Logger) error {
+	if err := protocol.Decode(it.Value, r); err != nil {
+		return err
+	}
+	b.record = statestore.Loaded(it.Version)
+	done, err := r.DoneTasks(len(b.tasks))
+	if err != nil {
+		return err
+	}
+	b.loadMigrated(r, log)
+	for i, d := range done {
+		if d {
+			b.tasks[i].done, b.tasks[i].doneRecorded = true, true
+			b.job.doneTasks++
+		}
+	}
+	return nil
+}
+
+// loadAttempt takes the latest attempt at a task from its record. It is live if it was on a
+// machine.
+func (l *leader) loadAttempt(block *taskBlock, entry *records.TaskEntry) {
+	t := &block.tasks[entry.Offset]
+	t.attempt = entry.Attempt
+	if entry.Machine == "" || t.done {
+		return
+	}
+	m := l.machines[entry.Machine]
+	if m == nil {
+		// Recorded on a machine whose own record is gone: records are
+		// removed only after the machine is.
+		return
+	}
+	a := &attempt{job: block.job, task: block.index*block.job.blockSize + entry.Offset, number: entry.Attempt, machine: m, placedAt: l.controller.now,
+		recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: l.controller.now}
+	// Outcomes are read before task blocks: a job that was cancelled just
+	// before the leadership changed still has attempts to be stopped.
+	a.stopRequested = block.job.finalState != 0
+	l.attach(a)
+}
+
+// requeueIdle wants the tasks up to the end of a loaded block started again that aren't live
+// or done: blocks are made in order, so these were started before.
+func (b *taskBlock) requeueIdle() {
+	j := b.job
+	end := min(j.Tasks, b.index*j.blockSize+len(b.tasks))
+	for i := j.firstUnstarted; i < end; i++ {
+		if t := j.task(i); !t.done && t.live == nil {
+			j.retryQueue = append(j.retryQueue, i)
+		}
+	}
+	j.firstUnstarted = max(j.firstUnstarted, end)
+}
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -136,7 +136,7 @@
 
 // startsAllowed reports whether starts may be sent.
 func (s *workerSessions) startsAllowed() bool {
-	return !s.jobsKnownAt.IsZero() && s.controller.now.Sub(s.jobsKnownAt) <= startFreshness && !s.controller.storeDown()
+	return !s.jobsKnownAt.IsZero() && s.controller.now.Sub(s.jobsKnownAt) <= startFreshness && !s.controller.store.Unavailable()
 }
 
 // noteJobsKnown notes that all that was recorded of jobs before at is known.
--- /dev/null
+++ b/internal/ratelimit/ratelimit_test.go
@@ -0,0 +1,52 @@
+package ratelimit
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTokenBucket(t *testing.T) {
+	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
+	b := NewTokenBucket(10, 5, now)
+	if !b.Take(now, 5) || b.Take(now, 1) {
+		t.Error("the burst is not five")
+	}
+	if w := b.Wait(now, 2); w != 200*time.Millisecond {
+		t.Errorf("two units after %s", w)
+	}
+	now = now.Add(time.Minute)
+	if got := b.Available(now); got != 5 {
+		t.Errorf("after a minute %g units", got)
+	}
+	b.Spend(now, 8)
+	if b.Take(now.Add(300*time.Millisecond), 1) {
+		t.Error("a debt is forgotten")
+	}
+}
+
+func TestWait(t *testing.T) {
+	start := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
+	for _, test := range []struct {
+		name        string
+		rate, burst float64
+		spent, want float64
+		after       time.Duration // when it is asked
+		wait        time.Duration
+	}{
+		{name: "tokens are there", rate: 10, burst: 5, spent: 4, want: 1},
+		{name: "one is missing", rate: 10, burst: 5, spent: 5, want: 1, wait: 100 * time.Millisecond},
+		{name: "refilled meanwhile", rate: 10, burst: 5, spent: 5, want: 1, after: 60 * time.Millisecond, wait: 40 * time.Millisecond},
+		{name: "overdrawn", rate: 10, burst: 5, spent: 8, want: 1, wait: 400 * time.Millisecond},
+		{name: "more than it ever holds", rate: 10, burst: 5, spent: 5, want: 50, wait: 500 * time.Millisecond},
+		{name: "a burst below one", rate: 2, burst: 0.5, spent: 1, want: 1, wait: 500 * time.Millisecond},
+		{name: "a clock that stands before", rate: 10, burst: 5, spent: 5, want: 1, after: -time.Second, wait: 100 * time.Millisecond},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			b := NewTokenBucket(test.rate, test.burst, start)
+			b.Spend(start, test.spent)
+			if got := b.Wait(start.Add(test.after), test.want); got.Round(time.Microsecond) != test.wait {
+				t.Errorf("waits %s, want %s", got, test.wait)
+			}
+		})
+	}
+}
--- a/internal/records/forms_test.go
+++ b/internal/records/forms_test.go
@@ -13,27 +13,27 @@
 func TestRecordForms(t *testing.T) {
 	sharded := true
 	golden.Check(t, []golden.Form{
-		{File: "leader_full.json", Value: &Leader{Node: "n1", Zone: "a", Term: 41, Boot: 1<<64 - 1}},
+		{File: "leader_full.json", Value: &Leader{Node: "n1", Zone: "a", Term: 41, Incarnation: 1<<64 - 1}},
 		{File: "leader_least.json", Value: &Leader{}},
 		{File: "term.json", Value: &Term{Term: 41}},
-		{File: "prefer.json", Value: &Prefer{Zone: "b"}},
+		{File: "preferred_zone.json", Value: &PreferredZone{Zone: "b"}},
 		{File: "sharded.json", Value: &sharded},
-		{File: "job_full.json", Value: &Job{Submitted: 1790000000123, Chunk: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c", Team: "red",
+		{File: "job_full.json", Value: &Job{SubmittedAt: 1790000000123, BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c", Team: "red",
 			Kind: protocol.Gang, Priority: protocol.Urgent, Tasks: 9, CPUs: 1.5, GPUs: 0.25, MemoryGB: 3, Image: "i<é>\n", ImageGB: 1e-7,
 			MachineTypes: []string{"small", "large"}, Zone: "a", OneZone: true, Spread: true, AllowSpot: true, EstimatedRuntime: 1500 * time.Millisecond,
 			CheckpointInterval: time.Second, CheckpointDuration: time.Minute, Deadline: -time.Nanosecond, HasDeadline: true}}},
 		{File: "job_least.json", Value: &Job{Spec: &protocol.Job{}}},
 		{File: "outcome_done.json", Value: &Outcome{State: outcomeDone, Done: 4}},
 		{File: "outcome_cancelled.json", Value: &Outcome{State: outcomeCancelled}},
-		{File: "chunk_full.json", Value: &Chunk{Done: "iQI", Tasks: []TaskRecord{{Offset: 3, Attempt: 1<<64 - 1, Machine: "vm-1"}, {Offset: 4, Attempt: 2}},
+		{File: "task_block_full.json", Value: &TaskBlock{Done: "iQI", Tasks: []TaskEntry{{Offset: 3, Attempt: 1<<64 - 1, Machine: "vm-1"}, {Offset: 4, Attempt: 2}},
 			Moved: "AQ", Surge: 6}},
-		{File: "chunk_least.json", Value: &Chunk{}},
-		{File: "machines_full.json", Value: &Machines{Type: "small", Zone: "a", Spot: true,
-			Machines: []Machine{{Name: "vm-1", Rented: 1790000000123, Addr: "10.0.0.1:1"}, {Name: "vm-2"}}, Rented: 5}},
-		{File: "machines_least.json", Value: &Machines{}},
-		{File: "types_full.json", Value: &[]protocol.MachineType{{Name: "small", CPUs: 16, GPUs: 0.5, MemoryGB: 64, CacheGB: 200, FetchGBPerSecond: 1.25,
+		{File: "task_block_least.json", Value: &TaskBlock{}},
+		{File: "machine_group_full.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true,
+			Machines: []MachineEntry{{Name: "vm-1", RentedAt: 1790000000123, Addr: "10.0.0.1:1"}, {Name: "vm-2"}}, LoneRentedAt: 5}},
+		{File: "machine_group_least.json", Value: &MachineGroup{}},
+		{File: "machine_types_full.json", Value: &[]protocol.MachineType{{Name: "small", CPUs: 16, GPUs: 0.5, MemoryGB: 64, CacheGB: 200, FetchGBPerSecond: 1.25,
 			PricePerHour: 3, SpotPricePerHour: 1, BootTime: 45 * time.Second, Zones: []string{"a", "b"}}}},
-		{File: "types_least.json", Value: &[]protocol.MachineType{{}}},
+		{File: "machine_types_least.json", Value: &[]protocol.MachineType{{}}},
 		{File: "surges_full.json", Value: &Surges{"blue": {Number: 3, Level: 12.5}, "red": {Number: 1<<64 - 1, Level: 1}}},
 		{File: "surges_least.json", Value: &Surges{}},
 	})
@@ -42,20 +42,20 @@
 // Forms that are no longer written are still read.
 func TestOldRecordForms(t *testing.T) {
 	golden.CheckRead(t, []golden.Form{
-		{File: "machine_old.json", Value: &Machines{Type: "small", Zone: "a", Spot: true, Rented: 1790000000123}},
-		{File: "chunk_unknown_field.json", Value: &Chunk{Done: "iQI"}},
+		{File: "machine_old.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true, LoneRentedAt: 1790000000123}},
+		{File: "task_block_unknown_field.json", Value: &TaskBlock{Done: "iQI"}},
 	})
 }
 
 // Keys lie where the versions before look for them.
 func TestKeys(t *testing.T) {
 	for _, key := range []struct{ got, want string }{
-		{KeyLeader, "e/leader"}, {KeyTerm, "e/term"}, {KeyPrefer, "e/prefer"}, {KeySharded, "e/sharded"},
-		{KeyActive("run-1"), "b/q/run-1"}, {KeyOutcome("run-1"), "b/f/run-1"}, {KeyChunk("run-1", 17), "c/run-1/00017"},
-		{KeyMachines(0, 4, 9), "m/t4-9"}, {KeyMachines(12, 4, 9), "m/s0012/t4-9"}, {KeyTypes, "t/types"}, {KeySurges, "u/surges"},
+		{KeyLeader, "e/leader"}, {KeyTerm, "e/term"}, {KeyPreferredZone, "e/prefer"}, {KeySharded, "e/sharded"},
+		{KeyActive("run-1"), "b/q/run-1"}, {KeyOutcome("run-1"), "b/f/run-1"}, {KeyTaskBlock("run-1", 17), "c/run-1/00017"},
+		{KeyMachineGroup(0, 4, 9), "m/t4-9"}, {KeyMachineGroup(12, 4, 9), "m/s0012/t4-9"}, {KeyMachineTypes, "t/types"}, {KeySurges, "u/surges"},
 		{KeyOwner(12), "s/o/0012"}, {KeyMember("n1"), "s/m/n1"},
-		{PrefixElection, "e/"}, {PrefixJobs, "b/"}, {PrefixActive, "b/q/"}, {PrefixOutcome, "b/f/"}, {PrefixChunks, "c/"},
-		{PrefixMachines, "m/"}, {PrefixSurges, "u/"}, {PrefixShards, "s/"}, {PrefixOwners, "s/o/"}, {PrefixMembers, "s/m/"},
+		{PrefixElection, "e/"}, {PrefixJobs, "b/"}, {PrefixActive, "b/q/"}, {PrefixOutcome, "b/f/"}, {PrefixTaskBlocks, "c/"},
+		{PrefixMachineGroups, "m/"}, {PrefixSurges, "u/"}, {PrefixShards, "s/"}, {PrefixOwners, "s/o/"}, {PrefixMembers, "s/m/"},
 	} {
 		if key.got != key.want {
 			t.Errorf("key %q, want %q", key.got, key.want)
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -10,27 +10,27 @@
 	"brasskeel/internal/protocol"
 )
 
-// A full chunk of live tasks stays within a value of the state service, with
+// A full block of live tasks stays within a value of the state service, with
 // long machine names and high attempt numbers.
-func TestChunkFitsValue(t *testing.T) {
+func TestTaskBlockFitsValue(t *testing.T) {
 	for _, valueBytes := range []int{1 << 10, 4 << 10, 8 << 10, 64 << 10} {
-		size := ChunkSize(valueBytes)
-		c := Chunk{}
+		size := TasksPerBlock(valueBytes)
+		block := TaskBlock{}
 		for i := range size {
-			c.Tasks = append(c.Tasks, TaskRecord{Offset: i, Attempt: math.MaxInt32, Machine: strings.Repeat("m", 24)})
+			block.Tasks = append(block.Tasks, TaskEntry{Offset: i, Attempt: math.MaxInt32, Machine: strings.Repeat("m", 24)})
 		}
-		if n := len(Encode(c)); n > valueBytes {
+		if n := len(Encode(block)); n > valueBytes {
 			t.Errorf("%d tasks take %d of %d bytes", size, n, valueBytes)
 		}
 	}
 }
 
 // So does a record of machines.
-func TestMachinesFitValue(t *testing.T) {
+func TestMachineGroupFitsValue(t *testing.T) {
 	for _, valueBytes := range []int{1 << 10, 4 << 10, 8 << 10, 64 << 10} {
-		r := Machines{Type: strings.Repeat("t", 40), Zone: strings.Repeat("z", 40), Spot: true}
-		for range MachinesPerRecord(valueBytes) {
-			r.Machines = append(r.Machines, Machine{Name: strings.Repeat("m", 24), Rented: math.MaxInt32 * 1000, Addr: "255.255.255.255:65535"})
+		r := MachineGroup{Type: strings.Repeat("t", 40), Zone: strings.Repeat("z", 40), Spot: true}
+		for range MachinesPerGroup(valueBytes) {
+			r.Machines = append(r.Machines, MachineEntry{Name: strings.Repeat("m", 24), RentedAt: math.MaxInt32 * 1000, Addr: "255.255.255.255:65535"})
 		}
 		if n := len(Encode(r)); n > valueBytes {
 			t.Errorf("%d machines take %d of %d bytes", len(r.Machines), n, valueBytes)
@@ -38,11 +38,11 @@
 	}
 }
 
-func TestChunkDone(t *testing.T) {
+func TestDoneTasks(t *testing.T) {
 	done := []bool{true, false, false, true, false, false, false, false, false, true}
-	var c Chunk
-	c.SetDone(done)
-	got, err := c.IsDone(len(done))
+	var block TaskBlock
+	block.SetDone(done)
+	got, err := block.DoneTasks(len(done))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,8 +51,8 @@
 			t.Errorf("task %d: done %t, want %t", i, got[i], done[i])
 		}
 	}
-	if job, chunk, ok := ParseChunkKey(KeyChunk("run-000001", 17)); !ok || job != "run-000001" || chunk != 17 {
-		t.Errorf("key: %s, %d, %t", job, chunk, ok)
+	if job, block, ok := ParseTaskBlockKey(KeyTaskBlock("run-000001", 17)); !ok || job != "run-000001" || block != 17 {
+		t.Errorf("key: %s, %d, %t", job, block, ok)
 	}
 }
 
@@ -62,9 +62,9 @@
 		MemoryGB: 3, Image: "i\u00e9\n", ImageGB: 1e-7, MachineTypes: []string{"a", "b"}, Zone: "z", OneZone: true, Spread: true, AllowSpot: true,
 		EstimatedRuntime: 1500 * time.Millisecond, CheckpointInterval: time.Second, CheckpointDuration: time.Minute, Deadline: -time.Nanosecond, HasDeadline: true}
 	for _, want := range []any{
-		&Job{Submitted: math.MaxInt64, Chunk: 96, Spec: job},
-		&Chunk{Done: "iQI", Tasks: []TaskRecord{{Offset: 3, Attempt: math.MaxUint64, Machine: "vm-1"}}},
-		&Machines{Type: "t", Zone: "z", Spot: true, Machines: []Machine{{Name: "vm-1", Rented: 1, Addr: "10.0.0.1:1"}}},
+		&Job{SubmittedAt: math.MaxInt64, BlockSize: 96, Spec: job},
+		&TaskBlock{Done: "iQI", Tasks: []TaskEntry{{Offset: 3, Attempt: math.MaxUint64, Machine: "vm-1"}}},
+		&MachineGroup{Type: "t", Zone: "z", Spot: true, Machines: []MachineEntry{{Name: "vm-1", RentedAt: 1, Addr: "10.0.0.1:1"}}},
 		&Outcome{State: outcomeDone, Done: 4},
 	} {
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
@@ -84,22 +84,3 @@
 		t.Error("an unknown outcome is taken")
 	}
 }
-
-func TestBudget(t *testing.T) {
-	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
-	b := NewBudget(10, 5, now)
-	if !b.Take(now, 5) || b.Take(now, 1) {
-		t.Error("the burst is not five")
-	}
-	if w := b.Wait(now, 2); w != 200*time.Millisecond {
-		t.Errorf("two units after %s", w)
-	}
-	now = now.Add(time.Minute)
-	if got := b.Available(now); got != 5 {
-		t.Errorf("after a minute %g units", got)
-	}
-	b.Spend(now, 8)
-	if b.Take(now.Add(300*time.Millisecond), 1) {
-		t.Error("a debt is forgotten")
-	}
-}
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -58,9 +58,9 @@
 		c.checkFencingToken(term<<termBits|1, "node-1#1")
 	}, []string{"two_owners"}},
 	{"two shards", func(c *Cluster, _ *userJob) { // a machine is in two shards
-		r := records.Machines{Type: "small", Zone: "a", Machines: []records.Machine{{Name: "vm-000000"}}}
+		r := records.MachineGroup{Type: "small", Zone: "a", Machines: []records.MachineEntry{{Name: "vm-000000"}}}
 		for id := range 2 {
-			key := records.KeyMachines(id+1, 1, uint64(id+900))
+			key := records.KeyMachineGroup(id+1, 1, uint64(id+900))
 			c.state.keys[key] = protocol.KeyValue{Key: key, Value: records.Encode(r), Version: 1}
 		}
 		c.BeginQuiescence()
--- a/internal/simulator/migration_invariant.go
+++ b/internal/simulator/migration_invariant.go
@@ -28,17 +28,17 @@
 // observe takes a change in the state service. A mark that is set once more says that a leader
 // moved a task which another one had moved in the same surge.
 func (k *migrationInvariant) observe(c *Cluster, op protocol.Op) {
-	job, chunk, ok := records.ParseChunkKey(op.Put)
+	job, chunk, ok := records.ParseTaskBlockKey(op.Put)
 	j := c.jobs[job]
 	if !ok || j == nil {
 		return
 	}
-	var r records.Chunk
+	var r records.TaskBlock
 	if protocol.Decode(op.Value, &r) != nil {
 		return
 	}
-	size := records.ChunkSize(c.settings.ValueBytes)
-	moved, err := r.IsMoved(size)
+	size := records.TasksPerBlock(c.settings.ValueBytes)
+	moved, err := r.MovedTasks(size)
 	if err != nil {
 		c.violate("unreadable_mark", "%s", op.Put)
 		return
--- a/internal/simulator/ownership.go
+++ b/internal/simulator/ownership.go
@@ -61,9 +61,9 @@
 // the most and that every worker is served.
 func (c *Cluster) checkShardOwners() {
 	in := map[string]int{}
-	for _, it := range c.state.under(records.PrefixMachines) {
-		id := records.ShardOfMachines(it.Key)
-		var r records.Machines
+	for _, it := range c.state.under(records.PrefixMachineGroups) {
+		id := records.ShardOfGroupKey(it.Key)
+		var r records.MachineGroup
 		if id == 0 || protocol.Decode(it.Value, &r) != nil {
 			continue
 		}
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/ratelimit"
 	"brasskeel/internal/records"
 )
 
@@ -32,8 +33,8 @@
 	slowShare              float64
 	slowWatches            time.Duration // watches are answered this much later
 
-	requestBucket, writeBucket *records.Budget // what the settings allow a second
-	writes, rateLimited        int             // changes made, and requests refused for their number
+	requestBucket, writeBucket *ratelimit.TokenBucket // what the settings allow a second
+	writes, rateLimited        int                    // changes made, and requests refused for their number
 }
 
 // under lists the items whose keys have a prefix, in order.
@@ -71,7 +72,7 @@
 func newStateService(c *Cluster) *stateService {
 	rps, changes := c.settings.StateRPS, c.settings.StateWriteRPS
 	return &stateService{c: c, keys: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, refused: map[string]bool{},
-		requestBucket: records.NewBudget(rps, rps, c.now), writeBucket: records.NewBudget(changes, changes, c.now)}
+		requestBucket: ratelimit.NewTokenBucket(rps, rps, c.now), writeBucket: ratelimit.NewTokenBucket(changes, changes, c.now)}
 }
 
 func (s *stateService) leader() string {
