--- /dev/null
+++ b/docs/docs_test.go
@@ -0,0 +1,201 @@
+// Package docs_test holds the pages to the code: what they name must exist, and what on-call
+// engineers may see in the logs must be explained.
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const root = ".."
+
+// pages are those that describe the code as it is. The others tell what was measured, found or
+// changed at a time, in the words of that time.
+func pages() []string {
+	list := []string{filepath.Join(root, "README.md"), filepath.Join(root, "DEVELOPERS.md")}
+	for _, name := range []string{"ARCHITECTURE", "BALANCE", "DESIGN", "GLOSSARY", "MEETINGS", "OPERATIONS", "SCALE", "SHARDS"} {
+		list = append(list, name+".md")
+	}
+	return list
+}
+
+// repository is what the pages may name.
+type repository struct {
+	files []string        // paths from the root
+	words map[string]bool // in its files but the pages
+}
+
+// optional are files that aren't always there.
+var optional = map[string]bool{"KNOWN-RED.txt": true}
+
+// skippedDirs hold no sources.
+var skippedDirs = map[string]bool{".git": true, "journal": true, "target": true}
+
+var wordPattern = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*`)
+
+func readRepository(t *testing.T) *repository {
+	t.Helper()
+	r := &repository{words: map[string]bool{}}
+	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		rel, err := filepath.Rel(root, path)
+		if err != nil {
+			return err
+		}
+		if d.IsDir() {
+			if skippedDirs[d.Name()] {
+				return filepath.SkipDir
+			}
+			r.files = append(r.files, rel)
+			return nil
+		}
+		r.files = append(r.files, rel)
+		if strings.HasSuffix(rel, ".md") || strings.HasSuffix(rel, ".sum") {
+			return nil
+		}
+		raw, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		for _, word := range wordPattern.FindAllString(string(raw), -1) {
+			r.words[word] = true
+		}
+		for _, word := range wordPattern.FindAllString(rel, -1) {
+			r.words[word] = true
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// has reports whether a file or folder is named by the end of its path.
+func (r *repository) has(path string) bool {
+	path = strings.TrimSuffix(strings.TrimPrefix(path, "./"), "/")
+	for _, f := range r.files {
+		if f == path || strings.HasSuffix(f, "/"+path) {
+			return true
+		}
+	}
+	return false
+}
+
+var (
+	quoted     = regexp.MustCompile("`([^`\n]+)`")
+	sourceFile = regexp.MustCompile(`^[\w./-]+\.(go|toml|json|md|yml|txt)$`)
+	folder     = regexp.MustCompile(`^\.?[\w-]+(/[\w.-]+)+/?$`)
+	identifier = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*(\(\))?$`)
+)
+
+// knows reports whether what a page puts in backquotes exists, if it is a file, a path or an
+// identifier. Commands and other phrases are not looked for.
+func (r *repository) knows(name string) bool {
+	switch {
+	case sourceFile.MatchString(name):
+		return optional[name] || r.has(name) || r.words[strings.TrimSuffix(name, filepath.Ext(name))]
+	case strings.HasPrefix(name, "internal/") || strings.HasPrefix(name, "cmd/") || strings.HasPrefix(name, "docs/"):
+		return !folder.MatchString(name) || r.has(name)
+	case identifier.MatchString(name):
+		for _, word := range wordPattern.FindAllString(name, -1) {
+			if !r.words[word] {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// TestPagesNameWhatExists looks for each file and identifier that a page puts in backquotes.
+func TestPagesNameWhatExists(t *testing.T) {
+	r := readRepository(t)
+	for _, page := range pages() {
+		raw, err := os.ReadFile(page)
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		for _, match := range quoted.FindAllStringSubmatch(string(raw), -1) {
+			if name := match[1]; !r.knows(name) {
+				t.Errorf("%s names %s, which is nowhere", page, name)
+			}
+		}
+	}
+}
+
+// loggedMessages are the messages of all calls that log at level warn or error, with where.
+func loggedMessages(t *testing.T) map[string]string {
+	t.Helper()
+	found := map[string]string{}
+	for _, dir := range []string{"internal", "cmd/brasskeel"} {
+		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, d fs.DirEntry, err error) error {
+			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") ||
+				strings.Contains(path, "simulator") {
+				return err
+			}
+			fset := token.NewFileSet()
+			f, err := parser.ParseFile(fset, path, nil, 0)
+			if err != nil {
+				return err
+			}
+			ast.Inspect(f, func(n ast.Node) bool {
+				if message, ok := warning(n); ok {
+					found[message] = fset.Position(n.Pos()).String()
+				}
+				return true
+			})
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return found
+}
+
+// warning is the message of a call that logs at level warn or error.
+func warning(n ast.Node) (message string, ok bool) {
+	call, isCall := n.(*ast.CallExpr)
+	if !isCall || len(call.Args) == 0 {
+		return "", false
+	}
+	function, isSelector := call.Fun.(*ast.SelectorExpr)
+	if !isSelector || function.Sel.Name != "Warn" && function.Sel.Name != "Error" {
+		return "", false
+	}
+	literal, isLiteral := call.Args[0].(*ast.BasicLit)
+	if !isLiteral || literal.Kind != token.STRING {
+		return "", false
+	}
+	message, err := strconv.Unquote(literal.Value)
+	return message, err == nil
+}
+
+// TestWarningsAreExplained holds docs/OPERATIONS.md to every line that is logged at level warn or
+// error.
+func TestWarningsAreExplained(t *testing.T) {
+	raw, err := os.ReadFile("OPERATIONS.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	messages := loggedMessages(t)
+	if len(messages) == 0 {
+		t.Fatal("no call that logs a warning was found")
+	}
+	for message, where := range messages {
+		if !strings.Contains(string(raw), "`"+message+"`") {
+			t.Errorf("%q (%s) is not explained", message, where)
+		}
+	}
+}
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -65,7 +65,7 @@
 func (l *leader) jobRecorded(id string, value json.RawMessage, live bool) {
 	var r records.Job
 	if err := protocol.Decode(value, &r); err != nil || r.Spec == nil || r.BlockSize <= 0 || r.Spec.Tasks <= 0 {
-		l.controller.log.Error("unreadable job record", "job", id, "error", err)
+		l.controller.log.Error("job record unreadable", "job", id, "error", err)
 		return
 	}
 	l.addJob(&r)
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -278,7 +278,7 @@
 	}
 	moved, err := r.MovedTasks(len(b.tasks))
 	if err != nil {
-		log.Error("unreadable migration marks", "job", b.job.ID, "block", b.index, "error", err)
+		log.Error("migration marks unreadable", "job", b.job.ID, "block", b.index, "error", err)
 	}
 	for i := range b.tasks {
 		if err != nil || moved[i] {
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -169,7 +169,7 @@
 	for _, it := range items {
 		var surges records.Surges
 		if err := protocol.Decode(it.Value, &surges); err != nil {
-			b.l.controller.log.Error("unreadable surges record", "key", it.Key, "error", err)
+			b.l.controller.log.Error("surges record unreadable", "key", it.Key, "error", err)
 			continue
 		}
 		for name, r := range surges {
--- a/internal/coordination/task_blocks.go
+++ b/internal/coordination/task_blocks.go
@@ -71,7 +71,7 @@
 	block := j.block(index * j.blockSize)
 	var r records.TaskBlock
 	if err := block.decode(it, &r, l.controller.log); err != nil {
-		l.controller.log.Error("unreadable record of tasks", "job", id, "block", index, "error", err)
+		l.controller.log.Error("task record unreadable", "job", id, "block", index, "error", err)
 		return
 	}
 	for _, entry := range r.Tasks {
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -148,6 +148,22 @@
 	}
 }
 
+// callOften makes that many calls at once and waits until all are answered.
+func callOften(t *testing.T, e *echo, addr string, calls int) {
+	t.Helper()
+	out := make(chan error, calls)
+	e.loop.Post(func() {
+		for range calls {
+			e.loop.Call(addr, "GET", "/", nil, 5*time.Second, func(_ int, _ []byte, err error) { out <- err })
+		}
+	})
+	for range calls {
+		if err := <-out; err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // TestWorkersBeforeUnusedCalls connects more clients than a fixed share for accepted
 // connections left room for, after calls of ours have taken theirs. What is unused of
 // ours gives way, every client keeps its connection, and the limit holds: a fleet that
@@ -161,18 +177,7 @@
 	server := &http.Server{Handler: http.HandlerFunc(hello)}
 	go func() { _ = server.Serve(idle) }()
 	t.Cleanup(func() { _ = server.Close() })
-	const calls = 20
-	out := make(chan error, calls)
-	e.loop.Post(func() {
-		for range calls {
-			e.loop.Call(idle.Addr().String(), "GET", "/", nil, 5*time.Second, func(_ int, _ []byte, err error) { out <- err })
-		}
-	})
-	for range calls {
-		if err := <-out; err != nil {
-			t.Fatal(err)
-		}
-	}
+	callOften(t, e, idle.Addr().String(), 20)
 	clients := make([]net.Conn, e.loop.maxSockets*3/4)
 	for round := range 2 {
 		for i := range clients {
