--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"brasskeel/internal/coordination/placement"
+	"brasskeel/internal/coordination/sessions"
+	"brasskeel/internal/coordination/shard"
 	"brasskeel/internal/protocol"
 )
 
@@ -214,3 +216,38 @@
 	s.gpus += sign * j.GPUs
 	l.stopping[j.Team] = s
 }
+
+type task struct {
+	attempt            uint64 // the latest number used
+	live               *attempt
+	done               bool
+	doneRecorded       bool        // recorded as done
+	unacknowledgedExit *shard.Task // whose owner waits for that
+	migratedInSurge    uint64      // surge in which it was moved; 0: none
+}
+
+// attempt is one try at a task on a machine, until proven gone.
+type attempt struct {
+	job      *job
+	task     int
+	number   uint64
+	machine  *machine
+	placedAt time.Time
+
+	recorded   bool // in the state service: its start may be sent
+	delivery   sessions.Delivery
+	state      protocol.TaskState
+	stateSince time.Time
+
+	stopRequested bool
+	stopGrace     time.Duration // to save in, once it is told to stop
+	stopSentAt    time.Time
+
+	listIndex     int    // in its machine's list
+	lastHeartbeat uint64 // the last message of its worker's that held it
+}
+
+type taskKey struct {
+	job  string
+	task int
+}
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -1,38 +1,63 @@
 package coordination
 
-import (
-	"time"
+import "time"
 
-	"brasskeel/internal/protocol"
+// drainInterval is how often a controller that drains looks whether it can give more up, and
+// drainCampaignPause how long it doesn't campaign after it resigned.
+const (
+	drainInterval      = 200 * time.Millisecond
+	drainCampaignPause = 20 * time.Second
+	drainRecordRetry   = 300 * time.Millisecond
 )
 
-// drainMachine takes a machine out of use.
-func (l *leader) drainMachine(m *machine) {
-	if m.lifecycle.draining {
-		return
-	}
-	m.lifecycle.draining = true
-	for _, a := range m.sortedAttempts() {
-		l.stopAttempt(a, l.checkpointGrace(a))
+// Drain lets the controller give up what it has before a planned end: its shards move to
+// others while jobs run, then the leadership passes on. It answers users as before. Nothing is
+// given up that nobody else can take.
+func (c *Controller) Drain(now time.Time) Effects {
+	c.now = now
+	if !c.draining {
+		c.draining = true
+		c.log.Info("controller drain started")
+		if c.sharding != nil {
+			c.sharding.drain()
+		}
+		c.drainStep()
 	}
+	return c.takeEffects()
 }
 
-// drainForPreemption saves what can be saved on a machine that will be taken. Tasks
-// that can't save go on: they may still complete.
-func (l *leader) drainForPreemption(m *machine) {
-	for _, a := range m.sortedAttempts() {
-		if a.job.CheckpointInterval > 0 {
-			l.stopAttempt(a, l.checkpointGrace(a))
-		} else if a.job.Kind == protocol.Service {
-			l.stopAttempt(a, 0)
-		}
+// Drained reports whether the controller neither leads nor serves workers.
+func (c *Controller) Drained() bool {
+	return c.leader == nil && (c.sharding == nil || c.sharding.owner == nil || len(c.sharding.owner.shards) == 0)
+}
+
+// drainStep resigns the leadership once there is nothing else to give up.
+func (c *Controller) drainStep() {
+	servesShards := c.sharding != nil && c.sharding.owner != nil && len(c.sharding.owner.shards) > 0
+	if c.leader != nil && !servesShards && !c.store.Unavailable() && c.peers.AnyEligible(c.now) {
+		c.election.Resign("controller drained", drainCampaignPause)
 	}
+	c.after(drainInterval, c.drainStep)
 }
 
-// checkpointGrace is the time a stopped attempt needs to save.
-func (l *leader) checkpointGrace(a *attempt) time.Duration {
-	if a.job.CheckpointInterval == 0 || a.state != protocol.Running {
-		return 0
+// drain lets the leader know that this member is to own nothing.
+func (s *sharding) drain() {
+	s.draining = true
+	if s.owner != nil {
+		s.recordDraining(s.owner)
 	}
-	return a.job.CheckpointDuration + 100*time.Millisecond
+}
+
+// recordDraining lets the member's record say that it drains, however often it must be written.
+func (s *sharding) recordDraining(own *shardOwner) {
+	s.writeMember(own, func(applied bool) {
+		if applied {
+			return
+		}
+		s.controller.after(drainRecordRetry, func() {
+			if s.owner == own {
+				s.recordDraining(own)
+			}
+		})
+	})
 }
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -112,3 +112,15 @@
 	c.effects.Calls = append(c.effects.Calls, Call{ID: c.lastCallID, To: to, Addr: addr, Method: method, Target: target,
 		Body: body, Timeout: timeout})
 }
+
+// Span is a stretch of time in which something was carried out, for tracing. The core tells of
+// spans that are over; whether anybody keeps them is not its business.
+type Span struct {
+	Name        string
+	From, Until time.Time
+	Attributes  []Attribute
+	Parts       []Span
+}
+
+// Attribute says something of a span.
+type Attribute struct{ Key, Value string }
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -6,6 +6,7 @@
 	"brasskeel/internal/coordination/leadership"
 	"brasskeel/internal/coordination/statestore"
 	"brasskeel/internal/protocol"
+	"brasskeel/internal/records"
 )
 
 // overloadLossCause is how long ago a leader may have been overloaded for it to have lost
@@ -113,3 +114,57 @@
 	c.election.Resign(reason, leadership.HandOverPause)
 	return true
 }
+
+// The leader as the holder of its lease (leadership.Holder).
+
+// HoldsAuthority implements leadership.Holder.
+func (l *leader) HoldsAuthority() bool { return l.alive() }
+
+// RenewalSent implements leadership.Holder. A leader whose lease and grace period are over
+// answers no worker any more, but keeps what it knows: in an outage the lease stands still,
+// and once it is renewed after all, nobody else can have led meanwhile.
+func (l *leader) RenewalSent() {
+	if l.fenced || l.holdsLease() || l.jobsKnownAt.IsZero() {
+		return
+	}
+	l.fenced = true
+	l.controller.log.Warn("fenced until leader lease is renewed", "term", l.term)
+}
+
+// LeaseRenewed implements leadership.Holder.
+func (l *leader) LeaseRenewed() { l.fenced = false }
+
+// LeaseExpired implements leadership.Holder.
+func (l *leader) LeaseExpired() { l.controller.election.StepDown("leader lease expired") }
+
+// preferMajorityZone keeps the leader in the zone that holds most machines, so that
+// a cut between zones parts it from as few of them as can be. It hands over
+// only to a zone with a controller that lately said it can lead.
+func (l *leader) preferMajorityZone() {
+	c := l.controller
+	if !c.hasPeersInOtherZones() || c.store.Unavailable() {
+		return
+	}
+	zone, ok := leadership.MajorityZone(l.liveMachinesByZone())
+	if !ok {
+		return
+	}
+	if c.election.PreferredZone() != zone && l.requestedZone != zone {
+		l.requestedZone = zone
+		l.writer.put(records.KeyPreferredZone, records.Encode(records.PreferredZone{Zone: zone}))
+	}
+	if c.election.HandsOverTo(zone) && c.eligiblePeerIn(zone) {
+		c.election.Resign("most machines are in zone "+zone, leadership.HandOverPause)
+	}
+}
+
+// liveMachinesByZone counts the machines whose workers were heard lately.
+func (l *leader) liveMachinesByZone() map[string]int {
+	count := map[string]int{}
+	for _, m := range l.fleetList {
+		if m.session.Registered && l.controller.now.Sub(m.session.LastSeen) < l.controller.timing().SuspectAfter() {
+			count[m.Zone]++
+		}
+	}
+	return count
+}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -8,8 +8,6 @@
 	"brasskeel/internal/coordination/queue"
 	"brasskeel/internal/coordination/ratelog"
 	"brasskeel/internal/coordination/sessions"
-	"brasskeel/internal/coordination/shard"
-	"brasskeel/internal/protocol"
 )
 
 // leader is what a leader keeps in memory. All of it is rebuilt from the state
@@ -44,41 +42,6 @@
 // usage is what a team's attempts take, those not proven terminated included.
 type usage struct{ cpus, gpus float64 }
 
-type task struct {
-	attempt            uint64 // the latest number used
-	live               *attempt
-	done               bool
-	doneRecorded       bool        // recorded as done
-	unacknowledgedExit *shard.Task // whose owner waits for that
-	migratedInSurge    uint64      // surge in which it was moved; 0: none
-}
-
-// attempt is one try at a task on a machine, until proven gone.
-type attempt struct {
-	job      *job
-	task     int
-	number   uint64
-	machine  *machine
-	placedAt time.Time
-
-	recorded   bool // in the state service: its start may be sent
-	delivery   sessions.Delivery
-	state      protocol.TaskState
-	stateSince time.Time
-
-	stopRequested bool
-	stopGrace     time.Duration // to save in, once it is told to stop
-	stopSentAt    time.Time
-
-	listIndex     int    // in its machine's list
-	lastHeartbeat uint64 // the last message of its worker's that held it
-}
-
-type taskKey struct {
-	job  string
-	task int
-}
-
 // becomeLeader begins to lead under a mandate: it recovers what is recorded first.
 func (c *Controller) becomeLeader(m leadership.Mandate) {
 	l := &leader{workerSessions: newWorkerSessions(c, m.Lease), term: m.Term, version: m.Version, recovery: newRecovery(c.now),
--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -16,7 +16,7 @@
 // The limits, in the order in which they are logged.
 const (
 	OpenRequests         Limit = iota // requests of users that wait for the state service
-	HeldReports                       // reports that are held for a leader
+	DeferredHeartbeats                // reports that are held for a leader
 	Outcomes                          // final states kept in memory
 	AcceptedJobs                      // accepted jobs kept in memory
 	Announcements                     // final states that wait to be announced to peers
@@ -40,7 +40,7 @@
 // descriptions of the limits. Operators search the log for the names.
 var descriptions = [count]struct{ name, consequence string }{
 	OpenRequests:         {"open requests", "users are sent away with Retry-After"},
-	HeldReports:          {"deferred heartbeats", "workers are redirected at once"},
+	DeferredHeartbeats:   {"deferred heartbeats", "workers are redirected at once"},
 	Outcomes:             {"cached outcomes", "some are evicted and read again when asked for"},
 	AcceptedJobs:         {"cached accepted jobs", "all are evicted and checked again when asked for"},
 	Announcements:        {"outcomes to broadcast", "peers read them when they are asked"},
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -321,7 +321,7 @@
 		c.now = c.now.Add(100 * time.Microsecond)
 		c.deferHeartbeat(uint64(i+1), nil)
 	}
-	if e := c.holdOne(reports + 1); len(e) != 1 || c.limits.Total(limits.HeldReports) != 1 {
+	if e := c.holdOne(reports + 1); len(e) != 1 || c.limits.Total(limits.DeferredHeartbeats) != 1 {
 		t.Errorf("one beyond the bound: %d answers", len(e))
 	}
 	answered := 0
