--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -72,7 +72,7 @@
 	delete(a.accepted, job)
 }
 
-// learnOutcome is rememberOutcome for what this node wrote or learned as a leader: its peers
+// learnOutcome is rememberOutcome for what this controller wrote or learned as a leader: its peers
 // hear of it, so that they need not read it for each user who asks them.
 func (a *admission) learnOutcome(job string, s protocol.JobState, done int) {
 	if _, ok := a.outcomes[job]; !ok {
@@ -139,9 +139,9 @@
 	}
 }
 
-// health is honest about the cases in which other nodes may serve users and this
+// health is honest about the cases in which other controllers may serve users and this
 // one can't: the state service refuses it while a peer still reaches it, or it is
-// cut off from both. In an outage that peers confirm, no node is better than
+// cut off from both. In an outage that peers confirm, no controller is better than
 // another, and leaving the balancer would only cost time when it ends.
 func (c *Controller) health(id uint64) {
 	if c.store.Unavailable() && len(c.cfg.Peers) > 0 && (c.peers.StoreReachable(c.now) || !c.peers.AnyFresh(c.now)) {
@@ -152,7 +152,7 @@
 }
 
 // refuseWithoutStore refuses what needs the state service. The connection is
-// closed: its user would go on asking this node, perhaps the only one that is cut
+// closed: its user would go on asking this controller, perhaps the only one that is cut
 // off, while a new connection may lead to another.
 func (c *Controller) refuseWithoutStore(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -47,7 +47,7 @@
 	releaseInFlight      bool
 	inventoryInFlight    bool
 	inventoryRequestedAt time.Time // when the list was last asked for
-	inventoryComplete    bool      // it was read in full since this node leads
+	inventoryComplete    bool      // it was read in full since this controller leads
 	typesRequestedAt     time.Time
 	consolidatedAt       time.Time
 	loggedAt             time.Time
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -32,7 +32,7 @@
 }
 
 // A leader that never hears most of the machines that ran tasks before gives way to
-// another node before it gives any of them up, once, unless all others did the same;
+// another controller before it gives any of them up, once, unless all others did the same;
 // and nobody hands over to it for its zone meanwhile. A leader that was cut off from its
 // workers had been handed the lead again and returned 1,113 machines that others reached.
 func TestLeaderWithoutWorkersGivesWay(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// The lead isn't handed to a node of the better zone that calls itself disconnected.
+// The lead isn't handed to a controller of the better zone that calls itself disconnected.
 func TestNoHandOverToDisconnected(t *testing.T) {
 	for _, disconnected := range []bool{false, true} {
 		c, l := leadingIn("b", phaseActive)
@@ -105,7 +105,7 @@
 }
 
 // A leader whose calls to nearly all workers fail doesn't wait for their reports before it
-// gives way: with two such nodes in a row the workers' leases were over.
+// gives way: with two such controllers in a row the workers' leases were over.
 func TestLeaderThatReachesNobodyGivesWaySoon(t *testing.T) {
 	c, l := leading(phaseReconciling)
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -107,9 +107,9 @@
 // answerWatch answers the latest watch.
 func (h *harness) answerWatch(answer WatchAnswer) { h.watches[len(h.watches)-1](answer) }
 
-func leaderItem(node string, term, boot, version, lease uint64) protocol.KeyValue {
+func leaderItem(controller string, term, boot, version, lease uint64) protocol.KeyValue {
 	return protocol.KeyValue{Key: records.KeyLeader, Version: version, Lease: lease,
-		Value: records.Encode(records.Leader{Node: node, Zone: "a", Term: term, Incarnation: boot})}
+		Value: records.Encode(records.Leader{Node: controller, Zone: "a", Term: term, Incarnation: boot})}
 }
 
 func termItem(term, version uint64) protocol.KeyValue {
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -79,7 +79,7 @@
 	return 200, protocol.EncodeRange(page, len(keys) > limit, 9)
 }
 
-// lead lets a node that nobody leads become the leader, and answers what it reads.
+// lead lets a controller that nobody leads become the leader, and answers what it reads.
 func (s *fakeStateService) lead(c *Controller) *leader {
 	c.election.Lead(leadership.Mandate{Term: 2, Version: 20, ElectedAt: c.now,
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}})
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -12,12 +12,12 @@
 	"brasskeel/internal/protocol"
 )
 
-// leading makes a node that leads in the given phase, with nothing running.
+// leading makes a controller that leads in the given phase, with nothing running.
 func leading(p recoveryPhase) (*Controller, *leader) {
 	return leadingIn("a", p)
 }
 
-// leadingIn is leading for a node of the given zone.
+// leadingIn is leading for a controller of the given zone.
 func leadingIn(zone string, p recoveryPhase) (*Controller, *leader) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	cfg := &config.Settings{Name: "n0", Zone: zone, HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// However many users ask, a node asks the state service a bounded number of times, and
-// what another node has told it to be over costs nothing.
+// However many users ask, a controller asks the state service a bounded number of times, and
+// what another controller has told it to be over costs nothing.
 func TestStatusQueriesShareChecks(t *testing.T) {
 	c, _ := leading(phaseActive)
 	c.election.StepDown("test")
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A node that is far behind sends away users who only ask, and serves the rest.
+// A controller that is far behind sends away users who only ask, and serves the rest.
 func TestOverloadShedsStatusQueries(t *testing.T) {
 	c, _ := leading(phaseActive)
 	c.admission.rememberAccepted("run-000001")
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -206,7 +206,7 @@
 func (l *leader) requestMachines(o autoscaler.Offer, count int) {
 	c, f := l.controller, &l.autoscaler
 	f.requestCount++
-	// Never used again, by this node or another: terms are unique, and so is
+	// Never used again, by this controller or another: terms are unique, and so is
 	// the counter within one.
 	name := fmt.Sprintf("t%d-%d", l.term, f.requestCount)
 	key := o.Key()
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -132,9 +132,9 @@
 		r := OwnerRecord{Owner: c.nextOwnership(as.To), Generation: k.value.Generation + 1}
 		r.HandedOver = !ok && unreadable == 0 // nobody served it
 		c.put(as.ID, max(k.version, unreadable), r)
-		if node := k.value.Owner.Name; ok && !owners[node] {
-			owners[node] = true
-			c.require(records.KeyMember(node), t.members[node].version)
+		if controller := k.value.Owner.Name; ok && !owners[controller] {
+			owners[controller] = true
+			c.require(records.KeyMember(controller), t.members[controller].version)
 		}
 	}
 	if !a.ShardingRecorded {
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -11,9 +11,9 @@
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
-func member(node string) Member { return Member{Name: node, Incarnation: 1} }
+func member(controller string) Member { return Member{Name: controller, Incarnation: 1} }
 
-// tableGeneration has three members, and shards that are owned by the nodes named.
+// tableGeneration has three members, and shards that are owned by the controllers named.
 func tableOf(t *testing.T, owners ...string) *Table {
 	t.Helper()
 	table := NewTable()
@@ -22,11 +22,11 @@
 			t.Fatal(err)
 		}
 	}
-	for _, node := range []string{"a", "b", "c"} {
-		put(records.KeyMember(node), MemberRecord{Member: member(node)}, 10)
+	for _, controller := range []string{"a", "b", "c"} {
+		put(records.KeyMember(controller), MemberRecord{Member: member(controller)}, 10)
 	}
-	for i, node := range owners {
-		put(records.KeyOwner(i+1), OwnerRecord{Owner: Ownership{member(node), uint64(i + 1)}, Generation: 1}, 20)
+	for i, controller := range owners {
+		put(records.KeyOwner(i+1), OwnerRecord{Owner: Ownership{member(controller), uint64(i + 1)}, Generation: 1}, 20)
 	}
 	return table
 }
@@ -110,8 +110,8 @@
 // fleet is three fit controllers, and shards of a hundred machines in turn.
 func fleet(shares ...float64) ([]Controller, []Shard) {
 	var controllers []Controller
-	for i, node := range []string{"a", "b", "c"} {
-		controllers = append(controllers, Controller{Member: member(node), Zone: "z", Fit: true, Load: Load{CPUShare: shares[i]}})
+	for i, controller := range []string{"a", "b", "c"} {
+		controllers = append(controllers, Controller{Member: member(controller), Zone: "z", Fit: true, Load: Load{CPUShare: shares[i]}})
 	}
 	var shards []Shard
 	for i := range 6 {
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -46,8 +46,8 @@
 // Put takes a record; an error says that it can't be read. Older versions than the one
 // that is known change nothing.
 func (t *Table) Put(key string, value json.RawMessage, version uint64) error {
-	if node, ok := strings.CutPrefix(key, records.PrefixMembers); ok {
-		return t.putMember(node, value, version)
+	if controller, ok := strings.CutPrefix(key, records.PrefixMembers); ok {
+		return t.putMember(controller, value, version)
 	}
 	number, ok := records.ParseOwnerKey(key)
 	if !ok {
@@ -68,23 +68,23 @@
 	return nil
 }
 
-func (t *Table) putMember(node string, value json.RawMessage, version uint64) error {
-	if version < t.members[node].version {
+func (t *Table) putMember(controller string, value json.RawMessage, version uint64) error {
+	if version < t.members[controller].version {
 		return nil
 	}
 	var m MemberRecord
-	if err := protocol.Decode(value, &m); err != nil || m.Name != node || m.Incarnation == 0 {
-		delete(t.members, node)
-		return &RecordError{Key: records.KeyMember(node), Reason: fmt.Sprintf("unreadable member %q: %.200q", node, value), Err: err}
+	if err := protocol.Decode(value, &m); err != nil || m.Name != controller || m.Incarnation == 0 {
+		delete(t.members, controller)
+		return &RecordError{Key: records.KeyMember(controller), Reason: fmt.Sprintf("unreadable member %q: %.200q", controller, value), Err: err}
 	}
-	t.members[node] = versioned[MemberRecord]{m, version}
+	t.members[controller] = versioned[MemberRecord]{m, version}
 	return nil
 }
 
 // Remove takes a key out that was removed at a version.
 func (t *Table) Remove(key string, version uint64) {
-	if node, ok := strings.CutPrefix(key, records.PrefixMembers); ok && t.members[node].version <= version {
-		delete(t.members, node)
+	if controller, ok := strings.CutPrefix(key, records.PrefixMembers); ok && t.members[controller].version <= version {
+		delete(t.members, controller)
 	}
 	if number, ok := records.ParseOwnerKey(key); ok && t.records[ID(number)].version <= version {
 		delete(t.records, ID(number))
@@ -92,7 +92,7 @@
 	}
 }
 
-// Applied takes a change of this node's own that was applied at a version.
+// Applied takes a change of this controller's own that was applied at a version.
 func (t *Table) Applied(c *Change, version uint64) {
 	for id, r := range c.Records {
 		if t.records[id].version < version {
@@ -120,17 +120,17 @@
 	return ok && k.value.Member == m
 }
 
-// Member gives the member of a node, and the version of its key; 0 without one.
-func (t *Table) Member(node string) (MemberRecord, uint64) {
-	k := t.members[node]
+// Member gives the member of a controller, and the version of its key; 0 without one.
+func (t *Table) Member(controller string) (MemberRecord, uint64) {
+	k := t.members[controller]
 	return k.value, k.version
 }
 
 // Members lists the members by name.
 func (t *Table) Members() []MemberRecord {
 	var list []MemberRecord
-	for _, node := range slices.Sorted(maps.Keys(t.members)) {
-		list = append(list, t.members[node].value)
+	for _, controller := range slices.Sorted(maps.Keys(t.members)) {
+		list = append(list, t.members[controller].value)
 	}
 	return list
 }
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -17,7 +17,7 @@
 	count             int  // of shards that there are to be
 	retiring          bool // they are to be given up: the leader is to serve all machines again
 	planner           *shard.Planner
-	channels          map[string]*ownerChannel // by node
+	channels          map[string]*ownerChannel // by controller
 	heardSinceByShard map[shard.ID]time.Time   // since when the owner of a shard is heard without a break
 	moves             *shard.Moves
 	writing           bool // a change of owners is under way
@@ -50,9 +50,9 @@
 		}
 		owner.shown.Update(c.now, m)
 	}
-	for node := range sl.channels {
-		if m, _ := sl.sharding.table.Member(node); m.Name == "" {
-			delete(sl.channels, node)
+	for controller := range sl.channels {
+		if m, _ := sl.sharding.table.Member(controller); m.Name == "" {
+			delete(sl.channels, controller)
 		}
 	}
 	for _, id := range sl.sharding.table.IDs() {
@@ -129,8 +129,8 @@
 		return
 	}
 	sl.leader.checkReconciled()
-	for _, node := range sl.members() {
-		owner := sl.channels[node]
+	for _, controller := range sl.members() {
+		owner := sl.channels[controller]
 		owner.Channel.CheckTimeouts(sl.leader.controller.now)
 		if owner.Channel.SnapshotDue() || owner.Channel.AckDue() {
 			sl.schedule(owner)
@@ -141,8 +141,8 @@
 
 func (sl *shardCoordinator) members() []string {
 	var nodes []string
-	for node := range sl.channels {
-		nodes = append(nodes, node)
+	for controller := range sl.channels {
+		nodes = append(nodes, controller)
 	}
 	slices.Sort(nodes)
 	return nodes
@@ -189,7 +189,7 @@
 	return owner == nil || l.controller.now.Sub(owner.heard) > ownerTimeout
 }
 
-// resignIfDisconnected lets another node lead if this one hears no owner but itself, reaches no workers
+// resignIfDisconnected lets another controller lead if this one hears no owner but itself, reaches no workers
 // either, and the state service shows that others do. It reports whether it did.
 func (sl *shardCoordinator) resignIfIsolated() bool {
 	l, c := sl.leader, sl.leader.controller
@@ -197,8 +197,8 @@
 		return false
 	}
 	able := 0
-	for node, owner := range sl.channels {
-		if node == c.cfg.Name {
+	for controller, owner := range sl.channels {
+		if controller == c.cfg.Name {
 			if owner.status.Load.Machines > 0 && !owner.partitioned {
 				return false
 			}
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -20,8 +20,8 @@
 	c, l := leading(phaseActive)
 	c.operator.Sharding = &config.Sharding{ShardsPerController: 1}
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), loaded: true}
-	for _, node := range []string{"n1", "n2"} {
-		put(t, c.sharding.table, records.KeyMember(node), shard.MemberRecord{Member: shard.Member{Name: node, Incarnation: 1}}, 3)
+	for _, controller := range []string{"n1", "n2"} {
+		put(t, c.sharding.table, records.KeyMember(controller), shard.MemberRecord{Member: shard.Member{Name: controller, Incarnation: 1}}, 3)
 	}
 	put(t, c.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n1", Incarnation: 1}, Term: 5}}, 4)
 	l.shards = newShardCoordinator(l, c.sharding, false)
@@ -43,8 +43,8 @@
 }
 
 // seen is a message of an owner's that tells of a shard under a term.
-func seen(l *leader, node string, term, seq uint64) *shard.Observations {
-	member := shard.Member{Name: node, Incarnation: 1}
+func seen(l *leader, controller string, term, seq uint64) *shard.Observations {
+	member := shard.Member{Name: controller, Incarnation: 1}
 	return &shard.Observations{Header: shard.Header{Epoch: shard.Epoch{Term: l.term, Member: member}, Sequence: seq, Snapshot: seq == 1},
 		ServedTerms: map[shard.ID]uint64{1: term}}
 }
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -29,7 +29,7 @@
 	partitionedUntil time.Time // until when workers are better not sent here
 }
 
-// startSharding makes the node one that may own shards.
+// startSharding makes the controller one that may own shards.
 func (c *Controller) startSharding(draining bool) {
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), draining: draining, redirector: newRedirector(c)}
 	c.sharding.loadTable()
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -30,7 +30,7 @@
 // watchWorkers asks workers that fell silent, and proves what silence proves.
 func (o *shardOwner) watchWorkers() {
 	if o.detector.Scan(o.controller.now) || o.controller.store.Unavailable() || !o.holdsLease() {
-		o.detector.Reset(o.controller.now) // workers that got no answer look for another node
+		o.detector.Reset(o.controller.now) // workers that got no answer look for another controller
 		return
 	}
 	var ask []*machine
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -35,7 +35,7 @@
 		c.refuse(id, 503, "busy")
 		return
 	}
-	// Anything but a final state may have been overtaken at another node, so
+	// Anything but a final state may have been overtaken at another controller, so
 	// it needs a fresh read; without one there is no answer.
 	if c.store.Unavailable() {
 		c.refuseWithoutStore(id)
