--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -429,11 +429,11 @@
 		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + overload.Overloaded + time.Millisecond))
 	}
 	if !c.overload.Persistent(c.now) || l.mayScaleOut() {
-		t.Errorf("strained: %t", c.overload.Persistent(c.now))
+		t.Errorf("persistent overload: %t", c.overload.Persistent(c.now))
 	}
 	c.now = c.now.Add(3 * time.Second) // in which it kept up
 	if c.overload.Persistent(c.now) {
-		t.Error("strained after it kept up")
+		t.Error("persistently overloaded after it kept up")
 	}
 }
 
