--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -8,7 +8,7 @@
 )
 
 // acceptsTasks reports whether a machine takes new tasks: it has reported to this
-// leader and been reached by it, is not on its way out, and isn't silent. One whose reports don't come
+// leader and been reached by it, is not on its way out, and isn't silent. One whose heartbeats don't come
 // while it answers calls loses all that runs there once its lease is over.
 func (l *leader) acceptsTasks(m *machine) bool {
 	if !m.session.Registered || m.session.LastReached.IsZero() || !m.recorded || m.Spec == nil || !m.lifecycle.inService() ||
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -34,7 +34,7 @@
 // minOpenRequests is allowed to wait however small the state service is.
 const minOpenRequests = 400
 
-// maxDeferredHeartbeats bounds the reports that are held for a leader: each takes a socket.
+// maxDeferredHeartbeats bounds the heartbeats that are deferred until there is a leader: each takes a socket.
 func (c *Controller) maxDeferredHeartbeats() int { return c.cfg.Sockets / 2 }
 
 // maxUnrecordedStarts bounds the placements that wait to be recorded, so that one round keeps
--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -16,7 +16,7 @@
 // The limits, in the order in which they are logged.
 const (
 	OpenRequests         Limit = iota // requests of users that wait for the state service
-	DeferredHeartbeats                // reports that are held for a leader
+	DeferredHeartbeats                // heartbeats that wait for a leader
 	Outcomes                          // final states kept in memory
 	AcceptedJobs                      // accepted jobs kept in memory
 	Announcements                     // final states that wait to be announced to peers
--- a/internal/coordination/placement/images.go
+++ b/internal/coordination/placement/images.go
@@ -4,7 +4,7 @@
 // comparing names took most of that.
 type ImageID = int32
 
-// ImageCache is what a machine is taken to hold. Reports carry no image lists, so it is
+// ImageCache is what a machine is taken to hold. Heartbeats carry no image lists, so it is
 // inferred: a task that runs had its image, and the worker keeps the most recently used ones
 // within its space.
 type ImageCache struct {
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -45,7 +45,7 @@
 	Reserved    Resources // room that preemption frees for others, until the next round
 	Incoming    Resources // room kept for running work that is to move here
 	ReplicaCPUs float64   // taken by replicas of services
-	ReportBytes int       // that the tasks take in a report of the worker's at the most
+	ReportBytes int       // that the tasks take in a heartbeat of the worker's at the most
 
 	Images       ImageCache
 	NeededImages ImageCounts // images of the attempts on it
@@ -101,12 +101,12 @@
 }
 
 // FitsInReport reports whether a machine may hold one more task, by what a report that
-// names all its tasks takes. Part of a report is left for exited tasks that the worker may
+// names all its tasks takes. Part of a heartbeat is left for exited tasks that the worker may
 // not forget yet.
 func (m *Machine) FitsInReport(j *protocol.Job) bool {
 	return m.ReportBytes+protocol.TaskStatusBytes(j.ID) <= MaxTaskReportBytes
 }
 
-// MaxTaskReportBytes is what the tasks placed on a machine may take in its worker's report: three
+// MaxTaskReportBytes is what the tasks placed on a machine may take in its worker's heartbeat: three
 // quarters of it.
 const MaxTaskReportBytes = protocol.MaxBody * 3 / 4
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -131,7 +131,7 @@
 	// had started.
 	tier := j.standing(now.Round(0)).AgedTier()
 	if tier >= queue.BestEffort && l.controller.overload.Overloaded() {
-		// Each start makes reports and records to come. A leader alone with thousands
+		// Each start makes heartbeats and records to come. A leader alone with thousands
 		// of tasks of a few seconds lost its lease to them again and again.
 		return interruptRound
 	}
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -22,7 +22,7 @@
 // A leader that ends in between leaves a task that counts as moved and waits like others.
 
 const (
-	// stopDuration is what a stop and its proof take besides saving: a call, and a report.
+	// stopDuration is what a stop and its proof take besides saving: a call, and a heartbeat.
 	stopDuration = time.Second
 	// migrationsDivisor bounds the moves under way, as a part of the fleet, and minMigrations from below.
 	migrationsDivisor = 50
--- a/internal/coordination/shard/channel.go
+++ b/internal/coordination/shard/channel.go
@@ -97,7 +97,7 @@
 		return false
 	}
 	if h.Sequence <= l.received {
-		return false // a copy: what it told may be long over, also where it began an report
+		return false // a copy: what it told may be long over, also where it began a snapshot
 	}
 	if !h.Snapshot && (!l.inOrder || h.Sequence != l.received+1) {
 		// One of those after a lost message: a snapshot will come.
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -103,14 +103,14 @@
 	for _, m := range f.owner.fleetList {
 		f.changedWorkers[m], f.withTaskStates[m] = true, true
 		for _, k := range m.exits {
-			k.sentAt = time.Time{} // the next report brings it
+			k.sentAt = time.Time{} // the next snapshot brings it
 		}
 		clear(m.orphans)
 	}
 }
 
-// appendWorkers adds workers that are to be told of, about as many as a message holds, and in a full
-// report the states of their tasks.
+// appendWorkers adds workers that are to be told of, about as many as a message holds, and in a
+// snapshot the states of their tasks.
 func (f *changeFeed) appendWorkers() {
 	if len(f.changedWorkers) == 0 {
 		return
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -236,9 +236,9 @@
 	return reach
 }
 
-// maxUnanswered is how long a worker's reports may go unanswered before it counts as lost to
+// maxUnanswered is how long a worker's heartbeats may go unanswered before it counts as lost to
 // its owner, whether or not it answers calls: where links break and come back every few
-// seconds calls get through now and then, and reports, which come rarely, don't.
+// seconds calls get through now and then, and heartbeats, which come rarely, don't.
 func (c *Controller) maxUnanswered() time.Duration { return c.cfg.WorkerLease / 3 }
 
 // partitionedHold is for how long after it lost most of its workers a controller tells the others
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -23,7 +23,7 @@
 	feed                *changeFeed         // to the leader
 	loading             bool                // the machines' records are being read
 	reload              bool                // and are to be read once more: a shard was taken meanwhile
-	heartbeats          int                 // reports since the last status
+	heartbeats          int                 // since the last status
 	reachabilityAt      time.Time           // when its member record last showed its reach
 	reachabilityReports uint64              // times that it did
 }
