--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -119,14 +119,22 @@
 	return r, nil
 }
 
+// What a heartbeat without its sender lacks. Made once: workers that are not themselves may
+// answer every probe so.
+var (
+	errNoMachine     = heartbeatError("deck", "is missing or not a name")
+	errNoIncarnation = heartbeatError("watch", reasonMissing)
+	errNoSequence    = heartbeatError("logSeq", reasonMissing)
+)
+
 func (w *wireHeartbeat) validate() error {
 	switch {
 	case !validName(w.Machine):
-		return heartbeatError("deck", "is missing or not a name")
+		return errNoMachine
 	case w.Incarnation == nil || *w.Incarnation == 0:
-		return heartbeatError("watch", reasonMissing)
+		return errNoIncarnation
 	case w.Sequence == nil:
-		return heartbeatError("logSeq", reasonMissing)
+		return errNoSequence
 	}
 	return nil
 }
