--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -98,7 +98,7 @@
 func (f *fleetReport) computeShares() {
 	for _, m := range f.machines {
 		if t := f.types[m.machineType]; t != nil {
-			m.share = balance.Share(m.reserved, placement.Capacity(t))
+			m.share = balance.DominantShare(m.reserved, placement.Capacity(t))
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		}
 	}
 	if r.Surge != 0 && r.Surge == f.surges[spec.Team].Number {
-		moved, err := r.MovedTasks(job.BlockSize)
+		moved, err := r.MigratedTasks(job.BlockSize)
 		if err != nil {
 			return fmt.Errorf("chunk %d: %w", index, err)
 		}
@@ -231,7 +231,7 @@
 	if t := f.types[m.machineType]; t != nil {
 		capacity = placement.Capacity(t)
 	}
-	share := func(team string) float64 { return balance.Share(m.reservedByTeam[team], capacity) }
+	share := func(team string) float64 { return balance.DominantShare(m.reservedByTeam[team], capacity) }
 	teams := slices.SortedFunc(maps.Keys(m.reservedByTeam), func(a, b string) int { return cmp.Or(cmp.Compare(share(b), share(a)), cmp.Compare(a, b)) })
 	var parts []string
 	for _, team := range teams {
--- a/cmd/brasskeel/balance_test.go
+++ b/cmd/brasskeel/balance_test.go
@@ -17,7 +17,7 @@
 	}
 	done := records.TaskBlock{Tasks: []records.TaskEntry{{Offset: 1, Attempt: 1, Machine: "vm-1"}, {Offset: 2, Attempt: 2, Machine: "vm-2"}, {Offset: 3, Attempt: 1}}}
 	done.SetDone([]bool{true, false, false, false})
-	done.SetMoved(1764680000000, []bool{true, false, true, false})
+	done.SetMigrated(1764680000000, []bool{true, false, true, false})
 	for _, it := range []struct {
 		take  func(protocol.KeyValue) error
 		key   string
--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -184,12 +184,12 @@
 	}
 	c.trace.record(e.Spans)
 	if len(e.Broadcasts) > 0 { // once a second
-		c.core.ProcessorUsed(time.Now(), processorTime())
-		c.core.PeerLinesLost(c.peers.TakeDropped())
+		c.core.ObserveProcessorTime(time.Now(), processorTime())
+		c.core.CountLostPeerMessages(c.peers.TakeDropped())
 		k := c.loop.TakeCounts()
-		c.core.Sockets(k.ClosedWhenCrowded, k.ClosedForRoom, k.CallsWithoutSocket)
+		c.core.CountSocketLimits(k.ClosedWhenCrowded, k.ClosedForRoom, k.CallsWithoutSocket)
 	}
-	if next := c.core.Next(); !next.IsZero() && (c.timerAt.IsZero() || next.Before(c.timerAt)) {
+	if next := c.core.NextTick(); !next.IsZero() && (c.timerAt.IsZero() || next.Before(c.timerAt)) {
 		c.timerAt = next
 		c.timer.Reset(max(0, time.Until(next)))
 	}
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -11,33 +11,33 @@
 // Bounds of what admission keeps in memory: a small part of what the smallest controllers
 // have. What is forgotten is read again from the state service.
 const (
-	maxOutcomes = 50_000
-	maxAccepted = 50_000
+	maxCachedOutcomes     = 50_000
+	maxCachedAcceptedJobs = 50_000
 )
 
 // admission serves users. It works the same on every controller: jobs and their final states
 // are written to the state service before the user is told, and the leader learns of them from
 // there. It never tells a user of a state that it hasn't written, or read since the request.
 type admission struct {
-	limits         *limits.Counters
-	maxUnannounced int
-	outcomes       map[string]jobOutcome // told or read; can't change any more
-	accepted       map[string]struct{}   // accepted jobs
-	queries        []statusQuery         // wait for the next check
-	lastCheck      time.Time             // when the last check was sent
-	checking       bool
-	unannounced    []outcomeAnnouncement // final states that peers are to be told
-	openRequests   int
-
-	submissions []*submission // wait for the next transaction
-	submitting  bool
+	limits                  *limits.Counters
+	maxPendingAnnouncements int
+	outcomes                map[string]jobOutcome // told or read; can't change any more
+	accepted                map[string]struct{}   // accepted jobs
+	pendingQueries          []statusQuery         // wait for the next check
+	lastCheckSentAt         time.Time             // when the last check was sent
+	checkInFlight           bool
+	pendingAnnouncements    []outcomeAnnouncement // final states that peers are to be told
+	openRequests            int
+
+	pendingSubmissions []*submission // wait for the next transaction
+	submissionInFlight bool
 }
 
 // outcomeAnnouncement is a final state on its way to the peers.
 type outcomeAnnouncement struct {
-	job     string
-	outcome jobOutcome
-	sent    int // it was told
+	job       string
+	outcome   jobOutcome
+	sendCount int // it was told
 }
 
 // jobOutcome is a job's final state and the number of its tasks that were done.
@@ -53,17 +53,17 @@
 }
 
 func (a *admission) init(c *Controller) {
-	a.limits, a.maxUnannounced = &c.limits, c.maxUnannounced()
+	a.limits, a.maxPendingAnnouncements = &c.limits, c.maxUnannounced()
 	a.outcomes = map[string]jobOutcome{}
 	a.accepted = map[string]struct{}{}
 }
 
-func (a *admission) rememberOutcome(job string, s protocol.JobState, done int) {
-	if len(a.outcomes) >= maxOutcomes {
-		a.limits.Reached(limits.Outcomes)
+func (a *admission) cacheOutcome(job string, s protocol.JobState, done int) {
+	if len(a.outcomes) >= maxCachedOutcomes {
+		a.limits.Reached(limits.CachedOutcomes)
 		for k := range a.outcomes {
 			delete(a.outcomes, k)
-			if len(a.outcomes) < maxOutcomes*9/10 {
+			if len(a.outcomes) < maxCachedOutcomes*9/10 {
 				break
 			}
 		}
@@ -72,27 +72,27 @@
 	delete(a.accepted, job)
 }
 
-// learnOutcome is rememberOutcome for what this controller wrote or learned as a leader: its peers
+// publishOutcome is cacheOutcome for what this controller wrote or learned as a leader: its peers
 // hear of it, so that they need not read it for each user who asks them.
-func (a *admission) learnOutcome(job string, s protocol.JobState, done int) {
+func (a *admission) publishOutcome(job string, s protocol.JobState, done int) {
 	if _, ok := a.outcomes[job]; !ok {
-		a.announce(outcomeAnnouncement{job: job, outcome: jobOutcome{s, done}})
+		a.announceOutcome(outcomeAnnouncement{job: job, outcome: jobOutcome{s, done}})
 	}
-	a.rememberOutcome(job, s, done)
+	a.cacheOutcome(job, s, done)
 }
 
-// announce lets the peers hear of a final state with the next lines.
-func (a *admission) announce(f outcomeAnnouncement) {
-	if len(a.unannounced) >= a.maxUnannounced {
-		a.limits.Reached(limits.Announcements)
+// announceOutcome lets the peers hear of a final state with the next lines.
+func (a *admission) announceOutcome(f outcomeAnnouncement) {
+	if len(a.pendingAnnouncements) >= a.maxPendingAnnouncements {
+		a.limits.Reached(limits.OutcomesToBroadcast)
 		return
 	}
-	a.unannounced = append(a.unannounced, f)
+	a.pendingAnnouncements = append(a.pendingAnnouncements, f)
 }
 
-func (a *admission) rememberAccepted(job string) {
-	if len(a.accepted) >= maxAccepted {
-		a.limits.Reached(limits.AcceptedJobs)
+func (a *admission) cacheAccepted(job string) {
+	if len(a.accepted) >= maxCachedAcceptedJobs {
+		a.limits.Reached(limits.CachedAcceptedJobs)
 		clear(a.accepted)
 	}
 	a.accepted[job] = struct{}{}
@@ -115,11 +115,11 @@
 	}
 	switch route {
 	case protocol.RouteHealth:
-		c.health(id)
+		c.replyHealth(id)
 		return
 	case protocol.RouteHeartbeat:
 		c.requestCounts.Heartbeats++
-		c.heartbeat(id, body)
+		c.handleHeartbeat(id, body)
 		return
 	}
 	if c.admission.openRequests >= c.maxOpenRequests() {
@@ -139,11 +139,11 @@
 	}
 }
 
-// health is honest about the cases in which other controllers may serve users and this
+// replyHealth is honest about the cases in which other controllers may serve users and this
 // one can't: the state service refuses it while a peer still reaches it, or it is
 // cut off from both. In an outage that peers confirm, no controller is better than
 // another, and leaving the balancer would only cost time when it ends.
-func (c *Controller) health(id uint64) {
+func (c *Controller) replyHealth(id uint64) {
 	if c.store.Unavailable() && len(c.cfg.Peers) > 0 && (c.peers.StoreReachable(c.now) || !c.peers.AnyFresh(c.now)) {
 		c.refuse(id, 503, "the state service refuses this node")
 		return
@@ -151,17 +151,17 @@
 	c.reply(id, 200, []byte(`{"ok":true}`))
 }
 
-// refuseWithoutStore refuses what needs the state service. The connection is
+// refuseStoreUnavailable refuses what needs the state service. The connection is
 // closed: its user would go on asking this controller, perhaps the only one that is cut
 // off, while a new connection may lead to another.
-func (c *Controller) refuseWithoutStore(id uint64) {
+func (c *Controller) refuseStoreUnavailable(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
 		Body: protocol.EncodeError("the state service does not answer")})
 }
 
-// refuseForNow sends a user away whose request is one too many at the moment. Not all
+// refuseRetryLater sends a user away whose request is one too many at the moment. Not all
 // are told to come back at the same time.
-func (c *Controller) refuseForNow(id uint64) {
+func (c *Controller) refuseRetryLater(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + c.rng.IntN(3),
 		Body: protocol.EncodeError("too much at once")})
 }
@@ -171,8 +171,8 @@
 // help with.
 func (c *Controller) refuseFailedTxn(id uint64, r statestore.CommitResult) {
 	if r.Status == statestore.CommitRefused && !c.store.Unavailable() {
-		c.refuseForNow(id)
+		c.refuseRetryLater(id)
 	} else {
-		c.refuseWithoutStore(id)
+		c.refuseStoreUnavailable(id)
 	}
 }
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -14,9 +14,9 @@
 // until detach.
 func (l *leader) attach(a *attempt) {
 	j, m := a.job, a.machine
-	j.task(a.task).live = a
+	j.task(a.taskIndex).live = a
 	j.liveAttempts++
-	j.zones[m.Zone]++
+	j.attemptsByZone[m.Zone]++
 	l.track(a)
 	l.rebalancer.attemptAttached(a)
 	m.NeededImages.Add(j.imageID, 1)
@@ -26,7 +26,7 @@
 	}
 	m.cpusByPriority[j.Priority] += j.CPUs
 	if a.stopRequested {
-		l.countStop(a, 1)
+		l.adjustStoppingTotals(a, 1)
 	}
 	if j.Kind == protocol.Service {
 		m.ReplicaCPUs += j.CPUs
@@ -45,22 +45,22 @@
 // attempt is gone and can't start any more.
 func (l *leader) detach(a *attempt, reason string) {
 	j, m := a.job, a.machine
-	t := j.task(a.task)
+	t := j.task(a.taskIndex)
 	if t.live != a {
 		return
 	}
-	l.controller.log.Debug("attempt terminated", "job", j.ID, "task", a.task, "attempt", a.number, "machine", m.Name, "reason", reason)
+	l.controller.log.Debug("attempt terminated", "job", j.ID, "task", a.taskIndex, "attempt", a.number, "machine", m.Name, "reason", reason)
 	l.rebalancer.attemptDetached(a)
 	l.setTaskState(a, 0)
 	t.live = nil
 	j.liveAttempts--
-	if j.zones[m.Zone]--; j.zones[m.Zone] == 0 {
-		delete(j.zones, m.Zone)
+	if j.attemptsByZone[m.Zone]--; j.attemptsByZone[m.Zone] == 0 {
+		delete(j.attemptsByZone, m.Zone)
 	}
 	l.untrack(a)
 	m.NeededImages.Add(j.imageID, -1)
 	if a.stopRequested {
-		l.countStop(a, -1)
+		l.adjustStoppingTotals(a, -1)
 	}
 	m.Allocated = m.Allocated.Minus(placement.Needs(j.Job))
 	m.cpusByPriority[j.Priority] -= j.CPUs
@@ -80,13 +80,13 @@
 	u.cpus -= j.CPUs
 	u.gpus -= j.GPUs
 	if j.finalState == 0 && !t.done {
-		j.retryQueue = append(j.retryQueue, a.task)
+		j.retryQueue = append(j.retryQueue, a.taskIndex)
 	}
 	l.rebalancer.migrationStopped(a)
 	if j.finalState == 0 {
-		l.writer.markLazy(j.block(a.task))
+		l.writer.markLazy(j.block(a.taskIndex))
 	}
-	l.jobProgressed(j)
+	l.finalizeJobIfComplete(j)
 	l.requestPlacement()
 }
 
@@ -99,10 +99,10 @@
 		a.job.runningTasks--
 	}
 	if s == protocol.Running {
-		l.taskRuns(a.job)
-		l.rebalancer.attemptRuns(a)
+		l.taskStartedRunning(a.job)
+		l.rebalancer.attemptStartedRunning(a)
 		if !a.delivery.Inherited {
-			l.controller.log.Debug("task running", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name,
+			l.controller.log.Debug("task running", "job", a.job.ID, "task", a.taskIndex, "attempt", a.number, "machine", a.machine.Name,
 				"within", a.job.withinQuota(), "placed", l.controller.now.Sub(a.placedAt), "age", l.controller.now.Round(0).Sub(a.job.submitted))
 		}
 	}
@@ -117,19 +117,19 @@
 	}
 	t.done = true
 	j.doneTasks++
-	j.history.Succeeded()
+	j.history.RecordSuccess()
 	if t.live != nil {
 		l.stopAttempt(t.live, 0)
 	} else if k := slices.Index(j.retryQueue, i); k >= 0 {
 		j.retryQueue = slices.Delete(j.retryQueue, k, k+1)
 	}
 	l.writer.markLazy(j.block(i))
-	l.jobProgressed(j)
+	l.finalizeJobIfComplete(j)
 }
 
-// jobProgressed writes the outcome of a complete job and removes the records
+// finalizeJobIfComplete writes the outcome of a complete job and removes the records
 // of one that is over and has no attempt left.
-func (l *leader) jobProgressed(j *job) {
+func (l *leader) finalizeJobIfComplete(j *job) {
 	if l.phase == phaseLoading {
 		return
 	}
@@ -163,7 +163,7 @@
 			}
 		}
 	}
-	l.jobProgressed(j)
+	l.finalizeJobIfComplete(j)
 	l.requestPlacement()
 }
 
@@ -183,42 +183,42 @@
 	}
 	if !a.stopRequested {
 		a.stopRequested = true
-		l.countStop(a, 1)
+		l.adjustStoppingTotals(a, 1)
 	}
 	a.stopGrace, a.stopSentAt = grace, time.Time{}
 	if a.delivery.NeverSent() && !l.writeInFlight(a) {
 		l.detach(a, "never sent")
 		return
 	}
-	l.orderSoon(a)
+	l.scheduleAttemptOrders(a)
 }
 
 // writeInFlight reports whether a write that holds the attempt may be under
 // way; it is dealt with when that ends.
 func (l *leader) writeInFlight(a *attempt) bool {
-	return !a.recorded && a.job.block(a.task).record.InFlight()
+	return !a.recorded && a.job.block(a.taskIndex).record.InFlight()
 }
 
-// countStop counts an attempt among those that were told to end, or takes it out.
+// adjustStoppingTotals counts an attempt among those that were told to end, or takes it out.
 // Whoever looks for room needs the sums of a machine or a team, for every job and
 // task: found anew each time they cost a leader with thousands of waiting tasks
 // seconds at a time, more than its lease.
-func (l *leader) countStop(a *attempt, delta int) {
+func (l *leader) adjustStoppingTotals(a *attempt, delta int) {
 	j, m, sign := a.job, a.machine, float64(delta)
-	m.stopCount += delta
+	m.stopRequestedCount += delta
 	if delta > 0 {
 		m.Terminating = m.Terminating.Plus(placement.Needs(j.Job))
 	} else {
 		m.Terminating = m.Terminating.Minus(placement.Needs(j.Job))
 	}
-	s := l.stopping[j.Team]
+	s := l.stoppingUsage[j.Team]
 	s.cpus += sign * j.CPUs
 	s.gpus += sign * j.GPUs
-	l.stopping[j.Team] = s
+	l.stoppingUsage[j.Team] = s
 }
 
 type task struct {
-	attempt            uint64 // the latest number used
+	lastAttemptNumber  uint64 // the latest number used
 	live               *attempt
 	done               bool
 	doneRecorded       bool        // recorded as done
@@ -228,11 +228,11 @@
 
 // attempt is one try at a task on a machine, until proven gone.
 type attempt struct {
-	job      *job
-	task     int
-	number   uint64
-	machine  *machine
-	placedAt time.Time
+	job       *job
+	taskIndex int
+	number    uint64
+	machine   *machine
+	placedAt  time.Time
 
 	recorded   bool // in the state service: its start may be sent
 	delivery   sessions.Delivery
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -12,12 +12,12 @@
 
 // Times of the fleet's dealings with the cloud.
 const (
-	cloudTimeout       = 4 * time.Second
-	noCapacityPause    = 15 * time.Second // after "no capacity"
-	typesInterval      = 45 * time.Second
-	minimumBilledTime  = 60 * time.Second
-	releaseRetry       = time.Second
-	consolidationPause = 10 * time.Second
+	cloudTimeout          = 4 * time.Second
+	noCapacityBackoff     = 15 * time.Second // after "no capacity"
+	machineTypesInterval  = 45 * time.Second
+	minimumBilledTime     = 60 * time.Second
+	releaseRetryInterval  = time.Second
+	consolidationInterval = 10 * time.Second
 )
 
 // maxPlannedMachines bounds how many machines one turn asks for: its answers show what is
@@ -34,27 +34,27 @@
 	tasks int
 }
 
-// scaler is what a leader keeps to rent and return machines.
-type scaler struct {
-	callBudget           *ratelimit.TokenBucket
-	unmetDemand          []demand
-	displacedReplicas    map[*job]int // replicas that silent machines are kept for, until there is room
-	demandIncomplete     bool         // the last round ended early: unmetDemand isn't all there is
-	scaleOutScheduled    bool
-	requestCount         uint64
-	unavailableUntil     map[autoscaler.OfferKey]time.Time // offers without capacity
-	requested            map[autoscaler.OfferKey]int       // machines asked for, by offer
-	releaseInFlight      bool
-	inventoryInFlight    bool
-	inventoryRequestedAt time.Time // when the list was last asked for
-	inventoryComplete    bool      // it was read in full since this controller leads
-	typesRequestedAt     time.Time
-	consolidatedAt       time.Time
-	loggedAt             time.Time
-	largestOnDemand      float64 // CPUs of the largest job seen that may not use spot machines
+// autoscalerState is what a leader keeps to rent and return machines.
+type autoscalerState struct {
+	callBudget              *ratelimit.TokenBucket
+	unmetDemand             []demand
+	displacedReplicas       map[*job]int // replicas that silent machines are kept for, until there is room
+	demandIncomplete        bool         // the last round ended early: unmetDemand isn't all there is
+	scaleOutScheduled       bool
+	requestCount            uint64
+	unavailableUntil        map[autoscaler.OfferKey]time.Time // offers without capacity
+	requested               map[autoscaler.OfferKey]int       // machines asked for, by offer
+	releaseInFlight         bool
+	inventoryInFlight       bool
+	inventoryRequestedAt    time.Time // when the list was last asked for
+	inventoryComplete       bool      // it was read in full since this controller leads
+	machineTypesRequestedAt time.Time
+	consolidatedAt          time.Time
+	utilizationLoggedAt     time.Time
+	largestOnDemandCPUs     float64 // CPUs of the largest job seen that may not use spot machines
 }
 
-func (f *scaler) init(l *leader) {
+func (f *autoscalerState) init(l *leader) {
 	rps := l.controller.cfg.CloudRPS
 	f.callBudget = ratelimit.NewTokenBucket(rps*0.9, rps*1.5, l.controller.now)
 	f.unavailableUntil, f.requested = map[autoscaler.OfferKey]time.Time{}, map[autoscaler.OfferKey]int{}
@@ -77,9 +77,9 @@
 // maintain is the fleet's regular turn.
 func (l *leader) maintain() {
 	c, f := l.controller, &l.autoscaler
-	for name, at := range l.terminated {
+	for name, at := range l.terminatedAt {
 		if c.now.Sub(at) > 5*time.Minute {
-			delete(l.terminated, name)
+			delete(l.terminatedAt, name)
 		}
 	}
 	if l.phase == phaseLoading {
@@ -89,14 +89,14 @@
 		l.shards.step()
 	}
 	l.logPendingReasons()
-	if c.now.Sub(f.typesRequestedAt) > typesInterval && f.callBudget.Take(c.now, 1) {
-		f.typesRequestedAt = c.now
+	if c.now.Sub(f.machineTypesRequestedAt) > machineTypesInterval && f.callBudget.TryTake(c.now, 1) {
+		f.machineTypesRequestedAt = c.now
 		c.fetchMachineTypes(func(ok bool) {
 			if ok && l.alive() {
 				for _, m := range l.fleetList {
 					m.Spec = c.types[m.Type]
 				}
-				l.saveTypes()
+				l.saveMachineTypes()
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 	l.scaleOut()
 	l.scaleIn()
 	l.consolidate()
-	l.rebalancer.migrationStep()
+	l.rebalancer.reconcileMigrations()
 	l.sendReleases()
 	l.logUtilization()
 }
@@ -121,10 +121,10 @@
 // went out since the last time.
 func (l *leader) logUtilization() {
 	c, f := l.controller, &l.autoscaler
-	if c.now.Sub(f.loggedAt) < 5*time.Second {
+	if c.now.Sub(f.utilizationLoggedAt) < 5*time.Second {
 		return
 	}
-	f.loggedAt = c.now
+	f.utilizationLoggedAt = c.now
 	type use struct{ machines, consolidating, holdingReplicas, cpus, replicaCPUs, allocated float64 }
 	var spot, onDemand use
 	for _, m := range l.fleetList {
@@ -151,7 +151,7 @@
 	c.requestCounts = requestCounts{}
 }
 
-func (l *leader) saveTypes() {
+func (l *leader) saveMachineTypes() {
 	var list []protocol.MachineType
 	for _, t := range l.controller.types {
 		list = append(list, *t)
--- a/internal/coordination/autoscaler/bins.go
+++ b/internal/coordination/autoscaler/bins.go
@@ -19,8 +19,8 @@
 	return &Bin{Offer: o, cpus: o.Spec.CPUs, gpus: o.Spec.GPUs, memoryGB: o.Spec.MemoryGB}
 }
 
-// take puts a task of a job into the bin, and reports whether it fits.
-func (b *Bin) take(j *protocol.Job) bool {
+// place puts a task of a job into the bin, and reports whether it fits.
+func (b *Bin) place(j *protocol.Job) bool {
 	if !b.Offer.Allows(j) || j.CPUs > b.cpus+protocol.Epsilon || j.GPUs > b.gpus+protocol.Epsilon || j.MemoryGB > b.memoryGB+protocol.Epsilon ||
 		b.reportBytes+protocol.TaskStatusBytes(j.ID) > placement.MaxTaskReportBytes {
 		return false
@@ -32,34 +32,34 @@
 	return true
 }
 
-// zonePlan applies a job's rules about zones to tasks that are planned.
-type zonePlan struct {
-	job   *protocol.Job // nil without rules
-	count map[string]int
+// zoneConstraint applies a job's rules about zones to tasks that are planned.
+type zoneConstraint struct {
+	job         *protocol.Job // nil without rules
+	tasksByZone map[string]int
 }
 
-// newZonePlan begins with the zones where the job has tasks already.
-func newZonePlan(j *protocol.Job, zones map[string]int) *zonePlan {
+// newZoneConstraint begins with the zones where the job has tasks already.
+func newZoneConstraint(j *protocol.Job, zones map[string]int) *zoneConstraint {
 	z := anyZone()
 	if j.OneZone || j.Spread {
 		z.job = j
-		maps.Copy(z.count, zones)
+		maps.Copy(z.tasksByZone, zones)
 	}
 	return z
 }
 
-func anyZone() *zonePlan { return &zonePlan{count: map[string]int{}} }
+func anyZone() *zoneConstraint { return &zoneConstraint{tasksByZone: map[string]int{}} }
 
-func (z *zonePlan) allows(zone string) bool {
+func (z *zoneConstraint) allows(zone string) bool {
 	if z.job == nil {
 		return true
 	}
 	if z.job.OneZone {
-		for k := range z.count {
+		for k := range z.tasksByZone {
 			if k != zone {
 				return false
 			}
 		}
 	}
-	return !z.job.Spread || z.count[zone]+1 <= (z.job.Tasks+1)/2
+	return !z.job.Spread || z.tasksByZone[zone]+1 <= (z.job.Tasks+1)/2
 }
--- a/internal/coordination/autoscaler/offers.go
+++ b/internal/coordination/autoscaler/offers.go
@@ -114,10 +114,10 @@
 	return o.PricePerCPU() > opportunisticPriceFactor*lowest
 }
 
-// Best is the cheapest of some offers for tasks of a job, by the price of the share of a
+// BestOffer is the cheapest of some offers for tasks of a job, by the price of the share of a
 // machine that they use; a machine much too large for the tasks that are left counts in full.
 // It is false where none will do.
-func Best(offers []Offer, j *protocol.Job, tasks int, zoneAllowed func(zone string) bool) (best Offer, found bool) {
+func BestOffer(offers []Offer, j *protocol.Job, tasks int, zoneAllowed func(zone string) bool) (best Offer, found bool) {
 	bestCost := 0.0
 	for _, o := range offers {
 		if !o.Allows(j) || !zoneAllowed(o.Zone) {
--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -73,10 +73,10 @@
 // Booting is how many machines boot or are planned.
 func (p *Plan) Booting() int { return len(p.bins) }
 
-// Add finds room for a job's tasks in what is coming, and plans what they need beyond it.
-func (p *Plan) Add(d Demand) {
+// AddDemand finds room for a job's tasks in what is coming, and plans what they need beyond it.
+func (p *Plan) AddDemand(d Demand) {
 	left := min(d.Tasks, p.tasksWithinQuota(d.Job))
-	zones := newZonePlan(d.Job, d.Zones)
+	zones := newZoneConstraint(d.Job, d.Zones)
 	quota := p.quotas[d.Job.Team]
 	use := func(count int) {
 		left -= count
@@ -85,7 +85,7 @@
 	}
 	use(p.fillBins(d.Job, d.Shape, zones, left))
 	for left > 0 && !p.Full() {
-		offer, ok := Best(p.offers, d.Job, left, zones.allows)
+		offer, ok := BestOffer(p.offers, d.Job, left, zones.allows)
 		if !ok || d.TooExpensive(offer) && (left != d.Tasks || !d.Starving()) {
 			return
 		}
@@ -105,17 +105,17 @@
 		if p.fillBins(j, shape, zones, 1) > 0 {
 			continue
 		}
-		offer, ok := Best(p.offers, j, left, zones.allows)
+		offer, ok := BestOffer(p.offers, j, left, zones.allows)
 		if !ok {
 			return
 		}
-		p.addMachine(offer).take(j)
+		p.addMachine(offer).place(j)
 	}
 }
 
-// CountRoom adds what the machines that boot or are planned have free, and what is taken of
+// CountCapacity adds what the machines that boot or are planned have free, and what is taken of
 // them by what waits, in CPUs.
-func (p *Plan) CountRoom(free, taken float64) (allFree, allTaken float64) {
+func (p *Plan) CountCapacity(free, taken float64) (allFree, allTaken float64) {
 	for _, b := range p.bins {
 		free += b.cpus
 		taken += b.Offer.Spec.CPUs - b.cpus
@@ -154,7 +154,7 @@
 }
 
 // fillBins puts tasks of a job into room that is coming, and returns how many found some.
-func (p *Plan) fillBins(j *protocol.Job, shape placement.ShapeKey, zones *zonePlan, most int) int {
+func (p *Plan) fillBins(j *protocol.Job, shape placement.ShapeKey, zones *zoneConstraint, most int) int {
 	i, found := p.searchFrom[shape], 0
 	for ; i < len(p.openBins) && found < most; i++ {
 		p.BinsVisited++
@@ -171,10 +171,10 @@
 }
 
 // pack puts up to a number of a job's tasks into a bin, and returns how many it took.
-func (p *Plan) pack(b *Bin, j *protocol.Job, zones *zonePlan, most int) int {
+func (p *Plan) pack(b *Bin, j *protocol.Job, zones *zoneConstraint, most int) int {
 	count := 0
-	for count < most && zones.allows(b.Offer.Zone) && b.take(j) {
-		zones.count[b.Offer.Zone]++
+	for count < most && zones.allows(b.Offer.Zone) && b.place(j) {
+		zones.tasksByZone[b.Offer.Zone]++
 		count++
 	}
 	if count > 0 && p.tooSmall(b) {
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -20,7 +20,7 @@
 // no more.
 func TestFetches(t *testing.T) {
 	const rate = 2.0
-	var f Fetches
+	var f PendingFetches
 	f.Add(at(0), 1, 4, rate)
 	f.Add(at(0), 1, 4, rate)
 	f.Add(at(0), 2, 8, rate)
@@ -34,7 +34,7 @@
 		{func() {}, 4, 2 * time.Second}, // the first is there, 4 GB of the other are left
 		{func() { f.Cancel(at(4), 1, rate) }, 4, 2 * time.Second},
 		{func() { f.Add(at(4), 3, 6, rate) }, 4, 5 * time.Second},
-		{func() { f.Done(at(4), 2, rate) }, 5, 2 * time.Second},
+		{func() { f.Complete(at(4), 2, rate) }, 5, 2 * time.Second},
 		{func() { f.Cancel(at(5), 3, rate) }, 5, 0},
 	} {
 		c.do()
@@ -47,32 +47,32 @@
 // Reserved follows attempts, whoever ends first.
 func TestLoadByTeam(t *testing.T) {
 	var l Load
-	l.Reserve(1, placement.Resources{CPUs: 2, MemGB: 4})
-	l.Reserve(2, placement.Resources{CPUs: 1, MemGB: 1})
-	l.Reserve(1, placement.Resources{CPUs: 1, MemGB: 8})
-	l.Release(1, placement.Resources{CPUs: 2, MemGB: 4})
-	if r, tasks := l.Reserved(1); tasks != 1 || r != (placement.Resources{CPUs: 1, MemGB: 8}) {
+	l.AddAttempt(1, placement.Resources{CPUs: 2, MemGB: 4})
+	l.AddAttempt(2, placement.Resources{CPUs: 1, MemGB: 1})
+	l.AddAttempt(1, placement.Resources{CPUs: 1, MemGB: 8})
+	l.RemoveAttempt(1, placement.Resources{CPUs: 2, MemGB: 4})
+	if r, tasks := l.TeamUsage(1); tasks != 1 || r != (placement.Resources{CPUs: 1, MemGB: 8}) {
 		t.Errorf("%d tasks with %+v", tasks, r)
 	}
-	l.Release(2, placement.Resources{CPUs: 1, MemGB: 1})
-	if r, tasks := l.Reserved(2); tasks != 0 || r != (placement.Resources{}) {
+	l.RemoveAttempt(2, placement.Resources{CPUs: 1, MemGB: 1})
+	if r, tasks := l.TeamUsage(2); tasks != 0 || r != (placement.Resources{}) {
 		t.Errorf("%d tasks with %+v", tasks, r)
 	}
-	if got := Share(placement.Resources{CPUs: 1, MemGB: 8}, placement.Resources{CPUs: 4, MemGB: 16}); got != 0.5 {
+	if got := DominantShare(placement.Resources{CPUs: 1, MemGB: 8}, placement.Resources{CPUs: 4, MemGB: 16}); got != 0.5 {
 		t.Errorf("a share of %g", got)
 	}
 }
 
 // A slow machine is told from others although owners' estimates are wrong by half and more,
 // and few samples say little of any.
-func TestSlowness(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	wrong := distuv.LogNormal{Mu: 0, Sigma: 0.5, Src: rng}
 	varies := distuv.LogNormal{Mu: 0, Sigma: 0.1, Src: rng}
-	machines, class := make([]Speed, 20), &Runs{}
+	machines, class := make([]Speed, 20), &RunTimes{}
 	slow := map[int]float64{3: 1.8, 7: 3}
 	for range 400 {
-		job, estimate := &Runs{}, 40*time.Second
+		job, estimate := &RunTimes{}, 40*time.Second
 		run := wrong.Rand() * estimate.Seconds()
 		for range 12 {
 			k := rng.IntN(len(machines))
@@ -84,14 +84,14 @@
 		}
 	}
 	for k := range machines {
-		got := machines[k].Slowness()
+		got := machines[k].Slowdown()
 		if slow[k] > 0 && got < 1.25 || slow[k] == 0 && (got > 1.15 || got < 0.85) {
 			t.Errorf("machine %d, %g times as slow: %.2f", k, slow[k], got)
 		}
 	}
 	var few Speed
-	few.Observe(400*time.Second, 40*time.Second, &Runs{}, class)
-	if got := few.Slowness(); got > 1.2 {
+	few.Observe(400*time.Second, 40*time.Second, &RunTimes{}, class)
+	if got := few.Slowdown(); got > 1.2 {
 		t.Errorf("one long run makes a machine slow: %.2f", got)
 	}
 }
@@ -100,7 +100,7 @@
 // is usual for long is no surge.
 func TestSurge(t *testing.T) {
 	var s Surge
-	observe := func(sec float64, demand float64) Change { return s.Observe(at(sec), demand, 4) }
+	observe := func(sec float64, demand float64) SurgeChange { return s.Observe(at(sec), demand, 4) }
 	for sec := range 120 {
 		if c := observe(float64(sec), 20); c != Unchanged {
 			t.Fatalf("change %d of a steady demand", c)
@@ -109,7 +109,7 @@
 	if c := observe(120, 33); c != Unchanged {
 		t.Errorf("change %d below the bound", c)
 	}
-	if c := observe(121, 40); c != Begun {
+	if c := observe(121, 40); c != Started {
 		t.Errorf("not noticed")
 	}
 	number := s.Number()
@@ -136,7 +136,7 @@
 			ended = float64(sec)
 		}
 	}
-	if ended != 197+maxSurge.Seconds() {
+	if ended != 197+maxSurgeDuration.Seconds() {
 		t.Errorf("what is usual by now ended as a surge at %g", ended)
 	}
 }
@@ -147,7 +147,7 @@
 	var s Surge
 	changes := 0
 	for sec := range 3600 {
-		swing := 20*surgeBegins + 4 + 3*math.Sin(float64(sec)/3)
+		swing := 20*surgeStartFactor + 4 + 3*math.Sin(float64(sec)/3)
 		if sec < 60 {
 			swing = 20
 		}
@@ -206,7 +206,7 @@
 // A machine is above its ceiling by the team's own work, and by what it has to fetch.
 func TestExceeds(t *testing.T) {
 	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 2}, Image: 1}
-	policy := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, FetchQueue: 5 * time.Second}, Now: start, Team: 1, Task: task}
+	policy := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: 5 * time.Second}, Now: start, Team: 1, Task: task}
 	large := task
 	large.Job = &protocol.Job{CPUs: 4, MemoryGB: 1, Image: "a", ImageGB: 2}
 	for _, c := range []struct {
@@ -227,10 +227,10 @@
 			m = machine(1)
 		}
 		for range c.team {
-			l.Reserve(1, placement.Resources{CPUs: 1, MemGB: 1})
+			l.AddAttempt(1, placement.Resources{CPUs: 1, MemGB: 1})
 		}
 		for range c.other {
-			l.Reserve(2, placement.Resources{CPUs: 1, MemGB: 1})
+			l.AddAttempt(2, placement.Resources{CPUs: 1, MemGB: 1})
 		}
 		if c.queue > 0 {
 			l.Fetches.Add(start, 9, c.queue, 1)
@@ -247,17 +247,17 @@
 
 // The trade decides in seconds: a task leaves the machine that holds its image once heat
 // there costs more than the fetch.
-func TestTrade(t *testing.T) {
+func TestPenaltyAgainstFetch(t *testing.T) {
 	weights := placement.Weights{Image: 1, Room: 0}
 	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 3}, Image: 1}
 	hot, cold := machine(1), machine()
 	busy, idle := &Load{}, &Load{}
-	busy.Reserve(1, placement.Resources{CPUs: 2, MemGB: 2}) // as far as the ceiling
+	busy.AddAttempt(1, placement.Resources{CPUs: 2, MemGB: 2}) // as far as the ceiling
 	for _, c := range []struct {
 		trade time.Duration
 		stays bool
 	}{{0, true}, {2 * time.Second, true}, {4 * time.Second, false}} {
-		j := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, FetchQueue: time.Minute, Trade: c.trade}, Now: start, Team: 1, Task: task}
+		j := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: time.Minute, LoadPenalty: c.trade}, Now: start, Team: 1, Task: task}
 		score := func(m *placement.Machine, l *Load) float64 {
 			return weights.Score(m, task) - j.Penalty(m, l, weights.Image)
 		}
--- a/internal/coordination/balance/ceiling.go
+++ b/internal/coordination/balance/ceiling.go
@@ -17,9 +17,9 @@
 // Exceeds reports whether one more task would put a machine above the ceiling. A machine
 // without work of the team may always take one task.
 func (j *CeilingPolicy) Exceeds(m *placement.Machine, l *Load) bool {
-	r, tasks := l.Reserved(j.Team)
+	r, tasks := l.TeamUsage(j.Team)
 	r = r.Plus(m.Incoming) // running work of a surging team is on its way here
-	if tasks > 0 && Share(r.Plus(placement.Needs(j.Task.Job)), placement.Capacity(m.Spec)) > j.CeilingShare+shareEpsilon {
+	if tasks > 0 && DominantShare(r.Plus(placement.Needs(j.Task.Job)), placement.Capacity(m.Spec)) > j.CeilingShare+shareEpsilon {
 		return true
 	}
 	if m.ImageShare(j.Task) >= 1 {
@@ -27,7 +27,7 @@
 	}
 	// What it would fetch itself doesn't count: no machine could ever take a larger image.
 	queued := l.Fetches.Backlog(j.Now, m.Spec.FetchGBPerSecond)
-	return queued > j.FetchQueue
+	return queued > j.MaxFetchBacklog
 }
 
 // shareEpsilon absorbs what adding parts of machines leaves behind.
@@ -35,21 +35,21 @@
 
 // Penalty is what the score of a machine loses, given the image term's weight.
 func (j *CeilingPolicy) Penalty(m *placement.Machine, l *Load, imageWeight float64) float64 {
-	if j.Trade <= 0 {
+	if j.LoadPenalty <= 0 {
 		return 0
 	}
-	r, _ := l.Reserved(j.Team)
-	heat := Share(r, placement.Capacity(m.Spec)) / j.CeilingShare
-	cost := j.Trade.Seconds() * (heat + max(0, l.Speed.Slowness()-1))
+	r, _ := l.TeamUsage(j.Team)
+	heat := DominantShare(r, placement.Capacity(m.Spec)) / j.CeilingShare
+	cost := j.LoadPenalty.Seconds() * (heat + max(0, l.Speed.Slowdown()-1))
 	if m.ImageShare(j.Task) < 1 {
 		cost += l.Fetches.Backlog(j.Now, m.Spec.FetchGBPerSecond).Seconds()
 	}
-	return cost * j.secondsWorth(m.Spec.FetchGBPerSecond, imageWeight)
+	return cost * j.scorePerFetchSecond(m.Spec.FetchGBPerSecond, imageWeight)
 }
 
-// secondsWorth is what a second of fetching the task's image is worth in score: all of it is
+// scorePerFetchSecond is what a second of fetching the task's image is worth in score: all of it is
 // worth the image term's weight.
-func (j *CeilingPolicy) secondsWorth(rate, imageWeight float64) float64 {
+func (j *CeilingPolicy) scorePerFetchSecond(rate, imageWeight float64) float64 {
 	whole := 0.0
 	if rate > 0 {
 		whole = j.Task.ImageGB / rate
--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -20,13 +20,13 @@
 // replica, a fleet of 4,000 took a third of a second, many times that on a small share of a
 // processor.
 type Planner struct {
-	machines []LoadedMachine
-	open     func(*placement.Machine) bool // whether a machine takes new tasks
-	snapshot Snapshot
-	holders  map[cachedImage][]*LoadedMachine // in the order of the fleet; nil before the first search
-	searches map[searchKey]searchState
-	reopened map[cachedImage]int // times that a machine became one that may be moved to
-	Examined int                 // machines that were looked at, over all searches
+	machines     []LoadedMachine
+	acceptsTasks func(*placement.Machine) bool // whether a machine takes new tasks
+	planned      PlannedUsage
+	holders      map[cachedImage][]*LoadedMachine // in the order of the fleet; nil before the first search
+	searches     map[searchKey]searchState
+	reopened     map[cachedImage]int // times that a machine became one that may be moved to
+	Examined     int                 // machines that were looked at, over all searches
 }
 
 // cachedImage is an image on the machines of a zone.
@@ -37,8 +37,8 @@
 
 // searchKey is what decides where a replica may move to.
 type searchKey struct {
-	holding cachedImage
-	shape   placement.ShapeKey
+	image cachedImage
+	shape placement.ShapeKey
 }
 
 // searchState is how far a search has come: those before it take no more of the kind, unless
@@ -48,14 +48,14 @@
 // NewPlanner is a planner for a fleet as it is now, of which some machines are open to new
 // tasks.
 func NewPlanner(machines []LoadedMachine, open func(*placement.Machine) bool) *Planner {
-	return &Planner{machines: machines, open: open, snapshot: NewSnapshot(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
+	return &Planner{machines: machines, acceptsTasks: open, planned: NewPlannedUsage(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
 }
 
-// Snapshot is the room that the plans so far take.
-func (p *Planner) Snapshot() Snapshot { return p.snapshot }
+// PlannedUsage is the room that the plans so far take.
+func (p *Planner) PlannedUsage() PlannedUsage { return p.planned }
 
-// index lists the machines that hold an image.
-func (p *Planner) index() {
+// indexImages lists the machines that hold an image.
+func (p *Planner) indexImages() {
 	p.holders = map[cachedImage][]*LoadedMachine{}
 	for i := range p.machines {
 		s := &p.machines[i]
@@ -77,19 +77,19 @@
 // taken.
 func (p *Planner) Evacuate(m *placement.Machine, replicas []Replica, try bool) bool {
 	if p.holders == nil {
-		p.index()
+		p.indexImages()
 	}
-	plan := &evacuation{p, m, p.snapshot, map[string]bool{}}
+	plan := &evacuation{p, m, p.planned, map[string]bool{}}
 	for i := range replicas {
 		o := plan.findTarget(&replicas[i])
 		if o == nil {
 			return false
 		}
-		plan.snapshot = plan.snapshot.With(o.Name, placement.Needs(replicas[i].Job))
+		plan.planned = plan.planned.With(o.Name, placement.Needs(replicas[i].Job))
 		plan.targets[o.Name] = true
 	}
 	if !try {
-		p.snapshot = plan.snapshot
+		p.planned = plan.planned
 	}
 	return true
 }
@@ -104,9 +104,9 @@
 // evacuation is a try to move all replicas off a machine.
 type evacuation struct {
 	*Planner
-	from     *placement.Machine
-	snapshot Snapshot
-	targets  map[string]bool // of this try
+	from    *placement.Machine
+	planned PlannedUsage
+	targets map[string]bool // of this try
 }
 
 // findTarget is the first machine but the one that is emptied that a replica may move to.
@@ -114,16 +114,16 @@
 	p := e.Planner
 	key := searchKey{cachedImage{r.Image, e.from.Zone}, r.Shape}
 	s := p.searches[key]
-	if s.reopened != p.reopened[key.holding] {
-		s = searchState{reopened: p.reopened[key.holding]}
+	if s.reopened != p.reopened[key.image] {
+		s = searchState{reopened: p.reopened[key.image]}
 	}
-	list := p.holders[key.holding]
+	list := p.holders[key.image]
 	sure := true // that those looked at take no more, whatever machine is asked for next
 	defer func() { p.searches[key] = s }()
 	for i := s.next; i < len(list); i++ {
 		o := list[i]
 		p.Examined++
-		fits := !o.Consolidating && p.open(o.Machine) && e.snapshot.fits(o.Machine, r.Job)
+		fits := !o.Consolidating && p.acceptsTasks(o.Machine) && e.planned.fits(o.Machine, r.Job)
 		if fits && o.Machine != e.from {
 			return o
 		}
@@ -135,5 +135,5 @@
 	return nil
 }
 
-// isTask reports whether a job's tasks run to completion by themselves.
-func isTask(j *protocol.Job) bool { return j.Kind == protocol.Batch }
+// isBatch reports whether a job's tasks run to completion by themselves.
+func isBatch(j *protocol.Job) bool { return j.Kind == protocol.Batch }
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -8,17 +8,17 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// Work is a task of a surging team that runs, or waits for its image, and may migrate once in
+// MigratableTask is a task of a surging team that runs, or waits for its image, and may migrate once in
 // the surge.
-type Work struct {
+type MigratableTask struct {
 	placement.Task
 	Team        Team
 	Running     bool          // it has its image
-	Ran         time.Duration // since then
+	RanFor      time.Duration // since then
 	Remaining   time.Duration // that it is likely to run on here
 	Checkpoints bool          // what it has done is kept when it is stopped
-	// MayUse reports whether the rules about its job's zones allow one.
-	MayUse func(zone string) bool
+	// ZoneAllowed reports whether the rules about its job's zones allow one.
+	ZoneAllowed func(zone string) bool
 	// Of is whose work it is, for the caller.
 	Owner any
 }
@@ -26,19 +26,19 @@
 // Source is a machine with work that may migrate.
 type Source struct {
 	LoadedMachine
-	Work []Work
+	Tasks []MigratableTask
 }
 
 // Migration is one task's planned move, with what it is likely to save and to cost, in time of
 // work.
 type Migration struct {
-	Work         *Work
+	Task         *MigratableTask
 	From, To     *placement.Machine
 	Saving, Cost time.Duration
 }
 
-// MigrationTerms are the terms on which migrations are planned.
-type MigrationTerms struct {
+// MigrationParams are the terms on which migrations are planned.
+type MigrationParams struct {
 	Settings
 	Now           time.Time
 	StopDuration  time.Duration // until a stopped attempt is proven gone and another is on record
@@ -53,14 +53,14 @@
 	maxTargets         = 48 // least loaded machines, and machines that hold an image, for one task
 	writesPerMigration = 2  // in the state service, for a move: the mark, and the new start
 	// Work that loses what it has done is moved only for several times the margin, and early.
-	unsavedMargin  = 2
-	unsavedDivisor = 4 // of what is left, that it may have run, as a divisor
+	noCheckpointMargin  = 2
+	noCheckpointDivisor = 4 // of what is left, that it may have run, as a divisor
 )
 
 // Rebalance plans migrations off machines that are overloaded for the work on them: those whose team has more
 // than its ceiling there, whose fetches queue for too long, or that run it slower than others.
 // A machine's moves are tried as a whole and kept if any pays.
-func (p *Planner) Rebalance(t MigrationTerms, sources []Source) []Migration {
+func (p *Planner) Rebalance(t MigrationParams, sources []Source) []Migration {
 	mostLoaded := slices.Clone(sources)
 	slices.SortStableFunc(mostLoaded, func(a, b Source) int {
 		return cmp.Or(cmp.Compare(t.overload(&b), t.overload(&a)), cmp.Compare(a.Name, b.Name))
@@ -71,10 +71,10 @@
 		if len(moves) >= t.MaxMigrations {
 			break
 		}
-		spot := &hotSpot{Planner: p, terms: t, source: &mostLoaded[i], targets: leastLoaded, snapshot: p.snapshot}
+		spot := &sourcePlanner{Planner: p, params: t, source: &mostLoaded[i], targets: leastLoaded, planned: p.planned}
 		planned := spot.plan(t.MaxMigrations - len(moves))
 		if len(planned) > 0 {
-			p.snapshot = spot.snapshot
+			p.planned = spot.planned
 			moves = append(moves, planned...)
 		}
 	}
@@ -83,11 +83,11 @@
 
 // overload is the load of a source by the team that loads it most, as a part of the ceiling, and
 // how much slower than usual it is.
-func (t *MigrationTerms) overload(s *Source) float64 {
+func (t *MigrationParams) overload(s *Source) float64 {
 	most := 0.0
-	for i := range s.Work {
-		r, _ := s.Load.Reserved(s.Work[i].Team)
-		most = max(most, Share(r, placement.Capacity(s.Spec))/t.CeilingShare+s.Load.Speed.Slowness()-1)
+	for i := range s.Tasks {
+		r, _ := s.Load.TeamUsage(s.Tasks[i].Team)
+		most = max(most, DominantShare(r, placement.Capacity(s.Spec))/t.CeilingShare+s.Load.Speed.Slowdown()-1)
 	}
 	return most
 }
@@ -96,13 +96,13 @@
 func (p *Planner) leastLoaded() []*LoadedMachine {
 	var list []*LoadedMachine
 	for i := range p.machines {
-		if s := &p.machines[i]; s.Load != nil && !s.Consolidating && p.open(s.Machine) {
+		if s := &p.machines[i]; s.Load != nil && !s.Consolidating && p.acceptsTasks(s.Machine) {
 			list = append(list, s)
 		}
 	}
 	p.Examined += len(list)
 	free := func(s *LoadedMachine) float64 {
-		return Share(s.Allocated, placement.Capacity(s.Spec)) + s.Load.Speed.Slowness() - 1
+		return DominantShare(s.Allocated, placement.Capacity(s.Spec)) + s.Load.Speed.Slowdown() - 1
 	}
 	slices.SortStableFunc(list, func(a, b *LoadedMachine) int {
 		return cmp.Or(cmp.Compare(free(a), free(b)), cmp.Compare(a.Name, b.Name))
@@ -110,27 +110,27 @@
 	return list[:min(len(list), maxTargets)]
 }
 
-// hotSpot is an overloaded machine for which migrations are planned.
-type hotSpot struct {
+// sourcePlanner is an overloaded machine for which migrations are planned.
+type sourcePlanner struct {
 	*Planner
-	terms    MigrationTerms
-	source   *Source
-	targets  []*LoadedMachine
-	snapshot Snapshot
+	params  MigrationParams
+	source  *Source
+	targets []*LoadedMachine
+	planned PlannedUsage
 }
 
 // plan finds the moves off the source that pay, the one that gains most first.
-func (h *hotSpot) plan(most int) []Migration {
-	work := make([]*Work, 0, len(h.source.Work))
-	for i := range h.source.Work {
-		work = append(work, &h.source.Work[i])
+func (h *sourcePlanner) plan(most int) []Migration {
+	work := make([]*MigratableTask, 0, len(h.source.Tasks))
+	for i := range h.source.Tasks {
+		work = append(work, &h.source.Tasks[i])
 	}
 	var moves []Migration
 	left := placement.Resources{} // of the source, by the moves so far
 	for len(moves) < most {
 		best, at := Migration{}, -1
 		for i, w := range work {
-			if w == nil || !isTask(w.Job) || !h.overloaded(w, left) {
+			if w == nil || !isBatch(w.Job) || !h.overloaded(w, left) {
 				continue
 			}
 			if m, ok := h.bestTarget(w, left); ok && (at < 0 || m.Saving-m.Cost > best.Saving-best.Cost) {
@@ -141,33 +141,33 @@
 			break
 		}
 		work[at] = nil
-		needs := placement.Needs(best.Work.Job)
+		needs := placement.Needs(best.Task.Job)
 		left = left.Plus(needs)
-		h.snapshot = h.snapshot.With(best.To.Name, needs)
+		h.planned = h.planned.With(best.To.Name, needs)
 		moves = append(moves, best)
 	}
 	return moves
 }
 
 // overloaded reports whether there is a reason to move work off the source.
-func (h *hotSpot) overloaded(w *Work, left placement.Resources) bool {
+func (h *sourcePlanner) overloaded(w *MigratableTask, left placement.Resources) bool {
 	l := h.source.Load
-	r, tasks := l.Reserved(w.Team)
-	above := tasks > 1 && Share(r.Minus(left), placement.Capacity(h.source.Spec)) > h.terms.CeilingShare+shareEpsilon
-	queued := !w.Running && l.Fetches.Backlog(h.terms.Now, h.source.Spec.FetchGBPerSecond) > h.terms.FetchQueue
-	return above || queued || l.Speed.Slowness() > slowSourceAbove
+	r, tasks := l.TeamUsage(w.Team)
+	above := tasks > 1 && DominantShare(r.Minus(left), placement.Capacity(h.source.Spec)) > h.params.CeilingShare+shareEpsilon
+	queued := !w.Running && l.Fetches.Backlog(h.params.Now, h.source.Spec.FetchGBPerSecond) > h.params.MaxFetchBacklog
+	return above || queued || l.Speed.Slowdown() > slowSourceThreshold
 }
 
-// slowSourceAbove is how slow a machine must be to be left for that alone.
-const slowSourceAbove = 1.3
+// slowSourceThreshold is how slow a machine must be to be left for that alone.
+const slowSourceThreshold = 1.3
 
 // bestTarget finds where a move pays most.
-func (h *hotSpot) bestTarget(w *Work, left placement.Resources) (best Migration, found bool) {
+func (h *sourcePlanner) bestTarget(w *MigratableTask, left placement.Resources) (best Migration, found bool) {
 	try := func(o *LoadedMachine) {
-		if o.Machine == h.source.Machine || o.Load == nil || o.Consolidating || !h.open(o.Machine) {
+		if o.Machine == h.source.Machine || o.Load == nil || o.Consolidating || !h.acceptsTasks(o.Machine) {
 			return // one that isn't open may be of an unknown type
 		}
-		if !w.MayUse(o.Zone) || !h.snapshot.fits(o.Machine, w.Job) {
+		if !w.ZoneAllowed(o.Zone) || !h.planned.fits(o.Machine, w.Job) {
 			return
 		}
 		if m, pays := h.evaluate(w, o, left); pays && (!found || m.Saving-m.Cost > best.Saving-best.Cost) {
@@ -178,7 +178,7 @@
 		try(o)
 	}
 	if h.holders == nil {
-		h.index()
+		h.indexImages()
 	}
 	holders := h.holders[cachedImage{w.Image, h.source.Zone}]
 	for _, o := range holders[:min(len(holders), maxTargets)] {
@@ -188,20 +188,20 @@
 }
 
 // evaluate says what a migration would save and cost, and whether it is worthwhile.
-func (h *hotSpot) evaluate(w *Work, o *LoadedMachine, left placement.Resources) (Migration, bool) {
-	t, src := &h.terms, h.source
-	move := Migration{Work: w, From: src.Machine, To: o.Machine}
-	planned := h.snapshot.Allocated(o.Name)
-	there, tasks := o.Load.Reserved(w.Team)
+func (h *sourcePlanner) evaluate(w *MigratableTask, o *LoadedMachine, left placement.Resources) (Migration, bool) {
+	t, src := &h.params, h.source
+	move := Migration{Task: w, From: src.Machine, To: o.Machine}
+	planned := h.planned.Allocated(o.Name)
+	there, tasks := o.Load.TeamUsage(w.Team)
 	needs := placement.Needs(w.Job)
-	after := Share(there.Plus(planned).Plus(needs), placement.Capacity(o.Spec))
+	after := DominantShare(there.Plus(planned).Plus(needs), placement.Capacity(o.Spec))
 	if (tasks > 0 || planned != (placement.Resources{})) && after > t.CeilingShare+shareEpsilon {
 		return move, false // it would be as loaded there
 	}
-	here, _ := src.Load.Reserved(w.Team)
-	heat := max(0, Share(here.Minus(left), placement.Capacity(src.Spec))-after) / t.CeilingShare
-	move.Saving = time.Duration(t.Trade.Seconds() * heat * float64(time.Second))
-	if slower := src.Load.Speed.Slowness() / o.Load.Speed.Slowness(); slower > 1 {
+	here, _ := src.Load.TeamUsage(w.Team)
+	heat := max(0, DominantShare(here.Minus(left), placement.Capacity(src.Spec))-after) / t.CeilingShare
+	move.Saving = time.Duration(t.LoadPenalty.Seconds() * heat * float64(time.Second))
+	if slower := src.Load.Speed.Slowdown() / o.Load.Speed.Slowdown(); slower > 1 {
 		move.Saving += time.Duration(float64(w.Remaining) * (1 - 1/slower))
 	}
 	if !w.Running {
@@ -219,15 +219,15 @@
 
 // worthwhile adds what is lost of the work to the cost, and judges the migration. Work about to
 // end stays.
-func (h *hotSpot) worthwhile(w *Work, m *Migration) bool {
-	margin := h.terms.Margin
+func (h *sourcePlanner) worthwhile(w *MigratableTask, m *Migration) bool {
+	margin := h.params.Margin
 	if w.Running && w.Checkpoints {
 		m.Cost += w.CheckpointDuration
 	}
 	if w.Running && !w.Checkpoints {
-		m.Cost += w.Ran
-		margin *= unsavedMargin
-		if w.Ran > w.Remaining/unsavedDivisor {
+		m.Cost += w.RanFor
+		margin *= noCheckpointMargin
+		if w.RanFor > w.Remaining/noCheckpointDivisor {
 			return false
 		}
 	}
--- a/internal/coordination/balance/settings.go
+++ b/internal/coordination/balance/settings.go
@@ -14,9 +14,9 @@
 	// CeilingShare is the part of a machine that tasks of a surging team may take, of the
 	// resource that they take most of: above 0, up to 1.
 	CeilingShare float64
-	// FetchQueue is how long image fetches may queue on a machine that lacks an image.
-	FetchQueue time.Duration
-	// Trade is the time of fetching that it is worth to place a task on a machine without
+	// MaxFetchBacklog is how long image fetches may queue on a machine that lacks an image.
+	MaxFetchBacklog time.Duration
+	// LoadPenalty is the time of fetching that it is worth to place a task on a machine without
 	// work of its team rather than on one that the team fills up to the ceiling.
-	Trade time.Duration
+	LoadPenalty time.Duration
 }
--- a/internal/coordination/balance/snapshot.go
+++ b/internal/coordination/balance/snapshot.go
@@ -7,33 +7,33 @@
 	"brasskeel/internal/protocol"
 )
 
-// Snapshot is the room that planned moves take of machines, beside what is taken there. It is
+// PlannedUsage is the room that planned moves take of machines, beside what is taken there. It is
 // persistent: a plan that is tried costs what it changes, and one that isn't kept leaves
 // nothing behind.
-type Snapshot struct {
-	taken *iradix.Tree[placement.Resources] // by machine
+type PlannedUsage struct {
+	allocated *iradix.Tree[placement.Resources] // by machine
 }
 
-// NewSnapshot is one without moves.
-func NewSnapshot() Snapshot { return Snapshot{iradix.New[placement.Resources]()} }
+// NewPlannedUsage is one without moves.
+func NewPlannedUsage() PlannedUsage { return PlannedUsage{iradix.New[placement.Resources]()} }
 
 // Allocated is what planned moves take of a machine.
-func (s Snapshot) Allocated(machine string) placement.Resources {
-	r, _ := s.taken.Get([]byte(machine))
+func (s PlannedUsage) Allocated(machine string) placement.Resources {
+	r, _ := s.allocated.Get([]byte(machine))
 	return r
 }
 
 // With is a snapshot with one move more.
-func (s Snapshot) With(machine string, r placement.Resources) Snapshot {
-	taken, _, _ := s.taken.Insert([]byte(machine), s.Allocated(machine).Plus(r))
-	return Snapshot{taken}
+func (s PlannedUsage) With(machine string, r placement.Resources) PlannedUsage {
+	taken, _, _ := s.allocated.Insert([]byte(machine), s.Allocated(machine).Plus(r))
+	return PlannedUsage{taken}
 }
 
-// Targets is how many machines moves are planned to.
-func (s Snapshot) Targets() int { return s.taken.Len() }
+// TargetCount is how many machines moves are planned to.
+func (s PlannedUsage) TargetCount() int { return s.allocated.Len() }
 
 // fits reports whether one more task of a job may move to a machine.
-func (s Snapshot) fits(m *placement.Machine, j *protocol.Job) bool {
+func (s PlannedUsage) fits(m *placement.Machine, j *protocol.Job) bool {
 	return m.Allows(j) && m.FitsInReport(j) &&
 		m.Allocated.Plus(m.Incoming).Plus(s.Allocated(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -16,8 +16,8 @@
 // faster than they do, and what concerns one machine not at all.
 var benchSizes = []int{250, 1000, 4000}
 
-// atSizes runs a benchmark for each size of fleet.
-func atSizes(b *testing.B, run func(b *testing.B, machines int)) {
+// runAtSizes runs a benchmark for each size of fleet.
+func runAtSizes(b *testing.B, run func(b *testing.B, machines int)) {
 	for _, machines := range benchSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
@@ -29,9 +29,9 @@
 // benchJobs is how many jobs a fleet has: about eighteen tasks for each machine.
 func benchJobs(machines int) int { return machines * 3 / 8 }
 
-// largeLead is a leader of a large, empty fleet with many waiting jobs.
-func largeLead(machines, jobs int) (*Controller, *leader) {
-	c, l := leading(phaseActive)
+// largeLeader is a leader of a large, empty fleet with many waiting jobs.
+func largeLeader(machines, jobs int) (*Controller, *leader) {
+	c, l := newTestLeader(phaseActive)
 	c.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
 	c.teams["blue"] = &config.Team{Name: "blue", CPUs: 3000, CPUsMax: 1e6}
 	l.teamUsage["blue"] = &usage{}
@@ -60,17 +60,17 @@
 	return j
 }
 
-// fill places what has room, as often as records allow.
-func fill(l *leader) {
+// fillFleet places what has room, as often as records allow.
+func fillFleet(l *leader) {
 	for range 10 + len(l.fleetList)/25 {
 		l.runPlacementRound()
-		l.writer.unrecordedStarts, l.writer.urgent = 0, nil
+		l.writer.unrecordedStarts, l.writer.urgentBlocks = 0, nil
 	}
-	runAll(l)
+	markAllRunning(l)
 }
 
-// runAll takes all that was placed for running.
-func runAll(l *leader) {
+// markAllRunning takes all that was placed for running.
+func markAllRunning(l *leader) {
 	for _, m := range l.fleetList {
 		for _, a := range m.attempts {
 			a.recorded, a.delivery.Reported, a.state, a.stateSince = true, true, protocol.Running, l.controller.now
@@ -79,10 +79,10 @@
 }
 
 func BenchmarkPlaceIntoEmptyFleet(b *testing.B) {
-	atSizes(b, func(b *testing.B, machines int) {
+	runAtSizes(b, func(b *testing.B, machines int) {
 		for b.Loop() {
 			b.StopTimer()
-			_, l := largeLead(machines, benchJobs(machines))
+			_, l := largeLeader(machines, benchJobs(machines))
 			b.StartTimer()
 			l.runPlacementRound()
 		}
@@ -91,10 +91,10 @@
 
 // BenchmarkPlaceOneTaskJobs places a burst of jobs of one task each, a round of them.
 func BenchmarkPlaceOneTaskJobs(b *testing.B) {
-	atSizes(b, func(b *testing.B, machines int) {
+	runAtSizes(b, func(b *testing.B, machines int) {
 		for b.Loop() {
 			b.StopTimer()
-			_, l := largeLead(machines, 0)
+			_, l := largeLeader(machines, 0)
 			for i := range machines {
 				j := benchJob(2 + i%8)
 				j.ID, j.Tasks = fmt.Sprintf("run-%06d", i), 1
@@ -107,9 +107,9 @@
 }
 
 func BenchmarkPlaceInFullFleet(b *testing.B) {
-	atSizes(b, func(b *testing.B, machines int) {
-		_, l := largeLead(machines, benchJobs(machines))
-		fill(l)
+	runAtSizes(b, func(b *testing.B, machines int) {
+		_, l := largeLeader(machines, benchJobs(machines))
+		fillFleet(l)
 		l.runPlacementRound() // what gives way has been stopped by then
 		for b.Loop() {
 			l.runPlacementRound()
@@ -117,15 +117,15 @@
 	})
 }
 
-func BenchmarkReport(b *testing.B) {
-	atSizes(b, func(b *testing.B, machines int) {
-		c, l := largeLead(machines, benchJobs(machines))
-		fill(l)
+func BenchmarkHeartbeat(b *testing.B) {
+	runAtSizes(b, func(b *testing.B, machines int) {
+		c, l := largeLeader(machines, benchJobs(machines))
+		fillFleet(l)
 		c.takeEffects()
 		m := l.fleetList[0]
 		r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, FencingToken: l.epoch.BaseToken()}
 		for _, a := range m.sortedAttempts() {
-			r.Tasks = append(r.Tasks, protocol.TaskStatus{Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, State: protocol.Running})
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number, State: protocol.Running})
 		}
 		id := uint64(0)
 		for b.Loop() {
@@ -139,14 +139,14 @@
 	})
 }
 
-// BenchmarkReportOfExits takes a report of 200 small tasks that are done, whose array has
+// BenchmarkHeartbeatWithExits takes a report of 200 small tasks that are done, whose array has
 // thousands more.
-func BenchmarkReportOfExits(b *testing.B) {
+func BenchmarkHeartbeatWithExits(b *testing.B) {
 	const exits = 200
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		c, l := largeLead(1000, 0)
+		c, l := largeLeader(1000, 0)
 		spec := benchJob(2)
 		spec.Tasks, spec.CPUs, spec.MemoryGB = 15000, 0.05, 0.05
 		l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: spec})
@@ -180,12 +180,12 @@
 		{"publish", func(l *leader) { l.controller.broadcastStatus(); l.controller.effects = Effects{} }},
 	} {
 		b.Run(step.name, func(b *testing.B) {
-			atSizes(b, func(b *testing.B, machines int) {
-				_, l := largeLead(machines, benchJobs(machines))
-				fill(l)
+			runAtSizes(b, func(b *testing.B, machines int) {
+				_, l := largeLeader(machines, benchJobs(machines))
+				fillFleet(l)
 				l.controller.takeEffects()
 				for b.Loop() {
-					l.autoscaler.callBudget.Take(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now)) // nothing is asked of the cloud
+					l.autoscaler.callBudget.TryTake(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now)) // nothing is asked of the cloud
 					step.run(l)
 				}
 			})
@@ -195,7 +195,7 @@
 
 // bootingFleet boots as a whole, and twice as much waits as it will hold.
 func bootingFleet(machines int) *leader {
-	_, l := largeLead(machines, 2*benchJobs(machines))
+	_, l := largeLeader(machines, 2*benchJobs(machines))
 	for _, m := range l.fleetList {
 		m.session.Registered = false
 	}
@@ -206,22 +206,22 @@
 	return l
 }
 
-// BenchmarkGrowWhileBooting looks at what is to be rented while the whole fleet boots and
+// BenchmarkScaleOutWhileBooting looks at what is to be rented while the whole fleet boots and
 // twice as much waits as it will hold.
-func BenchmarkGrowWhileBooting(b *testing.B) {
-	atSizes(b, func(b *testing.B, machines int) {
+func BenchmarkScaleOutWhileBooting(b *testing.B) {
+	runAtSizes(b, func(b *testing.B, machines int) {
 		l := bootingFleet(machines)
 		for b.Loop() {
-			l.autoscaler.callBudget.Take(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now))
+			l.autoscaler.callBudget.TryTake(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now))
 			l.scaleOut()
 		}
 	})
 }
 
-// loneReplicas is a fleet where each machine holds one replica, whose image others hold that
+// singleReplicaFleet is a fleet where each machine holds one replica, whose image others hold that
 // have no room for it.
-func loneReplicas(machines int) *leader {
-	_, l := largeLead(machines, 0)
+func singleReplicaFleet(machines int) *leader {
+	_, l := largeLeader(machines, 0)
 	for i, m := range l.fleetList {
 		j := benchJob(0)
 		j.ID, j.Tasks, j.CPUs = fmt.Sprintf("run-%06d", i), 1, 7
@@ -239,14 +239,14 @@
 			l.jobsByAge[len(l.jobsByAge)-1].firstUnstarted = 1
 		}
 	}
-	runAll(l)
+	markAllRunning(l)
 	return l
 }
 
-// BenchmarkLoneReplicas looks for machines to be returned where each holds one replica.
-func BenchmarkLoneReplicas(b *testing.B) {
-	atSizes(b, func(b *testing.B, machines int) {
-		l := loneReplicas(machines)
+// BenchmarkConsolidateSingleReplicas looks for machines to be returned where each holds one replica.
+func BenchmarkConsolidateSingleReplicas(b *testing.B) {
+	runAtSizes(b, func(b *testing.B, machines int) {
+		l := singleReplicaFleet(machines)
 		for b.Loop() {
 			l.autoscaler.consolidatedAt = time.Time{}
 			l.scaleIn()
@@ -261,25 +261,25 @@
 // BenchmarkLoad reads the records of a fleet with running tasks as a new leader, and tells
 // how much memory the loaded core holds.
 func BenchmarkLoad(b *testing.B) {
-	atSizes(b, func(b *testing.B, machines int) {
+	runAtSizes(b, func(b *testing.B, machines int) {
 		service := fleetRecords(machines)
 		var l *leader
 		for b.Loop() {
 			b.StopTimer()
 			l = nil
-			c, _ := leading(phaseActive)
+			c, _ := newTestLeader(phaseActive)
 			b.StartTimer()
-			if l = service.lead(c); l.phase != phaseReconciling {
+			if l = service.electLeader(c); l.phase != phaseReconciling {
 				b.Fatal("not loaded")
 			}
 		}
 		b.StopTimer()
-		b.ReportMetric(float64(heldBy(&l))/(1<<20), "core-MB")
+		b.ReportMetric(float64(heapHeldBy(&l))/(1<<20), "core-MB")
 	})
 }
 
-// heldBy is how much memory is freed once a leader is given up.
-func heldBy(l **leader) uint64 {
+// heapHeldBy is how much memory is freed once a leader is given up.
+func heapHeldBy(l **leader) uint64 {
 	inUse := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -318,7 +318,7 @@
 
 // BenchmarkSubmit takes a submission in and the answer of the state service.
 func BenchmarkSubmit(b *testing.B) {
-	c, _ := largeLead(1000, 40)
+	c, _ := largeLeader(1000, 40)
 	body := protocol.EncodeJob(benchJob(2))
 	committed := protocol.EncodeRevision(7)
 	id := uint64(0)
@@ -334,10 +334,10 @@
 
 // BenchmarkStatusQueries takes forty polls in, which one transaction checks.
 func BenchmarkStatusQueries(b *testing.B) {
-	c, _ := largeLead(1000, 40)
+	c, _ := largeLeader(1000, 40)
 	committed := protocol.EncodeRevision(7)
 	for i := range 40 {
-		c.admission.rememberAccepted(benchJob(i).ID)
+		c.admission.cacheAccepted(benchJob(i).ID)
 	}
 	id := uint64(0)
 	b.ReportAllocs()
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -17,7 +17,7 @@
 	bootTimeoutFactor      = 4 // times after which it is given up, but not before this margin
 	bootTimeoutMargin      = 20 * time.Second
 	slowBootTimeoutFactor  = 10 // times, while the cloud is slow
-	slowBootMinimum        = 3  // machines overdue, to call it so
+	minSlowBoots           = 3  // machines overdue, to call it so
 	slowReplacementDivisor = 4  // part of them that is replaced, as a divisor
 )
 
@@ -66,11 +66,11 @@
 
 // slow reports whether boots are late in general.
 func (b *bootProgress) slow() bool {
-	return len(b.overdue) >= slowBootMinimum && len(b.overdue) > b.booted
+	return len(b.overdue) >= minSlowBoots && len(b.overdue) > b.booted
 }
 
-// replaced is the number of machines overdue that others are rented for.
-func (b *bootProgress) replaced() int {
+// replacedCount is the number of machines overdue that others are rented for.
+func (b *bootProgress) replacedCount() int {
 	if b.slow() {
 		return max(1, len(b.overdue)/slowReplacementDivisor)
 	}
@@ -81,7 +81,7 @@
 // some never come up, and work doesn't wait for them.
 func (l *leader) bootingBins() []*autoscaler.Bin {
 	b := l.bootProgress()
-	without := b.replaced()
+	without := b.replacedCount()
 	var bins []*autoscaler.Bin
 	for _, m := range l.fleetList {
 		if !l.booting(m) {
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -39,10 +39,10 @@
 					done(jobRead{})
 					return
 				}
-				c.admission.rememberOutcome(job, s, count)
+				c.admission.cacheOutcome(job, s, count)
 				done(jobRead{jobPresent, s})
 			case active.Status == statestore.Found:
-				c.admission.rememberAccepted(job)
+				c.admission.cacheAccepted(job)
 				s, _, _ := c.knownProgress(job)
 				done(jobRead{jobPresent, s})
 			default:
@@ -63,7 +63,7 @@
 		return
 	}
 	if c.store.Unavailable() {
-		c.refuseWithoutStore(id)
+		c.refuseStoreUnavailable(id)
 		return
 	}
 	c.admission.openRequests++
@@ -75,7 +75,7 @@
 		case r.presence == jobAbsent:
 			c.reply(id, 404, protocol.EncodeError("no such job"))
 		default:
-			c.refuseWithoutStore(id)
+			c.refuseStoreUnavailable(id)
 		}
 	}
 	c.store.Get(records.KeyActive(job), func(active statestore.ReadResult) {
@@ -102,7 +102,7 @@
 	}, func(r statestore.CommitResult) {
 		switch r.Status {
 		case statestore.CommitApplied:
-			c.admission.learnOutcome(job, protocol.Cancelled, done)
+			c.admission.publishOutcome(job, protocol.Cancelled, done)
 			finish(jobRead{jobPresent, protocol.Cancelled})
 		case statestore.CommitConflict, statestore.CommitUnknown:
 			c.readJobState(job, finish)
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -35,7 +35,7 @@
 // shapeKeyOf makes the key of a job's shape once: it is looked up for each look at the fleet.
 func shapeKeyOf(j *job) placement.ShapeKey {
 	if j.shapeKey == (placement.ShapeKey{}) {
-		j.shapeKey = placement.KeyOf(j.Job)
+		j.shapeKey = placement.ShapeKeyOf(j.Job)
 	}
 	return j.shapeKey
 }
@@ -75,9 +75,9 @@
 	return placement.NewCandidates(l.round.candidates)
 }
 
-// canTake reports whether an open machine may take one more task of a job, zones
+// canTakeTask reports whether an open machine may take one more task of a job, zones
 // aside.
-func (l *leader) canTake(m *machine, j *job) bool {
+func (l *leader) canTakeTask(m *machine, j *job) bool {
 	if !m.FitsInReport(j.Job) {
 		l.controller.limits.Reached(limits.TasksPerMachine)
 	}
@@ -86,7 +86,7 @@
 
 // avoidsMachine reports whether a job stays away from a machine that failed it.
 func (l *leader) avoidsMachine(j *job, m *machine) bool {
-	return m.failuresByJob[j.ID] > 0 && j.history.Machines() < quarantine.ManyMachines
+	return m.failuresByJob[j.ID] > 0 && j.history.Machines() < quarantine.MachineThreshold
 }
 
 // bestMachine is the machine with the highest score that a job's rules about zones allow, nil
@@ -106,7 +106,7 @@
 func (l *leader) rerankBest(c *placement.Candidates, j *job) {
 	k := c.Best()
 	m := l.round.withRoom[k.Machine]
-	if !l.canTake(m, j) {
+	if !l.canTakeTask(m, j) {
 		c.DropBest()
 		return
 	}
@@ -118,7 +118,7 @@
 	k := placement.Candidate{Machine: place, LastResort: m.Consolidating, Score: l.scoreWeights().Score(&m.Machine, j.placementTask()),
 		FreeCPUs: m.Spec.CPUs - m.Allocated.CPUs}
 	if l.round.ceilingPolicy != nil {
-		l.rebalancer.applyPolicy(l.round.ceilingPolicy, m, &k)
+		l.rebalancer.applyCeilingPolicy(l.round.ceilingPolicy, m, &k)
 	}
 	return k
 }
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -16,7 +16,7 @@
 // busy would stay with them. A move takes a moment: the image is there.
 func (l *leader) consolidate() {
 	c, f := l.controller, &l.autoscaler
-	if len(f.unmetDemand) > 0 || f.demandIncomplete || c.store.Unavailable() || c.now.Sub(f.consolidatedAt) < consolidationPause {
+	if len(f.unmetDemand) > 0 || f.demandIncomplete || c.store.Unavailable() || c.now.Sub(f.consolidatedAt) < consolidationInterval {
 		return
 	}
 	candidates, onDemandRoom := l.consolidationCandidates()
@@ -26,17 +26,17 @@
 		if left == 0 {
 			return
 		}
-		if planner.get().Snapshot().Allocated(m.Name) != (placement.Resources{}) {
+		if planner.get().PlannedUsage().Allocated(m.Name) != (placement.Resources{}) {
 			continue // replicas are to move here
 		}
-		if room := l.onDemandRoom(m); !m.Consolidating && room > 0 && onDemandRoom-m.Spec.CPUs < l.onDemandReserve() {
+		if room := l.onDemandCapacity(m); !m.Consolidating && room > 0 && onDemandRoom-m.Spec.CPUs < l.onDemandReserve() {
 			continue
 		}
 		if !m.replicasFitElsewhere(planner.get(), false) {
 			continue
 		}
 		if !m.Consolidating {
-			onDemandRoom -= l.onDemandRoom(m)
+			onDemandRoom -= l.onDemandCapacity(m)
 		}
 		l.evictReplicas(m)
 		left--
@@ -52,7 +52,7 @@
 			continue
 		}
 		if !m.Consolidating {
-			onDemandRoom += l.onDemandRoom(m)
+			onDemandRoom += l.onDemandCapacity(m)
 		}
 		littleUsed := m.Consolidating || m.Allocated.CPUs <= m.Spec.CPUs/2+protocol.Epsilon
 		if m.holdsOnlyReplicas() && littleUsed && l.controller.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -130,7 +130,7 @@
 // Tick runs the timers that are due. How late it comes is the scheduling lag.
 func (c *Controller) Tick(now time.Time) Effects {
 	c.now = now
-	if next := c.Next(); !next.IsZero() {
+	if next := c.NextTick(); !next.IsZero() {
 		c.overload.Observe(now, now.Sub(next))
 	}
 	c.runDueTimers()
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -14,9 +14,9 @@
 	"brasskeel/internal/records"
 )
 
-// runInherited lets a leader know ten machines of the one before, each with a task, that it
+// addInheritedAttempts lets a leader know ten machines of the one before, each with a task, that it
 // hasn't heard yet.
-func runInherited(c *Controller, l *leader) {
+func addInheritedAttempts(c *Controller, l *leader) {
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
@@ -25,7 +25,7 @@
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 		m.inherited, m.recorded = true, true
 		j.block(i)
-		a := &attempt{job: j, task: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now}
+		a := &attempt{job: j, taskIndex: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now}
 		l.attach(a)
 	}
 	l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
@@ -35,7 +35,7 @@
 // another controller before it gives any of them up, once, unless all others did the same;
 // and nobody hands over to it for its zone meanwhile. A leader that was cut off from its
 // workers had been handed the lead again and returned 1,113 machines that others reached.
-func TestLeaderWithoutWorkersGivesWay(t *testing.T) {
+func TestDisconnectedLeaderResigns(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		heard int
@@ -49,13 +49,13 @@
 		{"hears nobody, again, and no peer", 0, nil, true},
 		{"hears nobody, again, while another is fit", 0, []bool{false, true}, false},
 	} {
-		c, l := leading(phaseReconciling)
+		c, l := newTestLeader(phaseReconciling)
 		again := strings.Contains(test.name, "again")
 		if again {
-			c.election.Disconnect(leadership.Peers{Configured: 1})
+			c.election.MarkDisconnected(leadership.PeerCounts{Configured: 1})
 		}
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}, {Name: "n2", Zone: "a"}}
-		runInherited(c, l)
+		addInheritedAttempts(c, l)
 		for range 60 { // 15 s, the length of a lease
 			c.now = c.now.Add(detectorInterval)
 			for i, disconnected := range test.peers {
@@ -86,11 +86,11 @@
 }
 
 // The lead isn't handed to a controller of the better zone that calls itself disconnected.
-func TestNoHandOverToDisconnected(t *testing.T) {
+func TestNoHandOverToDisconnectedPeer(t *testing.T) {
 	for _, disconnected := range []bool{false, true} {
-		c, l := leadingIn("b", phaseActive)
+		c, l := newTestLeaderInZone("b", phaseActive)
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		showElection(c, protocol.KeyValue{Key: records.KeyPreferredZone, Value: records.Encode(records.PreferredZone{Zone: "a"}), Version: 9})
+		setElectionKeys(c, protocol.KeyValue{Key: records.KeyPreferredZone, Value: records.Encode(records.PreferredZone{Zone: "a"}), Version: 9})
 		c.now = c.now.Add(time.Minute)
 		for i := range 5 {
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
@@ -106,8 +106,8 @@
 
 // A leader whose calls to nearly all workers fail doesn't wait for their reports before it
 // gives way: with two such controllers in a row the workers' leases were over.
-func TestLeaderThatReachesNobodyGivesWaySoon(t *testing.T) {
-	c, l := leading(phaseReconciling)
+func TestLeaderWithFailingCallsResignsEarly(t *testing.T) {
+	c, l := newTestLeader(phaseReconciling)
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
 	c.peers["n1"] = &peers.Status{HeardAt: c.now, StoreReachable: true}
 	c.teams["red"].CPUsMax = 100
@@ -117,7 +117,7 @@
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%02d", i), "small", "a", false)
 		m.inherited, m.recorded, m.addr = true, true, "x"
-		l.attach(&attempt{job: j, task: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now})
+		l.attach(&attempt{job: j, taskIndex: i, number: 1, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: c.now})
 	}
 	l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
 	begin := c.now
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -19,7 +19,7 @@
 		c.draining = true
 		c.log.Info("controller drain started")
 		if c.sharding != nil {
-			c.sharding.drain()
+			c.sharding.startDraining()
 		}
 		c.drainStep()
 	}
@@ -40,8 +40,8 @@
 	c.after(drainInterval, c.drainStep)
 }
 
-// drain lets the leader know that this member is to own nothing.
-func (s *sharding) drain() {
+// startDraining lets the leader know that this member is to own nothing.
+func (s *sharding) startDraining() {
 	s.draining = true
 	if s.owner != nil {
 		s.recordDraining(s.owner)
@@ -50,7 +50,7 @@
 
 // recordDraining lets the member's record say that it drains, however often it must be written.
 func (s *sharding) recordDraining(own *shardOwner) {
-	s.writeMember(own, func(applied bool) {
+	s.writeMemberRecord(own, func(applied bool) {
 		if applied {
 			return
 		}
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -73,7 +73,7 @@
 // effects are handed over.
 func (c *Controller) takeEffects() Effects {
 	for again := true; again; again = len(c.localMessages) > 0 {
-		c.deliverLocal()
+		c.deliverLocalMessages()
 		if c.leader != nil {
 			c.leader.finishStep()
 		}
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -9,9 +9,9 @@
 	"brasskeel/internal/records"
 )
 
-// overloadLossCause is how long ago a leader may have been overloaded for it to have lost
+// overloadLossWindow is how long ago a leader may have been overloaded for it to have lost
 // its leadership by that.
-const overloadLossCause = 3 * time.Second
+const overloadLossWindow = 3 * time.Second
 
 func (c *Controller) newElection() *leadership.Election {
 	settings := leadership.Settings{Name: c.cfg.Name, Zone: c.cfg.Zone, BootID: c.bootID, BaseTTL: c.operator.LeaderLease()}
@@ -38,14 +38,14 @@
 }
 
 // Watch implements leadership.Store.
-func (h electionHost) Watch(prefix string, after uint64, done func(leadership.WatchAnswer)) {
+func (h electionHost) Watch(prefix string, after uint64, done func(leadership.WatchResponse)) {
 	h.controller.store.Watch(prefix, after, watchWait, func(r statestore.WatchResult) {
-		answer := leadership.WatchAnswer{Result: leadership.WatchFailed, Events: r.Events, Revision: r.Revision}
+		answer := leadership.WatchResponse{Status: leadership.WatchFailed, Events: r.Events, Revision: r.Revision}
 		switch r.Status {
 		case statestore.WatchEvents:
-			answer.Result = leadership.WatchDelivered
+			answer.Status = leadership.WatchDelivered
 		case statestore.WatchCompacted:
-			answer.Result = leadership.WatchCompacted
+			answer.Status = leadership.WatchCompacted
 		}
 		done(answer)
 	})
@@ -61,7 +61,7 @@
 	h.controller.store.RenewLease(lease, timeout, func(status statestore.LeaseStatus) {
 		switch status {
 		case statestore.LeaseHeld:
-			done(leadership.RenewalApplied)
+			done(leadership.RenewalSucceeded)
 		case statestore.LeaseEnded:
 			done(leadership.RenewalExpired)
 		default:
@@ -81,10 +81,10 @@
 }
 
 // Elected implements leadership.Host.
-func (h electionHost) Elected(m leadership.Mandate) { h.controller.becomeLeader(m) }
+func (h electionHost) Elected(m leadership.LeaderTerm) { h.controller.becomeLeader(m) }
 
-// Deposed implements leadership.Host: all that was kept in memory for the leadership goes.
-func (h electionHost) Deposed() {
+// LeadershipEnded implements leadership.Host: all that was kept in memory for the leadership goes.
+func (h electionHost) LeadershipEnded() {
 	h.controller.leader.ended = true
 	h.controller.leader = nil
 }
@@ -95,7 +95,7 @@
 // LostToOverload implements leadership.Host.
 func (h electionHost) LostToOverload() bool {
 	c := h.controller
-	return c.leader.phase == phaseActive && c.overload.Within(c.now, overloadLossCause)
+	return c.leader.phase == phaseActive && c.overload.OverloadedWithin(c.now, overloadLossWindow)
 }
 
 // PeersSilent implements leadership.Host.
@@ -107,7 +107,7 @@
 // resignDisconnected hands over because of the machines that this controller doesn't reach,
 // and reports whether it did.
 func (c *Controller) resignDisconnected(reason string) bool {
-	if !c.election.Disconnect(c.countPeers()) {
+	if !c.election.MarkDisconnected(c.countPeers()) {
 		return false
 	}
 	c.broadcastStatus()
@@ -117,8 +117,8 @@
 
 // The leader as the holder of its lease (leadership.Holder).
 
-// HoldsAuthority implements leadership.Holder.
-func (l *leader) HoldsAuthority() bool { return l.alive() }
+// NeedsLease implements leadership.Holder.
+func (l *leader) NeedsLease() bool { return l.alive() }
 
 // RenewalSent implements leadership.Holder. A leader whose lease and grace period are over
 // answers no worker any more, but keeps what it knows: in an outage the lease stands still,
@@ -153,7 +153,7 @@
 		l.requestedZone = zone
 		l.writer.put(records.KeyPreferredZone, records.Encode(records.PreferredZone{Zone: zone}))
 	}
-	if c.election.HandsOverTo(zone) && c.eligiblePeerIn(zone) {
+	if c.election.ShouldHandOverTo(zone) && c.hasEligiblePeerIn(zone) {
 		c.election.Resign("most machines are in zone "+zone, leadership.HandOverPause)
 	}
 }
--- a/internal/coordination/election_test.go
+++ b/internal/coordination/election_test.go
@@ -7,8 +7,8 @@
 	"brasskeel/internal/records"
 )
 
-// showElection lets a controller read these keys of the election from the state service.
-func showElection(c *Controller, items ...protocol.KeyValue) {
+// setElectionKeys lets a controller read these keys of the election from the state service.
+func setElectionKeys(c *Controller, items ...protocol.KeyValue) {
 	c.takeEffects()
 	c.election.Follow()
 	for _, call := range c.takeEffects().Calls {
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -14,7 +14,7 @@
 func (l *leader) detectFailures() {
 	c := l.controller
 	stalled := l.detector.Scan(c.now)
-	if l.phase == phaseReconciling && l.shards == nil && c.now.Sub(l.loadedAt) > probeAfter {
+	if l.phase == phaseReconciling && l.shards == nil && c.now.Sub(l.loadedAt) > probeDelay {
 		l.probeUnreached()
 	}
 	if l.phase != phaseActive {
@@ -29,7 +29,7 @@
 	s := l.assessReachability()
 	l.detector.SetSuspectZones(s.suspectZones)
 	l.probeBatch(s.toProbe)
-	if l.shards == nil && l.resignIfDisconnected(s) || l.shards != nil && l.shards.resignIfIsolated() {
+	if l.shards == nil && l.resignIfDisconnected(s) || l.shards != nil && l.shards.resignIfDisconnected() {
 		return
 	}
 	l.releaseUnresponsive(s)
@@ -43,7 +43,7 @@
 			continue
 		}
 		// One that came by itself soon shows a token of this epoch in its next heartbeat.
-		if !m.session.Registered && m.inherited || m.session.Registered && l.controller.now.Sub(m.session.RegisteredAt) > tokenShownWithin {
+		if !m.session.Registered && m.inherited || m.session.Registered && l.controller.now.Sub(m.session.RegisteredAt) > tokenEchoTimeout {
 			unreached = append(unreached, m)
 		}
 	}
@@ -83,12 +83,12 @@
 		// It ran tasks for an earlier leader. Those that were probed since the records
 		// were read have been silent since then.
 		since = l.reconciledAt
-		if m.session.FailedProbes >= sessions.UnansweringProbes {
+		if m.session.FailedProbes >= sessions.UnansweringProbeThreshold {
 			since = l.loadedAt
 		}
 	}
 	if l.shards != nil {
-		heard, ok := l.shards.heardSince(m)
+		heard, ok := l.shards.ownerHeardSince(m)
 		if !ok {
 			return l.controller.now, true // nobody tells of it
 		}
@@ -103,7 +103,7 @@
 	switch {
 	case m.session.Registered:
 		s.contact.InheritedRegistered++
-	case m.session.FailedProbes >= sessions.UnansweringProbes:
+	case m.session.FailedProbes >= sessions.UnansweringProbeThreshold:
 		s.contact.InheritedUnanswering++
 	}
 }
@@ -125,11 +125,11 @@
 	}
 	if m.session.Registered {
 		s.contact.Registered++
-		if m.session.FailedProbes >= sessions.UnreachableProbes {
+		if m.session.FailedProbes >= sessions.UnreachableProbeThreshold {
 			s.contact.Unreachable++
 		}
 	}
-	if l.wantsProbe(m, unseen) {
+	if l.needsProbe(m, unseen) {
 		s.toProbe = append(s.toProbe, m)
 	}
 	if l.presumedDead(m, unseen) {
@@ -173,7 +173,7 @@
 			continue
 		}
 		if m.lifecycle.releasing() || !deferral.defers(m, quiet) {
-			l.release(m, unresponsive)
+			l.release(m, reasonUnresponsive)
 		}
 	}
 	l.autoscaler.displacedReplicas = deferral.unplaced
@@ -188,7 +188,7 @@
 	if l.shards != nil {
 		// All of it is the word of who serves the machine: while nobody is heard it says
 		// nothing, and what was told before is no older than since it is heard again.
-		since, heard := l.shards.heardSince(m)
+		since, heard := l.shards.ownerHeardSince(m)
 		if !heard {
 			return false
 		}
--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -8,11 +8,11 @@
 	"brasskeel/internal/protocol"
 )
 
-// cutZone has the calls to twelve machines of a zone time out, whose last reports came
+// partitionZone has the calls to twelve machines of a zone time out, whose last reports came
 // at different times of an interval, and gives the first that is given up within span.
-func cutZone(t *testing.T, interval, span time.Duration) (given string, asked int) {
+func partitionZone(t *testing.T, interval, span time.Duration) (given string, asked int) {
 	t.Helper()
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	c.cfg.HeartbeatInterval = interval
 	start := c.now
 	var cut, others []*machine
@@ -61,17 +61,17 @@
 }
 
 // Machines that a cut parts from the leader are kept, however far apart reports come.
-func TestCutIsSeenBeforeMachinesAreGivenUp(t *testing.T) {
+func TestPartitionDetectedBeforeMachinesAreReleased(t *testing.T) {
 	for _, interval := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4 * time.Second} {
-		if given, asked := cutZone(t, interval, 12*time.Second); given != "" || asked < 12 {
+		if given, asked := partitionZone(t, interval, 12*time.Second); given != "" || asked < 12 {
 			t.Errorf("reports each %s: %q is given up, %d times asked", interval, given, asked)
 		}
 	}
 }
 
 // Between reports that come in time nobody is asked.
-func TestNoProbesBetweenReports(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestNoProbesBetweenTimelyHeartbeats(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	c.cfg.HeartbeatInterval = 4 * time.Second
 	m := addTestMachine(l, "vm-1", true)
 	m.addr, m.session.LastReached, m.session.RegisteredAt = "x", c.now, c.now
@@ -91,7 +91,7 @@
 
 // Where one worker of a zone doesn't answer, the others of it are asked sooner.
 func TestSuspectZoneIsProbedSooner(t *testing.T) {
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	c.cfg.HeartbeatInterval = 4 * time.Second
 	lost, near, far := addTestMachine(l, "vm-1", true), addTestMachine(l, "vm-2", true), addTestMachine(l, "vm-3", true)
 	for _, m := range []*machine{lost, near, far} {
--- a/internal/coordination/forms_test.go
+++ b/internal/coordination/forms_test.go
@@ -9,7 +9,7 @@
 )
 
 // Lines between controllers are written as the versions before wrote them.
-func TestPeerLineForms(t *testing.T) {
+func TestPeerMessageEncodings(t *testing.T) {
 	golden.Check(t, []golden.Form{
 		{File: "peer_full.json", Value: &peers.Message{Sender: "n1", StoreReachable: true, Disconnected: true, WorkersUnreachable: true, Term: 41,
 			Progress: map[string]peers.JobProgress{"run-000001": {3, 4}, "run-000002": {}}, Done: map[string]int{"run-000003": 5}, Cancelled: map[string]int{"run-000004": 6}}},
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -103,7 +103,7 @@
 	}
 	for _, deferred := range c.deferred.takeAll() {
 		c.deferred.requeueDeadline = deferred.deadline
-		c.heartbeat(deferred.id, deferred.body)
+		c.handleHeartbeat(deferred.id, deferred.body)
 	}
 	c.deferred.requeueDeadline = time.Time{}
 }
@@ -124,9 +124,9 @@
 	redirectReturnWindow = 2 * sessions.LostHeartbeatDelay
 	// maxRememberedRedirects bounds how many are remembered before old ones are dropped.
 	maxRememberedRedirects = 1024
-	// leaderHeardWithin is how long ago a leader that was heard before must have been heard to
+	// leaderHeardWindow is how long ago a leader that was heard before must have been heard to
 	// be named.
-	leaderHeardWithin = 3 * time.Second
+	leaderHeardWindow = 3 * time.Second
 )
 
 func newRedirector(c *Controller) redirector {
@@ -137,19 +137,19 @@
 func (r *redirector) target(machine string) string {
 	c := r.controller
 	leader := c.election.OtherLeader()
-	if p := c.peers[leader]; p != nil && (p.WorkersUnreachable || c.now.Sub(p.HeardAt) > leaderHeardWithin) {
+	if p := c.peers[leader]; p != nil && (p.WorkersUnreachable || c.now.Sub(p.HeardAt) > leaderHeardWindow) {
 		return ""
 	}
 	if at, ok := r.redirectedAt[machine]; ok && c.now.Sub(at) < redirectReturnWindow {
 		delete(r.redirectedAt, machine) // it may be redirected there the next time
 		return ""
 	}
-	r.remember(machine)
+	r.recordRedirect(machine)
 	return leader
 }
 
-// remember notes that a machine's worker was redirected to the leader.
-func (r *redirector) remember(machine string) {
+// recordRedirect notes that a machine's worker was redirected to the leader.
+func (r *redirector) recordRedirect(machine string) {
 	if len(r.redirectedAt) >= maxRememberedRedirects {
 		for name, at := range r.redirectedAt {
 			if r.controller.now.Sub(at) >= redirectReturnWindow {
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -22,7 +22,7 @@
 // answerHeartbeat answers a heartbeat of a machine that this owner serves.
 func (s *workerSessions) answerHeartbeat(m *machine, id uint64, r *protocol.Heartbeat) {
 	c := s.controller
-	arrival := m.session.Arrival(heartbeatMessage(r))
+	arrival := m.session.ClassifyHeartbeat(heartbeatMessage(r))
 	if arrival == sessions.Stale {
 		c.reply(id, 503, protocol.EncodeError("a newer report came before"))
 		return
@@ -32,31 +32,31 @@
 		// Orders in its answer would be judged by the wrong list of tasks. But the answer
 		// renews the worker's lease all the same, so it ends what must not go on.
 		m.session.HeartbeatSequence = r.Sequence
-		c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), s.stopsOfEnded(r)))
+		c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), s.stopOrdersForEndedJobs(r)))
 		return
 	}
-	orders := s.takeHeartbeat(m, r)
+	orders := s.applyHeartbeat(m, r)
 	c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), orders))
 	if len(orders) > 0 {
 		c.log.Debug("orders sent with a heartbeat's answer", "machine", m.Name, "count", len(orders), "sequence", r.Sequence)
 	}
 }
 
-// takeHeartbeat brings what is known of a machine up to its newest heartbeat, and returns
+// applyHeartbeat brings what is known of a machine up to its newest heartbeat, and returns
 // the orders for its answer.
-func (s *workerSessions) takeHeartbeat(m *machine, r *protocol.Heartbeat) []protocol.Order {
-	return s.takeStatus(m, r, heartbeatMessage(r))
+func (s *workerSessions) applyHeartbeat(m *machine, r *protocol.Heartbeat) []protocol.Order {
+	return s.applyStatus(m, r, heartbeatMessage(r))
 }
 
-// takeResponse does so from the status in a response of the worker's to a call. That carries
+// applyResponse does so from the status in a response of the worker's to a call. That carries
 // no orders: those that are wanted go out by another call, or with the next heartbeat.
-func (s *workerSessions) takeResponse(m *machine, r *protocol.Heartbeat) {
-	s.takeStatus(m, r, responseMessage(r))
+func (s *workerSessions) applyResponse(m *machine, r *protocol.Heartbeat) {
+	s.applyStatus(m, r, responseMessage(r))
 }
 
-func (s *workerSessions) takeStatus(m *machine, r *protocol.Heartbeat, message sessions.Message) []protocol.Order {
-	s.noteWorker(m, r, message)
-	s.noteDelivery(m, message)
+func (s *workerSessions) applyStatus(m *machine, r *protocol.Heartbeat, message sessions.Message) []protocol.Order {
+	s.updateWorker(m, r, message)
+	s.updateReachability(m, message)
 	if r.HasPreemptionNotice && !m.lifecycle.preemptionNoticed() {
 		m.lifecycle.preemptionAt = s.controller.now.Add(r.PreemptionNotice)
 		s.controller.logSampled("machine preemption noticed", "machine", m.Name, "duration", r.PreemptionNotice)
@@ -65,16 +65,16 @@
 	if !s.loaded && !m.attemptsKnown {
 		// Whether a task belongs here isn't known yet; the answer renews the lease,
 		// and ends what must not go on. The same status will come again.
-		return s.stopsOfEnded(r)
+		return s.stopOrdersForEndedJobs(r)
 	}
 	if !m.session.Reconciled {
 		m.session.Reconciled = true
 		s.listener.tasksReconciled(m)
 	}
-	orphans, forgets := s.takeTasks(m, r, message.Heartbeat)
+	orphans, forgets := s.reconcileReportedTasks(m, r, message.Heartbeat)
 	room := protocol.NewOrderBudget()
 	orders := s.fitOrders(&room, orphans)
-	orders = append(orders, s.takeAbsent(m, message, room)...)
+	orders = append(orders, s.reconcileAbsentAttempts(m, message, room)...)
 	if !message.Heartbeat {
 		return nil
 	}
@@ -92,8 +92,8 @@
 	return fit
 }
 
-// noteWorker takes what a message tells of the worker itself.
-func (s *workerSessions) noteWorker(m *machine, r *protocol.Heartbeat, message sessions.Message) {
+// updateWorker takes what a message tells of the worker itself.
+func (s *workerSessions) updateWorker(m *machine, r *protocol.Heartbeat, message sessions.Message) {
 	c := s.controller
 	if !m.session.Registered {
 		m.session.Registered = true
@@ -102,7 +102,7 @@
 		c.log.Debug("worker registered", "machine", m.Name, "type", m.Type, "zone", m.Zone, "incarnation", r.Incarnation)
 		s.listener.workerRegistered(m)
 	}
-	began := m.session.Take(message, c.now)
+	began := m.session.Apply(message, c.now)
 	if r.Addr != "" && r.Addr != m.addr {
 		m.addr = r.Addr
 		s.listener.addressChanged(m)
@@ -112,31 +112,31 @@
 	}
 }
 
-// noteDelivery takes what a message proves of what was sent to the worker.
-func (s *workerSessions) noteDelivery(m *machine, message sessions.Message) {
-	if at, proven := m.session.Confirms(message, s.controller.now); proven {
-		s.confirmReached(m, at)
+// updateReachability takes what a message proves of what was sent to the worker.
+func (s *workerSessions) updateReachability(m *machine, message sessions.Message) {
+	if at, proven := m.session.ProvesReached(message, s.controller.now); proven {
+		s.recordReached(m, at)
 	}
 	if !message.Heartbeat {
 		return
 	}
-	m.session.Answering(message.Sequence, s.controller.now)
+	m.session.RecordAnswer(message.Sequence, s.controller.now)
 	if m.session.LastReached.IsZero() && s.probesNewWorkers {
 		s.probe(m)
 	}
 }
 
-// confirmReached notes that something sent arrived at the worker, at a time or after it.
-func (s *workerSessions) confirmReached(m *machine, at time.Time) {
+// recordReached notes that something sent arrived at the worker, at a time or after it.
+func (s *workerSessions) recordReached(m *machine, at time.Time) {
 	m.session.FailedProbes = 0
 	s.listener.workerReached(m)
-	m.session.Reached(at)
+	m.session.RecordReached(at)
 }
 
-// takeTasks takes the tasks that a worker holds. It returns orders that stop orphans, which
+// reconcileReportedTasks takes the tasks that a worker holds. It returns orders that stop orphans, which
 // only a heartbeat's answer may carry, and those that let the worker forget exited tasks,
 // which need a token of their own.
-func (s *workerSessions) takeTasks(m *machine, r *protocol.Heartbeat, heartbeat bool) (orphans, forgets []protocol.Order) {
+func (s *workerSessions) reconcileReportedTasks(m *machine, r *protocol.Heartbeat, heartbeat bool) (orphans, forgets []protocol.Order) {
 	s.heartbeatCount++
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
@@ -167,9 +167,9 @@
 	return protocol.Order{Kind: kind, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt}
 }
 
-// takeAbsent judges the attempts that a message lacks, in a fixed order. Starts are sent as
+// reconcileAbsentAttempts judges the attempts that a message lacks, in a fixed order. Starts are sent as
 // far as there is room beside the stops, which go first.
-func (s *workerSessions) takeAbsent(m *machine, message sessions.Message, room protocol.OrderBudget) []protocol.Order {
+func (s *workerSessions) reconcileAbsentAttempts(m *machine, message sessions.Message, room protocol.OrderBudget) []protocol.Order {
 	for _, a := range m.attemptList {
 		if a.stopRequested {
 			room.Reserve(a.job.ID)
@@ -184,17 +184,17 @@
 	slices.SortFunc(absent, compareAttempts)
 	var starts []protocol.Order
 	for _, a := range absent {
-		if a.recorded && s.judgeAbsent(m, a, message) && s.startInAnswer(m, a, message, &room) {
+		if a.recorded && s.reconcileAbsentAttempt(m, a, message) && s.startWithHeartbeat(m, a, message, &room) {
 			starts = append(starts, startOrder(a))
 		}
 	}
 	return starts
 }
 
-// judgeAbsent judges an attempt that a message lacks, and reports whether its start is to be
+// reconcileAbsentAttempt judges an attempt that a message lacks, and reports whether its start is to be
 // sent.
-func (s *workerSessions) judgeAbsent(m *machine, a *attempt, message sessions.Message) (start bool) {
-	switch verdict, reason := a.delivery.Absent(message, m.session.Epoch.BaseToken()); {
+func (s *workerSessions) reconcileAbsentAttempt(m *machine, a *attempt, message sessions.Message) (start bool) {
+	switch verdict, reason := a.delivery.EvaluateAbsence(message, m.session.Epoch.BaseToken()); {
 	case verdict == sessions.Terminated:
 		s.listener.attemptTerminated(a, reason)
 	case verdict == sessions.Unfenced:
@@ -207,9 +207,9 @@
 	return false
 }
 
-// startInAnswer sends a start with the answer of a heartbeat, if there is room for it, or by
+// startWithHeartbeat sends a start with the answer of a heartbeat, if there is room for it, or by
 // a call of its own at the end of the step if there is no heartbeat to answer.
-func (s *workerSessions) startInAnswer(m *machine, a *attempt, message sessions.Message, room *protocol.OrderBudget) (sent bool) {
+func (s *workerSessions) startWithHeartbeat(m *machine, a *attempt, message sessions.Message, room *protocol.OrderBudget) (sent bool) {
 	if !message.Heartbeat {
 		s.scheduleOrders(m)
 		return false
@@ -218,13 +218,13 @@
 		s.controller.limits.Reached(limits.OrdersPerMessage)
 		return false // the next heartbeat lacks it, too
 	}
-	a.delivery.Sent(message.Incarnation, message.Sequence)
+	a.delivery.MarkSent(message.Incarnation, message.Sequence)
 	return true
 }
 
 // stopOrders end the tasks of the latest message that are to end.
 func (s *workerSessions) stopOrders(m *machine) []protocol.Order {
-	if m.stopCount == 0 {
+	if m.stopRequestedCount == 0 {
 		return nil
 	}
 	var orders []protocol.Order
@@ -250,9 +250,9 @@
 	return nil
 }
 
-// stopsOfEnded are the orders that end the tasks of a heartbeat whose jobs are over. They
+// stopOrdersForEndedJobs are the orders that end the tasks of a heartbeat whose jobs are over. They
 // name attempts, so they are right however old the heartbeat is.
-func (s *workerSessions) stopsOfEnded(r *protocol.Heartbeat) []protocol.Order {
+func (s *workerSessions) stopOrdersForEndedJobs(r *protocol.Heartbeat) []protocol.Order {
 	var orders []protocol.Order
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -14,10 +14,10 @@
 	// those of a large fleet, read as often as those of a small one, would leave no calls for
 	// renting and returning.
 	inventoryCallDivisor = 4
-	// inventoryTries is how often a page is asked for, with inventoryRetry between, before the list
+	// maxInventoryPageAttempts is how often a page is asked for, with inventoryRetryInterval between, before the list
 	// is given up: one refused call would otherwise cost all pages before it.
-	inventoryTries = 4
-	inventoryRetry = 500 * time.Millisecond
+	maxInventoryPageAttempts = 4
+	inventoryRetryInterval   = 500 * time.Millisecond
 	// maxInventory ends a list that is longer than any that this process could hold: what
 	// was read of it is not compared, since a machine that it lacks may be on another page.
 	maxInventory = 250_000
@@ -35,31 +35,31 @@
 	leader   *leader
 	machines []protocol.ListedMachine
 	after    string // the last machine read
-	tries    int    // of the next page
+	attempts int    // of the next page
 }
 
 // readInventory reads the cloud's inventory and compares it with what is known.
 func (l *leader) readInventory() {
 	c, f := l.controller, &l.autoscaler
-	if f.inventoryInFlight || c.now.Sub(f.inventoryRequestedAt) < l.inventoryInterval() || !f.callBudget.Take(c.now, 1) {
+	if f.inventoryInFlight || c.now.Sub(f.inventoryRequestedAt) < l.inventoryInterval() || !f.callBudget.TryTake(c.now, 1) {
 		return
 	}
 	f.inventoryInFlight, f.inventoryRequestedAt = true, c.now
-	(&inventoryRead{leader: l}).read()
+	(&inventoryRead{leader: l}).requestPage()
 }
 
-// read asks for the next page.
-func (r *inventoryRead) read() {
-	r.tries++
+// requestPage asks for the next page.
+func (r *inventoryRead) requestPage() {
+	r.attempts++
 	r.leader.controller.call(Cloud, "", "GET", protocol.MachinesTarget(r.after), nil, cloudTimeout, func(out Outcome) {
 		if r.leader.alive() {
-			r.take(out)
+			r.handlePage(out)
 		}
 	})
 }
 
-// take takes a page, or that there was none.
-func (r *inventoryRead) take(out Outcome) {
+// handlePage takes a page, or that there was none.
+func (r *inventoryRead) handlePage(out Outcome) {
 	l := r.leader
 	if !out.Answered || out.Status != 200 {
 		r.retry()
@@ -67,54 +67,54 @@
 	}
 	list, more, err := protocol.ParseMachines(out.Body)
 	if err != nil || more && (len(list) == 0 || list[len(list)-1].Name <= r.after) {
-		r.end() // a list that doesn't go on would be read without end
+		r.finish() // a list that doesn't go on would be read without end
 		return
 	}
 	r.machines = append(r.machines, list...)
 	switch {
 	case !more:
 		l.autoscaler.inventoryComplete = true
-		r.end()
+		r.finish()
 		l.reconcileInventory(r.machines)
 		l.checkReconciled()
 	case len(r.machines) >= maxInventory:
-		l.controller.limits.Reached(limits.Inventory)
-		r.end()
+		l.controller.limits.Reached(limits.InventoryMachines)
+		r.finish()
 	default:
-		r.after, r.tries = list[len(list)-1].Name, 0
-		r.whenAffordable()
+		r.after, r.attempts = list[len(list)-1].Name, 0
+		r.requestPageWithinBudget()
 	}
 }
 
 // retry asks for the same page some time later, a few times.
 func (r *inventoryRead) retry() {
-	if r.tries >= inventoryTries {
-		r.end()
+	if r.attempts >= maxInventoryPageAttempts {
+		r.finish()
 		return
 	}
-	r.leader.controller.after(inventoryRetry, func() {
+	r.leader.controller.after(inventoryRetryInterval, func() {
 		if r.leader.alive() {
-			r.whenAffordable()
+			r.requestPageWithinBudget()
 		}
 	})
 }
 
-// whenAffordable asks for the next page once the cloud takes one more call: returns and
+// requestPageWithinBudget asks for the next page once the cloud takes one more call: returns and
 // rentals, which go out when there is something to rent or return, have their turns between.
-func (r *inventoryRead) whenAffordable() {
+func (r *inventoryRead) requestPageWithinBudget() {
 	l := r.leader
-	if l.autoscaler.callBudget.Take(l.controller.now, 1) {
-		r.read()
+	if l.autoscaler.callBudget.TryTake(l.controller.now, 1) {
+		r.requestPage()
 		return
 	}
 	l.controller.after(l.autoscaler.callBudget.Wait(l.controller.now, 1)+time.Millisecond, func() {
 		if l.alive() {
-			r.whenAffordable()
+			r.requestPageWithinBudget()
 		}
 	})
 }
 
-func (r *inventoryRead) end() { r.leader.autoscaler.inventoryInFlight = false }
+func (r *inventoryRead) finish() { r.leader.autoscaler.inventoryInFlight = false }
 
 // reconcileInventory compares an inventory that was read in full with the machines that are
 // known.
@@ -136,7 +136,7 @@
 	c := l.controller
 	m := l.machines[it.Name]
 	if m == nil {
-		if at, ok := l.terminated[it.Name]; ok && c.now.Sub(at) < c.inventoryHorizon() {
+		if at, ok := l.terminatedAt[it.Name]; ok && c.now.Sub(at) < c.maxInventoryStaleness() {
 			return // the inventory is older than its end
 		}
 		m = l.adoptMachine(it.Name, it.Type, it.Zone, it.Spot, it.Age)
@@ -165,7 +165,7 @@
 // for longer than any inventory can lag.
 func (l *leader) reconcileUnlisted(m *machine) {
 	c := l.controller
-	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.inventoryHorizon() {
+	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.maxInventoryStaleness() {
 		return
 	}
 	if m.session.Registered && c.now.Sub(m.session.LastSeen) < 3*c.cfg.ListLag {
@@ -178,12 +178,12 @@
 	}
 }
 
-// inventoryHorizon is how long after a change any inventory that is read shows it.
-func (c *Controller) inventoryHorizon() time.Duration { return 3*c.cfg.ListLag + 10*time.Second }
+// maxInventoryStaleness is how long after a change any inventory that is read shows it.
+func (c *Controller) maxInventoryStaleness() time.Duration { return 3*c.cfg.ListLag + 10*time.Second }
 
 // releaseUnknownFailed takes a failed machine that nobody knows off the list.
 func (l *leader) releaseUnknownFailed(name string) {
-	if l.autoscaler.callBudget.Take(l.controller.now, 1) {
+	if l.autoscaler.callBudget.TryTake(l.controller.now, 1) {
 		l.controller.call(Cloud, "", "POST", protocol.PathTerminate, protocol.EncodeTerminate([]string{name}), cloudTimeout, func(Outcome) {})
 	}
 }
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -29,31 +29,31 @@
 	runningTasks   int
 	liveAttempts   int // not proven gone
 	retryQueue     []int
-	firstUnstarted int            // first task that was never started
-	zones          map[string]int // live attempts by zone
-	runTimes       balance.Runs   // of completed tasks
+	firstUnstarted int              // first task that was never started
+	attemptsByZone map[string]int   // live attempts by zone
+	runTimes       balance.RunTimes // of completed tasks
 
 	// How it is served.
-	quota              quotaStanding
+	quota              quotaStatus
 	history            quarantine.History // of its failures
 	backoffUntil       time.Time          // until which no task of it is started
 	preemptionTimerSet bool               // the end of its preemption delay has a timer
-	ceiling            ceilingHold        // of its team's surge
+	ceiling            ceilingWait        // of its team's surge
 
 	imageID  placement.ImageID
 	shapeKey placement.ShapeKey // made on first use
 
 	progressBroadcast bool // peers were told of tasks that run or are done
 
-	// held are the attempts that a shard's owner holds; a leader has them in blocks.
-	held map[*attempt]struct{}
+	// heldAttempts are the attempts that a shard's owner holds; a leader has them in blocks.
+	heldAttempts map[*attempt]struct{}
 }
 
-// quotaStanding is how a job stands to its team's quota, as of when it came.
-type quotaStanding uint8
+// quotaStatus is how a job stands to its team's quota, as of when it came.
+type quotaStatus uint8
 
 const (
-	quotaUnchecked quotaStanding = iota
+	quotaUnchecked quotaStatus = iota
 	quotaWithin
 	quotaExceeded
 )
@@ -72,7 +72,7 @@
 	if live {
 		// Its record took a change, too: where users submit many jobs a second, the
 		// leader's own records leave them what the state service takes.
-		l.writer.commits.Spend(1)
+		l.writer.committer.Spend(1)
 		l.requestPlacement()
 	}
 }
@@ -88,12 +88,12 @@
 	if l.jobs[r.Spec.ID] != nil {
 		return
 	}
-	j := &job{Job: r.Spec, submitted: time.UnixMilli(r.SubmittedAt), blockSize: r.BlockSize, zones: map[string]int{},
+	j := &job{Job: r.Spec, submitted: time.UnixMilli(r.SubmittedAt), blockSize: r.BlockSize, attemptsByZone: map[string]int{},
 		imageID: l.imageID(r.Spec.Image)}
 	j.blocks = make([]*taskBlock, (j.Tasks+j.blockSize-1)/j.blockSize)
 	l.jobs[j.ID] = j
 	if !j.AllowSpot && j.Kind == protocol.Service {
-		l.autoscaler.largestOnDemand = max(l.autoscaler.largestOnDemand, j.CPUs*float64(j.Tasks))
+		l.autoscaler.largestOnDemandCPUs = max(l.autoscaler.largestOnDemandCPUs, j.CPUs*float64(j.Tasks))
 	}
 	at := len(l.jobsByAge)
 	for at > 0 && l.jobsByAge[at-1].submitted.After(j.submitted) {
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -15,19 +15,19 @@
 	otherZoneDelay = 700 * time.Millisecond
 	// disconnectedDelay lets controllers that may reach the workers campaign first.
 	disconnectedDelay = 2 * time.Second
-	// disconnectedFor is how long a leader that resigned for lost connectivity campaigns
+	// disconnectedPeriod is how long a leader that resigned for lost connectivity campaigns
 	// behind the others, while no leader hands over to it. One that was cut off from its
 	// workers had been handed the leadership again, for its zone, and released a whole
 	// fleet that another controller reached.
-	disconnectedFor = time.Minute
+	disconnectedPeriod = time.Minute
 	// retryDelay and retryJitter are the pause after a campaign that failed.
 	retryDelay  = 150 * time.Millisecond
 	retryJitter = 150 * time.Millisecond
 	// watchRetryDelay and watchRetryJitter are the pause after a watch that failed.
 	watchRetryDelay  = 200 * time.Millisecond
 	watchRetryJitter = 100 * time.Millisecond
-	// minTermTime is how long a leader stays before it hands over to a better zone.
-	minTermTime = 10 * time.Second
+	// minTermDuration is how long a leader stays before it hands over to a better zone.
+	minTermDuration = 10 * time.Second
 )
 
 // HandOverPause is how long a leader that resigned in favour of another controller doesn't
@@ -41,18 +41,18 @@
 // candidate while its lease and its transaction are on their way; from each it may go back
 // to follower. Only a candidate becomes leader, and a leader that steps down is a follower.
 const (
-	Follower  Role = iota
-	Scheduled      // a campaign begins soon, unless somebody leads by then
-	Candidate      // the store decides about a campaign
+	Follower          Role = iota
+	CampaignScheduled      // a campaign begins soon, unless somebody leads by then
+	Candidate              // the store decides about a campaign
 	Leader
 )
 
-// Mandate is what a leader was elected with.
-type Mandate struct {
-	Term      uint64
-	Version   uint64 // of the leader key; every write of the leader's demands it
-	Lease     Lease  // as it was granted
-	ElectedAt time.Time
+// LeaderTerm is what a leader was elected with.
+type LeaderTerm struct {
+	Term       uint64
+	KeyVersion uint64 // of the leader key; every write of the leader's demands it
+	Lease      Lease  // as it was granted
+	ElectedAt  time.Time
 }
 
 // Settings are those of one controller.
@@ -75,10 +75,10 @@
 	loaded     bool // the view was read once
 	generation int  // of the watch; answers to an older one are dropped
 	role       Role
-	mandate    Mandate // of a leader
+	leaderTerm LeaderTerm // of a leader
 	ttl        TTLPolicy
 
-	notBefore         time.Time // no campaign: the leadership was resigned
+	noCampaignBefore  time.Time // no campaign: the leadership was resigned
 	disconnectedUntil time.Time
 }
 
@@ -97,19 +97,19 @@
 			e.ttl.LeaderChanged(e.clock.Now())
 		}
 		e.loaded = true
-		e.updated()
+		e.viewChanged()
 		e.watch(revision, generation)
 	})
 }
 
 func (e *Election) watch(after uint64, generation int) {
-	e.store.Watch(records.PrefixElection, after, func(answer WatchAnswer) {
+	e.store.Watch(records.PrefixElection, after, func(answer WatchResponse) {
 		if e.generation != generation {
 			return
 		}
-		switch answer.Result {
+		switch answer.Status {
 		case WatchDelivered:
-			e.apply(answer.Events)
+			e.applyEvents(answer.Events)
 			e.watch(max(after, answer.Revision), generation)
 		case WatchCompacted:
 			e.Follow()
@@ -123,7 +123,7 @@
 	})
 }
 
-func (e *Election) apply(events []protocol.Event) {
+func (e *Election) applyEvents(events []protocol.Event) {
 	for _, event := range events {
 		if event.Deleted {
 			e.view.remove(event.Key)
@@ -132,13 +132,13 @@
 		}
 	}
 	if len(events) > 0 {
-		e.updated()
+		e.viewChanged()
 	}
 }
 
-// updated acts on what is now known of the leadership.
-func (e *Election) updated() {
-	if e.role == Leader && e.view.leaderVersion > e.mandate.Version {
+// viewChanged acts on what is now known of the leadership.
+func (e *Election) viewChanged() {
+	if e.role == Leader && e.view.leaderVersion > e.leaderTerm.KeyVersion {
 		e.StepDown("another leader was elected")
 	}
 	e.host.LeaderUpdated()
@@ -162,9 +162,9 @@
 	if e.role != Follower || !e.loaded {
 		return
 	}
-	e.role = Scheduled
+	e.role = CampaignScheduled
 	e.clock.After(e.campaignDelay(), func() {
-		if e.role != Scheduled {
+		if e.role != CampaignScheduled {
 			return
 		}
 		e.role = Follower
@@ -184,7 +184,7 @@
 	if e.Disconnected() {
 		delay += disconnectedDelay
 	}
-	return max(delay, e.notBefore.Sub(e.clock.Now()))
+	return max(delay, e.noCampaignBefore.Sub(e.clock.Now()))
 }
 
 // campaign tries to become leader: a lease, then one transaction that creates the
@@ -198,7 +198,7 @@
 			e.retry()
 			return
 		}
-		e.claim(GrantedLease(lease, ttl, sent))
+		e.claim(NewLease(lease, ttl, sent))
 	})
 }
 
@@ -223,7 +223,7 @@
 		e.view.leader, e.view.leaderVersion, e.view.leaderLease = leader, revision, lease.ID
 		e.view.term, e.view.termVersion = term, revision
 		e.ttl.LeaderChanged(e.clock.Now())
-		e.Lead(Mandate{Term: term, Version: revision, Lease: lease, ElectedAt: e.clock.Now()})
+		e.BecomeLeader(LeaderTerm{Term: term, KeyVersion: revision, Lease: lease, ElectedAt: e.clock.Now()})
 	})
 }
 
@@ -238,9 +238,9 @@
 	})
 }
 
-// Lead makes this controller the leader under a mandate that the store gave it.
-func (e *Election) Lead(m Mandate) {
-	e.role, e.mandate = Leader, m
+// BecomeLeader makes this controller the leader under a mandate that the store gave it.
+func (e *Election) BecomeLeader(m LeaderTerm) {
+	e.role, e.leaderTerm = Leader, m
 	e.host.Elected(m)
 }
 
@@ -250,49 +250,49 @@
 	if e.role != Leader {
 		return
 	}
-	e.log.Warn("stepping down", "term", e.mandate.Term, "reason", reason)
+	e.log.Warn("stepping down", "term", e.leaderTerm.Term, "reason", reason)
 	if e.host.LostToOverload() {
 		e.ttl.LostToOverload(e.clock.Now())
 	}
 	e.role = Follower
-	e.host.Deposed()
+	e.host.LeadershipEnded()
 	e.Follow()
 }
 
 // Resign gives the leadership up by choice, so that another controller can lead at once;
 // this one doesn't campaign for a pause.
 func (e *Election) Resign(reason string, pause time.Duration) {
-	e.notBefore = e.clock.Now().Add(pause)
-	e.store.RevokeLease(e.mandate.Lease.ID)
+	e.noCampaignBefore = e.clock.Now().Add(pause)
+	e.store.RevokeLease(e.leaderTerm.Lease.ID)
 	e.StepDown(reason)
 }
 
-// Peers counts the other controllers.
-type Peers struct {
+// PeerCounts counts the other controllers.
+type PeerCounts struct {
 	Configured   int // all of them
 	Eligible     int // heard lately, reach the store, and aren't disconnected
 	Disconnected int // heard lately, and say so of themselves
 }
 
-// Disconnect marks this controller as one that lost connectivity to its workers, and reports
+// MarkDisconnected marks this controller as one that lost connectivity to its workers, and reports
 // whether it should resign for that. Where all others lost theirs lately, it makes no
 // difference who leads; and one that resigned lately does so again only for another that is
 // known to be eligible.
-func (e *Election) Disconnect(peers Peers) (resign bool) {
+func (e *Election) MarkDisconnected(peers PeerCounts) (resign bool) {
 	if peers.Disconnected == peers.Configured || e.Disconnected() && peers.Eligible == 0 {
 		return false
 	}
-	e.disconnectedUntil = e.clock.Now().Add(disconnectedFor)
+	e.disconnectedUntil = e.clock.Now().Add(disconnectedPeriod)
 	return true
 }
 
 // Disconnected reports whether this controller lately lost connectivity to its workers.
 func (e *Election) Disconnected() bool { return e.clock.Now().Before(e.disconnectedUntil) }
 
-// HandsOverTo reports whether this leader should hand over to a controller of another zone,
+// ShouldHandOverTo reports whether this leader should hand over to a controller of another zone,
 // which the store says is the better one.
-func (e *Election) HandsOverTo(zone string) bool {
-	return zone != e.settings.Zone && zone == e.view.preferredZone && e.clock.Now().Sub(e.mandate.ElectedAt) >= minTermTime
+func (e *Election) ShouldHandOverTo(zone string) bool {
+	return zone != e.settings.Zone && zone == e.view.preferredZone && e.clock.Now().Sub(e.leaderTerm.ElectedAt) >= minTermDuration
 }
 
 // CampaignTTL is the time to live of the lease that a campaign asks for now.
--- a/internal/coordination/leadership/election_test.go
+++ b/internal/coordination/leadership/election_test.go
@@ -21,10 +21,10 @@
 		{name: "another controller leads", keys: []protocol.KeyValue{leaderItem("n1", 4, 1, 20, 9)}, delay: -1},
 		{name: "its zone is the preferred one", keys: []protocol.KeyValue{zoneItem("a")}, delay: 0},
 		{name: "another zone is", keys: []protocol.KeyValue{zoneItem("b")}, delay: otherZoneDelay},
-		{name: "it is disconnected", before: func(h *harness) { h.Disconnect(Peers{Configured: 2}) }, delay: disconnectedDelay},
-		{name: "both", keys: []protocol.KeyValue{zoneItem("b")}, before: func(h *harness) { h.Disconnect(Peers{Configured: 2}) },
+		{name: "it is disconnected", before: func(h *harness) { h.MarkDisconnected(PeerCounts{Configured: 2}) }, delay: disconnectedDelay},
+		{name: "both", keys: []protocol.KeyValue{zoneItem("b")}, before: func(h *harness) { h.MarkDisconnected(PeerCounts{Configured: 2}) },
 			delay: otherZoneDelay + disconnectedDelay},
-		{name: "it resigned", before: func(h *harness) { h.Lead(Mandate{Term: 1}); h.Resign("test", 20*time.Second) }, delay: 20 * time.Second},
+		{name: "it resigned", before: func(h *harness) { h.BecomeLeader(LeaderTerm{Term: 1}); h.Resign("test", 20*time.Second) }, delay: 20 * time.Second},
 	} {
 		h := newHarness()
 		if test.before != nil {
@@ -33,29 +33,29 @@
 		h.Follow()
 		h.answerList(test.keys...)
 		if test.delay < 0 {
-			h.pass(time.Hour)
+			h.advance(time.Hour)
 			if len(h.grants) > 0 {
 				t.Errorf("%s: it campaigns", test.name)
 			}
 			continue
 		}
-		if h.pass(test.delay - 1); len(h.grants) > 0 {
+		if h.advance(test.delay - 1); len(h.grants) > 0 {
 			t.Errorf("%s: it campaigns before %s", test.name, test.delay)
 		}
-		if h.pass(1); len(h.grants) != 1 || h.Role() != Candidate {
+		if h.advance(1); len(h.grants) != 1 || h.Role() != Candidate {
 			t.Errorf("%s: %d campaigns after %s, role %d", test.name, len(h.grants), test.delay, h.Role())
 		}
 	}
 }
 
 // A scheduled campaign is given up when somebody leads by then.
-func TestScheduledCampaignIsGivenUp(t *testing.T) {
+func TestScheduledCampaignIsCancelled(t *testing.T) {
 	h := newHarness()
 	h.Follow()
 	h.answerList(zoneItem("b"))
 	item := leaderItem("n1", 3, 1, 20, 9)
-	h.answerWatch(WatchAnswer{Result: WatchDelivered, Revision: 41, Events: []protocol.Event{{Key: item.Key, Value: item.Value, Version: 41}}})
-	h.pass(time.Hour)
+	h.answerWatch(WatchResponse{Status: WatchDelivered, Revision: 41, Events: []protocol.Event{{Key: item.Key, Value: item.Value, Version: 41}}})
+	h.advance(time.Hour)
 	if len(h.grants) != 0 || h.Role() != Follower || h.OtherLeader() != "n1" {
 		t.Errorf("%d campaigns, role %d, leader %q", len(h.grants), h.Role(), h.OtherLeader())
 	}
@@ -67,20 +67,20 @@
 	h := newHarness()
 	h.Follow()
 	h.answerList(termItem(4, 33))
-	h.pass(time.Second)
+	h.advance(time.Second)
 	h.grants[0](77, true)
 	checkClaim(t, h.txns[0])
 	granted := h.now
-	h.pass(100 * time.Millisecond)
+	h.advance(100 * time.Millisecond)
 	h.commits[0](true, 50)
-	if len(h.mandates) != 1 || h.Role() != Leader {
-		t.Fatalf("%d mandates, role %d", len(h.mandates), h.Role())
+	if len(h.leaderTerms) != 1 || h.Role() != Leader {
+		t.Fatalf("%d mandates, role %d", len(h.leaderTerms), h.Role())
 	}
-	m := h.mandates[0]
-	if m.Term != 5 || m.Version != 50 || m.Lease.ID != 77 || m.ElectedAt != h.now {
+	m := h.leaderTerms[0]
+	if m.Term != 5 || m.KeyVersion != 50 || m.Lease.ID != 77 || m.ElectedAt != h.now {
 		t.Errorf("mandate %+v", m)
 	}
-	if end := granted.Add(base - ClockDrift(base)); m.Lease.ValidUntil.After(end) {
+	if end := granted.Add(baseTTL - MaxClockDrift(baseTTL)); m.Lease.ValidUntil.After(end) {
 		t.Errorf("the lease counts from %s after it was asked for", m.Lease.ValidUntil.Sub(end))
 	}
 	if term, version := h.Term(); term != 5 || version != 50 {
@@ -117,20 +117,20 @@
 		h := newHarness()
 		h.Follow()
 		h.answerList(termItem(4, 33))
-		h.pass(time.Second)
+		h.advance(time.Second)
 		h.grants[0](77, test.granted)
 		if test.granted {
 			h.commits[0](false, 0)
 		}
-		if len(h.revoked) != test.revoked || len(h.mandates) != 0 {
-			t.Errorf("%s: %d leases revoked, %d mandates", test.name, len(h.revoked), len(h.mandates))
+		if len(h.revoked) != test.revoked || len(h.leaderTerms) != 0 {
+			t.Errorf("%s: %d leases revoked, %d mandates", test.name, len(h.revoked), len(h.leaderTerms))
 		}
-		h.pass(retryDelay)
+		h.advance(retryDelay)
 		if len(h.lists) != 2 || h.wanted[0]() {
 			t.Fatalf("%s: the keys were read %d times", test.name, len(h.lists))
 		}
 		h.answerList(termItem(9, 60))
-		h.pass(time.Second)
+		h.advance(time.Second)
 		h.grants[1](78, true)
 		if got := h.txns[len(h.txns)-1].Conditions[1].Version; got != 60 {
 			t.Errorf("%s: repeated on version %d of the term", test.name, got)
@@ -139,7 +139,7 @@
 }
 
 // A leader that sees a later one steps down; an older copy of the key deposes nobody.
-func TestLaterLeaderDeposes(t *testing.T) {
+func TestStepsDownForLaterLeader(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		version uint64
@@ -152,10 +152,10 @@
 		h := newHarness()
 		h.elect()
 		item := leaderItem("n1", 6, 1, test.version, 0)
-		h.answerWatch(WatchAnswer{Result: WatchDelivered, Revision: test.version,
+		h.answerWatch(WatchResponse{Status: WatchDelivered, Revision: test.version,
 			Events: []protocol.Event{{Key: item.Key, Value: item.Value, Version: test.version}}})
-		if h.Role() != test.role || h.deposed != map[Role]int{Leader: 0, Follower: 1}[test.role] {
-			t.Errorf("%s: role %d, deposed %d times", test.name, h.Role(), h.deposed)
+		if h.Role() != test.role || h.leadershipsEnded != map[Role]int{Leader: 0, Follower: 1}[test.role] {
+			t.Errorf("%s: role %d, deposed %d times", test.name, h.Role(), h.leadershipsEnded)
 		}
 	}
 }
@@ -166,23 +166,23 @@
 	h := newHarness()
 	h.elect()
 	h.StepDown("test")
-	if h.deposed != 1 || len(h.revoked) != 0 {
-		t.Errorf("after it stepped down: deposed %d times, leases %v revoked", h.deposed, h.revoked)
+	if h.leadershipsEnded != 1 || len(h.revoked) != 0 {
+		t.Errorf("after it stepped down: deposed %d times, leases %v revoked", h.leadershipsEnded, h.revoked)
 	}
 	h.StepDown("test")
-	if h.deposed != 1 {
+	if h.leadershipsEnded != 1 {
 		t.Error("a follower stepped down")
 	}
 	h = newHarness()
 	h.elect()
 	h.Resign("test", HandOverPause)
-	if h.deposed != 1 || len(h.revoked) != 1 || h.revoked[0] != 77 {
-		t.Errorf("after it resigned: deposed %d times, leases %v revoked", h.deposed, h.revoked)
+	if h.leadershipsEnded != 1 || len(h.revoked) != 1 || h.revoked[0] != 77 {
+		t.Errorf("after it resigned: deposed %d times, leases %v revoked", h.leadershipsEnded, h.revoked)
 	}
 }
 
 // The lease of this controller's earlier process is revoked at once; nobody else's is.
-func TestEarlierProcessIsReplaced(t *testing.T) {
+func TestLeaseOfPreviousProcessIsRevoked(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		leader  protocol.KeyValue
@@ -206,7 +206,7 @@
 // one that failed does after a pause, and answers to an older watch are dropped.
 func TestWatch(t *testing.T) {
 	for _, test := range []struct {
-		result         WatchResult
+		result         WatchStatus
 		watches, lists int // after the answer
 		later          int // reads after a pause
 	}{
@@ -217,11 +217,11 @@
 		h := newHarness()
 		h.Follow()
 		h.answerList(leaderItem("n1", 3, 1, 20, 9))
-		h.answerWatch(WatchAnswer{Result: test.result})
+		h.answerWatch(WatchResponse{Status: test.result})
 		if len(h.watches) != test.watches || len(h.lists) != test.lists {
 			t.Errorf("result %d: %d watches, %d reads", test.result, len(h.watches), len(h.lists))
 		}
-		h.pass(watchRetryDelay)
+		h.advance(watchRetryDelay)
 		if len(h.lists) != test.later {
 			t.Errorf("result %d: %d reads after a pause", test.result, len(h.lists))
 		}
@@ -230,7 +230,7 @@
 	h.Follow()
 	h.answerList(leaderItem("n1", 3, 1, 20, 9))
 	h.Follow()
-	h.answerWatch(WatchAnswer{Result: WatchDelivered, Events: []protocol.Event{{Key: records.KeyLeader, Deleted: true}}})
+	h.answerWatch(WatchResponse{Status: WatchDelivered, Events: []protocol.Event{{Key: records.KeyLeader, Deleted: true}}})
 	if h.OtherLeader() != "n1" || len(h.watches) != 1 {
 		t.Error("an answer to an older watch counts")
 	}
@@ -238,73 +238,73 @@
 
 // A leader that lost connectivity to its workers resigns once, unless all others did the
 // same, and again only for another controller that may reach them.
-func TestDisconnect(t *testing.T) {
+func TestMarkDisconnected(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		again  bool
-		peers  Peers
+		peers  PeerCounts
 		resign bool
 	}{
-		{"for the first time", false, Peers{Configured: 2}, true},
-		{"while one of two others did", false, Peers{Configured: 2, Disconnected: 1}, true},
-		{"as all others did", false, Peers{Configured: 2, Disconnected: 2}, false},
-		{"without others", false, Peers{}, false},
-		{"again, and nobody is eligible", true, Peers{Configured: 2, Disconnected: 1}, false},
-		{"again, while another is eligible", true, Peers{Configured: 2, Eligible: 1}, true},
+		{"for the first time", false, PeerCounts{Configured: 2}, true},
+		{"while one of two others did", false, PeerCounts{Configured: 2, Disconnected: 1}, true},
+		{"as all others did", false, PeerCounts{Configured: 2, Disconnected: 2}, false},
+		{"without others", false, PeerCounts{}, false},
+		{"again, and nobody is eligible", true, PeerCounts{Configured: 2, Disconnected: 1}, false},
+		{"again, while another is eligible", true, PeerCounts{Configured: 2, Eligible: 1}, true},
 	} {
 		h := newHarness()
 		if test.again {
-			h.Disconnect(Peers{Configured: 2})
+			h.MarkDisconnected(PeerCounts{Configured: 2})
 		}
-		if got := h.Disconnect(test.peers); got != test.resign {
+		if got := h.MarkDisconnected(test.peers); got != test.resign {
 			t.Errorf("%s: resigns %t", test.name, got)
 		}
 		if got := h.Disconnected(); got != (test.resign || test.again) {
 			t.Errorf("%s: disconnected %t", test.name, got)
 		}
-		h.pass(disconnectedFor)
+		h.advance(disconnectedPeriod)
 		if h.Disconnected() {
-			t.Errorf("%s: disconnected for longer than %s", test.name, disconnectedFor)
+			t.Errorf("%s: disconnected for longer than %s", test.name, disconnectedPeriod)
 		}
 	}
 }
 
 // The leadership is handed over to the zone that the store calls the better one, once the
 // leader has been there for a while.
-func TestHandsOverTo(t *testing.T) {
+func TestShouldHandOverTo(t *testing.T) {
 	for _, test := range []struct {
 		name, preferred, zone string
 		after                 time.Duration
 		want                  bool
 	}{
-		{"the preferred zone", "b", "b", minTermTime, true},
-		{"too soon", "b", "b", minTermTime - 1, false},
-		{"its own zone", "a", "a", minTermTime, false},
-		{"a zone that isn't recorded yet", "a", "b", minTermTime, false},
-		{"without a preference", "", "b", minTermTime, false},
+		{"the preferred zone", "b", "b", minTermDuration, true},
+		{"too soon", "b", "b", minTermDuration - 1, false},
+		{"its own zone", "a", "a", minTermDuration, false},
+		{"a zone that isn't recorded yet", "a", "b", minTermDuration, false},
+		{"without a preference", "", "b", minTermDuration, false},
 	} {
 		h := newHarness()
 		h.Follow()
 		h.answerList(zoneItem(test.preferred))
-		h.Lead(Mandate{Term: 5, Version: 50, ElectedAt: h.now})
+		h.BecomeLeader(LeaderTerm{Term: 5, KeyVersion: 50, ElectedAt: h.now})
 		h.now = h.now.Add(test.after)
-		if got := h.HandsOverTo(test.zone); got != test.want {
+		if got := h.ShouldHandOverTo(test.zone); got != test.want {
 			t.Errorf("%s: %t", test.name, got)
 		}
 	}
 }
 
 // A leadership that was lost to overload makes the next lease longer.
-func TestOverloadLoss(t *testing.T) {
+func TestTTLAfterLossToOverload(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
 		h := newHarness()
 		h.overloaded = overloaded
 		h.elect()
-		h.pass(changeWindow + time.Second)
+		h.advance(changeWindow + time.Second)
 		h.StepDown("test")
-		want := base
+		want := baseTTL
 		if overloaded {
-			want = 4 * base
+			want = 4 * baseTTL
 		}
 		if got := h.CampaignTTL(); got != want {
 			t.Errorf("overloaded %t: %s, want %s", overloaded, got, want)
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -9,7 +9,7 @@
 	"brasskeel/internal/records"
 )
 
-const base = 2 * time.Second
+const baseTTL = 2 * time.Second
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
@@ -18,11 +18,11 @@
 type harness struct {
 	*Election
 	now    time.Time
-	timers []plannedRun
+	timers []harnessTimer
 
 	lists    []func([]protocol.KeyValue, uint64)
 	wanted   []func() bool
-	watches  []func(WatchAnswer)
+	watches  []func(WatchResponse)
 	grants   []func(uint64, bool)
 	ttls     []time.Duration // asked for
 	renewals []func(Renewal)
@@ -30,27 +30,27 @@
 	txns     []*protocol.Txn
 	commits  []func(bool, uint64)
 
-	mandates    []Mandate
-	deposed     int
-	updates     int
-	overloaded  bool
-	peersSilent bool
+	leaderTerms      []LeaderTerm
+	leadershipsEnded int
+	updates          int
+	overloaded       bool
+	peersSilent      bool
 }
 
-type plannedRun struct {
+type harnessTimer struct {
 	at  time.Time
 	run func()
 }
 
 func newHarness() *harness {
 	h := &harness{now: start}
-	h.Election = New(Settings{Name: "n0", Zone: "a", BootID: 7, BaseTTL: base}, slog.New(slog.DiscardHandler), h, h, h)
+	h.Election = New(Settings{Name: "n0", Zone: "a", BootID: 7, BaseTTL: baseTTL}, slog.New(slog.DiscardHandler), h, h, h)
 	return h
 }
 
 func (h *harness) Now() time.Time { return h.now }
 func (h *harness) After(d time.Duration, f func()) {
-	h.timers = append(h.timers, plannedRun{h.now.Add(d), f})
+	h.timers = append(h.timers, harnessTimer{h.now.Add(d), f})
 }
 func (h *harness) Jitter(time.Duration) time.Duration { return 0 }
 
@@ -58,7 +58,7 @@
 	h.lists, h.wanted = append(h.lists, done), append(h.wanted, wanted)
 }
 
-func (h *harness) Watch(_ string, _ uint64, done func(WatchAnswer)) {
+func (h *harness) Watch(_ string, _ uint64, done func(WatchResponse)) {
 	h.watches = append(h.watches, done)
 }
 
@@ -76,14 +76,14 @@
 	h.txns, h.commits = append(h.txns, t), append(h.commits, done)
 }
 
-func (h *harness) Elected(m Mandate)    { h.mandates = append(h.mandates, m) }
-func (h *harness) Deposed()             { h.deposed++ }
+func (h *harness) Elected(m LeaderTerm) { h.leaderTerms = append(h.leaderTerms, m) }
+func (h *harness) LeadershipEnded()     { h.leadershipsEnded++ }
 func (h *harness) LeaderUpdated()       { h.updates++ }
 func (h *harness) LostToOverload() bool { return h.overloaded }
 func (h *harness) PeersSilent() bool    { return h.peersSilent }
 
-// pass lets time go by, with the timers that are due.
-func (h *harness) pass(d time.Duration) {
+// advance lets time go by, with the timers that are due.
+func (h *harness) advance(d time.Duration) {
 	end := h.now.Add(d)
 	for {
 		sort.SliceStable(h.timers, func(i, k int) bool { return h.timers[i].at.Before(h.timers[k].at) })
@@ -105,7 +105,7 @@
 }
 
 // answerWatch answers the latest watch.
-func (h *harness) answerWatch(answer WatchAnswer) { h.watches[len(h.watches)-1](answer) }
+func (h *harness) answerWatch(answer WatchResponse) { h.watches[len(h.watches)-1](answer) }
 
 func leaderItem(controller string, term, boot, version, lease uint64) protocol.KeyValue {
 	return protocol.KeyValue{Key: records.KeyLeader, Version: version, Lease: lease,
@@ -124,7 +124,7 @@
 func (h *harness) elect() {
 	h.Follow()
 	h.answerList(termItem(4, 33))
-	h.pass(time.Second)
+	h.advance(time.Second)
 	h.grants[0](77, true)
 	h.commits[0](true, 50)
 }
--- a/internal/coordination/leadership/host.go
+++ b/internal/coordination/leadership/host.go
@@ -24,7 +24,7 @@
 	// reports false. A watch from the revision misses nothing.
 	List(prefix string, wanted func() bool, done func(items []protocol.KeyValue, revision uint64))
 	// Watch waits for changes of keys with a prefix after a revision.
-	Watch(prefix string, after uint64, done func(WatchAnswer))
+	Watch(prefix string, after uint64, done func(WatchResponse))
 	// GrantLease asks for a lease; granted is false where none is known to be granted.
 	GrantLease(ttl time.Duration, done func(lease uint64, granted bool))
 	// RenewLease lets a lease live for its whole time to live again.
@@ -36,19 +36,19 @@
 	Commit(t *protocol.Txn, done func(applied bool, revision uint64))
 }
 
-// WatchAnswer is what came of a watch.
-type WatchAnswer struct {
-	Result   WatchResult
+// WatchResponse is what came of a watch.
+type WatchResponse struct {
+	Status   WatchStatus
 	Events   []protocol.Event // of a delivered watch; none when nothing changed in time
 	Revision uint64           // up to which the events reach
 }
 
-// WatchResult is how a watch ended.
-type WatchResult uint8
+// WatchStatus is how a watch ended.
+type WatchStatus uint8
 
 // Results of a watch.
 const (
-	WatchDelivered WatchResult = iota + 1
+	WatchDelivered WatchStatus = iota + 1
 	WatchCompacted             // the store no longer has the changes since that revision
 	WatchFailed
 )
@@ -58,17 +58,17 @@
 
 // Outcomes of a renewal.
 const (
-	RenewalApplied Renewal = iota + 1
-	RenewalExpired         // there is no such lease any more
+	RenewalSucceeded Renewal = iota + 1
+	RenewalExpired           // there is no such lease any more
 	RenewalUnknown
 )
 
 // Host is the controller that stands for election.
 type Host interface {
 	// Elected lets the controller act as leader.
-	Elected(m Mandate)
-	// Deposed takes back what Elected gave.
-	Deposed()
+	Elected(m LeaderTerm)
+	// LeadershipEnded takes back what Elected gave.
+	LeadershipEnded()
 	// LeaderUpdated follows each change of what the store shows.
 	LeaderUpdated()
 	// LostToOverload reports whether the leadership that is being given up was most likely
--- a/internal/coordination/leadership/lease.go
+++ b/internal/coordination/leadership/lease.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ClockDrift bounds by how much steady clocks of two machines differ over a time: twice
+// MaxClockDrift bounds by how much steady clocks of two machines differ over a time: twice
 // what the protocol allows, so that rounding can't matter.
-func ClockDrift(d time.Duration) time.Duration { return d / 1000 }
+func MaxClockDrift(d time.Duration) time.Duration { return d / 1000 }
 
 // Lease is a lease in the store on which an authority rests: that of the leader over all
 // machines, or that of a shard's owner over its machines.
@@ -14,20 +14,20 @@
 	ValidUntil time.Time // until when no one else can have taken over
 }
 
-// GrantedLease is a lease whose grant, or last renewal, was sent at a time. The store counts
+// NewLease is a lease whose grant, or last renewal, was sent at a time. The store counts
 // from when the request arrived, so no earlier.
-func GrantedLease(id uint64, ttl time.Duration, sent time.Time) Lease {
+func NewLease(id uint64, ttl time.Duration, sent time.Time) Lease {
 	l := Lease{ID: id, TTL: ttl}
 	l.extend(sent)
 	return l
 }
 
-func (l *Lease) extend(sent time.Time) { l.ValidUntil = sent.Add(l.TTL - ClockDrift(l.TTL)) }
+func (l *Lease) extend(sent time.Time) { l.ValidUntil = sent.Add(l.TTL - MaxClockDrift(l.TTL)) }
 
-// Holder is whose authority rests on a lease.
-type Holder interface {
-	// HoldsAuthority is false once the lease isn't needed any more.
-	HoldsAuthority() bool
+// LeaseHolder is whose authority rests on a lease.
+type LeaseHolder interface {
+	// NeedsLease is false once the lease isn't needed any more.
+	NeedsLease() bool
 	// RenewalSent follows each request to renew.
 	RenewalSent()
 	// LeaseRenewed follows each success.
@@ -36,44 +36,44 @@
 	LeaseExpired()
 }
 
-// Keeper renews a lease as long as its holder has the authority that rests on it.
-type Keeper struct {
+// LeaseRenewer renews a lease as long as its holder has the authority that rests on it.
+type LeaseRenewer struct {
 	clock  Clock
 	store  Store
 	lease  *Lease
-	holder Holder
+	holder LeaseHolder
 }
 
-// renewalRetry is the pause after a renewal that failed: much shorter than the shortest
+// renewalRetryDelay is the pause after a renewal that failed: much shorter than the shortest
 // lease, so that several attempts fit into what is left of it.
-const renewalRetry = 200 * time.Millisecond
+const renewalRetryDelay = 200 * time.Millisecond
 
-// KeepLease begins to renew a lease, at once and then at each three tenths of its time to
+// KeepLeaseAlive begins to renew a lease, at once and then at each three tenths of its time to
 // live.
-func KeepLease(clock Clock, store Store, lease *Lease, holder Holder) {
-	k := &Keeper{clock: clock, store: store, lease: lease, holder: holder}
+func KeepLeaseAlive(clock Clock, store Store, lease *Lease, holder LeaseHolder) {
+	k := &LeaseRenewer{clock: clock, store: store, lease: lease, holder: holder}
 	k.renew()
 }
 
-func (k *Keeper) renew() {
-	if !k.holder.HoldsAuthority() {
+func (k *LeaseRenewer) renew() {
+	if !k.holder.NeedsLease() {
 		return
 	}
 	sent := k.clock.Now()
 	k.store.RenewLease(k.lease.ID, k.lease.TTL/2, func(r Renewal) {
-		if !k.holder.HoldsAuthority() {
+		if !k.holder.NeedsLease() {
 			return
 		}
 		next := k.lease.TTL * 3 / 10
 		switch r {
-		case RenewalApplied:
+		case RenewalSucceeded:
 			k.lease.extend(sent)
 			k.holder.LeaseRenewed()
 		case RenewalExpired:
 			k.holder.LeaseExpired()
 			return
 		case RenewalUnknown:
-			next = renewalRetry
+			next = renewalRetryDelay
 		}
 		k.clock.After(next, k.renew)
 	})
--- a/internal/coordination/leadership/policy_test.go
+++ b/internal/coordination/leadership/policy_test.go
@@ -10,20 +10,20 @@
 
 // Leaders of a large fleet that lost a short lease for being busy left the same
 // work to the next one, and none ever got through with it.
-func TestLeaseGrowsWithChanges(t *testing.T) {
-	p, now := NewTTLPolicy(base), start
-	if got := p.TTL(now, false); got != base {
-		t.Errorf("after a calm time %s, want %s", got, base)
+func TestTTLGrowsWithLeaderChanges(t *testing.T) {
+	p, now := NewTTLPolicy(baseTTL), start
+	if got := p.TTL(now, false); got != baseTTL {
+		t.Errorf("after a calm time %s, want %s", got, baseTTL)
 	}
-	for i, want := range []time.Duration{2 * base, 2 * base, 4 * base, 4 * base} {
+	for i, want := range []time.Duration{2 * baseTTL, 2 * baseTTL, 4 * baseTTL, 4 * baseTTL} {
 		p.LeaderChanged(now)
 		if got := p.TTL(now, false); got != want {
 			t.Errorf("after %d changes %s, want %s", i+1, got, want)
 		}
 	}
 	now = now.Add(changeWindow + time.Second)
-	if got := p.TTL(now, false); got != base {
-		t.Errorf("after a calm time again %s, want %s", got, base)
+	if got := p.TTL(now, false); got != baseTTL {
+		t.Errorf("after a calm time again %s, want %s", got, baseTTL)
 	}
 }
 
@@ -36,14 +36,14 @@
 		lost        time.Duration // ago; 0: never
 		want        time.Duration
 	}{
-		{"calm", 0, false, 0, base},
-		{"silent peers", 0, true, 0, 2 * base},
-		{"silent peers and a change", 1, true, 0, 2 * base},
-		{"silent peers and two changes", 2, true, 0, 4 * base},
-		{"lost to overload", 0, false, time.Second, 4 * base},
-		{"lost to overload long ago", 0, false, overloadWindow, base},
+		{"calm", 0, false, 0, baseTTL},
+		{"silent peers", 0, true, 0, 2 * baseTTL},
+		{"silent peers and a change", 1, true, 0, 2 * baseTTL},
+		{"silent peers and two changes", 2, true, 0, 4 * baseTTL},
+		{"lost to overload", 0, false, time.Second, 4 * baseTTL},
+		{"lost to overload long ago", 0, false, overloadWindow, baseTTL},
 	} {
-		p := NewTTLPolicy(base)
+		p := NewTTLPolicy(baseTTL)
 		for range test.changes {
 			p.LeaderChanged(start)
 		}
@@ -99,20 +99,20 @@
 	}
 }
 
-// holder is one whose lease is renewed in a test.
-type holder struct {
+// fakeLeaseHolder is one whose lease is renewed in a test.
+type fakeLeaseHolder struct {
 	holds                  bool
 	sent, renewed, expired int
 }
 
-func (h *holder) HoldsAuthority() bool { return h.holds }
-func (h *holder) RenewalSent()         { h.sent++ }
-func (h *holder) LeaseRenewed()        { h.renewed++ }
-func (h *holder) LeaseExpired()        { h.expired++ }
+func (h *fakeLeaseHolder) NeedsLease() bool { return h.holds }
+func (h *fakeLeaseHolder) RenewalSent()     { h.sent++ }
+func (h *fakeLeaseHolder) LeaseRenewed()    { h.renewed++ }
+func (h *fakeLeaseHolder) LeaseExpired()    { h.expired++ }
 
 // A lease is renewed at each three tenths of its time, sooner after a failure, and no more
 // once it has expired or its holder doesn't need it.
-func TestKeeper(t *testing.T) {
+func TestLeaseRenewal(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		renewal Renewal
@@ -120,37 +120,37 @@
 		next    time.Duration // -1: never
 		valid   bool          // for longer than before
 	}{
-		{"renewed", RenewalApplied, true, base * 3 / 10, true},
-		{"without an answer", RenewalUnknown, true, renewalRetry, false},
+		{"renewed", RenewalSucceeded, true, baseTTL * 3 / 10, true},
+		{"without an answer", RenewalUnknown, true, renewalRetryDelay, false},
 		{"expired", RenewalExpired, true, -1, false},
-		{"not needed any more", RenewalApplied, false, -1, false},
+		{"not needed any more", RenewalSucceeded, false, -1, false},
 	} {
-		h, who := newHarness(), &holder{holds: true}
-		lease := GrantedLease(77, base, h.now)
+		h, who := newHarness(), &fakeLeaseHolder{holds: true}
+		lease := NewLease(77, baseTTL, h.now)
 		granted := lease.ValidUntil
-		h.pass(time.Second)
-		KeepLease(h, h, &lease, who)
+		h.advance(time.Second)
+		KeepLeaseAlive(h, h, &lease, who)
 		sent := h.now
-		h.pass(100 * time.Millisecond) // for the answer, which counts from when it was asked for
+		h.advance(100 * time.Millisecond) // for the answer, which counts from when it was asked for
 		who.holds = test.keeps
 		h.renewals[0](test.renewal)
 		want := granted
 		if test.valid {
-			want = sent.Add(base - ClockDrift(base))
+			want = sent.Add(baseTTL - MaxClockDrift(baseTTL))
 		}
 		if !lease.ValidUntil.Equal(want) {
 			t.Errorf("%s: valid for %s longer than due", test.name, lease.ValidUntil.Sub(want))
 		}
 		if test.next < 0 {
-			if h.pass(time.Hour); len(h.renewals) != 1 {
+			if h.advance(time.Hour); len(h.renewals) != 1 {
 				t.Errorf("%s: renewed again", test.name)
 			}
 			continue
 		}
-		if h.pass(test.next - 1); len(h.renewals) != 1 {
+		if h.advance(test.next - 1); len(h.renewals) != 1 {
 			t.Errorf("%s: renewed again before %s", test.name, test.next)
 		}
-		if h.pass(1); len(h.renewals) != 2 || who.sent != 2 {
+		if h.advance(1); len(h.renewals) != 2 || who.sent != 2 {
 			t.Errorf("%s: %d renewals after %s", test.name, len(h.renewals), test.next)
 		}
 	}
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -9,16 +9,16 @@
 // Limits that follow from the settings, and what the shell reports of its own. The names of
 // all limits, and what is done on reaching one, are in package limits.
 
-// Sockets counts how often limits of the sockets were reached since the last call: answers
+// CountSocketLimits counts how often limits of the sockets were reached since the last call: answers
 // that closed their connection, connections that were shed, and calls that got no socket.
-func (c *Controller) Sockets(closed, shed, busy int) {
-	c.limits.ReachedTimes(limits.SocketsClosed, closed)
-	c.limits.ReachedTimes(limits.SocketsShed, shed)
-	c.limits.ReachedTimes(limits.SocketsBusy, busy)
+func (c *Controller) CountSocketLimits(closed, shed, busy int) {
+	c.limits.ReachedTimes(limits.ConnectionsClosed, closed)
+	c.limits.ReachedTimes(limits.ConnectionsShed, shed)
+	c.limits.ReachedTimes(limits.CallsWithoutSocket, busy)
 }
 
-// PeerLinesLost counts lines that peers missed since the last call, as they read too slowly.
-func (c *Controller) PeerLinesLost(lines int) {
+// CountLostPeerMessages counts lines that peers missed since the last call, as they read too slowly.
+func (c *Controller) CountLostPeerMessages(lines int) {
 	c.limits.ReachedTimes(limits.PeerMessagesLost, lines)
 }
 
--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -15,49 +15,49 @@
 
 // The limits, in the order in which they are logged.
 const (
-	OpenRequests         Limit = iota // requests of users that wait for the state service
-	DeferredHeartbeats                // heartbeats that wait for a leader
-	Outcomes                          // final states kept in memory
-	AcceptedJobs                      // accepted jobs kept in memory
-	Announcements                     // final states that wait to be announced to peers
-	Progress                          // jobs whose progress peers are told in one turn
-	UnrecordedPlacements              // placements that wait to be recorded
-	OrdersPerMessage                  // orders in one message to a worker
-	TasksPerMachine                   // tasks on one machine
-	Inventory                         // machines in the cloud's list
-	TokenRaises                       // raises of one worker's fencing token
-	MachineTypesRecord                // bytes of the record of machine types
-	PeerMessage                       // bytes of a message to a peer
-	SocketsClosed                     // sockets: answers that ended their connection
-	SocketsShed                       // sockets: connections closed to make room
-	SocketsBusy                       // sockets: calls given up while they waited for one
-	PeerMessagesLost                  // messages that a peer was too slow for
-	ServedMachines                    // machines that this controller can serve on its share of a processor
-	SurgeCeiling                      // what a surging team may put on one machine
-	count
+	OpenRequests           Limit = iota // requests of users that wait for the state service
+	DeferredHeartbeats                  // heartbeats that wait for a leader
+	CachedOutcomes                      // final states kept in memory
+	CachedAcceptedJobs                  // accepted jobs kept in memory
+	OutcomesToBroadcast                 // final states that wait to be announced to peers
+	ProgressToBroadcast                 // jobs whose progress peers are told in one turn
+	UnrecordedPlacements                // placements that wait to be recorded
+	OrdersPerMessage                    // orders in one message to a worker
+	TasksPerMachine                     // tasks on one machine
+	InventoryMachines                   // machines in the cloud's list
+	FencingTokenRaises                  // raises of one worker's fencing token
+	MachineTypesRecordSize              // bytes of the record of machine types
+	PeerMessageSize                     // bytes of a message to a peer
+	ConnectionsClosed                   // sockets: answers that ended their connection
+	ConnectionsShed                     // sockets: connections closed to make room
+	CallsWithoutSocket                  // sockets: calls given up while they waited for one
+	PeerMessagesLost                    // messages that a peer was too slow for
+	ServedMachines                      // machines that this controller can serve on its share of a processor
+	SurgeCeiling                        // what a surging team may put on one machine
+	limitCount
 )
 
 // descriptions of the limits. Operators search the log for the names.
-var descriptions = [count]struct{ name, consequence string }{
-	OpenRequests:         {"open requests", "users are sent away with Retry-After"},
-	DeferredHeartbeats:   {"deferred heartbeats", "workers are redirected at once"},
-	Outcomes:             {"cached outcomes", "some are evicted and read again when asked for"},
-	AcceptedJobs:         {"cached accepted jobs", "all are evicted and checked again when asked for"},
-	Announcements:        {"outcomes to broadcast", "peers read them when they are asked"},
-	Progress:             {"progress to broadcast", "the others follow in the next turns"},
-	UnrecordedPlacements: {"unrecorded placements", "placement goes on when records are written"},
-	OrdersPerMessage:     {"orders per message", "the rest goes out with the next message"},
-	TasksPerMachine:      {"tasks per machine", "others are placed elsewhere"},
-	Inventory:            {"machines in the inventory", "the list is not compared"},
-	TokenRaises:          {"fencing token raises", "only calls show whether the worker is reached"},
-	MachineTypesRecord:   {"machine types record", "other controllers ask the cloud for them"},
-	PeerMessage:          {"peer message size", "the message is dropped"},
-	SocketsClosed:        {"sockets: connections closed after a response", "clients dial again"},
-	SocketsShed:          {"sockets: connections shed", "clients dial again"},
-	SocketsBusy:          {"sockets: calls without a socket", "they are tried again"},
-	PeerMessagesLost:     {"peer messages lost", "the peer misses them"},
-	ServedMachines:       {"machines served on this processor share", "fewer machines are provisioned, none while overloaded"},
-	SurgeCeiling:         {"surge ceiling", "a job's tasks go above it"},
+var descriptions = [limitCount]struct{ name, consequence string }{
+	OpenRequests:           {"open requests", "users are sent away with Retry-After"},
+	DeferredHeartbeats:     {"deferred heartbeats", "workers are redirected at once"},
+	CachedOutcomes:         {"cached outcomes", "some are evicted and read again when asked for"},
+	CachedAcceptedJobs:     {"cached accepted jobs", "all are evicted and checked again when asked for"},
+	OutcomesToBroadcast:    {"outcomes to broadcast", "peers read them when they are asked"},
+	ProgressToBroadcast:    {"progress to broadcast", "the others follow in the next turns"},
+	UnrecordedPlacements:   {"unrecorded placements", "placement goes on when records are written"},
+	OrdersPerMessage:       {"orders per message", "the rest goes out with the next message"},
+	TasksPerMachine:        {"tasks per machine", "others are placed elsewhere"},
+	InventoryMachines:      {"machines in the inventory", "the list is not compared"},
+	FencingTokenRaises:     {"fencing token raises", "only calls show whether the worker is reached"},
+	MachineTypesRecordSize: {"machine types record", "other controllers ask the cloud for them"},
+	PeerMessageSize:        {"peer message size", "the message is dropped"},
+	ConnectionsClosed:      {"sockets: connections closed after a response", "clients dial again"},
+	ConnectionsShed:        {"sockets: connections shed", "clients dial again"},
+	CallsWithoutSocket:     {"sockets: calls without a socket", "they are tried again"},
+	PeerMessagesLost:       {"peer messages lost", "the peer misses them"},
+	ServedMachines:         {"machines served on this processor share", "fewer machines are provisioned, none while overloaded"},
+	SurgeCeiling:           {"surge ceiling", "a job's tasks go above it"},
 }
 
 // String is the name of the limit in the log.
@@ -71,9 +71,9 @@
 
 // Counters count how often limits were reached. The zero value is ready for use.
 type Counters struct {
-	sinceLogged [count]int
-	total       [count]int
-	loggedAt    [count]time.Time // zero: never
+	sinceLogged [limitCount]int
+	total       [limitCount]int
+	loggedAt    [limitCount]time.Time // zero: never
 }
 
 // Reached counts that a limit was reached once.
@@ -90,7 +90,7 @@
 
 // Log logs the limits that were reached, each in a line of its own at most every LogInterval.
 func (c *Counters) Log(log *slog.Logger, now time.Time) {
-	for l := range count {
+	for l := range limitCount {
 		if c.sinceLogged[l] == 0 || !c.loggedAt[l].IsZero() && now.Sub(c.loggedAt[l]) < LogInterval {
 			continue
 		}
--- a/internal/coordination/limits/limits_test.go
+++ b/internal/coordination/limits/limits_test.go
@@ -29,34 +29,34 @@
 		{"nothing since", 3 * LogInterval, 0, ""},
 	} {
 		out.Reset()
-		c.ReachedTimes(SocketsShed, step.reached)
+		c.ReachedTimes(ConnectionsShed, step.reached)
 		c.Log(log, start.Add(step.after))
 		if lines := strings.Count(out.String(), "\n"); (step.want != "") != (lines == 1) || !strings.Contains(out.String(), step.want) {
 			t.Errorf("%s: logged %q, want %q", step.name, out.String(), step.want)
 		}
 	}
-	if c.Total(SocketsShed) != 100 || c.Total(SocketsBusy) != 0 {
-		t.Errorf("totals %d and %d", c.Total(SocketsShed), c.Total(SocketsBusy))
+	if c.Total(ConnectionsShed) != 100 || c.Total(CallsWithoutSocket) != 0 {
+		t.Errorf("totals %d and %d", c.Total(ConnectionsShed), c.Total(CallsWithoutSocket))
 	}
 }
 
 // Limits are logged apart from one another.
-func TestLimitsApart(t *testing.T) {
+func TestLimitsLoggedSeparately(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
 	var c Counters
-	for l := range count {
+	for l := range limitCount {
 		c.Reached(l)
 	}
 	c.Log(log, start)
-	if lines := strings.Count(out.String(), "\n"); lines != int(count) {
-		t.Errorf("%d lines for %d limits", lines, count)
+	if lines := strings.Count(out.String(), "\n"); lines != int(limitCount) {
+		t.Errorf("%d lines for %d limits", lines, limitCount)
 	}
 }
 
 func TestDescriptions(t *testing.T) {
 	names := map[string]bool{}
-	for l := range count {
+	for l := range limitCount {
 		if l.String() == "" || l.Consequence() == "" || names[l.String()] {
 			t.Errorf("limit %d: name %q, consequence %q", l, l, l.Consequence())
 		}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -20,19 +20,19 @@
 
 // Tests of bounds that a fleet of thousands of machines reaches.
 
-// follower is another controller that hears a leader.
-func follower(c *Controller) *Controller {
+// newFollower is another controller that hears a leader.
+func newFollower(c *Controller) *Controller {
 	cfg := *c.cfg
 	cfg.Name = "n1"
 	cfg.Peers = append(cfg.Peers[:0:0], cfg.Peers...)
 	cfg.Peers = append(cfg.Peers, config.Peer{Name: c.cfg.Name, Zone: c.cfg.Zone})
 	f := New(&cfg, c.operator, slog.New(slog.DiscardHandler), 2, c.now)
-	showElection(f, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: c.cfg.Name, Term: 1}), Version: 1})
+	setElectionKeys(f, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: c.cfg.Name, Term: 1}), Version: 1})
 	return f
 }
 
-// tellPeer hands a turn of a leader's lines to a follower, and reports the longest one.
-func tellPeer(c, f *Controller) (longest int) {
+// deliverBroadcasts hands a turn of a leader's lines to a follower, and reports the longest one.
+func deliverBroadcasts(c, f *Controller) (longest int) {
 	c.effects = Effects{}
 	c.broadcastStatus()
 	for _, p := range c.takeEffects().Broadcasts {
@@ -45,15 +45,15 @@
 // A follower knows how every job of a large fleet goes on after a few turns, and each line
 // fits the stream. Only the first 1,200 jobs were told of, and users of the others saw them
 // queued for ever.
-func TestProgressOfAllJobsIsTold(t *testing.T) {
+func TestProgressOfAllJobsIsBroadcast(t *testing.T) {
 	const jobs = 9000
-	c, l := largeLead(10, jobs)
+	c, l := largeLeader(10, jobs)
 	for _, j := range l.jobsByAge {
 		j.runningTasks = 3
 	}
-	f := follower(c)
+	f := newFollower(c)
 	for turn := range 3 {
-		if longest := tellPeer(c, f); longest > peers.MaxMessage {
+		if longest := deliverBroadcasts(c, f); longest > peers.MaxMessage {
 			t.Fatalf("turn %d: a line of %d bytes", turn, longest)
 		}
 	}
@@ -65,7 +65,7 @@
 	// One that went back to nothing is told of once more.
 	l.jobsByAge[0].runningTasks = 0
 	for range 3 {
-		tellPeer(c, f)
+		deliverBroadcasts(c, f)
 	}
 	if _, _, running := f.knownProgress(l.jobsByAge[0].ID); running != 0 {
 		t.Errorf("%d tasks run that were stopped", running)
@@ -74,17 +74,17 @@
 
 // Thousands of jobs that end within a second are told to peers within seconds, each at
 // least once: 500 of them were told a second, and what came beyond 5,000 was dropped.
-func TestManyOutcomesAreAnnounced(t *testing.T) {
-	c, _ := leading(phaseActive)
+func TestManyOutcomesAreBroadcast(t *testing.T) {
+	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateWriteRPS = 1000
-	c.admission.maxUnannounced = c.maxUnannounced()
+	c.admission.maxPendingAnnouncements = c.maxUnannounced()
 	const jobs = 12_000
 	for i := range jobs {
-		c.admission.learnOutcome(fmt.Sprintf("run-%06d", i), protocol.Done, 1)
+		c.admission.publishOutcome(fmt.Sprintf("run-%06d", i), protocol.Done, 1)
 	}
-	f := follower(c)
+	f := newFollower(c)
 	for range 5 {
-		if longest := tellPeer(c, f); longest > peers.MaxMessage {
+		if longest := deliverBroadcasts(c, f); longest > peers.MaxMessage {
 			t.Fatalf("a line of %d bytes", longest)
 		}
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// listedMachines answers calls for the cloud's list with machines from 0 to count.
-func listedMachines(call Call, count int) []byte {
+// machineListPage answers calls for the cloud's list with machines from 0 to count.
+func machineListPage(call Call, count int) []byte {
 	first := 0
 	if _, after, found := strings.Cut(call.Target, "=vm-"); found {
 		if _, err := fmt.Sscanf(after, "%d", &first); err != nil {
@@ -109,8 +109,8 @@
 	return protocol.EncodeMachines(list, first+protocol.MaxListed < count)
 }
 
-// readList lets a leader read a list of machines once, refusing one call in every refuse.
-func readList(c *Controller, l *leader, count, refuse int) (calls int) {
+// readMachineList lets a leader read a list of machines once, refusing one call in every refuse.
+func readMachineList(c *Controller, l *leader, count, refuse int) (calls int) {
 	c.effects = Effects{}
 	l.readInventory()
 	for range 10_000 {
@@ -120,7 +120,7 @@
 				continue
 			}
 			calls++
-			o := Outcome{Answered: true, Status: 200, Body: listedMachines(call, count)}
+			o := Outcome{Answered: true, Status: 200, Body: machineListPage(call, count)}
 			if refuse > 0 && calls%refuse == 0 {
 				o = Outcome{Answered: true, Status: 429}
 			}
@@ -142,11 +142,11 @@
 // one refused page cost all before it.
 func TestLongListsAreReadToTheEnd(t *testing.T) {
 	const count = 25_000
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	last := l.newMachine(fmt.Sprintf("vm-%06d", count-1), "small", "a", false)
 	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
 	l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
-	if calls := readList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MaxListed {
+	if calls := readMachineList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MaxListed {
 		t.Fatalf("not read in %d calls", calls)
 	}
 	if len(l.machines) != count || !last.lifecycle.unlistedSince.IsZero() {
@@ -156,14 +156,14 @@
 
 // Lists of a large fleet leave most of the cloud's calls for renting and returning. Read
 // every six seconds, those of 4,000 machines took two thirds of two calls a second.
-func TestListsLeaveCallsForOthers(t *testing.T) {
-	_, l := largeLead(4000, 0)
+func TestInventoryReadsLeaveCallBudget(t *testing.T) {
+	_, l := largeLeader(4000, 0)
 	l.controller.cfg.CloudRPS, l.controller.cfg.ListLag = 2, 12*time.Second
 	pages := float64(1 + 4000/protocol.MaxListed)
 	if share := pages / l.inventoryInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
 		t.Errorf("lists take %.2f of the calls", share)
 	}
-	_, small := largeLead(250, 0)
+	_, small := largeLeader(250, 0)
 	small.controller.cfg.CloudRPS, small.controller.cfg.ListLag = 2, 12*time.Second
 	if i := small.inventoryInterval(); i != 6*time.Second {
 		t.Errorf("a small fleet's list is read every %s", i)
@@ -171,8 +171,8 @@
 }
 
 // A list that repeats its pages isn't read without end.
-func TestEndlessListIsGivenUp(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestEndlessListIsAbandoned(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	l.readInventory()
 	again := protocol.EncodeMachines([]protocol.ListedMachine{{Name: "vm-000001", Type: "small", Zone: "a", State: protocol.Up}}, true)
 	calls := 0
@@ -191,9 +191,9 @@
 	}
 }
 
-// crowded is a machine that runs very many small tasks.
-func crowded(tasks int) (*Controller, *leader, *machine) {
-	c, l := largeLead(1, 0)
+// newCrowdedMachine is a machine that runs very many small tasks.
+func newCrowdedMachine(tasks int) (*Controller, *leader, *machine) {
+	c, l := largeLeader(1, 0)
 	spec := benchJob(2)
 	spec.Tasks, spec.CPUs, spec.MemoryGB = tasks, 0.001, 0.001
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: spec})
@@ -202,7 +202,7 @@
 		l.assign(l.jobsByAge[0], i, m)
 		l.jobsByAge[0].firstUnstarted = i + 1
 	}
-	runAll(l)
+	markAllRunning(l)
 	c.takeEffects()
 	return c, l, m
 }
@@ -210,7 +210,7 @@
 // Messages to a worker hold what fits 64 KiB, and what doesn't goes out with the next.
 func TestOrdersFitMessages(t *testing.T) {
 	const tasks = 3000
-	c, l, m := crowded(tasks)
+	c, l, m := newCrowdedMachine(tasks)
 	l.endJob(l.jobsByAge[0], protocol.Cancelled)
 	stopped := map[int]bool{}
 	calls := c.takeEffects().Calls
@@ -232,7 +232,7 @@
 			}
 			m.session.Sequence++
 			body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.session.Sequence, FencingToken: l.epoch.BaseToken(),
-				Tasks: reported(m)})
+				Tasks: runningTaskStatuses(m)})
 			next = append(next, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body}).Calls...)
 		}
 		calls = next
@@ -242,7 +242,7 @@
 	}
 	// The same by the answer of a report.
 	m.session.Sequence++
-	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.session.Sequence, FencingToken: l.epoch.BaseToken(), Tasks: reported(m)}
+	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.session.Sequence, FencingToken: l.epoch.BaseToken(), Tasks: runningTaskStatuses(m)}
 	e := c.Request(c.now, 99, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(r))
 	if len(e.Replies) != 1 || len(e.Replies[0].Body) > protocol.MaxBody {
 		t.Fatalf("answers: %d", len(e.Replies))
@@ -255,25 +255,25 @@
 	}
 }
 
-// reported are the tasks on a machine as its worker reports them.
-func reported(m *machine) []protocol.TaskStatus {
+// runningTaskStatuses are the tasks on a machine as its worker reports them.
+func runningTaskStatuses(m *machine) []protocol.TaskStatus {
 	var list []protocol.TaskStatus
 	for _, a := range m.sortedAttempts() {
-		list = append(list, protocol.TaskStatus{Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, State: protocol.Running})
+		list = append(list, protocol.TaskStatus{Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number, State: protocol.Running})
 	}
 	return list
 }
 
 // A machine gets no more tasks than its worker's report can name: a request of more than
 // 64 KiB is refused, and the worker would lose all of them with its lease.
-func TestTasksFitReports(t *testing.T) {
-	c, l := largeLead(1, 0)
+func TestTasksFitHeartbeats(t *testing.T) {
+	c, l := largeLeader(1, 0)
 	spec := benchJob(2)
 	spec.Tasks, spec.CPUs, spec.MemoryGB = 5000, 0.001, 0.001
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: spec})
-	fill(l)
+	fillFleet(l)
 	m := l.fleetList[0]
-	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: reported(m)}
+	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: runningTaskStatuses(m)}
 	if size := len(protocol.EncodeHeartbeat(r)); len(r.Tasks) < 300 || size > protocol.MaxBody {
 		t.Errorf("%d tasks in a report of %d bytes", len(r.Tasks), size)
 	}
@@ -282,7 +282,7 @@
 // What may wait follows the state service and the sockets: 400 requests were fewer than the
 // polls of a large fleet's users within a second.
 func TestOpenRequestsFollowSettings(t *testing.T) {
-	c, _ := leading(phaseActive)
+	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 16, 15_000
 	for i := range 2000 {
 		c.Request(c.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
@@ -297,11 +297,11 @@
 }
 
 // A check of polls fits a transaction's 64 KiB however many changes one takes.
-func TestChecksFitTransactions(t *testing.T) {
-	c, _ := leading(phaseActive)
+func TestStatusChecksFitTransactions(t *testing.T) {
+	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 4096, 15_000
 	for i := range 5000 {
-		c.admission.queries = append(c.admission.queries, statusQuery{uint64(i), fmt.Sprintf("run-%018d", i)})
+		c.admission.pendingQueries = append(c.admission.pendingQueries, statusQuery{uint64(i), fmt.Sprintf("run-%018d", i)})
 	}
 	c.checkStatuses()
 	for _, call := range c.takeEffects().Calls {
@@ -312,8 +312,8 @@
 }
 
 // Thousands of reports that are held are all answered, in the time that they are held for.
-func TestManyHeldReports(t *testing.T) {
-	c, _ := leading(phaseActive)
+func TestManyDeferredHeartbeats(t *testing.T) {
+	c, _ := newTestLeader(phaseActive)
 	c.leader = nil
 	c.cfg.Sockets = 12_000
 	const reports = 6000
@@ -321,7 +321,7 @@
 		c.now = c.now.Add(100 * time.Microsecond)
 		c.deferHeartbeat(uint64(i+1), nil)
 	}
-	if e := c.holdOne(reports + 1); len(e) != 1 || c.limits.Total(limits.DeferredHeartbeats) != 1 {
+	if e := c.deferOneHeartbeat(reports + 1); len(e) != 1 || c.limits.Total(limits.DeferredHeartbeats) != 1 {
 		t.Errorf("one beyond the bound: %d answers", len(e))
 	}
 	answered := 0
@@ -333,8 +333,8 @@
 	}
 }
 
-// holdOne holds a report and gives what is answered at once.
-func (c *Controller) holdOne(id uint64) []Reply {
+// deferOneHeartbeat holds a report and gives what is answered at once.
+func (c *Controller) deferOneHeartbeat(id uint64) []Reply {
 	c.effects = Effects{}
 	c.deferHeartbeat(id, nil)
 	return c.takeEffects().Replies
@@ -342,8 +342,8 @@
 
 // A leader renews its lease between the records of a large fleet: taken in one step, they
 // kept a small share of a processor from it for longer than the lease.
-func TestRecordsAreTakenInSteps(t *testing.T) {
-	c, l := leading(phaseLoading)
+func TestRecordsAreAppliedInSteps(t *testing.T) {
+	c, l := newTestLeader(phaseLoading)
 	service := fleetRecords(1000)
 	var machines, blocks []protocol.KeyValue
 	for key, it := range service.items {
@@ -370,8 +370,8 @@
 // A fleet that outgrows its controller's share grows step by step, each one after the one
 // before is up, and not while timers are late. Thousands of machines were rented at once
 // before the first of them had shown what it costs to serve it.
-func TestCarefulGrowthBeyondShare(t *testing.T) {
-	c, l := largeLead(600, 4000)
+func TestScaleOutBeyondCPUShareIsGradual(t *testing.T) {
+	c, l := largeLeader(600, 4000)
 	c.cfg.CPUShare = 0.025
 	for _, j := range l.jobsByAge {
 		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.pendingTasks()})
@@ -409,7 +409,7 @@
 	if got := rented(); got < 50 || got > 100 {
 		t.Errorf("%d rented once they were up", got)
 	}
-	c.overload.Observe(c.now.Add(-time.Second), overload.Overloaded+1)
+	c.overload.Observe(c.now.Add(-time.Second), overload.OverloadThreshold+1)
 	c.overload.Observe(c.now, 0)
 	if got := rented(); got != 0 || c.limits.Total(limits.ServedMachines) == 0 {
 		t.Errorf("%d rented while timers are late", got)
@@ -421,12 +421,12 @@
 }
 
 // A process that is late for seconds on end rents nothing, whatever its sockets.
-func TestStrainedProcessRentsNothing(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestOverloadedProcessProvisionsNothing(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	start := c.now
 	for i := range 20 {
 		c.after(0, func() {})
-		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + overload.Overloaded + time.Millisecond))
+		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + overload.OverloadThreshold + time.Millisecond))
 	}
 	if !c.overload.Persistent(c.now) || l.mayScaleOut() {
 		t.Errorf("persistent overload: %t", c.overload.Persistent(c.now))
@@ -439,9 +439,9 @@
 
 // What a look at the fleet costs grows with the fleet, not with its square: the search for
 // where replicas could move to, and for room in machines that boot.
-func TestLooksGrowWithTheFleet(t *testing.T) {
+func TestSearchCostIsLinearInFleetSize(t *testing.T) {
 	const machines, perMachine, perBin = 2000, 20, 60
-	l := loneReplicas(machines)
+	l := singleReplicaFleet(machines)
 	p := l.newPlanner()
 	for _, m := range l.fleetList {
 		m.replicasFitElsewhere(p, false)
@@ -453,7 +453,7 @@
 	g := l.newScaleOutPlan()
 	g.Limit = maxPlannedMachines
 	for _, d := range l.autoscaler.unmetDemand {
-		g.Add(l.plannedDemand(d))
+		g.AddDemand(l.plannedDemand(d))
 	}
 	if g.BinsVisited > perBin*machines {
 		t.Errorf("%d bins were looked at in a fleet of %d", g.BinsVisited, machines)
@@ -462,7 +462,7 @@
 
 // The adoption of a fleet is told of in a few lines.
 func TestBurstsOfLogLinesAreSampled(t *testing.T) {
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	for i := range 4000 {
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -9,8 +9,8 @@
 	"brasskeel/internal/records"
 )
 
-// outcomeChecksAtOnce is how many checks of outcomes are under way at a time.
-const outcomeChecksAtOnce = 4
+// maxConcurrentOutcomeChecks is how many checks of outcomes are under way at a time.
+const maxConcurrentOutcomeChecks = 4
 
 // loadJobs reads the unfinished jobs and which of them are over, and gives the revision
 // from which a watch of jobs misses nothing. Outcomes are kept for ever, so they aren't
@@ -67,7 +67,7 @@
 			check()
 		})
 	}
-	for range outcomeChecksAtOnce {
+	for range maxConcurrentOutcomeChecks {
 		check()
 	}
 }
@@ -96,7 +96,7 @@
 func (s *workerSessions) readOutcomes(keys []string, done func()) {
 	left := len(keys)
 	for _, key := range keys {
-		s.controller.store.GetUntilKnown(key, s.alive, func(r statestore.ReadResult) {
+		s.controller.store.GetWithRetry(key, s.alive, func(r statestore.ReadResult) {
 			if r.Status == statestore.Found {
 				s.applyJobRecord(r.Item.Key, r.Item.Value, false)
 			}
@@ -157,7 +157,7 @@
 		s.controller.log.Error("job outcome unreadable", "job", id, "error", err)
 		return
 	}
-	s.controller.admission.rememberOutcome(id, outcome, done) // who wrote it told the peers
+	s.controller.admission.cacheOutcome(id, outcome, done) // who wrote it told the peers
 	if j := s.jobs[id]; j != nil {
 		s.listener.jobEnded(j, outcome)
 	}
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -14,9 +14,9 @@
 
 // fakeStateService answers a new leader's reads.
 type fakeStateService struct {
-	items map[string]protocol.KeyValue
-	asked []string // targets of what was read, and what transactions compare
-	hold  string   // a key whose read gets no answer
+	items         map[string]protocol.KeyValue
+	readKeys      []string // targets of what was read, and what transactions compare
+	unansweredKey string   // a key whose read gets no answer
 }
 
 func (s *fakeStateService) put(key string, value any) {
@@ -34,12 +34,12 @@
 		return s.compare(call.Body)
 	case path == protocol.PathKeys:
 		prefix, after, limit, _ := protocol.RangeQuery(query)
-		s.asked = append(s.asked, prefix)
+		s.readKeys = append(s.readKeys, prefix)
 		return s.list(prefix, after, limit)
 	case strings.HasPrefix(path, protocol.PathKeys+"/"):
 		key := strings.TrimPrefix(path, protocol.PathKeys+"/")
-		s.asked = append(s.asked, key)
-		if it, ok := s.items[key]; ok && key != s.hold {
+		s.readKeys = append(s.readKeys, key)
+		if it, ok := s.items[key]; ok && key != s.unansweredKey {
 			return 200, protocol.EncodeKeyValue(it)
 		}
 	}
@@ -53,7 +53,7 @@
 	}
 	var failed []string
 	for _, condition := range t.Conditions {
-		s.asked = append(s.asked, condition.Key)
+		s.readKeys = append(s.readKeys, condition.Key)
 		if s.items[condition.Key].Version != condition.Version {
 			failed = append(failed, condition.Key)
 		}
@@ -79,9 +79,9 @@
 	return 200, protocol.EncodeRange(page, len(keys) > limit, 9)
 }
 
-// lead lets a controller that nobody leads become the leader, and answers what it reads.
-func (s *fakeStateService) lead(c *Controller) *leader {
-	c.election.Lead(leadership.Mandate{Term: 2, Version: 20, ElectedAt: c.now,
+// electLeader lets a controller that nobody leads become the leader, and answers what it reads.
+func (s *fakeStateService) electLeader(c *Controller) *leader {
+	c.election.BecomeLeader(leadership.LeaderTerm{Term: 2, KeyVersion: 20, ElectedAt: c.now,
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}})
 	calls := c.takeEffects().Calls
 	for len(calls) > 0 {
@@ -92,19 +92,19 @@
 		}
 	}
 	// Records are taken in steps with pauses between.
-	for c.leader.phase == phaseLoading && !c.Next().After(c.now.Add(blockStepPause)) {
+	for c.leader.phase == phaseLoading && !c.NextTick().After(c.now.Add(blockStepPause)) {
 		c.Tick(c.now.Add(blockStepPause))
 	}
 	return c.leader
 }
 
-// unfinishedJobs are records of jobs, of which the second is cancelled, and of many more
+// newStateServiceWithJobs are records of jobs, of which the second is cancelled, and of many more
 // that were over long ago.
-func unfinishedJobs() *fakeStateService {
+func newStateServiceWithJobs() *fakeStateService {
 	service := &fakeStateService{items: map[string]protocol.KeyValue{}}
 	for i := range 3 {
 		id := fmt.Sprintf("run-%06d", i+1)
-		service.put(records.KeyActive(id), records.Job{BlockSize: 8, Spec: spec(id)})
+		service.put(records.KeyActive(id), records.Job{BlockSize: 8, Spec: jobSpec(id)})
 	}
 	for i := range 3000 {
 		service.put(records.KeyOutcome(fmt.Sprintf("run-%06d", 100000+i)), records.Outcome{State: "done", Done: 1})
@@ -116,10 +116,10 @@
 // A new leader asks for the outcomes of unfinished jobs alone: outcomes are kept for
 // ever, and reading all of them made each election of a long-lived deployment longer.
 func TestLoadReadsOutcomesOfUnfinishedJobs(t *testing.T) {
-	c, _ := leading(phaseActive)
-	service := unfinishedJobs()
-	l := service.lead(c)
-	for _, key := range service.asked {
+	c, _ := newTestLeader(phaseActive)
+	service := newStateServiceWithJobs()
+	l := service.electLeader(c)
+	for _, key := range service.readKeys {
 		if key != records.PrefixActive && strings.HasPrefix(records.KeyOutcome("run-1"), key) || strings.HasPrefix(key, records.KeyOutcome("run-1")) {
 			t.Fatalf("%s was read", key)
 		}
@@ -134,15 +134,15 @@
 
 // It knows nothing, and answers no worker, before each outcome is read: the answer could
 // renew the lease of a task whose job was cancelled.
-func TestLoadKnowsNothingBeforeOutcomes(t *testing.T) {
-	c, _ := leading(phaseActive)
-	service := unfinishedJobs()
-	service.hold = records.KeyOutcome("run-000002")
-	l := service.lead(c)
+func TestNoWorkerAnswerBeforeOutcomesAreRead(t *testing.T) {
+	c, _ := newTestLeader(phaseActive)
+	service := newStateServiceWithJobs()
+	service.unansweredKey = records.KeyOutcome("run-000002")
+	l := service.electLeader(c)
 	if !l.jobsKnownAt.IsZero() || l.holdsLease() {
 		t.Fatalf("known as of %s", l.jobsKnownAt)
 	}
-	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(4)); len(e.Replies) != 0 {
+	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4)); len(e.Replies) != 0 {
 		t.Errorf("answered: %+v", e.Replies)
 	}
 }
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -26,24 +26,24 @@
 	orders    orderQueue
 	lifecycle lifecycle
 
-	attempts       map[taskKey]*attempt
-	attemptList    []*attempt // the same, in no order
-	replicaCount   int
-	onDemandCPUs   float64                        // CPUs taken by work that may not use spot machines
-	cpusByPriority [protocol.Critical + 1]float64 // CPUs taken, by priority
-	stopCount      int                            // attempts that are to stop
-	emptySince     time.Time
+	attempts           map[taskKey]*attempt
+	attemptList        []*attempt // the same, in no order
+	replicaCount       int
+	onDemandCPUs       float64                        // CPUs taken by work that may not use spot machines
+	cpusByPriority     [protocol.Critical + 1]float64 // CPUs taken, by priority
+	stopRequestedCount int                            // attempts that are to stop
+	emptySince         time.Time
 
 	// Of a machine in a shard.
-	shard            shard.ID                  // 0: none
-	registeredBefore bool                      // its worker was heard by somebody before
-	attemptsKnown    bool                      // the leader told of all attempts that may be on it
-	incarnationReset bool                      // its worker counts its incarnations from the beginning again
-	reservedMoves    int                       // moves whose room is held here
-	newerTokenSeen   bool                      // its worker has seen a later token than its shard's
-	exits            map[taskKey]*reportedExit // that the leader was told of
-	orphans          map[taskKey]uint64        // attempts it was asked about
-	orphanStops      map[taskKey]uint64        // and those that are to end
+	shard              shard.ID                  // 0: none
+	registeredBefore   bool                      // its worker was heard by somebody before
+	attemptsKnown      bool                      // the leader told of all attempts that may be on it
+	incarnationReset   bool                      // its worker counts its incarnations from the beginning again
+	incomingMigrations int                       // moves whose room is held here
+	newerTokenSeen     bool                      // its worker has seen a later token than its shard's
+	reportedExits      map[taskKey]*reportedExit // that the leader was told of
+	orphans            map[taskKey]uint64        // attempts it was asked about
+	orphanStops        map[taskKey]uint64        // and those that are to end
 
 	failuresByJob map[string]int // failed attempts by job since the last success
 	quarantined   bool
@@ -82,10 +82,10 @@
 	return m
 }
 
-// heartbeat answers a worker.
-func (c *Controller) heartbeat(id uint64, body []byte) {
+// handleHeartbeat answers a worker.
+func (c *Controller) handleHeartbeat(id uint64, body []byte) {
 	if c.sharding != nil {
-		c.sharding.heartbeat(id, body)
+		c.sharding.handleHeartbeat(id, body)
 		return
 	}
 	l := c.leader
@@ -109,19 +109,19 @@
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return
 	}
-	if m := l.machineOf(id, r); m != nil {
+	if m := l.machineForHeartbeat(id, r); m != nil {
 		l.answerHeartbeat(m, id, r)
 	}
 }
 
-// machineOf is the machine of a worker that sent a heartbeat, adopted if no record tells of
+// machineForHeartbeat is the machine of a worker that sent a heartbeat, adopted if no record tells of
 // it. One that was proven gone is answered so, and nil: names are not used again, and a copy
 // that comes late, however much, brings no machine back.
-func (l *leader) machineOf(id uint64, r *protocol.Heartbeat) *machine {
+func (l *leader) machineForHeartbeat(id uint64, r *protocol.Heartbeat) *machine {
 	if m := l.machines[r.Machine]; m != nil {
 		return m
 	}
-	if _, ok := l.terminated[r.Machine]; ok {
+	if _, ok := l.terminatedAt[r.Machine]; ok {
 		l.controller.reply(id, 503, protocol.EncodeError("the machine was returned"))
 		return nil
 	}
@@ -135,7 +135,7 @@
 		}
 		return 1
 	}
-	return a.task - b.task
+	return a.taskIndex - b.taskIndex
 }
 
 // sortedAttempts gives the machine's attempts in a fixed order.
@@ -152,7 +152,7 @@
 	}
 	m.removed = true
 	l.controller.logSampled("machine terminated", "machine", m.Name, "reason", reason, "attempts", len(m.attempts))
-	l.terminated[m.Name] = l.controller.now
+	l.terminatedAt[m.Name] = l.controller.now
 	delete(l.machines, m.Name)
 	if i := slices.Index(l.fleetList, m); i >= 0 {
 		l.fleetList = slices.Delete(l.fleetList, i, i+1)
@@ -163,5 +163,5 @@
 	if l.shards != nil {
 		l.shards.machineTerminated(m)
 	}
-	l.writer.unrecordMachine(m)
+	l.writer.removeMachineFromRecord(m)
 }
--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -22,8 +22,8 @@
 	machines          []*machine
 	shard             shard.ID // in the key, so that it never changes; 0: none
 	stage             groupStage
-	changed           bool // waits to be written again, by due
-	due               time.Time
+	rewriteQueued     bool // waits to be written again, by due
+	rewriteDue        time.Time
 	machineType, zone string
 	spot              bool
 }
@@ -32,9 +32,9 @@
 type groupStage uint8
 
 const (
-	groupOpen    groupStage = iota // machines may still be added
-	groupWritten                   // sent for the first time, or about to be
-	groupStored                    // it is in the store
+	groupOpen   groupStage = iota // machines may still be added
+	groupSealed                   // sent for the first time, or about to be
+	groupStored                   // it is in the store
 )
 
 // groupRewriteDelay lets changes of a group be written together: machines that are gone, and
@@ -45,7 +45,7 @@
 // recordMachine wants a machine recorded.
 func (w *recordWriter) recordMachine(m *machine) {
 	for _, group := range w.newGroups {
-		if group.takes(m) && len(group.machines) < w.machinesPerGroup() {
+		if group.accepts(m) && len(group.machines) < w.machinesPerGroup() {
 			group.add(m)
 			return
 		}
@@ -58,8 +58,8 @@
 	w.newGroups = append(w.newGroups, group)
 }
 
-// takes reports whether a machine may be added to the group as far as its kind goes.
-func (g *machineGroup) takes(m *machine) bool {
+// accepts reports whether a machine may be added to the group as far as its kind goes.
+func (g *machineGroup) accepts(m *machine) bool {
 	return g.stage == groupOpen && g.machineType == m.Type && g.zone == m.Zone && g.spot == m.Spot
 }
 
@@ -77,16 +77,16 @@
 func (w *recordWriter) machinesPerGroup() int {
 	most := records.MachinesPerGroup(w.leader.controller.cfg.ValueBytes)
 	if w.leader.shards != nil {
-		return min(most, shardGroupSize)
+		return min(most, maxMachinesPerShardGroup)
 	}
 	return most
 }
 
-// shardGroupSize is how many machines of a shard share a record at the most.
-const shardGroupSize = 12
+// maxMachinesPerShardGroup is how many machines of a shard share a record at the most.
+const maxMachinesPerShardGroup = 12
 
-// unrecordMachine takes a machine that is gone out of its record.
-func (w *recordWriter) unrecordMachine(m *machine) {
+// removeMachineFromRecord takes a machine that is gone out of its record.
+func (w *recordWriter) removeMachineFromRecord(m *machine) {
 	group := m.group
 	if group == nil {
 		return
@@ -98,32 +98,32 @@
 	case len(group.machines) == 0:
 		w.deleteKey(group.key)
 	default:
-		w.rewriteGroup(group)
+		w.scheduleGroupRewrite(group)
 	}
 }
 
-// rewriteGroup wants a group's record written again some time.
-func (w *recordWriter) rewriteGroup(group *machineGroup) {
-	if group != nil && group.stage != groupOpen && !group.changed {
-		group.changed, group.due = true, w.leader.controller.now.Add(groupRewriteDelay)
+// scheduleGroupRewrite wants a group's record written again some time.
+func (w *recordWriter) scheduleGroupRewrite(group *machineGroup) {
+	if group != nil && group.stage != groupOpen && !group.rewriteQueued {
+		group.rewriteQueued, group.rewriteDue = true, w.leader.controller.now.Add(groupRewriteDelay)
 		w.changedGroups = append(w.changedGroups, group)
 	}
 }
 
-// nextGroup is the next group to be written, nil when none is.
-func (w *recordWriter) nextGroup() *machineGroup {
+// nextGroupToWrite is the next group to be written, nil when none is.
+func (w *recordWriter) nextGroupToWrite() *machineGroup {
 	for len(w.newGroups) > 0 {
 		group := w.newGroups[0]
 		w.newGroups = w.newGroups[1:]
 		if len(group.machines) > 0 {
-			group.stage = max(group.stage, groupWritten)
+			group.stage = max(group.stage, groupSealed)
 			return group
 		}
 	}
-	for len(w.changedGroups) > 0 && !w.leader.controller.now.Before(w.changedGroups[0].due) {
+	for len(w.changedGroups) > 0 && !w.leader.controller.now.Before(w.changedGroups[0].rewriteDue) {
 		group := w.changedGroups[0]
 		w.changedGroups = w.changedGroups[1:]
-		group.changed = false
+		group.rewriteQueued = false
 		if len(group.machines) > 0 { // else its record is being removed
 			return group
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	if name, ok := cutPrefix(item.Key, records.PrefixMachineGroups); ok && len(r.Machines) == 0 {
-		r.Machines = []records.MachineEntry{{Name: name, RentedAt: r.LoneRentedAt}}
+		r.Machines = []records.MachineEntry{{Name: name, RentedAt: r.LegacyRentedAt}}
 	}
 	group := &machineGroup{key: item.Key, shard: shard.ID(records.ShardOfGroupKey(item.Key)), stage: groupStored,
 		machineType: r.Type, zone: r.Zone, spot: r.Spot}
--- a/internal/coordination/machine_groups_test.go
+++ b/internal/coordination/machine_groups_test.go
@@ -13,7 +13,7 @@
 
 // records plays the state service for a leader's transactions: it applies those
 // under way, and those that they lead to, and keeps the records of machines.
-func groupRecords(c *Controller, kept map[string]json.RawMessage) (writes int) {
+func applyMachineGroupWrites(c *Controller, kept map[string]json.RawMessage) (writes int) {
 	e := c.takeEffects()
 	for len(e.Calls) > 0 {
 		var next []Call
@@ -40,9 +40,9 @@
 	return writes
 }
 
-// names are the machines that a next leader would load.
-func names(kept map[string]json.RawMessage) []string {
-	_, l := leading(phaseLoading)
+// loadedMachineNames are the machines that a next leader would load.
+func loadedMachineNames(kept map[string]json.RawMessage) []string {
+	_, l := newTestLeader(phaseLoading)
 	for key, value := range kept {
 		l.loadMachineGroup(protocol.KeyValue{Key: key, Value: value})
 	}
@@ -61,7 +61,7 @@
 // record are at any time at least the machines that aren't proven gone: with a write
 // for each machine, the first placements waited four seconds behind them.
 func TestMachinesShareRecords(t *testing.T) {
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	kept := map[string]json.RawMessage{}
 	const count = 320
 	for i := range count {
@@ -70,12 +70,12 @@
 	writes := 0
 	for range 20 { // the budget of writes is small here
 		c.now = c.now.Add(200 * time.Millisecond)
-		writes += groupRecords(c, kept)
+		writes += applyMachineGroupWrites(c, kept)
 	}
 	if writes > 10 {
 		t.Errorf("%d machines took %d writes", count, writes)
 	}
-	if got := names(kept); len(got) != count {
+	if got := loadedMachineNames(kept); len(got) != count {
 		t.Fatalf("%d machines on record", len(got))
 	}
 	for i, m := range slices.Clone(l.fleetList) {
@@ -86,35 +86,35 @@
 			l.machineTerminated(m, "returned")
 		}
 		for _, name := range []string{"vm-000", "vm-009"} {
-			if !slices.Contains(names(kept), name) {
+			if !slices.Contains(loadedMachineNames(kept), name) {
 				t.Fatalf("%s is off the record", name)
 			}
 		}
 		if i%100 == 0 {
 			c.now = c.now.Add(200 * time.Millisecond)
-			groupRecords(c, kept)
+			applyMachineGroupWrites(c, kept)
 		}
 	}
 	for range 20 {
 		c.now = c.now.Add(500 * time.Millisecond)
-		groupRecords(c, kept)
+		applyMachineGroupWrites(c, kept)
 	}
-	if got := names(kept); len(got) != 10 {
+	if got := loadedMachineNames(kept); len(got) != 10 {
 		t.Errorf("%d machines on record, want the ten that are left", len(got))
 	}
 }
 
 // The address of a machine that has come up is on record, so that the next leader can
 // ask it while the cloud's list can't be had.
-func TestAddressesAreRecorded(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestMachineAddressesAreRecorded(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	kept := map[string]json.RawMessage{}
 	l.writer.recordMachine(l.newMachine("vm-1", "small", "a", false))
-	groupRecords(c, kept)
-	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(4))
+	applyMachineGroupWrites(c, kept)
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	c.now = c.now.Add(groupRewriteDelay + time.Second)
-	groupRecords(c, kept)
-	next, leader := leading(phaseLoading)
+	applyMachineGroupWrites(c, kept)
+	next, leader := newTestLeader(phaseLoading)
 	for key, value := range kept {
 		leader.loadMachineGroup(protocol.KeyValue{Key: key, Value: value})
 	}
@@ -122,7 +122,7 @@
 		t.Fatalf("loaded %+v", got)
 	}
 	leader.startReconciling()
-	next.now = next.now.Add(2 * probeAfter)
+	next.now = next.now.Add(2 * probeDelay)
 	leader.detectFailures()
 	asked := false
 	for _, call := range next.takeEffects().Calls {
@@ -134,8 +134,8 @@
 }
 
 // A record from before machines shared them is understood.
-func TestLoadsSingleMachine(t *testing.T) {
-	_, l := leading(phaseLoading)
+func TestLoadsLegacySingleMachineRecord(t *testing.T) {
+	_, l := newTestLeader(phaseLoading)
 	l.loadMachineGroup(protocol.KeyValue{Key: records.PrefixMachineGroups + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
 	if m := l.machines["vm-7"]; m == nil || !m.Spot || m.Type != "small" || !m.recorded {
 		t.Errorf("loaded %+v", m)
--- a/internal/coordination/machine_lifecycle.go
+++ b/internal/coordination/machine_lifecycle.go
@@ -39,8 +39,8 @@
 // preemptionNoticed reports whether the cloud said that it will take the machine.
 func (c *lifecycle) preemptionNoticed() bool { return !c.preemptionAt.IsZero() }
 
-// wantRelease begins a release, and reports whether none was wanted before.
-func (c *lifecycle) wantRelease(revocable bool) bool {
+// beginRelease begins a release, and reports whether none was wanted before.
+func (c *lifecycle) beginRelease(revocable bool) bool {
 	if c.releasing() {
 		return false
 	}
@@ -51,14 +51,14 @@
 	return true
 }
 
-// releaseSent notes that the cloud is being asked.
-func (c *lifecycle) releaseSent(now time.Time) {
+// releaseCallSent notes that the cloud is being asked.
+func (c *lifecycle) releaseCallSent(now time.Time) {
 	c.releaseSentAt, c.releaseInFlight = now, true
 }
 
-// releaseReturned notes that the call is over. Unless the cloud refused it, it may have been
+// releaseCallEnded notes that the call is over. Unless the cloud refused it, it may have been
 // carried out.
-func (c *lifecycle) releaseReturned(refused bool) {
+func (c *lifecycle) releaseCallEnded(refused bool) {
 	c.releaseInFlight = false
 	if c.release == releaseRevocable && !refused {
 		c.release = releaseFinal
--- a/internal/coordination/machine_lifecycle_test.go
+++ b/internal/coordination/machine_lifecycle_test.go
@@ -7,11 +7,11 @@
 
 // A release that the cloud may have carried out is never taken back, nor is that of a machine
 // that drains; one that it refused, or that wasn't sent, is.
-func TestReleaseIsRevokedOnlyWhileItCannotHaveHappened(t *testing.T) {
+func TestReleaseRevokedOnlyIfNotCarriedOut(t *testing.T) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
-	sent := func(c *lifecycle) { c.releaseSent(now) }
+	sent := func(c *lifecycle) { c.releaseCallSent(now) }
 	answered := func(refused bool) func(*lifecycle) {
-		return func(c *lifecycle) { c.releaseSent(now); c.releaseReturned(refused) }
+		return func(c *lifecycle) { c.releaseCallSent(now); c.releaseCallEnded(refused) }
 	}
 	for _, test := range []struct {
 		name      string
@@ -28,10 +28,10 @@
 		{"of a machine that drains", true, func(c *lifecycle) { c.draining = true }, false},
 	} {
 		var c lifecycle
-		if !c.inService() || !c.wantRelease(test.revocable) || c.inService() {
+		if !c.inService() || !c.beginRelease(test.revocable) || c.inService() {
 			t.Fatalf("%s: the release doesn't begin: %+v", test.name, c)
 		}
-		if c.wantRelease(true) {
+		if c.beginRelease(true) {
 			t.Errorf("%s: a second release begins", test.name)
 		}
 		test.change(&c)
