--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -12,13 +12,13 @@
 	"brasskeel/internal/protocol"
 )
 
-// leading makes a controller that leads in the given phase, with nothing running.
-func leading(p recoveryPhase) (*Controller, *leader) {
-	return leadingIn("a", p)
+// newTestLeader makes a controller that leads in the given phase, with nothing running.
+func newTestLeader(p recoveryPhase) (*Controller, *leader) {
+	return newTestLeaderInZone("a", p)
 }
 
-// leadingIn is leading for a controller of the given zone.
-func leadingIn(zone string, p recoveryPhase) (*Controller, *leader) {
+// newTestLeaderInZone is leading for a controller of the given zone.
+func newTestLeaderInZone(zone string, p recoveryPhase) (*Controller, *leader) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	cfg := &config.Settings{Name: "n0", Zone: zone, HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
 		CancelWithin: 40 * time.Second, CPUShare: 0.3, Sockets: 900, StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 4,
@@ -26,7 +26,7 @@
 	c := New(cfg, config.DefaultOperator(), slog.New(slog.DiscardHandler), 1, now)
 	c.setMachineTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 3, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
 		BootTime: 10 * time.Second, Zones: []string{"a"}}})
-	c.election.Lead(leadership.Mandate{Term: 1, Version: 10, ElectedAt: now,
+	c.election.BecomeLeader(leadership.LeaderTerm{Term: 1, KeyVersion: 10, ElectedAt: now,
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: now.Add(time.Hour)}})
 	c.leader.phase, c.leader.jobsKnownAt = p, now.Add(time.Hour)
 	c.leader.loaded, c.leader.probesNewWorkers = p != phaseLoading, p == phaseActive
@@ -34,24 +34,24 @@
 	return c, c.leader
 }
 
-func report(seq uint64) []byte {
+func encodedHeartbeat(seq uint64) []byte {
 	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16})
 }
 
 // The answer to a report that a response of the worker's has overtaken renews
 // the worker's lease: not counting it would take the worker for dead too soon.
-func TestOvertakenReportRenewsLease(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestOvertakenHeartbeatRenewsLease(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	start := c.now
-	c.Request(start, 1, "POST", protocol.PathHeartbeat, report(4))
+	c.Request(start, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	m := l.machines["vm-1"]
-	r, err := protocol.ParseHeartbeat(report(6))
+	r, err := protocol.ParseHeartbeat(encodedHeartbeat(6))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.takeResponse(m, r)
+	l.applyResponse(m, r)
 	later := start.Add(3 * time.Second)
-	e := c.Request(later, 2, "POST", protocol.PathHeartbeat, report(5))
+	e := c.Request(later, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Fatalf("got %+v", e.Replies)
 	}
@@ -62,9 +62,9 @@
 
 // A machine that first reports while the records are read gets its own record
 // afterwards; without it nothing would ever be placed there.
-func TestMachineMetWhileLoadingIsRecorded(t *testing.T) {
-	c, l := leading(phaseLoading)
-	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(1))
+func TestMachineFirstSeenWhileLoadingIsRecorded(t *testing.T) {
+	c, l := newTestLeader(phaseLoading)
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(1))
 	m := l.machines["vm-1"]
 	if m == nil || len(l.writer.newGroups) != 0 {
 		t.Fatalf("machine %v, %d records to write while loading", m, len(l.writer.newGroups))
@@ -77,11 +77,11 @@
 
 // The score prefers the machine that holds the image, then the one with more
 // free room; one that is being emptied comes last.
-func TestBest(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestBestMachine(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	c.operator.ImageWeight, c.operator.RoomWeight = 1, 1
 	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1},
-		zones: map[string]int{}, imageID: l.imageID("a")}
+		attemptsByZone: map[string]int{}, imageID: l.imageID("a")}
 	var list []*machine
 	for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
 		m := l.newMachine(name, "small", "a", false)
@@ -114,15 +114,15 @@
 // A job gives way by the work it has left: more so when its deadline is out of
 // reach, less so the longer it waits. What is left of a late job may be small
 // and then isn't last.
-func TestWeight(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestBacklogWeight(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	wall := c.now
 	jobOf := func(tasks, done int, age time.Duration) *job {
 		return &job{Job: &protocol.Job{Class: "c", Kind: protocol.Batch, Tasks: tasks, CPUs: 1, EstimatedRuntime: 10 * time.Second,
 			Deadline: 40 * time.Second, HasDeadline: true}, submitted: wall.Add(-age), doneTasks: done}
 	}
 	weight := func(j *job) float64 {
-		b := l.backlog(j, wall)
+		b := l.remainingWork(j, wall)
 		return b.Weight()
 	}
 	fresh, large := jobOf(10, 0, 0), jobOf(20, 0, 0)
@@ -143,8 +143,8 @@
 	}
 }
 
-// heartbeatsOf sends heartbeats of the machine vm-1 and gives their answers.
-func heartbeatsOf(t *testing.T, c *Controller) func(incarnation, sequence, token uint64) Reply {
+// heartbeatSender sends heartbeats of the machine vm-1 and gives their answers.
+func heartbeatSender(t *testing.T, c *Controller) func(incarnation, sequence, token uint64) Reply {
 	t.Helper()
 	id := uint64(0)
 	return func(incarnation, sequence, token uint64) Reply {
@@ -163,9 +163,9 @@
 }
 
 // A machine takes work once it is proven that something sent reaches its worker.
-func TestProofOfArrivalOpensMachine(t *testing.T) {
-	c, l := leading(phaseActive)
-	heartbeat := heartbeatsOf(t, c)
+func TestMachineAcceptsTasksOnceWorkerIsReached(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
+	heartbeat := heartbeatSender(t, c)
 	if r := heartbeat(1, 10, 0); r.Status != 200 {
 		t.Fatalf("the first heartbeat: %d", r.Status)
 	}
@@ -184,9 +184,9 @@
 
 // What a worker says in its heartbeats, in order of arrival: only newer ones count,
 // copies that come late renew and prove nothing.
-func TestLateReports(t *testing.T) {
-	c, l := leading(phaseActive)
-	heartbeat := heartbeatsOf(t, c)
+func TestLateAndDuplicateHeartbeats(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
+	heartbeat := heartbeatSender(t, c)
 	heartbeat(1, 10, 0)
 	m := l.machines["vm-1"]
 	heartbeat(1, 11, m.session.Token())
@@ -194,7 +194,7 @@
 	if r := heartbeat(1, 11, 0); r.Status != 503 || m.session.LastAnswered != answered || m.session.LastSeen != heard {
 		t.Errorf("a copy: status %d, answered %s later, heard %s later", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(heard))
 	}
-	l.takeResponse(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.BaseToken()})
+	l.applyResponse(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.BaseToken()})
 	if r := heartbeat(1, 12, 0); r.Status != 200 || !m.session.LastAnswered.After(answered) || m.session.Sequence != 13 {
 		t.Errorf("a heartbeat overtaken by a response: status %d, number %d", r.Status, m.session.Sequence)
 	}
@@ -216,7 +216,7 @@
 // says nothing of the kind.
 func TestWorkerIncarnationReset(t *testing.T) {
 	for _, lost := range []bool{true, false} {
-		c, l := leading(phaseActive)
+		c, l := newTestLeader(phaseActive)
 		m := l.newMachine("vm-1", "small", "a", false)
 		m.session.Registered, m.recorded, m.addr, m.session.LastReached, m.session.Incarnation, m.session.Sequence = true, true, "x", c.now, 2, 50
 		if !lost {
@@ -236,7 +236,7 @@
 // A machine that was given up as silent and answers again is kept, unless the cloud
 // may have taken the return. While the cloud is away, every machine that was cut off
 // for a moment was lost once it came back.
-func TestGivenUpAndHeardAgain(t *testing.T) {
+func TestReleaseRevokedWhenWorkerAnswersAgain(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		out  Outcome
@@ -245,13 +245,13 @@
 		{"refused", Outcome{Answered: true, Status: 503}, true},
 		{"unanswered", Outcome{}, false},
 	} {
-		c, l := leading(phaseActive)
+		c, l := newTestLeader(phaseActive)
 		m := l.newMachine("vm-1", "small", "a", false)
 		m.session.Registered, m.recorded, m.addr, m.session.LastReached, m.session.Incarnation, m.session.Sequence = true, true, "x", c.now, 1, 50
 		c.takeEffects()
-		l.release(m, unresponsive)
+		l.release(m, reasonUnresponsive)
 		call := c.takeEffects().Calls[0]
-		l.confirmReached(m, c.now)
+		l.recordReached(m, c.now)
 		if !m.lifecycle.releasing() {
 			t.Errorf("%s: kept while the call was under way", test.name)
 		}
@@ -269,15 +269,15 @@
 
 // Without the cloud's list a new leader knows no addresses and can only wait for
 // reports: it doesn't place as if it had heard everybody.
-func TestSettlingWithoutTheCloud(t *testing.T) {
-	c, l := leading(phaseReconciling)
+func TestReconcilingWithoutInventory(t *testing.T) {
+	c, l := newTestLeader(phaseReconciling)
 	for i := range 10 {
 		m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
 		m.inherited, m.provisionedAt = true, c.now.Add(-time.Hour)
 	}
 	l.readInventory()
 	c.Result(c.now, c.takeEffects().Calls[0].ID, Outcome{Answered: true, Status: 503})
-	if l.enoughReconciled() {
+	if l.enoughMachinesReconciled() {
 		t.Error("nobody was heard and the list is unknown")
 	}
 	for i, m := range l.fleetList {
@@ -285,7 +285,7 @@
 			m.session.Reconciled, m.session.LastReached = true, c.now
 		}
 	}
-	if !l.enoughReconciled() {
+	if !l.enoughMachinesReconciled() {
 		t.Error("eight of ten were heard")
 	}
 }
@@ -294,19 +294,19 @@
 // new starts there, since its lease isn't renewed, and it is given up once that has
 // lasted for two leases.
 func TestMachineWithUnansweredHeartbeats(t *testing.T) {
-	c, l := leading(phaseActive)
-	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(4))
+	c, l := newTestLeader(phaseActive)
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	m := l.machines["vm-1"]
 	m.recorded, m.Spec = true, c.types["small"]
 	begin := c.now
 	l.detectFailures()
 	for seq := uint64(5); c.now.Sub(begin) <= 2*c.cfg.WorkerLease; seq++ {
 		c.now = c.now.Add(time.Second)
-		r, err := protocol.ParseHeartbeat(report(seq))
+		r, err := protocol.ParseHeartbeat(encodedHeartbeat(seq))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.takeResponse(m, r) // an answer to a call
+		l.applyResponse(m, r) // an answer to a call
 		l.detectFailures()
 		if open := l.acceptsTasks(m); open != (c.now.Sub(begin) <= l.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay) {
 			t.Fatalf("open %t after %s without a report", open, c.now.Sub(begin))
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -38,9 +38,9 @@
 	return m
 }
 
-// fail lets one task of a job fail on a machine.
-func fail(l *leader, m *machine, j *job) {
-	a := &attempt{job: j, task: j.nextPendingTask(), machine: m, recorded: true}
+// failTask lets one task of a job fail on a machine.
+func failTask(l *leader, m *machine, j *job) {
+	a := &attempt{job: j, taskIndex: j.nextPendingTask(), machine: m, recorded: true}
 	j.popPendingTask()
 	l.attach(a)
 	l.attemptFailed(m, a)
@@ -49,13 +49,13 @@
 
 // Jobs that fail everywhere cost no machine, however many meet on it; jobs that are
 // known to work do when they fail there.
-func TestFaultyMachineOrFaultyJobs(t *testing.T) {
+func TestQuarantinesMachineOnlyForWorkingJobs(t *testing.T) {
 	for _, works := range []bool{false, true} {
-		c, l := leading(phaseActive)
+		c, l := newTestLeader(phaseActive)
 		m := addTestMachine(l, "vm-1", true)
 		addTestMachine(l, "vm-2", true)
 		for i := range 5 {
-			fail(l, m, addTestJob(l, fmt.Sprintf("run-%06d", i), func(*protocol.Job) {}))
+			failTask(l, m, addTestJob(l, fmt.Sprintf("run-%06d", i), func(*protocol.Job) {}))
 		}
 		if m.quarantined {
 			t.Fatal("five jobs of which nothing is known cost a machine")
@@ -63,10 +63,10 @@
 		for i := range 2 {
 			j := addTestJob(l, fmt.Sprintf("run-%06d", 10+i), func(*protocol.Job) {})
 			if works { // tasks of it run elsewhere
-				l.taskRuns(j)
-				c.now = c.now.Add(quarantine.WorkingAfter)
+				l.taskStartedRunning(j)
+				c.now = c.now.Add(quarantine.MinRunTime)
 			}
-			fail(l, m, j)
+			failTask(l, m, j)
 		}
 		if m.quarantined != works {
 			t.Errorf("two jobs that work elsewhere %t: faulty %t", works, m.quarantined)
@@ -76,13 +76,13 @@
 
 // A job that fails everywhere is tried with one task at a time, ever more slowly, and
 // all of it once a task runs for a while.
-func TestTrialsInQuarantine(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestQuarantinedJobRunsTrials(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	l.teamUsage["red"] = &usage{}
 	c.teams["red"].CPUsMax = 100
 	j := addTestJob(l, "run-000001", func(*protocol.Job) {})
 	for i := range 4 {
-		fail(l, addTestMachine(l, fmt.Sprintf("vm-%d", i), true), j)
+		failTask(l, addTestMachine(l, fmt.Sprintf("vm-%d", i), true), j)
 	}
 	var last time.Duration
 	for range 12 {
@@ -101,7 +101,7 @@
 		j.block(0).unrecorded = nil
 		last = j.backoffUntil.Sub(c.now)
 	}
-	if last != quarantine.TrialBackoffMax {
+	if last != quarantine.MaxTrialBackoff {
 		t.Errorf("after 12 trials %s until the next", last)
 	}
 	c.now = j.backoffUntil
@@ -109,8 +109,8 @@
 		m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 	}
 	l.runPlacementRound()
-	l.taskRuns(j)
-	c.now = c.now.Add(quarantine.WorkingAfter)
+	l.taskStartedRunning(j)
+	c.now = c.now.Add(quarantine.MinRunTime)
 	l.runPlacementRound()
 	if j.liveAttempts != j.Tasks {
 		t.Errorf("%d of %d tasks placed after one has run", j.liveAttempts, j.Tasks)
@@ -120,7 +120,7 @@
 // Replicas that faulty machines ended are started again although others of their job
 // run: a service is never done, and what failed in its long life doesn't add up.
 func TestServiceIsNotQuarantined(t *testing.T) {
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.teamUsage["red"] = &usage{}
 	for i := range 8 {
@@ -142,7 +142,7 @@
 				l.setTaskState(a, protocol.Running)
 			}
 		}
-		c.now = c.now.Add(quarantine.UnbrokenAfter + time.Second)
+		c.now = c.now.Add(quarantine.MinTimeSinceFailure + time.Second)
 		for _, m := range l.fleetList {
 			m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 		}
@@ -157,7 +157,7 @@
 // given up soon. A new leader doesn't judge machines that may have been up for long.
 func TestOverdueBoots(t *testing.T) {
 	count := func(late, came int, inherited bool) (*Controller, *leader) {
-		c, l := leading(phaseActive)
+		c, l := newTestLeader(phaseActive)
 		c.teams["red"].CPUsMax = 1000
 		l.loadedAt = c.now
 		for i := range late {
@@ -201,7 +201,7 @@
 // However many users ask, a controller asks the state service a bounded number of times, and
 // what another controller has told it to be over costs nothing.
 func TestStatusQueriesShareChecks(t *testing.T) {
-	c, _ := leading(phaseActive)
+	c, _ := newTestLeader(phaseActive)
 	c.election.StepDown("test")
 	c.takeEffects()
 	checks, answered := 0, 0
@@ -223,7 +223,7 @@
 			}
 		}
 	}
-	if most := int(c.cfg.StateRPS*10/statusCheckShare) + 2; checks > most || checks == 0 {
+	if most := int(c.cfg.StateRPS*10/statusCheckDivisor) + 2; checks > most || checks == 0 {
 		t.Errorf("%d checks in 10 s, want at most %d", checks, most)
 	}
 	if answered < 1900 {
@@ -243,12 +243,12 @@
 }
 
 // Each job that comes leaves the leader's own records a change less.
-func TestSubmissionsCount(t *testing.T) {
-	c, l := leading(phaseActive)
-	before := l.writer.commits.Available()
+func TestSubmissionsSpendWriteBudget(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
+	before := l.writer.committer.Available()
 	record := records.Encode(records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: benchJob(2)})
 	l.applyJobRecord(records.KeyActive(benchJob(2).ID), record, true)
-	if after := l.writer.commits.Available(); after != before-1 {
+	if after := l.writer.committer.Available(); after != before-1 {
 		t.Errorf("%g changes are left of %g", after, before)
 	}
 }
@@ -256,7 +256,7 @@
 // Submissions that come together share a transaction; one that is known already doesn't
 // keep the others from being accepted.
 func TestSubmissionsShareTransactions(t *testing.T) {
-	c, _ := leading(phaseActive)
+	c, _ := newTestLeader(phaseActive)
 	c.takeEffects()
 	var calls []Call
 	for i := range 5 {
@@ -286,7 +286,7 @@
 // Teams without a guarantee don't have dear machines rented, but one to begin on once
 // they have waited for long.
 func TestOpportunisticPrice(t *testing.T) {
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 	l.teamUsage["guest"] = &usage{}
 	guest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Team = "guest" })
@@ -327,7 +327,7 @@
 		spot   bool
 		leaves bool
 	}{{"guest", false, true}, {"guest", true, false}, {"red", false, false}} {
-		c, l := leading(phaseActive)
+		c, l := newTestLeader(phaseActive)
 		c.teams["red"].CPUsMax = 100
 		c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 		l.teamUsage["guest"], l.teamUsage["red"] = &usage{}, &usage{}
@@ -343,7 +343,7 @@
 		a := m.attemptList[0]
 		a.recorded, a.delivery.Reported = true, true
 		l.setTaskState(a, protocol.Running)
-		c.now = c.now.Add(opportunisticMinimumRun + time.Second)
+		c.now = c.now.Add(minOpportunisticRuntime + time.Second)
 		m.session.LastSeen, m.session.LastAnswered, m.Consolidating = c.now, c.now, true
 		l.scaleIn()
 		if a.stopRequested != test.leaves {
@@ -362,7 +362,7 @@
 // Why work waits is told at level info: when it changes and from time to time, and no
 // more often.
 func TestPendingReasonsAreLogged(t *testing.T) {
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
 	c.teams["red"].CPUsMax = 4
@@ -396,8 +396,8 @@
 
 // A large task finds room although small ones would take each bit that frees: a machine
 // is kept for it once its job has waited for too long.
-func TestStarvingJobGetsRoom(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestMachineIsReservedForStarvingJob(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.teamUsage["red"] = &usage{}
 	m := addTestMachine(l, "vm-1", true)
@@ -420,8 +420,8 @@
 
 // A leader that is late starts what is critical and leaves the rest for later; once it
 // has lost its lease for that, it asks for a longer one.
-func TestLateLeader(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestOverloadedLeader(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.teamUsage["red"] = &usage{}
 	for i := range 4 {
@@ -429,7 +429,7 @@
 	}
 	rest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks = 12 })
 	critical := addTestJob(l, "run-000002", func(j *protocol.Job) { j.Tasks, j.Priority = 2, protocol.Critical })
-	c.overload.Observe(c.now, 2*overload.Overloaded)
+	c.overload.Observe(c.now, 2*overload.OverloadThreshold)
 	l.runPlacementRound()
 	if critical.liveAttempts != 2 || rest.liveAttempts != 0 {
 		t.Errorf("while late: %d critical tasks and %d others placed", critical.liveAttempts, rest.liveAttempts)
@@ -440,7 +440,7 @@
 		t.Errorf("%d of 12 tasks placed once it isn't late", rest.liveAttempts)
 	}
 	base := c.operator.LeaderLease()
-	c.overload.Observe(c.now, 2*overload.Overloaded)
+	c.overload.Observe(c.now, 2*overload.OverloadThreshold)
 	c.election.StepDown("test")
 	if got := c.election.CampaignTTL(); got != 4*base {
 		t.Errorf("after a lease lost for being late %s, want %s", got, 4*base)
--- a/internal/coordination/overload/monitor.go
+++ b/internal/coordination/overload/monitor.go
@@ -14,9 +14,9 @@
 // the leader lease, heartbeats and submissions are served: a leader that loses its lease
 // for being late leaves the next one with even more to do.
 const (
-	Deferring  = 150 * time.Millisecond
-	Overloaded = 400 * time.Millisecond
-	Shedding   = time.Second
+	DeferThreshold    = 150 * time.Millisecond
+	OverloadThreshold = 400 * time.Millisecond
+	ShedThreshold     = time.Second
 )
 
 const (
@@ -30,21 +30,21 @@
 
 // Monitor follows the scheduling lag of one process. The zero value has seen no lag.
 type Monitor struct {
-	lag          time.Duration // of the last timer
-	peak         time.Duration // since TakePeak
-	overloadedAt time.Time     // when the lag was last above Overloaded
-	since        time.Time     // the start of overload that lasts, but for short pauses
+	lag           time.Duration // of the last timer
+	peak          time.Duration // since TakePeak
+	overloadedAt  time.Time     // when the lag was last above Overloaded
+	overloadSince time.Time     // the start of overload that lasts, but for short pauses
 }
 
 // Observe takes the lag of a timer that ran at now.
 func (m *Monitor) Observe(now time.Time, lag time.Duration) {
 	m.lag = max(0, lag)
 	m.peak = max(m.peak, m.lag)
-	if m.lag <= Overloaded {
+	if m.lag <= OverloadThreshold {
 		return
 	}
 	if now.Sub(m.overloadedAt) > recoveryGap {
-		m.since = now
+		m.overloadSince = now
 	}
 	m.overloadedAt = now
 }
@@ -52,24 +52,24 @@
 // Lag is that of the last timer.
 func (m *Monitor) Lag() time.Duration { return m.lag }
 
-// Defers reports whether work that can wait should.
-func (m *Monitor) Defers() bool { return m.lag > Deferring }
+// ShouldDefer reports whether work that can wait should.
+func (m *Monitor) ShouldDefer() bool { return m.lag > DeferThreshold }
 
 // Overloaded reports whether only critical work and that within quotas should start.
-func (m *Monitor) Overloaded() bool { return m.lag > Overloaded }
+func (m *Monitor) Overloaded() bool { return m.lag > OverloadThreshold }
 
-// Sheds reports whether status queries should be refused.
-func (m *Monitor) Sheds() bool { return m.lag > Shedding }
+// ShouldShed reports whether status queries should be refused.
+func (m *Monitor) ShouldShed() bool { return m.lag > ShedThreshold }
 
-// Within reports whether the process was overloaded less than age ago.
-func (m *Monitor) Within(now time.Time, age time.Duration) bool {
+// OverloadedWithin reports whether the process was overloaded less than age ago.
+func (m *Monitor) OverloadedWithin(now time.Time, age time.Duration) bool {
 	return !m.overloadedAt.IsZero() && now.Sub(m.overloadedAt) < age
 }
 
 // Persistent reports whether the process has been overloaded for so long that more machines
 // would only make it answer all of them less often.
 func (m *Monitor) Persistent(now time.Time) bool {
-	return !m.overloadedAt.IsZero() && now.Sub(m.overloadedAt) <= recoveryGap && now.Sub(m.since) > persistentAfter
+	return !m.overloadedAt.IsZero() && now.Sub(m.overloadedAt) <= recoveryGap && now.Sub(m.overloadSince) > persistentAfter
 }
 
 // TakePeak is the highest lag since it was last taken.
--- a/internal/coordination/overload/monitor_test.go
+++ b/internal/coordination/overload/monitor_test.go
@@ -14,20 +14,20 @@
 		defers, overloaded, sheds bool
 	}{
 		{-time.Second, false, false, false},
-		{Deferring, false, false, false},
-		{Deferring + 1, true, false, false},
-		{Overloaded, true, false, false},
-		{Overloaded + 1, true, true, false},
-		{Shedding, true, true, false},
-		{Shedding + 1, true, true, true},
+		{DeferThreshold, false, false, false},
+		{DeferThreshold + 1, true, false, false},
+		{OverloadThreshold, true, false, false},
+		{OverloadThreshold + 1, true, true, false},
+		{ShedThreshold, true, true, false},
+		{ShedThreshold + 1, true, true, true},
 	} {
 		var m Monitor
 		m.Observe(start, test.lag)
-		if m.Defers() != test.defers || m.Overloaded() != test.overloaded || m.Sheds() != test.sheds {
-			t.Errorf("%s: defers %t, overloaded %t, sheds %t", test.lag, m.Defers(), m.Overloaded(), m.Sheds())
+		if m.ShouldDefer() != test.defers || m.Overloaded() != test.overloaded || m.ShouldShed() != test.sheds {
+			t.Errorf("%s: defers %t, overloaded %t, sheds %t", test.lag, m.ShouldDefer(), m.Overloaded(), m.ShouldShed())
 		}
 		m.Observe(start, 0)
-		if m.Defers() || m.Lag() != 0 {
+		if m.ShouldDefer() || m.Lag() != 0 {
 			t.Errorf("%s: it defers work after a timer that was on time", test.lag)
 		}
 	}
@@ -56,7 +56,7 @@
 		now := start
 		for i := range test.timers {
 			now = start.Add(time.Duration(i) * test.interval)
-			m.Observe(now, Overloaded+1)
+			m.Observe(now, OverloadThreshold+1)
 		}
 		if got := m.Persistent(now.Add(test.later)); got != test.want {
 			t.Errorf("%s: %t", test.name, got)
@@ -65,17 +65,17 @@
 }
 
 // What was overloaded lately and the peak are remembered beyond the timers that follow.
-func TestMemory(t *testing.T) {
+func TestRecentOverloadAndPeak(t *testing.T) {
 	var m Monitor
-	if m.Within(start, time.Hour) {
+	if m.OverloadedWithin(start, time.Hour) {
 		t.Error("overloaded before any timer")
 	}
-	m.Observe(start, 2*Overloaded)
+	m.Observe(start, 2*OverloadThreshold)
 	m.Observe(start.Add(time.Second), time.Millisecond)
-	if now := start.Add(time.Second); !m.Within(now, time.Second+1) || m.Within(now, time.Second) {
+	if now := start.Add(time.Second); !m.OverloadedWithin(now, time.Second+1) || m.OverloadedWithin(now, time.Second) {
 		t.Error("not overloaded a second ago")
 	}
-	if peak := m.TakePeak(); peak != 2*Overloaded {
+	if peak := m.TakePeak(); peak != 2*OverloadThreshold {
 		t.Errorf("peak %s", peak)
 	}
 	if peak := m.TakePeak(); peak != 0 {
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -13,24 +13,24 @@
 // The longer a leader's lease, the shorter its grace: together with a worker's
 // lease they stay within the time that a cancellation has.
 func TestGracePeriodFitsLease(t *testing.T) {
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	l.lease.TTL = 4 * c.operator.LeaderLease()
 	if sum := l.lease.TTL + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
 		t.Errorf("lease, grace and worker's lease take %s of %s", sum, c.cfg.CancelWithin)
 	}
 }
 
-// overloadMachines is the fleet of these tests.
-const overloadMachines = 1600
+// overloadTestMachines is the fleet of these tests.
+const overloadTestMachines = 1600
 
 // A fleet of silent machines is asked in parts, and all of it within the time that a
 // new leader waits for reports.
 func TestProbesArePaced(t *testing.T) {
-	_, l := largeLead(overloadMachines, 0)
+	_, l := largeLeader(overloadTestMachines, 0)
 	for turn := range 1 + probeBatchDivisor {
 		before := len(l.controller.effects.Calls)
 		l.probeBatch(l.fleetList)
-		if asked := len(l.controller.effects.Calls) - before; asked > overloadMachines/probeBatchDivisor {
+		if asked := len(l.controller.effects.Calls) - before; asked > overloadTestMachines/probeBatchDivisor {
 			t.Fatalf("turn %d: %d machines asked at once", turn, asked)
 		}
 	}
@@ -43,9 +43,9 @@
 
 // A controller that is far behind sends away users who only ask, and serves the rest.
 func TestOverloadShedsStatusQueries(t *testing.T) {
-	c, _ := leading(phaseActive)
-	c.admission.rememberAccepted("run-000001")
-	c.overload.Observe(c.now, 2*overload.Shedding)
+	c, _ := newTestLeader(phaseActive)
+	c.admission.cacheAccepted("run-000001")
+	c.overload.Observe(c.now, 2*overload.ShedThreshold)
 	e := c.Request(c.now, 1, "GET", protocol.PathJobs+"/run-000001", nil)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 503 || e.Replies[0].RetryAfter == 0 {
 		t.Errorf("a poll: %+v", e.Replies)
@@ -58,11 +58,11 @@
 
 // One job of the largest size takes neither the memory nor the time of the others.
 func TestHugeJob(t *testing.T) {
-	_, l := largeLead(overloadMachines, 20)
+	_, l := largeLeader(overloadTestMachines, 20)
 	huge := benchJob(2)
 	huge.ID, huge.Tasks = "run-999999", protocol.MaxTasks
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(l.controller.now.Add(-time.Second)), BlockSize: 96, Spec: huge})
-	allocated := testing.AllocsPerRun(1, func() { fill(l) })
+	allocated := testing.AllocsPerRun(1, func() { fillFleet(l) })
 	j := l.jobs[huge.ID]
 	made := 0
 	for _, block := range j.blocks {
@@ -90,8 +90,8 @@
 // once for each waiting task: with thousands of them waiting in a fleet full of
 // work that gives way, rounds took seconds and leaders lost their leases to them,
 // one after the other.
-func TestRoundIsBounded(t *testing.T) {
-	c, l := largeLead(overloadMachines, 0)
+func TestPlacementRoundIsBounded(t *testing.T) {
+	c, l := largeLeader(overloadTestMachines, 0)
 	add := func(from, count int, change func(j *protocol.Job)) {
 		for i := from; i < from+count; i++ {
 			j := benchJob(2)
@@ -101,12 +101,12 @@
 		}
 	}
 	add(0, 600, func(j *protocol.Job) { j.Priority, j.Team, j.CPUs = protocol.Low, "blue", 1 })
-	fill(l)
+	fillFleet(l)
 	used := 0.0
 	for _, m := range l.fleetList {
 		used += m.Allocated.CPUs
 	}
-	if used < overloadMachines*16 {
+	if used < overloadTestMachines*16 {
 		t.Fatalf("%g CPUs in use: the fleet isn't full", used)
 	}
 	add(1000, 400, func(j *protocol.Job) { j.Tasks = 40 })
@@ -124,7 +124,7 @@
 	}
 	stopping := 0
 	for _, m := range l.fleetList {
-		stopping += m.stopCount
+		stopping += m.stopRequestedCount
 	}
 	if stopping < 10_000 { // what fits the guarantee
 		t.Errorf("after %d rounds %d tasks were stopped for jobs within their guarantee", rounds, stopping)
@@ -134,14 +134,14 @@
 // Replicas that wait for another zone than the one that has machines cost next to
 // nothing. Every machine was looked at for each of them in every round, which took
 // most of a leader's processor time where the cloud offers one zone of two.
-func TestClosedZonesCostNothing(t *testing.T) {
-	c, l := largeLead(overloadMachines, 0)
+func TestReplicasForUnavailableZoneAreCheap(t *testing.T) {
+	c, l := largeLeader(overloadTestMachines, 0)
 	for i := range 100 {
 		j := benchJob(0)
 		j.ID, j.Tasks, j.Spread = fmt.Sprintf("run-%06d", i), 6, true
 		l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: j})
 	}
-	fill(l)
+	fillFleet(l)
 	waiting := 0
 	for _, j := range l.jobsByAge {
 		waiting += j.pendingTasks()
@@ -150,7 +150,7 @@
 		t.Fatalf("%d replicas wait, want half of 600", waiting)
 	}
 	l.runPlacementRound()
-	if most := 2 * overloadMachines; l.round.examined > most {
+	if most := 2 * overloadTestMachines; l.round.examined > most {
 		t.Errorf("a round looked at %d machines, more than %d", l.round.examined, most)
 	}
 }
--- a/internal/coordination/peer_broadcast.go
+++ b/internal/coordination/peer_broadcast.go
@@ -9,13 +9,13 @@
 // Limits of what is broadcast in one round. Peers take a few messages at once; a round that
 // told them of every job of a very large fleet would take a small share of a processor.
 const (
-	messageBudget    = 48 << 10 // bytes of content in one message
-	messagesPerRound = 6
-	progressMessages = 4 // of them, those with progress
+	messageBudget            = 48 << 10 // bytes of content in one message
+	messagesPerRound         = 6
+	progressMessagesPerRound = 4 // of them, those with progress
 )
 
-// outcomeBroadcasts is how often a final state is broadcast, since a message may be lost.
-const outcomeBroadcasts = 2
+// broadcastsPerOutcome is how often a final state is broadcast, since a message may be lost.
+const broadcastsPerOutcome = 2
 
 // broadcastStatus tells the peers how this controller is, which jobs are over and, from a
 // leader, how the others go on.
@@ -27,18 +27,18 @@
 	for number := range messagesPerRound {
 		m := c.newPeerMessage()
 		room := c.addOutcomes(&m, messageBudget, &again)
-		if number < progressMessages {
+		if number < progressMessagesPerRound {
 			round.fill(&m, room)
 		}
 		c.broadcastMessage(&m)
-		if len(c.admission.unannounced) == 0 && (round.complete() || number+1 >= progressMessages) {
+		if len(c.admission.pendingAnnouncements) == 0 && (round.complete() || number+1 >= progressMessagesPerRound) {
 			break
 		}
 	}
 	if !round.complete() {
-		c.limits.Reached(limits.Progress)
+		c.limits.Reached(limits.ProgressToBroadcast)
 	}
-	c.admission.unannounced = append(c.admission.unannounced, again...)
+	c.admission.pendingAnnouncements = append(c.admission.pendingAnnouncements, again...)
 }
 
 // newPeerMessage begins a message with what each one tells.
@@ -54,7 +54,7 @@
 func (c *Controller) broadcastMessage(m *peers.Message) {
 	body := m.Encode()
 	if len(body) > peers.MaxMessage {
-		c.limits.Reached(limits.PeerMessage)
+		c.limits.Reached(limits.PeerMessageSize)
 		return
 	}
 	c.effects.Broadcasts = append(c.effects.Broadcasts, Broadcast{Body: body})
@@ -66,7 +66,7 @@
 	a := &c.admission
 	m.Done, m.Cancelled = map[string]int{}, map[string]int{}
 	added := 0
-	for _, announcement := range a.unannounced {
+	for _, announcement := range a.pendingAnnouncements {
 		size := peers.OutcomeSize(announcement.job)
 		if size > room {
 			break
@@ -78,11 +78,11 @@
 		} else {
 			m.Cancelled[announcement.job] = announcement.outcome.done
 		}
-		if announcement.sent++; announcement.sent < outcomeBroadcasts {
+		if announcement.sendCount++; announcement.sendCount < broadcastsPerOutcome {
 			*again = append(*again, announcement)
 		}
 	}
-	a.unannounced = append(a.unannounced[:0:0], a.unannounced[added:]...)
+	a.pendingAnnouncements = append(a.pendingAnnouncements[:0:0], a.pendingAnnouncements[added:]...)
 	return room
 }
 
@@ -111,10 +111,10 @@
 	}
 	m.Progress = map[string]peers.JobProgress{}
 	for ; r.remaining > 0; r.remaining-- {
-		if l.nextBroadcast >= len(l.jobsByAge) {
-			l.nextBroadcast = 0
+		if l.nextBroadcastIndex >= len(l.jobsByAge) {
+			l.nextBroadcastIndex = 0
 		}
-		j := l.jobsByAge[l.nextBroadcast]
+		j := l.jobsByAge[l.nextBroadcastIndex]
 		begun := j.runningTasks > 0 || j.doneTasks > 0
 		if begun || j.progressBroadcast {
 			size := peers.ProgressSize(j.ID)
@@ -125,6 +125,6 @@
 			m.Progress[j.ID] = peers.JobProgress{j.doneTasks, j.runningTasks}
 			j.progressBroadcast = begun
 		}
-		l.nextBroadcast++
+		l.nextBroadcastIndex++
 	}
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -24,10 +24,10 @@
 func (c *Controller) receivePeerMessage(m *peers.Message) {
 	c.peers.Receive(m, c.now)
 	for job, done := range m.Done {
-		c.admission.rememberOutcome(job, protocol.Done, done)
+		c.admission.cacheOutcome(job, protocol.Done, done)
 	}
 	for job, done := range m.Cancelled {
-		c.admission.rememberOutcome(job, protocol.Cancelled, done)
+		c.admission.cacheOutcome(job, protocol.Cancelled, done)
 		// A leader that the state service refuses stops its tasks sooner for it.
 		if l := c.leader; l != nil && l.jobs[job] != nil {
 			l.endJob(l.jobs[job], protocol.Cancelled)
@@ -67,8 +67,8 @@
 	return false
 }
 
-// eligiblePeerIn reports whether a peer of a zone may be handed the leadership.
-func (c *Controller) eligiblePeerIn(zone string) bool {
+// hasEligiblePeerIn reports whether a peer of a zone may be handed the leadership.
+func (c *Controller) hasEligiblePeerIn(zone string) bool {
 	for i := range c.cfg.Peers {
 		peer := &c.cfg.Peers[i]
 		if s := c.peers[peer.Name]; peer.Zone == zone && s != nil && s.Eligible(c.now) {
@@ -79,7 +79,7 @@
 }
 
 // countPeers counts the peers by their connectivity.
-func (c *Controller) countPeers() leadership.Peers {
+func (c *Controller) countPeers() leadership.PeerCounts {
 	eligible, disconnected := c.peers.Connectivity(c.now)
-	return leadership.Peers{Configured: len(c.cfg.Peers), Eligible: eligible, Disconnected: disconnected}
+	return leadership.PeerCounts{Configured: len(c.cfg.Peers), Eligible: eligible, Disconnected: disconnected}
 }
--- a/internal/coordination/peers/peers_test.go
+++ b/internal/coordination/peers/peers_test.go
@@ -16,9 +16,9 @@
 		fresh, eligible bool
 	}{
 		{"just heard", Status{StoreReachable: true}, 0, true, true},
-		{"just eligible", Status{StoreReachable: true}, eligibleFor - 1, true, true},
-		{"too old to lead", Status{StoreReachable: true}, eligibleFor, true, false},
-		{"old", Status{StoreReachable: true}, freshFor, false, false},
+		{"just eligible", Status{StoreReachable: true}, eligibilityTTL - 1, true, true},
+		{"too old to lead", Status{StoreReachable: true}, eligibilityTTL, true, false},
+		{"old", Status{StoreReachable: true}, statusTTL, false, false},
 		{"without the state service", Status{}, 0, true, false},
 		{"disconnected", Status{StoreReachable: true, Disconnected: true}, 0, true, false},
 		{"without workers", Status{StoreReachable: true, WorkersUnreachable: true}, 0, true, true},
@@ -42,14 +42,14 @@
 		"b": {HeardAt: start, StoreReachable: true, Disconnected: true},
 		"c": {HeardAt: start, Disconnected: true},
 		"d": {HeardAt: start},
-		"e": {HeardAt: start.Add(-freshFor), StoreReachable: true, Disconnected: true},
+		"e": {HeardAt: start.Add(-statusTTL), StoreReachable: true, Disconnected: true},
 	}
 	if eligible, disconnected := table.Connectivity(start); eligible != 1 || disconnected != 2 {
 		t.Errorf("%d eligible, %d disconnected", eligible, disconnected)
 	}
 }
 
-// A leader's word on a job counts for progressFor, and as long as the leader's term.
+// A leader's word on a job counts for progressTTL, and as long as the leader's term.
 func TestProgress(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -58,8 +58,8 @@
 		known bool
 	}{
 		{"at once", 0, Message{Term: 4}, true},
-		{"as long as it counts", progressFor, Message{Term: 4}, true},
-		{"later", progressFor + 1, Message{Term: 4}, false},
+		{"as long as it counts", progressTTL, Message{Term: 4}, true},
+		{"later", progressTTL + 1, Message{Term: 4}, false},
 		{"in another term", time.Second, Message{Term: 5}, false},
 		{"from one that leads no more", time.Second, Message{}, false},
 	} {
--- a/internal/coordination/peers/table.go
+++ b/internal/coordination/peers/table.go
@@ -4,10 +4,10 @@
 
 // Times after which what a peer said counts no more. A peer tells of itself each second.
 const (
-	freshFor    = 3 * time.Second
-	eligibleFor = 2500 * time.Millisecond // as one to hand the leadership to
-	// progressFor is longer: a job of a very large fleet has its turn only every few seconds.
-	progressFor = 30 * time.Second
+	statusTTL      = 3 * time.Second
+	eligibilityTTL = 2500 * time.Millisecond // as one to hand the leadership to
+	// progressTTL is longer: a job of a very large fleet has its turn only every few seconds.
+	progressTTL = 30 * time.Second
 )
 
 // Status is what a peer last said of itself.
@@ -18,27 +18,27 @@
 	WorkersUnreachable bool // it lately lost most of the workers that it served as an owner of shards
 
 	term     uint64 // that progress is of
-	progress map[string]heardProgress
+	progress map[string]receivedProgress
 	prunedAt time.Time // when old progress was last dropped
 }
 
-type heardProgress struct {
+type receivedProgress struct {
 	JobProgress
-	heardAt time.Time
+	receivedAt time.Time
 }
 
 // Fresh reports whether the peer was heard lately.
-func (s *Status) Fresh(now time.Time) bool { return now.Sub(s.HeardAt) < freshFor }
+func (s *Status) Fresh(now time.Time) bool { return now.Sub(s.HeardAt) < statusTTL }
 
 // Eligible reports whether the leadership may be handed to the peer.
 func (s *Status) Eligible(now time.Time) bool {
-	return s.StoreReachable && !s.Disconnected && now.Sub(s.HeardAt) < eligibleFor
+	return s.StoreReachable && !s.Disconnected && now.Sub(s.HeardAt) < eligibilityTTL
 }
 
 // Progress is what the peer, as the leader, lately said of a job; ok is false for nothing.
 func (s *Status) Progress(job string, now time.Time) (p JobProgress, ok bool) {
 	heard, ok := s.progress[job]
-	if !ok || now.Sub(heard.heardAt) > progressFor {
+	if !ok || now.Sub(heard.receivedAt) > progressTTL {
 		return JobProgress{}, false
 	}
 	return heard.JobProgress, true
@@ -47,21 +47,21 @@
 func (s *Status) receive(m *Message, now time.Time) {
 	s.HeardAt, s.StoreReachable, s.Disconnected, s.WorkersUnreachable = now, m.StoreReachable, m.Disconnected, m.WorkersUnreachable
 	if s.term != m.Term || s.progress == nil {
-		s.term, s.progress = m.Term, map[string]heardProgress{}
+		s.term, s.progress = m.Term, map[string]receivedProgress{}
 	}
 	for job, progress := range m.Progress {
-		s.progress[job] = heardProgress{progress, now}
+		s.progress[job] = receivedProgress{progress, now}
 	}
 	s.prune(now)
 }
 
 func (s *Status) prune(now time.Time) {
-	if now.Sub(s.prunedAt) < progressFor {
+	if now.Sub(s.prunedAt) < progressTTL {
 		return
 	}
 	s.prunedAt = now
 	for job, heard := range s.progress {
-		if now.Sub(heard.heardAt) > progressFor {
+		if now.Sub(heard.receivedAt) > progressTTL {
 			delete(s.progress, job)
 		}
 	}
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -49,24 +49,24 @@
 type pendingReason uint8
 
 const (
-	pendingRoom          pendingReason = iota // more will have room soon
+	pendingRoomExpected  pendingReason = iota // more will have room soon
 	pendingTeamLimit                          // the team's limit is reached
 	pendingQuarantine                         // the job fails everywhere
 	pendingZoneRules                          // its rules about zones leave none
-	pendingRecords                            // the round ended early: records are behind
+	pendingRecordBacklog                      // the round ended early: records are behind
 	pendingBoots                              // machines boot
 	pendingCloudCapacity                      // the cloud has no instance that it may use
 	pendingPrice                              // those that the cloud has are too dear for it
-	pendingReports                            // a new leader still waits for heartbeats
+	pendingHeartbeats                         // a new leader still waits for heartbeats
 	pendingSurgeCeiling                       // room is above the ceiling of a team that surges
 	pendingReasonCount
 )
 
 func (r pendingReason) String() string {
 	return [...]string{
-		pendingRoom: "room expected", pendingTeamLimit: "team limit", pendingQuarantine: "job quarantined",
-		pendingZoneRules: "zone rules", pendingRecords: "records behind", pendingBoots: "machines booting",
-		pendingCloudCapacity: "no cloud capacity", pendingPrice: "price too high", pendingReports: "heartbeats missing",
+		pendingRoomExpected: "room expected", pendingTeamLimit: "team limit", pendingQuarantine: "job quarantined",
+		pendingZoneRules: "zone rules", pendingRecordBacklog: "records behind", pendingBoots: "machines booting",
+		pendingCloudCapacity: "no cloud capacity", pendingPrice: "price too high", pendingHeartbeats: "heartbeats missing",
 		pendingSurgeCeiling: "surge ceiling",
 	}[r]
 }
@@ -76,15 +76,15 @@
 func (l *leader) pendingReasonOf(j *job, booting bool, open []autoscaler.Offer) pendingReason {
 	switch {
 	case l.phase != phaseActive:
-		return pendingReports
+		return pendingHeartbeats
 	case l.quarantined(j):
 		return pendingQuarantine
-	case !l.withinLimit(j):
+	case !l.withinTeamLimit(j):
 		return pendingTeamLimit
 	case !l.provisionable(j):
 		return pendingZoneRules
 	case l.autoscaler.demandIncomplete:
-		return pendingRecords
+		return pendingRecordBacklog
 	case l.rebalancer.waitsForCeiling(j):
 		return pendingSurgeCeiling
 	case booting:
@@ -94,7 +94,7 @@
 	for _, o := range open {
 		if o.Allows(j.Job) && j.zoneAllowed(o.Zone) {
 			if !l.overpriced(j, o) {
-				return pendingRoom
+				return pendingRoomExpected
 			}
 			reason = pendingPrice
 		}
@@ -144,7 +144,7 @@
 // logPendingReasons tells operators why tasks are pending.
 func (l *leader) logPendingReasons() {
 	c := l.controller
-	if !l.pendingLog.Open(c.now) {
+	if !l.pendingLog.MayLog(c.now) {
 		return
 	}
 	boots := l.bootProgress()
--- a/internal/coordination/place_job.go
+++ b/internal/coordination/place_job.go
@@ -38,7 +38,7 @@
 
 // tasksWithinQuota reports whether one more task of the job stays within its team's
 // limit, which counts every attempt not proven gone.
-func (l *leader) withinLimit(j *job) bool {
+func (l *leader) withinTeamLimit(j *job) bool {
 	team, u := l.controller.teams[j.Team], l.teamUsage[j.Team]
 	if team == nil || u == nil {
 		return false
@@ -50,13 +50,13 @@
 // an attempt may still be.
 func (j *job) zoneAllowed(zone string) bool {
 	if j.OneZone {
-		for z := range j.zones {
+		for z := range j.attemptsByZone {
 			if z != zone {
 				return false
 			}
 		}
 	}
-	if j.Spread && j.zones[zone]+1 > (j.Tasks+1)/2 {
+	if j.Spread && j.attemptsByZone[zone]+1 > (j.Tasks+1)/2 {
 		return false
 	}
 	return true
@@ -95,8 +95,8 @@
 	if j.Kind == protocol.Gang {
 		return l.placeGang(j)
 	}
-	if !l.withinLimit(j) {
-		l.preemptWithinLimit(j)
+	if !l.withinTeamLimit(j) {
+		l.preemptWithinTeamLimit(j)
 		return 0 // more machines wouldn't help
 	}
 	candidates := l.findCandidates(j)
@@ -104,12 +104,12 @@
 	if tier < j.tier() {
 		most = min(most, (j.Tasks+9)/10) // it begins; the rest waits in its own turn
 	}
-	most = l.limitTrials(j, most)
+	most = l.limitQuarantineTrials(j, most)
 	var imageHolders *victimSearch
 	held := 0 // tasks that wait for room that isn't to be had by more machines
 	for placed := 0; placed < most && j.pendingTasks() > held && !l.writer.saturated(); placed++ {
-		if !l.withinLimit(j) {
-			l.preemptWithinLimit(j)
+		if !l.withinTeamLimit(j) {
+			l.preemptWithinTeamLimit(j)
 			return 0 // more machines wouldn't help
 		}
 		i := j.nextPendingTask()
@@ -122,7 +122,7 @@
 		}
 		if candidates.Best().AboveCeiling && !l.rebalancer.mayExceedCeiling(j) {
 			// These have room, though above the ceiling: no machine is rented for them.
-			held += min(j.pendingTasks()-held, l.roomAboveCeiling(&candidates, j))
+			held += min(j.pendingTasks()-held, l.taskCapacityAboveCeiling(&candidates, j))
 			break
 		}
 		if l.fetchMissesObjective(j, m) && l.preemptOnImageHolder(&imageHolders, j) {
@@ -132,7 +132,7 @@
 		l.assign(j, i, m)
 		l.rerankBest(&candidates, j)
 	}
-	return l.capByLimit(j, j.pendingTasks()-held)
+	return l.capAtTeamLimit(j, j.pendingTasks()-held)
 }
 
 // preemptOnImageHolder makes room for one task on a machine that holds its image, by stopping
@@ -145,8 +145,8 @@
 	return l.preemptNext(*search, j)
 }
 
-// capByLimit is how many of some tasks of a job its team's limit lets start.
-func (l *leader) capByLimit(j *job, tasks int) int {
+// capAtTeamLimit is how many of some tasks of a job its team's limit lets start.
+func (l *leader) capAtTeamLimit(j *job, tasks int) int {
 	if u, t := l.teamUsage[j.Team], l.controller.teams[j.Team]; j.CPUs > 0 && t != nil {
 		return min(tasks, int((t.CPUsMax-u.cpus)/j.CPUs+protocol.Epsilon))
 	}
@@ -178,7 +178,7 @@
 	needs := placement.Needs(j.Job)
 	u := l.teamUsage[j.Team]
 	candidates := l.findCandidates(j)
-	for len(chosen) < need && l.withinLimit(j) {
+	for len(chosen) < need && l.withinTeamLimit(j) {
 		m := l.bestMachine(&candidates, j)
 		if m == nil {
 			break
@@ -186,14 +186,14 @@
 		chosen = append(chosen, m)
 		m.Allocated = m.Allocated.Plus(needs)
 		u.cpus, u.gpus = u.cpus+j.CPUs, u.gpus+j.GPUs
-		j.zones[m.Zone]++
+		j.attemptsByZone[m.Zone]++
 		l.rerankBest(&candidates, j)
 	}
 	for _, m := range chosen {
 		m.Allocated = m.Allocated.Minus(needs)
 		u.cpus, u.gpus = u.cpus-j.CPUs, u.gpus-j.GPUs
-		if j.zones[m.Zone]--; j.zones[m.Zone] == 0 {
-			delete(j.zones, m.Zone)
+		if j.attemptsByZone[m.Zone]--; j.attemptsByZone[m.Zone] == 0 {
+			delete(j.attemptsByZone, m.Zone)
 		}
 	}
 	return chosen
@@ -209,8 +209,8 @@
 // startAttempt begins a new attempt at a task that is pending no more.
 func (l *leader) startAttempt(j *job, i int, m *machine) {
 	t := j.task(i)
-	t.attempt++
-	a := &attempt{job: j, task: i, number: t.attempt, machine: m, placedAt: l.controller.now, stateSince: l.controller.now}
+	t.lastAttemptNumber++
+	a := &attempt{job: j, taskIndex: i, number: t.lastAttemptNumber, machine: m, placedAt: l.controller.now, stateSince: l.controller.now}
 	l.attach(a)
 	l.writer.recordStart(a)
 }
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -34,7 +34,7 @@
 
 // Candidates are the machines that may take tasks of a job, the best one first. They are
 // scored once, not once per task: placing one changes the score of its own machine alone.
-type Candidates struct{ list byRank }
+type Candidates struct{ list candidateHeap }
 
 // NewCandidates orders candidates; the list is theirs from here on.
 func NewCandidates(list []Candidate) Candidates {
@@ -70,18 +70,18 @@
 	heap.Fix(&c.list, 0)
 }
 
-// byRank are candidates as a heap (container/heap) with the best one on top.
-type byRank []Candidate
+// candidateHeap are candidates as a heap (container/heap) with the best one on top.
+type candidateHeap []Candidate
 
-func (h byRank) Len() int           { return len(h) }
-func (h byRank) Less(i, k int) bool { return h[i].before(&h[k]) }
-func (h byRank) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h candidateHeap) Len() int           { return len(h) }
+func (h candidateHeap) Less(i, k int) bool { return h[i].before(&h[k]) }
+func (h candidateHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
 
 // Push is there for heap.Interface alone: candidates are given at once.
-func (h *byRank) Push(x any) { *h = append(*h, x.(Candidate)) }
+func (h *candidateHeap) Push(x any) { *h = append(*h, x.(Candidate)) }
 
 // Pop takes the last candidate out. It returns nothing, so that nothing is boxed.
-func (h *byRank) Pop() any {
+func (h *candidateHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
 }
@@ -117,7 +117,7 @@
 	spot        bool
 }
 
-// KeyOf is the key of the shape of a job's tasks.
-func KeyOf(j *protocol.Job) ShapeKey {
+// ShapeKeyOf is the key of the shape of a job's tasks.
+func ShapeKeyOf(j *protocol.Job) ShapeKey {
 	return ShapeKey{Needs(j), j.Zone, strings.Join(j.MachineTypes, " "), j.AllowSpot}
 }
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -15,8 +15,8 @@
 // the leader renews its lease and answers workers and users.
 const baseExamineLimit = 250_000
 
-// maxLimitFactor bounds how far the limit grows from round to round.
-const maxLimitFactor = 16
+// maxExamineLimitFactor bounds how far the limit grows from round to round.
+const maxExamineLimitFactor = 16
 
 // interruptedRoundPause is how soon a round that ended early is followed by another.
 const interruptedRoundPause = 50 * time.Millisecond
@@ -40,7 +40,7 @@
 	unplaceable   []placement.Shape      // found no machine with room
 
 	victimSearches map[victimSearchKey]*victimSearch
-	victims        victimChoice
+	victims        victimSelector
 
 	examined     int // machines looked at, over all jobs
 	examineLimit int // how many may be
@@ -75,14 +75,14 @@
 	}
 }
 
-// exceeded reports whether the round has looked at as many machines as it may.
-func (r *placementRound) exceeded() bool { return r.examined > r.examineLimit }
+// examineLimitReached reports whether the round has looked at as many machines as it may.
+func (r *placementRound) examineLimitReached() bool { return r.examined > r.examineLimit }
 
-// adjustLimit sets the limit of the next round. A round that ended for its length is followed
+// adjustExamineLimit sets the limit of the next round. A round that ended for its length is followed
 // by one that may take longer, so that those at its end get their turn whatever is before them.
-func (r *placementRound) adjustLimit(interrupted bool) {
-	if r.exceeded() {
-		r.examineLimit = min(2*r.examineLimit, maxLimitFactor*baseExamineLimit)
+func (r *placementRound) adjustExamineLimit(interrupted bool) {
+	if r.examineLimitReached() {
+		r.examineLimit = min(2*r.examineLimit, maxExamineLimitFactor*baseExamineLimit)
 	} else if !interrupted {
 		r.examineLimit = baseExamineLimit
 	}
@@ -107,7 +107,7 @@
 			break
 		}
 	}
-	l.round.adjustLimit(l.autoscaler.demandIncomplete)
+	l.round.adjustExamineLimit(l.autoscaler.demandIncomplete)
 	if l.autoscaler.demandIncomplete {
 		c.after(interruptedRoundPause+c.overload.Lag()/2, l.requestPlacementIfLeading)
 	} else if len(l.autoscaler.unmetDemand) > 0 {
@@ -115,28 +115,28 @@
 	}
 }
 
-// turn is what becomes of a round after a job's turn.
-type turn uint8
+// roundOutcome is what becomes of a round after a job's turn.
+type roundOutcome uint8
 
 const (
-	continueRound  turn = iota
-	interruptRound      // the jobs that are left have their turn in the next round
+	continueRound  roundOutcome = iota
+	interruptRound              // the jobs that are left have their turn in the next round
 )
 
 // serveJob gives a job its turn in a round: tasks are placed, room is made for those that are
 // left, and what still has none is demand on the fleet.
-func (l *leader) serveJob(j *job) turn {
+func (l *leader) serveJob(j *job) roundOutcome {
 	now := l.controller.now
 	// Not the tier that the queue was ordered by: the turns before may have stopped all that
 	// had started.
-	tier := j.standing(now.Round(0)).AgedTier()
+	tier := j.queueInfo(now.Round(0)).AgedTier()
 	if tier >= queue.BestEffort && l.controller.overload.Overloaded() {
 		// Each start makes heartbeats and records to come. A leader alone with thousands
 		// of tasks of a few seconds lost its lease to them again and again.
 		return interruptRound
 	}
 	left := l.placeOrReserve(j, tier)
-	if left > 0 && (l.writer.saturated() || l.round.exceeded()) {
+	if left > 0 && (l.writer.saturated() || l.round.examineLimitReached()) {
 		// The rest waits for records or for the next round, not for room: nothing is stopped
 		// for it, and what it needs of the fleet shows once room is all that it lacks.
 		return interruptRound
@@ -144,7 +144,7 @@
 	if left > 0 && now.Before(j.backoffUntil) {
 		return continueRound
 	}
-	left = l.limitTrials(j, left)
+	left = l.limitQuarantineTrials(j, left)
 	if left > 0 && l.anyZoneAllowed(j) && l.mayPreempt(j) {
 		left = l.preemptFor(j, left)
 	}
@@ -161,7 +161,7 @@
 		return j.pendingTasks()
 	}
 	left := l.placeJob(j, tier)
-	if left > 0 && j.standing(l.controller.now.Round(0)).Starving() {
+	if left > 0 && j.queueInfo(l.controller.now.Round(0)).Starving() {
 		l.reserveMachine(j)
 	}
 	return left
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -102,12 +102,12 @@
 	if u == nil || t == nil {
 		return false
 	}
-	s := l.stopping[team]
+	s := l.stoppingUsage[team]
 	return u.cpus-s.cpus > t.CPUs+protocol.Epsilon || u.gpus-s.gpus > t.GPUs+protocol.Epsilon
 }
 
-// gpuWorth is how many CPUs a GPU counts as.
-const gpuWorth = 8
+// gpuCPUEquivalent is how many CPUs a GPU counts as.
+const gpuCPUEquivalent = 8
 
 // lostWork is the work lost when an attempt is stopped now, in seconds of CPUs.
 func (l *leader) lostWork(a *attempt) float64 {
@@ -118,18 +118,18 @@
 	if a.job.CheckpointInterval > 0 {
 		d = a.job.CheckpointDuration // it saves, and only that time is lost
 	}
-	return d.Seconds() * (a.job.CPUs + gpuWorth*a.job.GPUs)
+	return d.Seconds() * (a.job.CPUs + gpuCPUEquivalent*a.job.GPUs)
 }
 
-// preemptWithinLimit stops work of the job's own team where the team's limit is
+// preemptWithinTeamLimit stops work of the job's own team where the team's limit is
 // what keeps a critical job waiting.
-func (l *leader) preemptWithinLimit(j *job) {
+func (l *leader) preemptWithinTeamLimit(j *job) {
 	if j.Priority != protocol.Critical {
 		return
 	}
 	need := float64(j.pendingTasks()) * j.CPUs
 	need -= l.teamUsage[j.Team].headroom(l.controller.teams[j.Team].CPUsMax)
-	need -= l.stopping[j.Team].cpus
+	need -= l.stoppingUsage[j.Team].cpus
 	if need <= protocol.Epsilon {
 		return
 	}
@@ -152,7 +152,7 @@
 			return
 		}
 		need -= a.job.CPUs
-		l.controller.log.Debug("attempt preempted under team limit", "job", a.job.ID, "task", a.task, "beneficiary", j.ID)
+		l.controller.log.Debug("attempt preempted under team limit", "job", a.job.ID, "task", a.taskIndex, "beneficiary", j.ID)
 		l.stopAttempt(a, l.checkpointGrace(a))
 	}
 }
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -13,8 +13,8 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestChoose(t *testing.T) {
-	work := func(name string, change func(*Work[string])) Work[string] {
-		w := Work[string]{Attempt: name, Priority: protocol.Low, Submitted: start, Lost: 10, Needs: placement.Resources{CPUs: 2, MemGB: 4}, Job: name}
+	work := func(name string, change func(*Candidate[string])) Candidate[string] {
+		w := Candidate[string]{Attempt: name, Priority: protocol.Low, JobSubmitted: start, LostWork: 10, Needs: placement.Resources{CPUs: 2, MemGB: 4}, JobID: name}
 		if change != nil {
 			change(&w)
 		}
@@ -24,34 +24,34 @@
 		name    string
 		free    placement.Resources
 		needs   placement.Resources
-		work    []Work[string]
+		work    []Candidate[string]
 		victims []string
 		cost    float64
 		ok      bool
 	}{
 		{name: "nothing gives way", needs: placement.Resources{CPUs: 1}},
-		{name: "one is enough", needs: placement.Resources{CPUs: 2}, work: []Work[string]{work("a", nil), work("b", nil)},
+		{name: "one is enough", needs: placement.Resources{CPUs: 2}, work: []Candidate[string]{work("a", nil), work("b", nil)},
 			victims: []string{"a"}, cost: 11, ok: true},
 		{name: "room that is left counts", free: placement.Resources{CPUs: 2}, needs: placement.Resources{CPUs: 4},
-			work: []Work[string]{work("a", nil), work("b", nil)}, victims: []string{"a"}, cost: 11, ok: true},
-		{name: "two are needed", needs: placement.Resources{CPUs: 3}, work: []Work[string]{work("a", nil), work("b", nil)},
+			work: []Candidate[string]{work("a", nil), work("b", nil)}, victims: []string{"a"}, cost: 11, ok: true},
+		{name: "two are needed", needs: placement.Resources{CPUs: 3}, work: []Candidate[string]{work("a", nil), work("b", nil)},
 			victims: []string{"a", "b"}, cost: 22, ok: true},
-		{name: "all are too little", needs: placement.Resources{CPUs: 5}, work: []Work[string]{work("a", nil), work("b", nil)}},
-		{name: "memory counts", needs: placement.Resources{CPUs: 1, MemGB: 6}, work: []Work[string]{work("a", nil), work("b", nil)},
+		{name: "all are too little", needs: placement.Resources{CPUs: 5}, work: []Candidate[string]{work("a", nil), work("b", nil)}},
+		{name: "memory counts", needs: placement.Resources{CPUs: 1, MemGB: 6}, work: []Candidate[string]{work("a", nil), work("b", nil)},
 			victims: []string{"a", "b"}, cost: 22, ok: true},
-		{name: "no GPU", needs: placement.Resources{GPUs: 1}, work: []Work[string]{work("a", nil)}},
+		{name: "no GPU", needs: placement.Resources{GPUs: 1}, work: []Candidate[string]{work("a", nil)}},
 		{name: "the lowest priority first", needs: placement.Resources{CPUs: 2},
-			work:    []Work[string]{work("a", func(w *Work[string]) { w.Priority = protocol.Standard }), work("b", func(w *Work[string]) { w.Lost = 50 })},
+			work:    []Candidate[string]{work("a", func(w *Candidate[string]) { w.Priority = protocol.Standard }), work("b", func(w *Candidate[string]) { w.LostWork = 50 })},
 			victims: []string{"b"}, cost: 51, ok: true},
 		{name: "the latest job first", needs: placement.Resources{CPUs: 2},
-			work:    []Work[string]{work("a", func(w *Work[string]) { w.Lost = 0 }), work("b", func(w *Work[string]) { w.Submitted = start.Add(time.Second) })},
+			work:    []Candidate[string]{work("a", func(w *Candidate[string]) { w.LostWork = 0 }), work("b", func(w *Candidate[string]) { w.JobSubmitted = start.Add(time.Second) })},
 			victims: []string{"b"}, cost: 11, ok: true},
 		{name: "the least work of a job's", needs: placement.Resources{CPUs: 2},
-			work: []Work[string]{work("a", nil), work("b", func(w *Work[string]) { w.Job, w.Task, w.Lost = "a", 1, 5 })}, victims: []string{"b"}, cost: 6, ok: true},
+			work: []Candidate[string]{work("a", nil), work("b", func(w *Candidate[string]) { w.JobID, w.TaskIndex, w.LostWork = "a", 1, 5 })}, victims: []string{"b"}, cost: 6, ok: true},
 		{name: "the first task of equals", needs: placement.Resources{CPUs: 2},
-			work: []Work[string]{work("a", func(w *Work[string]) { w.Task = 7 }), work("b", func(w *Work[string]) { w.Job, w.Task = "a", 2 })}, victims: []string{"b"}, cost: 11, ok: true},
+			work: []Candidate[string]{work("a", func(w *Candidate[string]) { w.TaskIndex = 7 }), work("b", func(w *Candidate[string]) { w.JobID, w.TaskIndex = "a", 2 })}, victims: []string{"b"}, cost: 11, ok: true},
 	} {
-		victims, cost, ok := Choose(c.free, c.needs, c.work)
+		victims, cost, ok := ChooseVictims(c.free, c.needs, c.work)
 		var names []string
 		for _, v := range victims {
 			names = append(names, v.Attempt)
@@ -64,16 +64,16 @@
 
 // fakeMachines have room for tasks of one size at costs that rise from task to task.
 type fakeMachines struct {
-	costs    map[string][]float64 // of the next tasks; none left: no room
-	excluded string
-	asked    int
-	taken    []string
+	costs     map[string][]float64 // of the next tasks; none left: no room
+	excluded  string
+	costCalls int
+	preempted []string
 }
 
 func (f *fakeMachines) Excluded(machine string) bool { return machine == f.excluded }
 
 func (f *fakeMachines) Cost(machine string) (float64, bool) {
-	f.asked++
+	f.costCalls++
 	if c := f.costs[machine]; len(c) > 0 {
 		return c[0], true
 	}
@@ -81,7 +81,7 @@
 }
 
 func (f *fakeMachines) Preempt(machine string) {
-	f.taken = append(f.taken, machine)
+	f.preempted = append(f.preempted, machine)
 	f.costs[machine] = f.costs[machine][1:]
 }
 
@@ -105,11 +105,11 @@
 		for i, m := range []string{"a", "b", "c"} {
 			s.Add(m, i, 3)
 		}
-		s.Begin(f, placement.Resources{CPUs: 1})
-		for s.Next(f) {
+		s.BeginJob(f, placement.Resources{CPUs: 1})
+		for s.PreemptNext(f) {
 		}
-		if !slices.Equal(f.taken, c.want) {
-			t.Errorf("%s: %q, want %q", c.name, f.taken, c.want)
+		if !slices.Equal(f.preempted, c.want) {
+			t.Errorf("%s: %q, want %q", c.name, f.preempted, c.want)
 		}
 	}
 }
@@ -122,29 +122,29 @@
 	for i := range 100 {
 		s.Add(fmt.Sprint(i), i, 100)
 	}
-	if s.Begun() {
+	if s.Started() {
 		t.Error("begun before a job's turn")
 	}
-	s.Begin(f, placement.Resources{CPUs: 4, MemGB: 4})
-	if !s.Begun() || f.asked != 100 || s.Next(f) {
-		t.Errorf("%d asked, or room on none", f.asked)
+	s.BeginJob(f, placement.Resources{CPUs: 4, MemGB: 4})
+	if !s.Started() || f.costCalls != 100 || s.PreemptNext(f) {
+		t.Errorf("%d asked, or room on none", f.costCalls)
 	}
 	f.costs["7"] = []float64{1, 1}
-	s.Begin(f, placement.Resources{CPUs: 4, MemGB: 5})
-	if f.asked != 100 || s.Next(f) {
-		t.Errorf("%d asked for a larger task", f.asked)
+	s.BeginJob(f, placement.Resources{CPUs: 4, MemGB: 5})
+	if f.costCalls != 100 || s.PreemptNext(f) {
+		t.Errorf("%d asked for a larger task", f.costCalls)
 	}
-	s.Begin(f, placement.Resources{CPUs: 5, MemGB: 3})
-	if f.asked != 200 || !s.Next(f) || f.taken[0] != "7" {
-		t.Errorf("%d asked for one that takes less memory, on %q", f.asked, f.taken)
+	s.BeginJob(f, placement.Resources{CPUs: 5, MemGB: 3})
+	if f.costCalls != 200 || !s.PreemptNext(f) || f.preempted[0] != "7" {
+		t.Errorf("%d asked for one that takes less memory, on %q", f.costCalls, f.preempted)
 	}
 	f.excluded = "7"
-	if s.Next(f) {
+	if s.PreemptNext(f) {
 		t.Error("an excluded machine is used")
 	}
 	f.excluded = ""
-	s.Begin(f, placement.Resources{CPUs: 5, MemGB: 5})
-	if !s.Next(f) || s.Next(f) {
+	s.BeginJob(f, placement.Resources{CPUs: 5, MemGB: 5})
+	if !s.PreemptNext(f) || s.PreemptNext(f) {
 		t.Error("a machine that another job couldn't use")
 	}
 }
--- a/internal/coordination/preemption/search.go
+++ b/internal/coordination/preemption/search.go
@@ -30,11 +30,11 @@
 // that was asked for so far. During a round room is only used up, so that what is exhausted
 // for a task stays so for larger ones.
 type Search[M any] struct {
-	options   options[M]
+	options   optionHeap[M]
 	skipped   []option[M]
 	exhausted []option[M]
 	smallest  placement.Resources // task that was asked for so far
-	begun     bool                // smallest is known
+	started   bool                // smallest is known
 }
 
 // option is a machine in a search.
@@ -53,15 +53,15 @@
 	s.exhausted = append(s.exhausted, option[M]{machine: machine, order: int32(order)})
 }
 
-// Begun reports whether the search has had a job's turn.
-func (s *Search[M]) Begun() bool { return s.begun }
+// Started reports whether the search has had a job's turn.
+func (s *Search[M]) Started() bool { return s.started }
 
-// Begin begins the turn of a job whose tasks have some needs.
-func (s *Search[M]) Begin(machines Machines[M], needs placement.Resources) {
+// BeginJob begins the turn of a job whose tasks have some needs.
+func (s *Search[M]) BeginJob(machines Machines[M], needs placement.Resources) {
 	s.options = append(s.options, s.skipped...)
 	s.skipped = s.skipped[:0]
-	if !s.begun || needs.CPUs < s.smallest.CPUs || needs.GPUs < s.smallest.GPUs || needs.MemGB < s.smallest.MemGB {
-		s.begun, s.smallest = true, needs
+	if !s.started || needs.CPUs < s.smallest.CPUs || needs.GPUs < s.smallest.GPUs || needs.MemGB < s.smallest.MemGB {
+		s.started, s.smallest = true, needs
 		s.retryExhausted(machines)
 	}
 	heap.Init(&s.options)
@@ -83,9 +83,9 @@
 	s.exhausted = left
 }
 
-// Next makes room for one more task of the job whose turn it is, and reports whether there was
+// PreemptNext makes room for one more task of the job whose turn it is, and reports whether there was
 // any to be made.
-func (s *Search[M]) Next(machines Machines[M]) bool {
+func (s *Search[M]) PreemptNext(machines Machines[M]) bool {
 	for len(s.options) > 0 {
 		o := s.options[0]
 		if machines.Excluded(o.machine) {
@@ -129,21 +129,21 @@
 	heap.Pop(&s.options)
 }
 
-// options are a heap (container/heap) with the option that costs least on top.
-type options[M any] []option[M]
+// optionHeap are a heap (container/heap) with the option that costs least on top.
+type optionHeap[M any] []option[M]
 
-func (h options[M]) Len() int { return len(h) }
-func (h options[M]) Less(i, k int) bool {
+func (h optionHeap[M]) Len() int { return len(h) }
+func (h optionHeap[M]) Less(i, k int) bool {
 	a, b := &h[i], &h[k]
 	return a.cost < b.cost || a.cost == b.cost && a.order < b.order
 }
-func (h options[M]) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
+func (h optionHeap[M]) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
 
 // Push is there for heap.Interface alone: options are appended, then ordered at once.
-func (h *options[M]) Push(x any) { *h = append(*h, x.(option[M])) }
+func (h *optionHeap[M]) Push(x any) { *h = append(*h, x.(option[M])) }
 
 // Pop takes the last option out. It returns nothing, so that nothing is boxed.
-func (h *options[M]) Pop() any {
+func (h *optionHeap[M]) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
 }
--- a/internal/coordination/preemption/victims.go
+++ b/internal/coordination/preemption/victims.go
@@ -14,49 +14,49 @@
 	"brasskeel/internal/protocol"
 )
 
-// Work is an attempt that has to give way, with what it is chosen by.
-type Work[A any] struct {
-	Attempt   A
-	Priority  protocol.Priority
-	Submitted time.Time // its job
-	Lost      float64   // work lost by stopping it now, in seconds of its resources
-	Needs     placement.Resources
-	Job       string // its ID; with Task it breaks ties
-	Task      int
+// Candidate is an attempt that has to give way, with what it is chosen by.
+type Candidate[A any] struct {
+	Attempt      A
+	Priority     protocol.Priority
+	JobSubmitted time.Time // its job
+	LostWork     float64   // work lost by stopping it now, in seconds of its resources
+	Needs        placement.Resources
+	JobID        string // its ID; with Task it breaks ties
+	TaskIndex    int
 }
 
 // before reports the order in which work is stopped.
-func (w *Work[A]) before(o *Work[A]) int {
+func (w *Candidate[A]) before(o *Candidate[A]) int {
 	if d := int(w.Priority) - int(o.Priority); d != 0 {
 		return d
 	}
 	// The latest job first: taking the least work first would hit the tasks that were just
 	// restarted again and again.
-	if d := o.Submitted.Compare(w.Submitted); d != 0 {
+	if d := o.JobSubmitted.Compare(w.JobSubmitted); d != 0 {
 		return d
 	}
-	if d := cmp.Compare(w.Lost, o.Lost); d != 0 {
+	if d := cmp.Compare(w.LostWork, o.LostWork); d != 0 {
 		return d
 	}
-	if d := cmp.Compare(w.Job, o.Job); d != 0 {
+	if d := cmp.Compare(w.JobID, o.JobID); d != 0 {
 		return d
 	}
-	return w.Task - o.Task
+	return w.TaskIndex - o.TaskIndex
 }
 
-// victimCost is what each victim costs besides its lost work: of two choices that lose the
+// costPerVictim is what each victim costs besides its lost work: of two choices that lose the
 // same, the one with fewer victims is better.
-const victimCost = 1
+const costPerVictim = 1
 
-// Choose finds the work to be stopped on a machine with some room left so that a task with
+// ChooseVictims finds the work to be stopped on a machine with some room left so that a task with
 // some needs fits: the victims, and what stopping them costs, in seconds of their resources.
 // It sorts work; the victims are a part of it. None are returned where all of them wouldn't
 // do.
-func Choose[A any](free, needs placement.Resources, work []Work[A]) (victims []Work[A], cost float64, ok bool) {
-	slices.SortFunc(work, func(a, b Work[A]) int { return a.before(&b) })
+func ChooseVictims[A any](free, needs placement.Resources, work []Candidate[A]) (victims []Candidate[A], cost float64, ok bool) {
+	slices.SortFunc(work, func(a, b Candidate[A]) int { return a.before(&b) })
 	for i := range work {
 		w := &work[i]
-		cost += w.Lost + victimCost
+		cost += w.LostWork + costPerVictim
 		free = free.Plus(w.Needs)
 		if Fits(free, needs) {
 			return work[:i+1], cost, true
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -18,9 +18,9 @@
 	return j.history.State(l.controller.now, j.progress(), len(l.fleetList)) == quarantine.Quarantined
 }
 
-// limitTrials bounds how many tasks of a job may be placed: of one in quarantine one at a time.
+// limitQuarantineTrials bounds how many tasks of a job may be placed: of one in quarantine one at a time.
 // Gangs start as a whole or not at all.
-func (l *leader) limitTrials(j *job, most int) int {
+func (l *leader) limitQuarantineTrials(j *job, most int) int {
 	if j.Kind == protocol.Gang || !l.quarantined(j) {
 		return most
 	}
@@ -33,11 +33,11 @@
 // attemptFailed notes an attempt that ended in an error.
 func (l *leader) attemptFailed(m *machine, a *attempt) {
 	j, c := a.job, l.controller
-	failure := quarantine.Failure{Machine: m.Name, Ran: a.state == protocol.Running, Attempts: j.liveAttempts}
-	verdict := j.history.Failed(c.now, failure, j.progress(), len(l.fleetList))
+	failure := quarantine.Failure{Machine: m.Name, Ran: a.state == protocol.Running, LiveAttempts: j.liveAttempts}
+	verdict := j.history.RecordFailure(c.now, failure, j.progress(), len(l.fleetList))
 	m.failuresByJob[j.ID]++
-	c.log.Debug("task failed", "job", j.ID, "task", a.task, "machine", m.Name, "failures", j.history.Failures())
-	if verdict.Entered {
+	c.log.Debug("task failed", "job", j.ID, "task", a.taskIndex, "machine", m.Name, "failures", j.history.Failures())
+	if verdict.EnteredQuarantine {
 		c.log.Warn("job quarantined", "job", j.ID, "class", j.Class, "team", j.Team, "failures", j.history.Failures(), "machines", j.history.Machines())
 	}
 	if until := c.now.Add(verdict.Backoff); until.After(j.backoffUntil) {
@@ -52,10 +52,10 @@
 	if m.quarantined {
 		return
 	}
-	evidence := quarantine.MachineEvidence{JobWorks: j.history.Works(l.controller.now, j.progress()), Failures: m.failuresByJob[j.ID],
+	evidence := quarantine.MachineEvidence{JobWorking: j.history.KnownWorking(l.controller.now, j.progress()), Failures: m.failuresByJob[j.ID],
 		Machines: j.history.Machines()}
 	for id := range m.failuresByJob {
-		if k := l.jobs[id]; k != nil && k.history.Works(l.controller.now, k.progress()) {
+		if k := l.jobs[id]; k != nil && k.history.KnownWorking(l.controller.now, k.progress()) {
 			evidence.WorkingJobs++
 		}
 	}
@@ -66,13 +66,13 @@
 	}
 }
 
-// taskRuns notes that a task of a job runs.
-func (l *leader) taskRuns(j *job) {
+// taskStartedRunning notes that a task of a job runs.
+func (l *leader) taskStartedRunning(j *job) {
 	j.runningTasks++
 	if j.runningTasks == 1 {
-		j.history.Running(l.controller.now)
+		j.history.RecordRunning(l.controller.now)
 		if l.quarantined(j) { // a trial that may succeed
-			l.controller.after(quarantine.WorkingAfter+timerMargin, l.requestPlacementIfLeading)
+			l.controller.after(quarantine.MinRunTime+timerMargin, l.requestPlacementIfLeading)
 		}
 	}
 }
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -40,18 +40,18 @@
 	}
 }
 
-// standing is what a job's place in the queue follows from.
-func (j *job) standing(wall time.Time) queue.Standing {
-	return queue.Standing{Priority: j.Priority, WithinQuota: j.withinQuota(), Started: j.liveAttempts > 0 || j.doneTasks > 0, Waited: wall.Sub(j.submitted)}
+// queueInfo is what a job's place in the queue follows from.
+func (j *job) queueInfo(wall time.Time) queue.JobInfo {
+	return queue.JobInfo{Priority: j.Priority, WithinQuota: j.withinQuota(), Started: j.liveAttempts > 0 || j.doneTasks > 0, Waited: wall.Sub(j.submitted)}
 }
 
 // tier is a job's tier, its wait aside.
 func (j *job) tier() queue.Tier {
-	return queue.Standing{Priority: j.Priority, WithinQuota: j.withinQuota()}.Tier()
+	return queue.JobInfo{Priority: j.Priority, WithinQuota: j.withinQuota()}.Tier()
 }
 
-// backlog is the work of a job that is left. Its deadlines are good until the next call.
-func (l *leader) backlog(j *job, wall time.Time) queue.Backlog {
+// remainingWork is the work of a job that is left. Its deadlines are good until the next call.
+func (l *leader) remainingWork(j *job, wall time.Time) queue.RemainingWork {
 	l.round.deadlines = l.round.deadlines[:0]
 	if j.HasDeadline {
 		l.round.deadlines = append(l.round.deadlines, j.Deadline, j.Deadline*3/2)
@@ -62,8 +62,8 @@
 			}
 		}
 	}
-	return queue.Backlog{Tasks: j.Tasks - j.doneTasks, CPUs: j.CPUs, Waited: wall.Sub(j.submitted), Deadlines: l.round.deadlines,
-		Runtime: time.Duration(float64(j.EstimatedRuntime) * l.corrections.Of(j.Class))}
+	return queue.RemainingWork{Tasks: j.Tasks - j.doneTasks, CPUs: j.CPUs, Waited: wall.Sub(j.submitted), Deadlines: l.round.deadlines,
+		Runtime: time.Duration(float64(j.EstimatedRuntime) * l.corrections.Factor(j.Class))}
 }
 
 // observeRunTime takes a completed task's run time into what is known of its class and of its
@@ -84,7 +84,7 @@
 	entries := slices.Grow(l.round.queue[:0], len(l.jobsByAge))
 	for _, j := range l.jobsByAge {
 		if j.pendingTasks() > 0 {
-			standing, backlog := j.standing(wall), l.backlog(j, wall)
+			standing, backlog := j.queueInfo(wall), l.remainingWork(j, wall)
 			entries = append(entries, queue.Entry[*job]{Job: j, Tier: standing.AgedTier(), Priority: standing.AgedPriority(), Weight: backlog.Weight()})
 		}
 	}
--- a/internal/coordination/queue/corrections.go
+++ b/internal/coordination/queue/corrections.go
@@ -8,13 +8,13 @@
 type Corrections map[string]float64
 
 const (
-	correctionFollows = 0.05 // of a run time, in the factor
+	correctionSmoothing = 0.05 // of a run time, in the factor
 	// Single run times count within these bounds.
 	minCorrection, maxCorrection = 0.2, 5
 )
 
-// Of is the factor of a class.
-func (c Corrections) Of(class string) float64 {
+// Factor is the factor of a class.
+func (c Corrections) Factor(class string) float64 {
 	if f, ok := c[class]; ok {
 		return f
 	}
@@ -25,5 +25,5 @@
 // zero.
 func (c Corrections) Observe(class string, runtime, estimate time.Duration) {
 	ratio := float64(runtime) / float64(estimate)
-	c[class] = c.Of(class)*(1-correctionFollows) + min(max(ratio, minCorrection), maxCorrection)*correctionFollows
+	c[class] = c.Factor(class)*(1-correctionSmoothing) + min(max(ratio, minCorrection), maxCorrection)*correctionSmoothing
 }
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -32,8 +32,8 @@
 // stream of more urgent jobs keeps low ones from ever beginning.
 const AgeingStep = 6 * time.Minute
 
-// Standing is what a job's place in the queue follows from, besides the work that is left.
-type Standing struct {
+// JobInfo is what a job's place in the queue follows from, besides the work that is left.
+type JobInfo struct {
 	Priority    protocol.Priority
 	WithinQuota bool
 	Started     bool          // a task of it is done, or has an attempt that may run
@@ -42,7 +42,7 @@
 
 // Tier is the job's tier, the wait aside. Preemption goes by this one: what may be stopped for
 // a job doesn't change by its wait.
-func (s Standing) Tier() Tier {
+func (s JobInfo) Tier() Tier {
 	switch {
 	case s.Priority == protocol.Critical:
 		return Critical
@@ -53,7 +53,7 @@
 }
 
 // AgedTier is the job's tier, the wait for a first task considered.
-func (s Standing) AgedTier() Tier {
+func (s JobInfo) AgedTier() Tier {
 	if t := s.Tier(); t < BestEffort || !s.Starving() {
 		return t
 	}
@@ -61,18 +61,18 @@
 }
 
 // Starving reports whether the job has waited for its first task for too long.
-func (s Standing) Starving() bool { return !s.Started && s.Waited >= StarvingAfter }
+func (s JobInfo) Starving() bool { return !s.Started && s.Waited >= StarvingAfter }
 
 // AgedPriority is the priority that waiting has brought the job, below critical.
-func (s Standing) AgedPriority() int {
+func (s JobInfo) AgedPriority() int {
 	if s.Priority == protocol.Critical {
 		return int(protocol.Critical)
 	}
 	return min(int(protocol.Urgent), int(s.Priority)+int(max(s.Waited, 0)/AgeingStep))
 }
 
-// Backlog is the work of a job that is left.
-type Backlog struct {
+// RemainingWork is the work of a job that is left.
+type RemainingWork struct {
 	Tasks   int           // not done
 	Runtime time.Duration // of one task, by the corrected estimate
 	CPUs    float64       // of one task
@@ -92,7 +92,7 @@
 //
 // Owners' estimates are often wrong by half, so a deadline is given up only when half of the
 // estimate is too long for it.
-func (b *Backlog) Weight() float64 {
+func (b *RemainingWork) Weight() float64 {
 	runtime := max(b.Runtime, time.Second)
 	waited := max(b.Waited, 0)
 	missed := 0
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -9,25 +9,25 @@
 	"brasskeel/internal/protocol"
 )
 
-func TestStanding(t *testing.T) {
+func TestTiersAndAgeing(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		standing Standing
+		standing JobInfo
 		tier     Tier
 		aged     Tier
 		priority int
 	}{
-		{"critical", Standing{Priority: protocol.Critical}, Critical, Critical, int(protocol.Critical)},
-		{"critical for long", Standing{Priority: protocol.Critical, Waited: time.Hour}, Critical, Critical, int(protocol.Critical)},
-		{"within quota", Standing{Priority: protocol.Low, WithinQuota: true}, WithinQuota, WithinQuota, int(protocol.Low)},
-		{"within quota for long", Standing{Priority: protocol.Low, WithinQuota: true, Waited: StarvingAfter}, WithinQuota, WithinQuota, int(protocol.Low)},
-		{"best effort", Standing{Priority: protocol.Standard}, BestEffort, BestEffort, int(protocol.Standard)},
-		{"just before it starves", Standing{Priority: protocol.Standard, Waited: StarvingAfter - 1}, BestEffort, BestEffort, int(protocol.Standard)},
-		{"starving", Standing{Priority: protocol.Standard, Waited: StarvingAfter}, BestEffort, Starving, int(protocol.Standard)},
-		{"one that has started", Standing{Priority: protocol.Standard, Started: true, Waited: time.Hour}, BestEffort, BestEffort, int(protocol.Urgent)},
-		{"a step of ageing", Standing{Priority: protocol.Low, Started: true, Waited: AgeingStep}, BestEffort, BestEffort, int(protocol.Low) + 1},
-		{"never critical by age", Standing{Priority: protocol.Low, Started: true, Waited: 100 * AgeingStep}, BestEffort, BestEffort, int(protocol.Urgent)},
-		{"from the future", Standing{Priority: protocol.Low, Waited: -time.Hour}, BestEffort, BestEffort, int(protocol.Low)},
+		{"critical", JobInfo{Priority: protocol.Critical}, Critical, Critical, int(protocol.Critical)},
+		{"critical for long", JobInfo{Priority: protocol.Critical, Waited: time.Hour}, Critical, Critical, int(protocol.Critical)},
+		{"within quota", JobInfo{Priority: protocol.Low, WithinQuota: true}, WithinQuota, WithinQuota, int(protocol.Low)},
+		{"within quota for long", JobInfo{Priority: protocol.Low, WithinQuota: true, Waited: StarvingAfter}, WithinQuota, WithinQuota, int(protocol.Low)},
+		{"best effort", JobInfo{Priority: protocol.Standard}, BestEffort, BestEffort, int(protocol.Standard)},
+		{"just before it starves", JobInfo{Priority: protocol.Standard, Waited: StarvingAfter - 1}, BestEffort, BestEffort, int(protocol.Standard)},
+		{"starving", JobInfo{Priority: protocol.Standard, Waited: StarvingAfter}, BestEffort, Starving, int(protocol.Standard)},
+		{"one that has started", JobInfo{Priority: protocol.Standard, Started: true, Waited: time.Hour}, BestEffort, BestEffort, int(protocol.Urgent)},
+		{"a step of ageing", JobInfo{Priority: protocol.Low, Started: true, Waited: AgeingStep}, BestEffort, BestEffort, int(protocol.Low) + 1},
+		{"never critical by age", JobInfo{Priority: protocol.Low, Started: true, Waited: 100 * AgeingStep}, BestEffort, BestEffort, int(protocol.Urgent)},
+		{"from the future", JobInfo{Priority: protocol.Low, Waited: -time.Hour}, BestEffort, BestEffort, int(protocol.Low)},
 	} {
 		if s := c.standing; s.Tier() != c.tier || s.AgedTier() != c.aged || s.AgedPriority() != c.priority {
 			t.Errorf("%s: tier %d, aged %d, priority %d", c.name, s.Tier(), s.AgedTier(), s.AgedPriority())
@@ -37,25 +37,25 @@
 
 // In each case the first backlog weighs less than the second.
 func TestWeight(t *testing.T) {
-	base := Backlog{Tasks: 10, Runtime: 10 * time.Second, CPUs: 1, Deadlines: []time.Duration{40 * time.Second, time.Minute}}
-	with := func(change func(*Backlog)) Backlog {
+	base := RemainingWork{Tasks: 10, Runtime: 10 * time.Second, CPUs: 1, Deadlines: []time.Duration{40 * time.Second, time.Minute}}
+	with := func(change func(*RemainingWork)) RemainingWork {
 		b := base
 		change(&b)
 		return b
 	}
 	for _, c := range []struct {
 		name         string
-		first, later Backlog
+		first, later RemainingWork
 	}{
-		{"fewer tasks", base, with(func(b *Backlog) { b.Tasks = 20 })},
-		{"shorter tasks", base, with(func(b *Backlog) { b.Runtime = 20 * time.Second })},
-		{"smaller tasks", base, with(func(b *Backlog) { b.CPUs = 2 })},
-		{"a deadline in reach", base, with(func(b *Backlog) { b.Waited = 50 * time.Second })},
-		{"one missed rather than two", with(func(b *Backlog) { b.Waited = 50 * time.Second }), with(func(b *Backlog) { b.Waited = 58 * time.Second })},
-		{"a late job's last task", with(func(b *Backlog) { b.Tasks, b.Waited = 1, 50*time.Second }), base},
-		{"hours of waiting", with(func(b *Backlog) { b.Tasks, b.Waited = 20, 5*time.Hour }), base},
-		{"no less than a second each", with(func(b *Backlog) { b.Runtime = 0 }), with(func(b *Backlog) { b.Runtime = 1001 * time.Millisecond })},
-		{"no less than a tenth of a CPU each", with(func(b *Backlog) { b.CPUs = 0 }), with(func(b *Backlog) { b.CPUs = 0.11 })},
+		{"fewer tasks", base, with(func(b *RemainingWork) { b.Tasks = 20 })},
+		{"shorter tasks", base, with(func(b *RemainingWork) { b.Runtime = 20 * time.Second })},
+		{"smaller tasks", base, with(func(b *RemainingWork) { b.CPUs = 2 })},
+		{"a deadline in reach", base, with(func(b *RemainingWork) { b.Waited = 50 * time.Second })},
+		{"one missed rather than two", with(func(b *RemainingWork) { b.Waited = 50 * time.Second }), with(func(b *RemainingWork) { b.Waited = 58 * time.Second })},
+		{"a late job's last task", with(func(b *RemainingWork) { b.Tasks, b.Waited = 1, 50*time.Second }), base},
+		{"hours of waiting", with(func(b *RemainingWork) { b.Tasks, b.Waited = 20, 5*time.Hour }), base},
+		{"no less than a second each", with(func(b *RemainingWork) { b.Runtime = 0 }), with(func(b *RemainingWork) { b.Runtime = 1001 * time.Millisecond })},
+		{"no less than a tenth of a CPU each", with(func(b *RemainingWork) { b.CPUs = 0 }), with(func(b *RemainingWork) { b.CPUs = 0.11 })},
 	} {
 		if first, later := c.first.Weight(), c.later.Weight(); first >= later {
 			t.Errorf("%s: %g is not below %g", c.name, first, later)
@@ -97,17 +97,17 @@
 		{"at once", 0, minCorrection},
 	} {
 		corrections := Corrections{}
-		if f := corrections.Of("c"); f != 1 {
+		if f := corrections.Factor("c"); f != 1 {
 			t.Errorf("%s: %g before any", c.name, f)
 		}
 		corrections.Observe("c", c.runtime, 10*time.Second)
-		if f := corrections.Of("c"); math.Abs(f-1) > correctionFollows*maxCorrection {
+		if f := corrections.Factor("c"); math.Abs(f-1) > correctionSmoothing*maxCorrection {
 			t.Errorf("%s: %g after one", c.name, f)
 		}
 		for range 500 {
 			corrections.Observe("c", c.runtime, 10*time.Second)
 		}
-		if f := corrections.Of("c"); math.Abs(f-c.want) > 1e-6 || corrections.Of("other") != 1 {
+		if f := corrections.Factor("c"); math.Abs(f-c.want) > 1e-6 || corrections.Factor("other") != 1 {
 			t.Errorf("%s: %g, want %g", c.name, f, c.want)
 		}
 	}
--- a/internal/coordination/ratelog/ratelog_test.go
+++ b/internal/coordination/ratelog/ratelog_test.go
@@ -47,7 +47,7 @@
 }
 
 // Within the second that a burst began in, nothing is told of what was suppressed.
-func TestFlushWaitsForTheSecond(t *testing.T) {
+func TestFlushWaitsForWindowEnd(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
 	var s Sampler
@@ -83,7 +83,7 @@
 		{time.Hour, "", false},
 	} {
 		now := start.Add(step.after)
-		open := h.Open(now)
+		open := h.MayLog(now)
 		if allow := h.Allow(now, step.status); allow != step.allow || allow && !open {
 			t.Errorf("after %s, %q: allowed %t, open %t", step.after, step.status, allow, open)
 		}
--- a/internal/coordination/ratelog/throttle.go
+++ b/internal/coordination/ratelog/throttle.go
@@ -29,6 +29,6 @@
 	return true
 }
 
-// Open reports whether any status could be logged now. Callers whose status is dear to find
+// MayLog reports whether any status could be logged now. Callers whose status is dear to find
 // ask it first.
-func (t *Throttle) Open(now time.Time) bool { return now.Sub(t.loggedAt) >= ChangeInterval }
+func (t *Throttle) MayLog(now time.Time) bool { return now.Sub(t.loggedAt) >= ChangeInterval }
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -28,8 +28,8 @@
 	return &balance.CeilingPolicy{Settings: b.settings, Now: b.l.controller.now, Team: b.teams[j.Team].id, Task: j.placementTask()}
 }
 
-// applyPolicy lets a policy change what ranks a machine.
-func (b *rebalancer) applyPolicy(policy *balance.CeilingPolicy, m *machine, k *placement.Candidate) {
+// applyCeilingPolicy lets a policy change what ranks a machine.
+func (b *rebalancer) applyCeilingPolicy(policy *balance.CeilingPolicy, m *machine, k *placement.Candidate) {
 	k.AboveCeiling = policy.Exceeds(&m.Machine, m.load)
 	k.Score -= policy.Penalty(&m.Machine, m.load, b.l.controller.operator.ImageWeight)
 }
@@ -37,16 +37,16 @@
 // ceilingState is how a job's tasks stand to the ceiling of their team's surge.
 type ceilingState uint8
 
-// A job goes from ceilingUntouched to ceilingWaits when only machines above the ceiling have
+// A job goes from ceilingNotReached to ceilingWaiting when only machines above the ceiling have
 // room, and on to ceilingExceeded when nothing else will do in time. Another surge begins anew.
 const (
-	ceilingUntouched ceilingState = iota
-	ceilingWaits
+	ceilingNotReached ceilingState = iota
+	ceilingWaiting
 	ceilingExceeded
 )
 
-// ceilingHold is a job's wait for machines below the ceiling.
-type ceilingHold struct {
+// ceilingWait is a job's wait for machines below the ceiling.
+type ceilingWait struct {
 	surge    uint64 // to which the rest belongs; 0: none yet
 	state    ceilingState
 	since    time.Time // when it began to wait
@@ -58,12 +58,12 @@
 func (b *rebalancer) mayExceedCeiling(j *job) bool {
 	c, hold, surge := b.l.controller, &j.ceiling, b.surgeOf(j)
 	if hold.surge != surge {
-		*hold = ceilingHold{surge: surge, state: ceilingWaits, since: c.now}
+		*hold = ceilingWait{surge: surge, state: ceilingWaiting, since: c.now}
 	}
 	if hold.state == ceilingExceeded {
 		return true
 	}
-	until := hold.since.Add(b.ceilingWait(j))
+	until := hold.since.Add(b.ceilingWaitLimit(j))
 	if c.now.Before(until) && b.bootsInTime(j, until) {
 		if !hold.timerSet {
 			hold.timerSet = true
@@ -77,8 +77,8 @@
 	return true
 }
 
-// roomAboveCeiling is how many more tasks of a job the machines that are left would take.
-func (l *leader) roomAboveCeiling(c *placement.Candidates, j *job) int {
+// taskCapacityAboveCeiling is how many more tasks of a job the machines that are left would take.
+func (l *leader) taskCapacityAboveCeiling(c *placement.Candidates, j *job) int {
 	count := 0
 	for k := range c.All {
 		m := l.round.withRoom[k.Machine]
@@ -92,11 +92,11 @@
 // waitsForCeiling reports whether a job's tasks wait for a machine below the ceiling.
 func (b *rebalancer) waitsForCeiling(j *job) bool {
 	surge := b.surgeOf(j)
-	return surge != 0 && j.ceiling.surge == surge && j.ceiling.state == ceilingWaits && b.ceilingPolicy(j) != nil
+	return surge != 0 && j.ceiling.surge == surge && j.ceiling.state == ceilingWaiting && b.ceilingPolicy(j) != nil
 }
 
-// ceilingWait is how long a job may be held: a part of the shortest time that its users give it.
-func (b *rebalancer) ceilingWait(j *job) time.Duration {
+// ceilingWaitLimit is how long a job may be held: a part of the shortest time that its users give it.
+func (b *rebalancer) ceilingWaitLimit(j *job) time.Duration {
 	least := maxCeilingWait * ceilingWaitDivisor
 	if j.HasDeadline {
 		least = min(least, max(0, j.Deadline-j.EstimatedRuntime))
@@ -114,10 +114,10 @@
 // by a time.
 func (b *rebalancer) bootsInTime(j *job, until time.Time) bool {
 	l := b.l
-	if b.likelyBoots == nil {
-		b.likelyBoots = l.likelyBootTimes()
+	if b.expectedBoots == nil {
+		b.expectedBoots = l.expectedBootTimes()
 	}
-	for kind, up := range b.likelyBoots {
+	for kind, up := range b.expectedBoots {
 		t := l.controller.types[kind.Type]
 		if t != nil && !up.After(until) && (autoscaler.Offer{Spec: t, Zone: kind.Zone, Spot: kind.Spot}).Allows(j.Job) && j.zoneAllowed(kind.Zone) {
 			return true
@@ -126,9 +126,9 @@
 	return false
 }
 
-// likelyBootTimes is when the first of the machines of a kind that boot is likely to be up. Those
+// expectedBootTimes is when the first of the machines of a kind that boot is likely to be up. Those
 // that are late count for nothing.
-func (l *leader) likelyBootTimes() map[autoscaler.OfferKey]time.Time {
+func (l *leader) expectedBootTimes() map[autoscaler.OfferKey]time.Time {
 	list := map[autoscaler.OfferKey]time.Time{}
 	for _, m := range l.fleetList {
 		if !l.booting(m) || l.bootOverdue(m) {
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -24,9 +24,9 @@
 const (
 	// stopDuration is what a stop and its proof take besides saving: a call, and a heartbeat.
 	stopDuration = time.Second
-	// migrationsDivisor bounds the moves under way, as a part of the fleet, and minMigrations from below.
-	migrationsDivisor = 50
-	minMigrations     = 2
+	// machinesPerMigration bounds the moves under way, as a part of the fleet, and minActiveMigrations from below.
+	machinesPerMigration = 50
+	minActiveMigrations  = 2
 )
 
 // migrations are the moves of one leadership.
@@ -46,8 +46,8 @@
 	deadline time.Time           // when the target's room is given up
 }
 
-// migrationStep is the regular turn: it gives up moves that come to nothing, and plans new ones.
-func (b *rebalancer) migrationStep() {
+// reconcileMigrations is the regular turn: it gives up moves that come to nothing, and plans new ones.
+func (b *rebalancer) reconcileMigrations() {
 	if b == nil {
 		return
 	}
@@ -81,21 +81,21 @@
 	if c.now.Sub(l.reconciledAt) < c.timing().ReconnectTime() || l.lease.ValidUntil.Sub(c.now) < l.lease.TTL/2 {
 		return false
 	}
-	return !c.overload.Defers() && !c.overload.Persistent(c.now) && len(l.writer.urgent) <= c.cfg.TxnOps
+	return !c.overload.ShouldDefer() && !c.overload.Persistent(c.now) && len(l.writer.urgentBlocks) <= c.cfg.TxnOps
 }
 
 // planMigrations begins the moves that pay.
 func (b *rebalancer) planMigrations() {
 	l, c := b.l, b.l.controller
-	room := max(minMigrations, len(l.fleetList)/migrationsDivisor) - len(b.migrations.active) - len(b.migrations.stopped)
+	room := max(minActiveMigrations, len(l.fleetList)/machinesPerMigration) - len(b.migrations.active) - len(b.migrations.stopped)
 	if room <= 0 || !b.anySurge() {
 		return
 	}
-	sources := b.sources()
+	sources := b.migrationSources()
 	if len(sources) == 0 {
 		return
 	}
-	terms := balance.MigrationTerms{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MoveMargin, MaxMigrations: room,
+	terms := balance.MigrationParams{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MoveMargin, MaxMigrations: room,
 		WriteDuration: time.Duration(float64(time.Second) / c.cfg.StateWriteRPS)}
 	moves := l.newPlanner().Rebalance(terms, sources)
 	if len(moves) == 0 {
@@ -104,7 +104,7 @@
 	saving, cost := time.Duration(0), time.Duration(0)
 	for i := range moves {
 		saving, cost = saving+moves[i].Saving, cost+moves[i].Cost
-		b.startMigration(moves[i].Work.Owner.(*attempt), l.machines[moves[i].To.Name])
+		b.startMigration(moves[i].Task.Owner.(*attempt), l.machines[moves[i].To.Name])
 	}
 	c.log.Info("migrations started", "count", len(moves), "saving", saving.Round(time.Millisecond), "cost", cost.Round(time.Millisecond),
 		"total", b.migrations.started, "completed", b.migrations.completed, "abandoned", b.migrations.abandoned)
@@ -120,8 +120,8 @@
 	return false
 }
 
-// sources are the machines that are heard and run work that may be moved.
-func (b *rebalancer) sources() []balance.Source {
+// migrationSources are the machines that are heard and run work that may be moved.
+func (b *rebalancer) migrationSources() []balance.Source {
 	var list []balance.Source
 	for _, m := range b.l.fleetList {
 		if m.Spec == nil || !b.l.acceptsTasks(m) {
@@ -130,10 +130,10 @@
 		s := balance.Source{LoadedMachine: balance.LoadedMachine{Machine: &m.Machine, Load: m.load}}
 		for _, a := range m.sortedAttempts() {
 			if b.migratable(a) {
-				s.Work = append(s.Work, b.migratableWork(a))
+				s.Tasks = append(s.Tasks, b.migratableTask(a))
 			}
 		}
-		if len(s.Work) > 0 {
+		if len(s.Tasks) > 0 {
 			list = append(list, s)
 		}
 	}
@@ -145,55 +145,55 @@
 func (b *rebalancer) migratable(a *attempt) bool {
 	j := a.job
 	surge := b.surgeOf(j)
-	return surge != 0 && j.Kind == protocol.Batch && j.finalState == 0 && j.task(a.task).migratedInSurge != surge &&
+	return surge != 0 && j.Kind == protocol.Batch && j.finalState == 0 && j.task(a.taskIndex).migratedInSurge != surge &&
 		a.recorded && a.delivery.Reported && !a.stopRequested && (a.state == protocol.Running || a.state == protocol.Fetching)
 }
 
-// migratableWork is an attempt as the planner sees it.
-func (b *rebalancer) migratableWork(a *attempt) balance.Work {
+// migratableTask is an attempt as the planner sees it.
+func (b *rebalancer) migratableTask(a *attempt) balance.MigratableTask {
 	j, m := a.job, a.machine
-	w := balance.Work{Task: j.placementTask(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Checkpoints: j.CheckpointInterval > 0,
-		MayUse: j.zoneAllowed, Owner: a}
+	w := balance.MigratableTask{Task: j.placementTask(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Checkpoints: j.CheckpointInterval > 0,
+		ZoneAllowed: j.zoneAllowed, Owner: a}
 	if w.Running {
-		w.Ran = b.l.controller.now.Sub(a.stateSince)
+		w.RanFor = b.l.controller.now.Sub(a.stateSince)
 	}
-	likely := time.Duration(float64(j.EstimatedRuntime) * b.l.corrections.Of(j.Class) * m.load.Speed.Slowness())
-	w.Remaining = max(0, likely-w.Ran) // one that is overdue may end at any moment
+	likely := time.Duration(float64(j.EstimatedRuntime) * b.l.corrections.Factor(j.Class) * m.load.Speed.Slowdown())
+	w.Remaining = max(0, likely-w.RanFor) // one that is overdue may end at any moment
 	return w
 }
 
 // startMigration holds room for a task on its target and has its mark recorded.
 func (b *rebalancer) startMigration(a *attempt, to *machine) {
 	l := b.l
-	t := a.job.task(a.task)
+	t := a.job.task(a.taskIndex)
 	t.migratedInSurge = b.surgeOf(a.job)
 	r := &migration{attempt: a, target: to, needs: placement.Needs(a.job.Job), deadline: l.controller.now.Add(l.controller.cfg.WorkerLease + a.job.CheckpointDuration + stopDuration)}
 	to.reserveIncoming(r.needs)
 	b.migrations.active[a] = r
 	b.migrations.started++
-	block := a.job.block(a.task)
+	block := a.job.block(a.taskIndex)
 	block.migrating = append(block.migrating, a)
 	l.writer.markUrgent(block)
-	l.controller.log.Debug("migration started", "job", a.job.ID, "task", a.task, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
+	l.controller.log.Debug("migration started", "job", a.job.ID, "task", a.taskIndex, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
 }
 
 // reserveIncoming keeps room for a task that is to move here.
 func (m *machine) reserveIncoming(needs placement.Resources) {
 	m.Incoming = m.Incoming.Plus(needs)
-	m.reservedMoves++
+	m.incomingMigrations++
 }
 
 // releaseIncoming gives such room back.
 func (m *machine) releaseIncoming(needs placement.Resources) {
 	m.Incoming = m.Incoming.Minus(needs)
-	if m.reservedMoves--; m.reservedMoves == 0 {
+	if m.incomingMigrations--; m.incomingMigrations == 0 {
 		m.Incoming = placement.Resources{} // no rounding left behind
 	}
 }
 
 // migrationRecorded notes that it is on record that an attempt moves: now it may be stopped.
 func (b *rebalancer) migrationRecorded(a *attempt) {
-	if b == nil || b.migrations.active[a] == nil || a.job.task(a.task).live != a {
+	if b == nil || b.migrations.active[a] == nil || a.job.task(a.taskIndex).live != a {
 		return
 	}
 	b.l.stopAttempt(a, b.l.checkpointGrace(a))
@@ -215,7 +215,7 @@
 	delete(b.migrations.active, r.attempt)
 	r.target.releaseIncoming(r.needs)
 	b.migrations.abandoned++
-	b.l.controller.log.Debug("migration abandoned", "job", r.attempt.job.ID, "task", r.attempt.task, "to", r.target.Name, "reason", reason)
+	b.l.controller.log.Debug("migration abandoned", "job", r.attempt.job.ID, "task", r.attempt.taskIndex, "to", r.target.Name, "reason", reason)
 }
 
 // completeMigrations starts tasks whose old attempts are proven gone on their targets, before anything else
@@ -228,7 +228,7 @@
 	b.migrations.stopped = nil
 	for _, r := range gone {
 		r.target.releaseIncoming(r.needs)
-		if b.l.startMigrated(r) {
+		if b.l.startOnTarget(r) {
 			b.migrations.completed++
 		} else {
 			b.migrations.abandoned++
@@ -236,14 +236,14 @@
 	}
 }
 
-// startMigrated starts a moved task on its target if it still may.
-func (l *leader) startMigrated(r *migration) bool {
-	j, i, m := r.attempt.job, r.attempt.task, r.target
+// startOnTarget starts a moved task on its target if it still may.
+func (l *leader) startOnTarget(r *migration) bool {
+	j, i, m := r.attempt.job, r.attempt.taskIndex, r.target
 	t := j.task(i)
 	if j.finalState != 0 || t.done || t.live != nil || m.removed || !l.acceptsTasks(m) || l.controller.now.Before(j.backoffUntil) || l.writer.saturated() {
 		return false
 	}
-	if !l.canTake(m, j) || !j.zoneAllowed(m.Zone) || !l.withinLimit(j) {
+	if !l.canTakeTask(m, j) || !j.zoneAllowed(m.Zone) || !l.withinTeamLimit(j) {
 		return false
 	}
 	k := slices.Index(j.retryQueue, i)
@@ -255,8 +255,8 @@
 	return true
 }
 
-// encodeMigrated puts the marks of a block's tasks into its record: those of the latest surge.
-func (b *taskBlock) encodeMigrated(r *records.TaskBlock) {
+// encodeMigrationMarks puts the marks of a block's tasks into its record: those of the latest surge.
+func (b *taskBlock) encodeMigrationMarks(r *records.TaskBlock) {
 	surge := uint64(0)
 	for i := range b.tasks {
 		surge = max(surge, b.tasks[i].migratedInSurge)
@@ -268,15 +268,15 @@
 	for i := range b.tasks {
 		moved[i] = b.tasks[i].migratedInSurge == surge
 	}
-	r.SetMoved(surge, moved)
+	r.SetMigrated(surge, moved)
 }
 
-// loadMigrated takes the marks of a record. Where they can't be read, all tasks count as moved.
-func (b *taskBlock) loadMigrated(r *records.TaskBlock, log *slog.Logger) {
-	if r.Surge == 0 && r.Moved == "" {
+// loadMigrationMarks takes the marks of a record. Where they can't be read, all tasks count as moved.
+func (b *taskBlock) loadMigrationMarks(r *records.TaskBlock, log *slog.Logger) {
+	if r.Surge == 0 && r.Migrated == "" {
 		return
 	}
-	moved, err := r.MovedTasks(len(b.tasks))
+	moved, err := r.MigratedTasks(len(b.tasks))
 	if err != nil {
 		log.Error("migration marks unreadable", "job", b.job.ID, "block", b.index, "error", err)
 	}
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -12,11 +12,11 @@
 	"brasskeel/internal/records"
 )
 
-// movingLead is a leader with a surging team, whose task moves from one machine to another and
+// leaderWithMigration is a leader with a surging team, whose task moves from one machine to another and
 // is told to stop.
-func movingLead(t *testing.T) (l *leader, a *attempt, to *machine) {
+func leaderWithMigration(t *testing.T) (l *leader, a *attempt, to *machine) {
 	t.Helper()
-	c, l, a := balancedLead(t)
+	c, l, a := leaderWithBalancing(t)
 	c.operator.Balance.Moves, c.operator.Balance.MoveMargin = true, 1.5
 	l.reconciledAt, l.lease = c.now.Add(-time.Minute), leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}
 	l.rebalancer.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
@@ -30,24 +30,24 @@
 }
 
 // Room on the target is kept for the move and for nothing else, and given back in the end.
-func TestMigrationHoldsRoom(t *testing.T) {
+func TestMigrationReservesTarget(t *testing.T) {
 	whole := &protocol.Job{ID: "run-000009", CPUs: 4, MemoryGB: 1}
-	l, a, to := movingLead(t)
+	l, a, to := leaderWithMigration(t)
 	if !a.stopRequested || to.HasRoom(whole) {
 		t.Fatalf("told to stop: %t, room for others: %t", a.stopRequested, to.HasRoom(whole))
 	}
 	l.controller.now = l.rebalancer.migrations.active[a].deadline
-	l.rebalancer.migrationStep()
+	l.rebalancer.reconcileMigrations()
 	if len(l.rebalancer.migrations.active) != 0 || to.Incoming != (placement.Resources{}) || !to.HasRoom(whole) {
 		t.Errorf("held %+v although the move took too long", to.Incoming)
 	}
-	l, _, to = movingLead(t)
+	l, _, to = leaderWithMigration(t)
 	to.lifecycle.draining = true
-	l.rebalancer.migrationStep()
+	l.rebalancer.reconcileMigrations()
 	if len(l.rebalancer.migrations.active) != 0 || to.Incoming != (placement.Resources{}) {
 		t.Errorf("held %+v although the target is lost", to.Incoming)
 	}
-	l, a, to = movingLead(t)
+	l, a, to = leaderWithMigration(t)
 	l.detach(a, "exited")
 	if to.HasRoom(whole) {
 		t.Error("room for others between the proof and the new start")
@@ -73,23 +73,23 @@
 		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.lifecycle.preemptionAt = l.controller.now }, waits: true},
 		{name: "the target is full", change: func(_ *leader, _ *attempt, to *machine) { to.Allocated.CPUs = 4 }, waits: true},
 		{name: "the team is at its limit", change: func(l *leader, _ *attempt, _ *machine) { l.teamUsage["red"].cpus = 16 }, waits: true},
-		{name: "its zone is closed", change: func(_ *leader, a *attempt, _ *machine) { a.job.OneZone, a.job.zones["b"] = true, 1 }, waits: true},
+		{name: "its zone is closed", change: func(_ *leader, a *attempt, _ *machine) { a.job.OneZone, a.job.attemptsByZone["b"] = true, 1 }, waits: true},
 		{name: "the target failed the job", change: func(_ *leader, a *attempt, to *machine) { to.failuresByJob[a.job.ID] = 1 }, waits: true},
 		{name: "the job is over", change: func(l *leader, a *attempt, _ *machine) { l.endJob(a.job, protocol.Cancelled) }},
-		{name: "the task is done", change: func(l *leader, a *attempt, _ *machine) { l.taskDone(a.job, a.task) }},
+		{name: "the task is done", change: func(l *leader, a *attempt, _ *machine) { l.taskDone(a.job, a.taskIndex) }},
 		{name: "it was started elsewhere", change: func(l *leader, a *attempt, _ *machine) {
 			other := l.newMachine("vm-3", "small", "a", false)
 			a.job.retryQueue = nil
-			l.startAttempt(a.job, a.task, other)
+			l.startAttempt(a.job, a.taskIndex, other)
 		}},
 	} {
-		l, a, to := movingLead(t)
+		l, a, to := leaderWithMigration(t)
 		l.detach(a, "exited")
 		if test.change != nil {
 			test.change(l, a, to)
 		}
 		l.rebalancer.completeMigrations()
-		live := a.job.task(a.task).live
+		live := a.job.task(a.taskIndex).live
 		if landed := live != nil && live.machine == to; landed != test.lands {
 			t.Errorf("%s: lands %t", test.name, landed)
 		}
@@ -111,21 +111,21 @@
 	}{
 		{name: "all is well", may: true},
 		{name: "moves are off", change: func(c *Controller, _ *leader) { c.operator.Balance.Moves = false }},
-		{name: "the state service is away", change: func(c *Controller, _ *leader) { loseStateService(c) }},
+		{name: "the state service is away", change: func(c *Controller, _ *leader) { failStateServiceCalls(c) }},
 		{name: "machines are still to be heard", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
 		{name: "the leader still settles", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
 		{name: "the right is near its end", change: func(c *Controller, l *leader) { l.lease.ValidUntil = c.now.Add(500 * time.Millisecond) }},
-		{name: "timers are late", change: func(c *Controller, _ *leader) { c.overload.Observe(c.now, overload.Deferring+1) }},
+		{name: "timers are late", change: func(c *Controller, _ *leader) { c.overload.Observe(c.now, overload.DeferThreshold+1) }},
 		{name: "more to serve than the share allows", change: func(c *Controller, _ *leader) {
 			for ago := 10 * time.Second; ago >= time.Second; ago -= time.Second {
-				c.overload.Observe(c.now.Add(-ago), overload.Overloaded+1)
+				c.overload.Observe(c.now.Add(-ago), overload.OverloadThreshold+1)
 			}
 			c.overload.Observe(c.now, 0)
 		}},
 		{name: "the last round ended early", change: func(_ *Controller, l *leader) { l.autoscaler.demandIncomplete = true }},
-		{name: "records are behind", change: func(c *Controller, l *leader) { l.writer.urgent = make([]*taskBlock, c.cfg.TxnOps+1) }},
+		{name: "records are behind", change: func(c *Controller, l *leader) { l.writer.urgentBlocks = make([]*taskBlock, c.cfg.TxnOps+1) }},
 	} {
-		l, _, _ := movingLead(t)
+		l, _, _ := leaderWithMigration(t)
 		if test.change != nil {
 			test.change(l.controller, l)
 		}
@@ -138,13 +138,13 @@
 // That a task was moved stands in its record, for the next leader; a mark that can't be read
 // counts for all tasks of the record.
 func TestMigrationMarks(t *testing.T) {
-	l, a, _ := movingLead(t)
-	record := a.job.block(a.task)
+	l, a, _ := leaderWithMigration(t)
+	record := a.job.block(a.taskIndex)
 	var r records.TaskBlock
-	record.encodeMigrated(&r)
+	record.encodeMigrationMarks(&r)
 	load := func(r records.TaskBlock) (moved int) {
 		tasks := &taskBlock{job: a.job, tasks: make([]task, len(record.tasks))}
-		tasks.loadMigrated(&r, l.controller.log)
+		tasks.loadMigrationMarks(&r, l.controller.log)
 		for i := range tasks.tasks {
 			if tasks.tasks[i].migratedInSurge == 7 {
 				moved++
@@ -155,7 +155,7 @@
 	if got := load(r); r.Surge != 7 || got != 1 {
 		t.Errorf("%d tasks are marked in surge %d", got, r.Surge)
 	}
-	r.Moved = "!"
+	r.Migrated = "!"
 	if got := load(r); got != len(record.tasks) {
 		t.Errorf("%d tasks of %d count as moved where the mark can't be read", got, len(record.tasks))
 	}
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -14,33 +14,33 @@
 // bounds what surging teams may put on one. It is nil where operators didn't turn balance on;
 // its methods then do nothing.
 type rebalancer struct {
-	l           *leader
-	settings    balance.Settings
-	teams       map[string]*balancedTeam
-	classes     map[classOnType]*balance.Runs
-	migrations  migrations
-	likelyBoots map[autoscaler.OfferKey]time.Time // when the first machine of a kind is likely up; nil: not looked at in this round
+	l             *leader
+	settings      balance.Settings
+	teams         map[string]*teamSurge
+	classRunTimes map[classAndType]*balance.RunTimes
+	migrations    migrations
+	expectedBoots map[autoscaler.OfferKey]time.Time // when the first machine of a kind is likely up; nil: not looked at in this round
 }
 
-// balancedTeam is a team with its surge.
-type balancedTeam struct {
+// teamSurge is a team with its surge.
+type teamSurge struct {
 	id    balance.Team
 	surge balance.Surge
 }
 
-// classOnType is a kind of tasks whose run times are compared.
-type classOnType struct{ class, machineType string }
+// classAndType is a kind of tasks whose run times are compared.
+type classAndType struct{ class, machineType string }
 
 func newRebalancer(l *leader) *rebalancer {
 	o := l.controller.operator.Balance
 	if o == nil {
 		return nil
 	}
-	settings := balance.Settings{CeilingShare: o.CeilingShare, FetchQueue: o.FetchQueue(), Trade: o.Trade()}
-	b := &rebalancer{l: l, settings: settings, teams: map[string]*balancedTeam{}, classes: map[classOnType]*balance.Runs{}}
+	settings := balance.Settings{CeilingShare: o.CeilingShare, MaxFetchBacklog: o.FetchQueue(), LoadPenalty: o.Trade()}
+	b := &rebalancer{l: l, settings: settings, teams: map[string]*teamSurge{}, classRunTimes: map[classAndType]*balance.RunTimes{}}
 	b.migrations.active = map[*attempt]*migration{}
 	for i := range l.controller.cfg.Teams {
-		b.teams[l.controller.cfg.Teams[i].Name] = &balancedTeam{id: balance.Team(i)}
+		b.teams[l.controller.cfg.Teams[i].Name] = &teamSurge{id: balance.Team(i)}
 	}
 	return b
 }
@@ -60,7 +60,7 @@
 	}
 	m := a.machine
 	if t := b.teams[a.job.Team]; t != nil {
-		m.load.Reserve(t.id, placement.Needs(a.job.Job))
+		m.load.AddAttempt(t.id, placement.Needs(a.job.Job))
 	}
 	// What an earlier leader's attempts wait for isn't known.
 	if !a.delivery.Inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.CachedGB(a.job.imageID) == 0 {
@@ -75,17 +75,17 @@
 	}
 	m := a.machine
 	if t := b.teams[a.job.Team]; t != nil {
-		m.load.Release(t.id, placement.Needs(a.job.Job))
+		m.load.RemoveAttempt(t.id, placement.Needs(a.job.Job))
 	}
 	if a.state != protocol.Running && a.state != protocol.Checkpointing && m.Spec != nil {
 		m.load.Fetches.Cancel(b.l.controller.now, a.job.imageID, m.Spec.FetchGBPerSecond)
 	}
 }
 
-// attemptRuns notes that an attempt has its image.
-func (b *rebalancer) attemptRuns(a *attempt) {
+// attemptStartedRunning notes that an attempt has its image.
+func (b *rebalancer) attemptStartedRunning(a *attempt) {
 	if b != nil && a.machine.Spec != nil {
-		a.machine.load.Fetches.Done(b.l.controller.now, a.job.imageID, a.machine.Spec.FetchGBPerSecond)
+		a.machine.load.Fetches.Complete(b.l.controller.now, a.job.imageID, a.machine.Spec.FetchGBPerSecond)
 	}
 }
 
@@ -94,19 +94,19 @@
 	if b == nil {
 		return
 	}
-	key := classOnType{a.job.Class, a.machine.Type}
-	class := b.classes[key]
+	key := classAndType{a.job.Class, a.machine.Type}
+	class := b.classRunTimes[key]
 	if class == nil {
-		class = &balance.Runs{}
-		b.classes[key] = class
+		class = &balance.RunTimes{}
+		b.classRunTimes[key] = class
 	}
 	a.machine.load.Speed.Observe(run, a.job.EstimatedRuntime, &a.job.runTimes, class)
 }
 
-// incarnationBegan notes that a worker lost what it had.
-func (b *rebalancer) incarnationBegan(m *machine) {
+// workerRestarted notes that a worker lost what it had.
+func (b *rebalancer) workerRestarted(m *machine) {
 	if b != nil {
-		m.load.Reset()
+		m.load.ResetFetches()
 	}
 }
 
@@ -116,7 +116,7 @@
 	if b == nil {
 		return
 	}
-	b.likelyBoots = nil
+	b.expectedBoots = nil
 	demand := map[string]float64{}
 	for _, j := range b.l.jobsByAge {
 		if j.finalState == 0 {
@@ -124,12 +124,12 @@
 		}
 	}
 	changed := false
-	worth := b.smallestMachine()
+	worth := b.smallestMachineCPUs()
 	for i := range b.l.controller.cfg.Teams {
 		name := b.l.controller.cfg.Teams[i].Name
 		t := b.teams[name]
 		switch t.surge.Observe(b.l.controller.now.Round(0), demand[name], worth) {
-		case balance.Begun:
+		case balance.Started:
 			b.l.controller.log.Info("surge started", "team", name, "surge", t.surge.Number(), "cpus", demand[name])
 			changed = true
 		case balance.Ended:
@@ -142,8 +142,8 @@
 	}
 }
 
-// smallestMachine is the CPUs of the smallest machine type.
-func (b *rebalancer) smallestMachine() float64 {
+// smallestMachineCPUs is the CPUs of the smallest machine type.
+func (b *rebalancer) smallestMachineCPUs() float64 {
 	least := 0.0
 	for _, t := range b.l.controller.types {
 		if least == 0 || t.CPUs < least {
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -10,16 +10,16 @@
 	"brasskeel/internal/records"
 )
 
-// balancedLead is a leader with balance on, and a task on a machine that reported once.
-func balancedLead(t *testing.T) (*Controller, *leader, *attempt) {
+// leaderWithBalancing is a leader with balance on, and a task on a machine that reported once.
+func leaderWithBalancing(t *testing.T) (*Controller, *leader, *attempt) {
 	t.Helper()
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	c.operator.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
 	l.rebalancer = newRebalancer(l)
-	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
 	m := l.machines["vm-1"]
 	m.recorded, m.session.LastReached = true, c.now
-	s := spec("run-000001")
+	s := jobSpec("run-000001")
 	s.Image, s.ImageGB = "img-1", 2
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: s})
 	l.assign(l.jobsByAge[0], 0, m)
@@ -31,15 +31,15 @@
 // stateReport is a report that shows an attempt in a state.
 func stateReport(a *attempt, seq uint64, s protocol.TaskState) []byte {
 	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: a.machine.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16,
-		Tasks: []protocol.TaskStatus{{Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, State: s}}})
+		Tasks: []protocol.TaskStatus{{Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number, State: s}}})
 }
 
 // Load follows what workers show, and nothing that is a copy or older.
 func TestLoadFollowsReports(t *testing.T) {
-	c, l, a := balancedLead(t)
+	c, l, a := leaderWithBalancing(t)
 	m := a.machine
 	queued := func() time.Duration { return m.load.Fetches.Backlog(c.now, m.Spec.FetchGBPerSecond) }
-	if r, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
+	if r, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
 		t.Fatalf("reserved %+v by %d, %s queued", r, tasks, queued())
 	}
 	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, stateReport(a, 5, protocol.Fetching))
@@ -53,18 +53,18 @@
 	}
 	m.load.Fetches.Add(c.now, 99, 5, m.Spec.FetchGBPerSecond)
 	c.Request(c.now, 5, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 2, Sequence: 7, FencingToken: 1 << 16}))
-	if _, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 0 || queued() != 0 {
+	if _, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 0 || queued() != 0 {
 		t.Errorf("%d tasks and %s queued in a new session", tasks, queued())
 	}
 	c.Request(c.now, 6, "POST", protocol.PathHeartbeat, stateReport(a, 9, protocol.Running))
-	if _, tasks := m.load.Reserved(l.rebalancer.teams["red"].id); tasks != 0 {
+	if _, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 0 {
 		t.Errorf("%d tasks after a report of an earlier session", tasks)
 	}
 }
 
 // Surges that can't be read are told of and count as none.
 func TestUnreadableSurges(t *testing.T) {
-	_, l, a := balancedLead(t)
+	_, l, a := leaderWithBalancing(t)
 	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
 	if l.rebalancer.surgeOf(a.job) != 0 {
 		t.Error("a surge was guessed at")
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/record_batch.go
@@ -10,12 +10,12 @@
 
 // recordBatch is what one transaction of a leader's writes.
 type recordBatch struct {
-	writer    *recordWriter
-	done      []*job
-	groups    []*machineGroup
-	blocks    []blockWrite
-	otherPuts []protocol.Op
-	deletes   []string
+	writer      *recordWriter
+	doneJobs    []*job
+	groups      []*machineGroup
+	blocks      []blockWrite
+	otherPuts   []protocol.Op
+	deletedKeys []string
 }
 
 // blockWrite is what a transaction says of a block of tasks.
@@ -35,11 +35,11 @@
 	for _, group := range b.groups {
 		l.groupRecorded(group)
 	}
-	for _, j := range b.done {
-		l.controller.admission.learnOutcome(j.ID, protocol.Done, j.Tasks)
+	for _, j := range b.doneJobs {
+		l.controller.admission.publishOutcome(j.ID, protocol.Done, j.Tasks)
 		l.endJob(j, protocol.Done)
 	}
-	for _, key := range b.deletes {
+	for _, key := range b.deletedKeys {
 		b.writer.keyDeleted(key)
 	}
 }
@@ -86,11 +86,11 @@
 		block.record.NotWritten()
 		w.markUrgent(block)
 	}
-	w.done = append(b.done, w.done...)
+	w.doneJobs = append(b.doneJobs, w.doneJobs...)
 	w.newGroups = append(b.groups, w.newGroups...)
 	w.otherPuts = append(b.otherPuts, w.otherPuts...)
-	w.deletes = append(b.deletes, w.deletes...)
-	w.commits.Reread(keys, func(place int, version uint64) {
+	w.keysToDelete = append(b.deletedKeys, w.keysToDelete...)
+	w.committer.RereadVersions(keys, func(place int, version uint64) {
 		unsureBlocks[place].record.Verified(version)
 		w.markUrgent(unsureBlocks[place])
 	})
@@ -104,7 +104,7 @@
 		l.resultRecorded(t)
 	}
 	for _, a := range write.starts {
-		if block.job.task(a.task).live != a {
+		if block.job.task(a.taskIndex).live != a {
 			continue
 		}
 		a.recorded = true
@@ -112,7 +112,7 @@
 			l.detach(a, "given up before it was sent")
 			continue
 		}
-		l.orderSoon(a)
+		l.scheduleAttemptOrders(a)
 	}
 	for _, a := range write.migrating {
 		l.rebalancer.migrationRecorded(a)
@@ -130,12 +130,12 @@
 
 // keyDeleted forgets the job whose last key was removed, if that one was.
 func (w *recordWriter) keyDeleted(key string) {
-	place := slices.IndexFunc(w.deletions, func(d jobDeletion) bool { return d.lastKey == key })
+	place := slices.IndexFunc(w.jobDeletions, func(d jobDeletion) bool { return d.lastKey == key })
 	if place < 0 {
 		return
 	}
-	j := w.deletions[place].job
-	w.deletions = slices.Delete(w.deletions, place, place+1)
+	j := w.jobDeletions[place].job
+	w.jobDeletions = slices.Delete(w.jobDeletions, place, place+1)
 	w.leader.forgetJob(j)
 }
 
--- a/internal/coordination/record_batch_test.go
+++ b/internal/coordination/record_batch_test.go
@@ -9,12 +9,12 @@
 	"brasskeel/internal/records"
 )
 
-// placing is a leader that has sent a transaction with a placement of a task.
-func placing(t *testing.T) (c *Controller, a *attempt, transaction uint64) {
+// leaderWithUnansweredPlacement is a leader that has sent a transaction with a placement of a task.
+func leaderWithUnansweredPlacement(t *testing.T) (c *Controller, a *attempt, transaction uint64) {
 	t.Helper()
-	c, l := leading(phaseActive)
-	j, _ := running(c, l)
-	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
+	c, l := newTestLeader(phaseActive)
+	j, _ := addRunningJob(c, l)
+	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
 	applyTransactions(c, e.Calls) // with the record of the machine
 	m := l.machines["vm-1"]
 	m.recorded, m.session.LastReached = true, c.now
@@ -35,7 +35,7 @@
 // What becomes of a placement follows from what became of the transaction that holds it: it
 // is on record, or written again on the version that is read then, and only once it is on
 // record anything of it is sent.
-func TestPlacementFollowsItsTransaction(t *testing.T) {
+func TestPlacementAfterTransactionResult(t *testing.T) {
 	const id = "run-000001"
 	block, outcome := records.KeyTaskBlock(id, 0), records.KeyOutcome(id)
 	conflict := func(key string) Outcome {
@@ -54,7 +54,7 @@
 		{name: "the job is over", outcome: conflict(outcome), reads: outcome},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, a, transaction := placing(t)
+			c, a, transaction := leaderWithUnansweredPlacement(t)
 			if a.job.ID != id {
 				t.Fatalf("job %s", a.job.ID)
 			}
@@ -81,8 +81,8 @@
 }
 
 // A block whose version isn't sure is written again on the version that was read.
-func TestUnansweredBlockIsWrittenOnItsVersion(t *testing.T) {
-	c, a, transaction := placing(t)
+func TestUnansweredBlockWriteRereadsVersion(t *testing.T) {
+	c, a, transaction := leaderWithUnansweredPlacement(t)
 	e := c.Result(c.now, transaction, Outcome{})
 	key := records.KeyTaskBlock(a.job.ID, 0)
 	for _, call := range e.Calls {
@@ -100,7 +100,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !demands(txn, key, 12) || !demands(txn, records.KeyOutcome(a.job.ID), 0) {
+		if !hasCondition(txn, key, 12) || !hasCondition(txn, records.KeyOutcome(a.job.ID), 0) {
 			t.Errorf("written under %+v", txn.Conditions)
 		}
 		return
@@ -110,7 +110,7 @@
 
 // A leader whose key has changed writes nothing more.
 func TestLeaderKeyConflictEndsLeadership(t *testing.T) {
-	c, _, transaction := placing(t)
+	c, _, transaction := leaderWithUnansweredPlacement(t)
 	c.Result(c.now, transaction, Outcome{Answered: true, Status: 409, Body: protocol.EncodeFailedConditions([]string{records.KeyLeader}, 9)})
 	if c.leader != nil {
 		t.Error("it leads on")
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -22,16 +22,16 @@
 // record, then blocks of tasks.
 type recordWriter struct {
 	leader           *leader
-	commits          *statestore.Committer
-	urgent           []*taskBlock
-	lazy             []*taskBlock
-	done             []*job          // to be recorded as done
+	committer        *statestore.Committer
+	urgentBlocks     []*taskBlock
+	lazyBlocks       []*taskBlock
+	doneJobs         []*job          // to be recorded as done
 	newGroups        []*machineGroup // never written yet
 	changedGroups    []*machineGroup // to be written again some time
 	groupCount       uint64          // made by this leader
 	otherPuts        []protocol.Op
-	deletes          []string // keys
-	deletions        []jobDeletion
+	keysToDelete     []string // keys
+	jobDeletions     []jobDeletion
 	unrecordedStarts int
 	tasksPerBlock    int // of new jobs
 }
@@ -46,14 +46,14 @@
 	settings := l.controller.cfg
 	w.leader = l
 	w.tasksPerBlock = records.TasksPerBlock(settings.ValueBytes)
-	w.commits = statestore.NewCommitter(l.controller.store, w, protocol.Condition{Key: records.KeyLeader, Version: l.version},
+	w.committer = statestore.NewCommitter(l.controller.store, w, protocol.Condition{Key: records.KeyLeader, Version: l.keyVersion},
 		settings.TxnOps, settings.StateWriteRPS)
 }
 
 // flush sends the next transaction if there is one and it may be sent.
 func (w *recordWriter) flush() {
 	if w.leader.phase != phaseLoading {
-		w.commits.Flush()
+		w.committer.Flush()
 	}
 }
 
@@ -67,33 +67,33 @@
 		w.leader.controller.limits.Reached(limits.UnrecordedPlacements)
 		return true
 	}
-	return len(w.urgent) >= max(4*settings.TxnOps, int(settings.StateWriteRPS/2))
+	return len(w.urgentBlocks) >= max(4*settings.TxnOps, int(settings.StateWriteRPS/2))
 }
 
 // markUrgent wants a block written soon.
 func (w *recordWriter) markUrgent(block *taskBlock) {
 	if block.record.MarkUrgent() {
-		w.urgent = append(w.urgent, block)
+		w.urgentBlocks = append(w.urgentBlocks, block)
 	}
 }
 
 // markLazy wants a block written some time.
 func (w *recordWriter) markLazy(block *taskBlock) {
 	if block.record.MarkLazy(w.leader.controller.now.Add(lazyWriteDelay)) {
-		w.lazy = append(w.lazy, block)
+		w.lazyBlocks = append(w.lazyBlocks, block)
 	}
 }
 
 // recordStart wants a placement recorded; its start is sent after that.
 func (w *recordWriter) recordStart(a *attempt) {
-	block := a.job.block(a.task)
+	block := a.job.block(a.taskIndex)
 	block.unrecorded = append(block.unrecorded, a)
 	w.unrecordedStarts++
 	w.markUrgent(block)
 }
 
 // recordDone wants it recorded that all tasks of a job are done.
-func (w *recordWriter) recordDone(j *job) { w.done = append(w.done, j) }
+func (w *recordWriter) recordDone(j *job) { w.doneJobs = append(w.doneJobs, j) }
 
 // put wants a key written that nothing is conditional on.
 func (w *recordWriter) put(key string, value json.RawMessage) {
@@ -101,7 +101,7 @@
 }
 
 // deleteKey wants a key removed.
-func (w *recordWriter) deleteKey(key string) { w.deletes = append(w.deletes, key) }
+func (w *recordWriter) deleteKey(key string) { w.keysToDelete = append(w.keysToDelete, key) }
 
 // deleteJob removes a job's records, the job's own last: by it a later leader
 // finds the others.
@@ -113,14 +113,14 @@
 	}
 	key := records.KeyActive(j.ID)
 	w.deleteKey(key)
-	w.deletions = append(w.deletions, jobDeletion{key, j})
+	w.jobDeletions = append(w.jobDeletions, jobDeletion{key, j})
 }
 
 // recordMachineTypes keeps the machine types for controllers that can't reach the cloud.
 func (w *recordWriter) recordMachineTypes(types []protocol.MachineType) {
 	raw := records.Encode(types)
 	if len(raw) > w.leader.controller.cfg.ValueBytes {
-		w.leader.controller.limits.Reached(limits.MachineTypesRecord)
+		w.leader.controller.limits.Reached(limits.MachineTypesRecordSize)
 		return
 	}
 	w.put(records.KeyMachineTypes, raw)
@@ -131,17 +131,17 @@
 
 // Pending implements statestore.Source.
 func (w *recordWriter) Pending() statestore.Pending {
-	if len(w.urgent)+len(w.done)+len(w.newGroups)+len(w.otherPuts)+len(w.deletes) > 0 {
+	if len(w.urgentBlocks)+len(w.doneJobs)+len(w.newGroups)+len(w.otherPuts)+len(w.keysToDelete) > 0 {
 		return statestore.Pending{Any: true}
 	}
 	now := w.leader.controller.now
 	var pending statestore.Pending
-	if len(w.lazy) > 0 {
-		pending = statestore.Pending{Any: true, In: max(0, w.lazy[0].record.Due().Sub(now))}
+	if len(w.lazyBlocks) > 0 {
+		pending = statestore.Pending{Any: true, Delay: max(0, w.lazyBlocks[0].record.Due().Sub(now))}
 	}
 	if len(w.changedGroups) > 0 {
-		if in := max(0, w.changedGroups[0].due.Sub(now)); !pending.Any || in < pending.In {
-			pending = statestore.Pending{Any: true, In: in}
+		if in := max(0, w.changedGroups[0].rewriteDue.Sub(now)); !pending.Any || in < pending.Delay {
+			pending = statestore.Pending{Any: true, Delay: in}
 		}
 	}
 	return pending
@@ -159,23 +159,23 @@
 		b.otherPuts = append(b.otherPuts, op)
 		t.Put(op.Put, op.Value)
 	}
-	for len(w.deletes) > 0 && t.HasRoom() {
-		key := w.deletes[0]
-		w.deletes = w.deletes[1:]
-		b.deletes = append(b.deletes, key)
+	for len(w.keysToDelete) > 0 && t.HasRoom() {
+		key := w.keysToDelete[0]
+		w.keysToDelete = w.keysToDelete[1:]
+		b.deletedKeys = append(b.deletedKeys, key)
 		t.Delete(key)
 	}
 	return b
 }
 
 func (w *recordWriter) fillOutcomes(t *statestore.Transaction, b *recordBatch) {
-	for len(w.done) > 0 && t.HasRoom() {
-		j := w.done[0]
-		w.done = w.done[1:]
+	for len(w.doneJobs) > 0 && t.HasRoom() {
+		j := w.doneJobs[0]
+		w.doneJobs = w.doneJobs[1:]
 		if j.finalState != 0 {
 			continue // it was cancelled meanwhile
 		}
-		b.done = append(b.done, j)
+		b.doneJobs = append(b.doneJobs, j)
 		key := records.KeyOutcome(j.ID)
 		t.Require(key, 0)
 		t.Put(key, records.EncodeOutcome(protocol.Done, j.Tasks))
@@ -184,7 +184,7 @@
 
 func (w *recordWriter) fillGroups(t *statestore.Transaction, b *recordBatch) {
 	for t.HasRoom() {
-		group := w.nextGroup()
+		group := w.nextGroupToWrite()
 		if group == nil {
 			return
 		}
@@ -195,17 +195,17 @@
 
 // fillBlocks adds blocks of tasks: the urgent ones by priority, then those that wait longest.
 func (w *recordWriter) fillBlocks(t *statestore.Transaction, b *recordBatch) {
-	if len(w.urgent) > 1 {
-		slices.SortStableFunc(w.urgent, func(a, b *taskBlock) int { return int(b.job.Priority) - int(a.job.Priority) })
+	if len(w.urgentBlocks) > 1 {
+		slices.SortStableFunc(w.urgentBlocks, func(a, b *taskBlock) int { return int(b.job.Priority) - int(a.job.Priority) })
 	}
-	for len(w.urgent) > 0 && t.HasRoom() {
-		block := w.urgent[0]
-		w.urgent = w.urgent[1:]
+	for len(w.urgentBlocks) > 0 && t.HasRoom() {
+		block := w.urgentBlocks[0]
+		w.urgentBlocks = w.urgentBlocks[1:]
 		w.fillBlock(t, b, block)
 	}
-	for len(w.lazy) > 0 && t.HasRoom() {
-		block := w.lazy[0]
-		w.lazy = w.lazy[1:]
+	for len(w.lazyBlocks) > 0 && t.HasRoom() {
+		block := w.lazyBlocks[0]
+		w.lazyBlocks = w.lazyBlocks[1:]
 		if block.record.Lazy() { // else it became urgent and is in the other list
 			w.fillBlock(t, b, block)
 		}
@@ -219,7 +219,7 @@
 	write := blockWrite{block: block, migrating: block.migrating}
 	block.migrating = nil
 	write.starts = w.takeStarts(block)
-	block.record.Clean() // also of what dropping placements asked for
+	block.record.MarkClean() // also of what dropping placements asked for
 	if j.removed || j.finalState != 0 {
 		return
 	}
@@ -240,14 +240,14 @@
 // takeStarts takes the placements of a block that are to be recorded.
 func (w *recordWriter) takeStarts(block *taskBlock) []*attempt {
 	j := block.job
-	block.record.Clean()
+	block.record.MarkClean()
 	starts := block.unrecorded
 	block.unrecorded = nil
 	w.unrecordedStarts -= len(starts)
 	keep := starts[:0]
 	for _, a := range starts {
 		switch {
-		case j.task(a.task).live != a:
+		case j.task(a.taskIndex).live != a:
 		case a.stopRequested || j.finalState != 0:
 			w.leader.detach(a, "given up before it was recorded")
 		default:
@@ -261,7 +261,7 @@
 func (w *recordWriter) requeue(write *blockWrite) {
 	block := write.block
 	for _, a := range write.starts {
-		if block.job.task(a.task).live == a {
+		if block.job.task(a.taskIndex).live == a {
 			block.unrecorded = append(block.unrecorded, a)
 			w.unrecordedStarts++
 		}
@@ -287,5 +287,5 @@
 			}
 		})
 	})
-	w.commits.Pause(50 * time.Millisecond)
+	w.committer.Pause(50 * time.Millisecond)
 }
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -43,16 +43,16 @@
 }
 
 const (
-	// probeAfter is how long a new leader lets workers come by themselves before it
+	// probeDelay is how long a new leader lets workers come by themselves before it
 	// probes them. They find it when their next heartbeat is due, or later; those that an
 	// earlier leader without the state service still answers come only after its grace
 	// period.
-	probeAfter = 50 * time.Millisecond
+	probeDelay = 50 * time.Millisecond
 	// maxProbeFailures is after how many probes without an answer it waits no longer for a
 	// machine.
 	maxProbeFailures = 2
-	// missingDivisor makes the part of the machines that it doesn't wait for.
-	missingDivisor = 5
+	// maxMissingDivisor makes the part of the machines that it doesn't wait for.
+	maxMissingDivisor = 5
 	// reconcileCheckDelay lets heartbeats that come together be judged together.
 	reconcileCheckDelay = 10 * time.Millisecond
 )
@@ -74,7 +74,7 @@
 	attempts := 0
 	for _, j := range l.jobsByAge {
 		attempts += j.liveAttempts
-		l.jobProgressed(j)
+		l.finalizeJobIfComplete(j)
 	}
 	c.log.Info("records loaded", "term", l.term, "jobs", len(l.jobsByAge), "machines", len(l.machines), "attempts", attempts)
 	l.readInventory() // it has the addresses of those that are to be probed
@@ -93,7 +93,7 @@
 	l.reconcileCheckPending = true
 	l.controller.after(reconcileCheckDelay, func() {
 		l.reconcileCheckPending = false
-		if l.enoughReconciled() {
+		if l.enoughMachinesReconciled() {
 			l.activate()
 		}
 	})
@@ -110,7 +110,7 @@
 	l.requestPlacement()
 }
 
-// enoughReconciled reports whether all but a few of the machines that should have told
+// enoughMachinesReconciled reports whether all but a few of the machines that should have told
 // their tasks and images have, or were probed and didn't answer, or aren't in the
 // cloud's list, so that they can't be probed. Among hundreds of machines a few are
 // always gone, and a part of a large fleet is taken out at once: placing goes on
@@ -118,33 +118,33 @@
 // are those that nothing of ours has reached yet: a heartbeat alone brings their tasks and
 // images, and waiting for a second one to show our fencing token took a small share of a
 // processor half a second more.
-func (l *leader) enoughReconciled() bool {
+func (l *leader) enoughMachinesReconciled() bool {
 	if len(l.fleetList) == 0 {
 		return false
 	}
 	missing, expected := 0, 0
 	for _, m := range l.fleetList {
-		if !l.expectsTasks(m) {
+		if !l.expectsTaskReport(m) {
 			continue
 		}
 		expected++
-		if l.awaitsTasks(m) {
+		if l.awaitsTaskReport(m) {
 			missing++
 		}
 	}
-	return missing*missingDivisor <= expected
+	return missing*maxMissingDivisor <= expected
 }
 
-// expectsTasks reports whether a machine's worker should be up. One that only a lagging list
+// expectsTaskReport reports whether a machine's worker should be up. One that only a lagging list
 // tells of may be terminated already.
-func (l *leader) expectsTasks(m *machine) bool {
+func (l *leader) expectsTaskReport(m *machine) bool {
 	booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.BootTime)
 	return len(m.attempts) > 0 || booted
 }
 
-// awaitsTasks reports whether a machine may still tell its tasks.
-func (l *leader) awaitsTasks(m *machine) bool {
-	if m.session.Reconciled || m.session.FailedProbes >= maxProbeFailures || l.ownerUnheard(m) {
+// awaitsTaskReport reports whether a machine may still tell its tasks.
+func (l *leader) awaitsTaskReport(m *machine) bool {
+	if m.session.Reconciled || m.session.FailedProbes >= maxProbeFailures || l.ownerTimedOut(m) {
 		return false
 	}
 	// While the cloud can't be asked, addresses come with heartbeats alone.
--- a/internal/coordination/release_deferral.go
+++ b/internal/coordination/release_deferral.go
@@ -13,20 +13,20 @@
 // and where a third of all ordinary machines is cut off at once, their replicas would
 // be away for as long as new machines take to boot. Those are rented meanwhile.
 type releaseDeferral struct {
-	l        *leader
+	leader   *leader
 	claimed  map[*machine]usage          // room that others' replicas are to have
 	unplaced map[*job]int                // replicas that wait for room, by job
 	noRoom   map[victimSearchKey]float64 // CPUs for which none was found, by kind of job
 }
 
 func (l *leader) newReleaseDeferral() *releaseDeferral {
-	return &releaseDeferral{l: l, claimed: map[*machine]usage{}, unplaced: map[*job]int{}, noRoom: map[victimSearchKey]float64{}}
+	return &releaseDeferral{leader: l, claimed: map[*machine]usage{}, unplaced: map[*job]int{}, noRoom: map[victimSearchKey]float64{}}
 }
 
 // defers reports whether a silent machine is to be kept, and takes room for its replicas
 // if it isn't.
 func (d *releaseDeferral) defers(m *machine, quiet time.Duration) bool {
-	if m.replicaCount == 0 || quiet > d.l.controller.cfg.WorkerLease {
+	if m.replicaCount == 0 || quiet > d.leader.controller.cfg.WorkerLease {
 		return false
 	}
 	plan := map[*machine]usage{}
@@ -69,8 +69,8 @@
 	if least, ok := d.noRoom[k]; ok && j.CPUs >= least {
 		return nil
 	}
-	for _, o := range d.l.fleetList {
-		if !d.l.acceptsTasks(o) || !o.Allows(j.Job) {
+	for _, o := range d.leader.fleetList {
+		if !d.leader.acceptsTasks(o) || !o.Allows(j.Job) {
 			continue
 		}
 		room := o.Spec.CPUs - o.Allocated.CPUs - d.claimed[o].cpus - plan[o].cpus
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -14,8 +14,8 @@
 // the workers' leases have ended. Until then others are rented: a third of the machines
 // was cut off at once, and its replicas, which went on serving, were ended before new
 // machines had booted.
-func TestReplicasOfSilentMachinesWaitForRoom(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestReleaseDeferredUntilReplicasFitElsewhere(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -12,21 +12,21 @@
 	"brasskeel/internal/records"
 )
 
-// running adds a job of one task that runs on vm-1, and gives a report that shows it.
-func running(c *Controller, l *leader) (*job, []byte) {
-	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: spec("run-000001")})
+// addRunningJob adds a job of one task that runs on vm-1, and gives a report that shows it.
+func addRunningJob(c *Controller, l *leader) (*job, []byte) {
+	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: jobSpec("run-000001")})
 	j := l.jobs["run-000001"]
 	return j, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 1 << 16,
 		Tasks: []protocol.TaskStatus{{Job: j.ID, TaskIndex: 0, Attempt: 1, State: protocol.Running}}})
 }
 
-func spec(id string) *protocol.Job {
+func jobSpec(id string) *protocol.Job {
 	return &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 1, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 1}
 }
 
-// stops reports whether an answer ends the job's task.
-func stops(r Reply, job string) bool {
+// stopsJob reports whether an answer ends the job's task.
+func stopsJob(r Reply, job string) bool {
 	_, _, orders, err := protocol.ParseOrders(r.Body)
 	for _, o := range orders {
 		if o.Kind == protocol.Stop && o.Job == job {
@@ -39,18 +39,18 @@
 // What a leader knows, the answers that this allows, and the lease that the last of them
 // renews end within the time that a cancellation has, whatever the settings and however
 // long the leader's own lease is renewed.
-func TestAnswersEndWithKnowledge(t *testing.T) {
+func TestLeaseRenewalsEndWithinCancelTime(t *testing.T) {
 	for _, test := range []struct{ lease, cancel time.Duration }{
 		{15 * time.Second, 40 * time.Second}, {28 * time.Second, 48 * time.Second}, {22 * time.Second, 47 * time.Second},
 		{60 * time.Second, 63 * time.Second}, {600 * time.Second, 700 * time.Second}} {
-		c, l := leading(phaseActive)
+		c, l := newTestLeader(phaseActive)
 		c.cfg.WorkerLease, c.cfg.CancelWithin = test.lease, test.cancel
 		l.jobsKnownAt = c.now
 		l.lease.ValidUntil = c.now.Add(time.Hour) // it is renewed, but no watch is answered
 		known, last := l.jobsKnownAt, time.Time{}
 		for i := range 8000 {
 			at := known.Add(time.Duration(i) * 100 * time.Millisecond)
-			e := c.Request(at, uint64(i+1), "POST", protocol.PathHeartbeat, report(uint64(i+1)))
+			e := c.Request(at, uint64(i+1), "POST", protocol.PathHeartbeat, encodedHeartbeat(uint64(i+1)))
 			if len(e.Replies) == 1 && e.Replies[0].Status == 200 {
 				last = at
 			}
@@ -62,7 +62,7 @@
 		}
 		// An outage must cost no more than that: all but a second and the clocks' drift
 		// is used.
-		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+leadership.ClockDrift(test.cancel+test.lease) {
+		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+leadership.MaxClockDrift(test.cancel+test.lease) {
 			t.Errorf("lease %s, cancel_s %s: %s are given away", test.lease, test.cancel, rest)
 		}
 	}
@@ -71,10 +71,10 @@
 // A leader that was elected a moment ago knows no cancellation. It renews no worker's
 // lease before it has read the jobs: refused or in an outage by then, it kept tasks
 // running that were cancelled before its term.
-func TestLeaderAnswersOnceItKnows(t *testing.T) {
-	c, l := leading(phaseLoading)
+func TestHeartbeatsWaitForJobRecords(t *testing.T) {
+	c, l := newTestLeader(phaseLoading)
 	l.jobsKnownAt = time.Time{}
-	_, body := running(c, l)
+	_, body := addRunningJob(c, l)
 	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 0 {
 		t.Fatalf("answered before anything was read: %+v", e.Replies)
 	}
@@ -83,7 +83,7 @@
 	l.noteJobsKnown(asked)
 	c.resumeDeferred()
 	e := c.takeEffects()
-	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
+	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stopsJob(e.Replies[0], "run-000001") {
 		t.Fatalf("got %+v, want the lease renewed and the task ended", e.Replies)
 	}
 	if !l.jobsKnownAt.Equal(asked) {
@@ -91,7 +91,7 @@
 	}
 	// While the state service doesn't answer it, the worker is sent away at once.
 	l.jobsKnownAt = time.Time{}
-	loseStateService(c)
+	failStateServiceCalls(c)
 	if e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
 		t.Errorf("got %+v, want 421", e.Replies)
 	}
@@ -99,8 +99,8 @@
 
 // A watch counts from when it was asked for: what was recorded later may have been left
 // out of its answer, and the answer may have been read late.
-func TestWatchTellsWhatIsKnown(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestJobsKnownAtIsWatchRequestTime(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	l.jobsKnownAt = c.now
 	asked := c.now
 	l.watchJobs(7)
@@ -109,8 +109,8 @@
 	if !strings.HasPrefix(call.Target, protocol.PathWatch) {
 		t.Fatalf("asks %s", call.Target)
 	}
-	if call.Timeout > c.answerFreshness() {
-		t.Errorf("waits %s for a watch, answers workers for %s", call.Timeout, c.answerFreshness())
+	if call.Timeout > c.maxAnswerStaleness() {
+		t.Errorf("waits %s for a watch, answers workers for %s", call.Timeout, c.maxAnswerStaleness())
 	}
 	l.jobsKnownAt = asked.Add(-10 * time.Second)
 	c.Result(asked.Add(3*time.Second), call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeEvents(nil, 9)})
@@ -121,34 +121,34 @@
 
 // The answer to an overtaken report renews the lease, so it ends the tasks of jobs that
 // are over, although the list of the report may be out of date.
-func TestOvertakenReportEndsCancelled(t *testing.T) {
-	c, l := leading(phaseActive)
-	_, body := running(c, l)
-	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
+func TestOvertakenHeartbeatStopsCancelledTasks(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
+	_, body := addRunningJob(c, l)
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
 	l.machines["vm-1"].session.Sequence = 9
 	l.endJob(l.jobs["run-000001"], protocol.Cancelled)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body)
-	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stops(e.Replies[0], "run-000001") {
+	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stopsJob(e.Replies[0], "run-000001") {
 		t.Errorf("got %+v, want an answer that ends the task", e.Replies)
 	}
 }
 
 // Starts that were recorded before are sent only by a leader that knows of every
 // cancellation but the latest: nobody starts tasks of a job that is long over.
-func TestStartsNeedFreshKnowledge(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestStartsNeedFreshJobRecords(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	l.jobsKnownAt = c.now
-	j, _ := running(c, l)
-	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, report(3))
+	j, _ := addRunningJob(c, l)
+	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
 	m := l.machines["vm-1"]
 	a := &attempt{job: j, number: 1, machine: m, placedAt: c.now, recorded: true}
 	l.attach(a)
 	l.lease.ValidUntil = c.now.Add(time.Hour)
-	c.now = c.now.Add(startFreshness + time.Millisecond)
+	c.now = c.now.Add(maxStartStaleness + time.Millisecond)
 	l.sendOrders(m)
-	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, report(4))
+	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	if _, _, orders, _ := protocol.ParseOrders(e.Replies[0].Body); len(orders) != 0 || len(e.Calls) != 0 {
-		t.Fatalf("a start is sent %s after all was known: %+v %+v", startFreshness, orders, e.Calls)
+		t.Fatalf("a start is sent %s after all was known: %+v %+v", maxStartStaleness, orders, e.Calls)
 	}
 	l.noteJobsKnown(c.now)
 	calls := c.takeEffects().Calls
@@ -162,17 +162,17 @@
 
 // A leader that the state service refuses hears of cancellations from its peers, sooner
 // than its grace ends.
-func TestPeersTellOfCancellations(t *testing.T) {
-	c, l := leading(phaseActive)
+func TestPeersBroadcastCancellations(t *testing.T) {
+	c, l := newTestLeader(phaseActive)
 	c.cfg.Peers = append(c.cfg.Peers, struct{ Name, Zone, Addr string }{Name: "n1", Zone: "a"})
-	_, body := running(c, l)
+	_, body := addRunningJob(c, l)
 	raw, err := json.Marshal(peers.Message{Sender: "n1", Cancelled: map[string]int{"run-000001": 0}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.PeerMessage(c.now, raw)
 	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body)
-	if len(e.Replies) != 1 || !stops(e.Replies[0], "run-000001") {
+	if len(e.Replies) != 1 || !stopsJob(e.Replies[0], "run-000001") {
 		t.Errorf("got %+v, want the task ended", e.Replies)
 	}
 }
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -15,11 +15,11 @@
 // tasks only when no other has room.
 func (l *leader) scaleIn() {
 	l.releaseOverdueBoots()
-	room := l.spareRoom()
+	room := l.spareCapacity()
 	var candidates []*machine
 	planner := &lazyPlanner{leader: l}
 	for _, m := range slices.Clone(l.fleetList) {
-		if !m.lifecycle.releasing() && l.retire(m, planner) {
+		if !m.lifecycle.releasing() && l.evaluateForScaleIn(m, planner) {
 			candidates = append(candidates, m)
 		}
 	}
@@ -29,7 +29,7 @@
 	sortByPriceDescending(candidates)
 	for _, m := range candidates {
 		// Replicas would hold it for long, unless they can go elsewhere.
-		if !room.spares(l, m) || m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(planner.get(), false)) {
+		if !room.canSpare(l, m) || m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(planner.get(), false)) {
 			continue
 		}
 		room.remove(l, m)
@@ -38,9 +38,9 @@
 	}
 }
 
-// retire releases a machine that is empty and not needed, or lets one that is being
+// evaluateForScaleIn releases a machine that is empty and not needed, or lets one that is being
 // consolidated go on, and reports whether it may be consolidated next.
-func (l *leader) retire(m *machine, planner *lazyPlanner) (candidate bool) {
+func (l *leader) evaluateForScaleIn(m *machine, planner *lazyPlanner) (candidate bool) {
 	if reason := l.releaseReason(m); reason != "" {
 		l.release(m, reason)
 		return false
@@ -54,7 +54,7 @@
 		return false
 	}
 	return m.session.Registered && m.recorded && m.Spec != nil && !m.lifecycle.draining && !m.Consolidating &&
-		m.reservedMoves == 0 && !m.lifecycle.preemptionNoticed()
+		m.incomingMigrations == 0 && !m.lifecycle.preemptionNoticed()
 }
 
 // releaseReason is why a machine isn't needed any more; empty if it is, or holds tasks.
@@ -70,22 +70,22 @@
 		return "unknown type"
 	case m.lifecycle.preemptionNoticed() && now.After(m.lifecycle.preemptionAt.Add(2*time.Second)):
 		return "preempted"
-	case m.Consolidating && m.reservedMoves == 0 && now.Sub(m.provisionedAt) > minimumBilledTime && now.Sub(m.emptySince) > l.controller.operator.Idle():
+	case m.Consolidating && m.incomingMigrations == 0 && now.Sub(m.provisionedAt) > minimumBilledTime && now.Sub(m.emptySince) > l.controller.operator.Idle():
 		return "not needed"
 	}
 	return ""
 }
 
-// spareRoom is the room of machines in service that aren't being consolidated, in CPUs.
-type spareRoom struct {
+// spareCapacity is the room of machines in service that aren't being consolidated, in CPUs.
+type spareCapacity struct {
 	free            float64
 	onDemand        float64 // that work which may not use spot machines can have
 	headroom        float64 // wanted of the free room
 	onDemandReserve float64 // wanted of the other
 }
 
-func (l *leader) spareRoom() spareRoom {
-	var room spareRoom
+func (l *leader) spareCapacity() spareCapacity {
+	var room spareCapacity
 	used := 0.0
 	for _, m := range l.fleetList {
 		if m.Spec == nil || !m.session.Registered || !m.lifecycle.inService() {
@@ -94,27 +94,27 @@
 		used += m.Allocated.CPUs
 		if !m.Consolidating {
 			room.free += m.Spec.CPUs - m.Allocated.CPUs
-			room.onDemand += l.onDemandRoom(m)
+			room.onDemand += l.onDemandCapacity(m)
 		}
 	}
 	room.headroom, room.onDemandReserve = l.headroomFor(used), l.onDemandReserve()
 	return room
 }
 
-// spares reports whether a machine can be done without: what runs there must fit elsewhere.
-func (r *spareRoom) spares(l *leader, m *machine) bool {
-	onDemand := l.onDemandRoom(m)
+// canSpare reports whether a machine can be done without: what runs there must fit elsewhere.
+func (r *spareCapacity) canSpare(l *leader, m *machine) bool {
+	onDemand := l.onDemandCapacity(m)
 	return r.free-(m.Spec.CPUs-m.Allocated.CPUs) >= r.headroom+m.Allocated.CPUs && (onDemand <= 0 || r.onDemand-onDemand >= r.onDemandReserve)
 }
 
 // remove takes a machine's room out.
-func (r *spareRoom) remove(l *leader, m *machine) {
+func (r *spareCapacity) remove(l *leader, m *machine) {
 	r.free -= m.Spec.CPUs - m.Allocated.CPUs
-	r.onDemand -= l.onDemandRoom(m)
+	r.onDemand -= l.onDemandCapacity(m)
 }
 
-// opportunisticMinimumRun is how long a guest's task runs before it has to leave a dear machine.
-const opportunisticMinimumRun = 40 * time.Second
+// minOpportunisticRuntime is how long a guest's task runs before it has to leave a dear machine.
+const minOpportunisticRuntime = 40 * time.Second
 
 // evictOpportunistic stops work of teams without a guarantee that saves, where it alone keeps a
 // dear machine from being returned, and reports whether it did. Tasks of minutes that had
@@ -124,7 +124,7 @@
 		return false
 	}
 	for _, a := range m.attemptList {
-		if a.stopRequested || a.job.CheckpointInterval == 0 || a.state != protocol.Running || l.controller.now.Sub(a.stateSince) < opportunisticMinimumRun ||
+		if a.stopRequested || a.job.CheckpointInterval == 0 || a.state != protocol.Running || l.controller.now.Sub(a.stateSince) < minOpportunisticRuntime ||
 			!l.overpriced(a.job, m.offer()) {
 			return false
 		}
@@ -138,14 +138,14 @@
 // onDemandReserve is the room kept on ordinary machines for the next service.
 func (l *leader) onDemandReserve() float64 {
 	if l.needsHeadroom() {
-		return l.autoscaler.largestOnDemand
+		return l.autoscaler.largestOnDemandCPUs
 	}
 	return 0
 }
 
-// onDemandRoom is the room on an ordinary machine that work which may not use
+// onDemandCapacity is the room on an ordinary machine that work which may not use
 // spot machines can have, other work giving way.
-func (l *leader) onDemandRoom(m *machine) float64 {
+func (l *leader) onDemandCapacity(m *machine) float64 {
 	if m.Spot {
 		return 0
 	}
@@ -168,8 +168,8 @@
 	})
 }
 
-// unresponsive is why a machine is given up that may yet be heard again.
-const unresponsive = "unresponsive"
+// reasonUnresponsive is why a machine is given up that may yet be heard again.
+const reasonUnresponsive = "unresponsive"
 
 // revokeRelease takes back the release of a machine that was given up as unresponsive and
 // has been reached since, if the cloud can't have carried it out. Where the cloud is away as
@@ -184,7 +184,7 @@
 
 // release returns a machine. The answer proves that it and all on it is gone.
 func (l *leader) release(m *machine, reason string) {
-	if m.removed || !m.lifecycle.wantRelease(reason == unresponsive) {
+	if m.removed || !m.lifecycle.beginRelease(reason == reasonUnresponsive) {
 		return
 	}
 	quiet := l.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.provisionedAt))
@@ -200,12 +200,12 @@
 		return
 	}
 	list := l.pendingReleases()
-	if len(list) == 0 || !f.callBudget.Take(c.now, 1) {
+	if len(list) == 0 || !f.callBudget.TryTake(c.now, 1) {
 		return
 	}
 	var names []string
 	for _, m := range list {
-		m.lifecycle.releaseSent(c.now)
+		m.lifecycle.releaseCallSent(c.now)
 		names = append(names, m.Name)
 	}
 	f.releaseInFlight = true
@@ -220,7 +220,7 @@
 // pendingReleases are machines whose release is to be sent, or sent again.
 func (l *leader) pendingReleases() (list []*machine) {
 	for _, m := range l.fleetList {
-		if m.lifecycle.releasing() && l.controller.now.Sub(m.lifecycle.releaseSentAt) > releaseRetry && len(list) < protocol.MaxTerminate {
+		if m.lifecycle.releasing() && l.controller.now.Sub(m.lifecycle.releaseSentAt) > releaseRetryInterval && len(list) < protocol.MaxTerminate {
 			list = append(list, m)
 		}
 	}
@@ -231,7 +231,7 @@
 func (l *leader) releasesAnswered(list []*machine, out Outcome) {
 	refused := out.Answered && (out.Status == 503 || out.Status == 429)
 	for _, m := range list {
-		m.lifecycle.releaseReturned(refused)
+		m.lifecycle.releaseCallEnded(refused)
 	}
 	if out.Answered && out.Status == 200 {
 		for _, m := range list {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -15,7 +15,7 @@
 	if l.phase != phaseActive || c.store.Unavailable() || len(c.types) == 0 || !c.now.Before(l.lease.ValidUntil) || f.demandIncomplete {
 		return false
 	}
-	if c.overload.Persistent(c.now) || len(l.fleetList) > l.forecastCapacity() && l.overloadedLately() {
+	if c.overload.Persistent(c.now) || len(l.fleetList) > l.forecastCapacity() && l.recentlyOverloaded() {
 		c.limits.Reached(limits.ServedMachines)
 		return false
 	}
@@ -35,9 +35,9 @@
 const (
 	// heartbeatCost is about what a heartbeat costs a controller, all that comes with it included,
 	// on an ordinary core: with 86 microseconds measured (docs/MEASUREMENTS.md).
-	heartbeatCost       = 100 * time.Microsecond
-	cautiousStepDivisor = 8 // part of the fleet that may boot, as a divisor
-	overloadMemory      = 4 * time.Second
+	heartbeatCost        = 100 * time.Microsecond
+	scaleOutStepDivisor  = 8 // part of the fleet that may boot, as a divisor
+	recentOverloadWindow = 4 * time.Second
 )
 
 // forecastCapacity is how many machines are likely to be served in time. Those of shards' owners
@@ -48,20 +48,20 @@
 	return int(min(c.CPUShare*float64(c.HeartbeatInterval)/float64(heartbeatCost), 1e9))
 }
 
-// overloadedLately reports whether the controllers that serve the fleet have been late by now: this
+// recentlyOverloaded reports whether the controllers that serve the fleet have been late by now: this
 // one, or the owner of a shard.
-func (l *leader) overloadedLately() bool {
+func (l *leader) recentlyOverloaded() bool {
 	c := l.controller
-	if c.overload.Within(c.now, overloadMemory) {
+	if c.overload.OverloadedWithin(c.now, recentOverloadWindow) {
 		return true
 	}
 	return l.shards != nil && l.shards.ownerOverloaded()
 }
 
-// machineLimit is how many machines may be rented in one turn while some boot.
-func (l *leader) machineLimit(booting int) int {
+// scaleOutLimit is how many machines may be rented in one turn while some boot.
+func (l *leader) scaleOutLimit(booting int) int {
 	fleet := len(l.fleetList)
-	step := max(protocol.MaxProvision, fleet/cautiousStepDivisor) - booting
+	step := max(protocol.MaxProvision, fleet/scaleOutStepDivisor) - booting
 	return max(0, min(maxPlannedMachines, max(l.forecastCapacity()-fleet, step)))
 }
 
@@ -71,12 +71,12 @@
 		return
 	}
 	plan := l.newScaleOutPlan()
-	plan.Limit = l.machineLimit(plan.Booting())
+	plan.Limit = l.scaleOutLimit(plan.Booting())
 	for _, d := range l.autoscaler.unmetDemand {
 		if plan.Full() {
 			break
 		}
-		plan.Add(l.plannedDemand(d))
+		plan.AddDemand(l.plannedDemand(d))
 	}
 	if displaced := l.autoscaler.displacedReplicas; len(displaced) > 0 {
 		for _, j := range l.jobsByAge {
@@ -84,7 +84,7 @@
 		}
 	}
 	l.planHeadroom(plan)
-	l.requestPlanned(plan)
+	l.requestPlannedMachines(plan)
 }
 
 // newScaleOutPlan is a plan for the fleet as it is now, without demand.
@@ -104,9 +104,9 @@
 // plannedDemand is a job's demand as the plan takes it.
 func (l *leader) plannedDemand(d demand) autoscaler.Demand {
 	j := d.job
-	return autoscaler.Demand{Job: j.Job, Shape: shapeKeyOf(j), Zones: j.zones, Tasks: min(d.tasks, j.pendingTasks()),
+	return autoscaler.Demand{Job: j.Job, Shape: shapeKeyOf(j), Zones: j.attemptsByZone, Tasks: min(d.tasks, j.pendingTasks()),
 		TooExpensive: func(o autoscaler.Offer) bool { return l.overpriced(j, o) },
-		Starving:     func() bool { return j.standing(l.controller.now.Round(0)).Starving() }}
+		Starving:     func() bool { return j.queueInfo(l.controller.now.Round(0)).Starving() }}
 }
 
 // planHeadroom rents ahead of the next jobs.
@@ -121,7 +121,7 @@
 			free += m.Spec.CPUs - m.Allocated.CPUs
 		}
 	}
-	free, used = plan.CountRoom(free, used)
+	free, used = plan.CountCapacity(free, used)
 	for want := l.headroomFor(used); free < want-protocol.Epsilon; {
 		if plan.Booting() > max(maxPlannedMachines, len(l.fleetList)) || plan.Full() && len(l.fleetList) > l.forecastCapacity() {
 			return
@@ -134,14 +134,14 @@
 	}
 }
 
-// requestPlanned asks the cloud for what is planned. What many calls take is asked for at
+// requestPlannedMachines asks the cloud for what is planned. What many calls take is asked for at
 // once, but some are left for releases: those are the quick proof that machines which don't
 // respond are gone.
-func (l *leader) requestPlanned(plan *autoscaler.Plan) {
+func (l *leader) requestPlannedMachines(plan *autoscaler.Plan) {
 	budget := l.autoscaler.callBudget
 	for _, request := range plan.Requests() {
 		for left := request.Count; left > 0; left -= protocol.MaxProvision {
-			if budget.Available(l.controller.now) < 1+reservedReleaseCalls || !budget.Take(l.controller.now, 1) {
+			if budget.Available(l.controller.now) < 1+reservedReleaseCalls || !budget.TryTake(l.controller.now, 1) {
 				return
 			}
 			l.requestMachines(request.Offer, min(left, protocol.MaxProvision))
@@ -223,20 +223,20 @@
 				return // what was rented will show in the list
 			}
 			for _, m := range names {
-				if l.machines[m] == nil && l.terminated[m].IsZero() {
+				if l.machines[m] == nil && l.terminatedAt[m].IsZero() {
 					l.writer.recordMachine(l.newMachine(m, o.Spec.Name, o.Zone, o.Spot))
 				}
 			}
 			c.log.Info("machines provisioned", "type", o.Spec.Name, "zone", o.Zone, "spot", o.Spot, "requested", count, "count", len(names))
 			if len(names) < count {
-				f.unavailableUntil[key] = c.now.Add(noCapacityPause)
+				f.unavailableUntil[key] = c.now.Add(noCapacityBackoff)
 			}
 			l.scheduleScaleOut()
 		case out.Answered && out.Status == 503 && protocol.NoCapacity(out.Body):
-			if c.now.Sub(f.unavailableUntil[key]) > noCapacityPause { // else it was so the last time, too
+			if c.now.Sub(f.unavailableUntil[key]) > noCapacityBackoff { // else it was so the last time, too
 				c.log.Info("instance offer without capacity", "type", o.Spec.Name, "zone", o.Zone, "spot", o.Spot)
 			}
-			f.unavailableUntil[key] = c.now.Add(noCapacityPause)
+			f.unavailableUntil[key] = c.now.Add(noCapacityBackoff)
 			l.scheduleScaleOut()
 		case out.Answered && out.Status == 429:
 		default:
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -14,11 +14,11 @@
 // incarnationBegan implements sessionListener.
 func (l *leader) incarnationBegan(m *machine) {
 	m.Images.Reset()
-	l.rebalancer.incarnationBegan(m)
+	l.rebalancer.workerRestarted(m)
 }
 
 // addressChanged implements sessionListener.
-func (l *leader) addressChanged(m *machine) { l.writer.rewriteGroup(m.group) }
+func (l *leader) addressChanged(m *machine) { l.writer.scheduleGroupRewrite(m.group) }
 
 // preemptionNoticed implements sessionListener.
 func (l *leader) preemptionNoticed(m *machine) { l.drainForPreemption(m) }
--- a/internal/coordination/sessions/delivery.go
+++ b/internal/coordination/sessions/delivery.go
@@ -24,17 +24,17 @@
 	return !d.Inherited && !d.OwnerNotified && !d.Reported && d.SentIncarnation == 0 && !d.DirectPending && d.DirectToken == 0
 }
 
-// SendDirect notes that the start is being sent by a call of its own.
-func (d *Delivery) SendDirect(token, incarnation uint64) {
+// MarkDirectSent notes that the start is being sent by a call of its own.
+func (d *Delivery) MarkDirectSent(token, incarnation uint64) {
 	d.DirectPending = true
 	d.DirectToken, d.DirectIncarnation = token, incarnation
 }
 
-// DirectAnswered notes that the call was answered, or certainly not carried out.
-func (d *Delivery) DirectAnswered() { d.DirectToken = 0 }
+// MarkDirectAnswered notes that the call was answered, or certainly not carried out.
+func (d *Delivery) MarkDirectAnswered() { d.DirectToken = 0 }
 
-// Sent notes that the worker has the start, or will have it before its next heartbeat.
-func (d *Delivery) Sent(incarnation, sequence uint64) {
+// MarkSent notes that the worker has the start, or will have it before its next heartbeat.
+func (d *Delivery) MarkSent(incarnation, sequence uint64) {
 	d.SentIncarnation, d.SentSequence = incarnation, sequence
 }
 
@@ -54,31 +54,31 @@
 
 // Why an attempt is terminated, as controllers tell each other.
 const (
-	NoLongerReported = "no longer reported"
-	NotHeld          = "not held by the worker"
-	LeaseExpired     = "the worker's lease expired"
+	ReasonNoLongerReported = "no longer reported"
+	ReasonNotHeld          = "not held by the worker"
+	ReasonLeaseExpired     = "the worker's lease expired"
 )
 
-// Absent judges that a worker's newest message lacks the attempt, in an epoch with the given
+// EvaluateAbsence judges that a worker's newest message lacks the attempt, in an epoch with the given
 // lowest token. Absence is proof only once nothing that was sent can still start the attempt.
 // The reason is set for Terminated.
-func (d *Delivery) Absent(m Message, baseToken uint64) (verdict Absence, reason string) {
+func (d *Delivery) EvaluateAbsence(m Message, baseToken uint64) (verdict Absence, reason string) {
 	switch {
 	case d.Reported:
-		return Terminated, NoLongerReported
+		return Terminated, ReasonNoLongerReported
 	case d.Inherited:
 		// An earlier owner may have sent the start, directly too. A worker that has seen a
 		// token of this epoch refuses it.
 		if m.Token < baseToken {
 			return Undecided, ""
 		}
-		return Terminated, NotHeld
+		return Terminated, ReasonNotHeld
 	case d.DirectPending:
 		return Undecided, "" // its response is on the way
 	case d.DirectToken != 0:
 		return d.absentAfterDirectStart(m)
 	case d.SentIncarnation != 0 && d.SentIncarnation != m.Incarnation:
-		return Terminated, LeaseExpired
+		return Terminated, ReasonLeaseExpired
 	case d.SentIncarnation != 0 && (!m.Heartbeat || m.Sequence <= d.SentSequence):
 		// A response of the worker's may be older than the answer that carries the start;
 		// only its next heartbeat proves that the answer was lost.
@@ -93,7 +93,7 @@
 	case m.Incarnation > d.DirectIncarnation:
 		// Refused from now on, however late it comes: it names an incarnation that is over.
 		// Where answers don't reach the worker this proof comes alone.
-		return Terminated, LeaseExpired
+		return Terminated, ReasonLeaseExpired
 	case m.Token <= d.DirectToken:
 		return Unfenced, ""
 	}
--- a/internal/coordination/sessions/detector.go
+++ b/internal/coordination/sessions/detector.go
@@ -13,13 +13,13 @@
 	// LostHeartbeatDelay is what a heartbeat costs that gets no answer: the worker waits for
 	// it and tries the next controller.
 	LostHeartbeatDelay = 5 * time.Second
-	// UnreachableProbes is how many probes in a row a worker leaves unanswered that counts as
+	// UnreachableProbeThreshold is how many probes in a row a worker leaves unanswered that counts as
 	// unreachable for who calls it.
-	UnreachableProbes = 2
-	// UnansweringProbes is how many of them prove that waiting for the worker's heartbeat is
-	// of no use, and deafProbes how many make one presumed dead whose heartbeats arrive.
-	UnansweringProbes = 3
-	deafProbes        = 4
+	UnreachableProbeThreshold = 2
+	// UnansweringProbeThreshold is how many of them prove that waiting for the worker's heartbeat is
+	// of no use, and unreachedReleaseProbes how many make one presumed dead whose heartbeats arrive.
+	UnansweringProbeThreshold = 3
+	unreachedReleaseProbes    = 4
 	// stalledAfter is for how long a process must have done nothing that messages may wait
 	// unread, and all workers seem silent.
 	stalledAfter = time.Second
@@ -81,8 +81,8 @@
 // PresumedDead reports whether a machine is to be given up.
 func (t Timing) PresumedDead(s Silence) bool {
 	return s.Unseen > t.UnresponsiveAfter() ||
-		s.Unseen > failedProbesReleaseAfter && s.FailedProbes >= UnansweringProbes ||
-		s.Unreached > t.unreachedReleaseAfter() && s.FailedProbes >= deafProbes ||
+		s.Unseen > failedProbesReleaseAfter && s.FailedProbes >= UnansweringProbeThreshold ||
+		s.Unreached > t.unreachedReleaseAfter() && s.FailedProbes >= unreachedReleaseProbes ||
 		s.Unanswered > 2*t.WorkerLease
 }
 
@@ -129,15 +129,15 @@
 	return now.Sub(Latest(s.LastReached, s.RegisteredAt, d.resetAt))
 }
 
-// WantsProbe reports whether a worker of a zone is to be probed that was silent for a time.
-func (d *Detector) WantsProbe(t Timing, s *Session, zone string, unseen time.Duration, now time.Time) bool {
+// NeedsProbe reports whether a worker of a zone is to be probed that was silent for a time.
+func (d *Detector) NeedsProbe(t Timing, s *Session, zone string, unseen time.Duration, now time.Time) bool {
 	return unseen > t.ProbeAfter(d.suspectZones[zone]) || s.Registered && s.LastReached.IsZero() ||
 		d.Unreached(s, now) > t.UnreachedProbeAfter() || s.FailedProbes > 0
 }
 
-// EachInTurn visits some of count workers, beginning after those that it visited the last
+// ProbeRoundRobin visits some of count workers, beginning after those that it visited the last
 // time, until as many as limit were probed.
-func (d *Detector) EachInTurn(count, limit int, probe func(i int) (probed bool)) {
+func (d *Detector) ProbeRoundRobin(count, limit int, probe func(i int) (probed bool)) {
 	for i := range count {
 		if limit == 0 {
 			d.cursor += i
--- a/internal/coordination/sessions/session.go
+++ b/internal/coordination/sessions/session.go
@@ -37,23 +37,23 @@
 	Epoch      *Epoch
 	Registered bool // it has sent a heartbeat in this epoch
 	Reconciled bool // its tasks were compared with what is known of them
-	Numbering
-	Fence
+	MessageOrder
+	FencingState
 	Contact
 }
 
-// Numbering orders the messages of a worker. A worker numbers its incarnations, and in each
+// MessageOrder orders the messages of a worker. A worker numbers its incarnations, and in each
 // of them all its messages: heartbeats and responses to calls.
-type Numbering struct {
+type MessageOrder struct {
 	Incarnation       uint64
 	IncarnationSince  time.Time // when it was first heard of: it began no later
 	Sequence          uint64    // of the latest message
 	HeartbeatSequence uint64    // of the latest heartbeat
 }
 
-// Fence is a worker's fencing token. A worker takes no orders and no answers with a token
+// FencingState is a worker's fencing token. A worker takes no orders and no answers with a token
 // below the highest it has seen.
-type Fence struct {
+type FencingState struct {
 	SeenToken uint64
 	// EpochSeenAt is when the worker first showed a token of this epoch.
 	EpochSeenAt time.Time
@@ -122,8 +122,8 @@
 	Stale
 )
 
-// Arrival judges a heartbeat before it is taken.
-func (s *Session) Arrival(heartbeat Message) Arrival {
+// ClassifyHeartbeat judges a heartbeat before it is taken.
+func (s *Session) ClassifyHeartbeat(heartbeat Message) Arrival {
 	switch sameIncarnation := heartbeat.Incarnation == s.Incarnation; {
 	case !s.Registered:
 		return Newest
@@ -136,13 +136,13 @@
 }
 
 // IsNewer reports whether a message is newer than all that were taken.
-func (n *Numbering) IsNewer(m Message) bool {
+func (n *MessageOrder) IsNewer(m Message) bool {
 	return m.Incarnation > n.Incarnation || m.Incarnation == n.Incarnation && m.Sequence > n.Sequence
 }
 
-// Take takes the newest message, and reports whether it begins an incarnation. It must be
+// Apply takes the newest message, and reports whether it begins an incarnation. It must be
 // served here.
-func (s *Session) Take(m Message, now time.Time) (began bool) {
+func (s *Session) Apply(m Message, now time.Time) (began bool) {
 	began = m.Incarnation != s.Incarnation
 	s.Incarnation, s.Sequence, s.SeenToken, s.LastSeen = m.Incarnation, m.Sequence, m.Token, now
 	if s.EpochSeenAt.IsZero() && m.Token >= s.Epoch.BaseToken() {
@@ -159,10 +159,10 @@
 	return began
 }
 
-// Confirms reports whether a taken message proves that something sent has reached the
+// ProvesReached reports whether a taken message proves that something sent has reached the
 // worker, and since when: a response proves a call, and a heartbeat that shows a raised
 // token proves an answer.
-func (s *Session) Confirms(m Message, now time.Time) (at time.Time, proven bool) {
+func (s *Session) ProvesReached(m Message, now time.Time) (at time.Time, proven bool) {
 	switch {
 	case !m.Heartbeat:
 		return now, true
@@ -173,25 +173,25 @@
 	return time.Time{}, false
 }
 
-// Answering notes that a heartbeat is about to be answered, with the present token.
-func (s *Session) Answering(sequence uint64, now time.Time) {
+// RecordAnswer notes that a heartbeat is about to be answered, with the present token.
+func (s *Session) RecordAnswer(sequence uint64, now time.Time) {
 	s.HeartbeatSequence = sequence
 	if s.sentSince.IsZero() {
 		s.sentSince = now
 	}
 }
 
-// Reached notes that something sent arrived at the worker, at a time or after it.
-func (c *Contact) Reached(at time.Time) {
+// RecordReached notes that something sent arrived at the worker, at a time or after it.
+func (c *Contact) RecordReached(at time.Time) {
 	if at.After(c.LastReached) {
 		c.LastReached = at
 	}
 }
 
-// TerminationProof is when a worker that stays silent has certainly ended its tasks, if its
+// TerminationProofAt is when a worker that stays silent has certainly ended its tasks, if its
 // lease, with what clocks may differ by, lasts for a time. Whoever served it before may have
 // answered it until its own grace period ended.
-func (s *Session) TerminationProof(lease time.Duration) time.Time {
+func (s *Session) TerminationProofAt(lease time.Duration) time.Time {
 	last := s.Epoch.PredecessorUntil
 	if !s.EpochSeenAt.IsZero() {
 		// It has seen a token of this epoch and takes no other's answer any more. Until then
--- a/internal/coordination/sessions/sessions_test.go
+++ b/internal/coordination/sessions/sessions_test.go
@@ -8,17 +8,17 @@
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
-func served(term uint64) *Session { return &Session{Epoch: &Epoch{Term: term, Since: start}} }
+func servedSession(term uint64) *Session { return &Session{Epoch: &Epoch{Term: term, Since: start}} }
 
-func TestArrivalOfHeartbeats(t *testing.T) {
-	s := served(1)
-	if got := s.Arrival(Message{Incarnation: 3, Sequence: 9}); got != Newest {
+func TestClassifyHeartbeat(t *testing.T) {
+	s := servedSession(1)
+	if got := s.ClassifyHeartbeat(Message{Incarnation: 3, Sequence: 9}); got != Newest {
 		t.Errorf("the first heartbeat: %d", got)
 	}
 	s.Registered = true
-	s.Take(Message{Incarnation: 3, Sequence: 9}, start)
-	s.Answering(9, start)
-	s.Take(Message{Incarnation: 3, Sequence: 12}, start) // a response to a call
+	s.Apply(Message{Incarnation: 3, Sequence: 9}, start)
+	s.RecordAnswer(9, start)
+	s.Apply(Message{Incarnation: 3, Sequence: 12}, start) // a response to a call
 	for _, test := range []struct {
 		name                  string
 		incarnation, sequence uint64
@@ -31,14 +31,14 @@
 		{"newer than the response", 3, 13, Newest},
 		{"of the next incarnation", 4, 1, Newest},
 	} {
-		if got := s.Arrival(Message{Incarnation: test.incarnation, Sequence: test.sequence, Heartbeat: true}); got != test.want {
+		if got := s.ClassifyHeartbeat(Message{Incarnation: test.incarnation, Sequence: test.sequence, Heartbeat: true}); got != test.want {
 			t.Errorf("%s: %d, want %d", test.name, got, test.want)
 		}
 	}
 }
 
 func TestTokensRiseAndNeverWrap(t *testing.T) {
-	s := served(7)
+	s := servedSession(7)
 	if s.Token() != 7<<TokenBits || TermOf(s.Token()) != 7 {
 		t.Fatalf("the first token is %x", s.Token())
 	}
@@ -57,35 +57,35 @@
 	}
 }
 
-func TestWhatProvesThatSomethingArrived(t *testing.T) {
-	s := served(1)
+func TestProvesReached(t *testing.T) {
+	s := servedSession(1)
 	heartbeat := func(token uint64) Message { return Message{Incarnation: 1, Sequence: 1, Token: token, Heartbeat: true} }
-	if _, proven := s.Confirms(heartbeat(s.Token()), start); proven {
+	if _, proven := s.ProvesReached(heartbeat(s.Token()), start); proven {
 		t.Error("a token that no answer carried yet proves an answer")
 	}
-	s.Answering(1, start)
+	s.RecordAnswer(1, start)
 	later := start.Add(time.Second)
-	if at, proven := s.Confirms(heartbeat(s.Token()), later); !proven || !at.Equal(start) {
+	if at, proven := s.ProvesReached(heartbeat(s.Token()), later); !proven || !at.Equal(start) {
 		t.Errorf("the token of the first answer proves %t, at %s", proven, at)
 	}
-	if _, proven := s.Confirms(heartbeat(s.Token()), later); proven {
+	if _, proven := s.ProvesReached(heartbeat(s.Token()), later); proven {
 		t.Error("the same token proves a second answer")
 	}
 	if err := s.RaiseToken(s.Token(), later); err != nil {
 		t.Fatal(err)
 	}
-	if _, proven := s.Confirms(heartbeat(s.Token()-1), later); proven {
+	if _, proven := s.ProvesReached(heartbeat(s.Token()-1), later); proven {
 		t.Error("an older token proves an answer")
 	}
-	if at, proven := s.Confirms(heartbeat(s.Token()), later.Add(time.Second)); !proven || !at.Equal(later) {
+	if at, proven := s.ProvesReached(heartbeat(s.Token()), later.Add(time.Second)); !proven || !at.Equal(later) {
 		t.Errorf("a raised token proves %t, at %s", proven, at)
 	}
-	if at, proven := s.Confirms(Message{}, later); !proven || !at.Equal(later) {
+	if at, proven := s.ProvesReached(Message{}, later); !proven || !at.Equal(later) {
 		t.Errorf("a response proves %t, at %s", proven, at)
 	}
 }
 
-func TestTerminationProof(t *testing.T) {
+func TestTerminationProofAt(t *testing.T) {
 	const lease = 15 * time.Second
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	for _, test := range []struct {
@@ -99,29 +99,29 @@
 		{name: "answered, and hasn't seen the token", predecessor: at(20), last: at(9), want: at(35)},
 		{name: "began an incarnation", predecessor: at(20), seen: at(5), last: at(9), began: at(12), want: at(27)},
 	} {
-		s := served(1)
+		s := servedSession(1)
 		s.Epoch.PredecessorUntil, s.EpochSeenAt, s.IncarnationSince, s.LastAnswered = test.predecessor, test.seen, test.began, test.last
-		if got := s.TerminationProof(lease); !got.Equal(test.want) {
+		if got := s.TerminationProofAt(lease); !got.Equal(test.want) {
 			t.Errorf("%s: after %s, want %s", test.name, got.Sub(start), test.want.Sub(start))
 		}
 	}
 }
 
-func TestIncarnationHasItsWholeLease(t *testing.T) {
-	s := served(1)
-	if !s.Take(Message{Incarnation: 1, Sequence: 5}, start) {
+func TestNewIncarnationGetsFullLease(t *testing.T) {
+	s := servedSession(1)
+	if !s.Apply(Message{Incarnation: 1, Sequence: 5}, start) {
 		t.Error("the first message begins no incarnation")
 	}
-	s.Answering(5, start)
-	if s.Take(Message{Incarnation: 1, Sequence: 6}, start.Add(time.Second)) {
+	s.RecordAnswer(5, start)
+	if s.Apply(Message{Incarnation: 1, Sequence: 6}, start.Add(time.Second)) {
 		t.Error("the next message begins an incarnation")
 	}
-	if later := start.Add(time.Minute); !s.Take(Message{Incarnation: 2, Sequence: 1}, later) || !s.IncarnationSince.Equal(later) || s.HeartbeatSequence != 0 {
-		t.Errorf("an incarnation began: %+v", s.Numbering)
+	if later := start.Add(time.Minute); !s.Apply(Message{Incarnation: 2, Sequence: 1}, later) || !s.IncarnationSince.Equal(later) || s.HeartbeatSequence != 0 {
+		t.Errorf("an incarnation began: %+v", s.MessageOrder)
 	}
 }
 
-func TestAbsence(t *testing.T) {
+func TestEvaluateAbsence(t *testing.T) {
 	const base = 5 << TokenBits
 	heartbeat := Message{Incarnation: 3, Sequence: 20, Token: base + 1, Heartbeat: true}
 	response := Message{Incarnation: 3, Sequence: 20, Token: base + 1}
@@ -133,19 +133,19 @@
 		reason   string
 	}{
 		{"never sent", Delivery{}, heartbeat, NotStarted, ""},
-		{"was reported", Delivery{Reported: true, DirectPending: true}, heartbeat, Terminated, NoLongerReported},
-		{"inherited, token seen", Delivery{Inherited: true}, heartbeat, Terminated, NotHeld},
+		{"was reported", Delivery{Reported: true, DirectPending: true}, heartbeat, Terminated, ReasonNoLongerReported},
+		{"inherited, token seen", Delivery{Inherited: true}, heartbeat, Terminated, ReasonNotHeld},
 		{"inherited, token not seen", Delivery{Inherited: true}, Message{Token: base - 1, Heartbeat: true}, Undecided, ""},
 		{"direct start under way", Delivery{DirectPending: true, DirectToken: base, DirectIncarnation: 1}, heartbeat, Undecided, ""},
 		{"unanswered direct start, fenced", Delivery{DirectToken: base, DirectIncarnation: 3}, heartbeat, NotStarted, ""},
 		{"unanswered direct start, not fenced", Delivery{DirectToken: base + 1, DirectIncarnation: 3}, heartbeat, Unfenced, ""},
-		{"unanswered direct start, another incarnation", Delivery{DirectToken: base + 9, DirectIncarnation: 2}, response, Terminated, LeaseExpired},
-		{"sent to an earlier incarnation", Delivery{SentIncarnation: 2, SentSequence: 40}, response, Terminated, LeaseExpired},
+		{"unanswered direct start, another incarnation", Delivery{DirectToken: base + 9, DirectIncarnation: 2}, response, Terminated, ReasonLeaseExpired},
+		{"sent to an earlier incarnation", Delivery{SentIncarnation: 2, SentSequence: 40}, response, Terminated, ReasonLeaseExpired},
 		{"sent with an answer, next heartbeat", Delivery{SentIncarnation: 3, SentSequence: 19}, heartbeat, NotStarted, ""},
 		{"sent with an answer, response", Delivery{SentIncarnation: 3, SentSequence: 19}, response, Undecided, ""},
 		{"sent with a later answer", Delivery{SentIncarnation: 3, SentSequence: 20}, heartbeat, Undecided, ""},
 	} {
-		got, reason := test.delivery.Absent(test.message, base)
+		got, reason := test.delivery.EvaluateAbsence(test.message, base)
 		if got != test.want || reason != test.reason {
 			t.Errorf("%s: %d %q, want %d %q", test.name, got, reason, test.want, test.reason)
 		}
@@ -157,8 +157,8 @@
 		"inherited":      func(d *Delivery) { d.Inherited = true },
 		"owner notified": func(d *Delivery) { d.OwnerNotified = true },
 		"reported":       func(d *Delivery) { d.Reported = true },
-		"in an answer":   func(d *Delivery) { d.Sent(1, 2) },
-		"by a call":      func(d *Delivery) { d.SendDirect(1, 2) },
+		"in an answer":   func(d *Delivery) { d.MarkSent(1, 2) },
+		"by a call":      func(d *Delivery) { d.MarkDirectSent(1, 2) },
 	} {
 		var d Delivery
 		if !d.NeverSent() {
@@ -208,7 +208,7 @@
 
 func TestSilenceCountsFromReset(t *testing.T) {
 	var d Detector
-	s := served(1)
+	s := servedSession(1)
 	s.RegisteredAt = start
 	now := start.Add(time.Minute)
 	if d.Unanswered(s, now) != 0 || d.Unreached(s, now) != 0 {
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestScanFindsStalls(t *testing.T) {
+func TestScanDetectsStalls(t *testing.T) {
 	var d Detector
 	d.Scan(start)
 	if d.Scan(start.Add(time.Second)) {
@@ -235,11 +235,11 @@
 	}
 }
 
-func TestProbesTakeTurns(t *testing.T) {
+func TestProbeRoundRobin(t *testing.T) {
 	var d Detector
 	probed := make([]int, 10)
 	for range 5 {
-		d.EachInTurn(len(probed), 4, func(i int) bool {
+		d.ProbeRoundRobin(len(probed), 4, func(i int) bool {
 			if i == 3 {
 				return false // one is under way
 			}
--- a/internal/coordination/shard/channel.go
+++ b/internal/coordination/shard/channel.go
@@ -5,17 +5,17 @@
 // Header goes with each message between the leader and an owner.
 type Header struct {
 	// Epoch tells which leader and which owner talk: messages of others are dropped.
-	Epoch        Epoch  `json:"h"`
-	Sequence     uint64 `json:"q"` // of this line, from 1; 0 for one that only acknowledges
-	Acknowledged uint64 `json:"k"` // of the last line taken from the other side
+	Epoch        ChannelEpoch `json:"h"`
+	Sequence     uint64       `json:"q"` // of this line, from 1; 0 for one that only acknowledges
+	Acknowledged uint64       `json:"k"` // of the last line taken from the other side
 	// Reset begins a snapshot: what was told before is void.
 	Snapshot bool `json:"b,omitempty"`
 	// Again asks for a snapshot: messages were lost.
 	SnapshotRequested bool `json:"g,omitempty"`
 }
 
-// Epoch is a leader's term and the member that it talks to.
-type Epoch struct {
+// ChannelEpoch is a leader's term and the member that it talks to.
+type ChannelEpoch struct {
 	Term   uint64 `json:"t"`
 	Member Member `json:"m"`
 }
@@ -36,7 +36,7 @@
 // may be missing: then the other side is asked for a snapshot. Nothing is repeated
 // otherwise.
 type Channel struct {
-	epoch               Epoch
+	epoch               ChannelEpoch
 	sent                uint64
 	acknowledged        uint64
 	unacknowledgedSince time.Time // since when the oldest message without an acknowledgement waits
@@ -49,10 +49,10 @@
 }
 
 // NewChannel begins an epoch with a snapshot.
-func NewChannel(e Epoch) *Channel { return &Channel{epoch: e, snapshotDue: true} }
+func NewChannel(e ChannelEpoch) *Channel { return &Channel{epoch: e, snapshotDue: true} }
 
 // Epoch is the link's.
-func (l *Channel) Epoch() Epoch { return l.epoch }
+func (l *Channel) Epoch() ChannelEpoch { return l.epoch }
 
 // SnapshotDue reports whether the next message has to begin a snapshot.
 func (l *Channel) SnapshotDue() bool { return l.snapshotDue }
--- a/internal/coordination/shard/fleet.go
+++ b/internal/coordination/shard/fleet.go
@@ -34,10 +34,10 @@
 	return best
 }
 
-// Planned gives the shards that have a record, and those of 1 to count, as the planner sees
+// PlannerShards gives the shards that have a record, and those of 1 to count, as the planner sees
 // them. One whose record can't be read is left out until ended says that whoever owned it has
 // stopped serving.
-func (t *Table) Planned(count int, fleet Fleet, ended func(id ID, version uint64) bool) []Shard {
+func (t *Table) PlannerShards(count int, fleet Fleet, ended func(id ID, version uint64) bool) []Shard {
 	zones := map[ID]map[string]int{}
 	for id, zone := range fleet {
 		if zones[id] == nil {
--- a/internal/coordination/shard/forms_test.go
+++ b/internal/coordination/shard/forms_test.go
@@ -10,13 +10,13 @@
 
 // Records and messages are written as the versions before wrote them, with all of their
 // fields and with as few as they can have.
-func TestForms(t *testing.T) {
+func TestEncodings(t *testing.T) {
 	member := Member{Name: "n1", Incarnation: 1<<64 - 1}
 	grant := Ownership{Member: member, Term: 41}
 	next := Ownership{Member: Member{Name: "n2", Incarnation: 6}, Term: 42}
 	task := Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 3, Attempt: 7}
 	run := Start{Task: task, FirstNotice: true, Stopping: true, GraceMillis: 10000}
-	header := Header{Epoch: Epoch{Term: 41, Member: member}, Sequence: 5, Acknowledged: 4, Snapshot: true, SnapshotRequested: true}
+	header := Header{Epoch: ChannelEpoch{Term: 41, Member: member}, Sequence: 5, Acknowledged: 4, Snapshot: true, SnapshotRequested: true}
 	golden.Check(t, []golden.Form{
 		{File: "member_full.json", Value: &MemberRecord{Member: member, Zone: "a", Draining: true, Reachability: &ReachabilityReport{Sequence: 2, Workers: 30, Unreachable: 4}}},
 		{File: "member_least.json", Value: &MemberRecord{}},
@@ -24,7 +24,7 @@
 		{File: "owner_full.json", Value: &OwnerRecord{Owner: grant, Next: &next, HandedOver: true, Generation: 9}},
 		{File: "owner_least.json", Value: &OwnerRecord{}},
 		{File: "instructions_full.json", Value: &Instructions{Header: header,
-			Machines:           []Machine{{Shard: 12, Term: 41, Name: "vm-1", Addr: "10.0.0.1:1", Type: "small", Zone: "a", Spot: true, Heard: true, Starts: []Start{run}}},
+			Machines:           []Machine{{Shard: 12, Term: 41, Name: "vm-1", Addr: "10.0.0.1:1", Type: "small", Zone: "a", Spot: true, RegisteredBefore: true, Starts: []Start{run}}},
 			TerminatedMachines: []string{"vm-2"}, Starts: []Start{run}, Stops: []Stop{{Task: task, GraceMillis: 10000}}, Forgets: []Task{task}}},
 		{File: "instructions_least.json", Value: &Instructions{}},
 		{File: "instructions_least_entries.json", Value: &Instructions{Machines: []Machine{{}}, TerminatedMachines: []string{""}, Starts: []Start{{}}, Stops: []Stop{{}},
@@ -35,7 +35,7 @@
 			TaskStates: []TaskState{{Task: task, State: protocol.Running}}, Exits: []Exit{{Task: task, Reason: protocol.ExitStopped, Checkpointed: true}},
 			Terminations: []Termination{{Task: task, Reason: "silent"}}, Orphans: []Task{task},
 			Status: &Status{Load: Load{CPUShare: 0.25, Lag: 3 * time.Millisecond, HeartbeatRate: 12.5, Machines: 30},
-				Unhealthy: []UnhealthyWorker{{Machine: "vm-1", SilentMillis: 1, UnreachedMillis: 2, UnansweredMillis: 3, FailedCalls: 4}}, Part: 1, More: true}}},
+				Unhealthy: []UnhealthyWorker{{Machine: "vm-1", SilentMillis: 1, UnreachedMillis: 2, UnansweredMillis: 3, FailedProbes: 4}}, Part: 1, More: true}}},
 		{File: "observations_least.json", Value: &Observations{}},
 		{File: "observations_least_entries.json", Value: &Observations{ServedTerms: map[ID]uint64{}, Workers: []Worker{{}}, TaskStates: []TaskState{{}}, Exits: []Exit{{}},
 			Terminations: []Termination{{}}, Orphans: []Task{{}}, Status: &Status{Unhealthy: []UnhealthyWorker{{}}}}},
--- a/internal/coordination/shard/messages.go
+++ b/internal/coordination/shard/messages.go
@@ -26,15 +26,15 @@
 
 // Machine is a machine of a shard and all attempts that may be on it.
 type Machine struct {
-	Shard  ID      `json:"s"`
-	Term   uint64  `json:"t"` // of the grant under which it is to be served
-	Name   string  `json:"n"`
-	Addr   string  `json:"a,omitempty"`
-	Type   string  `json:"y"`
-	Zone   string  `json:"z"`
-	Spot   bool    `json:"p,omitempty"`
-	Heard  bool    `json:"u,omitempty"` // its worker was heard
-	Starts []Start `json:"r,omitempty"`
+	Shard            ID      `json:"s"`
+	Term             uint64  `json:"t"` // of the grant under which it is to be served
+	Name             string  `json:"n"`
+	Addr             string  `json:"a,omitempty"`
+	Type             string  `json:"y"`
+	Zone             string  `json:"z"`
+	Spot             bool    `json:"p,omitempty"`
+	RegisteredBefore bool    `json:"u,omitempty"` // its worker was heard
+	Starts           []Start `json:"r,omitempty"`
 }
 
 // Instructions is a message from the leader to an owner. It makes things faster and grants
@@ -90,7 +90,7 @@
 	SilentMillis     int64  `json:"s"`
 	UnreachedMillis  int64  `json:"u"`
 	UnansweredMillis int64  `json:"r"`
-	FailedCalls      int    `json:"f"` // calls in a row without an answer
+	FailedProbes     int    `json:"f"` // calls in a row without an answer
 }
 
 // Observations is a message from an owner to the leader.
--- a/internal/coordination/shard/moves.go
+++ b/internal/coordination/shard/moves.go
@@ -63,9 +63,9 @@
 	return m
 }
 
-// Heard notes that the owner of a shard heard one of its workers. It gives the move that is
+// HeartbeatReceived notes that the owner of a shard heard one of its workers. It gives the move that is
 // over by that, nil without one.
-func (ms *Moves) Heard(id ID) *Move {
+func (ms *Moves) HeartbeatReceived(id ID) *Move {
 	m := ms.byShard[id]
 	if m == nil || m.Served.IsZero() {
 		return nil
--- a/internal/coordination/shard/outbox.go
+++ b/internal/coordination/shard/outbox.go
@@ -48,28 +48,28 @@
 // because the window has opened.
 func (o *Outbox) Ready() bool { return o.Channel.AckDue() || o.blocked && !o.Channel.WindowFull() }
 
-// Unacknowledged keeps terminations until the message that told of them is acknowledged. The
+// UnacknowledgedTerminations keeps terminations until the message that told of them is acknowledged. The
 // owner forgets the attempts, so that no snapshot tells of them: one whose only message was lost
 // counted for ever. The zero value keeps none.
-type Unacknowledged struct{ sent []sentTermination }
+type UnacknowledgedTerminations struct{ sent []sentTermination }
 
 type sentTermination struct {
-	message     uint64
+	sequence    uint64
 	termination Termination
 }
 
 // Sent keeps what a message told.
-func (u *Unacknowledged) Sent(message uint64, list []Termination) {
+func (u *UnacknowledgedTerminations) Sent(message uint64, list []Termination) {
 	for i := range list {
 		u.sent = append(u.sent, sentTermination{message, list[i]})
 	}
 }
 
 // Acknowledged forgets what was told by messages up to one that arrived.
-func (u *Unacknowledged) Acknowledged(message uint64) {
+func (u *UnacknowledgedTerminations) Acknowledged(message uint64) {
 	kept := u.sent[:0]
 	for _, s := range u.sent {
-		if s.message > message {
+		if s.sequence > message {
 			kept = append(kept, s)
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // Take gives what is kept, to be told anew, and keeps it no more.
-func (u *Unacknowledged) Take() []Termination {
+func (u *UnacknowledgedTerminations) Take() []Termination {
 	var list []Termination
 	for i := range u.sent {
 		list = append(list, u.sent[i].termination)
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -30,12 +30,12 @@
 	Unreachable int    `json:"lost,omitempty"` // of them, those that don't answer its calls
 }
 
-// minWorkersToJudge is how many workers must be known for most of them to say anything.
-const minWorkersToJudge = 3
+// minWorkersForPartition is how many workers must be known for most of them to say anything.
+const minWorkersForPartition = 3
 
 // Partitioned reports whether most of some workers are lost.
 func Partitioned(workers, unreachable int) bool {
-	return workers >= minWorkersToJudge && unreachable*2 > workers
+	return workers >= minWorkersForPartition && unreachable*2 > workers
 }
 
 // Ownership is the right to serve the workers of a shard.
@@ -100,8 +100,8 @@
 	return Ownership{Member: to, Term: c.Term}
 }
 
-// sealTerm records the terms that were drawn.
-func (c *Change) sealTerm(a LeaderState) *Change {
+// recordTerm records the terms that were drawn.
+func (c *Change) recordTerm(a LeaderState) *Change {
 	if c.Term != a.Term {
 		c.require(records.KeyTerm, a.TermVersion)
 		c.Txn.Ops = append(c.Txn.Ops, protocol.Op{Put: records.KeyTerm, Value: records.Encode(records.Term{Term: c.Term})})
@@ -141,7 +141,7 @@
 		// With a term in the same change: who is elected later knows of it.
 		c.Txn.Ops = append(c.Txn.Ops, protocol.Op{Put: records.KeySharded, Value: records.Encode(true)})
 	}
-	return c.sealTerm(a)
+	return c.recordTerm(a)
 }
 
 // ProposeMove asks the owner of a shard to release it to a member. It gives nil where the shard
@@ -156,7 +156,7 @@
 	grant := c.nextOwnership(to)
 	r.Next = &grant
 	c.put(id, k.version, r)
-	return c.sealTerm(a)
+	return c.recordTerm(a)
 }
 
 // CancelMove takes an intent back, as when the member that the shard was to move to has
