--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -19,14 +19,14 @@
 	Member
 	Zone     string
 	Draining bool
-	// Fit is whether it may be given more: it is heard, isn't late, and reaches most of
+	// Healthy is whether it may be given more: it is heard, isn't late, and reaches most of
 	// the workers that it has.
-	Fit bool
+	Healthy bool
 	// Reachability is what is known of whether it reaches its workers.
 	Reachability Reachability
-	// UnheardFor is how long nothing was heard of it, its lease notwithstanding.
-	UnheardFor time.Duration
-	Load       Load
+	// SinceLastMessage is how long nothing was heard of it, its lease notwithstanding.
+	SinceLastMessage time.Duration
+	Load             Load
 }
 
 // Shard is a shard as the planner sees it.
@@ -47,14 +47,14 @@
 	ReasonUnowned Reason = iota + 1
 	ReasonDraining
 	ReasonPartitioned
-	ReasonUnheard
+	ReasonUnresponsive
 	ReasonZone
 	ReasonBalance
 )
 
 func (r Reason) String() string {
 	return [...]string{ReasonUnowned: "nobody serves it", ReasonDraining: "its owner is drained", ReasonPartitioned: "its owner reaches too few workers",
-		ReasonUnheard: "its owner is not heard", ReasonZone: "its machines are in another zone", ReasonBalance: "balance"}[r]
+		ReasonUnresponsive: "its owner is not heard", ReasonZone: "its machines are in another zone", ReasonBalance: "balance"}[r]
 }
 
 // Decision gives a shard to a member.
@@ -69,11 +69,11 @@
 	rebalanceInterval      = 20 * time.Second // between moves for balance
 	moveCooldown           = 60 * time.Second // before a shard moves again for balance
 	reachFailureTTL        = 60 * time.Second // a member that lost a zone's workers is given no other's there
-	maxUnheardKeep         = 30 * time.Second // by an owner that isn't heard and serves, of its last shard
-	maxTakeoverShare       = 0.5              // of a processor, up to which shards of an unheard owner are taken
+	lastShardKeepTime      = 30 * time.Second // by an owner that isn't heard and serves, of its last shard
+	maxTakeoverCPUShare    = 0.5              // of a processor, up to which shards of an unheard owner are taken
 	reasonHoldTime         = 15 * time.Second // a reason must last that long to move a working shard
-	unheardLimit           = 6 * time.Second  // an owner isn't heard for so long that its shards move
-	minShareGap            = 0.25             // between the busiest and the idlest, to move for balance
+	unresponsiveAfter      = 6 * time.Second  // an owner isn't heard for so long that its shards move
+	minCPUShareGap         = 0.25             // between the busiest and the idlest, to move for balance
 	maxRemainingGap        = 0.75             // a move must leave this part of the gap at the most
 	minMachineRatio        = 2.0              // times as many machines, where no load is known
 	minMachinesToRebalance = 8                // machines, below which nothing moves for balance
@@ -82,10 +82,10 @@
 // Planner decides which shards move. It remembers what it decided, and how long reasons
 // have lasted.
 type Planner struct {
-	movedAt       map[ID]time.Time
-	rebalancedAt  time.Time            // of the last move for balance
-	pending       map[ID]pendingReason // why a shard should move
-	reachFailures reachFailures
+	movedAt        map[ID]time.Time
+	rebalancedAt   time.Time            // of the last move for balance
+	pendingReasons map[ID]pendingReason // why a shard should move
+	reachFailures  reachFailures
 }
 
 // pendingReason is a reason and since when it holds.
@@ -96,7 +96,7 @@
 
 // NewPlanner is a planner that knows of no moves yet.
 func NewPlanner() *Planner {
-	return &Planner{movedAt: map[ID]time.Time{}, pending: map[ID]pendingReason{}, reachFailures: reachFailures{}}
+	return &Planner{movedAt: map[ID]time.Time{}, pendingReasons: map[ID]pendingReason{}, reachFailures: reachFailures{}}
 }
 
 // Plan decides what is to change now. The same arguments after the same calls give the same
@@ -155,35 +155,35 @@
 	return Decision{Assignment{s.ID, to}, why}
 }
 
-// best is the controller that a shard is best given to among those that will do, nil without
+// bestController is the controller that a shard is best given to among those that will do, nil without
 // any.
-func (v *view) best(s *Shard, eligible func(c *Controller) bool) *Controller {
+func (v *view) bestController(s *Shard, eligible func(c *Controller) bool) *Controller {
 	var best *Controller
 	for i := range v.controllers {
 		c := &v.controllers[i]
 		if !eligible(c) {
 			continue
 		}
-		if best == nil || v.compare(s, c, best) < 0 {
+		if best == nil || v.compareControllers(s, c, best) < 0 {
 			best = c
 		}
 	}
 	return best
 }
 
-// compare tells which of two controllers is the better one for a shard.
-func (v *view) compare(s *Shard, a, b *Controller) int {
+// compareControllers tells which of two controllers is the better one for a shard.
+func (v *view) compareControllers(s *Shard, a, b *Controller) int {
 	return cmp.Or(
 		compareBool(a.Draining, b.Draining),
-		compareBool(!a.Fit, !b.Fit),
+		compareBool(!a.Healthy, !b.Healthy),
 		compareBool(s.Zone != "" && a.Zone != s.Zone, s.Zone != "" && b.Zone != s.Zone),
 		cmp.Compare(v.machines[a.Member], v.machines[b.Member]),
-		cmp.Compare(v.shardsOf(a.Member), v.shardsOf(b.Member)),
+		cmp.Compare(v.shardCount(a.Member), v.shardCount(b.Member)),
 		cmp.Compare(a.Load.CPUShare, b.Load.CPUShare),
 	)
 }
 
-func (v *view) shardsOf(m Member) int {
+func (v *view) shardCount(m Member) int {
 	count := 0
 	for i := range v.shards {
 		if !v.shards[i].Unowned && v.shards[i].Owner == m {
@@ -212,7 +212,7 @@
 			continue
 		}
 		// One that is alive will do, fit or not: better than nobody.
-		if c := v.best(s, func(*Controller) bool { return true }); c != nil {
+		if c := v.bestController(s, func(*Controller) bool { return true }); c != nil {
 			list = append(list, v.assign(s, c.Member, ReasonUnowned))
 			p.movedAt[s.ID] = now
 		}
@@ -226,9 +226,9 @@
 	for i := range v.shards {
 		s := &v.shards[i]
 		why := v.moveReason(s)
-		to := v.best(s, func(c *Controller) bool { return p.canTake(now, c, s, why) && v.hasCapacity(c, s, why) })
+		to := v.bestController(s, func(c *Controller) bool { return p.canTake(now, c, s, why) && v.hasCapacity(c, s, why) })
 		if why == 0 || to == nil || to.Draining || why == ReasonZone && to.Zone != s.Zone || v.keepsShard(s, why) {
-			delete(p.pending, s.ID)
+			delete(p.pendingReasons, s.ID)
 			continue
 		}
 		if !p.heldLongEnough(now, s, why) || s.Machines > 0 && v.moving >= maxConcurrentMoves {
@@ -236,7 +236,7 @@
 		}
 		list = append(list, v.assign(s, to.Member, why))
 		p.movedAt[s.ID] = now
-		delete(p.pending, s.ID)
+		delete(p.pendingReasons, s.ID)
 	}
 	return list
 }
@@ -251,8 +251,8 @@
 		return ReasonDraining
 	case c.Reachability == WorkersUnreachable:
 		return ReasonPartitioned
-	case c.UnheardFor > unheardLimit || c.Reachability == WorkersReachable: // who shows so says that it doesn't hear the leader either
-		return ReasonUnheard
+	case c.SinceLastMessage > unresponsiveAfter || c.Reachability == WorkersReachable: // who shows so says that it doesn't hear the leader either
+		return ReasonUnresponsive
 	case s.Zone != "" && c.Zone != s.Zone:
 		return ReasonZone
 	}
@@ -261,12 +261,12 @@
 
 // heldLongEnough reports whether a reason has held for long enough.
 func (p *Planner) heldLongEnough(now time.Time, s *Shard, why Reason) bool {
-	l, ok := p.pending[s.ID]
+	l, ok := p.pendingReasons[s.ID]
 	if !ok || l.reason != why {
 		l = pendingReason{why, now}
-		p.pending[s.ID] = l
+		p.pendingReasons[s.ID] = l
 	}
-	if why == ReasonDraining || why == ReasonUnheard || why == ReasonPartitioned || s.Machines == 0 {
+	if why == ReasonDraining || why == ReasonUnresponsive || why == ReasonPartitioned || s.Machines == 0 {
 		return true
 	}
 	return now.Sub(l.since) >= reasonHoldTime
@@ -277,26 +277,26 @@
 func (p *Planner) rebalance(now time.Time, v *view) []Decision {
 	busiest, idlest := v.busiestAndIdlest()
 	if busiest == nil || v.moving > 0 {
-		p.pending[0] = pendingReason{0, now}
+		p.pendingReasons[0] = pendingReason{0, now}
 		return nil
 	}
 	s := p.rebalanceCandidate(now, v, busiest, idlest)
 	if s == nil {
-		p.pending[0] = pendingReason{0, now}
+		p.pendingReasons[0] = pendingReason{0, now}
 		return nil
 	}
-	gap, lasting := p.pending[0]
+	gap, lasting := p.pendingReasons[0]
 	if !lasting {
 		// A new leader knows of the gap since now: loads right after a change of leaders
 		// say little.
 		gap = pendingReason{0, now}
-		p.pending[0] = gap
+		p.pendingReasons[0] = gap
 	}
 	if now.Sub(gap.since) < reasonHoldTime || now.Sub(p.rebalancedAt) < rebalanceInterval {
 		return nil
 	}
 	p.rebalancedAt, p.movedAt[s.ID] = now, now
-	p.pending[0] = pendingReason{0, now}
+	p.pendingReasons[0] = pendingReason{0, now}
 	return []Decision{v.assign(s, idlest.Member, ReasonBalance)}
 }
 
@@ -304,13 +304,13 @@
 func (v *view) busiestAndIdlest() (busiest, idlest *Controller) {
 	for i := range v.controllers {
 		c := &v.controllers[i]
-		if c.Draining || c.UnheardFor > unheardLimit {
+		if c.Draining || c.SinceLastMessage > unresponsiveAfter {
 			continue
 		}
-		if busiest == nil || v.work(c) > v.work(busiest) {
+		if busiest == nil || v.load(c) > v.load(busiest) {
 			busiest = c
 		}
-		if c.Fit && (idlest == nil || v.work(c) < v.work(idlest)) {
+		if c.Healthy && (idlest == nil || v.load(c) < v.load(idlest)) {
 			idlest = c
 		}
 	}
@@ -320,9 +320,9 @@
 	return busiest, idlest
 }
 
-// work is what a controller has to do: its share of processor in use, or where that isn't
+// load is what a controller has to do: its share of processor in use, or where that isn't
 // known, its machines.
-func (v *view) work(c *Controller) float64 {
+func (v *view) load(c *Controller) float64 {
 	if v.loadsKnown() {
 		return c.Load.CPUShare
 	}
@@ -340,10 +340,10 @@
 	if has < minMachinesToRebalance {
 		return nil
 	}
-	gap := v.work(busiest) - v.work(idlest)
+	gap := v.load(busiest) - v.load(idlest)
 	perMachine := 1.0
 	if v.loadsKnown() {
-		if gap < minShareGap {
+		if gap < minCPUShareGap {
 			return nil
 		}
 		perMachine = busiest.Load.CPUShare / has
--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -43,7 +43,7 @@
 	if c.Member == s.Owner || p.reachFailures.recent(now, c.Member, s.Zone) {
 		return false
 	}
-	return c.Fit || why == ReasonPartitioned && c.Reachability == WorkersReachable
+	return c.Healthy || why == ReasonPartitioned && c.Reachability == WorkersReachable
 }
 
 // HasAlternative reports whether another controller than a zone's present owner may reach the
@@ -58,23 +58,23 @@
 	return false
 }
 
-// servesUnheard reports whether a shard would leave its owner only because the leader doesn't
+// servesUnresponsive reports whether a shard would leave its owner only because the leader doesn't
 // hear it, while the state service shows that it reaches its workers.
-func (v *view) servesUnheard(s *Shard, why Reason) bool {
-	return why == ReasonUnheard && s.Machines > 0 && v.controller(s.Owner).Reachability == WorkersReachable
+func (v *view) servesUnresponsive(s *Shard, why Reason) bool {
+	return why == ReasonUnresponsive && s.Machines > 0 && v.controller(s.Owner).Reachability == WorkersReachable
 }
 
 // hasCapacity reports whether a controller has the processor for a shard of an owner that serves
 // unheard: silence between controllers is no reason to put a whole fleet on one of them.
 func (v *view) hasCapacity(c *Controller, s *Shard, why Reason) bool {
-	return !v.servesUnheard(s, why) || v.projectedShare(c, s) <= maxTakeoverShare
+	return !v.servesUnresponsive(s, why) || v.projectedCPUShare(c, s) <= maxTakeoverCPUShare
 }
 
 // keepsShard reports whether an owner that serves unheard keeps a shard. It isn't emptied,
-// but for its last shard only for maxUnheardKeep: results that its workers report are recorded
+// but for its last shard only for lastShardKeepTime: results that its workers report are recorded
 // by nobody meanwhile.
 func (v *view) keepsShard(s *Shard, why Reason) bool {
-	return v.servesUnheard(s, why) && v.countStaying(s.Owner) <= 1 && v.controller(s.Owner).UnheardFor <= maxUnheardKeep
+	return v.servesUnresponsive(s, why) && v.countStaying(s.Owner) <= 1 && v.controller(s.Owner).SinceLastMessage <= lastShardKeepTime
 }
 
 // countStaying counts a member's shards with machines that aren't about to leave it.
@@ -88,9 +88,9 @@
 	return count
 }
 
-// projectedShare is about which share of its processor a controller would use with a shard more.
+// projectedCPUShare is about which share of its processor a controller would use with a shard more.
 // Where no load is known it is the part of the fleet that it would serve.
-func (v *view) projectedShare(c *Controller, s *Shard) float64 {
+func (v *view) projectedCPUShare(c *Controller, s *Shard) float64 {
 	machines := float64(v.machines[c.Member] + s.Machines)
 	if c.Load.Machines > 0 && c.Load.CPUShare > 0 {
 		return c.Load.CPUShare * machines / float64(c.Load.Machines)
@@ -123,29 +123,29 @@
 // reachabilityValidity is for how long the leader takes what it wrote.
 const reachabilityValidity = 2 * ReachabilityInterval
 
-// ShownReachability follows what a member's record shows. The zero value has seen none.
-type ShownReachability struct {
-	report  ReachabilityReport
-	read    bool      // a record was looked at before
-	shownAt time.Time // when the report was first seen; zero where it may be old
+// ReachabilityTracker follows what a member's record shows. The zero value has seen none.
+type ReachabilityTracker struct {
+	report      ReachabilityReport
+	initialized bool      // a record was looked at before
+	reportedAt  time.Time // when the report was first seen; zero where it may be old
 }
 
 // Update takes a member's record.
-func (s *ShownReachability) Update(now time.Time, m MemberRecord) {
+func (s *ReachabilityTracker) Update(now time.Time, m MemberRecord) {
 	if m.Reachability != nil && m.Reachability.Sequence != s.report.Sequence {
 		// What stood there at first may be old.
-		if s.read {
-			s.shownAt = now
+		if s.initialized {
+			s.reportedAt = now
 		}
 		s.report = *m.Reachability
 	}
-	s.read = true
+	s.initialized = true
 }
 
 // At is what is known at a time.
-func (s *ShownReachability) At(now time.Time) Reachability {
+func (s *ReachabilityTracker) At(now time.Time) Reachability {
 	switch {
-	case s.shownAt.IsZero() || now.Sub(s.shownAt) > reachabilityValidity:
+	case s.reportedAt.IsZero() || now.Sub(s.reportedAt) > reachabilityValidity:
 		return ReachabilityUnknown
 	case Partitioned(s.report.Workers, s.report.Unreachable):
 		return WorkersUnreachable
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -14,7 +14,7 @@
 func member(controller string) Member { return Member{Name: controller, Incarnation: 1} }
 
 // tableGeneration has three members, and shards that are owned by the controllers named.
-func tableOf(t *testing.T, owners ...string) *Table {
+func newTestTable(t *testing.T, owners ...string) *Table {
 	t.Helper()
 	table := NewTable()
 	put := func(key string, value any, version uint64) {
@@ -33,8 +33,8 @@
 
 var leader = LeaderState{LeaderVersion: 5, Term: 9, TermVersion: 6, ShardingRecorded: true}
 
-// versions are the conditions of a change.
-func versions(c *Change) map[string]uint64 {
+// conditionVersions are the conditions of a change.
+func conditionVersions(c *Change) map[string]uint64 {
 	when := map[string]uint64{}
 	for _, k := range c.Txn.Conditions {
 		when[k.Key] = k.Version
@@ -44,13 +44,13 @@
 
 // Shards are given only where the owner before has ended, and the change says so.
 func TestAssignAfterTheOwnerEnded(t *testing.T) {
-	table := tableOf(t, "a", "a")
+	table := newTestTable(t, "a", "a")
 	if c := table.Assign([]Assignment{{1, member("b")}}, leader); len(c.Records) != 0 {
 		t.Errorf("the shard of a member that is alive was given: %+v", c.Records)
 	}
 	table.Remove(records.KeyMember("a"), 30)
 	c := table.Assign([]Assignment{{1, member("b")}, {2, member("c")}}, leader)
-	when := versions(c)
+	when := conditionVersions(c)
 	if version, there := when[records.KeyMember("a")]; !there || version != 0 {
 		t.Errorf("its lease may be there: %v", when)
 	}
@@ -64,7 +64,7 @@
 
 // A move is asked for by the leader and carried out by the owner, each on the record's version.
 func TestMove(t *testing.T) {
-	table := tableOf(t, "a")
+	table := newTestTable(t, "a")
 	if table.HandOver(1, member("a"), true) != nil {
 		t.Error("released without an intent")
 	}
@@ -77,7 +77,7 @@
 		t.Error("released by somebody else")
 	}
 	release := table.HandOver(1, member("a"), true)
-	if when := versions(release); when[records.KeyOwner(1)] != 40 || len(when) != 1 {
+	if when := conditionVersions(release); when[records.KeyOwner(1)] != 40 || len(when) != 1 {
 		t.Errorf("conditions %v", when)
 	}
 	table.Applied(release, 41)
@@ -95,7 +95,7 @@
 
 // A record that can't be read belongs to nobody that is known, and isn't guessed at.
 func TestUnreadableRecord(t *testing.T) {
-	table := tableOf(t, "a")
+	table := newTestTable(t, "a")
 	if table.Put(records.KeyOwner(1), json.RawMessage(`{"owner":7}`), 50) == nil {
 		t.Error("it was read")
 	}
@@ -107,11 +107,11 @@
 	}
 }
 
-// fleet is three fit controllers, and shards of a hundred machines in turn.
-func fleet(shares ...float64) ([]Controller, []Shard) {
+// fleetWithLoads is three fit controllers, and shards of a hundred machines in turn.
+func fleetWithLoads(shares ...float64) ([]Controller, []Shard) {
 	var controllers []Controller
 	for i, controller := range []string{"a", "b", "c"} {
-		controllers = append(controllers, Controller{Member: member(controller), Zone: "z", Fit: true, Load: Load{CPUShare: shares[i]}})
+		controllers = append(controllers, Controller{Member: member(controller), Zone: "z", Healthy: true, Load: Load{CPUShare: shares[i]}})
 	}
 	var shards []Shard
 	for i := range 6 {
@@ -128,7 +128,7 @@
 		if i%10 == 0 {
 			share[i%3] = 0.95
 		}
-		controllers, shards := fleet(share...)
+		controllers, shards := fleetWithLoads(share...)
 		if d := p.Plan(start.Add(time.Duration(i)*time.Second), controllers, shards); len(d) > 0 {
 			t.Fatalf("after %d s: %+v", i, d)
 		}
@@ -136,9 +136,9 @@
 }
 
 // A lasting difference moves one shard, and another one not before the pause is over.
-func TestLevel(t *testing.T) {
+func TestRebalance(t *testing.T) {
 	p := NewPlanner()
-	controllers, shards := fleet(0.95, 0.3, 0.3)
+	controllers, shards := fleetWithLoads(0.95, 0.3, 0.3)
 	var at []int
 	for i := range 60 {
 		for _, d := range p.Plan(start.Add(time.Duration(i)*time.Second), controllers, shards) {
@@ -157,9 +157,9 @@
 // gets none either.
 func TestDrain(t *testing.T) {
 	p := NewPlanner()
-	controllers, shards := fleet(0.4, 0.4, 0.4)
+	controllers, shards := fleetWithLoads(0.4, 0.4, 0.4)
 	controllers[0].Draining = true
-	controllers[1].Fit = false
+	controllers[1].Healthy = false
 	d := p.Plan(start, controllers, shards)
 	if len(d) != maxConcurrentMoves {
 		t.Fatalf("%+v", d)
@@ -173,17 +173,17 @@
 
 // A shard whose machines nobody reaches is tried by each controller once, at once, and goes to
 // none that failed with it in the last minute.
-func TestBlindOwners(t *testing.T) {
+func TestUnreachableShardIsTriedOncePerController(t *testing.T) {
 	p := NewPlanner()
-	controllers, shards := fleet(0.4, 0.4, 0.4)
+	controllers, shards := fleetWithLoads(0.4, 0.4, 0.4)
 	had := map[Member]time.Time{}
 	moves := 0
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * time.Second)
 		for k := range controllers { // whoever has it reaches few of its workers
-			controllers[k].Fit, controllers[k].Reachability = true, ReachabilityUnknown
+			controllers[k].Healthy, controllers[k].Reachability = true, ReachabilityUnknown
 			if controllers[k].Member == shards[0].Owner {
-				controllers[k].Fit, controllers[k].Reachability = false, WorkersUnreachable
+				controllers[k].Healthy, controllers[k].Reachability = false, WorkersUnreachable
 			}
 		}
 		had[shards[0].Owner] = now
@@ -205,25 +205,25 @@
 
 // An owner that the leader doesn't hear, while the state service shows that it reaches its
 // workers, keeps a shard, and its shards go to nobody who is busy without them.
-func TestUnheardOwnerThatServes(t *testing.T) {
+func TestUnresponsiveOwnerThatServes(t *testing.T) {
 	for _, c := range []struct {
 		share   float64 // of the one that would take them
 		vouched bool
 		silent  time.Duration
 		want    int
-	}{{0.1, true, unheardLimit, 1}, {0.9, true, unheardLimit, 0}, {0.1, false, unheardLimit, 2}, {0.1, true, maxUnheardKeep, 2}, {0.9, true, maxUnheardKeep, 0}} {
+	}{{0.1, true, unresponsiveAfter, 1}, {0.9, true, unresponsiveAfter, 0}, {0.1, false, unresponsiveAfter, 2}, {0.1, true, lastShardKeepTime, 2}, {0.9, true, lastShardKeepTime, 0}} {
 		p := NewPlanner()
-		controllers, shards := fleet(c.share, 0.4, 0.9)
+		controllers, shards := fleetWithLoads(c.share, 0.4, 0.9)
 		for k := range controllers {
 			controllers[k].Load.Machines = 200
 		}
-		controllers[1].UnheardFor, controllers[1].Fit = c.silent+time.Second, false
+		controllers[1].SinceLastMessage, controllers[1].Healthy = c.silent+time.Second, false
 		if c.vouched {
 			controllers[1].Reachability = WorkersReachable
 		}
 		moved := 0
 		for _, d := range p.Plan(start, controllers, shards) {
-			if d.Reason == ReasonUnheard {
+			if d.Reason == ReasonUnresponsive {
 				moved++
 			}
 		}
@@ -237,8 +237,8 @@
 
 func messageBytes(v any) int { return len(records.Encode(v)) }
 
-// much is more than one message takes.
-func much() (*Instructions, *Observations) {
+// oversizedMessages is more than one message takes.
+func oversizedMessages() (*Instructions, *Observations) {
 	in, seen := &Instructions{}, &Observations{Status: &Status{}}
 	for i := range entries {
 		k := Task{Machine: fmt.Sprintf("vm-%06d", i), Job: "run-000001", TaskIndex: i, Attempt: 1}
@@ -254,7 +254,7 @@
 
 // Messages that are cut from instructions hold all of them, in order, each within its room.
 func TestTakeFittingInstructions(t *testing.T) {
-	in, _ := much()
+	in, _ := oversizedMessages()
 	machines, starts, terminated := 0, 0, 0
 	for !in.Empty() {
 		message, _ := in.TakeFitting(messageRoom)
@@ -274,7 +274,7 @@
 
 // Messages that are cut from observations hold all of them, the status in parts at the end.
 func TestTakeFittingObservations(t *testing.T) {
-	_, seen := much()
+	_, seen := oversizedMessages()
 	states, terminations, unhealthy, parts := 0, 0, 0, 0
 	for !seen.Empty() {
 		message := seen.TakeFitting(messageRoom)
@@ -296,7 +296,7 @@
 
 // A channel notices a lost message and asks for a snapshot; a copy changes nothing.
 func TestChannel(t *testing.T) {
-	e := Epoch{Term: 3, Member: member("a")}
+	e := ChannelEpoch{Term: 3, Member: member("a")}
 	from, to := NewChannel(e), NewChannel(e)
 	first, lost, third := from.NextHeader(start, true), from.NextHeader(start, true), from.NextHeader(start, true)
 	if !to.Receive(first) || to.Receive(first) {
@@ -311,7 +311,7 @@
 	if !from.SnapshotDue() || !to.Receive(from.NextHeader(start.Add(time.Second), true)) {
 		t.Error("no full account after a lost line")
 	}
-	if to.Receive(Header{Epoch: Epoch{Term: 4, Member: member("a")}, Sequence: 1, Snapshot: true}) {
+	if to.Receive(Header{Epoch: ChannelEpoch{Term: 4, Member: member("a")}, Sequence: 1, Snapshot: true}) {
 		t.Error("a line of another epoch was taken")
 	}
 	for !from.WindowFull() {
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -20,13 +20,13 @@
 // StartSize is about how long an attempt is in a machine's list.
 func StartSize(machine, job string) int { return len(machine) + len(job) + startBytes }
 
-func (t *Task) bytes() int           { return len(t.Machine) + len(t.Job) }
-func (t *Task) size() int            { return t.bytes() + taskBytes }
-func (r *Start) size() int           { return r.bytes() + startBytes }
-func (s *Stop) size() int            { return s.bytes() + startBytes }
-func (s *TaskState) size() int       { return s.bytes() + stateBytes }
-func (e *Exit) size() int            { return e.bytes() + exitBytes }
-func (g *Termination) size() int     { return g.bytes() + len(g.Reason) + terminationBytes }
+func (t *Task) stringBytes() int     { return len(t.Machine) + len(t.Job) }
+func (t *Task) size() int            { return t.stringBytes() + taskBytes }
+func (r *Start) size() int           { return r.stringBytes() + startBytes }
+func (s *Stop) size() int            { return s.stringBytes() + startBytes }
+func (s *TaskState) size() int       { return s.stringBytes() + stateBytes }
+func (e *Exit) size() int            { return e.stringBytes() + exitBytes }
+func (g *Termination) size() int     { return g.stringBytes() + len(g.Reason) + terminationBytes }
 func (l *UnhealthyWorker) size() int { return len(l.Machine) + unhealthyBytes }
 func nameSize(n *string) int         { return len(*n) + nameBytes }
 
@@ -43,26 +43,26 @@
 	return size
 }
 
-// cutter fills one message from lists that are cut in order. The first entry of an empty
+// messageFiller fills one message from lists that are cut in order. The first entry of an empty
 // message is taken whatever its size.
-type cutter struct {
-	room, whole int
-	cut         bool // a list had to be cut: what comes after it waits
+type messageFiller struct {
+	remaining, capacity int
+	full                bool // a list had to be cut: what comes after it waits
 }
 
-// take takes entries from the front of a list as long as there is room, and leaves the rest.
-func take[T any](c *cutter, list *[]T, size func(*T) int) (part []T) {
-	if c.cut {
+// takeFront takes entries from the front of a list as long as there is room, and leaves the rest.
+func takeFront[T any](c *messageFiller, list *[]T, size func(*T) int) (part []T) {
+	if c.full {
 		return nil
 	}
 	all := *list
 	for i := range all {
 		k := size(&all[i])
-		if k > c.room && (c.room != c.whole || i != 0) {
-			*list, c.cut = all[i:], true
+		if k > c.remaining && (c.remaining != c.capacity || i != 0) {
+			*list, c.full = all[i:], true
 			return all[:i:i]
 		}
-		c.room -= k
+		c.remaining -= k
 	}
 	*list = nil
 	return all
@@ -76,17 +76,17 @@
 // TakeFitting takes from what there is to tell what fits one message of so many bytes, and
 // returns it with the room that is left.
 func (in *Instructions) TakeFitting(room int) (message Instructions, left int) {
-	c := &cutter{room: room, whole: room}
-	message.Machines = take(c, &in.Machines, (*Machine).Size)
-	message.Starts = take(c, &in.Starts, (*Start).size)
-	message.Stops = take(c, &in.Stops, (*Stop).size)
-	if c.cut {
-		return message, c.room
+	c := &messageFiller{remaining: room, capacity: room}
+	message.Machines = takeFront(c, &in.Machines, (*Machine).Size)
+	message.Starts = takeFront(c, &in.Starts, (*Start).size)
+	message.Stops = takeFront(c, &in.Stops, (*Stop).size)
+	if c.full {
+		return message, c.remaining
 	}
-	message.Forgets = take(c, &in.Forgets, (*Task).size)
-	c.cut = false // the names have no order to keep with what an owner may forget
-	message.TerminatedMachines = take(c, &in.TerminatedMachines, nameSize)
-	return message, c.room
+	message.Forgets = takeFront(c, &in.Forgets, (*Task).size)
+	c.full = false // the names have no order to keep with what an owner may forget
+	message.TerminatedMachines = takeFront(c, &in.TerminatedMachines, nameSize)
+	return message, c.remaining
 }
 
 // Empty reports whether there is nothing to tell.
@@ -97,13 +97,13 @@
 // TakeFitting takes from what there is to tell what fits one message of so many bytes. The
 // status comes after all else, its unhealthy workers in several messages if they are many.
 func (o *Observations) TakeFitting(room int) (message Observations) {
-	c := &cutter{room: room, whole: room}
-	message.Workers = take(c, &o.Workers, (*Worker).size)
-	message.TaskStates = take(c, &o.TaskStates, (*TaskState).size)
-	message.Exits = take(c, &o.Exits, (*Exit).size)
-	message.Terminations = take(c, &o.Terminations, (*Termination).size)
-	message.Orphans = take(c, &o.Orphans, (*Task).size)
-	if o.Status != nil && !c.cut {
+	c := &messageFiller{remaining: room, capacity: room}
+	message.Workers = takeFront(c, &o.Workers, (*Worker).size)
+	message.TaskStates = takeFront(c, &o.TaskStates, (*TaskState).size)
+	message.Exits = takeFront(c, &o.Exits, (*Exit).size)
+	message.Terminations = takeFront(c, &o.Terminations, (*Termination).size)
+	message.Orphans = takeFront(c, &o.Orphans, (*Task).size)
+	if o.Status != nil && !c.full {
 		message.Status = o.Status.takeFitting(c)
 		if !message.Status.More {
 			o.Status = nil
@@ -113,9 +113,9 @@
 }
 
 // takeFitting takes the next part of a status.
-func (s *Status) takeFitting(c *cutter) *Status {
+func (s *Status) takeFitting(c *messageFiller) *Status {
 	part := &Status{Load: s.Load, Part: s.Part}
-	part.Unhealthy = take(c, &s.Unhealthy, (*UnhealthyWorker).size)
+	part.Unhealthy = takeFront(c, &s.Unhealthy, (*UnhealthyWorker).size)
 	part.More = len(s.Unhealthy) > 0
 	s.Part++
 	return part
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -17,39 +17,39 @@
 
 // changeFeed is what an owner tells the leader, and takes from it.
 type changeFeed struct {
-	owner          *shardOwner
-	shard.Outbox   // to the leader; without a channel while none is known
-	leader         string
-	pending        shard.Observations // that is being filled
-	changedWorkers map[*machine]bool  // to be told in it
-	withTaskStates map[*machine]bool  // of them, those whose tasks' states are to be told, too
-	leaderHeard    time.Time          // when a leader last told something
+	owner           *shardOwner
+	shard.Outbox    // to the leader; without a channel while none is known
+	leader          string
+	pending         shard.Observations // that is being filled
+	changedWorkers  map[*machine]bool  // to be told in it
+	snapshotWorkers map[*machine]bool  // of them, those whose tasks' states are to be told, too
+	leaderHeardAt   time.Time          // when a leader last told something
 	// unacknowledged are the terminations that the leader may not know of yet.
-	unacknowledged shard.Unacknowledged
+	unacknowledged shard.UnacknowledgedTerminations
 }
 
 func newChangeFeed(o *shardOwner) *changeFeed {
-	return &changeFeed{owner: o, changedWorkers: map[*machine]bool{}, leaderHeard: o.controller.now}
+	return &changeFeed{owner: o, changedWorkers: map[*machine]bool{}, leaderHeardAt: o.controller.now}
 }
 
 func (f *changeFeed) workerChanged(m *machine) { f.changedWorkers[m] = true; f.schedule() }
 
-func (f *changeFeed) stateChanged(a *attempt) {
+func (f *changeFeed) taskStateChanged(a *attempt) {
 	f.pending.TaskStates = append(f.pending.TaskStates, shard.TaskState{Task: attemptTask(a), State: a.state})
 	f.schedule()
 }
 
-func (f *changeFeed) exited(k *reportedExit) {
+func (f *changeFeed) taskExited(k *reportedExit) {
 	f.pending.Exits = append(f.pending.Exits, k.exit)
 	f.schedule()
 }
 
-func (f *changeFeed) terminated(a *attempt, why string) {
+func (f *changeFeed) attemptTerminated(a *attempt, why string) {
 	f.pending.Terminations = append(f.pending.Terminations, shard.Termination{Task: attemptTask(a), Reason: why})
 	f.schedule()
 }
 
-func (f *changeFeed) orphanFound(t shard.Task) {
+func (f *changeFeed) orphanReported(t shard.Task) {
 	f.pending.Orphans = append(f.pending.Orphans, t)
 	f.schedule()
 }
@@ -59,7 +59,7 @@
 func (f *changeFeed) announceOwnership() { f.flush() }
 
 func attemptTask(a *attempt) shard.Task {
-	return shard.Task{Machine: a.machine.Name, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number}
+	return shard.Task{Machine: a.machine.Name, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number}
 }
 
 // schedule wants a message sent.
@@ -95,14 +95,14 @@
 // beginSnapshot wants all told that is known of the workers.
 func (f *changeFeed) beginSnapshot() {
 	gone := f.pending.Terminations
-	f.pending, f.changedWorkers, f.withTaskStates = shard.Observations{Status: f.pending.Status}, map[*machine]bool{}, map[*machine]bool{}
+	f.pending, f.changedWorkers, f.snapshotWorkers = shard.Observations{Status: f.pending.Status}, map[*machine]bool{}, map[*machine]bool{}
 	f.pending.Terminations = append(f.unacknowledged.Take(), gone...)
 	if f.pending.Status != nil && f.pending.Status.Part > 0 {
 		f.pending.Status = nil // half of it was told: the next one comes within a second
 	}
 	for _, m := range f.owner.fleetList {
-		f.changedWorkers[m], f.withTaskStates[m] = true, true
-		for _, k := range m.exits {
+		f.changedWorkers[m], f.snapshotWorkers[m] = true, true
+		for _, k := range m.reportedExits {
 			k.sentAt = time.Time{} // the next snapshot brings it
 		}
 		clear(m.orphans)
@@ -126,8 +126,8 @@
 		delete(f.changedWorkers, m)
 		f.pending.Workers = append(f.pending.Workers, f.workerEntry(m))
 		items++
-		if f.withTaskStates[m] {
-			delete(f.withTaskStates, m)
+		if f.snapshotWorkers[m] {
+			delete(f.snapshotWorkers, m)
 			items += f.appendTaskStates(m)
 		}
 		if len(f.changedWorkers) == 0 {
@@ -135,7 +135,7 @@
 		}
 	}
 	clear(f.changedWorkers) // of machines that are gone
-	clear(f.withTaskStates)
+	clear(f.snapshotWorkers)
 }
 
 func (f *changeFeed) appendTaskStates(m *machine) (count int) {
@@ -170,11 +170,11 @@
 
 // connect begins to talk to whoever leads.
 func (f *changeFeed) connect(leader string, term uint64) {
-	epoch := shard.Epoch{Term: term, Member: f.owner.sharding.member}
+	epoch := shard.ChannelEpoch{Term: term, Member: f.owner.sharding.member}
 	if f.Channel != nil && f.Channel.Epoch() == epoch || f.Channel != nil && f.Channel.Epoch().Term > term {
 		return
 	}
-	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.Unacknowledged{} // the leader lists what it knows
+	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.UnacknowledgedTerminations{} // the leader lists what it knows
 	f.schedule()
 }
 
@@ -183,7 +183,7 @@
 	if in.Epoch.Member != f.owner.sharding.member {
 		return // meant for an earlier life
 	}
-	f.leaderHeard = f.owner.controller.now
+	f.leaderHeardAt = f.owner.controller.now
 	f.connect(from, in.Epoch.Term)
 	taken := f.Channel.Receive(in.Header)
 	f.unacknowledged.Acknowledged(f.Channel.Acknowledged())
@@ -228,14 +228,14 @@
 	if m.addr == "" {
 		m.addr = k.Addr
 	}
-	m.registeredBefore = m.registeredBefore || k.Heard
+	m.registeredBefore = m.registeredBefore || k.RegisteredBefore
 	runs := map[taskKey]*shard.Start{}
 	for i := range k.Starts {
 		r := &k.Starts[i]
 		runs[taskKey{r.Job, r.TaskIndex}] = r
 	}
 	for _, a := range m.sortedAttempts() {
-		if r := runs[taskKey{a.job.ID, a.task}]; r == nil || r.Attempt != a.number {
+		if r := runs[taskKey{a.job.ID, a.taskIndex}]; r == nil || r.Attempt != a.number {
 			o.removeAttempt(a) // the leader knows that it is gone
 		}
 	}
@@ -284,7 +284,7 @@
 	if m == nil {
 		return
 	}
-	if k := m.exits[taskKey{t.Job, t.TaskIndex}]; k != nil && k.exit.Attempt == t.Attempt {
+	if k := m.reportedExits[taskKey{t.Job, t.TaskIndex}]; k != nil && k.exit.Attempt == t.Attempt {
 		k.forget, k.sentAt = true, o.controller.now
 	}
 }
@@ -304,8 +304,8 @@
 		return
 	}
 	f.Channel.CheckTimeouts(o.controller.now)
-	s := &shard.Status{Load: shard.Load{CPUShare: o.controller.processorLoad.share, Lag: o.controller.overload.TakePeak(), HeartbeatRate: float64(o.heartbeats), Machines: len(o.fleetList)}}
-	o.heartbeats = 0
+	s := &shard.Status{Load: shard.Load{CPUShare: o.controller.processorLoad.share, Lag: o.controller.overload.TakePeak(), HeartbeatRate: float64(o.heartbeatsSinceStatus), Machines: len(o.fleetList)}}
+	o.heartbeatsSinceStatus = 0
 	for _, m := range o.fleetList {
 		if late, ok := o.unhealthy(m); ok {
 			s.Unhealthy = append(s.Unhealthy, late)
@@ -321,18 +321,18 @@
 // unhealthy tells of a worker that isn't well.
 func (o *shardOwner) unhealthy(m *machine) (shard.UnhealthyWorker, bool) {
 	silent, unreached, unreported := o.silentFor(m), o.unreachedFor(m), o.unansweredFor(m)
-	if !o.expected(m) || silent <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unreported <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
+	if !o.expectsHeartbeats(m) || silent <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unreported <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
 		return shard.UnhealthyWorker{}, false
 	}
 	return shard.UnhealthyWorker{Machine: m.Name, SilentMillis: silent.Milliseconds(), UnreachedMillis: unreached.Milliseconds(),
-		UnansweredMillis: unreported.Milliseconds(), FailedCalls: m.session.FailedProbes}, true
+		UnansweredMillis: unreported.Milliseconds(), FailedProbes: m.session.FailedProbes}, true
 }
 
 // sweepExits drops exits that were forgotten long ago.
 func (o *shardOwner) sweepExits(m *machine) {
-	for key, k := range m.exits {
+	for key, k := range m.reportedExits {
 		if k.forget && o.controller.now.Sub(k.sentAt) > exitRetention {
-			delete(m.exits, key)
+			delete(m.reportedExits, key)
 		}
 	}
 }
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -12,16 +12,16 @@
 // shardCoordinator is the leader's part in shards: it decides who owns them, tells owners what
 // is to run, and takes what they saw.
 type shardCoordinator struct {
-	leader            *leader
-	sharding          *sharding
-	count             int  // of shards that there are to be
-	retiring          bool // they are to be given up: the leader is to serve all machines again
-	planner           *shard.Planner
-	channels          map[string]*ownerChannel // by controller
-	heardSinceByShard map[shard.ID]time.Time   // since when the owner of a shard is heard without a break
-	moves             *shard.Moves
-	writing           bool // a change of owners is under way
-	unreadable        *shard.UnreadableRecords
+	leader                 *leader
+	sharding               *sharding
+	shardCount             int  // of shards that there are to be
+	retiring               bool // they are to be given up: the leader is to serve all machines again
+	planner                *shard.Planner
+	channels               map[string]*ownerChannel // by controller
+	ownerHeardSinceByShard map[shard.ID]time.Time   // since when the owner of a shard is heard without a break
+	moves                  *shard.Moves
+	changeInFlight         bool // a change of owners is under way
+	unreadable             *shard.UnreadableRecords
 }
 
 // ownerTimeout is after how long without a message an owner's word on its workers counts for
@@ -33,8 +33,8 @@
 	if sh := l.controller.operator.Sharding; sh != nil {
 		count = sh.ShardsPerController * (1 + len(l.controller.cfg.Peers))
 	}
-	return &shardCoordinator{leader: l, sharding: s, count: count, retiring: retiring, planner: shard.NewPlanner(), moves: shard.NewMoves(ownerTimeout),
-		channels: map[string]*ownerChannel{}, heardSinceByShard: map[shard.ID]time.Time{}, unreadable: shard.NewUnreadableRecords()}
+	return &shardCoordinator{leader: l, sharding: s, shardCount: count, retiring: retiring, planner: shard.NewPlanner(), moves: shard.NewMoves(ownerTimeout),
+		channels: map[string]*ownerChannel{}, ownerHeardSinceByShard: map[shard.ID]time.Time{}, unreadable: shard.NewUnreadableRecords()}
 }
 
 // ownershipChanged acts on new owners and members.
@@ -43,12 +43,12 @@
 	for _, m := range sl.sharding.table.Members() {
 		owner := sl.channels[m.Name]
 		if owner == nil || owner.member != m.Member {
-			owner = &ownerChannel{member: m.Member, Outbox: shard.Outbox{Channel: shard.NewChannel(shard.Epoch{Term: sl.leader.term, Member: m.Member})},
-				pendingMachines: map[*machine]bool{}, announcedTerms: map[shard.ID]uint64{}, heard: c.now}
+			owner = &ownerChannel{member: m.Member, Outbox: shard.Outbox{Channel: shard.NewChannel(shard.ChannelEpoch{Term: sl.leader.term, Member: m.Member})},
+				pendingMachines: map[*machine]bool{}, announcedTerms: map[shard.ID]uint64{}, heardAt: c.now}
 			sl.channels[m.Name] = owner
 			sl.schedule(owner)
 		}
-		owner.shown.Update(c.now, m)
+		owner.reachabilityTracker.Update(c.now, m)
 	}
 	for controller := range sl.channels {
 		if m, _ := sl.sharding.table.Member(controller); m.Name == "" {
@@ -57,7 +57,7 @@
 	}
 	for _, id := range sl.sharding.table.IDs() {
 		if sl.channelToOwner(id) == nil {
-			delete(sl.heardSinceByShard, id)
+			delete(sl.ownerHeardSinceByShard, id)
 		}
 	}
 	sl.moves.Update(c.now, sl.sharding.table)
@@ -76,27 +76,27 @@
 	return nil
 }
 
-// heardSince is since when the owner of a machine's shard has been heard without a break;
+// ownerHeardSince is since when the owner of a machine's shard has been heard without a break;
 // without one, silence of the machine says nothing.
-func (sl *shardCoordinator) heardSince(m *machine) (time.Time, bool) {
-	since, ok := sl.heardSinceByShard[m.shard]
+func (sl *shardCoordinator) ownerHeardSince(m *machine) (time.Time, bool) {
+	since, ok := sl.ownerHeardSinceByShard[m.shard]
 	if ok && sl.hasAlternativeOwner(m) {
 		return time.Time{}, false
 	}
 	owner := sl.channelToOwner(m.shard)
 	// An owner that has yet to say that it serves the shard has asked nobody: what is known of
 	// its machines is the word of the one before, which may have lost them.
-	if !ok || owner == nil || owner.announcedTerms[m.shard] == 0 || sl.leader.controller.now.Sub(owner.heard) > ownerTimeout {
-		delete(sl.heardSinceByShard, m.shard)
+	if !ok || owner == nil || owner.announcedTerms[m.shard] == 0 || sl.leader.controller.now.Sub(owner.heardAt) > ownerTimeout {
+		delete(sl.ownerHeardSinceByShard, m.shard)
 		return time.Time{}, false
 	}
 	return since, true
 }
 
-// redirect tells a worker who serves it.
-func (sl *shardCoordinator) redirect(id uint64, r *protocol.Heartbeat, body []byte) {
+// redirectHeartbeat tells a worker who serves it.
+func (sl *shardCoordinator) redirectHeartbeat(id uint64, r *protocol.Heartbeat, body []byte) {
 	c := sl.leader.controller
-	m := sl.leader.machineOf(id, r)
+	m := sl.leader.machineForHeartbeat(id, r)
 	if m == nil {
 		return
 	}
@@ -116,7 +116,7 @@
 // ownerOverloaded reports whether an owner told lately that its timers fire too late.
 func (sl *shardCoordinator) ownerOverloaded() bool {
 	for _, owner := range sl.channels {
-		if owner.status.Load.Lag > overload.Overloaded && sl.leader.controller.now.Sub(owner.heard) <= overloadMemory {
+		if owner.status.Load.Lag > overload.OverloadThreshold && sl.leader.controller.now.Sub(owner.heardAt) <= recentOverloadWindow {
 			return true
 		}
 	}
@@ -125,11 +125,11 @@
 
 // step is the regular turn: it watches the channels and plans.
 func (sl *shardCoordinator) step() {
-	if !sl.sharding.loaded || sl.leader.phase == phaseLoading {
+	if !sl.sharding.tableLoaded || sl.leader.phase == phaseLoading {
 		return
 	}
 	sl.leader.checkReconciled()
-	for _, controller := range sl.members() {
+	for _, controller := range sl.memberNames() {
 		owner := sl.channels[controller]
 		owner.Channel.CheckTimeouts(sl.leader.controller.now)
 		if owner.Channel.SnapshotDue() || owner.Channel.AckDue() {
@@ -139,7 +139,7 @@
 	sl.plan()
 }
 
-func (sl *shardCoordinator) members() []string {
+func (sl *shardCoordinator) memberNames() []string {
 	var nodes []string
 	for controller := range sl.channels {
 		nodes = append(nodes, controller)
@@ -150,10 +150,10 @@
 
 // reachabilityAt is what is known of whether an owner that isn't heard reaches its workers.
 func (owner *ownerChannel) reachabilityAt(now time.Time) shard.Reachability {
-	if now.Sub(owner.heard) <= ownerTimeout {
+	if now.Sub(owner.heardAt) <= ownerTimeout {
 		return shard.ReachabilityUnknown
 	}
-	return owner.shown.At(now)
+	return owner.reachabilityTracker.At(now)
 }
 
 // hasAlternativeOwner reports whether a machine's owner doesn't reach its workers while another
@@ -170,7 +170,7 @@
 		return
 	}
 	owner.alternatives = map[string]bool{}
-	controllers := sl.controllers()
+	controllers := sl.plannerControllers()
 	for _, m := range sl.leader.fleetList {
 		if _, known := owner.alternatives[m.Zone]; !known {
 			owner.alternatives[m.Zone] = sl.planner.HasAlternative(sl.leader.controller.now, controllers, owner.member, m.Zone)
@@ -178,20 +178,20 @@
 	}
 }
 
-// ownerUnheard reports whether a machine's owner isn't heard, so that there is no point in
+// ownerTimedOut reports whether a machine's owner isn't heard, so that there is no point in
 // waiting for its tasks: with controllers that refuse each other's connections a new leader
 // waited its longest for two thirds of the fleet.
-func (l *leader) ownerUnheard(m *machine) bool {
+func (l *leader) ownerTimedOut(m *machine) bool {
 	if l.shards == nil {
 		return false
 	}
 	owner := l.shards.channelToOwner(m.shard)
-	return owner == nil || l.controller.now.Sub(owner.heard) > ownerTimeout
+	return owner == nil || l.controller.now.Sub(owner.heardAt) > ownerTimeout
 }
 
 // resignIfDisconnected lets another controller lead if this one hears no owner but itself, reaches no workers
 // either, and the state service shows that others do. It reports whether it did.
-func (sl *shardCoordinator) resignIfIsolated() bool {
+func (sl *shardCoordinator) resignIfDisconnected() bool {
 	l, c := sl.leader, sl.leader.controller
 	if c.now.Sub(l.reconciledAt) <= ownerTimeout {
 		return false
@@ -205,7 +205,7 @@
 			continue
 		}
 		reachability := owner.reachabilityAt(c.now)
-		if reachability == shard.ReachabilityUnknown && c.now.Sub(owner.heard) <= ownerUnheardLimit {
+		if reachability == shard.ReachabilityUnknown && c.now.Sub(owner.heardAt) <= ownerUnresponsiveAfter {
 			return false
 		}
 		if reachability == shard.WorkersReachable {
@@ -215,6 +215,6 @@
 	return able > 0 && c.resignDisconnected("neither workers nor their owners are heard")
 }
 
-// ownerUnheardLimit is after how long without a message an owner counts as one that the leader can't
+// ownerUnresponsiveAfter is after how long without a message an owner counts as one that the leader can't
 // talk to.
-const ownerUnheardLimit = 6 * time.Second
+const ownerUnresponsiveAfter = 6 * time.Second
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -13,17 +13,17 @@
 	"brasskeel/internal/records"
 )
 
-// shardedLead is a leader of one machine that runs a task, in a shard which n2 owns under term
+// newShardedLeader is a leader of one machine that runs a task, in a shard which n2 owns under term
 // 7 and which n1 owned under term 5.
-func shardedLead(t *testing.T) (*leader, *attempt) {
+func newShardedLeader(t *testing.T) (*leader, *attempt) {
 	t.Helper()
-	c, l := leading(phaseActive)
+	c, l := newTestLeader(phaseActive)
 	c.operator.Sharding = &config.Sharding{ShardsPerController: 1}
-	c.sharding = &sharding{controller: c, table: shard.NewTable(), loaded: true}
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), tableLoaded: true}
 	for _, controller := range []string{"n1", "n2"} {
-		put(t, c.sharding.table, records.KeyMember(controller), shard.MemberRecord{Member: shard.Member{Name: controller, Incarnation: 1}}, 3)
+		putShardRecord(t, c.sharding.table, records.KeyMember(controller), shard.MemberRecord{Member: shard.Member{Name: controller, Incarnation: 1}}, 3)
 	}
-	put(t, c.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n1", Incarnation: 1}, Term: 5}}, 4)
+	putShardRecord(t, c.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n1", Incarnation: 1}, Term: 5}}, 4)
 	l.shards = newShardCoordinator(l, c.sharding, false)
 	l.shards.ownershipChanged()
 	m := l.newMachine("vm-1", "small", "a", false)
@@ -35,35 +35,35 @@
 	return l, a
 }
 
-func put(t *testing.T, table *shard.Table, key string, value any, version uint64) {
+func putShardRecord(t *testing.T, table *shard.Table, key string, value any, version uint64) {
 	t.Helper()
 	if err := table.Put(key, records.Encode(value), version); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// seen is a message of an owner's that tells of a shard under a term.
-func seen(l *leader, controller string, term, seq uint64) *shard.Observations {
+// observationsFrom is a message of an owner's that tells of a shard under a term.
+func observationsFrom(l *leader, controller string, term, seq uint64) *shard.Observations {
 	member := shard.Member{Name: controller, Incarnation: 1}
-	return &shard.Observations{Header: shard.Header{Epoch: shard.Epoch{Term: l.term, Member: member}, Sequence: seq, Snapshot: seq == 1},
+	return &shard.Observations{Header: shard.Header{Epoch: shard.ChannelEpoch{Term: l.term, Member: member}, Sequence: seq, Snapshot: seq == 1},
 		ServedTerms: map[shard.ID]uint64{1: term}}
 }
 
 // What an owner saw is taken while it owns the shard, and not when it comes after another one
 // took over: the successor may have started what the first saw missing.
 func TestObservationsOfEarlierOwners(t *testing.T) {
-	l, a := shardedLead(t)
-	l.shards.receive("n1", seen(l, "n1", 5, 1))
-	put(t, l.controller.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 7}}, 6)
+	l, a := newShardedLeader(t)
+	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
+	putShardRecord(t, l.controller.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 7}}, 6)
 	l.shards.ownershipChanged()
-	late := seen(l, "n1", 5, 2)
+	late := observationsFrom(l, "n1", 5, 2)
 	late.Terminations = []shard.Termination{{Task: attemptTask(a), Reason: "never sent"}}
 	l.shards.receive("n1", late)
 	if l.jobsByAge[0].task(0).live != a {
 		t.Fatal("the word of an earlier owner was taken")
 	}
-	l.shards.receive("n2", seen(l, "n2", 7, 1))
-	now := seen(l, "n2", 7, 2)
+	l.shards.receive("n2", observationsFrom(l, "n2", 7, 1))
+	now := observationsFrom(l, "n2", 7, 2)
 	now.Terminations = late.Terminations
 	l.shards.receive("n2", now)
 	if l.jobsByAge[0].task(0).live != nil {
@@ -72,26 +72,26 @@
 }
 
 // Nobody is silent while its owner isn't heard: the leader waits for the next owner's word.
-func TestSilenceOfAnOwnerIsNoneOfItsWorkers(t *testing.T) {
-	l, a := shardedLead(t)
-	l.shards.receive("n1", seen(l, "n1", 5, 1))
+func TestOwnerTimeoutIsNotWorkerSilence(t *testing.T) {
+	l, a := newShardedLeader(t)
+	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
 	a.machine.session.LastSeen, a.machine.session.LastAnswered, a.machine.session.LastReached, a.machine.session.RegisteredAt = l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	l.controller.now = l.controller.now.Add(time.Minute)
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
 		t.Errorf("%s is given up while nobody tells of it", a.machine.Name)
 	}
-	l.shards.receive("n1", seen(l, "n1", 5, 2)) // its status comes within a second
+	l.shards.receive("n1", observationsFrom(l, "n1", 5, 2)) // its status comes within a second
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
 		t.Errorf("%s is given up as soon as its owner is heard again", a.machine.Name)
 	}
 }
 
-// ownerOf is an owner of shard 1 under term 7, with one machine.
-func ownerOf(t *testing.T) *shardOwner {
+// newTestShardOwner is an owner of shard 1 under term 7, with one machine.
+func newTestShardOwner(t *testing.T) *shardOwner {
 	t.Helper()
-	c, _ := leading(phaseActive)
+	c, _ := newTestLeader(phaseActive)
 	c.leader = nil
-	c.sharding = &sharding{controller: c, table: shard.NewTable(), loaded: true, member: shard.Member{Name: "n0", Incarnation: 1}}
+	c.sharding = &sharding{controller: c, table: shard.NewTable(), tableLoaded: true, member: shard.Member{Name: "n0", Incarnation: 1}}
 	o := newShardOwner(c.sharding, leadership.Lease{ID: 3, TTL: 2 * time.Second, ValidUntil: c.now.Add(time.Hour)})
 	c.sharding.owner = o
 	o.jobsKnownAt = c.now.Add(time.Hour)
@@ -102,8 +102,8 @@
 	return o
 }
 
-// instructions is a leader's message that lists the owner's machine with a task to run.
-func instructions(o *shardOwner, term uint64) *shard.Instructions {
+// instructionsWithTask is a leader's message that lists the owner's machine with a task to run.
+func instructionsWithTask(o *shardOwner, term uint64) *shard.Instructions {
 	run := shard.Start{Task: shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1}, FirstNotice: true}
 	return &shard.Instructions{Header: shard.Header{Epoch: o.feed.Channel.Epoch(), Sequence: 1, Snapshot: true},
 		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Starts: []shard.Start{run}}}}
@@ -111,51 +111,51 @@
 
 // A list that was made for another ownership epoch of the shard isn't taken: it may lack what the owner
 // between them started.
-func TestListsOfOtherTenures(t *testing.T) {
-	o := ownerOf(t)
-	o.feed.receive("n1", instructions(o, 5))
+func TestMachineListsOfOtherTerms(t *testing.T) {
+	o := newTestShardOwner(t)
+	o.feed.receive("n1", instructionsWithTask(o, 5))
 	if m := o.machines["vm-1"]; m.attemptsKnown || len(m.attemptList) != 0 {
 		t.Error("the list of an earlier tenure was taken")
 	}
-	o = ownerOf(t)
-	o.feed.receive("n1", instructions(o, 7))
+	o = newTestShardOwner(t)
+	o.feed.receive("n1", instructionsWithTask(o, 7))
 	if m := o.machines["vm-1"]; !m.attemptsKnown || len(m.attemptList) != 1 {
 		t.Error("the list was not taken")
 	}
 }
 
 // An owner that is asked to release a shard answers none of its workers, and names the next.
-func TestReleasingOwnerIsSilent(t *testing.T) {
-	o := ownerOf(t)
-	put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
+func TestOwnerHandingOverRedirectsWorkers(t *testing.T) {
+	o := newTestShardOwner(t)
+	putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 	next := shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 8}
 	record := shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}, Next: &next}
-	put(t, o.sharding.table, records.KeyOwner(1), record, 4)
+	putShardRecord(t, o.sharding.table, records.KeyOwner(1), record, 4)
 	o.applyTable()
-	e := o.controller.Request(o.controller.now, 1, "POST", protocol.PathHeartbeat, report(4))
+	e := o.controller.Request(o.controller.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 || protocol.ParseRedirect(e.Replies[0].Body) != "n2" {
 		t.Errorf("answers %+v", e.Replies)
 	}
 	record.Next = nil // taken back
-	put(t, o.sharding.table, records.KeyOwner(1), record, 5)
+	putShardRecord(t, o.sharding.table, records.KeyOwner(1), record, 5)
 	o.applyTable()
-	if e := o.controller.Request(o.controller.now, 2, "POST", protocol.PathHeartbeat, report(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
+	if e := o.controller.Request(o.controller.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
 		t.Errorf("answers %+v", e.Replies)
 	}
 }
 
 // The silence of workers that a partitioned owner tells of isn't theirs while another controller may
 // reach them, and is once each has tried.
-func TestSilenceUnderABlindOwner(t *testing.T) {
-	l, a := shardedLead(t)
-	l.shards.receive("n1", seen(l, "n1", 5, 1))
+func TestSilentWorkersOfPartitionedOwner(t *testing.T) {
+	l, a := newShardedLeader(t)
+	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
 	m := a.machine
-	m.session.FailedProbes, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.RegisteredAt = sessions.UnreachableProbes, l.controller.now, l.controller.now, l.controller.now, l.controller.now
+	m.session.FailedProbes, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.RegisteredAt = sessions.UnreachableProbeThreshold, l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	owner, other := l.shards.channels["n1"], l.shards.channels["n2"]
 	later := l.controller.now.Add(l.controller.timing().UnresponsiveAfter() + time.Second)
 	silent := func(untried bool) bool {
 		l.controller.now = later
-		owner.heard, other.heard, l.shards.heardSinceByShard[1] = later, later, later.Add(-time.Minute)
+		owner.heardAt, other.heardAt, l.shards.ownerHeardSinceByShard[1] = later, later, later.Add(-time.Minute)
 		owner.partitioned, owner.alternatives = true, map[string]bool{m.Zone: untried}
 		return len(l.assessReachability().unresponsive) > 0
 	}
@@ -169,10 +169,10 @@
 
 // A worker that comes back from the leader tries all controllers in turn.
 func TestWorkersThatDoNotReachTheLeader(t *testing.T) {
-	o := ownerOf(t)
+	o := newTestShardOwner(t)
 	c, s := o.controller, &o.sharding.redirector
 	*s = newRedirector(c)
-	showElection(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
+	setElectionKeys(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
 	c.peers["n1"] = &peers.Status{HeardAt: c.now}
 	if got := s.target("vm-7"); got != "n1" {
 		t.Fatalf("sent to %q", got)
@@ -189,7 +189,7 @@
 	if got := s.target("vm-9"); got != "" {
 		t.Errorf("sent to %q, which lost its workers", got)
 	}
-	c.peers["n1"].WorkersUnreachable, c.now = false, c.now.Add(leaderHeardWithin+time.Second)
+	c.peers["n1"].WorkersUnreachable, c.now = false, c.now.Add(leaderHeardWindow+time.Second)
 	if got := s.target("vm-9"); got != "" {
 		t.Errorf("sent to %q, which isn't heard", got)
 	}
@@ -197,10 +197,10 @@
 
 // A proof that an attempt is gone is told again when its message was lost: the owner forgets the
 // attempt, so that no report of what it holds would tell of it.
-func TestLostProofIsToldAgain(t *testing.T) {
-	o := ownerOf(t)
+func TestLostTerminationIsResent(t *testing.T) {
+	o := newTestShardOwner(t)
 	f := o.feed
-	f.receive("n1", instructions(o, 7))
+	f.receive("n1", instructionsWithTask(o, 7))
 	o.attemptTerminated(o.machines["vm-1"].attemptList[0], "no longer reported")
 	gone := func() (count int, last uint64) {
 		f.flush()
@@ -236,9 +236,9 @@
 
 // An exit that an earlier leader let be forgotten, and that the worker still reports, is told
 // to a leader that lists the attempt as running.
-func TestForgottenExitIsToldToTheNextLeader(t *testing.T) {
-	o := ownerOf(t)
-	o.feed.receive("n1", instructions(o, 7))
+func TestForgottenExitIsSentToNextLeader(t *testing.T) {
+	o := newTestShardOwner(t)
+	o.feed.receive("n1", instructionsWithTask(o, 7))
 	m := o.machines["vm-1"]
 	exit := protocol.TaskStatus{Job: "run-000001", TaskIndex: 0, Attempt: 1, State: protocol.Exited, Reason: protocol.ExitStopped}
 	o.taskExitReported(m, m.attemptList[0], &exit)
@@ -249,7 +249,7 @@
 	o.feed.flush()
 	o.controller.takeEffects()
 	o.feed.connect("n2", 10)
-	o.feed.receive("n2", instructions(o, 7))
+	o.feed.receive("n2", instructionsWithTask(o, 7))
 	if len(m.attemptList) != 1 {
 		t.Fatal("the next leader's list was not taken")
 	}
@@ -265,13 +265,13 @@
 
 // An owner that gives a shard away while somebody before it may still answer the shard's
 // workers says so, and the next owner waits for that.
-func TestReleaseWhileAnEarlierOwnerMayAnswer(t *testing.T) {
+func TestHandOverWhileEarlierOwnerMayAnswer(t *testing.T) {
 	released := func(wait time.Duration) bool {
-		o := ownerOf(t)
+		o := newTestShardOwner(t)
 		o.shards[1].epoch.PredecessorUntil = o.controller.now.Add(wait)
-		put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
+		putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
 		next := shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 8}
-		put(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
+		putShardRecord(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}, Next: &next}, 4)
 		o.applyTable()
 		for _, k := range o.controller.takeEffects().Calls {
 			if k.Target != protocol.PathTransactions {
@@ -301,10 +301,10 @@
 
 // An owner pauses when a worker has seen a later token, and goes on with the others once the
 // table, read since, shows that nobody took the shard.
-func TestOneWorkerWithALaterToken(t *testing.T) {
-	o := ownerOf(t)
-	put(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
-	put(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}}, 4)
+func TestOneWorkerWithNewerToken(t *testing.T) {
+	o := newTestShardOwner(t)
+	putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
+	putShardRecord(t, o.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: o.sharding.member, Term: 7}}, 4)
 	o.newMachine(shard.Machine{Shard: 1, Name: "vm-2", Type: "small", Zone: "a"}, o.shards[1])
 	status := func(machine string, seq, term uint64) int {
 		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: machine, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: term << sessions.TokenBits})
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -12,15 +12,15 @@
 type ownerChannel struct {
 	member shard.Member
 	shard.Outbox
-	pending         shard.Instructions  // that is being filled
-	pendingMachines map[*machine]bool   // machines whose complete lists are to be told in it
-	announcedTerms  map[shard.ID]uint64 // shards whose machines were told, and under which term
-	heard           time.Time           // when it last told something
-	status          shard.Status
-	statusParts     shard.StatusParts
-	partitioned     bool                    // it doesn't reach most of its workers
-	alternatives    map[string]bool         // zones whose workers others may reach, of a partitioned owner
-	shown           shard.ShownReachability // by the state service
+	pending             shard.Instructions  // that is being filled
+	pendingMachines     map[*machine]bool   // machines whose complete lists are to be told in it
+	announcedTerms      map[shard.ID]uint64 // shards whose machines were told, and under which term
+	heardAt             time.Time           // when it last told something
+	status              shard.Status
+	statusParts         shard.StatusParts
+	partitioned         bool                      // it doesn't reach most of its workers
+	alternatives        map[string]bool           // zones whose workers others may reach, of a partitioned owner
+	reachabilityTracker shard.ReachabilityTracker // by the state service
 }
 
 // attemptChanged tells the owner of an attempt's machine what is wanted of it.
@@ -118,7 +118,7 @@
 		if !owner.pendingMachines[m] {
 			continue
 		}
-		size := sl.messageSize(m)
+		size := sl.machineEntrySize(m)
 		if size > room && (len(list) > 0 || room < messageBudget) {
 			return list
 		}
@@ -133,8 +133,8 @@
 	return list
 }
 
-// messageSize is about how long a machine is in a message.
-func (sl *shardCoordinator) messageSize(m *machine) int {
+// machineEntrySize is about how long a machine is in a message.
+func (sl *shardCoordinator) machineEntrySize(m *machine) int {
 	entry := shard.Machine{Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone}
 	size := entry.Size()
 	for _, a := range m.attemptList {
@@ -153,7 +153,7 @@
 // machineEntry is a machine with all attempts that may be on it.
 func (sl *shardCoordinator) machineEntry(m *machine, term uint64) shard.Machine {
 	k := shard.Machine{Shard: m.shard, Term: term, Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Heard: m.session.Registered || m.inherited && !sl.leader.booting(m)}
+		RegisteredBefore: m.session.Registered || m.inherited && !sl.leader.booting(m)}
 	for _, a := range m.sortedAttempts() {
 		if !a.recorded {
 			continue
@@ -173,15 +173,15 @@
 	}
 	raw := message.Encode()
 	if len(raw) > peers.MaxMessage {
-		c.limits.Reached(limits.PeerMessage)
+		c.limits.Reached(limits.PeerMessageSize)
 		return
 	}
 	c.effects.Unicasts = append(c.effects.Unicasts, Unicast{To: to, Body: raw})
 }
 
-// deliverLocal hands the messages between this controller's own roles over, and those that
+// deliverLocalMessages hands the messages between this controller's own roles over, and those that
 // come of them.
-func (c *Controller) deliverLocal() {
+func (c *Controller) deliverLocalMessages() {
 	for len(c.localMessages) > 0 {
 		messages := c.localMessages
 		c.localMessages = nil
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -14,19 +14,19 @@
 // sharding is a controller's part in serving machines by shards: what the state service
 // tells of owners, this controller's own lease as a member, and what it owns by that.
 type sharding struct {
-	controller       *Controller
-	table            *shard.Table
-	loaded           bool // the table was read and is watched
-	watchGeneration  int  // of the watch; an older one's news is dropped
-	tableGeneration  int  // generation whose read made the table
-	draining         bool
-	joining          bool
-	writingMember    bool                      // the member's record is being written anew
-	reachability     *shard.ReachabilityReport // that its record shows
-	member           shard.Member              // zero without a lease
-	owner            *shardOwner               // nil without a lease
-	redirector       redirector
-	partitionedUntil time.Time // until when workers are better not sent here
+	controller          *Controller
+	table               *shard.Table
+	tableLoaded         bool // the table was read and is watched
+	watchGeneration     int  // of the watch; an older one's news is dropped
+	tableGeneration     int  // generation whose read made the table
+	draining            bool
+	joining             bool
+	memberWriteInFlight bool                      // the member's record is being written anew
+	reachability        *shard.ReachabilityReport // that its record shows
+	member              shard.Member              // zero without a lease
+	owner               *shardOwner               // nil without a lease
+	redirector          redirector
+	partitionedUntil    time.Time // until when workers are better not sent here
 }
 
 // startSharding makes the controller one that may own shards.
@@ -46,7 +46,7 @@
 		for _, it := range list.Items {
 			s.putRecord(it.Key, it)
 		}
-		s.loaded, s.tableGeneration = true, generation
+		s.tableLoaded, s.tableGeneration = true, generation
 		s.ownershipChanged()
 		s.watchTable(list.Revision, current)
 	})
@@ -91,7 +91,7 @@
 
 // ownershipChanged acts on what is now known.
 func (s *sharding) ownershipChanged() {
-	if !s.loaded {
+	if !s.tableLoaded {
 		return
 	}
 	if s.owner != nil && !s.table.Alive(s.member) {
@@ -110,7 +110,7 @@
 // join takes a lease as a member: its number tells this life of the controller from all
 // others.
 func (s *sharding) join() {
-	if s.joining || !s.loaded {
+	if s.joining || !s.tableLoaded {
 		return
 	}
 	s.joining = true
@@ -120,7 +120,7 @@
 			s.retryJoin()
 			return
 		}
-		s.writeFirstMemberRecord(leadership.GrantedLease(leaseID, ttl, sent))
+		s.writeFirstMemberRecord(leadership.NewLease(leaseID, ttl, sent))
 	})
 }
 
@@ -155,7 +155,7 @@
 		s.member = member.Member
 		s.owner = newShardOwner(s, r)
 		c.log.Info("shard membership acquired", "incarnation", r.ID, "draining", s.draining)
-		leadership.KeepLease(electionHost{c}, electionHost{c}, &s.owner.lease, s.owner)
+		leadership.KeepLeaseAlive(electionHost{c}, electionHost{c}, &s.owner.lease, s.owner)
 		s.ownershipChanged()
 	})
 }
@@ -167,8 +167,8 @@
 	s.owner, s.member, s.reachability = nil, shard.Member{}, nil
 }
 
-// heartbeat answers a worker, or tells it who does.
-func (s *sharding) heartbeat(id uint64, body []byte) {
+// handleHeartbeat answers a worker, or tells it who does.
+func (s *sharding) handleHeartbeat(id uint64, body []byte) {
 	c := s.controller
 	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
@@ -179,7 +179,7 @@
 		return
 	}
 	if l := c.leader; l != nil && l.shards != nil && !l.jobsKnownAt.IsZero() {
-		l.shards.redirect(id, r, body)
+		l.shards.redirectHeartbeat(id, r, body)
 		return
 	}
 	if c.leader == nil && !c.leaderSuspect() || c.store.Unavailable() {
@@ -210,15 +210,15 @@
 // the last report is old enough.
 func (o *shardOwner) writeReachability() {
 	c, s := o.controller, o.sharding
-	if s.member.Name == "" || s.writingMember || c.store.Unavailable() || c.now.Sub(o.feed.leaderHeard) <= ownerTimeout || c.now.Sub(o.reachabilityAt) < shard.ReachabilityInterval {
+	if s.member.Name == "" || s.memberWriteInFlight || c.store.Unavailable() || c.now.Sub(o.feed.leaderHeardAt) <= ownerTimeout || c.now.Sub(o.reachabilityWrittenAt) < shard.ReachabilityInterval {
 		return
 	}
-	o.reachabilityAt = c.now
-	o.reachabilityReports++
+	o.reachabilityWrittenAt = c.now
+	o.reachabilitySequence++
 	reach := o.currentReachability()
-	reach.Sequence = o.reachabilityReports
+	reach.Sequence = o.reachabilitySequence
 	s.reachability = &reach
-	s.writeMember(o, func(bool) {})
+	s.writeMemberRecord(o, func(bool) {})
 }
 
 // currentReachability counts the workers that this owner heard, and those that it lost.
@@ -229,7 +229,7 @@
 			continue
 		}
 		reach.Workers++
-		if m.session.FailedProbes >= sessions.UnreachableProbes || o.unansweredFor(m) > o.controller.maxUnanswered() {
+		if m.session.FailedProbes >= sessions.UnreachableProbeThreshold || o.unansweredFor(m) > o.controller.maxUnanswered() {
 			reach.Unreachable++
 		}
 	}
@@ -257,10 +257,10 @@
 	return c.sharding != nil && c.now.Before(c.sharding.partitionedUntil)
 }
 
-// writeMember writes the member's record anew, bound to the same lease.
-func (s *sharding) writeMember(own *shardOwner, done func(applied bool)) {
+// writeMemberRecord writes the member's record anew, bound to the same lease.
+func (s *sharding) writeMemberRecord(own *shardOwner, done func(applied bool)) {
 	c := s.controller
-	s.writingMember = true
+	s.memberWriteInFlight = true
 	key := records.KeyMember(c.cfg.Name)
 	_, version := s.table.Member(c.cfg.Name)
 	value := records.Encode(shard.MemberRecord{Member: s.member, Zone: c.cfg.Zone, Draining: s.draining, Reachability: s.reachability})
@@ -268,7 +268,7 @@
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
 		Ops:        []protocol.Op{{Put: key, Value: value, Lease: own.lease.ID}},
 	}, func(result statestore.CommitResult) {
-		s.writingMember = false
+		s.memberWriteInFlight = false
 		if s.owner != own {
 			return // it left, and joins as another member
 		}
@@ -284,8 +284,8 @@
 
 // A shard's owner as the holder of its lease (leadership.Holder).
 
-// HoldsAuthority implements leadership.Holder.
-func (o *shardOwner) HoldsAuthority() bool { return o.sharding.owner == o }
+// NeedsLease implements leadership.Holder.
+func (o *shardOwner) NeedsLease() bool { return o.sharding.owner == o }
 
 // RenewalSent implements leadership.Holder.
 func (o *shardOwner) RenewalSent() {}
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -15,7 +15,7 @@
 	if owner == nil || owner.member != seen.Epoch.Member || sl.leader.phase == phaseLoading {
 		return
 	}
-	owner.heard = c.now
+	owner.heardAt = c.now
 	taken := owner.Channel.Receive(seen.Header)
 	sl.applyServedTerms(owner, seen.ServedTerms)
 	if taken {
@@ -38,16 +38,16 @@
 		if !ok || ownership.Member != owner.member || ownership.Term != term {
 			continue // it speaks of an earlier time, or ahead of our watch
 		}
-		if _, ok := sl.heardSinceByShard[id]; !ok {
-			sl.heardSinceByShard[id] = sl.leader.controller.now
+		if _, ok := sl.ownerHeardSinceByShard[id]; !ok {
+			sl.ownerHeardSinceByShard[id] = sl.leader.controller.now
 		}
 		if owner.announcedTerms[id] != 0 {
 			continue
 		}
 		// The silence that another owner told of isn't this one's.
-		sl.heardSinceByShard[id] = sl.leader.controller.now
+		sl.ownerHeardSinceByShard[id] = sl.leader.controller.now
 		owner.announcedTerms[id] = term
-		sl.moveOver(sl.moves.Served(sl.leader.controller.now, id, owner.member.Name, sl.hasMachines))
+		sl.reportMoveCompleted(sl.moves.Served(sl.leader.controller.now, id, owner.member.Name, sl.hasMachines))
 		for _, m := range sl.leader.fleetList {
 			if m.shard == id && m.inRecordedShard() {
 				owner.pendingMachines[m] = true
@@ -57,10 +57,10 @@
 	}
 }
 
-// machineOf gives a machine that an owner may speak of: one of a shard that it serves under the
+// servedMachine gives a machine that an owner may speak of: one of a shard that it serves under the
 // grant that the state service shows. What an owner saw before is not taken later: its
 // successor may have started what it saw missing.
-func (sl *shardCoordinator) machineOf(owner *ownerChannel, name string) *machine {
+func (sl *shardCoordinator) servedMachine(owner *ownerChannel, name string) *machine {
 	m := sl.leader.machines[name]
 	if m == nil || owner.announcedTerms[m.shard] == 0 {
 		return nil
@@ -76,13 +76,13 @@
 func (sl *shardCoordinator) applyObservations(owner *ownerChannel, seen *shard.Observations) {
 	l := sl.leader
 	for i := range seen.Workers {
-		if m := sl.machineOf(owner, seen.Workers[i].Machine); m != nil {
+		if m := sl.servedMachine(owner, seen.Workers[i].Machine); m != nil {
 			sl.applyWorker(m, &seen.Workers[i])
 		}
 	}
 	for i := range seen.TaskStates {
 		s := &seen.TaskStates[i]
-		if a := sl.attemptOf(owner, &s.Task); a != nil {
+		if a := sl.reportedAttempt(owner, &s.Task); a != nil {
 			a.delivery.Reported = true
 			l.taskStateReported(a, s.State)
 		}
@@ -92,13 +92,13 @@
 	}
 	for i := range seen.Terminations {
 		g := &seen.Terminations[i]
-		if a := sl.attemptOf(owner, &g.Task); a != nil {
+		if a := sl.reportedAttempt(owner, &g.Task); a != nil {
 			l.detach(a, g.Reason)
 		}
 	}
 	for i := range seen.Orphans {
 		t := &seen.Orphans[i]
-		if m := sl.machineOf(owner, t.Machine); m != nil && sl.attemptOf(owner, t) == nil {
+		if m := sl.servedMachine(owner, t.Machine); m != nil && sl.reportedAttempt(owner, t) == nil {
 			owner.pending.Stops = append(owner.pending.Stops, shard.Stop{Task: *t})
 			sl.schedule(owner)
 		}
@@ -108,9 +108,9 @@
 	}
 }
 
-// attemptOf is the attempt that an owner speaks of, if it is on that machine for all we know.
-func (sl *shardCoordinator) attemptOf(owner *ownerChannel, t *shard.Task) *attempt {
-	m := sl.machineOf(owner, t.Machine)
+// reportedAttempt is the attempt that an owner speaks of, if it is on that machine for all we know.
+func (sl *shardCoordinator) reportedAttempt(owner *ownerChannel, t *shard.Task) *attempt {
+	m := sl.servedMachine(owner, t.Machine)
 	if m == nil {
 		return nil
 	}
@@ -146,7 +146,7 @@
 		m.session.Incarnation = w.Incarnation
 		l.incarnationBegan(m)
 	}
-	sl.moveOver(sl.moves.Heard(m.shard))
+	sl.reportMoveCompleted(sl.moves.HeartbeatReceived(m.shard))
 	m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 	if w.Reached {
 		l.workerReached(m)
@@ -166,12 +166,12 @@
 }
 
 func (sl *shardCoordinator) applyExit(owner *ownerChannel, e *shard.Exit) {
-	m := sl.machineOf(owner, e.Machine)
+	m := sl.servedMachine(owner, e.Machine)
 	if m == nil {
 		return
 	}
 	t := protocol.TaskStatus{Job: e.Job, TaskIndex: e.TaskIndex, Attempt: e.Attempt, State: protocol.Exited, Reason: e.Reason, Checkpointed: e.Checkpointed}
-	if sl.leader.taskExitReported(m, sl.attemptOf(owner, &e.Task), &t) {
+	if sl.leader.taskExitReported(m, sl.reportedAttempt(owner, &e.Task), &t) {
 		sl.forgetExit(e.Task)
 		return
 	}
@@ -187,13 +187,13 @@
 	}
 	known, lost := 0, 0
 	for _, m := range sl.leader.fleetList {
-		if owner.announcedTerms[m.shard] == 0 || sl.machineOf(owner, m.Name) == nil {
+		if owner.announcedTerms[m.shard] == 0 || sl.servedMachine(owner, m.Name) == nil {
 			continue
 		}
 		w := unhealthy[m.Name]
 		if m.session.Registered {
 			known++
-			if w != nil && sl.lost(w) {
+			if w != nil && sl.isUnreachable(w) {
 				lost++
 			}
 		}
@@ -210,9 +210,9 @@
 	}
 }
 
-// lost reports whether an owner doesn't reach a worker, or its heartbeats don't reach the owner.
-func (sl *shardCoordinator) lost(w *shard.UnhealthyWorker) bool {
-	return w.FailedCalls >= sessions.UnreachableProbes || millis(w.UnansweredMillis) > sl.leader.controller.maxUnanswered()
+// isUnreachable reports whether an owner doesn't reach a worker, or its heartbeats don't reach the owner.
+func (sl *shardCoordinator) isUnreachable(w *shard.UnhealthyWorker) bool {
+	return w.FailedProbes >= sessions.UnreachableProbeThreshold || millis(w.UnansweredMillis) > sl.leader.controller.maxUnanswered()
 }
 
 func (sl *shardCoordinator) workerHealthy(m *machine) {
@@ -226,7 +226,7 @@
 
 func (sl *shardCoordinator) workerUnhealthy(m *machine, w *shard.UnhealthyWorker) {
 	now := sl.leader.controller.now
-	m.session.FailedProbes = w.FailedCalls
+	m.session.FailedProbes = w.FailedProbes
 	if m.session.Registered {
 		m.session.LastSeen = now.Add(-millis(w.SilentMillis))
 		m.session.LastAnswered = now.Add(-millis(w.UnansweredMillis))
@@ -234,7 +234,7 @@
 			m.session.LastReached = now.Add(-millis(w.UnreachedMillis))
 		}
 	}
-	if w.FailedCalls > 0 {
+	if w.FailedProbes > 0 {
 		sl.leader.probeFailed(m)
 	}
 }
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -17,24 +17,24 @@
 // may run there it learns from the leader, and tells it in turn what the workers show.
 type shardOwner struct {
 	workerSessions
-	sharding            *sharding
-	shards              map[shard.ID]*ownedShard
-	movedAway           map[string]shard.ID // machines of shards that went to somebody else
-	feed                *changeFeed         // to the leader
-	loading             bool                // the machines' records are being read
-	reload              bool                // and are to be read once more: a shard was taken meanwhile
-	heartbeats          int                 // since the last status
-	reachabilityAt      time.Time           // when its member record last showed its reach
-	reachabilityReports uint64              // times that it did
+	sharding              *sharding
+	shards                map[shard.ID]*ownedShard
+	movedAway             map[string]shard.ID // machines of shards that went to somebody else
+	feed                  *changeFeed         // to the leader
+	loadingMachines       bool                // the machines' records are being read
+	reloadMachines        bool                // and are to be read once more: a shard was taken meanwhile
+	heartbeatsSinceStatus int                 // since the last status
+	reachabilityWrittenAt time.Time           // when its member record last showed its reach
+	reachabilitySequence  uint64              // times that it did
 }
 
 // ownedShard is a shard that this owner serves.
 type ownedShard struct {
-	epoch           sessions.Epoch
-	moving          bool // nothing is answered or sent any more
-	handingOver     bool // the release is being written
-	superseded      bool // a worker has seen a later owner's token
-	askedGeneration int  // generation of the table that tells whether there is one
+	epoch             sessions.Epoch
+	moving            bool // nothing is answered or sent any more
+	handingOver       bool // the release is being written
+	superseded        bool // a worker has seen a later owner's token
+	recheckGeneration int  // generation of the table that tells whether there is one
 }
 
 func (h *ownedShard) served() bool { return !h.moving && !h.superseded }
@@ -55,7 +55,7 @@
 	o.listener, o.probesNewWorkers = o, true
 	o.feed = newChangeFeed(o)
 	o.loadJobs(o.watchJobs)
-	o.every(detectorInterval, o.watchWorkers)
+	o.every(detectorInterval, o.detectSilentWorkers)
 	return o
 }
 
@@ -65,7 +65,7 @@
 	for id, h := range o.shards {
 		r, _, ok := s.table.Record(id)
 		if !ok || r.Owner.Member != s.member || r.Owner.Term != h.epoch.Term {
-			o.loseShard(id)
+			o.dropShard(id)
 		}
 	}
 	added := false
@@ -89,14 +89,14 @@
 	t := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
 	if !r.HandedOver {
 		// Whoever owned it before may go on without the state service for its grace.
-		t.PredecessorUntil = c.now.Add(c.gracePeriodAfter(c.operator.LeaderLease()))
+		t.PredecessorUntil = c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))
 	}
 	o.shards[id] = &ownedShard{epoch: t}
 	c.log.Info("shard ownership acquired", "shard", id, "term", t.Term, "handed_over", r.HandedOver)
 }
 
-// loseShard forgets a shard that is somebody else's.
-func (o *shardOwner) loseShard(id shard.ID) {
+// dropShard forgets a shard that is somebody else's.
+func (o *shardOwner) dropShard(id shard.ID) {
 	delete(o.shards, id)
 	o.fleetList = slices.DeleteFunc(o.fleetList, func(m *machine) bool {
 		if m.shard != id {
@@ -114,7 +114,7 @@
 	m.removed, m.session.Epoch = true, nil
 	delete(o.machines, m.Name)
 	for _, a := range m.attemptList {
-		delete(a.job.held, a)
+		delete(a.job.heldAttempts, a)
 	}
 }
 
@@ -128,7 +128,7 @@
 // resumed under the same token, it must know what it sent.
 func (o *shardOwner) applyMove(id shard.ID, r shard.OwnerRecord) {
 	h := o.shards[id]
-	if h.superseded && o.sharding.tableGeneration >= h.askedGeneration {
+	if h.superseded && o.sharding.tableGeneration >= h.recheckGeneration {
 		// The table was read since: nobody took the shard. One worker alone has seen a later
 		// token, as of a machine that came into two shards' records; its shard went unserved
 		// for ever.
@@ -199,7 +199,7 @@
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return true
 	}
-	o.heartbeats++
+	o.heartbeatsSinceStatus++
 	o.answerHeartbeat(m, id, r)
 	return true
 }
@@ -229,18 +229,18 @@
 // loadMachines reads the records of machines, for those of shards that were taken: they are
 // answered although no leader has told of them.
 func (o *shardOwner) loadMachines() {
-	if o.loading {
-		o.reload = true
+	if o.loadingMachines {
+		o.reloadMachines = true
 		return
 	}
-	o.loading, o.reload = true, false
+	o.loadingMachines, o.reloadMachines = true, false
 	o.controller.store.List(records.PrefixMachineGroups, o.alive, func(list statestore.ListResult) {
-		o.loading = false
+		o.loadingMachines = false
 		for _, it := range list.Items {
 			o.loadMachineGroup(it)
 		}
 		o.controller.resumeDeferred()
-		if o.reload {
+		if o.reloadMachines {
 			o.loadMachines()
 		}
 	})
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -15,7 +15,7 @@
 
 func (o *shardOwner) newMachine(k shard.Machine, h *ownedShard) *machine {
 	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, session: sessions.Session{Epoch: &h.epoch},
-		attempts: map[taskKey]*attempt{}, exits: map[taskKey]*reportedExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
+		attempts: map[taskKey]*attempt{}, reportedExits: map[taskKey]*reportedExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
 	o.machines[k.Name] = m
 	o.fleetList = append(o.fleetList, m)
 	delete(o.movedAway, k.Name)
@@ -27,8 +27,8 @@
 	return o.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.session.Epoch.Since, o.detector.ResetAt()))
 }
 
-// watchWorkers asks workers that fell silent, and proves what silence proves.
-func (o *shardOwner) watchWorkers() {
+// detectSilentWorkers asks workers that fell silent, and proves what silence proves.
+func (o *shardOwner) detectSilentWorkers() {
 	if o.detector.Scan(o.controller.now) || o.controller.store.Unavailable() || !o.holdsLease() {
 		o.detector.Reset(o.controller.now) // workers that got no answer look for another controller
 		return
@@ -43,7 +43,7 @@
 		if m.session.FailedProbes > 0 {
 			doubtful[m.Zone] = true
 		}
-		if o.expected(m) && (o.wantsProbe(m, silent) || !m.session.Registered && silent > probeAfter) {
+		if o.expectsHeartbeats(m) && (o.needsProbe(m, silent) || !m.session.Registered && silent > probeDelay) {
 			ask = append(ask, m)
 		}
 		if silent > o.controller.timing().SuspectAfter() && len(m.attemptList) > 0 {
@@ -54,9 +54,9 @@
 	o.probeBatch(ask)
 }
 
-// expected reports whether a machine's worker should be up: it was heard here, or by the
+// expectsHeartbeats reports whether a machine's worker should be up: it was heard here, or by the
 // leader, or ran tasks.
-func (o *shardOwner) expected(m *machine) bool {
+func (o *shardOwner) expectsHeartbeats(m *machine) bool {
 	return m.session.Registered || m.registeredBefore || len(m.attemptList) > 0
 }
 
@@ -95,7 +95,7 @@
 func (o *shardOwner) taskStateReported(a *attempt, s protocol.TaskState) {
 	if a.state != s {
 		a.state, a.stateSince = s, o.controller.now
-		o.feed.stateChanged(a)
+		o.feed.taskStateChanged(a)
 	}
 }
 
@@ -113,10 +113,10 @@
 // leader says when the worker may forget it.
 func (o *shardOwner) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool) {
 	key := taskKey{t.Job, t.TaskIndex}
-	k := m.exits[key]
+	k := m.reportedExits[key]
 	if k == nil || k.exit.Attempt != t.Attempt {
 		k = &reportedExit{exit: shard.Exit{Task: taskOf(m, t), Reason: t.Reason, Checkpointed: t.Checkpointed}}
-		m.exits[key] = k
+		m.reportedExits[key] = k
 	}
 	if a != nil {
 		o.removeAttempt(a)
@@ -126,16 +126,16 @@
 	}
 	if !k.forget && o.controller.now.Sub(k.sentAt) > exitResendInterval {
 		k.sentAt = o.controller.now
-		o.feed.exited(k)
+		o.feed.taskExited(k)
 	}
 	return k.forget
 }
 
 // attemptTerminated implements sessionListener.
 func (o *shardOwner) attemptTerminated(a *attempt, why string) {
-	o.controller.log.Debug("attempt terminated", "job", a.job.ID, "task", a.task, "attempt", a.number, "machine", a.machine.Name, "reason", why)
+	o.controller.log.Debug("attempt terminated", "job", a.job.ID, "task", a.taskIndex, "attempt", a.number, "machine", a.machine.Name, "reason", why)
 	o.removeAttempt(a)
-	o.feed.terminated(a, why)
+	o.feed.attemptTerminated(a, why)
 }
 
 // orphanReported implements sessionListener: only the leader knows whether a task that it didn't
@@ -149,7 +149,7 @@
 		return m.orphanStops[key] == t.Attempt
 	}
 	m.orphans[key] = t.Attempt
-	o.feed.orphanFound(taskOf(m, t))
+	o.feed.orphanReported(taskOf(m, t))
 	return false
 }
 
@@ -161,7 +161,7 @@
 		m.newerTokenSeen = true
 		h.setSuperseded(true)
 		o.sharding.loadTable()
-		h.askedGeneration = o.sharding.watchGeneration
+		h.recheckGeneration = o.sharding.watchGeneration
 	}
 }
 
@@ -171,7 +171,7 @@
 // jobEnded implements sessionListener: its tasks are stopped without waiting for the leader.
 func (o *shardOwner) jobEnded(j *job, s protocol.JobState) {
 	j.finalState = s
-	held := slices.Collect(maps.Keys(j.held))
+	held := slices.Collect(maps.Keys(j.heldAttempts))
 	slices.SortFunc(held, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.machine.Name, b.machine.Name), compareAttempts(a, b))
 	})
@@ -198,12 +198,12 @@
 
 // addAttempt takes an attempt that the leader told of.
 func (o *shardOwner) addAttempt(m *machine, r shard.Start, inherited bool) {
-	a := &attempt{job: o.job(r.Job), task: r.TaskIndex, number: r.Attempt, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: inherited}, stateSince: o.controller.now}
+	a := &attempt{job: o.job(r.Job), taskIndex: r.TaskIndex, number: r.Attempt, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: inherited}, stateSince: o.controller.now}
 	o.track(a)
-	if a.job.held == nil {
-		a.job.held = map[*attempt]struct{}{}
+	if a.job.heldAttempts == nil {
+		a.job.heldAttempts = map[*attempt]struct{}{}
 	}
-	a.job.held[a] = struct{}{}
+	a.job.heldAttempts[a] = struct{}{}
 	if r.Stopping || a.job.finalState != 0 {
 		o.stopAttempt(a, time.Duration(r.GraceMillis)*time.Millisecond)
 		return
@@ -214,9 +214,9 @@
 // removeAttempt takes an attempt out of its machine.
 func (o *shardOwner) removeAttempt(a *attempt) {
 	if a.stopRequested {
-		a.machine.stopCount--
+		a.machine.stopRequestedCount--
 	}
-	delete(a.job.held, a)
+	delete(a.job.heldAttempts, a)
 	o.untrack(a)
 }
 
@@ -227,7 +227,7 @@
 	}
 	if !a.stopRequested {
 		a.stopRequested = true
-		a.machine.stopCount++
+		a.machine.stopRequestedCount++
 	}
 	a.stopGrace, a.stopSentAt = grace, time.Time{}
 	if a.delivery.NeverSent() {
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -16,14 +16,14 @@
 // plan decides on owners, and writes one change at a time.
 func (sl *shardCoordinator) plan() {
 	l, c := sl.leader, sl.leader.controller
-	if sl.writing || !sl.sharding.loaded || l.phase == phaseLoading || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
+	if sl.changeInFlight || !sl.sharding.tableLoaded || l.phase == phaseLoading || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
 		return
 	}
-	if change := sl.canceledMove(); change != nil {
-		sl.write(change)
+	if change := sl.cancelMoveToEndedMember(); change != nil {
+		sl.commitChange(change)
 		return
 	}
-	decisions := sl.planner.Plan(c.now, sl.controllers(), sl.shards())
+	decisions := sl.planner.Plan(c.now, sl.plannerControllers(), sl.plannerShards())
 	var vacant []shard.Assignment
 	for _, d := range decisions {
 		if d.Reason == shard.ReasonUnowned && len(vacant) < sl.maxAssignments() {
@@ -31,14 +31,14 @@
 		}
 	}
 	if len(vacant) > 0 {
-		sl.write(sl.sharding.table.Assign(vacant, sl.leaderState()))
+		sl.commitChange(sl.sharding.table.Assign(vacant, sl.leaderState()))
 		return
 	}
 	for _, d := range decisions {
 		if change := sl.sharding.table.ProposeMove(d.ID, d.To, sl.leaderState()); change != nil {
 			c.log.Info("shard move requested", "shard", d.ID, "to", d.To.Name, "reason", d.Reason.String())
 			sl.moves.Begin(c.now, sl.sharding.table, d)
-			sl.write(change)
+			sl.commitChange(change)
 			return
 		}
 	}
@@ -51,11 +51,11 @@
 func (sl *shardCoordinator) leaderState() shard.LeaderState {
 	e := sl.leader.controller.election
 	term, version := e.Term()
-	return shard.LeaderState{LeaderVersion: sl.leader.version, Term: term, TermVersion: version, ShardingRecorded: e.Sharded()}
+	return shard.LeaderState{LeaderVersion: sl.leader.keyVersion, Term: term, TermVersion: version, ShardingRecorded: e.Sharded()}
 }
 
-// canceledMove takes an intent back whose member is gone.
-func (sl *shardCoordinator) canceledMove() *shard.Change {
+// cancelMoveToEndedMember takes an intent back whose member is gone.
+func (sl *shardCoordinator) cancelMoveToEndedMember() *shard.Change {
 	for _, id := range sl.sharding.table.IDs() {
 		r, _, ok := sl.sharding.table.Record(id)
 		if ok && r.Next != nil && !sl.sharding.table.Alive(r.Next.Member) && sl.sharding.table.Alive(r.Owner.Member) {
@@ -65,21 +65,21 @@
 	return nil
 }
 
-// write carries a change of owners out.
-func (sl *shardCoordinator) write(change *shard.Change) {
+// commitChange carries a change of owners out.
+func (sl *shardCoordinator) commitChange(change *shard.Change) {
 	l, c := sl.leader, sl.leader.controller
 	if len(change.Txn.Ops) == 0 {
 		return
 	}
-	sl.writing = true
-	l.writer.commits.Spend(len(change.Txn.Ops))
+	sl.changeInFlight = true
+	l.writer.committer.Spend(len(change.Txn.Ops))
 	c.store.Commit(&change.Txn, func(r statestore.CommitResult) {
 		if !l.alive() {
 			return
 		}
 		if r.Status == statestore.CommitApplied {
-			sl.writing = false
-			sl.applied(change, r.Revision)
+			sl.changeInFlight = false
+			sl.changeApplied(change, r.Revision)
 			return
 		}
 		if slices.Contains(r.Failed, records.KeyLeader) {
@@ -87,18 +87,18 @@
 			return
 		}
 		// It may have been applied, or may yet be: what stands there decides.
-		c.after(200*time.Millisecond, sl.readAgain)
+		c.after(200*time.Millisecond, sl.reloadTermAndTable)
 	})
 }
 
-func (sl *shardCoordinator) applied(change *shard.Change, revision uint64) {
+func (sl *shardCoordinator) changeApplied(change *shard.Change, revision uint64) {
 	sl.leader.controller.election.TermRaised(change.Term, revision)
 	sl.sharding.table.Applied(change, revision)
 	sl.sharding.ownershipChanged()
 }
 
-// readAgain reads the terms and owners afresh before anything is changed again.
-func (sl *shardCoordinator) readAgain() {
+// reloadTermAndTable reads the terms and owners afresh before anything is changed again.
+func (sl *shardCoordinator) reloadTermAndTable() {
 	if !sl.leader.alive() {
 		return
 	}
@@ -107,27 +107,27 @@
 			return
 		}
 		if r.Status != statestore.Found {
-			sl.leader.controller.after(200*time.Millisecond, sl.readAgain)
+			sl.leader.controller.after(200*time.Millisecond, sl.reloadTermAndTable)
 			return
 		}
 		sl.leader.controller.election.TermRead(r.Item)
-		sl.writing = false
+		sl.changeInFlight = false
 		sl.sharding.loadTable()
 	})
 }
 
-// controllers are the members as the planner sees them.
-func (sl *shardCoordinator) controllers() []shard.Controller {
+// plannerControllers are the members as the planner sees them.
+func (sl *shardCoordinator) plannerControllers() []shard.Controller {
 	c := sl.leader.controller
 	var list []shard.Controller
 	for _, m := range sl.sharding.table.Members() {
 		member := shard.Controller{Member: m.Member, Zone: m.Zone, Draining: m.Draining}
 		if owner := sl.channels[m.Name]; owner != nil && owner.member == m.Member {
-			member.Load, member.UnheardFor, member.Reachability = owner.status.Load, c.now.Sub(owner.heard), owner.reachabilityAt(c.now)
+			member.Load, member.SinceLastMessage, member.Reachability = owner.status.Load, c.now.Sub(owner.heardAt), owner.reachabilityAt(c.now)
 			if member.Reachability == shard.ReachabilityUnknown && owner.partitioned {
 				member.Reachability = shard.WorkersUnreachable
 			}
-			member.Fit = member.Reachability != shard.WorkersUnreachable && member.UnheardFor <= ownerTimeout && member.Load.Lag <= overload.Overloaded
+			member.Healthy = member.Reachability != shard.WorkersUnreachable && member.SinceLastMessage <= ownerTimeout && member.Load.Lag <= overload.OverloadThreshold
 		}
 		if sl.retiring && m.Name != c.cfg.Name {
 			member.Draining = true
@@ -137,13 +137,13 @@
 	return list
 }
 
-// shards are those that there are, and those that are to be, as the planner sees them.
-func (sl *shardCoordinator) shards() []shard.Shard {
-	count := sl.count
+// plannerShards are those that there are, and those that are to be, as the planner sees them.
+func (sl *shardCoordinator) plannerShards() []shard.Shard {
+	count := sl.shardCount
 	if sl.retiring {
 		count = 0
 	}
-	return sl.sharding.table.Planned(count, sl.leader.machineShards, sl.previousOwnerEnded)
+	return sl.sharding.table.PlannerShards(count, sl.leader.machineShards, sl.previousOwnerEnded)
 }
 
 // machineShards gives the shard and the zone of each machine.
@@ -160,7 +160,7 @@
 // read it is at the end of what it knows.
 func (sl *shardCoordinator) previousOwnerEnded(id shard.ID, version uint64) bool {
 	c := sl.leader.controller
-	return sl.unreadable.Age(c.now, id, version) > c.answerFreshness()+leadership.ClockDrift(c.cfg.CancelWithin)+deadlineMargin
+	return sl.unreadable.Age(c.now, id, version) > c.maxAnswerStaleness()+leadership.MaxClockDrift(c.cfg.CancelWithin)+deadlineMargin
 }
 
 // shardForNewMachine is the shard that a new machine's record is to be in, 0 for none.
@@ -168,7 +168,7 @@
 	if l.shards == nil {
 		return 0
 	}
-	return shard.ForNewMachine(m.Zone, l.shards.count, l.machineShards)
+	return shard.ForNewMachine(m.Zone, l.shards.shardCount, l.machineShards)
 }
 
 // assignUnshardedMachines moves machines whose record names no shard to records that do. Where both
@@ -198,8 +198,8 @@
 	return false
 }
 
-// moveOver tells operators of a move that is over, if one is.
-func (sl *shardCoordinator) moveOver(move *shard.Move) {
+// reportMoveCompleted tells operators of a move that is over, if one is.
+func (sl *shardCoordinator) reportMoveCompleted(move *shard.Move) {
 	if move == nil {
 		return
 	}
--- a/internal/coordination/state_service.go
+++ b/internal/coordination/state_service.go
@@ -12,7 +12,7 @@
 // jobsWatchWait is how long a watch of jobs stays open without events. A leader learns of
 // cancellations by it, and what it knows is as old as the watch that was answered last.
 func (c *Controller) jobsWatchWait() time.Duration {
-	return min(max(c.answerFreshness()/4, 250*time.Millisecond), time.Second)
+	return min(max(c.maxAnswerStaleness()/4, 250*time.Millisecond), time.Second)
 }
 
 // maxConditions is how many keys one transaction compares at the most.
--- a/internal/coordination/state_service_test.go
+++ b/internal/coordination/state_service_test.go
@@ -8,9 +8,9 @@
 	"brasskeel/internal/protocol"
 )
 
-// loseStateService lets a controller's last request to the state service have failed a minute
+// failStateServiceCalls lets a controller's last request to the state service have failed a minute
 // ago.
-func loseStateService(c *Controller) {
+func failStateServiceCalls(c *Controller) {
 	now := c.now
 	c.now = now.Add(-time.Minute)
 	c.store.Get("any", func(statestore.ReadResult) {})
@@ -31,8 +31,8 @@
 
 // Without answers the state service counts as unavailable, and is asked until it answers.
 func TestStateServiceIsProbedWhileUnavailable(t *testing.T) {
-	c, _ := leading(phaseActive)
-	loseStateService(c)
+	c, _ := newTestLeader(phaseActive)
+	failStateServiceCalls(c)
 	if !c.store.Unavailable() {
 		t.Fatal("available after a minute without an answer")
 	}
--- a/internal/coordination/statestore/client.go
+++ b/internal/coordination/statestore/client.go
@@ -22,8 +22,8 @@
 // pageSize is how many keys one page of a list holds at the most.
 const pageSize = 500
 
-// watchSlack is how long past its end a watch may take to be answered.
-const watchSlack = 4 * time.Second
+// watchTimeoutMargin is how long past its end a watch may take to be answered.
+const watchTimeoutMargin = 4 * time.Second
 
 // Request is a request to the state service.
 type Request struct {
@@ -118,14 +118,14 @@
 	})
 }
 
-// GetUntilKnown reads one key as often as it takes to know it. It gives up, without calling
+// GetWithRetry reads one key as often as it takes to know it. It gives up, without calling
 // done, as soon as alive says so.
-func (c *Client) GetUntilKnown(key string, alive func() bool, done func(ReadResult)) {
+func (c *Client) GetWithRetry(key string, alive func() bool, done func(ReadResult)) {
 	c.Get(key, func(r ReadResult) {
 		switch {
 		case !alive():
 		case r.Status == ReadUnknown:
-			c.RetryRead(alive, func() { c.GetUntilKnown(key, alive, done) })
+			c.RetryRead(alive, func() { c.GetWithRetry(key, alive, done) })
 		default:
 			done(r)
 		}
@@ -154,7 +154,7 @@
 // It gives up, without calling done, as soon as alive says so.
 func (c *Client) List(prefix string, alive func() bool, done func(ListResult)) {
 	l := &listing{client: c, prefix: prefix, alive: alive, done: done}
-	l.page("")
+	l.requestPage("")
 }
 
 // listing is a list that is being read.
@@ -166,22 +166,22 @@
 	result ListResult
 }
 
-// page asks for the page of keys after one.
-func (l *listing) page(after string) {
+// requestPage asks for the page of keys after one.
+func (l *listing) requestPage(after string) {
 	if l.result.Revision == 0 {
 		l.result.AskedAt = l.client.host.Now()
 	}
 	l.client.send("GET", protocol.RangeTarget(l.prefix, after, pageSize), nil, 2*requestTimeout, func(r Response) {
 		l.client.observe(r)
-		if l.alive() && !l.take(r) {
+		if l.alive() && !l.addPage(r) {
 			l.retry(after)
 		}
 	})
 }
 
-// take adds a page and goes on to the next, or ends the list. It returns false where there
+// addPage adds a page and goes on to the next, or ends the list. It returns false where there
 // is no page that makes sense.
-func (l *listing) take(r Response) bool {
+func (l *listing) addPage(r Response) bool {
 	if !r.ok() {
 		return false
 	}
@@ -194,7 +194,7 @@
 	}
 	l.result.Items = append(l.result.Items, items...)
 	if more {
-		l.page(items[len(items)-1].Key)
+		l.requestPage(items[len(items)-1].Key)
 		return true
 	}
 	l.done(l.result)
@@ -205,7 +205,7 @@
 	host := l.client.host
 	host.After(listRetryDelay+host.Jitter(readRetryJitter), func() {
 		if l.alive() {
-			l.page(after)
+			l.requestPage(after)
 		}
 	})
 }
@@ -230,7 +230,7 @@
 // Watch waits for changes of keys with a prefix after a revision, for as long as wait.
 func (c *Client) Watch(prefix string, after uint64, wait time.Duration, done func(WatchResult)) {
 	target := protocol.WatchTarget(prefix, after, wait)
-	c.send("GET", target, nil, wait+watchSlack, func(r Response) {
+	c.send("GET", target, nil, wait+watchTimeoutMargin, func(r Response) {
 		if r.Answered { // else nothing may have changed, which says nothing of the service
 			c.observe(r)
 		}
--- a/internal/coordination/statestore/client_test.go
+++ b/internal/coordination/statestore/client_test.go
@@ -41,7 +41,7 @@
 func TestGetUntilKnown(t *testing.T) {
 	h, c := newTestClient()
 	alive, results := true, 0
-	c.GetUntilKnown("a", func() bool { return alive }, func(ReadResult) { results++ })
+	c.GetWithRetry("a", func() bool { return alive }, func(ReadResult) { results++ })
 	for range 3 {
 		h.answer(t, Response{})
 		if h.run(200*time.Millisecond, func() {}); len(h.sent) != 0 {
@@ -54,7 +54,7 @@
 	if results != 1 {
 		t.Fatalf("%d results", results)
 	}
-	c.GetUntilKnown("a", func() bool { return alive }, func(ReadResult) { results++ })
+	c.GetWithRetry("a", func() bool { return alive }, func(ReadResult) { results++ })
 	alive = false
 	h.answer(t, answered(404, nil))
 	if results != 1 {
--- a/internal/coordination/statestore/committer.go
+++ b/internal/coordination/statestore/committer.go
@@ -25,8 +25,8 @@
 	refusedJitter = 100 * time.Millisecond
 )
 
-// leastWake is the shortest time for which a committer sets a timer.
-const leastWake = time.Millisecond
+// minWakeDelay is the shortest time for which a committer sets a timer.
+const minWakeDelay = time.Millisecond
 
 // Shares of what the state service writes a second that a committer uses, and of it at once:
 // the rest is for what users submit and cancel.
@@ -91,8 +91,8 @@
 
 // Pending is what there is to write: something now, or only from a time on.
 type Pending struct {
-	Any bool
-	In  time.Duration // until then; 0 for now
+	Any   bool
+	Delay time.Duration // until then; 0 for now
 }
 
 // Batch is what one transaction writes. Exactly one of its methods is called, once.
@@ -130,7 +130,7 @@
 
 	stage       commitStage
 	pausedUntil time.Time
-	wake        Timer // nil without one
+	wakeTimer   Timer // nil without one
 	wakeAt      time.Time
 	transaction Transaction // reused
 }
@@ -161,20 +161,20 @@
 	}
 	now := c.client.host.Now()
 	if now.Before(c.pausedUntil) {
-		c.wakeIn(c.pausedUntil.Sub(now))
+		c.scheduleWake(c.pausedUntil.Sub(now))
 		return
 	}
 	pending := c.source.Pending()
 	if !pending.Any {
 		return
 	}
-	if pending.In > 0 {
-		c.wakeIn(pending.In)
+	if pending.Delay > 0 {
+		c.scheduleWake(pending.Delay)
 		return
 	}
 	room := min(c.maxOps, int(c.budget.Available(now)))
 	if room < 1 {
-		c.wakeIn(c.budget.Wait(now, 1) + leastWake)
+		c.scheduleWake(c.budget.Wait(now, 1) + minWakeDelay)
 		return
 	}
 	t := &c.transaction
@@ -190,13 +190,13 @@
 	c.client.Commit(&t.txn, func(r CommitResult) {
 		if c.source.Alive() {
 			c.stage = committerIdle
-			c.conclude(batch, ops, r)
+			c.reportResult(batch, ops, r)
 		}
 	})
 }
 
-// conclude tells a batch what became of its transaction.
-func (c *Committer) conclude(batch Batch, ops int, r CommitResult) {
+// reportResult tells a batch what became of its transaction.
+func (c *Committer) reportResult(batch Batch, ops int, r CommitResult) {
 	switch r.Status {
 	case CommitApplied:
 		batch.Applied(r.Revision)
@@ -211,17 +211,17 @@
 	}
 }
 
-// Reread reads the versions of keys, however often it must ask, and sends no transaction
+// RereadVersions reads the versions of keys, however often it must ask, and sends no transaction
 // before all are known. done is told each key's place in the list, and its version, 0 without
 // such a key.
-func (c *Committer) Reread(keys []string, done func(place int, version uint64)) {
+func (c *Committer) RereadVersions(keys []string, done func(place int, version uint64)) {
 	if len(keys) == 0 {
 		return
 	}
 	c.stage = rereading
 	left := len(keys)
 	for place, key := range keys {
-		c.client.GetUntilKnown(key, c.source.Alive, func(r ReadResult) {
+		c.client.GetWithRetry(key, c.source.Alive, func(r ReadResult) {
 			if left--; left == 0 {
 				c.stage = committerIdle
 			}
@@ -230,16 +230,16 @@
 	}
 }
 
-// wakeIn sets a timer, unless one is set that fires sooner. Its step ends with a Flush.
-func (c *Committer) wakeIn(d time.Duration) {
-	d = max(d, leastWake)
+// scheduleWake sets a timer, unless one is set that fires sooner. Its step ends with a Flush.
+func (c *Committer) scheduleWake(d time.Duration) {
+	d = max(d, minWakeDelay)
 	at := c.client.host.Now().Add(d)
-	if c.wake != nil {
+	if c.wakeTimer != nil {
 		if !c.wakeAt.After(at) {
 			return
 		}
-		c.wake.Stop()
+		c.wakeTimer.Stop()
 	}
 	c.wakeAt = at
-	c.wake = c.client.host.After(d, func() { c.wake = nil })
+	c.wakeTimer = c.client.host.After(d, func() { c.wakeTimer = nil })
 }
--- a/internal/coordination/statestore/committer_test.go
+++ b/internal/coordination/statestore/committer_test.go
@@ -36,7 +36,7 @@
 
 // What becomes of a transaction is told its batch, once, and when the next one may go out
 // depends on it.
-func TestOutcomeOfTransaction(t *testing.T) {
+func TestTransactionResults(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		response Response
@@ -96,10 +96,10 @@
 }
 
 // Versions that aren't known are read, however often it takes, before anything else is sent.
-func TestRereadHoldsTransactions(t *testing.T) {
+func TestRereadBlocksTransactions(t *testing.T) {
 	h, s, c := newTestCommitter()
 	versions := map[int]uint64{}
-	c.Reread([]string{"a", "b"}, func(place int, version uint64) { versions[place] = version })
+	c.RereadVersions([]string{"a", "b"}, func(place int, version uint64) { versions[place] = version })
 	s.keys = []string{"c"}
 	c.Flush()
 	h.answer(t, answered(200, protocol.EncodeKeyValue(item("a", 7))))
@@ -117,9 +117,9 @@
 	}
 }
 
-func TestRereadOfNothing(t *testing.T) {
+func TestRereadWithoutKeys(t *testing.T) {
 	h, s, c := newTestCommitter()
-	c.Reread(nil, func(int, uint64) { t.Error("something is read") })
+	c.RereadVersions(nil, func(int, uint64) { t.Error("something is read") })
 	s.keys = []string{"a"}
 	if c.Flush(); sentTxn(t, h) == nil {
 		t.Error("nothing is sent")
@@ -156,9 +156,9 @@
 // What may wait is written when it is due, by the nearest of the timers asked for.
 func TestLazyWrites(t *testing.T) {
 	h, s, c := newTestCommitter()
-	s.pending = Pending{Any: true, In: time.Second}
+	s.pending = Pending{Any: true, Delay: time.Second}
 	c.Flush()
-	s.pending.In = 100 * time.Millisecond
+	s.pending.Delay = 100 * time.Millisecond
 	c.Flush()
 	fired := 0
 	h.run(200*time.Millisecond, func() { fired++ })
--- a/internal/coordination/statestore/health.go
+++ b/internal/coordination/statestore/health.go
@@ -4,11 +4,11 @@
 
 // Times by which the service's health is judged.
 const (
-	probeInterval    = 300 * time.Millisecond  // between probes while it fails
-	probeAfterSilent = 1500 * time.Millisecond // without an answer, and it is probed
-	unavailableAfter = 1200 * time.Millisecond // of failures; less is a hiccup
-	recoveryTold     = time.Second             // of failures, whose end is logged
-	recentAnswer     = 5 * time.Second
+	probeInterval        = 300 * time.Millisecond  // between probes while it fails
+	probeAfterSilence    = 1500 * time.Millisecond // without an answer, and it is probed
+	unavailableAfter     = 1200 * time.Millisecond // of failures; less is a hiccup
+	recoveryLogThreshold = time.Second             // of failures, whose end is logged
+	healthyWithin        = 5 * time.Second
 )
 
 // health is what the responses so far tell of the service, as it is for this controller.
@@ -27,7 +27,7 @@
 	case r.Answered && r.Status == 429:
 		// It works, and is asked too much.
 	case r.Answered && r.Status < 500:
-		if failed := now.Sub(h.failingSince); !h.failingSince.IsZero() && failed > recoveryTold {
+		if failed := now.Sub(h.failingSince); !h.failingSince.IsZero() && failed > recoveryLogThreshold {
 			c.log.Info("state service recovered", "duration", failed)
 		}
 		h.answeredAt, h.failingSince = now, time.Time{}
@@ -53,7 +53,7 @@
 // nothing for many seconds, and a controller without other requests would still call itself
 // healthy.
 func (c *Client) ProbeIfSilent() {
-	if c.health.failingSince.IsZero() && c.host.Now().Sub(c.health.answeredAt) > probeAfterSilent {
+	if c.health.failingSince.IsZero() && c.host.Now().Sub(c.health.answeredAt) > probeAfterSilence {
 		c.Get(c.probeKey, func(ReadResult) {})
 	}
 }
@@ -67,5 +67,5 @@
 
 // Healthy reports whether the service isn't unavailable and has answered lately.
 func (c *Client) Healthy() bool {
-	return !c.Unavailable() && c.host.Now().Sub(c.health.answeredAt) < recentAnswer
+	return !c.Unavailable() && c.host.Now().Sub(c.health.answeredAt) < healthyWithin
 }
--- a/internal/coordination/statestore/record.go
+++ b/internal/coordination/statestore/record.go
@@ -35,8 +35,8 @@
 	due       time.Time // of a lazy write
 }
 
-// Loaded is the state of a record that was read from the store with a version.
-func Loaded(version uint64) RecordState { return RecordState{version: version} }
+// LoadedRecord is the state of a record that was read from the store with a version.
+func LoadedRecord(version uint64) RecordState { return RecordState{version: version} }
 
 // Version is the record's version in the store as far as it is known; 0 without one.
 func (r *RecordState) Version() uint64 { return r.version }
@@ -67,8 +67,8 @@
 // Due is when a lazy record is to be written.
 func (r *RecordState) Due() time.Time { return r.due }
 
-// Clean takes the record as it is now for written.
-func (r *RecordState) Clean() { r.dirtiness = clean }
+// MarkClean takes the record as it is now for written.
+func (r *RecordState) MarkClean() { r.dirtiness = clean }
 
 // BeginWrite notes that a transaction that holds the record is being sent.
 func (r *RecordState) BeginWrite() { r.stage = writing }
--- a/internal/coordination/statestore/record_test.go
+++ b/internal/coordination/statestore/record_test.go
@@ -11,7 +11,7 @@
 	due := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	urgent := func(r *RecordState) bool { return r.MarkUrgent() }
 	lazily := func(r *RecordState) bool { return r.MarkLazy(due) }
-	cleaned := func(r *RecordState) bool { r.Clean(); return false }
+	cleaned := func(r *RecordState) bool { r.MarkClean(); return false }
 	for _, test := range []struct {
 		name   string
 		before []func(*RecordState) bool
@@ -50,12 +50,12 @@
 		inFlight, mayExist bool
 	}{
 		{name: "new", steps: func(*RecordState) {}},
-		{name: "loaded", steps: func(r *RecordState) { *r = Loaded(7) }, version: 7, mayExist: true},
+		{name: "loaded", steps: func(r *RecordState) { *r = LoadedRecord(7) }, version: 7, mayExist: true},
 		{name: "first write under way", steps: func(r *RecordState) { r.BeginWrite() }, inFlight: true, mayExist: true},
 		{name: "written", steps: func(r *RecordState) { r.BeginWrite(); r.Written(8) }, version: 8, mayExist: true},
 		{name: "refused", steps: func(r *RecordState) { r.BeginWrite(); r.NotWritten() }},
-		{name: "unanswered", steps: func(r *RecordState) { *r = Loaded(7); r.BeginWrite(); r.BeginVerify() }, version: 7, inFlight: true, mayExist: true},
-		{name: "verified", steps: func(r *RecordState) { *r = Loaded(7); r.BeginWrite(); r.BeginVerify(); r.Verified(9) }, version: 9, mayExist: true},
+		{name: "unanswered", steps: func(r *RecordState) { *r = LoadedRecord(7); r.BeginWrite(); r.BeginVerify() }, version: 7, inFlight: true, mayExist: true},
+		{name: "verified", steps: func(r *RecordState) { *r = LoadedRecord(7); r.BeginWrite(); r.BeginVerify(); r.Verified(9) }, version: 9, mayExist: true},
 		{name: "verified as absent", steps: func(r *RecordState) { r.BeginWrite(); r.BeginVerify(); r.Verified(0) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -8,17 +8,17 @@
 	"brasskeel/internal/records"
 )
 
-// statusCheckShare is the part of the state service's requests that one controller's status
+// statusCheckDivisor is the part of the state service's requests that one controller's status
 // checks take at the most, as a divisor. A check serves dozens of queries, and when users ask
 // ever more often, more share one: with a check as soon as the last one was over, those of
 // three controllers alone took more than the service allows, and submissions were refused for
 // it.
-const statusCheckShare = 12
+const statusCheckDivisor = 12
 
 // statusCheckInterval is the least time between two status checks.
 
 func (c *Controller) statusCheckInterval() time.Duration {
-	return max(10*time.Millisecond, time.Duration(statusCheckShare/c.cfg.StateRPS*float64(time.Second)))
+	return max(10*time.Millisecond, time.Duration(statusCheckDivisor/c.cfg.StateRPS*float64(time.Second)))
 }
 
 // queryStatus answers a request for a job's status.
@@ -31,18 +31,18 @@
 		c.reply(id, 200, protocol.EncodeJobStatus(job, f.state, f.done, 0))
 		return
 	}
-	if c.overload.Sheds() {
+	if c.overload.ShouldShed() {
 		c.refuse(id, 503, "busy")
 		return
 	}
 	// Anything but a final state may have been overtaken at another controller, so
 	// it needs a fresh read; without one there is no answer.
 	if c.store.Unavailable() {
-		c.refuseWithoutStore(id)
+		c.refuseStoreUnavailable(id)
 		return
 	}
 	c.admission.openRequests++
-	c.admission.queries = append(c.admission.queries, statusQuery{id, job})
+	c.admission.pendingQueries = append(c.admission.pendingQueries, statusQuery{id, job})
 	c.checkStatuses()
 }
 
@@ -69,7 +69,7 @@
 	check := statusCheck{txn: &protocol.Txn{}, unknown: map[string]bool{}}
 	listed := map[string]bool{}
 	count := 0
-	for _, q := range a.queries {
+	for _, q := range a.pendingQueries {
 		if !listed[q.job] {
 			if len(check.txn.Conditions)+2 > maxConditions {
 				break
@@ -83,8 +83,8 @@
 		}
 		count++
 	}
-	check.queries = a.queries[:count:count]
-	a.queries = append([]statusQuery(nil), a.queries[count:]...)
+	check.queries = a.pendingQueries[:count:count]
+	a.pendingQueries = append([]statusQuery(nil), a.pendingQueries[count:]...)
 	return check
 }
 
@@ -92,18 +92,18 @@
 // other and no more often than statusCheckInterval.
 func (c *Controller) checkStatuses() {
 	a := &c.admission
-	if a.checking || len(a.queries) == 0 {
+	if a.checkInFlight || len(a.pendingQueries) == 0 {
 		return
 	}
-	a.checking = true
-	if wait := a.lastCheck.Add(c.statusCheckInterval()).Sub(c.now); wait > 0 {
-		c.after(wait, func() { a.checking = false; c.checkStatuses() })
+	a.checkInFlight = true
+	if wait := a.lastCheckSentAt.Add(c.statusCheckInterval()).Sub(c.now); wait > 0 {
+		c.after(wait, func() { a.checkInFlight = false; c.checkStatuses() })
 		return
 	}
-	a.lastCheck = c.now
+	a.lastCheckSentAt = c.now
 	check := a.nextCheck(c.maxConditions())
 	c.store.Commit(check.txn, func(r statestore.CommitResult) {
-		a.checking = false
+		a.checkInFlight = false
 		a.openRequests -= len(check.queries)
 		c.answerCheck(check, r)
 		c.checkStatuses()
@@ -129,33 +129,33 @@
 		case check.unknown[q.job] && !exists[records.KeyActive(q.job)]:
 			c.reply(q.id, 404, protocol.EncodeError("no such job"))
 		default:
-			c.admission.rememberAccepted(q.job)
+			c.admission.cacheAccepted(q.job)
 			c.answerStatus(q.id, q.job)
 		}
 	}
 	for _, q := range check.queries {
 		if ids := reads[q.job]; ids != nil {
 			delete(reads, q.job)
-			c.readOutcome(q.job, ids)
+			c.answerFromOutcomeRecord(q.job, ids)
 		}
 	}
 }
 
-// readOutcome answers the queries for a job that is known to be over.
-func (c *Controller) readOutcome(job string, ids []uint64) {
+// answerFromOutcomeRecord answers the queries for a job that is known to be over.
+func (c *Controller) answerFromOutcomeRecord(job string, ids []uint64) {
 	c.admission.openRequests += len(ids)
 	c.store.Get(records.KeyOutcome(job), func(r statestore.ReadResult) {
 		c.admission.openRequests -= len(ids)
 		if r.Status == statestore.Found {
 			if s, done, err := records.DecodeOutcome(r.Item.Value); err == nil {
-				c.admission.rememberOutcome(job, s, done)
+				c.admission.cacheOutcome(job, s, done)
 			}
 		}
 		for _, id := range ids {
 			if _, ok := c.admission.outcomes[job]; ok {
 				c.answerStatus(id, job)
 			} else {
-				c.refuseForNow(id)
+				c.refuseRetryLater(id)
 			}
 		}
 	})
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -44,13 +44,13 @@
 		c.reply(id, 400, protocol.EncodeError("the job's description is too long"))
 		return
 	}
-	for _, s := range c.admission.submissions {
+	for _, s := range c.admission.pendingSubmissions {
 		if s.job.ID == job.ID {
 			s.requests = append(s.requests, id)
 			return
 		}
 	}
-	c.admission.submissions = append(c.admission.submissions, &submission{job, record, []uint64{id}})
+	c.admission.pendingSubmissions = append(c.admission.pendingSubmissions, &submission{job, record, []uint64{id}})
 	c.writeSubmissions()
 }
 
@@ -65,7 +65,7 @@
 		case jobAbsent:
 			c.reply(id, 422, protocol.EncodeError(reason.Error()))
 		default:
-			c.refuseWithoutStore(id)
+			c.refuseStoreUnavailable(id)
 		}
 	})
 }
@@ -78,7 +78,7 @@
 func (a *admission) nextSubmissions(txnOps int) ([]*submission, *protocol.Txn) {
 	t := &protocol.Txn{}
 	count, size := 0, 0
-	for _, s := range a.submissions {
+	for _, s := range a.pendingSubmissions {
 		if count == max(1, txnOps/2) || count > 0 && size+len(s.record) > maxSubmissionBytes {
 			break
 		}
@@ -89,8 +89,8 @@
 		t.Ops = append(t.Ops, protocol.Op{Put: records.KeyActive(s.job.ID), Value: s.record})
 		count, size = count+1, size+len(s.record)
 	}
-	group := a.submissions[:count:count]
-	a.submissions = append([]*submission(nil), a.submissions[count:]...)
+	group := a.pendingSubmissions[:count:count]
+	a.pendingSubmissions = append([]*submission(nil), a.pendingSubmissions[count:]...)
 	return group, t
 }
 
@@ -98,13 +98,13 @@
 // under way.
 func (c *Controller) writeSubmissions() {
 	a := &c.admission
-	if a.submitting || len(a.submissions) == 0 {
+	if a.submissionInFlight || len(a.pendingSubmissions) == 0 {
 		return
 	}
-	a.submitting = true
+	a.submissionInFlight = true
 	group, t := a.nextSubmissions(c.cfg.TxnOps)
 	c.store.Commit(t, func(r statestore.CommitResult) {
-		a.submitting = false
+		a.submissionInFlight = false
 		var again []*submission
 		for _, s := range group {
 			switch {
@@ -118,7 +118,7 @@
 				c.refuseSubmission(s, r)
 			}
 		}
-		a.submissions = append(again, a.submissions...)
+		a.pendingSubmissions = append(again, a.pendingSubmissions...)
 		c.writeSubmissions()
 	})
 }
@@ -134,7 +134,7 @@
 // replyAccepted tells of a job whose record is written.
 func (c *Controller) replyAccepted(s *submission) {
 	c.admission.openRequests -= len(s.requests)
-	c.admission.rememberAccepted(s.job.ID)
+	c.admission.cacheAccepted(s.job.ID)
 	c.log.Debug("job accepted", "job", s.job.ID, "class", s.job.Class, "tasks", s.job.Tasks,
 		"estimate", s.job.EstimatedRuntime, "deadline", s.job.Deadline, "image", s.job.Image, "gb", s.job.ImageGB)
 	for i, id := range s.requests {
@@ -152,7 +152,7 @@
 		c.admission.openRequests -= len(s.requests)
 		for _, id := range s.requests {
 			if r.presence != jobPresent {
-				c.refuseWithoutStore(id)
+				c.refuseStoreUnavailable(id)
 				continue
 			}
 			c.reply(id, 200, protocol.EncodeJobState(s.job.ID, r.state))
@@ -162,9 +162,9 @@
 
 // Reasons why a job can't ever run. Users see the texts.
 var (
-	errUnknownTeam   = errors.New("unknown team")
-	errNoMachineType = errors.New("a task fits no allowed machine type")
-	errOverTeamLimit = errors.New("the job needs more than its team's limit")
+	errUnknownTeam          = errors.New("unknown team")
+	errNoFittingMachineType = errors.New("a task fits no allowed machine type")
+	errOverTeamLimit        = errors.New("the job needs more than its team's limit")
 )
 
 // checkRunnable returns why a job can't ever run, or nil.
@@ -181,7 +181,7 @@
 		}
 	}
 	if !fits {
-		return errNoMachineType
+		return errNoFittingMachineType
 	}
 	together := 1.0 // tasks that must run at the same time
 	if j.Kind != protocol.Batch {
--- a/internal/coordination/task_blocks.go
+++ b/internal/coordination/task_blocks.go
@@ -46,8 +46,8 @@
 			if !t.doneRecorded {
 				completed = append(completed, t)
 			}
-		case t.attempt > 0:
-			entry := records.TaskEntry{Offset: i, Attempt: t.attempt}
+		case t.lastAttemptNumber > 0:
+			entry := records.TaskEntry{Offset: i, Attempt: t.lastAttemptNumber}
 			if t.live != nil {
 				entry.Machine = t.live.machine.Name
 			}
@@ -55,7 +55,7 @@
 		}
 	}
 	r.SetDone(done)
-	b.encodeMigrated(&r)
+	b.encodeMigrationMarks(&r)
 	return records.Encode(r), completed
 }
 
@@ -79,7 +79,7 @@
 			l.loadAttempt(block, &entry)
 		}
 	}
-	block.requeueIdle()
+	block.requeueInactiveTasks()
 }
 
 // decode takes the block's version, results and migrations from its record.
@@ -87,12 +87,12 @@
 	if err := protocol.Decode(it.Value, r); err != nil {
 		return err
 	}
-	b.record = statestore.Loaded(it.Version)
+	b.record = statestore.LoadedRecord(it.Version)
 	done, err := r.DoneTasks(len(b.tasks))
 	if err != nil {
 		return err
 	}
-	b.loadMigrated(r, log)
+	b.loadMigrationMarks(r, log)
 	for i, d := range done {
 		if d {
 			b.tasks[i].done, b.tasks[i].doneRecorded = true, true
@@ -106,7 +106,7 @@
 // machine.
 func (l *leader) loadAttempt(block *taskBlock, entry *records.TaskEntry) {
 	t := &block.tasks[entry.Offset]
-	t.attempt = entry.Attempt
+	t.lastAttemptNumber = entry.Attempt
 	if entry.Machine == "" || t.done {
 		return
 	}
@@ -116,7 +116,7 @@
 		// removed only after the machine is.
 		return
 	}
-	a := &attempt{job: block.job, task: block.index*block.job.blockSize + entry.Offset, number: entry.Attempt, machine: m, placedAt: l.controller.now,
+	a := &attempt{job: block.job, taskIndex: block.index*block.job.blockSize + entry.Offset, number: entry.Attempt, machine: m, placedAt: l.controller.now,
 		recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: l.controller.now}
 	// Outcomes are read before task blocks: a job that was cancelled just
 	// before the leadership changed still has attempts to be stopped.
@@ -124,9 +124,9 @@
 	l.attach(a)
 }
 
-// requeueIdle wants the tasks up to the end of a loaded block started again that aren't live
+// requeueInactiveTasks wants the tasks up to the end of a loaded block started again that aren't live
 // or done: blocks are made in order, so these were started before.
-func (b *taskBlock) requeueIdle() {
+func (b *taskBlock) requeueInactiveTasks() {
 	j := b.job
 	end := min(j.Tasks, b.index*j.blockSize+len(b.tasks))
 	for i := j.firstUnstarted; i < end; i++ {
--- a/internal/coordination/timers.go
+++ b/internal/coordination/timers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Next is when Tick is due; zero when nothing is planned.
-func (c *Controller) Next() time.Time {
+// NextTick is when Tick is due; zero when nothing is planned.
+func (c *Controller) NextTick() time.Time {
 	if len(c.timers) == 0 {
 		return time.Time{}
 	}
@@ -77,9 +77,9 @@
 	share float64       // used between the last two measurements, 1 for all of it
 }
 
-// ProcessorUsed takes how much processor time this process has used since it began. Without
+// ObserveProcessorTime takes how much processor time this process has used since it began. Without
 // calls the share counts as zero.
-func (c *Controller) ProcessorUsed(now time.Time, used time.Duration) {
+func (c *Controller) ObserveProcessorTime(now time.Time, used time.Duration) {
 	p := &c.processorLoad
 	if elapsed := now.Sub(p.at); !p.at.IsZero() && elapsed > 0 && c.cfg.CPUShare > 0 {
 		p.share = float64(used-p.used) / (float64(elapsed) * c.cfg.CPUShare)
--- a/internal/coordination/victim_search.go
+++ b/internal/coordination/victim_search.go
@@ -65,7 +65,7 @@
 
 // beginVictimSearch makes a search one for a job's tasks.
 func (l *leader) beginVictimSearch(s *victimSearch, j *job) {
-	if !s.search.Begun() {
+	if !s.search.Started() {
 		l.round.examined += len(l.round.accepting)
 		for i, m := range l.round.accepting {
 			if m.Allows(j.Job) && (s.rules != immediateVictims || m.Images.CachedGB(j.imageID) >= j.ImageGB) {
@@ -73,38 +73,38 @@
 			}
 		}
 	}
-	s.search.Begin(l.victimsFor(j, s.rules), placement.Needs(j.Job))
+	s.search.BeginJob(l.victimSelectorFor(j, s.rules), placement.Needs(j.Job))
 }
 
 // preemptNext stops work for one more task of the job whose turn it is, and reports whether
 // there was any.
 func (l *leader) preemptNext(s *victimSearch, j *job) bool {
-	return s.search.Next(l.victimsFor(j, s.rules))
+	return s.search.PreemptNext(l.victimSelectorFor(j, s.rules))
 }
 
-// victimChoice looks at machines for one job, as preemption.Machines asks.
-type victimChoice struct {
-	l       *leader
-	job     *job
-	rules   victimRules
-	work    []preemption.Work[*attempt] // reused by every look
-	victims []preemption.Work[*attempt] // of the last look
+// victimSelector looks at machines for one job, as preemption.Machines asks.
+type victimSelector struct {
+	l          *leader
+	job        *job
+	rules      victimRules
+	candidates []preemption.Candidate[*attempt] // reused by every look
+	victims    []preemption.Candidate[*attempt] // of the last look
 }
 
-// victimsFor prepares the leader's choice of victims for a job.
-func (l *leader) victimsFor(j *job, rules victimRules) *victimChoice {
+// victimSelectorFor prepares the leader's choice of victims for a job.
+func (l *leader) victimSelectorFor(j *job, rules victimRules) *victimSelector {
 	v := &l.round.victims
 	v.l, v.job, v.rules = l, j, rules
 	return v
 }
 
 // Excluded implements preemption.Machines.
-func (v *victimChoice) Excluded(m *machine) bool {
+func (v *victimSelector) Excluded(m *machine) bool {
 	return !v.job.zoneAllowed(m.Zone) || m.failuresByJob[v.job.ID] > 0
 }
 
 // Cost implements preemption.Machines.
-func (v *victimChoice) Cost(m *machine) (float64, bool) {
+func (v *victimSelector) Cost(m *machine) (float64, bool) {
 	l, needs := v.l, placement.Needs(v.job.Job)
 	l.round.examined++
 	v.victims = nil
@@ -112,33 +112,33 @@
 	if preemption.Fits(free, needs) {
 		return 0, true
 	}
-	if !v.mayFreeEnough(m, free.CPUs) {
+	if !v.canFreeEnough(m, free.CPUs) {
 		return 0, false
 	}
-	l.round.examined += costOfSorting
-	v.work = v.work[:0]
+	l.round.examined += attemptScanCost
+	v.candidates = v.candidates[:0]
 	freed := 0.0
 	for _, a := range m.attemptList {
-		if l.preemptible(a, v.job) && v.allowed(a) {
-			v.work = append(v.work, preemption.Work[*attempt]{Attempt: a, Priority: a.job.Priority, Submitted: a.job.submitted,
-				Lost: l.lostWork(a), Needs: placement.Needs(a.job.Job), Job: a.job.ID, Task: a.task})
+		if l.preemptible(a, v.job) && v.matchesRules(a) {
+			v.candidates = append(v.candidates, preemption.Candidate[*attempt]{Attempt: a, Priority: a.job.Priority, JobSubmitted: a.job.submitted,
+				LostWork: l.lostWork(a), Needs: placement.Needs(a.job.Job), JobID: a.job.ID, TaskIndex: a.taskIndex})
 			freed += a.job.CPUs
 		}
 	}
 	if free.CPUs+freed < needs.CPUs-protocol.Epsilon {
 		return 0, false
 	}
-	victims, cost, ok := preemption.Choose(free, needs, v.work)
+	victims, cost, ok := preemption.ChooseVictims(free, needs, v.candidates)
 	v.victims = victims
 	return cost, ok
 }
 
-// costOfSorting is how many machines looked at it counts as to look at all work on one.
-const costOfSorting = 10
+// attemptScanCost is how many machines looked at it counts as to look at all work on one.
+const attemptScanCost = 10
 
-// mayFreeEnough reports whether all work of lower priority on a machine would be enough. For a
+// canFreeEnough reports whether all work of lower priority on a machine would be enough. For a
 // job within its team's quota it isn't asked: what other teams borrowed gives way, too.
-func (v *victimChoice) mayFreeEnough(m *machine, cpus float64) bool {
+func (v *victimSelector) canFreeEnough(m *machine, cpus float64) bool {
 	if v.job.withinQuota() {
 		return true
 	}
@@ -148,8 +148,8 @@
 	return cpus >= v.job.CPUs-protocol.Epsilon
 }
 
-// allowed applies the rules of a search to an attempt.
-func (v *victimChoice) allowed(a *attempt) bool {
+// matchesRules applies the rules of a search to an attempt.
+func (v *victimSelector) matchesRules(a *attempt) bool {
 	switch v.rules {
 	case checkpointingVictims:
 		return a.state == protocol.Running && v.l.checkpointsInTime(a.job)
@@ -161,12 +161,12 @@
 
 // Preempt implements preemption.Machines: it stops the victims of the last look and promises
 // their room to the job.
-func (v *victimChoice) Preempt(m *machine) {
+func (v *victimSelector) Preempt(m *machine) {
 	l, j := v.l, v.job
 	for i := range v.victims {
 		w := &v.victims[i]
 		a := w.Attempt
-		l.controller.log.Debug("attempt preempted", "job", a.job.ID, "task", a.task, "machine", m.Name, "beneficiary", j.ID, "lost_work", w.Lost)
+		l.controller.log.Debug("attempt preempted", "job", a.job.ID, "task", a.taskIndex, "machine", m.Name, "beneficiary", j.ID, "lost_work", w.LostWork)
 		l.stopAttempt(a, l.checkpointGrace(a))
 	}
 	m.Reserve(j.Job)
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -13,7 +13,7 @@
 
 // startOrder is the order that starts an attempt.
 func startOrder(a *attempt) protocol.Order {
-	return protocol.Order{Kind: protocol.Start, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number}
+	return protocol.Order{Kind: protocol.Start, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number}
 }
 
 // stopOrder gives the order that ends an attempt, unless it is saving in the
@@ -22,7 +22,7 @@
 	if a.state == protocol.Checkpointing && a.stopGrace > 0 {
 		return protocol.Order{}, false
 	}
-	return protocol.Order{Kind: protocol.Stop, Job: a.job.ID, TaskIndex: a.task, Attempt: a.number, Grace: a.stopGrace}, true
+	return protocol.Order{Kind: protocol.Stop, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number, Grace: a.stopGrace}, true
 }
 
 // acceptsOrders reports whether orders can be sent to a worker without waiting for its heartbeat.
@@ -45,7 +45,7 @@
 	}
 	token, incarnation := m.session.Token(), m.session.Incarnation
 	for _, a := range starts {
-		a.delivery.SendDirect(token, incarnation)
+		a.delivery.MarkDirectSent(token, incarnation)
 	}
 	if len(starts) > 0 {
 		m.session.DirectStartToken = token
@@ -120,9 +120,9 @@
 		return
 	}
 	for _, a := range starts {
-		a.delivery.DirectAnswered()
+		a.delivery.MarkDirectAnswered()
 		if out.Status == 200 {
-			a.delivery.Sent(incarnation, r.Sequence)
+			a.delivery.MarkSent(incarnation, r.Sequence)
 		}
 	}
 	if m.session.Epoch == nil {
@@ -133,7 +133,7 @@
 		return
 	}
 	if !m.removed && m.session.IsNewer(responseMessage(r)) {
-		s.takeResponse(m, r)
+		s.applyResponse(m, r)
 	}
 	if out.Status == 200 {
 		s.sendOrders(m)
@@ -146,7 +146,7 @@
 func (s *workerSessions) ordersUnanswered(m *machine, starts []*attempt, out Outcome) {
 	if out.NotSent || out.Answered && out.Status == 400 {
 		for _, a := range starts {
-			a.delivery.DirectAnswered()
+			a.delivery.MarkDirectAnswered()
 		}
 	}
 	m.orders.pausedUntil = s.controller.now.Add(s.controller.cfg.HeartbeatInterval)
--- a/internal/coordination/worker_probes.go
+++ b/internal/coordination/worker_probes.go
@@ -15,12 +15,12 @@
 	minProbeBatch     = 24
 	probeBatchDivisor = 6
 	// A worker that has seen a new token sends its next heartbeat within half a second.
-	tokenShownWithin = 700 * time.Millisecond
+	tokenEchoTimeout = 700 * time.Millisecond
 )
 
-// wantsProbe reports whether a machine is to be probed that was silent for a time.
-func (s *workerSessions) wantsProbe(m *machine, unseen time.Duration) bool {
-	return s.detector.WantsProbe(s.controller.timing(), &m.session, m.Zone, unseen, s.controller.now)
+// needsProbe reports whether a machine is to be probed that was silent for a time.
+func (s *workerSessions) needsProbe(m *machine, unseen time.Duration) bool {
+	return s.detector.NeedsProbe(s.controller.timing(), &m.session, m.Zone, unseen, s.controller.now)
 }
 
 // terminateExpired takes the attempts on a machine for terminated whose worker's lease has
@@ -38,10 +38,10 @@
 // probing hundreds at once takes longer than the answers are waited for.
 func (s *workerSessions) probeBatch(list []*machine) {
 	limit := max(minProbeBatch, len(s.fleetList)/probeBatchDivisor)
-	if s.controller.overload.Defers() {
+	if s.controller.overload.ShouldDefer() {
 		limit /= 3
 	}
-	s.detector.EachInTurn(len(list), limit, func(i int) bool {
+	s.detector.ProbeRoundRobin(len(list), limit, func(i int) bool {
 		m := list[i]
 		if m.session.ProbeInFlight {
 			return false
@@ -91,10 +91,10 @@
 		s.controller.log.Warn("worker incarnation reset", "machine", m.Name, "incarnation", r.Incarnation, "previous", m.session.Incarnation)
 		s.listener.incarnationReset(m)
 	case m.session.IsNewer(responseMessage(r)):
-		s.takeResponse(m, r)
+		s.applyResponse(m, r)
 		s.announceEpoch(m)
 	default:
-		s.confirmReached(m, s.controller.now) // overtaken by a heartbeat of the worker's
+		s.recordReached(m, s.controller.now) // overtaken by a heartbeat of the worker's
 	}
 }
 
@@ -102,7 +102,7 @@
 // heartbeats to another controller: an earlier owner that lost the state service may still
 // answer it, and would hold it until its grace period ends.
 func (s *workerSessions) announceEpoch(m *machine) {
-	if !s.wantsAnnouncement(m) {
+	if !s.needsAnnouncement(m) {
 		return
 	}
 	m.orders.inFlight = true
@@ -114,16 +114,16 @@
 		m.orders.inFlight = false
 		r, err := protocol.ParseHeartbeat(out.Body)
 		if out.Answered && out.Status == 200 && err == nil && r.Machine == m.Name && !m.removed && m.session.IsNewer(responseMessage(r)) {
-			s.takeResponse(m, r)
+			s.applyResponse(m, r)
 		}
 		s.sendOrders(m)
 	})
 }
 
-// wantsAnnouncement reports whether a worker has seen no token of this epoch and isn't about
+// needsAnnouncement reports whether a worker has seen no token of this epoch and isn't about
 // to. Those that come by themselves aren't called for it: on a small share of a processor
 // that cost a new leader a tenth of its first seconds.
-func (s *workerSessions) wantsAnnouncement(m *machine) bool {
+func (s *workerSessions) needsAnnouncement(m *machine) bool {
 	if !m.session.EpochSeenAt.IsZero() || m.orders.inFlight || !s.loaded && !m.attemptsKnown || !s.serves(m) {
 		return false
 	}
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -95,28 +95,28 @@
 // heartbeats, so that an outage of the state service doesn't end every task. Whoever comes
 // next waits for its end before it takes silence for a proof. It is never longer than
 // lets lease, grace and worker lease together stay within the time a cancellation has;
-// what the owner knows bounds it further (answerFreshness).
+// what the owner knows bounds it further (maxAnswerStaleness).
 func (s *workerSessions) gracePeriod() time.Duration {
-	return s.controller.gracePeriodAfter(s.lease.TTL)
+	return s.controller.gracePeriodForLease(s.lease.TTL)
 }
 
-// gracePeriodAfter is the grace period of an owner with a lease of the given time.
-func (c *Controller) gracePeriodAfter(lease time.Duration) time.Duration {
+// gracePeriodForLease is the grace period of an owner with a lease of the given time.
+func (c *Controller) gracePeriodForLease(lease time.Duration) time.Duration {
 	settings := c.cfg
-	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.ClockDrift(2*settings.WorkerLease)-lease-2*time.Second)
+	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.MaxClockDrift(2*settings.WorkerLease)-lease-2*time.Second)
 }
 
 // holdsLease reports whether this owner may still answer workers: it may hold its lease, or
 // its grace isn't over, and it knows of every cancellation that is so old that an answer
 // now could keep its tasks beyond their time.
 func (s *workerSessions) holdsLease() bool {
-	if s.jobsKnownAt.IsZero() || s.controller.now.After(s.jobsKnownAt.Add(s.controller.answerFreshness())) {
+	if s.jobsKnownAt.IsZero() || s.controller.now.After(s.jobsKnownAt.Add(s.controller.maxAnswerStaleness())) {
 		return false
 	}
 	return !s.controller.now.After(s.lease.ValidUntil.Add(s.gracePeriod()))
 }
 
-// answerFreshness is how long after an owner last knew of every cancellation it may go on
+// maxAnswerStaleness is how long after an owner last knew of every cancellation it may go on
 // answering workers. One that it doesn't know of was confirmed after that; an answer
 // renews a worker's lease, counted from when the heartbeat was sent, so from before the
 // answer. The lease of a leader doesn't stand for what it knows: one that was elected and
@@ -125,18 +125,18 @@
 //
 // Nothing is owed to the delay of the loop: a watch that is read late is as old as when
 // it was asked for, and a heartbeat that is read late as when it was sent.
-func (c *Controller) answerFreshness() time.Duration {
+func (c *Controller) maxAnswerStaleness() time.Duration {
 	settings := c.cfg
-	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.ClockDrift(settings.CancelWithin+settings.WorkerLease)-deadlineMargin)
+	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.MaxClockDrift(settings.CancelWithin+settings.WorkerLease)-deadlineMargin)
 }
 
-// startFreshness is how long after that it may send starts that were recorded before. The
+// maxStartStaleness is how long after that it may send starts that were recorded before. The
 // tasks of a cancelled job would end in time all the same, but nobody should start them.
-const startFreshness = 2500 * time.Millisecond
+const maxStartStaleness = 2500 * time.Millisecond
 
 // startsAllowed reports whether starts may be sent.
 func (s *workerSessions) startsAllowed() bool {
-	return !s.jobsKnownAt.IsZero() && s.controller.now.Sub(s.jobsKnownAt) <= startFreshness && !s.controller.store.Unavailable()
+	return !s.jobsKnownAt.IsZero() && s.controller.now.Sub(s.jobsKnownAt) <= maxStartStaleness && !s.controller.store.Unavailable()
 }
 
 // noteJobsKnown notes that all that was recorded of jobs before at is known.
@@ -158,13 +158,13 @@
 // terminationProofAt is when a machine that stays silent has certainly ended its tasks.
 func (s *workerSessions) terminationProofAt(m *machine) time.Time {
 	lease := s.controller.cfg.WorkerLease
-	return m.session.TerminationProof(lease + leadership.ClockDrift(lease) + deadlineMargin)
+	return m.session.TerminationProofAt(lease + leadership.MaxClockDrift(lease) + deadlineMargin)
 }
 
 // raiseFencingToken makes the worker's token exceed one that it may have seen.
 func (s *workerSessions) raiseFencingToken(m *machine, above uint64) {
 	if err := m.session.RaiseToken(above, s.controller.now); err != nil {
-		s.controller.limits.Reached(limits.TokenRaises)
+		s.controller.limits.Reached(limits.FencingTokenRaises)
 	}
 }
 
@@ -204,7 +204,7 @@
 // track adds an attempt to those of its machine, untrack takes it out.
 func (s *workerSessions) track(a *attempt) {
 	m := a.machine
-	m.attempts[taskKey{a.job.ID, a.task}] = a
+	m.attempts[taskKey{a.job.ID, a.taskIndex}] = a
 	a.listIndex = len(m.attemptList)
 	m.attemptList = append(m.attemptList, a)
 	m.ReportBytes += protocol.TaskStatusBytes(a.job.ID)
@@ -213,7 +213,7 @@
 func (s *workerSessions) untrack(a *attempt) {
 	m := a.machine
 	m.ReportBytes -= protocol.TaskStatusBytes(a.job.ID)
-	delete(m.attempts, taskKey{a.job.ID, a.task})
+	delete(m.attempts, taskKey{a.job.ID, a.taskIndex})
 	last := m.attemptList[len(m.attemptList)-1]
 	m.attemptList[a.listIndex], last.listIndex = last, a.listIndex
 	m.attemptList[len(m.attemptList)-1] = nil
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -34,8 +34,8 @@
 	return b.tokens
 }
 
-// Take takes n tokens if they are there, and reports whether it did.
-func (b *TokenBucket) Take(now time.Time, n float64) bool {
+// TryTake takes n tokens if they are there, and reports whether it did.
+func (b *TokenBucket) TryTake(now time.Time, n float64) bool {
 	b.refill(now)
 	if b.tokens < n {
 		return false
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -8,7 +8,7 @@
 func TestTokenBucket(t *testing.T) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	b := NewTokenBucket(10, 5, now)
-	if !b.Take(now, 5) || b.Take(now, 1) {
+	if !b.TryTake(now, 5) || b.TryTake(now, 1) {
 		t.Error("the burst is not five")
 	}
 	if w := b.Wait(now, 2); w != 200*time.Millisecond {
@@ -19,7 +19,7 @@
 		t.Errorf("after a minute %g units", got)
 	}
 	b.Spend(now, 8)
-	if b.Take(now.Add(300*time.Millisecond), 1) {
+	if b.TryTake(now.Add(300*time.Millisecond), 1) {
 		t.Error("a debt is forgotten")
 	}
 }
--- a/internal/records/forms_test.go
+++ b/internal/records/forms_test.go
@@ -10,7 +10,7 @@
 
 // Every form of record is written as the versions before wrote it, with all of its fields
 // and with as few as it can have.
-func TestRecordForms(t *testing.T) {
+func TestRecordEncodings(t *testing.T) {
 	sharded := true
 	golden.Check(t, []golden.Form{
 		{File: "leader_full.json", Value: &Leader{Node: "n1", Zone: "a", Term: 41, Incarnation: 1<<64 - 1}},
@@ -26,10 +26,10 @@
 		{File: "outcome_done.json", Value: &Outcome{State: outcomeDone, Done: 4}},
 		{File: "outcome_cancelled.json", Value: &Outcome{State: outcomeCancelled}},
 		{File: "task_block_full.json", Value: &TaskBlock{Done: "iQI", Tasks: []TaskEntry{{Offset: 3, Attempt: 1<<64 - 1, Machine: "vm-1"}, {Offset: 4, Attempt: 2}},
-			Moved: "AQ", Surge: 6}},
+			Migrated: "AQ", Surge: 6}},
 		{File: "task_block_least.json", Value: &TaskBlock{}},
 		{File: "machine_group_full.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true,
-			Machines: []MachineEntry{{Name: "vm-1", RentedAt: 1790000000123, Addr: "10.0.0.1:1"}, {Name: "vm-2"}}, LoneRentedAt: 5}},
+			Machines: []MachineEntry{{Name: "vm-1", RentedAt: 1790000000123, Addr: "10.0.0.1:1"}, {Name: "vm-2"}}, LegacyRentedAt: 5}},
 		{File: "machine_group_least.json", Value: &MachineGroup{}},
 		{File: "machine_types_full.json", Value: &[]protocol.MachineType{{Name: "small", CPUs: 16, GPUs: 0.5, MemoryGB: 64, CacheGB: 200, FetchGBPerSecond: 1.25,
 			PricePerHour: 3, SpotPricePerHour: 1, BootTime: 45 * time.Second, Zones: []string{"a", "b"}}}},
@@ -40,9 +40,9 @@
 }
 
 // Forms that are no longer written are still read.
-func TestOldRecordForms(t *testing.T) {
+func TestLegacyRecordEncodings(t *testing.T) {
 	golden.CheckRead(t, []golden.Form{
-		{File: "machine_old.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true, LoneRentedAt: 1790000000123}},
+		{File: "machine_old.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true, LegacyRentedAt: 1790000000123}},
 		{File: "task_block_unknown_field.json", Value: &TaskBlock{Done: "iQI"}},
 	})
 }
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -7,9 +7,9 @@
 	Spot     bool           `json:"spot,omitempty"`
 	Machines []MachineEntry `json:"m"`
 
-	// LoneRentedAt is when the machine was provisioned, in Unix milliseconds, of a record from
+	// LegacyRentedAt is when the machine was provisioned, in Unix milliseconds, of a record from
 	// before machines shared them. Such a record's key ends with the name of its machine.
-	LoneRentedAt int64 `json:"at,omitempty"`
+	LegacyRentedAt int64 `json:"at,omitempty"`
 }
 
 // Bounds of a group: bytes beside its machines, and bytes of one with a long name at the most.
--- a/internal/records/task_blocks.go
+++ b/internal/records/task_blocks.go
@@ -14,9 +14,9 @@
 type TaskBlock struct {
 	Done  string      `json:"d,omitempty"` // bit set, base64
 	Tasks []TaskEntry `json:"t,omitempty"`
-	// Moved are the tasks that were migrated in a surge of their team: bit set, base64.
-	Moved string `json:"m,omitempty"`
-	Surge uint64 `json:"s,omitempty"` // that surge
+	// Migrated are the tasks that were migrated in a surge of their team: bit set, base64.
+	Migrated string `json:"m,omitempty"`
+	Surge    uint64 `json:"s,omitempty"` // that surge
 }
 
 // SetDone packs the done tasks.
@@ -25,15 +25,15 @@
 // DoneTasks unpacks the done tasks of a block of n.
 func (b *TaskBlock) DoneTasks(n int) ([]bool, error) { return unpackBits(b.Done, n) }
 
-// SetMoved packs the tasks that were moved in a surge.
-func (b *TaskBlock) SetMoved(surge uint64, moved []bool) {
-	if b.Moved = packBits(moved); b.Moved != "" {
+// SetMigrated packs the tasks that were moved in a surge.
+func (b *TaskBlock) SetMigrated(surge uint64, moved []bool) {
+	if b.Migrated = packBits(moved); b.Migrated != "" {
 		b.Surge = surge
 	}
 }
 
-// MovedTasks unpacks the moved tasks of a block of n.
-func (b *TaskBlock) MovedTasks(n int) ([]bool, error) { return unpackBits(b.Moved, n) }
+// MigratedTasks unpacks the moved tasks of a block of n.
+func (b *TaskBlock) MigratedTasks(n int) ([]bool, error) { return unpackBits(b.Migrated, n) }
 
 // packBits makes a bit set, empty when none is set.
 func packBits(set []bool) string {
--- a/internal/simulator/controller_host.go
+++ b/internal/simulator/controller_host.go
@@ -213,7 +213,7 @@
 	if n.core == nil {
 		return
 	}
-	next := n.core.Next()
+	next := n.core.NextTick()
 	if n.tickQueued || next.IsZero() || n.wake != nil && n.wake.run != nil && !n.wakeAt.After(next) {
 		return
 	}
--- a/internal/simulator/migration_invariant.go
+++ b/internal/simulator/migration_invariant.go
@@ -38,7 +38,7 @@
 		return
 	}
 	size := records.TasksPerBlock(c.settings.ValueBytes)
-	moved, err := r.MovedTasks(size)
+	moved, err := r.MigratedTasks(size)
 	if err != nil {
 		c.violate("unreadable_mark", "%s", op.Put)
 		return
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -231,7 +231,7 @@
 		respond(503, nil)
 		return
 	}
-	if !s.requestBucket.Take(s.c.now, 1) {
+	if !s.requestBucket.TryTake(s.c.now, 1) {
 		s.rateLimited++
 		respond(429, nil)
 		return
@@ -267,7 +267,7 @@
 		respond(400, nil)
 		return
 	}
-	if !s.writeBucket.Take(s.c.now, float64(len(t.Ops))) {
+	if !s.writeBucket.TryTake(s.c.now, float64(len(t.Ops))) {
 		s.rateLimited++
 		respond(429, nil)
 		return
