--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -9,61 +9,65 @@
 )
 
 const (
-	// campaignJitter spreads the campaigns of several controllers.
+	// campaignJitter keeps controllers from campaigning at the same moment.
 	campaignJitter = 60 * time.Millisecond
-	// otherZoneDelay lets controllers in the preferred zone campaign first.
+	// otherZoneDelay delays campaigns outside the preferred zone, so that controllers in it
+	// campaign first.
 	otherZoneDelay = 700 * time.Millisecond
-	// disconnectedDelay lets controllers that may reach the workers campaign first.
+	// disconnectedDelay delays the campaigns of a disconnected controller, so that
+	// controllers that may reach the workers campaign first.
 	disconnectedDelay = 2 * time.Second
-	// disconnectedPeriod is how long a leader that resigned for lost connectivity campaigns
-	// behind the others, while no leader hands over to it. One that was cut off from its
-	// workers had been handed the leadership again, for its zone, and released a whole
-	// fleet that another controller reached.
+	// disconnectedPeriod is how long a leader that resigned because it lost connectivity to
+	// its workers counts as disconnected: it campaigns after the others, and no leader hands
+	// over to it. Without it, such a leader was handed the leadership back because of its
+	// zone, and released a whole fleet that another controller could reach.
 	disconnectedPeriod = time.Minute
-	// retryDelay and retryJitter are the pause after a campaign that failed.
+	// retryDelay and retryJitter make up the pause after a failed campaign.
 	retryDelay  = 150 * time.Millisecond
 	retryJitter = 150 * time.Millisecond
-	// watchRetryDelay and watchRetryJitter are the pause after a watch that failed.
+	// watchRetryDelay and watchRetryJitter make up the pause after a failed watch.
 	watchRetryDelay  = 200 * time.Millisecond
 	watchRetryJitter = 100 * time.Millisecond
-	// minTermDuration is how long a leader stays before it hands over to a better zone.
+	// minTermDuration is the minimum time that a leader leads before it hands over to the
+	// preferred zone.
 	minTermDuration = 10 * time.Second
 )
 
-// HandOverPause is how long a leader that resigned in favour of another controller doesn't
-// campaign.
+// HandOverPause is how long a leader does not campaign after it resigned in favour of another
+// controller.
 const HandOverPause = 3 * time.Second
 
-// Role is what a controller is to the election.
+// Role is a controller's role in the election.
 type Role uint8
 
-// The roles. A follower schedules a campaign once it sees that nobody leads, and is a
-// candidate while its lease and its transaction are on their way; from each it may go back
-// to follower. Only a candidate becomes leader, and a leader that steps down is a follower.
+// Roles in the election. A follower schedules a campaign when there is no leader, and becomes
+// a candidate when it requests a lease. A scheduled or failed campaign ends in the role of
+// follower again. Only a candidate becomes leader; a leader that steps down becomes a
+// follower.
 const (
 	Follower          Role = iota
-	CampaignScheduled      // a campaign begins soon, unless somebody leads by then
-	Candidate              // the store decides about a campaign
+	CampaignScheduled      // a campaign starts soon unless there is a leader by then
+	Candidate              // the lease request or the election transaction is in flight
 	Leader
 )
 
-// LeaderTerm is what a leader was elected with.
+// LeaderTerm describes one controller's term as the leader.
 type LeaderTerm struct {
 	Term       uint64
-	KeyVersion uint64 // of the leader key; every write of the leader's demands it
+	KeyVersion uint64 // version of the leader key, a condition of every write by the leader
 	Lease      Lease  // as it was granted
 	ElectedAt  time.Time
 }
 
-// Settings are those of one controller.
+// Settings configures the election for one controller.
 type Settings struct {
 	Name    string // the controller's name
 	Zone    string
-	BootID  uint64        // tells this process from earlier ones of the same name
-	BaseTTL time.Duration // of the leader lease in calm times
+	BootID  uint64        // distinguishes this process from earlier ones with the same name
+	BaseTTL time.Duration // time to live of the leader lease without recent leader changes
 }
 
-// Election follows who leads, and campaigns when nobody does.
+// Election follows the leader keys in the store, and campaigns when there is no leader.
 type Election struct {
 	settings Settings
 	log      *slog.Logger
@@ -72,22 +76,22 @@
 	host     Host
 
 	view       view
-	loaded     bool // the view was read once
-	generation int  // of the watch; answers to an older one are dropped
+	loaded     bool // the view was read at least once
+	generation int  // of the watch; responses to earlier watches are dropped
 	role       Role
-	leaderTerm LeaderTerm // of a leader
+	leaderTerm LeaderTerm // valid while role is Leader
 	ttl        TTLPolicy
 
-	noCampaignBefore  time.Time // no campaign: the leadership was resigned
+	noCampaignBefore  time.Time // set when this controller resigns
 	disconnectedUntil time.Time
 }
 
-// New makes the election of one controller, which follows nothing before Follow.
+// New returns the election of one controller. It is idle until Follow is called.
 func New(s Settings, log *slog.Logger, clock Clock, store Store, host Host) *Election {
 	return &Election{settings: s, log: log, clock: clock, store: store, host: host, ttl: NewTTLPolicy(s.BaseTTL)}
 }
 
-// Follow reads the keys afresh and watches them from then on.
+// Follow reads the election keys again and watches them from then on.
 func (e *Election) Follow() {
 	e.generation++
 	generation := e.generation
@@ -136,7 +140,8 @@
 	}
 }
 
-// viewChanged acts on what is now known of the leadership.
+// viewChanged reacts to a change of the view: it steps down, schedules a campaign, or revokes
+// the lease of this controller's previous process.
 func (e *Election) viewChanged() {
 	if e.role == Leader && e.view.leaderVersion > e.leaderTerm.KeyVersion {
 		e.StepDown("another leader was elected")
@@ -150,14 +155,15 @@
 		return
 	}
 	if leader := e.view.leader; leader.Node == e.settings.Name && leader.Incarnation != e.settings.BootID && e.view.leaderLease != 0 {
-		// This controller's earlier process led. It is gone for good and all its
-		// late writes are conditional on the key that goes with this lease.
+		// This controller's previous process was the leader. It no longer runs, and any
+		// write of its that is still in flight is conditional on the leader key, which is
+		// deleted with this lease.
 		e.log.Info("revoking lease of previous process", "term", leader.Term)
 		e.store.RevokeLease(e.view.leaderLease)
 	}
 }
 
-// scheduleCampaign campaigns after a short random wait.
+// scheduleCampaign starts a campaign after campaignDelay.
 func (e *Election) scheduleCampaign() {
 	if e.role != Follower || !e.loaded {
 		return
@@ -174,8 +180,8 @@
 	})
 }
 
-// campaignDelay is longer where another zone is the better place for a leader, and for a
-// controller that resigned lately.
+// campaignDelay returns the time until the next campaign. It is longer for a controller
+// outside the preferred zone, for a disconnected one, and for one that resigned recently.
 func (e *Election) campaignDelay() time.Duration {
 	delay := e.clock.Jitter(campaignJitter)
 	if e.view.preferredZone != "" && e.view.preferredZone != e.settings.Zone {
@@ -187,9 +193,9 @@
 	return max(delay, e.noCampaignBefore.Sub(e.clock.Now()))
 }
 
-// campaign tries to become leader: a lease, then one transaction that creates the
-// leader key bound to it and raises the term. Two candidates can't both
-// succeed, and a transaction that arrives late finds another term.
+// campaign tries to become leader: it requests a lease, then commits one transaction that
+// creates the leader key bound to that lease and increments the term. Of two candidates only
+// one can succeed, and a delayed transaction fails because the term has changed.
 func (e *Election) campaign() {
 	e.role = Candidate
 	ttl, sent := e.CampaignTTL(), e.clock.Now()
@@ -202,7 +208,7 @@
 	})
 }
 
-// claim asks the store to elect this controller in the next term.
+// claim commits the transaction that makes this controller the leader of the next term.
 func (e *Election) claim(lease Lease) {
 	term := e.view.term + 1
 	leader := records.Leader{Node: e.settings.Name, Zone: e.settings.Zone, Term: term, Incarnation: e.settings.BootID}
@@ -214,8 +220,9 @@
 		},
 	}, func(applied bool, revision uint64) {
 		if !applied {
-			// Revoking the lease also ends what the transaction may have created,
-			// or may yet create: a write with an expired lease is refused.
+			// The transaction may have been applied, or may still be. Revoking the lease
+			// deletes the leader key if it exists, and the store refuses later writes that
+			// are bound to the lease.
 			e.store.RevokeLease(lease.ID)
 			e.retry()
 			return
@@ -227,8 +234,8 @@
 	})
 }
 
-// retry reads the keys afresh after a campaign that failed, unless this controller leads by
-// then.
+// retry reads the keys again some time after a failed campaign, unless this controller leads
+// by then.
 func (e *Election) retry() {
 	e.role = Follower
 	e.clock.After(retryDelay+e.clock.Jitter(retryJitter), func() {
@@ -238,14 +245,14 @@
 	})
 }
 
-// BecomeLeader makes this controller the leader under a mandate that the store gave it.
-func (e *Election) BecomeLeader(m LeaderTerm) {
-	e.role, e.leaderTerm = Leader, m
-	e.host.Elected(m)
+// BecomeLeader makes this controller the leader for a term that the store has accepted.
+func (e *Election) BecomeLeader(t LeaderTerm) {
+	e.role, e.leaderTerm = Leader, t
+	e.host.Elected(t)
 }
 
-// StepDown gives the leadership up, if this controller has it, and follows again. The lease
-// is left to expire.
+// StepDown gives up leadership if this controller has it, and follows the keys again. The
+// lease is left to expire.
 func (e *Election) StepDown(reason string) {
 	if e.role != Leader {
 		return
@@ -259,25 +266,25 @@
 	e.Follow()
 }
 
-// Resign gives the leadership up by choice, so that another controller can lead at once;
-// this one doesn't campaign for a pause.
+// Resign gives up leadership voluntarily. It revokes the lease, so that another controller can
+// be elected at once; this one does not campaign until pause has passed.
 func (e *Election) Resign(reason string, pause time.Duration) {
 	e.noCampaignBefore = e.clock.Now().Add(pause)
 	e.store.RevokeLease(e.leaderTerm.Lease.ID)
 	e.StepDown(reason)
 }
 
-// PeerCounts counts the other controllers.
+// PeerCounts counts the other controllers by their state.
 type PeerCounts struct {
-	Configured   int // all of them
-	Eligible     int // heard lately, reach the store, and aren't disconnected
-	Disconnected int // heard lately, and say so of themselves
+	Configured   int // all peers in the settings
+	Eligible     int // recently heard from, reach the store and are not disconnected
+	Disconnected int // recently reported that they are disconnected
 }
 
-// MarkDisconnected marks this controller as one that lost connectivity to its workers, and reports
-// whether it should resign for that. Where all others lost theirs lately, it makes no
-// difference who leads; and one that resigned lately does so again only for another that is
-// known to be eligible.
+// MarkDisconnected marks this controller as disconnected from its workers and reports whether
+// it should resign because of that. It should not, and is not marked, if all other controllers
+// are disconnected too, as a change of leader would not help. A controller that is already
+// marked resigns again only if another one is known to be eligible.
 func (e *Election) MarkDisconnected(peers PeerCounts) (resign bool) {
 	if peers.Disconnected == peers.Configured || e.Disconnected() && peers.Eligible == 0 {
 		return false
@@ -286,28 +293,29 @@
 	return true
 }
 
-// Disconnected reports whether this controller lately lost connectivity to its workers.
+// Disconnected reports whether this controller recently lost connectivity to its workers.
 func (e *Election) Disconnected() bool { return e.clock.Now().Before(e.disconnectedUntil) }
 
-// ShouldHandOverTo reports whether this leader should hand over to a controller of another zone,
-// which the store says is the better one.
+// ShouldHandOverTo reports whether this leader should hand over to a controller in zone: it
+// is another zone, it is recorded as the preferred one, and the leader has led for at least
+// minTermDuration.
 func (e *Election) ShouldHandOverTo(zone string) bool {
 	return zone != e.settings.Zone && zone == e.view.preferredZone && e.clock.Now().Sub(e.leaderTerm.ElectedAt) >= minTermDuration
 }
 
-// CampaignTTL is the time to live of the lease that a campaign asks for now.
+// CampaignTTL returns the time to live of the lease that a campaign would request now.
 func (e *Election) CampaignTTL() time.Duration {
 	return e.ttl.TTL(e.clock.Now(), e.host.PeersSilent())
 }
 
-// Role is what this controller is to the election now.
+// Role returns this controller's current role in the election.
 func (e *Election) Role() Role { return e.role }
 
-// LeaderName is the name of the leader, this controller included; empty when nobody is known
-// to lead.
+// LeaderName returns the name of the leader, which may be this controller; empty if no leader
+// is known.
 func (e *Election) LeaderName() string { return e.view.leader.Node }
 
-// OtherLeader is the name of the leader if that is another controller; empty otherwise.
+// OtherLeader returns the name of the leader if it is another controller, otherwise "".
 func (e *Election) OtherLeader() string {
 	if e.view.leaderVersion == 0 || e.view.leader.Node == e.settings.Name {
 		return ""
@@ -315,19 +323,20 @@
 	return e.view.leader.Node
 }
 
-// PreferredZone is the one that leaders should be in, by the store; empty for any.
+// PreferredZone returns the zone that the store records as preferred for leaders; empty if
+// there is none.
 func (e *Election) PreferredZone() string { return e.view.preferredZone }
 
-// Sharded reports whether the store says that machines are divided into shards.
+// Sharded reports whether the store records that machines are divided into shards.
 func (e *Election) Sharded() bool { return e.view.sharded }
 
-// Term is the highest term so far, and the version of its key.
+// Term returns the highest known term and the version of its key.
 func (e *Election) Term() (term, version uint64) { return e.view.term, e.view.termVersion }
 
-// TermRead takes the key of the term as a leader read it anew.
+// TermRead updates the view with the term key as the leader has just read it.
 func (e *Election) TermRead(item protocol.KeyValue) { e.view.put(item.Key, item.Value, item.Version) }
 
-// TermRaised notes that this controller, as the leader, raised the term.
+// TermRaised updates the view after this controller, as the leader, raised the term.
 func (e *Election) TermRaised(term, version uint64) {
 	if term > e.view.term {
 		e.view.term, e.view.termVersion = term, version
--- a/internal/coordination/leadership/election_test.go
+++ b/internal/coordination/leadership/election_test.go
@@ -8,23 +8,23 @@
 	"brasskeel/internal/records"
 )
 
-// A controller campaigns only while nobody is seen to lead, and later where others should
-// come first.
+// A controller campaigns only while there is no leader, and later if other controllers should
+// campaign first.
 func TestCampaignDelay(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		keys   []protocol.KeyValue
 		before func(h *harness)
-		delay  time.Duration // -1: none
+		delay  time.Duration // -1: no campaign
 	}{
-		{name: "nobody leads", delay: 0},
+		{name: "no leader", delay: 0},
 		{name: "another controller leads", keys: []protocol.KeyValue{leaderItem("n1", 4, 1, 20, 9)}, delay: -1},
-		{name: "its zone is the preferred one", keys: []protocol.KeyValue{zoneItem("a")}, delay: 0},
-		{name: "another zone is", keys: []protocol.KeyValue{zoneItem("b")}, delay: otherZoneDelay},
-		{name: "it is disconnected", before: func(h *harness) { h.MarkDisconnected(PeerCounts{Configured: 2}) }, delay: disconnectedDelay},
+		{name: "in the preferred zone", keys: []protocol.KeyValue{zoneItem("a")}, delay: 0},
+		{name: "outside the preferred zone", keys: []protocol.KeyValue{zoneItem("b")}, delay: otherZoneDelay},
+		{name: "controller disconnected", before: func(h *harness) { h.MarkDisconnected(PeerCounts{Configured: 2}) }, delay: disconnectedDelay},
 		{name: "both", keys: []protocol.KeyValue{zoneItem("b")}, before: func(h *harness) { h.MarkDisconnected(PeerCounts{Configured: 2}) },
 			delay: otherZoneDelay + disconnectedDelay},
-		{name: "it resigned", before: func(h *harness) { h.BecomeLeader(LeaderTerm{Term: 1}); h.Resign("test", 20*time.Second) }, delay: 20 * time.Second},
+		{name: "after a resignation", before: func(h *harness) { h.BecomeLeader(LeaderTerm{Term: 1}); h.Resign("test", 20*time.Second) }, delay: 20 * time.Second},
 	} {
 		h := newHarness()
 		if test.before != nil {
@@ -35,12 +35,12 @@
 		if test.delay < 0 {
 			h.advance(time.Hour)
 			if len(h.grants) > 0 {
-				t.Errorf("%s: it campaigns", test.name)
+				t.Errorf("%s: the controller campaigns", test.name)
 			}
 			continue
 		}
 		if h.advance(test.delay - 1); len(h.grants) > 0 {
-			t.Errorf("%s: it campaigns before %s", test.name, test.delay)
+			t.Errorf("%s: the controller campaigns before %s", test.name, test.delay)
 		}
 		if h.advance(1); len(h.grants) != 1 || h.Role() != Candidate {
 			t.Errorf("%s: %d campaigns after %s, role %d", test.name, len(h.grants), test.delay, h.Role())
@@ -48,7 +48,7 @@
 	}
 }
 
-// A scheduled campaign is given up when somebody leads by then.
+// A scheduled campaign does not take place if there is a leader by then.
 func TestScheduledCampaignIsCancelled(t *testing.T) {
 	h := newHarness()
 	h.Follow()
@@ -61,8 +61,9 @@
 	}
 }
 
-// A candidate is elected only while nobody leads and in the term after the one it read, and
-// its key goes with its lease: a transaction that is carried out late elects nobody.
+// A candidate is elected only while there is no leader and the term is still the one it read,
+// and its key is bound to its lease. A transaction that is applied late therefore elects no
+// leader.
 func TestElectionIsConditional(t *testing.T) {
 	h := newHarness()
 	h.Follow()
@@ -74,21 +75,22 @@
 	h.advance(100 * time.Millisecond)
 	h.commits[0](true, 50)
 	if len(h.leaderTerms) != 1 || h.Role() != Leader {
-		t.Fatalf("%d mandates, role %d", len(h.leaderTerms), h.Role())
+		t.Fatalf("elected %d times, role %d", len(h.leaderTerms), h.Role())
 	}
 	m := h.leaderTerms[0]
 	if m.Term != 5 || m.KeyVersion != 50 || m.Lease.ID != 77 || m.ElectedAt != h.now {
-		t.Errorf("mandate %+v", m)
+		t.Errorf("elected for %+v", m)
 	}
 	if end := granted.Add(baseTTL - MaxClockDrift(baseTTL)); m.Lease.ValidUntil.After(end) {
-		t.Errorf("the lease counts from %s after it was asked for", m.Lease.ValidUntil.Sub(end))
+		t.Errorf("the lease counts as valid %s too long", m.Lease.ValidUntil.Sub(end))
 	}
 	if term, version := h.Term(); term != 5 || version != 50 {
-		t.Errorf("term %d in version %d", term, version)
+		t.Errorf("term %d, version %d", term, version)
 	}
 }
 
-// checkClaim checks a candidate's transaction with lease 77, after a term of version 33.
+// checkClaim checks the transaction of a candidate with lease 77 that read the term key at
+// version 33.
 func checkClaim(t *testing.T, txn *protocol.Txn) {
 	t.Helper()
 	demands := map[string]uint64{}
@@ -97,22 +99,22 @@
 	}
 	leader, demanded := demands[records.KeyLeader]
 	if !demanded || leader != 0 || demands[records.KeyTerm] != 33 {
-		t.Errorf("elected under %+v", txn.Conditions)
+		t.Errorf("elected under the conditions %+v", txn.Conditions)
 	}
 	if txn.Ops[0].Put != records.KeyLeader || txn.Ops[0].Lease != 77 {
-		t.Errorf("the key goes with lease %d", txn.Ops[0].Lease)
+		t.Errorf("the first operation doesn't bind the leader key to lease 77, but has lease %d", txn.Ops[0].Lease)
 	}
 }
 
-// A campaign that fails leaves no lease behind, and is repeated on keys that are read anew.
+// A failed campaign leaves no lease behind, and is repeated after the keys were read again.
 func TestFailedCampaign(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		granted bool
 		revoked int
 	}{
-		{"no lease", false, 0},
-		{"the transaction isn't applied for certain", true, 1},
+		{"no lease granted", false, 0},
+		{"transaction not confirmed", true, 1},
 	} {
 		h := newHarness()
 		h.Follow()
@@ -123,7 +125,7 @@
 			h.commits[0](false, 0)
 		}
 		if len(h.revoked) != test.revoked || len(h.leaderTerms) != 0 {
-			t.Errorf("%s: %d leases revoked, %d mandates", test.name, len(h.revoked), len(h.leaderTerms))
+			t.Errorf("%s: %d leases revoked, elected %d times", test.name, len(h.revoked), len(h.leaderTerms))
 		}
 		h.advance(retryDelay)
 		if len(h.lists) != 2 || h.wanted[0]() {
@@ -133,12 +135,13 @@
 		h.advance(time.Second)
 		h.grants[1](78, true)
 		if got := h.txns[len(h.txns)-1].Conditions[1].Version; got != 60 {
-			t.Errorf("%s: repeated on version %d of the term", test.name, got)
+			t.Errorf("%s: repeated with version %d of the term key, want 60", test.name, got)
 		}
 	}
 }
 
-// A leader that sees a later one steps down; an older copy of the key deposes nobody.
+// A leader that sees a later leader steps down; an older version of the leader key has no
+// effect.
 func TestStepsDownForLaterLeader(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -147,7 +150,7 @@
 	}{
 		{"an older leader", 20, Leader},
 		{"itself", 50, Leader},
-		{"a later one", 51, Follower},
+		{"a later leader", 51, Follower},
 	} {
 		h := newHarness()
 		h.elect()
@@ -155,19 +158,19 @@
 		h.answerWatch(WatchResponse{Status: WatchDelivered, Revision: test.version,
 			Events: []protocol.Event{{Key: item.Key, Value: item.Value, Version: test.version}}})
 		if h.Role() != test.role || h.leadershipsEnded != map[Role]int{Leader: 0, Follower: 1}[test.role] {
-			t.Errorf("%s: role %d, deposed %d times", test.name, h.Role(), h.leadershipsEnded)
+			t.Errorf("%s: role %d, leadership ended %d times", test.name, h.Role(), h.leadershipsEnded)
 		}
 	}
 }
 
-// A leader that resigns revokes its lease, so that nobody has to wait for its end; one that
-// steps down leaves it.
+// A leader that resigns revokes its lease, so that the next election need not wait for it to
+// expire; one that steps down does not.
 func TestResignation(t *testing.T) {
 	h := newHarness()
 	h.elect()
 	h.StepDown("test")
 	if h.leadershipsEnded != 1 || len(h.revoked) != 0 {
-		t.Errorf("after it stepped down: deposed %d times, leases %v revoked", h.leadershipsEnded, h.revoked)
+		t.Errorf("after stepping down: leadership ended %d times, leases %v revoked", h.leadershipsEnded, h.revoked)
 	}
 	h.StepDown("test")
 	if h.leadershipsEnded != 1 {
@@ -177,19 +180,19 @@
 	h.elect()
 	h.Resign("test", HandOverPause)
 	if h.leadershipsEnded != 1 || len(h.revoked) != 1 || h.revoked[0] != 77 {
-		t.Errorf("after it resigned: deposed %d times, leases %v revoked", h.leadershipsEnded, h.revoked)
+		t.Errorf("after resigning: leadership ended %d times, leases %v revoked", h.leadershipsEnded, h.revoked)
 	}
 }
 
-// The lease of this controller's earlier process is revoked at once; nobody else's is.
+// The lease of this controller's previous process is revoked at once; other leases are not.
 func TestLeaseOfPreviousProcessIsRevoked(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		leader  protocol.KeyValue
 		revoked int
 	}{
-		{"its earlier process", leaderItem("n0", 4, 6, 20, 9), 1},
-		{"its earlier process, under a lease that isn't known", leaderItem("n0", 4, 6, 20, 0), 0},
+		{"its previous process", leaderItem("n0", 4, 6, 20, 9), 1},
+		{"its previous process, with an unknown lease", leaderItem("n0", 4, 6, 20, 0), 0},
 		{"this process", leaderItem("n0", 4, 7, 20, 9), 0},
 		{"another controller", leaderItem("n1", 4, 6, 20, 9), 0},
 	} {
@@ -202,13 +205,14 @@
 	}
 }
 
-// A watch goes on from where it ended. One whose changes are lost reads the keys anew at once,
-// one that failed does after a pause, and answers to an older watch are dropped.
+// After a watch returned events, the next one continues from its revision. After a compaction
+// the keys are read again at once, after a failure they are read again with a delay. Responses
+// to an earlier watch are dropped.
 func TestWatch(t *testing.T) {
 	for _, test := range []struct {
 		result         WatchStatus
-		watches, lists int // after the answer
-		later          int // reads after a pause
+		watches, lists int // right after the response
+		later          int // lists after watchRetryDelay
 	}{
 		{WatchDelivered, 2, 1, 1},
 		{WatchCompacted, 1, 2, 2},
@@ -236,8 +240,8 @@
 	}
 }
 
-// A leader that lost connectivity to its workers resigns once, unless all others did the
-// same, and again only for another controller that may reach them.
+// A leader that lost connectivity to its workers resigns once, unless all other controllers
+// are disconnected too, and again only if another controller is eligible.
 func TestMarkDisconnected(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -245,12 +249,12 @@
 		peers  PeerCounts
 		resign bool
 	}{
-		{"for the first time", false, PeerCounts{Configured: 2}, true},
-		{"while one of two others did", false, PeerCounts{Configured: 2, Disconnected: 1}, true},
-		{"as all others did", false, PeerCounts{Configured: 2, Disconnected: 2}, false},
-		{"without others", false, PeerCounts{}, false},
-		{"again, and nobody is eligible", true, PeerCounts{Configured: 2, Disconnected: 1}, false},
-		{"again, while another is eligible", true, PeerCounts{Configured: 2, Eligible: 1}, true},
+		{"first time", false, PeerCounts{Configured: 2}, true},
+		{"one of two peers disconnected", false, PeerCounts{Configured: 2, Disconnected: 1}, true},
+		{"all peers disconnected", false, PeerCounts{Configured: 2, Disconnected: 2}, false},
+		{"no peers", false, PeerCounts{}, false},
+		{"again, no peer eligible", true, PeerCounts{Configured: 2, Disconnected: 1}, false},
+		{"again, a peer eligible", true, PeerCounts{Configured: 2, Eligible: 1}, true},
 	} {
 		h := newHarness()
 		if test.again {
@@ -269,8 +273,8 @@
 	}
 }
 
-// The leadership is handed over to the zone that the store calls the better one, once the
-// leader has been there for a while.
+// Leadership is handed over only to the recorded preferred zone, and only after
+// minTermDuration.
 func TestShouldHandOverTo(t *testing.T) {
 	for _, test := range []struct {
 		name, preferred, zone string
@@ -280,8 +284,8 @@
 		{"the preferred zone", "b", "b", minTermDuration, true},
 		{"too soon", "b", "b", minTermDuration - 1, false},
 		{"its own zone", "a", "a", minTermDuration, false},
-		{"a zone that isn't recorded yet", "a", "b", minTermDuration, false},
-		{"without a preference", "", "b", minTermDuration, false},
+		{"a zone not recorded as preferred", "a", "b", minTermDuration, false},
+		{"no preferred zone", "", "b", minTermDuration, false},
 	} {
 		h := newHarness()
 		h.Follow()
@@ -294,7 +298,7 @@
 	}
 }
 
-// A leadership that was lost to overload makes the next lease longer.
+// After a loss of leadership to overload, the controller requests a longer lease.
 func TestTTLAfterLossToOverload(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
 		h := newHarness()
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
-// harness is the clock, the store and the host of an election under test. Requests wait in
-// it until the test answers them.
+// harness is the clock, the store and the host of an election under test. It collects
+// requests until the test responds to them.
 type harness struct {
 	*Election
 	now    time.Time
@@ -24,7 +24,7 @@
 	wanted   []func() bool
 	watches  []func(WatchResponse)
 	grants   []func(uint64, bool)
-	ttls     []time.Duration // asked for
+	ttls     []time.Duration // requested
 	renewals []func(Renewal)
 	revoked  []uint64
 	txns     []*protocol.Txn
@@ -82,7 +82,7 @@
 func (h *harness) LostToOverload() bool { return h.overloaded }
 func (h *harness) PeersSilent() bool    { return h.peersSilent }
 
-// advance lets time go by, with the timers that are due.
+// advance moves the clock forward by d and runs the timers that become due.
 func (h *harness) advance(d time.Duration) {
 	end := h.now.Add(d)
 	for {
@@ -98,13 +98,13 @@
 	h.now = end
 }
 
-// answerList answers the latest read of the keys.
+// answerList responds to the latest list request.
 func (h *harness) answerList(items ...protocol.KeyValue) {
 	done := h.lists[len(h.lists)-1]
 	done(items, 40)
 }
 
-// answerWatch answers the latest watch.
+// answerWatch responds to the latest watch.
 func (h *harness) answerWatch(answer WatchResponse) { h.watches[len(h.watches)-1](answer) }
 
 func leaderItem(controller string, term, boot, version, lease uint64) protocol.KeyValue {
@@ -120,7 +120,7 @@
 	return protocol.KeyValue{Key: records.KeyPreferredZone, Version: 5, Value: records.Encode(records.PreferredZone{Zone: zone})}
 }
 
-// elect brings an election to lead in term 5 with lease 77.
+// elect makes the controller the leader in term 5 with lease 77.
 func (h *harness) elect() {
 	h.Follow()
 	h.answerList(termItem(4, 33))
--- a/internal/coordination/leadership/host.go
+++ b/internal/coordination/leadership/host.go
@@ -6,74 +6,76 @@
 	"brasskeel/internal/protocol"
 )
 
-// Clock is the time of the steps that an election runs in.
+// Clock provides the time of the current step, timers and random delays.
 type Clock interface {
-	// Now is when the present step began.
+	// Now returns the time at which the current step began.
 	Now() time.Time
-	// After runs f in a step of its own once d has passed.
+	// After runs f in a separate step once d has passed.
 	After(d time.Duration, f func())
-	// Jitter is a random duration of at least zero and below limit.
+	// Jitter returns a random duration in [0, limit).
 	Jitter(limit time.Duration) time.Duration
 }
 
 // Store is the consensus-backed key-value store. Each method sends a request and returns;
-// done runs in a later step. A request without an answer may have been carried out, or may
-// yet be.
+// done runs in a later step. A request that gets no response may have been carried out, or
+// may still be.
 type Store interface {
-	// List reads all keys with a prefix. It is tried again until it succeeds or wanted
-	// reports false. A watch from the revision misses nothing.
+	// List reads all keys with a prefix. It is retried until it succeeds or wanted returns
+	// false. A watch that starts after the returned revision misses no change.
 	List(prefix string, wanted func() bool, done func(items []protocol.KeyValue, revision uint64))
 	// Watch waits for changes of keys with a prefix after a revision.
 	Watch(prefix string, after uint64, done func(WatchResponse))
-	// GrantLease asks for a lease; granted is false where none is known to be granted.
+	// GrantLease requests a lease; granted is false unless the store confirmed the grant.
 	GrantLease(ttl time.Duration, done func(lease uint64, granted bool))
-	// RenewLease lets a lease live for its whole time to live again.
+	// RenewLease extends a lease by its full time to live.
 	RenewLease(lease uint64, timeout time.Duration, done func(Renewal))
-	// RevokeLease ends a lease, and with it the keys that are bound to it. Nobody waits for
-	// the outcome: a lease that isn't revoked expires.
+	// RevokeLease ends a lease, which deletes the keys bound to it. The outcome is not
+	// reported: a lease that is not revoked expires.
 	RevokeLease(lease uint64)
-	// Commit carries out a transaction; applied is false where that isn't certain.
+	// Commit sends a transaction; applied is false unless the store confirmed that it was
+	// applied.
 	Commit(t *protocol.Txn, done func(applied bool, revision uint64))
 }
 
-// WatchResponse is what came of a watch.
+// WatchResponse is the response to a watch.
 type WatchResponse struct {
 	Status   WatchStatus
-	Events   []protocol.Event // of a delivered watch; none when nothing changed in time
-	Revision uint64           // up to which the events reach
+	Events   []protocol.Event // for WatchDelivered; empty if nothing changed in time
+	Revision uint64           // the events include all changes up to this revision
 }
 
-// WatchStatus is how a watch ended.
+// WatchStatus says how a watch ended.
 type WatchStatus uint8
 
-// Results of a watch.
+// Outcomes of a watch.
 const (
 	WatchDelivered WatchStatus = iota + 1
 	WatchCompacted             // the store no longer has the changes since that revision
 	WatchFailed
 )
 
-// Renewal is what came of the renewal of a lease.
+// Renewal is the outcome of a lease renewal.
 type Renewal uint8
 
 // Outcomes of a renewal.
 const (
 	RenewalSucceeded Renewal = iota + 1
-	RenewalExpired           // there is no such lease any more
-	RenewalUnknown
+	RenewalExpired           // the lease no longer exists
+	RenewalUnknown           // no response
 )
 
-// Host is the controller that stands for election.
+// Host is the controller that takes part in the election.
 type Host interface {
-	// Elected lets the controller act as leader.
-	Elected(m LeaderTerm)
-	// LeadershipEnded takes back what Elected gave.
+	// Elected is called when the controller has become the leader.
+	Elected(t LeaderTerm)
+	// LeadershipEnded is called when the controller has stepped down.
 	LeadershipEnded()
-	// LeaderUpdated follows each change of what the store shows.
+	// LeaderUpdated is called after each change of the election keys.
 	LeaderUpdated()
 	// LostToOverload reports whether the leadership that is being given up was most likely
 	// lost because the controller was too busy to renew its lease in time.
 	LostToOverload() bool
-	// PeersSilent reports whether other controllers were heard once, but none lately.
+	// PeersSilent reports whether messages of other controllers were received before, but
+	// none recently.
 	PeersSilent() bool
 }
--- a/internal/coordination/leadership/lease.go
+++ b/internal/coordination/leadership/lease.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// MaxClockDrift bounds by how much steady clocks of two machines differ over a time: twice
-// what the protocol allows, so that rounding can't matter.
+// MaxClockDrift returns the most by which the monotonic clocks of two machines can differ
+// over the duration d. It is twice what the protocol allows, to cover rounding.
 func MaxClockDrift(d time.Duration) time.Duration { return d / 1000 }
 
-// Lease is a lease in the store on which an authority rests: that of the leader over all
-// machines, or that of a shard's owner over its machines.
+// Lease is a lease in the store that protects exclusive ownership: the leader's of all
+// machines, or a shard owner's of the machines in its shards.
 type Lease struct {
 	ID         uint64
 	TTL        time.Duration
-	ValidUntil time.Time // until when no one else can have taken over
+	ValidUntil time.Time // until then no other controller can have taken over
 }
 
-// NewLease is a lease whose grant, or last renewal, was sent at a time. The store counts
-// from when the request arrived, so no earlier.
+// NewLease returns a lease whose grant was requested at sent. The store starts the time to
+// live when the request arrives, which is not before sent.
 func NewLease(id uint64, ttl time.Duration, sent time.Time) Lease {
 	l := Lease{ID: id, TTL: ttl}
 	l.extend(sent)
@@ -24,19 +24,19 @@
 
 func (l *Lease) extend(sent time.Time) { l.ValidUntil = sent.Add(l.TTL - MaxClockDrift(l.TTL)) }
 
-// LeaseHolder is whose authority rests on a lease.
+// LeaseHolder uses a lease that a LeaseRenewer renews.
 type LeaseHolder interface {
-	// NeedsLease is false once the lease isn't needed any more.
+	// NeedsLease reports whether the lease is still in use; renewals end once it is not.
 	NeedsLease() bool
-	// RenewalSent follows each request to renew.
+	// RenewalSent is called after each renewal request.
 	RenewalSent()
-	// LeaseRenewed follows each success.
+	// LeaseRenewed is called after each successful renewal.
 	LeaseRenewed()
-	// LeaseExpired ends the renewals: the lease is gone.
+	// LeaseExpired is called when the lease no longer exists; renewals end.
 	LeaseExpired()
 }
 
-// LeaseRenewer renews a lease as long as its holder has the authority that rests on it.
+// LeaseRenewer renews a lease as long as its holder needs it.
 type LeaseRenewer struct {
 	clock  Clock
 	store  Store
@@ -44,11 +44,11 @@
 	holder LeaseHolder
 }
 
-// renewalRetryDelay is the pause after a renewal that failed: much shorter than the shortest
-// lease, so that several attempts fit into what is left of it.
+// renewalRetryDelay is the pause after a failed renewal. It is much shorter than the shortest
+// lease, so that several attempts fit into the lease's remaining time.
 const renewalRetryDelay = 200 * time.Millisecond
 
-// KeepLeaseAlive begins to renew a lease, at once and then at each three tenths of its time to
+// KeepLeaseAlive renews a lease, first at once and then every three tenths of its time to
 // live.
 func KeepLeaseAlive(clock Clock, store Store, lease *Lease, holder LeaseHolder) {
 	k := &LeaseRenewer{clock: clock, store: store, lease: lease, holder: holder}
--- a/internal/coordination/leadership/policy_test.go
+++ b/internal/coordination/leadership/policy_test.go
@@ -8,12 +8,12 @@
 	"brasskeel/internal/records"
 )
 
-// Leaders of a large fleet that lost a short lease for being busy left the same
-// work to the next one, and none ever got through with it.
+// Repeated leader changes lengthen the lease. Leaders of a large fleet that were too busy to
+// renew a short lease left the same work to the next leader, and none ever completed it.
 func TestTTLGrowsWithLeaderChanges(t *testing.T) {
 	p, now := NewTTLPolicy(baseTTL), start
 	if got := p.TTL(now, false); got != baseTTL {
-		t.Errorf("after a calm time %s, want %s", got, baseTTL)
+		t.Errorf("without changes %s, want %s", got, baseTTL)
 	}
 	for i, want := range []time.Duration{2 * baseTTL, 2 * baseTTL, 4 * baseTTL, 4 * baseTTL} {
 		p.LeaderChanged(now)
@@ -23,17 +23,18 @@
 	}
 	now = now.Add(changeWindow + time.Second)
 	if got := p.TTL(now, false); got != baseTTL {
-		t.Errorf("after a calm time again %s, want %s", got, baseTTL)
+		t.Errorf("after changeWindow without changes %s, want %s", got, baseTTL)
 	}
 }
 
-// Silent peers count as one change, and a loss to overload as many for a while.
+// Silent peers count as one leader change. A loss to overload gives the longest lease until
+// overloadWindow has passed.
 func TestTTL(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		changes     int
 		peersSilent bool
-		lost        time.Duration // ago; 0: never
+		lost        time.Duration // time since the loss to overload; 0: never
 		want        time.Duration
 	}{
 		{"calm", 0, false, 0, baseTTL},
@@ -63,9 +64,9 @@
 		want     string
 	}{
 		{"no machines", nil, ""},
-		{"too few to say", map[string]int{"a": 2}, ""},
+		{"too few machines", map[string]int{"a": 2}, ""},
 		{"one zone", map[string]int{"a": 3}, "a"},
-		{"two thirds", map[string]int{"a": 4, "b": 2}, ""},
+		{"exactly two thirds", map[string]int{"a": 4, "b": 2}, ""},
 		{"more than two thirds", map[string]int{"a": 2, "b": 5}, "b"},
 		{"three zones", map[string]int{"a": 2, "b": 2, "c": 2}, ""},
 	} {
@@ -76,8 +77,8 @@
 	}
 }
 
-// Values that can't be read change nothing, a read of all keys forgets what isn't there any
-// more, and the preferred zone stays.
+// Values that cannot be decoded are ignored. A list of all keys clears what it does not
+// contain, except for the preferred zone.
 func TestView(t *testing.T) {
 	var v view
 	for _, test := range []struct {
@@ -89,7 +90,7 @@
 		{"nothing", nil, false, view{}},
 		{"a leader", []protocol.KeyValue{leaderItem("n1", 4, 1, 20, 9), termItem(4, 20), zoneItem("b"), {Key: records.KeySharded}}, true,
 			view{leader: records.Leader{Node: "n1", Zone: "a", Term: 4, Incarnation: 1}, leaderVersion: 20, leaderLease: 9, term: 4, termVersion: 20, preferredZone: "b", sharded: true}},
-		{"odd values", []protocol.KeyValue{{Key: records.KeyLeader, Value: []byte(`"?"`), Version: 30}, {Key: records.KeyTerm, Value: []byte("{"), Version: 30}}, false,
+		{"undecodable values", []protocol.KeyValue{{Key: records.KeyLeader, Value: []byte(`"?"`), Version: 30}, {Key: records.KeyTerm, Value: []byte("{"), Version: 30}}, false,
 			view{preferredZone: "b"}},
 		{"nobody", []protocol.KeyValue{termItem(4, 20)}, false, view{term: 4, termVersion: 20, preferredZone: "b"}},
 	} {
@@ -99,7 +100,7 @@
 	}
 }
 
-// fakeLeaseHolder is one whose lease is renewed in a test.
+// fakeLeaseHolder is a LeaseHolder that counts its calls.
 type fakeLeaseHolder struct {
 	holds                  bool
 	sent, renewed, expired int
@@ -110,36 +111,36 @@
 func (h *fakeLeaseHolder) LeaseRenewed()    { h.renewed++ }
 func (h *fakeLeaseHolder) LeaseExpired()    { h.expired++ }
 
-// A lease is renewed at each three tenths of its time, sooner after a failure, and no more
-// once it has expired or its holder doesn't need it.
+// A lease is renewed every three tenths of its time to live, sooner after a failure, and no
+// longer once it has expired or its holder does not need it.
 func TestLeaseRenewal(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		renewal Renewal
 		keeps   bool
-		next    time.Duration // -1: never
-		valid   bool          // for longer than before
+		next    time.Duration // until the next renewal; -1: never
+		valid   bool          // whether the renewal extends ValidUntil
 	}{
 		{"renewed", RenewalSucceeded, true, baseTTL * 3 / 10, true},
-		{"without an answer", RenewalUnknown, true, renewalRetryDelay, false},
+		{"no response", RenewalUnknown, true, renewalRetryDelay, false},
 		{"expired", RenewalExpired, true, -1, false},
-		{"not needed any more", RenewalSucceeded, false, -1, false},
+		{"no longer needed", RenewalSucceeded, false, -1, false},
 	} {
-		h, who := newHarness(), &fakeLeaseHolder{holds: true}
+		h, holder := newHarness(), &fakeLeaseHolder{holds: true}
 		lease := NewLease(77, baseTTL, h.now)
 		granted := lease.ValidUntil
 		h.advance(time.Second)
-		KeepLeaseAlive(h, h, &lease, who)
+		KeepLeaseAlive(h, h, &lease, holder)
 		sent := h.now
-		h.advance(100 * time.Millisecond) // for the answer, which counts from when it was asked for
-		who.holds = test.keeps
+		h.advance(100 * time.Millisecond) // until the response; the lease counts from the request
+		holder.holds = test.keeps
 		h.renewals[0](test.renewal)
 		want := granted
 		if test.valid {
 			want = sent.Add(baseTTL - MaxClockDrift(baseTTL))
 		}
 		if !lease.ValidUntil.Equal(want) {
-			t.Errorf("%s: valid for %s longer than due", test.name, lease.ValidUntil.Sub(want))
+			t.Errorf("%s: valid for %s longer than expected", test.name, lease.ValidUntil.Sub(want))
 		}
 		if test.next < 0 {
 			if h.advance(time.Hour); len(h.renewals) != 1 {
@@ -150,7 +151,7 @@
 		if h.advance(test.next - 1); len(h.renewals) != 1 {
 			t.Errorf("%s: renewed again before %s", test.name, test.next)
 		}
-		if h.advance(1); len(h.renewals) != 2 || who.sent != 2 {
+		if h.advance(1); len(h.renewals) != 2 || holder.sent != 2 {
 			t.Errorf("%s: %d renewals after %s", test.name, len(h.renewals), test.next)
 		}
 	}
--- a/internal/coordination/leadership/ttl_policy.go
+++ b/internal/coordination/leadership/ttl_policy.go
@@ -3,32 +3,33 @@
 import "time"
 
 const (
-	// changeWindow is how long a change of leaders counts for the next one's lease.
+	// changeWindow is how long a leader change lengthens the lease of the next leader.
 	changeWindow = 15 * time.Second
-	// maxRememberedChanges bounds the changes that are remembered.
+	// maxRememberedChanges bounds the number of leader changes kept in memory.
 	maxRememberedChanges = 4
-	// overloadWindow is how long a leadership lost to overload counts.
+	// overloadWindow is how long the loss of leadership to overload lengthens the lease.
 	overloadWindow = 2 * time.Minute
 )
 
-// TTLPolicy sets the time to live of the lease that a candidate asks for: twice the base
-// after a recent change of leaders, four times after three of them. A large fleet is most
-// work for a new leader; one that couldn't renew a short lease in time left the same work to
-// the next, and none ever got through with it.
+// TTLPolicy sets the time to live of the lease that a candidate requests: twice the base
+// after one or two recent leader changes, four times the base after three or more. Taking over
+// a large fleet is the heaviest load on a leader. One that could not renew a short lease in
+// time left the same work to its successor, and no leader ever completed it.
 //
-// A controller that lost the leadership to overload has twice as much to do as before:
-// alone with all workers of a fleet it lost each short lease to the next peak, minutes apart.
-// And where no peer is heard, nobody waits for a short lease to expire.
+// A controller that recently lost leadership to overload requests four times the base. It has
+// twice as much work as before: alone with all workers of a fleet, it lost a short lease at
+// every load peak, minutes apart. The absence of peers counts as one leader change, because no other controller is waiting for
+// the lease to expire.
 type TTLPolicy struct {
 	base           time.Duration
-	changes        []time.Time // of the leadership, the latest last
+	changes        []time.Time // times of leader changes, latest last
 	overloadLossAt time.Time   // zero: never
 }
 
-// NewTTLPolicy starts with the least time to live, and without any history.
+// NewTTLPolicy returns a policy with the given minimum time to live and no history.
 func NewTTLPolicy(base time.Duration) TTLPolicy { return TTLPolicy{base: base} }
 
-// LeaderChanged notes that somebody became leader.
+// LeaderChanged records that a controller became leader.
 func (p *TTLPolicy) LeaderChanged(now time.Time) {
 	p.changes = append(p.changes, now)
 	for len(p.changes) > 0 && (len(p.changes) > maxRememberedChanges || now.Sub(p.changes[0]) > changeWindow) {
@@ -36,10 +37,11 @@
 	}
 }
 
-// LostToOverload notes that this controller lost the leadership to overload.
+// LostToOverload records that this controller lost leadership to overload.
 func (p *TTLPolicy) LostToOverload(now time.Time) { p.overloadLossAt = now }
 
-// TTL is the time to live to ask for now. peersSilent says that no other controller is heard.
+// TTL returns the time to live to request now. peersSilent says that no message from another
+// controller was received recently.
 func (p *TTLPolicy) TTL(now time.Time, peersSilent bool) time.Duration {
 	if !p.overloadLossAt.IsZero() && now.Sub(p.overloadLossAt) < overloadWindow {
 		return 4 * p.base
--- a/internal/coordination/leadership/view.go
+++ b/internal/coordination/leadership/view.go
@@ -7,20 +7,20 @@
 	"brasskeel/internal/records"
 )
 
-// view is what the store last showed of the leadership.
+// view holds the latest known values of the election keys.
 type view struct {
 	leader        records.Leader
-	leaderVersion uint64 // 0: nobody leads
-	leaderLease   uint64 // 0: not known
+	leaderVersion uint64 // 0: no leader
+	leaderLease   uint64 // 0: unknown
 	term          uint64
 	termVersion   uint64
 	preferredZone string
 	sharded       bool // machines are divided into shards
 }
 
-// replace takes a list of all keys. It reports whether they show a leader of a term that
-// wasn't known, which every leader is to a view that was just emptied. The preferred zone
-// stays when no key tells of one.
+// replace rebuilds the view from a list of all keys and reports whether the list contains a
+// leader. Since the view is cleared first, that leader always counts as new. The preferred
+// zone is kept if no key sets it.
 func (v *view) replace(items []protocol.KeyValue) (newLeader bool) {
 	*v = view{preferredZone: v.preferredZone}
 	for _, it := range items {
@@ -32,8 +32,8 @@
 	return newLeader
 }
 
-// put takes the value of one key, and reports whether it shows a leader of a later term. A
-// value that can't be read changes nothing.
+// put updates the view with the value of one key, and reports whether it names a leader of a
+// later term. A value that cannot be decoded is ignored.
 func (v *view) put(key string, value json.RawMessage, version uint64) (newLeader bool) {
 	switch key {
 	case records.KeyLeader:
@@ -58,7 +58,7 @@
 	return newLeader
 }
 
-// remove takes the end of one key.
+// remove updates the view after the deletion of a key.
 func (v *view) remove(key string) {
 	switch key {
 	case records.KeyLeader:
--- a/internal/coordination/leadership/zone.go
+++ b/internal/coordination/leadership/zone.go
@@ -1,11 +1,11 @@
 package leadership
 
-// minZoneMachines is the least number of machines that say something of zones.
+// minZoneMachines is the minimum number of machines for which MajorityZone names a zone.
 const minZoneMachines = 3
 
-// MajorityZone is the zone with more than two thirds of the machines, given by zone; ok is
-// false where there is none. A leader in it is parted from as few machines as can be by a
-// cut between zones.
+// MajorityZone returns the zone with more than two thirds of the machines, given the number of
+// machines in each zone; ok is false if there is none. A partition between zones separates a
+// leader in that zone from the fewest machines.
 func MajorityZone(machines map[string]int) (zone string, ok bool) {
 	total := 0
 	for _, count := range machines {
