--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -1,8 +1,9 @@
-// Package limits names the limits that a controller keeps for the sake of memory, fairness or
-// the protocol, counts how often each is reached, and logs that at a bounded rate.
+// Package limits names the limits that bound a controller's memory use, keep it fair, or
+// follow from the protocol. It counts how often each limit is reached, and logs the counts at
+// a bounded rate.
 //
-// It owns the counters. It never decides what is done on reaching a limit (its callers do),
-// reads no clock, and enforces nothing itself.
+// The package owns the counters. It enforces no limit and reads no clock; its callers decide
+// what to do when a limit is reached.
 package limits
 
 import (
@@ -10,63 +11,64 @@
 	"time"
 )
 
-// Limit names one limit. Operators meet the names in the log.
+// Limit identifies one limit. Its String appears in the log.
 type Limit uint8
 
 // The limits, in the order in which they are logged.
 const (
-	OpenRequests           Limit = iota // requests of users that wait for the state service
+	OpenRequests           Limit = iota // user requests that wait for the state service
 	DeferredHeartbeats                  // heartbeats that wait for a leader
 	CachedOutcomes                      // final states kept in memory
 	CachedAcceptedJobs                  // accepted jobs kept in memory
-	OutcomesToBroadcast                 // final states that wait to be announced to peers
-	ProgressToBroadcast                 // jobs whose progress peers are told in one turn
+	OutcomesToBroadcast                 // final states that wait to be broadcast to peers
+	ProgressToBroadcast                 // jobs whose progress fits into one round of broadcasts
 	UnrecordedPlacements                // placements that wait to be recorded
 	OrdersPerMessage                    // orders in one message to a worker
 	TasksPerMachine                     // tasks on one machine
 	InventoryMachines                   // machines in the cloud's list
 	FencingTokenRaises                  // raises of one worker's fencing token
-	MachineTypesRecordSize              // bytes of the record of machine types
+	MachineTypesRecordSize              // bytes of the machine types record
 	PeerMessageSize                     // bytes of a message to a peer
-	ConnectionsClosed                   // sockets: answers that ended their connection
-	ConnectionsShed                     // sockets: connections closed to make room
-	CallsWithoutSocket                  // sockets: calls given up while they waited for one
-	PeerMessagesLost                    // messages that a peer was too slow for
-	ServedMachines                      // machines that this controller can serve on its share of a processor
-	SurgeCeiling                        // what a surging team may put on one machine
+	ConnectionsClosed                   // sockets: responses that closed their connection
+	ConnectionsShed                     // sockets: connections closed to make room for others
+	CallsWithoutSocket                  // sockets: calls abandoned while waiting for a socket
+	PeerMessagesLost                    // messages dropped because a peer reads too slowly
+	ServedMachines                      // machines that this controller can serve with its CPU share
+	SurgeCeiling                        // share of one machine that a surging team's tasks may take
 	limitCount
 )
 
-// descriptions of the limits. Operators search the log for the names.
+// descriptions holds the names and consequences of the limits for the log. Operators search
+// the log for the names.
 var descriptions = [limitCount]struct{ name, consequence string }{
-	OpenRequests:           {"open requests", "users are sent away with Retry-After"},
+	OpenRequests:           {"open requests", "further requests are refused with Retry-After"},
 	DeferredHeartbeats:     {"deferred heartbeats", "workers are redirected at once"},
-	CachedOutcomes:         {"cached outcomes", "some are evicted and read again when asked for"},
-	CachedAcceptedJobs:     {"cached accepted jobs", "all are evicted and checked again when asked for"},
-	OutcomesToBroadcast:    {"outcomes to broadcast", "peers read them when they are asked"},
-	ProgressToBroadcast:    {"progress to broadcast", "the others follow in the next turns"},
-	UnrecordedPlacements:   {"unrecorded placements", "placement goes on when records are written"},
-	OrdersPerMessage:       {"orders per message", "the rest goes out with the next message"},
-	TasksPerMachine:        {"tasks per machine", "others are placed elsewhere"},
-	InventoryMachines:      {"machines in the inventory", "the list is not compared"},
-	FencingTokenRaises:     {"fencing token raises", "only calls show whether the worker is reached"},
-	MachineTypesRecordSize: {"machine types record", "other controllers ask the cloud for them"},
+	CachedOutcomes:         {"cached outcomes", "some are evicted, and read again when requested"},
+	CachedAcceptedJobs:     {"cached accepted jobs", "all are evicted, and checked again when requested"},
+	OutcomesToBroadcast:    {"outcomes to broadcast", "peers read them from the state service when requested"},
+	ProgressToBroadcast:    {"progress to broadcast", "the remaining jobs follow in the next rounds"},
+	UnrecordedPlacements:   {"unrecorded placements", "placement continues when records are written"},
+	OrdersPerMessage:       {"orders per message", "the rest is sent with the next message"},
+	TasksPerMachine:        {"tasks per machine", "further tasks are placed on other machines"},
+	InventoryMachines:      {"machines in the inventory", "the list is not compared with the known machines"},
+	FencingTokenRaises:     {"fencing token raises", "only calls show whether the worker is reachable"},
+	MachineTypesRecordSize: {"machine types record", "other controllers request them from the cloud"},
 	PeerMessageSize:        {"peer message size", "the message is dropped"},
-	ConnectionsClosed:      {"sockets: connections closed after a response", "clients dial again"},
-	ConnectionsShed:        {"sockets: connections shed", "clients dial again"},
-	CallsWithoutSocket:     {"sockets: calls without a socket", "they are tried again"},
-	PeerMessagesLost:       {"peer messages lost", "the peer misses them"},
+	ConnectionsClosed:      {"sockets: connections closed after a response", "clients reconnect"},
+	ConnectionsShed:        {"sockets: connections shed", "clients reconnect"},
+	CallsWithoutSocket:     {"sockets: calls without a socket", "the calls are retried"},
+	PeerMessagesLost:       {"peer messages lost", "the peer does not receive them"},
 	ServedMachines:         {"machines served on this processor share", "fewer machines are provisioned, none while overloaded"},
-	SurgeCeiling:           {"surge ceiling", "a job's tasks go above it"},
+	SurgeCeiling:           {"surge ceiling", "a job's tasks exceed it"},
 }
 
-// String is the name of the limit in the log.
+// String returns the name of the limit in the log.
 func (l Limit) String() string { return descriptions[l].name }
 
-// Consequence says what is done on reaching the limit.
+// Consequence describes what happens when the limit is reached.
 func (l Limit) Consequence() string { return descriptions[l].consequence }
 
-// LogInterval is the least time between two log lines about the same limit.
+// LogInterval is the minimum time between two log lines about the same limit.
 const LogInterval = 30 * time.Second
 
 // Counters count how often limits were reached. The zero value is ready for use.
@@ -76,19 +78,20 @@
 	loggedAt    [limitCount]time.Time // zero: never
 }
 
-// Reached counts that a limit was reached once.
+// Reached records that a limit was reached once.
 func (c *Counters) Reached(l Limit) { c.ReachedTimes(l, 1) }
 
-// ReachedTimes counts that a limit was reached some number of times, which may be 0.
+// ReachedTimes records that a limit was reached the given number of times, which may be 0.
 func (c *Counters) ReachedTimes(l Limit, times int) {
 	c.sinceLogged[l] += times
 	c.total[l] += times
 }
 
-// Total is how often a limit was reached since the start.
+// Total returns how often a limit was reached since the process started.
 func (c *Counters) Total(l Limit) int { return c.total[l] }
 
-// Log logs the limits that were reached, each in a line of its own at most every LogInterval.
+// Log logs one line for each limit that was reached since its last line, at most once per
+// LogInterval.
 func (c *Counters) Log(log *slog.Logger, now time.Time) {
 	for l := range limitCount {
 		if c.sinceLogged[l] == 0 || !c.loggedAt[l].IsZero() && now.Sub(c.loggedAt[l]) < LogInterval {
--- a/internal/coordination/limits/limits_test.go
+++ b/internal/coordination/limits/limits_test.go
@@ -10,7 +10,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A limit that is reached is logged at once, then once in an interval with what was counted.
+// A limit is logged the first time it is reached, then at most once per LogInterval with the
+// counts.
 func TestLogRate(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -19,11 +20,11 @@
 		name    string
 		after   time.Duration // since the start
 		reached int
-		want    string // in the line; empty: no line
+		want    string // contained in the line; empty: no line
 	}{
 		{"not reached", 0, 0, ""},
 		{"first time", 0, 1, "count=1 total=1"},
-		{"again at once", time.Second, 98, ""},
+		{"again within the interval", time.Second, 98, ""},
 		{"just before the interval ends", LogInterval - 1, 1, ""},
 		{"the interval is over", LogInterval, 0, "count=99 total=100"},
 		{"nothing since", 3 * LogInterval, 0, ""},
@@ -40,7 +41,7 @@
 	}
 }
 
-// Limits are logged apart from one another.
+// Each limit has a log line and an interval of its own.
 func TestLimitsLoggedSeparately(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
--- a/internal/coordination/overload/monitor.go
+++ b/internal/coordination/overload/monitor.go
@@ -1,18 +1,18 @@
-// Package overload measures how far a controller's event loop is behind.
+// Package overload measures by how much a controller's event loop is behind schedule.
 //
-// The only input is scheduling lag: by how much a timer ran after its time. From it follow
-// the levels at which work is deferred, restricted or shed, and whether the process has
-// been overloaded for long. A Monitor reads no clock and starts nothing. It must never
-// decide what is deferred or shed: each user of a level does that for itself.
+// The only input is scheduling lag, the time by which a timer ran late. From it the package
+// derives the levels at which work is deferred, restricted or shed, and whether the process
+// has been overloaded for long. A Monitor reads no clock and starts nothing. It never decides
+// which work is deferred or shed; its callers do.
 package overload
 
 import "time"
 
-// Lags above which the process has more to do than its share of the processor allows.
-// Above Deferring, work that can wait does. Above Overloaded, only critical work and that
-// within quotas is started. Above Shedding, users who only ask are refused at once, so that
-// the leader lease, heartbeats and submissions are served: a leader that loses its lease
-// for being late leaves the next one with even more to do.
+// Scheduling lags above which the process has more work than its share of the processor
+// allows. Above DeferThreshold, work that can wait is deferred. Above OverloadThreshold, only
+// critical work and work within quotas is started. Above ShedThreshold, status queries are
+// refused at once, so that the leader lease, heartbeats and submissions are still served: a
+// leader that loses its lease because it is late leaves even more work to its successor.
 const (
 	DeferThreshold    = 150 * time.Millisecond
 	OverloadThreshold = 400 * time.Millisecond
@@ -20,23 +20,23 @@
 )
 
 const (
-	// recoveryGap is the pause between two overloaded timers after which the process has
-	// kept up in between.
+	// recoveryGap is the time between two overloaded timers above which the process counts as
+	// having recovered in between.
 	recoveryGap = 2 * time.Second
-	// persistentAfter is how long overload lasts without such a pause before the process has
-	// more to serve than its share allows.
+	// persistentAfter is how long overload must last without such a gap until the process
+	// counts as having more to serve than its CPU share allows.
 	persistentAfter = 5 * time.Second
 )
 
-// Monitor follows the scheduling lag of one process. The zero value has seen no lag.
+// Monitor tracks the scheduling lag of one process. The zero value is ready for use.
 type Monitor struct {
 	lag           time.Duration // of the last timer
 	peak          time.Duration // since TakePeak
-	overloadedAt  time.Time     // when the lag was last above Overloaded
-	overloadSince time.Time     // the start of overload that lasts, but for short pauses
+	overloadedAt  time.Time     // when the lag was last above OverloadThreshold
+	overloadSince time.Time     // when the current overload began; gaps up to recoveryGap don't end it
 }
 
-// Observe takes the lag of a timer that ran at now.
+// Observe records the lag of a timer that ran at now.
 func (m *Monitor) Observe(now time.Time, lag time.Duration) {
 	m.lag = max(0, lag)
 	m.peak = max(m.peak, m.lag)
@@ -49,13 +49,13 @@
 	m.overloadedAt = now
 }
 
-// Lag is that of the last timer.
+// Lag returns the lag of the last timer.
 func (m *Monitor) Lag() time.Duration { return m.lag }
 
-// ShouldDefer reports whether work that can wait should.
+// ShouldDefer reports whether work that can wait should be deferred.
 func (m *Monitor) ShouldDefer() bool { return m.lag > DeferThreshold }
 
-// Overloaded reports whether only critical work and that within quotas should start.
+// Overloaded reports whether only critical work and work within quotas should be started.
 func (m *Monitor) Overloaded() bool { return m.lag > OverloadThreshold }
 
 // ShouldShed reports whether status queries should be refused.
@@ -66,13 +66,13 @@
 	return !m.overloadedAt.IsZero() && now.Sub(m.overloadedAt) < age
 }
 
-// Persistent reports whether the process has been overloaded for so long that more machines
-// would only make it answer all of them less often.
+// Persistent reports whether the process has been overloaded for so long that additional
+// machines would only reduce how often it can answer each of them.
 func (m *Monitor) Persistent(now time.Time) bool {
 	return !m.overloadedAt.IsZero() && now.Sub(m.overloadedAt) <= recoveryGap && now.Sub(m.overloadSince) > persistentAfter
 }
 
-// TakePeak is the highest lag since it was last taken.
+// TakePeak returns the highest lag since the last call of TakePeak.
 func (m *Monitor) TakePeak() time.Duration {
 	peak := m.peak
 	m.peak = 0
--- a/internal/coordination/overload/monitor_test.go
+++ b/internal/coordination/overload/monitor_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
-// Each level begins above its lag, and the next timer that is on time ends it.
+// Each level begins above its threshold, and ends with the next timer that runs on time.
 func TestLevels(t *testing.T) {
 	for _, test := range []struct {
 		lag                       time.Duration
@@ -28,13 +28,13 @@
 		}
 		m.Observe(start, 0)
 		if m.ShouldDefer() || m.Lag() != 0 {
-			t.Errorf("%s: it defers work after a timer that was on time", test.lag)
+			t.Errorf("%s: work is still deferred after a timer that ran on time", test.lag)
 		}
 	}
 }
 
-// Overload is persistent once it lasts for more than persistentAfter without a pause of more
-// than recoveryGap, and ends with such a pause.
+// Overload is persistent once it has lasted for more than persistentAfter without a pause of
+// more than recoveryGap, and ends with such a pause.
 func TestPersistent(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -45,12 +45,12 @@
 	}{
 		{"never overloaded", 0, 0, 0, false},
 		{"overloaded once", 0, 1, 0, false},
-		{"for just persistentAfter", time.Second, 6, 0, false},
+		{"for exactly persistentAfter", time.Second, 6, 0, false},
 		{"for longer", time.Second, 7, 0, true},
-		{"with pauses that are short enough", recoveryGap, 4, 0, true},
-		{"with pauses in which it kept up", recoveryGap + 1, 10, 0, false},
-		{"a moment ago", time.Second, 7, recoveryGap, true},
-		{"some time ago", time.Second, 7, recoveryGap + 1, false},
+		{"with pauses of recoveryGap", recoveryGap, 4, 0, true},
+		{"with longer pauses", recoveryGap + 1, 10, 0, false},
+		{"recoveryGap ago", time.Second, 7, recoveryGap, true},
+		{"longer ago", time.Second, 7, recoveryGap + 1, false},
 	} {
 		var m Monitor
 		now := start
@@ -64,7 +64,7 @@
 	}
 }
 
-// What was overloaded lately and the peak are remembered beyond the timers that follow.
+// A past overload and the peak lag are still reported after later timers ran on time.
 func TestRecentOverloadAndPeak(t *testing.T) {
 	var m Monitor
 	if m.OverloadedWithin(start, time.Hour) {
--- a/internal/coordination/peers/doc.go
+++ b/internal/coordination/peers/doc.go
@@ -1,11 +1,11 @@
-// Package peers is what controllers tell one another of themselves, and what this one last
-// heard of each.
+// Package peers defines the status messages that controllers exchange, and keeps the latest
+// status of each peer.
 //
-// Every controller broadcasts a [Message] each second: whether it reaches the state service
-// and its workers, which jobs ended lately, and, from the leader, how the others go on. A
-// [Table] keeps the latest [Status] of each peer.
+// Every controller broadcasts a [Message] each second. It says whether the controller reaches
+// the state service and its workers, and which jobs ended recently; the leader's also contains
+// the progress of running jobs. A [Table] keeps the latest [Status] of each peer.
 //
-// The package owns the messages' form and the table. It never sends anything, and nothing
-// here may be taken for proof: messages may be lost, late or of an earlier process. None of
-// it is needed for the protocol's rules, which rest on the state service alone.
+// The package owns the message format and the table, and sends nothing itself. Its contents are
+// hints, never proof: messages may be lost, late, or from an earlier process. The correctness of
+// the protocol depends on the state service alone.
 package peers
--- a/internal/coordination/peers/message.go
+++ b/internal/coordination/peers/message.go
@@ -6,55 +6,55 @@
 	"brasskeel/internal/protocol"
 )
 
-// MaxMessage is the length in bytes of the longest message that a peer takes. What doesn't
+// MaxMessage is the length in bytes of the longest message that a peer accepts. What does not
 // fit goes into further messages, or waits for the next round.
 const MaxMessage = 64 << 10
 
-// Message is one broadcast. Final states of jobs are told by who recorded them: they are
-// created once and never overwritten, so they may be passed on to users like one's own,
-// however late they come.
+// Message is the content of one broadcast. The final states of jobs come from the controller
+// that recorded them. They are created once and never overwritten, so a receiver may report
+// them to users like those it recorded itself, however late the message arrives.
 type Message struct {
 	Sender             string                 `json:"node"`
 	StoreReachable     bool                   `json:"storeOK"`
-	Disconnected       bool                   `json:"unfit,omitempty"`     // resigned lately for lost connectivity
-	WorkersUnreachable bool                   `json:"blind,omitempty"`     // of an owner of shards
-	Term               uint64                 `json:"term,omitempty"`      // of a leader
-	Progress           map[string]JobProgress `json:"progress,omitempty"`  // of some jobs
-	Done               map[string]int         `json:"done,omitempty"`      // jobs, and their tasks done
-	Cancelled          map[string]int         `json:"cancelled,omitempty"` // the same of cancelled ones
+	Disconnected       bool                   `json:"unfit,omitempty"`     // the sender resigned recently because it lost connectivity to its workers
+	WorkersUnreachable bool                   `json:"blind,omitempty"`     // the sender owns shards and recently lost most of their workers
+	Term               uint64                 `json:"term,omitempty"`      // the sender's term if it is the leader
+	Progress           map[string]JobProgress `json:"progress,omitempty"`  // progress of some jobs, by job ID
+	Done               map[string]int         `json:"done,omitempty"`      // completed jobs: number of tasks done, by job ID
+	Cancelled          map[string]int         `json:"cancelled,omitempty"` // cancelled jobs: number of tasks done, by job ID
 }
 
-// JobProgress is how many tasks of a job are done and how many run.
+// JobProgress holds the number of tasks of a job that are done and that are running.
 type JobProgress [2]int
 
-// Done is how many tasks are done.
+// Done returns the number of tasks that are done.
 func (p JobProgress) Done() int { return p[0] }
 
-// Running is how many tasks run.
+// Running returns the number of tasks that are running.
 func (p JobProgress) Running() int { return p[1] }
 
-// Sizes in bytes of a message's entries, at the most.
+// Upper bounds in bytes for the parts of a message's entries.
 const (
-	jobEntryBytes  = 16 // beyond the job's id: quotes, colon, comma, brackets
+	jobEntryBytes  = 16 // without the job ID: quotes, colon, comma, brackets
 	taskCountBytes = 6
 )
 
-// OutcomeSize is about how many bytes a job's final state takes in a message.
+// OutcomeSize returns an estimate of the bytes that a job's final state takes in a message.
 func OutcomeSize(job string) int { return len(job) + jobEntryBytes + taskCountBytes }
 
-// ProgressSize is about how many bytes a job's progress takes in a message.
+// ProgressSize returns an estimate of the bytes that a job's progress takes in a message.
 func ProgressSize(job string) int { return len(job) + jobEntryBytes + 2*taskCountBytes }
 
-// Encode is the message as it is sent. It may be longer than MaxMessage.
+// Encode returns the message in its wire format. The result may be longer than MaxMessage.
 func (m *Message) Encode() []byte {
 	raw, err := json.Marshal(m)
-	if err != nil { // messages hold only strings and numbers
+	if err != nil { // can't happen: a message holds only strings, numbers and booleans
 		panic(err)
 	}
 	return raw
 }
 
-// Decode reads a message. Any error is one of its form.
+// Decode parses a message. An error means that the message is malformed.
 func Decode(body []byte) (Message, error) {
 	var m Message
 	err := protocol.Decode(body, &m)
--- a/internal/coordination/peers/peers_test.go
+++ b/internal/coordination/peers/peers_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
-// What a peer said of itself counts for a short time.
+// A peer's reported status counts only for a short time.
 func TestStatus(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -15,13 +15,13 @@
 		age             time.Duration
 		fresh, eligible bool
 	}{
-		{"just heard", Status{StoreReachable: true}, 0, true, true},
-		{"just eligible", Status{StoreReachable: true}, eligibilityTTL - 1, true, true},
-		{"too old to lead", Status{StoreReachable: true}, eligibilityTTL, true, false},
+		{"just received", Status{StoreReachable: true}, 0, true, true},
+		{"just before eligibility ends", Status{StoreReachable: true}, eligibilityTTL - 1, true, true},
+		{"too old to be eligible", Status{StoreReachable: true}, eligibilityTTL, true, false},
 		{"old", Status{StoreReachable: true}, statusTTL, false, false},
-		{"without the state service", Status{}, 0, true, false},
+		{"state service not reachable", Status{}, 0, true, false},
 		{"disconnected", Status{StoreReachable: true, Disconnected: true}, 0, true, false},
-		{"without workers", Status{StoreReachable: true, WorkersUnreachable: true}, 0, true, true},
+		{"workers not reachable", Status{StoreReachable: true, WorkersUnreachable: true}, 0, true, true},
 	} {
 		test.status.HeardAt = start
 		now := start.Add(test.age)
@@ -30,12 +30,12 @@
 		}
 		table := Table{"n1": &test.status}
 		if table.AnyFresh(now) != test.fresh || table.AnyEligible(now) != test.eligible || table.StoreReachable(now) != (test.fresh && test.status.StoreReachable) {
-			t.Errorf("%s: the table differs", test.name)
+			t.Errorf("%s: the table's result differs from the status", test.name)
 		}
 	}
 }
 
-// Only peers that were heard lately are counted, each once.
+// Only peers with a recent status are counted, each once.
 func TestConnectivity(t *testing.T) {
 	table := Table{
 		"a": {HeardAt: start, StoreReachable: true},
@@ -49,19 +49,20 @@
 	}
 }
 
-// A leader's word on a job counts for progressTTL, and as long as the leader's term.
+// The progress that a leader reports counts for progressTTL, and only within that leader's
+// term.
 func TestProgress(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		after time.Duration
-		next  Message // heard then
+		next  Message // received after that time
 		known bool
 	}{
 		{"at once", 0, Message{Term: 4}, true},
-		{"as long as it counts", progressTTL, Message{Term: 4}, true},
+		{"just before it expires", progressTTL, Message{Term: 4}, true},
 		{"later", progressTTL + 1, Message{Term: 4}, false},
-		{"in another term", time.Second, Message{Term: 5}, false},
-		{"from one that leads no more", time.Second, Message{}, false},
+		{"another term", time.Second, Message{Term: 5}, false},
+		{"no longer the leader", time.Second, Message{}, false},
 	} {
 		table := Table{}
 		table.Receive(&Message{Sender: "n1", Term: 4, Progress: map[string]JobProgress{"run-000001": {3, 2}}}, start)
@@ -75,13 +76,14 @@
 	}
 }
 
-// A message is read as it was written, and its entries take no more than their sizes say.
+// A message is decoded as it was encoded, and its entries take no more bytes than OutcomeSize
+// and ProgressSize return.
 func TestMessage(t *testing.T) {
 	const job = "run-000001"
 	empty := Message{Sender: "n1", Progress: map[string]JobProgress{"x": {}}, Done: map[string]int{"x": 0}}
 	one := Message{Sender: "n1", Progress: map[string]JobProgress{"x": {}, job: {99999, 99999}}, Done: map[string]int{"x": 0, job: 99999}}
 	if grown := len(one.Encode()) - len(empty.Encode()); grown > ProgressSize(job)+OutcomeSize(job) {
-		t.Errorf("two entries take %d bytes, sizes say %d", grown, ProgressSize(job)+OutcomeSize(job))
+		t.Errorf("two entries take %d bytes, estimated %d", grown, ProgressSize(job)+OutcomeSize(job))
 	}
 	got, err := Decode(one.Encode())
 	if err != nil || got.Sender != "n1" || got.Done[job] != 99999 || got.Progress[job].Running() != 99999 {
--- a/internal/coordination/peers/table.go
+++ b/internal/coordination/peers/table.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Times after which what a peer said counts no more. A peer tells of itself each second.
+// Times for which a peer's messages count. Every peer sends one each second.
 const (
 	statusTTL      = 3 * time.Second
-	eligibilityTTL = 2500 * time.Millisecond // as one to hand the leadership to
-	// progressTTL is longer: a job of a very large fleet has its turn only every few seconds.
+	eligibilityTTL = 2500 * time.Millisecond // for handing leadership to the peer
+	// progressTTL is longer because in a very large fleet the progress of one job is broadcast
+	// only every few seconds.
 	progressTTL = 30 * time.Second
 )
 
-// Status is what a peer last said of itself.
+// Status is the latest status that a peer reported.
 type Status struct {
-	HeardAt            time.Time
-	StoreReachable     bool // the state service serves it
-	Disconnected       bool // it led lately and lost connectivity to too many machines
-	WorkersUnreachable bool // it lately lost most of the workers that it served as an owner of shards
+	HeardAt            time.Time // when the latest message was received
+	StoreReachable     bool      // the state service serves the peer
+	Disconnected       bool      // the peer led recently and lost connectivity to too many machines
+	WorkersUnreachable bool      // the peer owns shards and recently lost most of their workers
 
-	term     uint64 // that progress is of
+	term     uint64 // the term that progress belongs to
 	progress map[string]receivedProgress
-	prunedAt time.Time // when old progress was last dropped
+	prunedAt time.Time // when expired progress was last removed
 }
 
 type receivedProgress struct {
@@ -27,21 +28,22 @@
 	receivedAt time.Time
 }
 
-// Fresh reports whether the peer was heard lately.
+// Fresh reports whether a message of the peer was received recently.
 func (s *Status) Fresh(now time.Time) bool { return now.Sub(s.HeardAt) < statusTTL }
 
-// Eligible reports whether the leadership may be handed to the peer.
+// Eligible reports whether leadership may be handed to the peer.
 func (s *Status) Eligible(now time.Time) bool {
 	return s.StoreReachable && !s.Disconnected && now.Sub(s.HeardAt) < eligibilityTTL
 }
 
-// Progress is what the peer, as the leader, lately said of a job; ok is false for nothing.
+// Progress returns the progress that the peer, as the leader, recently reported of a job; ok is
+// false if there is none.
 func (s *Status) Progress(job string, now time.Time) (p JobProgress, ok bool) {
-	heard, ok := s.progress[job]
-	if !ok || now.Sub(heard.receivedAt) > progressTTL {
+	received, ok := s.progress[job]
+	if !ok || now.Sub(received.receivedAt) > progressTTL {
 		return JobProgress{}, false
 	}
-	return heard.JobProgress, true
+	return received.JobProgress, true
 }
 
 func (s *Status) receive(m *Message, now time.Time) {
@@ -60,17 +62,17 @@
 		return
 	}
 	s.prunedAt = now
-	for job, heard := range s.progress {
-		if now.Sub(heard.receivedAt) > progressTTL {
+	for job, received := range s.progress {
+		if now.Sub(received.receivedAt) > progressTTL {
 			delete(s.progress, job)
 		}
 	}
 }
 
-// Table is the status of each peer that was heard, by name.
+// Table holds the status of each peer that a message was received from, by name.
 type Table map[string]*Status
 
-// Receive takes a message of a peer.
+// Receive updates the table with a message from a peer.
 func (t Table) Receive(m *Message, now time.Time) {
 	s := t[m.Sender]
 	if s == nil {
@@ -80,17 +82,17 @@
 	s.receive(m, now)
 }
 
-// AnyFresh reports whether any peer was heard lately.
+// AnyFresh reports whether a message of any peer was received recently.
 func (t Table) AnyFresh(now time.Time) bool {
 	return t.any(func(s *Status) bool { return s.Fresh(now) })
 }
 
-// StoreReachable reports whether any peer lately said that the state service serves it.
+// StoreReachable reports whether any peer recently reported that the state service serves it.
 func (t Table) StoreReachable(now time.Time) bool {
 	return t.any(func(s *Status) bool { return s.StoreReachable && s.Fresh(now) })
 }
 
-// AnyEligible reports whether the leadership may be handed to any peer.
+// AnyEligible reports whether leadership may be handed to any peer.
 func (t Table) AnyEligible(now time.Time) bool {
 	return t.any(func(s *Status) bool { return s.Eligible(now) })
 }
@@ -104,9 +106,8 @@
 	return false
 }
 
-// Connectivity counts the peers that were heard lately by whether they may lead: those that
-// say that they lost connectivity to the workers, and of the others those that reach the
-// state service.
+// Connectivity counts peers with a recent status: disconnected counts those that report lost
+// connectivity to workers, eligible those of the others that reach the state service.
 func (t Table) Connectivity(now time.Time) (eligible, disconnected int) {
 	for _, s := range t {
 		switch {
--- a/internal/coordination/ratelog/ratelog_test.go
+++ b/internal/coordination/ratelog/ratelog_test.go
@@ -15,15 +15,15 @@
 		name       string
 		lines      int           // with the same message
 		pause      time.Duration // between them
-		others     int           // with another message, before them
-		info       int           // lines at level info, the count of suppressed ones included
-		suppressed string        // what that line says; empty without one
+		others     int           // lines with another message, logged first
+		info       int           // expected lines at level info, including the one that counts suppressed lines
+		suppressed string        // contained in the line that counts suppressed lines; empty: no such line
 	}{
 		{name: "few lines", lines: LinesPerSecond, info: LinesPerSecond},
 		{name: "a burst", lines: 4000, info: LinesPerSecond + 1, suppressed: "count=3980"},
-		{name: "one line more", lines: LinesPerSecond + 1, info: LinesPerSecond + 1, suppressed: "count=1"},
-		{name: "lines apart", lines: 50, pause: 100 * time.Millisecond, info: 50},
-		{name: "messages count apart", lines: LinesPerSecond, others: LinesPerSecond, info: 2 * LinesPerSecond},
+		{name: "one line above the limit", lines: LinesPerSecond + 1, info: LinesPerSecond + 1, suppressed: "count=1"},
+		{name: "below the rate", lines: 50, pause: 100 * time.Millisecond, info: 50},
+		{name: "messages are counted separately", lines: LinesPerSecond, others: LinesPerSecond, info: 2 * LinesPerSecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -38,7 +38,7 @@
 				now = now.Add(c.pause)
 			}
 			s.Flush(log, now.Add(time.Second))
-			s.Flush(log, now.Add(2*time.Second)) // nothing is told twice
+			s.Flush(log, now.Add(2*time.Second)) // logs nothing a second time
 			if lines := strings.Count(out.String(), "\n"); lines != c.info || !strings.Contains(out.String(), c.suppressed) {
 				t.Errorf("%d lines, want %d with %q: %.300s", lines, c.info, c.suppressed, out.String())
 			}
@@ -46,7 +46,8 @@
 	}
 }
 
-// Within the second that a burst began in, nothing is told of what was suppressed.
+// Suppressed lines are not counted in the log before the second in which they occurred is
+// over.
 func TestFlushWaitsForWindowEnd(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -60,7 +61,7 @@
 	}
 	s.Info(log, start.Add(time.Second), "a message")
 	if !strings.Contains(out.String(), "count=5") {
-		t.Errorf("not told with the next second's first line: %s", out.String())
+		t.Errorf("the count of suppressed lines is not logged with the next second's first line: %s", out.String())
 	}
 }
 
--- a/internal/coordination/ratelog/sampler.go
+++ b/internal/coordination/ratelog/sampler.go
@@ -1,8 +1,7 @@
-// Package ratelog bounds how many lines a controller logs: Sampler for messages that come in
-// bursts, Throttle for a status that lasts.
+// Package ratelog bounds the number of lines that a controller logs: Sampler for messages that
+// occur in bursts, Throttle for a status that persists.
 //
-// It owns the counts and times that this takes, reads no clock, and never drops a line without
-// counting it.
+// The package reads no clock, and never drops a line without counting it.
 package ratelog
 
 import (
@@ -11,26 +10,26 @@
 	"time"
 )
 
-// LinesPerSecond is how many lines with the same message a Sampler logs in a second at level
-// info. A fleet of thousands of machines that is adopted, or lost, in one moment would
-// otherwise take most of a small share of a processor to be written about.
+// LinesPerSecond is the number of lines with the same message that a Sampler logs per second
+// at level info. Without this limit, logging the adoption or loss of thousands of machines at
+// once would use most of a controller's small CPU share.
 const LinesPerSecond = 20
 
-// Sampler logs at most LinesPerSecond lines with the same message in each second at level
-// info. Further ones are logged at level debug and counted in one line. The zero value is
+// Sampler logs at most LinesPerSecond lines with the same message per second at level info.
+// Further lines are logged at level debug, and one info line counts them. The zero value is
 // ready for use.
 type Sampler struct {
 	windows map[string]*window // by message
 }
 
-// window is the second in which lines with a message are counted.
+// window counts the lines with one message in one second.
 type window struct {
 	start      time.Time
 	lines      int // in this second, at either level
-	suppressed int // at level debug, not yet told
+	suppressed int // lines at level debug that no info line has counted yet
 }
 
-// Info logs a line about one of many of a kind.
+// Info logs a line at level info, or at level debug if the message's limit is reached.
 func (s *Sampler) Info(log *slog.Logger, now time.Time, message string, args ...any) {
 	w := s.windows[message]
 	if w == nil {
@@ -53,8 +52,9 @@
 	log.Log(context.Background(), level, message, args...)
 }
 
-// Flush logs how many lines were suppressed in seconds that are over. It is to be called
-// regularly: a burst that ends is followed by no line that would tell.
+// Flush logs how many lines were suppressed in windows that have ended. It must be called
+// regularly: after the end of a burst, no further line with its message may follow to trigger
+// that.
 func (s *Sampler) Flush(log *slog.Logger, now time.Time) {
 	for message, w := range s.windows {
 		if now.Sub(w.start) >= time.Second {
--- a/internal/coordination/ratelog/throttle.go
+++ b/internal/coordination/ratelog/throttle.go
@@ -4,19 +4,19 @@
 
 // Intervals of a Throttle.
 const (
-	ChangeInterval = 5 * time.Second  // least time between lines that tell a new status
-	RepeatInterval = 30 * time.Second // least time between lines that tell the same status
+	ChangeInterval = 5 * time.Second  // minimum time before a changed status is logged
+	RepeatInterval = 30 * time.Second // minimum time before the same status is logged again
 )
 
-// Throttle decides when a status that changes and lasts is logged: when it changes, and from
-// time to time while it lasts. The zero value is one with nothing to tell.
+// Throttle decides when to log a status: when it changes, and at intervals while it persists.
+// The zero value has an empty status.
 type Throttle struct {
 	status   string // last logged; empty: none
 	loggedAt time.Time
 }
 
-// Allow reports whether a status is to be logged now, and counts it as logged if so. An empty
-// status means that there is nothing to tell: it is logged once, after another one.
+// Allow reports whether a status should be logged now, and records it as logged if so. An empty
+// status means that there is nothing to report; it is logged only once, after a non-empty one.
 func (t *Throttle) Allow(now time.Time, status string) bool {
 	since := now.Sub(t.loggedAt)
 	if status == t.status && since < RepeatInterval || status != t.status && since < ChangeInterval {
@@ -29,6 +29,6 @@
 	return true
 }
 
-// MayLog reports whether any status could be logged now. Callers whose status is dear to find
-// ask it first.
+// MayLog reports whether any status could be logged now. Callers whose status is expensive to
+// compute check it first.
 func (t *Throttle) MayLog(now time.Time) bool { return now.Sub(t.loggedAt) >= ChangeInterval }
