--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -14,8 +14,8 @@
 	"brasskeel/internal/records"
 )
 
-// addInheritedAttempts lets a leader know ten machines of the one before, each with a task, that it
-// hasn't heard yet.
+// addInheritedAttempts adds ten machines of an earlier leader, each with a task, whose workers
+// have not contacted this leader yet.
 func addInheritedAttempts(c *Controller, l *leader) {
 	c.teams["red"].CPUsMax = 100
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
@@ -31,23 +31,24 @@
 	l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
 }
 
-// A leader that never hears most of the machines that ran tasks before gives way to
-// another controller before it gives any of them up, once, unless all others did the same;
-// and nobody hands over to it for its zone meanwhile. A leader that was cut off from its
-// workers had been handed the lead again and returned 1,113 machines that others reached.
+// A leader that receives nothing from most of the machines that ran tasks before resigns before
+// it releases any of them. It does so once, and not if all peers are disconnected too; until the
+// mark expires no leader hands over to it because of its zone. Without this, a leader that was
+// cut off from its workers was handed the leadership again and returned 1,113 machines that other
+// controllers could reach.
 func TestDisconnectedLeaderResigns(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		heard int
-		peers []bool // whether they are disconnected
+		heard int    // machines whose heartbeats arrive
+		peers []bool // for each peer whose messages arrive, whether it is disconnected
 		stays bool
 	}{
-		{"hears nobody", 0, []bool{false, true}, false},
-		{"hears nobody and no peer", 0, nil, false},
-		{"hears half", 5, []bool{false, false}, true},
-		{"hears nobody, as the others did", 0, []bool{true, true}, true},
-		{"hears nobody, again, and no peer", 0, nil, true},
-		{"hears nobody, again, while another is fit", 0, []bool{false, true}, false},
+		{"no machines heard", 0, []bool{false, true}, false},
+		{"no machines and no peers heard", 0, nil, false},
+		{"half of the machines heard", 5, []bool{false, false}, true},
+		{"no machines heard, all peers disconnected", 0, []bool{true, true}, true},
+		{"again no machines and no peers heard", 0, nil, true},
+		{"again no machines heard, a peer eligible", 0, []bool{false, true}, false},
 	} {
 		c, l := newTestLeader(phaseReconciling)
 		again := strings.Contains(test.name, "again")
@@ -56,7 +57,7 @@
 		}
 		c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}, {Name: "n2", Zone: "a"}}
 		addInheritedAttempts(c, l)
-		for range 60 { // 15 s, the length of a lease
+		for range 60 { // 15 s, the length of a worker's lease
 			c.now = c.now.Add(detectorInterval)
 			for i, disconnected := range test.peers {
 				m := peers.Message{Sender: fmt.Sprintf("n%d", i+1), StoreReachable: true, Disconnected: disconnected}
@@ -72,20 +73,21 @@
 			}
 		}
 		if stays := c.leader == l; stays != test.stays {
-			t.Errorf("a leader that %s stays: %t", test.name, stays)
+			t.Errorf("%s: the leader stays: %t", test.name, stays)
 		}
 		for _, m := range l.fleetList {
 			if !test.stays && m.lifecycle.releasing() {
-				t.Errorf("a leader that %s gave up %s before it gave way", test.name, m.Name)
+				t.Errorf("%s: %s was released before the leader resigned", test.name, m.Name)
 			}
 		}
 		if !again && c.election.Disconnected() == test.stays {
-			t.Errorf("a leader that %s calls itself disconnected: %t", test.name, c.election.Disconnected())
+			t.Errorf("%s: marked as disconnected: %t", test.name, c.election.Disconnected())
 		}
 	}
 }
 
-// The lead isn't handed to a controller of the better zone that calls itself disconnected.
+// Leadership is not handed to a controller in the preferred zone that reports itself as
+// disconnected.
 func TestNoHandOverToDisconnectedPeer(t *testing.T) {
 	for _, disconnected := range []bool{false, true} {
 		c, l := newTestLeaderInZone("b", phaseActive)
@@ -104,8 +106,8 @@
 	}
 }
 
-// A leader whose calls to nearly all workers fail doesn't wait for their reports before it
-// gives way: with two such controllers in a row the workers' leases were over.
+// A leader whose calls to nearly all workers fail resigns without waiting for their heartbeats.
+// With two such leaders in a row, the workers' leases expired.
 func TestLeaderWithFailingCallsResignsEarly(t *testing.T) {
 	c, l := newTestLeader(phaseReconciling)
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
@@ -133,11 +135,11 @@
 		}
 	}
 	if took := c.now.Sub(begin); took > 5*time.Second {
-		t.Errorf("it gave way after %s", took)
+		t.Errorf("the leader resigned after %s", took)
 	}
 	for _, m := range l.fleetList {
 		if m.lifecycle.releasing() {
-			t.Errorf("%s was given up before", m.Name)
+			t.Errorf("%s was released before the leader resigned", m.Name)
 		}
 	}
 }
--- a/internal/coordination/election_test.go
+++ b/internal/coordination/election_test.go
@@ -7,7 +7,7 @@
 	"brasskeel/internal/records"
 )
 
-// setElectionKeys lets a controller read these keys of the election from the state service.
+// setElectionKeys makes a controller list the election keys, and responds with items.
 func setElectionKeys(c *Controller, items ...protocol.KeyValue) {
 	c.takeEffects()
 	c.election.Follow()
@@ -17,5 +17,5 @@
 			return
 		}
 	}
-	panic("the keys of the election aren't read")
+	panic("the controller does not list the election keys")
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -18,9 +18,9 @@
 	"brasskeel/internal/records"
 )
 
-// Tests of bounds that a fleet of thousands of machines reaches.
+// Tests of limits that a fleet of thousands of machines reaches.
 
-// newFollower is another controller that hears a leader.
+// newFollower returns another controller that knows c as the leader.
 func newFollower(c *Controller) *Controller {
 	cfg := *c.cfg
 	cfg.Name = "n1"
@@ -31,7 +31,8 @@
 	return f
 }
 
-// deliverBroadcasts hands a turn of a leader's lines to a follower, and reports the longest one.
+// deliverBroadcasts delivers one round of a leader's broadcasts to a follower, and returns the
+// length of the longest message.
 func deliverBroadcasts(c, f *Controller) (longest int) {
 	c.effects = Effects{}
 	c.broadcastStatus()
@@ -42,9 +43,9 @@
 	return longest
 }
 
-// A follower knows how every job of a large fleet goes on after a few turns, and each line
-// fits the stream. Only the first 1,200 jobs were told of, and users of the others saw them
-// queued for ever.
+// After a few rounds of broadcasts a follower knows the progress of every job of a large fleet,
+// and no message exceeds MaxMessage. Only the first 1,200 jobs were broadcast before, and users
+// saw the others as queued forever.
 func TestProgressOfAllJobsIsBroadcast(t *testing.T) {
 	const jobs = 9000
 	c, l := largeLeader(10, jobs)
@@ -52,9 +53,9 @@
 		j.runningTasks = 3
 	}
 	f := newFollower(c)
-	for turn := range 3 {
+	for round := range 3 {
 		if longest := deliverBroadcasts(c, f); longest > peers.MaxMessage {
-			t.Fatalf("turn %d: a line of %d bytes", turn, longest)
+			t.Fatalf("round %d: a message of %d bytes", round, longest)
 		}
 	}
 	for _, j := range l.jobsByAge {
@@ -62,18 +63,19 @@
 			t.Fatalf("%s: %v, %d running", j.ID, s, running)
 		}
 	}
-	// One that went back to nothing is told of once more.
+	// A job without running or done tasks is broadcast once more.
 	l.jobsByAge[0].runningTasks = 0
 	for range 3 {
 		deliverBroadcasts(c, f)
 	}
 	if _, _, running := f.knownProgress(l.jobsByAge[0].ID); running != 0 {
-		t.Errorf("%d tasks run that were stopped", running)
+		t.Errorf("%d tasks are known as running after they were stopped", running)
 	}
 }
 
-// Thousands of jobs that end within a second are told to peers within seconds, each at
-// least once: 500 of them were told a second, and what came beyond 5,000 was dropped.
+// The final states of thousands of jobs that end within a second are broadcast within seconds,
+// each at least once. Only 500 a second were broadcast before, and those beyond 5,000 waiting
+// ones were dropped.
 func TestManyOutcomesAreBroadcast(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateWriteRPS = 1000
@@ -85,7 +87,7 @@
 	f := newFollower(c)
 	for range 5 {
 		if longest := deliverBroadcasts(c, f); longest > peers.MaxMessage {
-			t.Fatalf("a line of %d bytes", longest)
+			t.Fatalf("a message of %d bytes", longest)
 		}
 	}
 	if len(f.admission.outcomes) != jobs {
@@ -93,7 +95,8 @@
 	}
 }
 
-// machineListPage answers calls for the cloud's list with machines from 0 to count.
+// machineListPage returns the response to a call for a page of the cloud's list, which has count
+// machines, numbered from 0.
 func machineListPage(call Call, count int) []byte {
 	first := 0
 	if _, after, found := strings.Cut(call.Target, "=vm-"); found {
@@ -109,7 +112,8 @@
 	return protocol.EncodeMachines(list, first+protocol.MaxListed < count)
 }
 
-// readMachineList lets a leader read a list of machines once, refusing one call in every refuse.
+// readMachineList makes a leader read a list of count machines once, and returns the number of
+// calls. Every refuse-th call is refused; 0 refuses none.
 func readMachineList(c *Controller, l *leader, count, refuse int) (calls int) {
 	c.effects = Effects{}
 	l.readInventory()
@@ -137,9 +141,9 @@
 	return calls
 }
 
-// A list of 25,000 machines is read to its end, also when a page is refused, and machines
-// on its last page stay. Reading ended after 20,000, the others were taken for gone, and
-// one refused page cost all before it.
+// A list of 25,000 machines is read to its end, even if calls for pages are refused, and machines
+// on its last page are kept. Reading ended after 20,000 machines before, the others were taken
+// for terminated, and one refused page discarded all pages before it.
 func TestLongListsAreReadToTheEnd(t *testing.T) {
 	const count = 25_000
 	c, l := newTestLeader(phaseActive)
@@ -147,21 +151,22 @@
 	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
 	l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
 	if calls := readMachineList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MaxListed {
-		t.Fatalf("not read in %d calls", calls)
+		t.Fatalf("the list is not complete after %d calls", calls)
 	}
 	if len(l.machines) != count || !last.lifecycle.unlistedSince.IsZero() {
-		t.Errorf("%d machines are known, the last one is missing: %t", len(l.machines), !last.lifecycle.unlistedSince.IsZero())
+		t.Errorf("%d machines are known; the last one counts as unlisted: %t", len(l.machines), !last.lifecycle.unlistedSince.IsZero())
 	}
 }
 
-// Lists of a large fleet leave most of the cloud's calls for renting and returning. Read
-// every six seconds, those of 4,000 machines took two thirds of two calls a second.
+// Reading the list of a large fleet leaves most of the cloud's call budget for provisioning and
+// release. Read every six seconds, the list of 4,000 machines took two thirds of a budget of two
+// calls a second.
 func TestInventoryReadsLeaveCallBudget(t *testing.T) {
 	_, l := largeLeader(4000, 0)
 	l.controller.cfg.CloudRPS, l.controller.cfg.ListLag = 2, 12*time.Second
 	pages := float64(1 + 4000/protocol.MaxListed)
 	if share := pages / l.inventoryInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
-		t.Errorf("lists take %.2f of the calls", share)
+		t.Errorf("reading the list takes %.2f of the call budget", share)
 	}
 	_, small := largeLeader(250, 0)
 	small.controller.cfg.CloudRPS, small.controller.cfg.ListLag = 2, 12*time.Second
@@ -170,7 +175,7 @@
 	}
 }
 
-// A list that repeats its pages isn't read without end.
+// Reading a list that repeats its pages is abandoned.
 func TestEndlessListIsAbandoned(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.readInventory()
@@ -187,11 +192,11 @@
 		c.effects.Calls = append(c.effects.Calls, c.Tick(c.now).Calls...)
 	}
 	if calls > 4 || l.autoscaler.inventoryComplete {
-		t.Errorf("%d calls, taken for read: %t", calls, l.autoscaler.inventoryComplete)
+		t.Errorf("%d calls, list complete: %t", calls, l.autoscaler.inventoryComplete)
 	}
 }
 
-// newCrowdedMachine is a machine that runs very many small tasks.
+// newCrowdedMachine returns a leader with one machine that runs the given number of small tasks.
 func newCrowdedMachine(tasks int) (*Controller, *leader, *machine) {
 	c, l := largeLeader(1, 0)
 	spec := benchJob(2)
@@ -207,7 +212,8 @@
 	return c, l, m
 }
 
-// Messages to a worker hold what fits 64 KiB, and what doesn't goes out with the next.
+// A message to a worker never exceeds 64 KiB; the orders that do not fit are sent with the next
+// one.
 func TestOrdersFitMessages(t *testing.T) {
 	const tasks = 3000
 	c, l, m := newCrowdedMachine(tasks)
@@ -240,12 +246,12 @@
 	if len(stopped) != tasks {
 		t.Errorf("%d of %d tasks were stopped", len(stopped), tasks)
 	}
-	// The same by the answer of a report.
+	// The same holds for the response to a heartbeat.
 	m.session.Sequence++
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.session.Sequence, FencingToken: l.epoch.BaseToken(), Tasks: runningTaskStatuses(m)}
 	e := c.Request(c.now, 99, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(r))
 	if len(e.Replies) != 1 || len(e.Replies[0].Body) > protocol.MaxBody {
-		t.Fatalf("answers: %d", len(e.Replies))
+		t.Fatalf("%d replies, want one that fits a message", len(e.Replies))
 	}
 	if _, _, orders, err := protocol.ParseOrders(e.Replies[0].Body); err != nil || len(orders) < 300 {
 		t.Errorf("%d orders, %v", len(orders), err)
@@ -255,7 +261,7 @@
 	}
 }
 
-// runningTaskStatuses are the tasks on a machine as its worker reports them.
+// runningTaskStatuses returns the status of all tasks on a machine as its worker reports them.
 func runningTaskStatuses(m *machine) []protocol.TaskStatus {
 	var list []protocol.TaskStatus
 	for _, a := range m.sortedAttempts() {
@@ -264,8 +270,8 @@
 	return list
 }
 
-// A machine gets no more tasks than its worker's report can name: a request of more than
-// 64 KiB is refused, and the worker would lose all of them with its lease.
+// A machine gets no more tasks than fit into its worker's heartbeat. A request of more than
+// 64 KiB is refused, and the worker would lose all its tasks when its lease expires.
 func TestTasksFitHeartbeats(t *testing.T) {
 	c, l := largeLeader(1, 0)
 	spec := benchJob(2)
@@ -275,12 +281,13 @@
 	m := l.fleetList[0]
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: runningTaskStatuses(m)}
 	if size := len(protocol.EncodeHeartbeat(r)); len(r.Tasks) < 300 || size > protocol.MaxBody {
-		t.Errorf("%d tasks in a report of %d bytes", len(r.Tasks), size)
+		t.Errorf("%d tasks in a heartbeat of %d bytes", len(r.Tasks), size)
 	}
 }
 
-// What may wait follows the state service and the sockets: 400 requests were fewer than the
-// polls of a large fleet's users within a second.
+// The limit of open requests depends on the state service's request rate and the number of
+// sockets. A fixed limit of 400 was less than the status queries of a large fleet's users in one
+// second.
 func TestOpenRequestsFollowSettings(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 16, 15_000
@@ -288,15 +295,16 @@
 		c.Request(c.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
 	}
 	if c.limits.Total(limits.OpenRequests) != 0 || c.admission.openRequests != 2000 {
-		t.Errorf("%d wait, %d were refused", c.admission.openRequests, c.limits.Total(limits.OpenRequests))
+		t.Errorf("%d requests are open, %d were refused", c.admission.openRequests, c.limits.Total(limits.OpenRequests))
 	}
 	c.cfg.StateRPS, c.cfg.Sockets = 120, 900
 	if most := c.maxOpenRequests(); most < minOpenRequests || most > 450 {
-		t.Errorf("a small controller lets %d wait", most)
+		t.Errorf("a small controller allows %d open requests", most)
 	}
 }
 
-// A check of polls fits a transaction's 64 KiB however many changes one takes.
+// A status check fits into a transaction's 64 KiB however many operations the settings allow in
+// a transaction.
 func TestStatusChecksFitTransactions(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 4096, 15_000
@@ -311,37 +319,38 @@
 	}
 }
 
-// Thousands of reports that are held are all answered, in the time that they are held for.
+// Thousands of deferred heartbeats are all answered within maxHeartbeatDeferral.
 func TestManyDeferredHeartbeats(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.leader = nil
 	c.cfg.Sockets = 12_000
-	const reports = 6000
-	for i := range reports {
+	const heartbeats = 6000
+	for i := range heartbeats {
 		c.now = c.now.Add(100 * time.Microsecond)
 		c.deferHeartbeat(uint64(i+1), nil)
 	}
-	if e := c.deferOneHeartbeat(reports + 1); len(e) != 1 || c.limits.Total(limits.DeferredHeartbeats) != 1 {
-		t.Errorf("one beyond the bound: %d answers", len(e))
+	if replies := c.deferOneHeartbeat(heartbeats + 1); len(replies) != 1 || c.limits.Total(limits.DeferredHeartbeats) != 1 {
+		t.Errorf("one heartbeat above the limit: %d replies", len(replies))
 	}
 	answered := 0
 	for end := c.now.Add(maxHeartbeatDeferral); !c.now.After(end); c.now = c.now.Add(20 * time.Millisecond) {
 		answered += len(c.Tick(c.now).Replies)
 	}
-	if answered != reports {
-		t.Errorf("%d of %d were answered", answered, reports)
+	if answered != heartbeats {
+		t.Errorf("%d of %d heartbeats were answered", answered, heartbeats)
 	}
 }
 
-// deferOneHeartbeat holds a report and gives what is answered at once.
+// deferOneHeartbeat defers a heartbeat and returns the replies that are sent at once.
 func (c *Controller) deferOneHeartbeat(id uint64) []Reply {
 	c.effects = Effects{}
 	c.deferHeartbeat(id, nil)
 	return c.takeEffects().Replies
 }
 
-// A leader renews its lease between the records of a large fleet: taken in one step, they
-// kept a small share of a processor from it for longer than the lease.
+// The records of a large fleet are applied in several steps, so that the leader can renew its
+// lease in between. In one step, they kept a controller with a small CPU share busy for longer
+// than the lease.
 func TestRecordsAreAppliedInSteps(t *testing.T) {
 	c, l := newTestLeader(phaseLoading)
 	service := fleetRecords(1000)
@@ -367,16 +376,17 @@
 	}
 }
 
-// A fleet that outgrows its controller's share grows step by step, each one after the one
-// before is up, and not while timers are late. Thousands of machines were rented at once
-// before the first of them had shown what it costs to serve it.
+// A fleet that needs more than its controller's CPU share grows step by step: each step waits
+// until the machines of the previous one have registered, and none is taken while timers run
+// late. Thousands of machines were provisioned at once before, when it was still unknown what it
+// costs to serve the first of them.
 func TestScaleOutBeyondCPUShareIsGradual(t *testing.T) {
 	c, l := largeLeader(600, 4000)
 	c.cfg.CPUShare = 0.025
 	for _, j := range l.jobsByAge {
 		l.autoscaler.unmetDemand = append(l.autoscaler.unmetDemand, demand{j, j.pendingTasks()})
 	}
-	rented := func() (count int) {
+	provisioned := func() (count int) {
 		l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
 		clear(l.autoscaler.requested)
 		c.effects = Effects{}
@@ -398,29 +408,30 @@
 			m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached = up, true, c.now, c.now, c.now
 		}
 	}
-	first := rented()
+	first := provisioned()
 	boot(first, false)
-	if got := rented(); first == 0 || first > 100 || got > protocol.MaxProvision {
-		t.Errorf("%d rented, and %d more before they were up", first, got)
+	if got := provisioned(); first == 0 || first > 100 || got > protocol.MaxProvision {
+		t.Errorf("%d machines provisioned, and %d more before those had registered", first, got)
 	}
 	for _, m := range l.fleetList {
 		m.session.Registered = true
 	}
-	if got := rented(); got < 50 || got > 100 {
-		t.Errorf("%d rented once they were up", got)
+	if got := provisioned(); got < 50 || got > 100 {
+		t.Errorf("%d machines provisioned after the earlier ones had registered", got)
 	}
 	c.overload.Observe(c.now.Add(-time.Second), overload.OverloadThreshold+1)
 	c.overload.Observe(c.now, 0)
-	if got := rented(); got != 0 || c.limits.Total(limits.ServedMachines) == 0 {
-		t.Errorf("%d rented while timers are late", got)
+	if got := provisioned(); got != 0 || c.limits.Total(limits.ServedMachines) == 0 {
+		t.Errorf("%d machines provisioned while timers run late", got)
 	}
 	c.cfg.CPUShare = 0.8
-	if got := rented(); got != maxPlannedMachines {
-		t.Errorf("%d rented within the share", got)
+	if got := provisioned(); got != maxPlannedMachines {
+		t.Errorf("%d machines provisioned with a sufficient CPU share", got)
 	}
 }
 
-// A process that is late for seconds on end rents nothing, whatever its sockets.
+// A process whose timers run late for several seconds provisions nothing, however many sockets
+// it has.
 func TestOverloadedProcessProvisionsNothing(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	start := c.now
@@ -431,14 +442,14 @@
 	if !c.overload.Persistent(c.now) || l.mayScaleOut() {
 		t.Errorf("persistent overload: %t", c.overload.Persistent(c.now))
 	}
-	c.now = c.now.Add(3 * time.Second) // in which it kept up
+	c.now = c.now.Add(3 * time.Second) // without late timers
 	if c.overload.Persistent(c.now) {
 		t.Error("persistently overloaded after it kept up")
 	}
 }
 
-// What a look at the fleet costs grows with the fleet, not with its square: the search for
-// where replicas could move to, and for room in machines that boot.
+// The cost of searching the fleet is linear in its size, not quadratic: the search for machines
+// that replicas could move to, and the search for room on machines that are booting.
 func TestSearchCostIsLinearInFleetSize(t *testing.T) {
 	const machines, perMachine, perBin = 2000, 20, 60
 	l := singleReplicaFleet(machines)
@@ -447,7 +458,7 @@
 		m.replicasFitElsewhere(p, false)
 	}
 	if p.Examined > perMachine*machines {
-		t.Errorf("%d machines were looked at for the replicas of %d", p.Examined, machines)
+		t.Errorf("%d machines were examined for the replicas of %d", p.Examined, machines)
 	}
 	l = bootingFleet(machines)
 	g := l.newScaleOutPlan()
@@ -456,11 +467,11 @@
 		g.AddDemand(l.plannedDemand(d))
 	}
 	if g.BinsVisited > perBin*machines {
-		t.Errorf("%d bins were looked at in a fleet of %d", g.BinsVisited, machines)
+		t.Errorf("%d bins were visited for a fleet of %d", g.BinsVisited, machines)
 	}
 }
 
-// The adoption of a fleet is told of in a few lines.
+// The adoption of a whole fleet is logged in a few lines.
 func TestBurstsOfLogLinesAreSampled(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	var out bytes.Buffer
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -10,53 +10,54 @@
 	"brasskeel/internal/records"
 )
 
-// The longer a leader's lease, the shorter its grace: together with a worker's
-// lease they stay within the time that a cancellation has.
+// The longer a leader's lease, the shorter its grace period: together with a worker's lease they
+// do not exceed the time within which a cancellation must take effect.
 func TestGracePeriodFitsLease(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.lease.TTL = 4 * c.operator.LeaderLease()
 	if sum := l.lease.TTL + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
-		t.Errorf("lease, grace and worker's lease take %s of %s", sum, c.cfg.CancelWithin)
+		t.Errorf("leader lease, grace period and worker lease take %s of %s", sum, c.cfg.CancelWithin)
 	}
 }
 
-// overloadTestMachines is the fleet of these tests.
+// overloadTestMachines is the size of the fleet in the tests of this file.
 const overloadTestMachines = 1600
 
-// A fleet of silent machines is asked in parts, and all of it within the time that a
-// new leader waits for reports.
+// A fleet of silent machines is probed in batches, and completely within the time that a new
+// leader waits for heartbeats.
 func TestProbesArePaced(t *testing.T) {
 	_, l := largeLeader(overloadTestMachines, 0)
-	for turn := range 1 + probeBatchDivisor {
+	for batch := range 1 + probeBatchDivisor {
 		before := len(l.controller.effects.Calls)
 		l.probeBatch(l.fleetList)
-		if asked := len(l.controller.effects.Calls) - before; asked > overloadTestMachines/probeBatchDivisor {
-			t.Fatalf("turn %d: %d machines asked at once", turn, asked)
+		if probed := len(l.controller.effects.Calls) - before; probed > overloadTestMachines/probeBatchDivisor {
+			t.Fatalf("batch %d: %d machines probed at once", batch, probed)
 		}
 	}
 	for _, m := range l.fleetList {
 		if !m.session.ProbeInFlight {
-			t.Fatalf("%s is not asked", m.Name)
+			t.Fatalf("%s is not probed", m.Name)
 		}
 	}
 }
 
-// A controller that is far behind sends away users who only ask, and serves the rest.
+// A controller above the shed threshold refuses status queries, and serves other requests.
 func TestOverloadShedsStatusQueries(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.admission.cacheAccepted("run-000001")
 	c.overload.Observe(c.now, 2*overload.ShedThreshold)
 	e := c.Request(c.now, 1, "GET", protocol.PathJobs+"/run-000001", nil)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 503 || e.Replies[0].RetryAfter == 0 {
-		t.Errorf("a poll: %+v", e.Replies)
+		t.Errorf("status query: %+v", e.Replies)
 	}
 	e = c.Request(c.now, 2, "POST", protocol.PathJobs, protocol.EncodeJob(benchJob(2)))
 	if len(e.Replies) != 0 || len(e.Calls) == 0 {
-		t.Errorf("a submission: %+v, %d calls", e.Replies, len(e.Calls))
+		t.Errorf("submission: %+v, %d calls", e.Replies, len(e.Calls))
 	}
 }
 
-// One job of the largest size takes neither the memory nor the time of the others.
+// One job of the maximum size neither uses excessive memory nor keeps other jobs from being
+// placed.
 func TestHugeJob(t *testing.T) {
 	_, l := largeLeader(overloadTestMachines, 20)
 	huge := benchJob(2)
@@ -75,7 +76,7 @@
 	}
 	for _, o := range l.jobsByAge {
 		if o != j && o.Priority >= j.Priority && o.liveAttempts == 0 {
-			t.Errorf("%s got nothing beside the huge job", o.ID)
+			t.Errorf("no task of %s was placed beside the huge job", o.ID)
 		}
 	}
 	if j.liveAttempts == 0 {
@@ -86,10 +87,9 @@
 	}
 }
 
-// A round of placement looks at each machine a few times for all jobs together, not
-// once for each waiting task: with thousands of them waiting in a fleet full of
-// work that gives way, rounds took seconds and leaders lost their leases to them,
-// one after the other.
+// A placement round examines each machine a few times for all jobs together, not once per
+// pending task. With thousands of tasks pending in a fleet full of preemptible work, rounds took
+// seconds, and one leader after the other lost its lease.
 func TestPlacementRoundIsBounded(t *testing.T) {
 	c, l := largeLeader(overloadTestMachines, 0)
 	add := func(from, count int, change func(j *protocol.Job)) {
@@ -107,18 +107,18 @@
 		used += m.Allocated.CPUs
 	}
 	if used < overloadTestMachines*16 {
-		t.Fatalf("%g CPUs in use: the fleet isn't full", used)
+		t.Fatalf("the fleet is not full: %g CPUs in use", used)
 	}
 	add(1000, 400, func(j *protocol.Job) { j.Tasks = 40 })
 	rounds := 0
-	for _, when := range []time.Duration{0, 3 * time.Second, time.Second, time.Second} { // patience passes
-		c.now = c.now.Add(when)
+	for _, wait := range []time.Duration{0, 3 * time.Second, time.Second, time.Second} { // past the preemption delay
+		c.now = c.now.Add(wait)
 		for _, m := range l.fleetList {
 			m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 		}
 		l.runPlacementRound()
 		if l.round.examined > 2*baseExamineLimit {
-			t.Errorf("a round looked at %d machines, more than %d", l.round.examined, 2*baseExamineLimit)
+			t.Errorf("a round examined %d machines, more than %d", l.round.examined, 2*baseExamineLimit)
 		}
 		rounds++
 	}
@@ -126,14 +126,14 @@
 	for _, m := range l.fleetList {
 		stopping += m.stopRequestedCount
 	}
-	if stopping < 10_000 { // what fits the guarantee
-		t.Errorf("after %d rounds %d tasks were stopped for jobs within their guarantee", rounds, stopping)
+	if stopping < 10_000 { // the tasks that fit into the team's quota
+		t.Errorf("after %d rounds %d tasks were stopped for jobs within their team's quota", rounds, stopping)
 	}
 }
 
-// Replicas that wait for another zone than the one that has machines cost next to
-// nothing. Every machine was looked at for each of them in every round, which took
-// most of a leader's processor time where the cloud offers one zone of two.
+// Replicas that can only be placed in a zone without machines cost almost nothing. When the cloud
+// offered only one of two zones, every machine was examined for each of them in every round,
+// which took most of a leader's processor time.
 func TestReplicasForUnavailableZoneAreCheap(t *testing.T) {
 	c, l := largeLeader(overloadTestMachines, 0)
 	for i := range 100 {
@@ -147,10 +147,10 @@
 		waiting += j.pendingTasks()
 	}
 	if waiting != 300 {
-		t.Fatalf("%d replicas wait, want half of 600", waiting)
+		t.Fatalf("%d replicas are pending, want half of 600", waiting)
 	}
 	l.runPlacementRound()
 	if most := 2 * overloadTestMachines; l.round.examined > most {
-		t.Errorf("a round looked at %d machines, more than %d", l.round.examined, most)
+		t.Errorf("a round examined %d machines, more than %d", l.round.examined, most)
 	}
 }
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -12,7 +12,8 @@
 	"brasskeel/internal/records"
 )
 
-// addRunningJob adds a job of one task that runs on vm-1, and gives a report that shows it.
+// addRunningJob adds a job with one task, and returns it with a heartbeat that reports the task as
+// running on vm-1.
 func addRunningJob(c *Controller, l *leader) (*job, []byte) {
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: jobSpec("run-000001")})
 	j := l.jobs["run-000001"]
@@ -25,7 +26,7 @@
 		Image: "i", ImageGB: 1}
 }
 
-// stopsJob reports whether an answer ends the job's task.
+// stopsJob reports whether a reply contains an order to stop the job's task, or is malformed.
 func stopsJob(r Reply, job string) bool {
 	_, _, orders, err := protocol.ParseOrders(r.Body)
 	for _, o := range orders {
@@ -36,9 +37,9 @@
 	return err != nil
 }
 
-// What a leader knows, the answers that this allows, and the lease that the last of them
-// renews end within the time that a cancellation has, whatever the settings and however
-// long the leader's own lease is renewed.
+// A leader that no longer receives job records stops answering heartbeats early enough that the
+// lease renewed by its last answer ends within CancelWithin after its latest knowledge of the
+// jobs, whatever the settings and however long the leader's own lease is renewed.
 func TestLeaseRenewalsEndWithinCancelTime(t *testing.T) {
 	for _, test := range []struct{ lease, cancel time.Duration }{
 		{15 * time.Second, 40 * time.Second}, {28 * time.Second, 48 * time.Second}, {22 * time.Second, 47 * time.Second},
@@ -46,7 +47,7 @@
 		c, l := newTestLeader(phaseActive)
 		c.cfg.WorkerLease, c.cfg.CancelWithin = test.lease, test.cancel
 		l.jobsKnownAt = c.now
-		l.lease.ValidUntil = c.now.Add(time.Hour) // it is renewed, but no watch is answered
+		l.lease.ValidUntil = c.now.Add(time.Hour) // the lease is renewed, but no watch gets a response
 		known, last := l.jobsKnownAt, time.Time{}
 		for i := range 8000 {
 			at := known.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -57,39 +58,39 @@
 		}
 		end := last.Add(test.lease + test.lease/2000)
 		if last.IsZero() || end.After(known.Add(test.cancel)) {
-			t.Errorf("lease %s, cancel_s %s: the last answer comes %s after what the leader knows, tasks end after %s",
+			t.Errorf("lease %s, cancel_s %s: the last answer comes %s after the latest knowledge of jobs, tasks end %s after it",
 				test.lease, test.cancel, last.Sub(known), end.Sub(known))
 		}
-		// An outage must cost no more than that: all but a second and the clocks' drift
-		// is used.
+		// In an outage heartbeats should be answered for as long as possible: all of the time
+		// but one second and the clock drift is used.
 		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+leadership.MaxClockDrift(test.cancel+test.lease) {
-			t.Errorf("lease %s, cancel_s %s: %s are given away", test.lease, test.cancel, rest)
+			t.Errorf("lease %s, cancel_s %s: %s are left unused", test.lease, test.cancel, rest)
 		}
 	}
 }
 
-// A leader that was elected a moment ago knows no cancellation. It renews no worker's
-// lease before it has read the jobs: refused or in an outage by then, it kept tasks
-// running that were cancelled before its term.
+// A newly elected leader does not know which jobs are cancelled, so it renews no worker's lease
+// before it has read the jobs. A leader that lost access to the state service before that kept
+// tasks running that had been cancelled before its term.
 func TestHeartbeatsWaitForJobRecords(t *testing.T) {
 	c, l := newTestLeader(phaseLoading)
 	l.jobsKnownAt = time.Time{}
 	_, body := addRunningJob(c, l)
 	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 0 {
-		t.Fatalf("answered before anything was read: %+v", e.Replies)
+		t.Fatalf("answered before the jobs were read: %+v", e.Replies)
 	}
-	asked := c.now.Add(-50 * time.Millisecond)
+	requested := c.now.Add(-50 * time.Millisecond)
 	l.applyJobRecord(records.KeyOutcome("run-000001"), records.EncodeOutcome(protocol.Cancelled, 0), false)
-	l.noteJobsKnown(asked)
+	l.noteJobsKnown(requested)
 	c.resumeDeferred()
 	e := c.takeEffects()
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stopsJob(e.Replies[0], "run-000001") {
-		t.Fatalf("got %+v, want the lease renewed and the task ended", e.Replies)
+		t.Fatalf("got %+v, want the lease renewed and the task stopped", e.Replies)
 	}
-	if !l.jobsKnownAt.Equal(asked) {
-		t.Errorf("knows all until %s, want when the list was asked for", l.jobsKnownAt)
+	if !l.jobsKnownAt.Equal(requested) {
+		t.Errorf("jobs known as of %s, want the time at which the list was requested", l.jobsKnownAt)
 	}
-	// While the state service doesn't answer it, the worker is sent away at once.
+	// Without the state service, the worker is redirected at once.
 	l.jobsKnownAt = time.Time{}
 	failStateServiceCalls(c)
 	if e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
@@ -97,30 +98,30 @@
 	}
 }
 
-// A watch counts from when it was asked for: what was recorded later may have been left
-// out of its answer, and the answer may have been read late.
+// After a watch the jobs are known as of the time at which it was requested: later records may be
+// missing from the response, and the response may have been read late.
 func TestJobsKnownAtIsWatchRequestTime(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.jobsKnownAt = c.now
-	asked := c.now
+	requested := c.now
 	l.watchJobs(7)
 	calls := c.takeEffects().Calls
 	call := calls[len(calls)-1]
 	if !strings.HasPrefix(call.Target, protocol.PathWatch) {
-		t.Fatalf("asks %s", call.Target)
+		t.Fatalf("the last call is to %s, want a watch", call.Target)
 	}
 	if call.Timeout > c.maxAnswerStaleness() {
-		t.Errorf("waits %s for a watch, answers workers for %s", call.Timeout, c.maxAnswerStaleness())
+		t.Errorf("the watch times out after %s, but workers are answered for only %s", call.Timeout, c.maxAnswerStaleness())
 	}
-	l.jobsKnownAt = asked.Add(-10 * time.Second)
-	c.Result(asked.Add(3*time.Second), call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeEvents(nil, 9)})
-	if !l.jobsKnownAt.Equal(asked) {
-		t.Errorf("knows all until %s after it was asked for, want that very moment", l.jobsKnownAt.Sub(asked))
+	l.jobsKnownAt = requested.Add(-10 * time.Second)
+	c.Result(requested.Add(3*time.Second), call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeEvents(nil, 9)})
+	if !l.jobsKnownAt.Equal(requested) {
+		t.Errorf("jobs known as of %s after the watch was requested, want 0s", l.jobsKnownAt.Sub(requested))
 	}
 }
 
-// The answer to an overtaken report renews the lease, so it ends the tasks of jobs that
-// are over, although the list of the report may be out of date.
+// The answer to a heartbeat that a later message has overtaken renews the lease. It therefore
+// stops the tasks of ended jobs, although the heartbeat's task list may be out of date.
 func TestOvertakenHeartbeatStopsCancelledTasks(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	_, body := addRunningJob(c, l)
@@ -129,12 +130,12 @@
 	l.endJob(l.jobs["run-000001"], protocol.Cancelled)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stopsJob(e.Replies[0], "run-000001") {
-		t.Errorf("got %+v, want an answer that ends the task", e.Replies)
+		t.Errorf("got %+v, want an answer that stops the task", e.Replies)
 	}
 }
 
-// Starts that were recorded before are sent only by a leader that knows of every
-// cancellation but the latest: nobody starts tasks of a job that is long over.
+// Recorded starts are sent only while the leader's knowledge of cancellations is no older than
+// maxStartStaleness, so that no task of a job starts long after the job has ended.
 func TestStartsNeedFreshJobRecords(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.jobsKnownAt = c.now
@@ -148,20 +149,20 @@
 	l.sendOrders(m)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	if _, _, orders, _ := protocol.ParseOrders(e.Replies[0].Body); len(orders) != 0 || len(e.Calls) != 0 {
-		t.Fatalf("a start is sent %s after all was known: %+v %+v", maxStartStaleness, orders, e.Calls)
+		t.Fatalf("a start is sent more than %s after the jobs were known: %+v %+v", maxStartStaleness, orders, e.Calls)
 	}
 	l.noteJobsKnown(c.now)
 	calls := c.takeEffects().Calls
 	if len(calls) != 1 || calls[0].To != Worker || calls[0].Target != protocol.PathOrders {
-		t.Fatalf("got %+v, want the start that was withheld", calls)
+		t.Fatalf("got %+v, want the deferred start", calls)
 	}
 	if _, _, orders, _ := protocol.ParseOrders(calls[0].Body); len(orders) != 1 || orders[0].Kind != protocol.Start {
 		t.Errorf("got %+v, want the start", orders)
 	}
 }
 
-// A leader that the state service refuses hears of cancellations from its peers, sooner
-// than its grace ends.
+// A leader without access to the state service learns of cancellations from its peers before its
+// grace period ends.
 func TestPeersBroadcastCancellations(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.cfg.Peers = append(c.cfg.Peers, struct{ Name, Zone, Addr string }{Name: "n1", Zone: "a"})
@@ -173,6 +174,6 @@
 	c.PeerMessage(c.now, raw)
 	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body)
 	if len(e.Replies) != 1 || !stopsJob(e.Replies[0], "run-000001") {
-		t.Errorf("got %+v, want the task ended", e.Replies)
+		t.Errorf("got %+v, want the task stopped", e.Replies)
 	}
 }
