--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -1,15 +1,15 @@
-// Package coordination is the core of a controller: a state machine that
-// takes what happened and returns what to send, write and answer.
+// Package coordination implements the core of a controller: a state machine that takes events
+// and returns the replies, calls and messages to send.
 //
 // A [Controller] is driven in steps. Each of its methods Start, Request, Result, Tick,
-// PeerMessage and Drain takes the present time and one event, and returns the [Effects] that
-// the event has. The core owns all state of a controller: what it knows of the leader, of
-// jobs, machines and workers, and its timers. Parts with state of their own are packages
-// below this one; they state by interfaces what they need of the core.
+// PeerMessage and Drain takes the current time and one event, and returns the [Effects] of
+// that event. The core owns all state of a controller: its knowledge of the leader, jobs,
+// machines and workers, and its timers. Components with state of their own are packages below
+// this one, and declare what they need from the core as interfaces.
 //
-// It must never do I/O, read a clock, start a goroutine or draw a random number but from its
-// seeded source, so that a simulated cluster can drive it step by step and repeat what it
-// did.
+// The core must never do I/O, read a clock, start a goroutine, or use random numbers from any
+// source but its seeded generator. A simulated cluster can therefore drive it step by step
+// and reproduce a run.
 package coordination
 
 import (
@@ -29,12 +29,12 @@
 	"brasskeel/internal/records"
 )
 
-// deadlineMargin is added to every deadline that other machines' clocks take
-// part in: it covers timers there that fire late.
+// deadlineMargin is the safety margin in every deadline that involves the clock of another
+// machine. It covers timers that fire late there.
 const deadlineMargin = 500 * time.Millisecond
 
-// Controller is one controller. It isn't safe for concurrent use: its steps come one after
-// the other.
+// Controller is the state of one controller. It is not safe for concurrent use: its steps must
+// run one at a time.
 type Controller struct {
 	cfg      *config.Settings
 	operator config.Operator
@@ -42,8 +42,8 @@
 	rng      *rand.Rand
 	bootID   uint64
 
-	now           time.Time // of the present step
-	effects       Effects   // of the present step so far
+	now           time.Time // the current step's time
+	effects       Effects   // collected in the current step so far
 	pendingCalls  map[uint64]func(Outcome)
 	lastCallID    uint64
 	timers        timerHeap
@@ -53,30 +53,30 @@
 	processorLoad processorLoad
 
 	teams map[string]*config.Team
-	types map[string]*protocol.MachineType // empty until they are read
+	types map[string]*protocol.MachineType // machine types; empty until they are loaded
 
 	store *statestore.Client
 
-	availabilityLog  ratelog.Throttle // of why this controller can't act
-	unavailability   string           // as it is now; empty without any
+	availabilityLog  ratelog.Throttle // for the reasons why this controller is unavailable
+	unavailability   string           // current reason; empty while available
 	unavailableSince time.Time
 
-	draining  bool // it is to give up its shards and the leadership
+	draining  bool // the controller is giving up its shards and leadership
 	limits    limits.Counters
-	sampler   ratelog.Sampler    // of log lines that come in bursts
-	deferred  deferredHeartbeats // wait for a leader
+	sampler   ratelog.Sampler    // for log lines that occur in bursts
+	deferred  deferredHeartbeats // heartbeats that wait for a leader
 	election  *leadership.Election
 	admission admission
 	peers     peers.Table
-	leader    *leader   // nil while following
+	leader    *leader   // nil while this controller is not the leader
 	sharding  *sharding // nil while the leader serves all machines
 
-	localMessages    []shard.Message // between this controller's own roles
-	rejectedMessages int             // of peers, about shards
+	localMessages    []shard.Message // shard messages between this controller's own roles
+	rejectedMessages int             // number of invalid shard messages received
 }
 
-// New makes a controller that is about to start at now. bootID must differ from that of every
-// earlier process; it also seeds all that is random.
+// New creates a controller that starts at now. bootID must differ from that of every earlier
+// process; it also seeds the random number generator.
 func New(cfg *config.Settings, operator config.Operator, log *slog.Logger, bootID uint64, now time.Time) *Controller {
 	c := &Controller{cfg: cfg, operator: operator, log: log, bootID: bootID, now: now,
 		rng:          rand.New(rand.NewPCG(bootID, uint64(len(cfg.Name)))),
@@ -90,7 +90,8 @@
 	return c
 }
 
-// Start makes the first step: the controller follows the election and asks for machine types.
+// Start runs the first step: the controller begins to follow the election, requests the machine
+// types, and sets its periodic timers.
 func (c *Controller) Start(now time.Time) Effects {
 	c.now = now
 	c.store.Start()
@@ -108,16 +109,16 @@
 	return c.takeEffects()
 }
 
-// Request takes a request that came in from a user or a worker. Its reply carries the same id,
-// in this step or a later one.
+// Request handles a request from a user or a worker. The reply carries the same id, and may be
+// returned by this step or a later one.
 func (c *Controller) Request(now time.Time, id uint64, method, target string, body []byte) Effects {
 	c.now = now
 	c.routeRequest(id, method, target, body)
 	return c.takeEffects()
 }
 
-// Result takes the outcome of the call with an id. One of a call that isn't known, or was
-// answered before, changes nothing.
+// Result handles the outcome of the call with the given id. It is ignored if the call is
+// unknown or its outcome was handled before.
 func (c *Controller) Result(now time.Time, id uint64, o Outcome) Effects {
 	c.now = now
 	if done := c.pendingCalls[id]; done != nil {
@@ -127,7 +128,8 @@
 	return c.takeEffects()
 }
 
-// Tick runs the timers that are due. How late it comes is the scheduling lag.
+// Tick runs the timers that are due. The time by which it is called late is recorded as the
+// scheduling lag.
 func (c *Controller) Tick(now time.Time) Effects {
 	c.now = now
 	if next := c.NextTick(); !next.IsZero() {
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// drainInterval is how often a controller that drains looks whether it can give more up, and
-// drainCampaignPause how long it doesn't campaign after it resigned.
+// Times of a drain.
 const (
-	drainInterval      = 200 * time.Millisecond
-	drainCampaignPause = 20 * time.Second
-	drainRecordRetry   = 300 * time.Millisecond
+	drainInterval      = 200 * time.Millisecond // between checks whether leadership can be resigned
+	drainCampaignPause = 20 * time.Second       // without a campaign after the resignation
+	drainRecordRetry   = 300 * time.Millisecond // until a failed write of the member record is retried
 )
 
-// Drain lets the controller give up what it has before a planned end: its shards move to
-// others while jobs run, then the leadership passes on. It answers users as before. Nothing is
-// given up that nobody else can take.
+// Drain prepares the controller for a planned shutdown: its shards move to other controllers
+// while jobs continue to run, then it resigns leadership. It still serves users. It gives up
+// nothing that no other controller can take over.
 func (c *Controller) Drain(now time.Time) Effects {
 	c.now = now
 	if !c.draining {
@@ -31,7 +30,7 @@
 	return c.leader == nil && (c.sharding == nil || c.sharding.owner == nil || len(c.sharding.owner.shards) == 0)
 }
 
-// drainStep resigns the leadership once there is nothing else to give up.
+// drainStep resigns leadership once the controller owns no shards and an eligible peer exists.
 func (c *Controller) drainStep() {
 	servesShards := c.sharding != nil && c.sharding.owner != nil && len(c.sharding.owner.shards) > 0
 	if c.leader != nil && !servesShards && !c.store.Unavailable() && c.peers.AnyEligible(c.now) {
@@ -40,7 +39,8 @@
 	c.after(drainInterval, c.drainStep)
 }
 
-// startDraining lets the leader know that this member is to own nothing.
+// startDraining tells the leader, by the member's record, that this controller should own no
+// shards.
 func (s *sharding) startDraining() {
 	s.draining = true
 	if s.owner != nil {
@@ -48,7 +48,8 @@
 	}
 }
 
-// recordDraining lets the member's record say that it drains, however often it must be written.
+// recordDraining writes to the member's record that it is draining, and retries until that
+// succeeds or the membership ends.
 func (s *sharding) recordDraining(own *shardOwner) {
 	s.writeMemberRecord(own, func(applied bool) {
 		if applied {
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -6,10 +6,10 @@
 	"brasskeel/internal/protocol"
 )
 
-// Service is whom a call goes to.
+// Service identifies the destination of a call.
 type Service uint8
 
-// Services that a controller calls.
+// Destinations of calls.
 const (
 	StateService Service = iota + 1
 	Cloud
@@ -20,23 +20,23 @@
 type Reply struct {
 	ID         uint64
 	Status     int
-	RetryAfter int  // seconds; 0 for none
-	Close      bool // the connection ends with it
+	RetryAfter int  // seconds; 0: no Retry-After header
+	Close      bool // close the connection after the reply
 	Body       []byte
 }
 
-// Call is a request to be sent. Its outcome comes back through Controller.Result, once.
+// Call is a request to send. Its outcome is passed to Controller.Result exactly once.
 type Call struct {
 	ID      uint64
 	To      Service
-	Addr    string // host:port of a worker; empty for the others
+	Addr    string // host:port if To is Worker, otherwise empty
 	Method  string
 	Target  string
 	Body    []byte
 	Timeout time.Duration
 }
 
-// Broadcast is a message to every peer. It may be lost.
+// Broadcast is a message to all peers. It may be lost.
 type Broadcast struct{ Body []byte }
 
 // Unicast is a message to one peer, by name. It may be lost.
@@ -45,7 +45,7 @@
 	Body []byte
 }
 
-// Effects is what one step asks for, each list in order.
+// Effects is what a step asks its caller to do. The entries of each list are in order.
 type Effects struct {
 	Replies    []Reply
 	Calls      []Call
@@ -54,10 +54,10 @@
 	Spans      []Span
 }
 
-// Outcome is what came of a call. Answered is false when no response came:
-// the request may or may not have been carried out, now or later, unless
-// NotSent says that it never left. Busy says that it didn't for want of
-// sockets here, which tells nothing of the other side.
+// Outcome is the result of a call. If Answered is false, no response was received: the request
+// may have been carried out, or may still be, unless NotSent says that it was never sent. Busy
+// says that it was not sent because no local socket was free, which implies nothing about the
+// destination.
 type Outcome struct {
 	Status   int
 	Body     []byte
@@ -66,11 +66,11 @@
 	Busy     bool
 }
 
-// requestCounts counts requests in and calls out, for the log.
+// requestCounts counts received requests and sent calls for the log.
 type requestCounts struct{ Heartbeats, StatusQueries, Submissions, StateCalls, CloudCalls, WorkerCalls int }
 
-// takeEffects ends a step: what it left to be written, ordered and delivered goes out, and its
-// effects are handed over.
+// takeEffects ends a step: it delivers local messages, sends the writes and orders that are due,
+// and returns the step's effects.
 func (c *Controller) takeEffects() Effects {
 	for again := true; again; again = len(c.localMessages) > 0 {
 		c.deliverLocalMessages()
@@ -91,13 +91,13 @@
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, Body: body})
 }
 
-// refuse sends a client away for a second.
+// refuse answers a request with an error and asks the client to retry after one second.
 func (c *Controller) refuse(id uint64, status int, reason string) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.EncodeError(reason)})
 }
 
-// call sends a request; done runs in the step that takes its outcome. Requests to the state
-// service go through store.
+// call sends a request; done runs in the step that receives its outcome. Requests to the state
+// service must go through Controller.store instead.
 func (c *Controller) call(to Service, addr, method, target string, body []byte, timeout time.Duration, done func(Outcome)) {
 	c.lastCallID++
 	c.pendingCalls[c.lastCallID] = done
@@ -113,8 +113,8 @@
 		Body: body, Timeout: timeout})
 }
 
-// Span is a stretch of time in which something was carried out, for tracing. The core tells of
-// spans that are over; whether anybody keeps them is not its business.
+// Span is a completed operation, for tracing. The core reports spans when they have ended, and
+// does not depend on whether they are recorded.
 type Span struct {
 	Name        string
 	From, Until time.Time
@@ -122,5 +122,5 @@
 	Parts       []Span
 }
 
-// Attribute says something of a span.
+// Attribute is a property of a span.
 type Attribute struct{ Key, Value string }
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -9,8 +9,8 @@
 	"brasskeel/internal/records"
 )
 
-// overloadLossWindow is how long ago a leader may have been overloaded for it to have lost
-// its leadership by that.
+// overloadLossWindow is the time within which overload counts as the cause of a loss of
+// leadership.
 const overloadLossWindow = 3 * time.Second
 
 func (c *Controller) newElection() *leadership.Election {
@@ -19,8 +19,8 @@
 	return leadership.New(settings, c.log, host, host, host)
 }
 
-// electionHost is what an election needs of the controller: its clock, its store, and what
-// follows from being elected.
+// electionHost adapts the controller to the interfaces that an election requires: the clock,
+// the store, and the reactions to the election's results.
 type electionHost struct{ controller *Controller }
 
 // Now implements leadership.Clock.
@@ -56,7 +56,7 @@
 	h.controller.store.GrantLease(ttl, done)
 }
 
-// RenewLease implements leadership.Store. It is never delayed by a budget.
+// RenewLease implements leadership.Store. Renewals are not subject to a request budget.
 func (h electionHost) RenewLease(lease uint64, timeout time.Duration, done func(leadership.Renewal)) {
 	h.controller.store.RenewLease(lease, timeout, func(status statestore.LeaseStatus) {
 		switch status {
@@ -81,9 +81,9 @@
 }
 
 // Elected implements leadership.Host.
-func (h electionHost) Elected(m leadership.LeaderTerm) { h.controller.becomeLeader(m) }
+func (h electionHost) Elected(t leadership.LeaderTerm) { h.controller.becomeLeader(t) }
 
-// LeadershipEnded implements leadership.Host: all that was kept in memory for the leadership goes.
+// LeadershipEnded implements leadership.Host. It discards the in-memory state of the leader.
 func (h electionHost) LeadershipEnded() {
 	h.controller.leader.ended = true
 	h.controller.leader = nil
@@ -104,8 +104,8 @@
 	return len(c.cfg.Peers) > 0 && len(c.peers) > 0 && !c.peers.AnyFresh(c.now)
 }
 
-// resignDisconnected hands over because of the machines that this controller doesn't reach,
-// and reports whether it did.
+// resignDisconnected resigns leadership because this controller lost connectivity to workers.
+// It reports whether it did; see leadership.Election.MarkDisconnected.
 func (c *Controller) resignDisconnected(reason string) bool {
 	if !c.election.MarkDisconnected(c.countPeers()) {
 		return false
@@ -115,14 +115,15 @@
 	return true
 }
 
-// The leader as the holder of its lease (leadership.Holder).
+// The following methods make the leader the holder of its lease (leadership.LeaseHolder).
 
-// NeedsLease implements leadership.Holder.
+// NeedsLease implements leadership.LeaseHolder.
 func (l *leader) NeedsLease() bool { return l.alive() }
 
-// RenewalSent implements leadership.Holder. A leader whose lease and grace period are over
-// answers no worker any more, but keeps what it knows: in an outage the lease stands still,
-// and once it is renewed after all, nobody else can have led meanwhile.
+// RenewalSent implements leadership.LeaseHolder. A leader whose lease and grace period have
+// ended is fenced: it answers no workers, but keeps its state. In an outage of the state service
+// the lease does not run out there, and if a renewal then succeeds, no other controller can have
+// led in the meantime.
 func (l *leader) RenewalSent() {
 	if l.fenced || l.holdsLease() || l.jobsKnownAt.IsZero() {
 		return
@@ -131,15 +132,16 @@
 	l.controller.log.Warn("fenced until leader lease is renewed", "term", l.term)
 }
 
-// LeaseRenewed implements leadership.Holder.
+// LeaseRenewed implements leadership.LeaseHolder.
 func (l *leader) LeaseRenewed() { l.fenced = false }
 
-// LeaseExpired implements leadership.Holder.
+// LeaseExpired implements leadership.LeaseHolder.
 func (l *leader) LeaseExpired() { l.controller.election.StepDown("leader lease expired") }
 
-// preferMajorityZone keeps the leader in the zone that holds most machines, so that
-// a cut between zones parts it from as few of them as can be. It hands over
-// only to a zone with a controller that lately said it can lead.
+// preferMajorityZone keeps the leader in the zone that holds most machines, so that a
+// partition between zones separates it from as few of them as possible. It records that zone
+// as preferred, and hands over to it only if a controller there recently reported that it can
+// lead.
 func (l *leader) preferMajorityZone() {
 	c := l.controller
 	if !c.hasPeersInOtherZones() || c.store.Unavailable() {
@@ -158,7 +160,7 @@
 	}
 }
 
-// liveMachinesByZone counts the machines whose workers were heard lately.
+// liveMachinesByZone counts the machines with a recent message from their worker, by zone.
 func (l *leader) liveMachinesByZone() map[string]int {
 	count := map[string]int{}
 	for _, m := range l.fleetList {
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -8,25 +8,26 @@
 	"brasskeel/internal/protocol"
 )
 
-// deferredHeartbeat is a worker's heartbeat that waits for a leader to be known.
+// deferredHeartbeat is a worker's heartbeat that waits until a leader is known.
 type deferredHeartbeat struct {
-	id       uint64 // of the request
+	id       uint64 // request ID
 	body     []byte
-	deadline time.Time // when it is answered without a leader
+	deadline time.Time // when it is answered even without a leader
 }
 
 const (
-	// maxHeartbeatDeferral is how long a heartbeat is deferred at the most: a worker waits 4 s,
-	// and an election takes about a leader's lease.
+	// maxHeartbeatDeferral is the longest time for which a heartbeat is deferred: a worker
+	// waits 4 s for the response, and an election takes about as long as a leader's lease.
 	maxHeartbeatDeferral = 2500 * time.Millisecond
-	// A leader broadcasts its status every second. One heard lately that now says nothing for
-	// leaderSuspectAfter may have lost its power; one that said nothing until
-	// leaderSuspectUntil is rather partitioned from this controller alone.
+	// leaderSuspectAfter and leaderSuspectUntil bound the silence for which a leader is
+	// suspected to have failed. A leader broadcasts its status every second. One that stays
+	// silent for leaderSuspectAfter may have failed; one that stays silent until
+	// leaderSuspectUntil is more likely partitioned from this controller alone.
 	leaderSuspectAfter = 2200 * time.Millisecond
 	leaderSuspectUntil = 15 * time.Second
 )
 
-// leaderSuspect reports whether nobody leads, or the leader has just fallen silent.
+// leaderSuspect reports whether there is no leader, or the leader has recently become silent.
 func (c *Controller) leaderSuspect() bool {
 	name := c.election.OtherLeader()
 	if name == "" {
@@ -40,13 +41,13 @@
 	return quiet > leaderSuspectAfter && quiet < leaderSuspectUntil
 }
 
-// deferredHeartbeats wait in the order in which they came. All are deferred for the same time
-// at the most, so that the first is the first to expire.
+// deferredHeartbeats is a queue of heartbeats in order of arrival. Since all are deferred for
+// at most the same time, the first one expires first.
 type deferredHeartbeats struct {
 	queue       []deferredHeartbeat
-	expiryTimer *timer // of the first one; nil without any
-	// requeueDeadline is that of a heartbeat that was deferred before and is taken up again;
-	// zero while none is.
+	expiryTimer *timer // for the first heartbeat; nil while the queue is empty
+	// requeueDeadline is the deadline of the deferred heartbeat that is being handled again,
+	// in case it has to be deferred once more; otherwise zero.
 	requeueDeadline time.Time
 }
 
@@ -57,9 +58,9 @@
 	return queue
 }
 
-// deferHeartbeat keeps a heartbeat until a leader is known. A worker that is sent to a
-// machine without power waits there for 4 s, and where all controllers but one are
-// silent it went from one to the next until its lease was over.
+// deferHeartbeat keeps a heartbeat until a leader is known. If it were redirected to a
+// controller that is down, its worker would wait there for 4 s: with all controllers but one
+// down, workers went from one to the next until their leases had expired.
 func (c *Controller) deferHeartbeat(id uint64, body []byte) {
 	if len(c.deferred.queue) >= c.maxDeferredHeartbeats() {
 		c.limits.Reached(limits.DeferredHeartbeats)
@@ -74,7 +75,7 @@
 	c.armDeferralTimer()
 }
 
-// armDeferralTimer sets the timer for the heartbeat that is the first to expire.
+// armDeferralTimer sets the expiry timer for the first heartbeat in the queue.
 func (c *Controller) armDeferralTimer() {
 	if c.deferred.expiryTimer != nil || len(c.deferred.queue) == 0 {
 		return
@@ -86,7 +87,7 @@
 	})
 }
 
-// expireDeferred answers the heartbeats that were deferred for long enough.
+// expireDeferred answers the heartbeats whose deadline has passed with a redirect.
 func (c *Controller) expireDeferred() {
 	h := &c.deferred
 	for len(h.queue) > 0 && !h.queue[0].deadline.After(c.now) {
@@ -95,8 +96,9 @@
 	}
 }
 
-// resumeDeferred takes up the deferred heartbeats once a leader is known. One that has just
-// been elected knows no cancellation yet, and must not answer.
+// resumeDeferred handles the deferred heartbeats once a leader is known. A newly elected leader
+// must not answer them before it has read the jobs, because it does not know yet which are
+// cancelled.
 func (c *Controller) resumeDeferred() {
 	if len(c.deferred.queue) == 0 || c.leader == nil && c.leaderSuspect() || c.leader != nil && c.leader.jobsKnownAt.IsZero() {
 		return
@@ -108,24 +110,25 @@
 	c.deferred.requeueDeadline = time.Time{}
 }
 
-// redirector says where a controller that neither serves a worker nor leads redirects it. The
-// leader knows who serves it; but where the worker can't reach the leader, it came back from
-// there after a time-out, was redirected there again, and never tried the controller that
-// serves it until its lease expired. Without a name it tries all of them in turn.
+// redirector chooses the target when a controller that neither leads nor serves a worker
+// redirects it. The leader knows which controller serves the worker. But a worker that cannot
+// reach the leader came back after a time-out, was redirected to the leader again, and did not
+// try the controller that serves it before its lease expired. Such a worker is redirected
+// without a target, and then tries all controllers in turn.
 type redirector struct {
 	controller   *Controller
-	redirectedAt map[string]time.Time // to the leader, by machine
+	redirectedAt map[string]time.Time // when a worker was last redirected to the leader, by machine
 }
 
 const (
-	// redirectReturnWindow is within which time a worker that was redirected to the leader and
-	// comes back is taken not to have reached it: the time-out of a heartbeat, the pause after
-	// it, and as much again.
+	// redirectReturnWindow is the time within which a worker that comes back after a redirect
+	// is taken not to have reached the leader: the time-out of a heartbeat and the pause after
+	// it, doubled.
 	redirectReturnWindow = 2 * sessions.LostHeartbeatDelay
-	// maxRememberedRedirects bounds how many are remembered before old ones are dropped.
+	// maxRememberedRedirects is the number of entries above which old redirects are dropped.
 	maxRememberedRedirects = 1024
-	// leaderHeardWindow is how long ago a leader that was heard before must have been heard to
-	// be named.
+	// leaderHeardWindow is how recent the last message from the leader must be for workers to
+	// be redirected to it, if it has sent any.
 	leaderHeardWindow = 3 * time.Second
 )
 
@@ -133,7 +136,8 @@
 	return redirector{controller: c, redirectedAt: map[string]time.Time{}}
 }
 
-// target names the controller that a machine's worker is to try, empty for the next one in turn.
+// target returns the controller that a machine's worker should try, or "" for the next one in
+// turn.
 func (r *redirector) target(machine string) string {
 	c := r.controller
 	leader := c.election.OtherLeader()
@@ -141,14 +145,14 @@
 		return ""
 	}
 	if at, ok := r.redirectedAt[machine]; ok && c.now.Sub(at) < redirectReturnWindow {
-		delete(r.redirectedAt, machine) // it may be redirected there the next time
+		delete(r.redirectedAt, machine) // the next redirect may name the leader again
 		return ""
 	}
 	r.recordRedirect(machine)
 	return leader
 }
 
-// recordRedirect notes that a machine's worker was redirected to the leader.
+// recordRedirect records that a machine's worker was redirected to the leader.
 func (r *redirector) recordRedirect(machine string) {
 	if len(r.redirectedAt) >= maxRememberedRedirects {
 		for name, at := range r.redirectedAt {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -10,41 +10,42 @@
 	"brasskeel/internal/coordination/sessions"
 )
 
-// leader is what a leader keeps in memory. All of it is rebuilt from the state
-// service and from heartbeats by the next one. Without shards it serves all workers itself.
+// leader is the in-memory state of the leader. The next leader rebuilds all of it from the
+// state service and from heartbeats. Without shards the leader serves all workers itself.
 type leader struct {
 	workerSessions
-	epoch      sessions.Epoch // of all machines
+	epoch      sessions.Epoch // ownership epoch of all machines
 	term       uint64
-	keyVersion uint64 // of the leader key; every write of ours demands it
-	fenced     bool   // its lease and the grace period after it are over: it answers no worker
+	keyVersion uint64 // version of the leader key, a condition of every write by this leader
+	fenced     bool   // the lease and its grace period have ended: no worker is answered
 	recovery
 
-	jobsByAge []*job // by submission
+	jobsByAge []*job // in order of submission
 	// nextBroadcastIndex is the index in jobsByAge of the job whose progress is broadcast next.
 	nextBroadcastIndex int
 	teamUsage          map[string]*usage
-	corrections        queue.Corrections    // of estimates
-	stoppingUsage      map[string]usage     // of the teams' work, what was told to stop
-	terminatedAt       map[string]time.Time // machines proven gone, while lists may still show them
+	corrections        queue.Corrections    // of runtime estimates
+	stoppingUsage      map[string]usage     // by team: resources of attempts that were told to stop
+	terminatedAt       map[string]time.Time // terminated machines that the cloud's list may still show
 	writer             recordWriter
 	autoscaler         autoscalerState
 	rebalancer         *rebalancer       // nil while balance is off
 	shards             *shardCoordinator // nil when this leader serves all machines itself
 
-	pendingLog         ratelog.Throttle // of why tasks are pending
-	requestedZone      string           // zone last recorded as the better one for leaders
+	pendingLog         ratelog.Throttle // for the reasons why tasks are pending
+	requestedZone      string           // the preferred zone that this leader last recorded
 	placementRequested bool
 	round              placementRound
 	imageIDs           map[string]placement.ImageID
 }
 
-// usage is what a team's attempts take, those not proven terminated included.
+// usage is the amount of resources that a team's attempts take, including attempts that are
+// not proven terminated.
 type usage struct{ cpus, gpus float64 }
 
-// becomeLeader begins to lead under a mandate: it recovers what is recorded first.
-func (c *Controller) becomeLeader(m leadership.LeaderTerm) {
-	l := &leader{workerSessions: newWorkerSessions(c, m.Lease), term: m.Term, keyVersion: m.KeyVersion, recovery: newRecovery(c.now),
+// becomeLeader makes this controller the leader for a term and starts the recovery.
+func (c *Controller) becomeLeader(t leadership.LeaderTerm) {
+	l := &leader{workerSessions: newWorkerSessions(c, t.Lease), term: t.Term, keyVersion: t.KeyVersion, recovery: newRecovery(c.now),
 		teamUsage: map[string]*usage{}, stoppingUsage: map[string]usage{}, corrections: queue.Corrections{},
 		terminatedAt: map[string]time.Time{}, imageIDs: map[string]placement.ImageID{}, round: newPlacementRound()}
 	for name := range c.teams {
@@ -52,19 +53,19 @@
 	}
 	l.listener = l
 	l.rebalancer = newRebalancer(l)
-	// The leader before may have had the shortest lease, which leaves the longest grace.
-	l.epoch = sessions.Epoch{Term: m.Term, Since: c.now, PredecessorUntil: c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))}
+	// The previous leader may have had the shortest lease, which has the longest grace period.
+	l.epoch = sessions.Epoch{Term: t.Term, Since: c.now, PredecessorUntil: c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))}
 	l.writer.init(l)
 	l.autoscaler.init(l)
 	if c.sharding == nil && c.election.Sharded() {
-		// Other controllers may own shards: this one takes them back first.
+		// Other controllers may still own shards; this leader has to take those back first.
 		c.startSharding(false)
 	}
 	if c.sharding != nil {
 		l.shards = newShardCoordinator(l, c.sharding, c.operator.Sharding == nil)
 	}
 	c.leader = l
-	c.log.Info("became leader", "term", m.Term)
+	c.log.Info("became leader", "term", t.Term)
 	c.broadcastStatus()
 	leadership.KeepLeaseAlive(electionHost{c}, electionHost{c}, &l.lease, l)
 	l.loadRecords()
@@ -72,19 +73,19 @@
 	l.every(time.Second, l.maintain)
 }
 
-// pausePerExaminedMachine is the pause after a round of placement for each machine that it
-// looked at.
+// pausePerExaminedMachine is the pause after a placement round for each machine that the round
+// examined.
 const pausePerExaminedMachine = 150 * time.Nanosecond
 
-// requestPlacement wants the placement to run soon. A short delay lets what happens
-// together be placed together.
+// requestPlacement schedules a placement round. A short delay lets one round serve changes that
+// occur at about the same time.
 func (l *leader) requestPlacement() {
 	if l.placementRequested || l.phase != phaseActive {
 		return
 	}
 	l.placementRequested = true
-	// The dearer the last round was, the longer until the next, so that rounds take
-	// no more than about half of a small share of a processor.
+	// The delay grows with the cost of the last round, so that placement takes at most about
+	// half of a small CPU share.
 	delay := 8*time.Millisecond + time.Duration(len(l.jobsByAge))*20*time.Microsecond + time.Duration(l.round.examined)*pausePerExaminedMachine
 	if l.controller.overload.ShouldDefer() {
 		delay += l.controller.overload.Lag() / 2
@@ -97,13 +98,14 @@
 	})
 }
 
-// finishStep ends a step: what it left to be written and ordered is sent.
+// finishStep sends the record writes and worker orders that are due at the end of a step.
 func (l *leader) finishStep() {
 	l.writer.flush()
 	l.flushOrders()
 }
 
-// scheduleAttemptOrders lets a worker be told what is wanted of an attempt, by its owner.
+// scheduleAttemptOrders schedules the orders for an attempt: the owner of its machine, which may
+// be this leader, sends them to the worker.
 func (l *leader) scheduleAttemptOrders(a *attempt) {
 	if l.shards != nil {
 		l.shards.attemptChanged(a)
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -6,49 +6,53 @@
 	"brasskeel/internal/coordination/limits"
 )
 
-// Limits that follow from the settings, and what the shell reports of its own. The names of
-// all limits, and what is done on reaching one, are in package limits.
+// This file holds the limits that are derived from settings, and counts the limits that are
+// reached outside the core. Package limits has the names of all limits and what happens when
+// one is reached.
 
-// CountSocketLimits counts how often limits of the sockets were reached since the last call: answers
-// that closed their connection, connections that were shed, and calls that got no socket.
+// CountSocketLimits records how often socket limits were reached since the last call: closed
+// counts responses that closed their connection, shed the connections that were closed to make
+// room, and busy the calls that got no socket.
 func (c *Controller) CountSocketLimits(closed, shed, busy int) {
 	c.limits.ReachedTimes(limits.ConnectionsClosed, closed)
 	c.limits.ReachedTimes(limits.ConnectionsShed, shed)
 	c.limits.ReachedTimes(limits.CallsWithoutSocket, busy)
 }
 
-// CountLostPeerMessages counts lines that peers missed since the last call, as they read too slowly.
-func (c *Controller) CountLostPeerMessages(lines int) {
-	c.limits.ReachedTimes(limits.PeerMessagesLost, lines)
+// CountLostPeerMessages records the number of messages that were dropped since the last call
+// because a peer reads too slowly.
+func (c *Controller) CountLostPeerMessages(messages int) {
+	c.limits.ReachedTimes(limits.PeerMessagesLost, messages)
 }
 
-// maxOpenRequests bounds the requests that wait for the state service. A check of polls serves
-// half as many questions as a transaction has conditions, so those that wait are answered
-// within about a second; half of the sockets are left for workers in any case.
+// maxOpenRequests bounds the requests that wait for the state service. A status check serves
+// half as many queries as a transaction has conditions, so with this bound the waiting requests
+// are answered within about a second. Half of the sockets are always left for workers.
 func (c *Controller) maxOpenRequests() int {
 	perCheck := c.maxConditions() / 2
 	perSecond := int(time.Second / c.statusCheckInterval())
 	return max(minOpenRequests, min(perCheck*perSecond, c.cfg.Sockets/2))
 }
 
-// minOpenRequests is allowed to wait however small the state service is.
+// minOpenRequests is the minimum of maxOpenRequests, however slow the state service is.
 const minOpenRequests = 400
 
-// maxDeferredHeartbeats bounds the heartbeats that are deferred until there is a leader: each takes a socket.
+// maxDeferredHeartbeats bounds the heartbeats that wait until a leader is known, since each of
+// them occupies a socket.
 func (c *Controller) maxDeferredHeartbeats() int { return c.cfg.Sockets / 2 }
 
-// maxUnrecordedStarts bounds the placements that wait to be recorded, so that one round keeps
-// nothing else waiting for long: two transactions full of block records, and as many as
-// a small one's when transactions are small.
+// maxUnrecordedStarts bounds the placements that wait to be recorded, so that one placement
+// round does not delay other writes for long. It allows the block records of two full
+// transactions, but at least minUnrecordedStarts.
 func (w *recordWriter) maxUnrecordedStarts() int {
 	return max(minUnrecordedStarts, 2*w.leader.controller.cfg.TxnOps*w.tasksPerBlock)
 }
 
-// minUnrecordedStarts is the least that maxUnrecordedStarts is.
+// minUnrecordedStarts is the minimum of maxUnrecordedStarts.
 const minUnrecordedStarts = 2000
 
-// maxUnannounced bounds the final states that wait to be told to peers: those of some seconds of
-// all changes that the state service takes.
+// maxUnannounced bounds the final states that wait to be broadcast to peers: as many as the
+// state service accepts writes in unannouncedSeconds.
 func (c *Controller) maxUnannounced() int {
 	return max(minUnannounced, int(unannouncedSeconds*c.cfg.StateWriteRPS))
 }
@@ -58,8 +62,8 @@
 	unannouncedSeconds = 20
 )
 
-// logSampled logs what happened to one of many, at level info as far as package ratelog lets
-// lines with the same message through.
+// logSampled logs an event that may occur for many objects at once. Package ratelog limits the
+// number of lines with the same message at level info.
 func (c *Controller) logSampled(message string, args ...any) {
 	c.sampler.Info(c.log, c.now, message, args...)
 }
--- a/internal/coordination/peer_broadcast.go
+++ b/internal/coordination/peer_broadcast.go
@@ -6,19 +6,21 @@
 	"brasskeel/internal/protocol"
 )
 
-// Limits of what is broadcast in one round. Peers take a few messages at once; a round that
-// told them of every job of a very large fleet would take a small share of a processor.
+// Limits of one round of broadcasts. Peers accept a few messages at once, and a round with the
+// progress of every job of a very large fleet would use all of a small CPU share.
 const (
-	messageBudget            = 48 << 10 // bytes of content in one message
+	messageBudget            = 48 << 10 // bytes of job entries in one message
 	messagesPerRound         = 6
-	progressMessagesPerRound = 4 // of them, those with progress
+	progressMessagesPerRound = 4 // messages of a round that may contain progress
 )
 
-// broadcastsPerOutcome is how often a final state is broadcast, since a message may be lost.
+// broadcastsPerOutcome is the number of times that a final state is broadcast, since a message
+// may be lost.
 const broadcastsPerOutcome = 2
 
-// broadcastStatus tells the peers how this controller is, which jobs are over and, from a
-// leader, how the others go on.
+// broadcastStatus sends one round of messages to the peers: this controller's status, the final
+// states of jobs, and, from the leader, the progress of jobs. It also logs the limits that were
+// reached and the suppressed log lines.
 func (c *Controller) broadcastStatus() {
 	c.limits.Log(c.log, c.now)
 	c.sampler.Flush(c.log, c.now)
@@ -41,7 +43,7 @@
 	c.admission.pendingAnnouncements = append(c.admission.pendingAnnouncements, again...)
 }
 
-// newPeerMessage begins a message with what each one tells.
+// newPeerMessage returns a message with the status that every message contains.
 func (c *Controller) newPeerMessage() peers.Message {
 	m := peers.Message{Sender: c.cfg.Name, Disconnected: c.election.Disconnected(), WorkersUnreachable: c.workersUnreachable(),
 		StoreReachable: c.store.Healthy()}
@@ -60,8 +62,8 @@
 	c.effects.Broadcasts = append(c.effects.Broadcasts, Broadcast{Body: body})
 }
 
-// addOutcomes puts final states into a message, as far as there is room, and returns the
-// room that is left. Those that are to be broadcast once more are added to again.
+// addOutcomes adds final states to a message until it is full, and returns the remaining room in
+// bytes. It appends those that must be broadcast again to again.
 func (c *Controller) addOutcomes(m *peers.Message, room int, again *[]outcomeAnnouncement) int {
 	a := &c.admission
 	m.Done, m.Cancelled = map[string]int{}, map[string]int{}
@@ -86,11 +88,11 @@
 	return room
 }
 
-// progressRound is one round of broadcasting how a leader's jobs go on, in which each has its
-// turn at most once. The zero value, of a follower, is complete.
+// progressRound is a round of broadcasting the progress of the leader's jobs, in which each job
+// is visited at most once. The zero value, for a controller that does not lead, is complete.
 type progressRound struct {
 	leader    *leader
-	remaining int // jobs that had no turn in this round
+	remaining int // jobs not visited yet in this round
 }
 
 func (c *Controller) newProgressRound() progressRound {
@@ -102,8 +104,8 @@
 
 func (r *progressRound) complete() bool { return r.remaining == 0 }
 
-// fill puts the progress of the next jobs into a message, as far as there is room. The
-// next round begins where this one ends. A job that went back to nothing is told of, too.
+// fill adds the progress of the next jobs to a message until it is full. The next round starts
+// where this one ends. A job that is back at no running and no done tasks is included once more.
 func (r *progressRound) fill(m *peers.Message, room int) {
 	l := r.leader
 	if l == nil {
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -10,7 +10,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// PeerMessage takes a message from another controller.
+// PeerMessage handles a message from another controller.
 func (c *Controller) PeerMessage(now time.Time, body []byte) Effects {
 	c.now = now
 	if shard.IsMessage(body) {
@@ -28,7 +28,8 @@
 	}
 	for job, done := range m.Cancelled {
 		c.admission.cacheOutcome(job, protocol.Cancelled, done)
-		// A leader that the state service refuses stops its tasks sooner for it.
+		// A leader without access to the state service learns of the cancellation sooner
+		// this way, and stops the job's tasks.
 		if l := c.leader; l != nil && l.jobs[job] != nil {
 			l.endJob(l.jobs[job], protocol.Cancelled)
 		}
@@ -38,15 +39,15 @@
 	}
 }
 
-// receiveRawShardMessage takes a message about shards. Those that can't be read and those of
-// controllers that aren't peers are counted, and the first is logged.
+// receiveRawShardMessage handles a message about shards. Malformed messages and those from
+// senders that are not configured as peers are counted, and the first one is logged.
 func (c *Controller) receiveRawShardMessage(body []byte) {
-	line, err := shard.ParseMessage(body)
-	if err == nil && !c.isPeer(line.From) {
+	message, err := shard.ParseMessage(body)
+	if err == nil && !c.isPeer(message.From) {
 		err = errUnknownPeer
 	}
 	if err == nil {
-		c.receiveShardMessage(line)
+		c.receiveShardMessage(message)
 		return
 	}
 	c.rejectedMessages++
@@ -55,8 +56,7 @@
 	}
 }
 
-// errUnknownPeer: the sender isn't configured as a peer.
-var errUnknownPeer = errors.New("not from a peer")
+var errUnknownPeer = errors.New("the sender is not a configured peer")
 
 func (c *Controller) isPeer(name string) bool {
 	for i := range c.cfg.Peers {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// hasEligiblePeerIn reports whether a peer of a zone may be handed the leadership.
+// hasEligiblePeerIn reports whether leadership may be handed to a peer in zone.
 func (c *Controller) hasEligiblePeerIn(zone string) bool {
 	for i := range c.cfg.Peers {
 		peer := &c.cfg.Peers[i]
@@ -78,7 +78,7 @@
 	return false
 }
 
-// countPeers counts the peers by their connectivity.
+// countPeers counts the peers by state.
 func (c *Controller) countPeers() leadership.PeerCounts {
 	eligible, disconnected := c.peers.Connectivity(c.now)
 	return leadership.PeerCounts{Configured: len(c.cfg.Peers), Eligible: eligible, Disconnected: disconnected}
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// recoveryPhase is how far the recovery of a new leader has come.
+// recoveryPhase is the phase of a new leader's recovery.
 type recoveryPhase uint8
 
-// A new leader loads the records, then reconciles them with the heartbeats of all workers
-// before it places anything, and is active from then on. The transitions are those of
-// recovery's methods; there is no way back.
+// Phases of recovery. A new leader loads the records, then reconciles them with the heartbeats
+// of all workers before it places tasks, and is active from then on. Only the methods of
+// recovery change the phase, and it never goes back.
 const (
 	phaseLoading recoveryPhase = iota + 1
 	phaseReconciling
 	phaseActive
 )
 
-// recovery is a new leader's way to being active.
+// recovery tracks a new leader's recovery.
 type recovery struct {
 	phase     recoveryPhase
 	electedAt time.Time
-	loadedAt  time.Time // when the records were read
-	// reconciledAt is when the leader became active; while it reconciles, when it will at
-	// the latest.
+	loadedAt  time.Time // when all records were loaded
+	// reconciledAt is the time at which the leader became active; in phaseReconciling it is
+	// the latest time at which it will.
 	reconciledAt          time.Time
 	reconcileCheckPending bool
 }
 
 func newRecovery(now time.Time) recovery { return recovery{phase: phaseLoading, electedAt: now} }
 
-// recordsLoaded begins the reconciliation, which takes until limit after the election at the
-// most.
+// recordsLoaded starts the reconciliation, which ends at the latest when limit has passed since
+// the election.
 func (r *recovery) recordsLoaded(now time.Time, limit time.Duration) {
 	r.phase, r.loadedAt, r.reconciledAt = phaseReconciling, now, r.electedAt.Add(limit)
 }
 
-// reconciled ends the recovery; false if it wasn't being reconciled.
+// reconciled ends the recovery. It returns false if the leader is not in phaseReconciling.
 func (r *recovery) reconciled(now time.Time) bool {
 	if r.phase != phaseReconciling {
 		return false
@@ -43,21 +43,23 @@
 }
 
 const (
-	// probeDelay is how long a new leader lets workers come by themselves before it
-	// probes them. They find it when their next heartbeat is due, or later; those that an
-	// earlier leader without the state service still answers come only after its grace
-	// period.
+	// probeDelay is how long a new leader waits for heartbeats before it probes workers.
+	// Workers contact the new leader when their next heartbeat is due, or later. Those that
+	// an earlier leader without access to the state service still answers contact it only
+	// after that leader's grace period.
 	probeDelay = 50 * time.Millisecond
-	// maxProbeFailures is after how many probes without an answer it waits no longer for a
-	// machine.
+	// maxProbeFailures is the number of failed probes after which a new leader no longer
+	// waits for a machine.
 	maxProbeFailures = 2
-	// maxMissingDivisor makes the part of the machines that it doesn't wait for.
+	// maxMissingDivisor sets the fraction of machines that a new leader does not wait for:
+	// one in maxMissingDivisor.
 	maxMissingDivisor = 5
-	// reconcileCheckDelay lets heartbeats that come together be judged together.
+	// reconcileCheckDelay is the delay of a check, so that one check covers heartbeats that
+	// arrive together.
 	reconcileCheckDelay = 10 * time.Millisecond
 )
 
-// startReconciling follows once all records are read.
+// startReconciling starts the reconciliation once all records are loaded.
 func (l *leader) startReconciling() {
 	c := l.controller
 	wait := c.timing().ReconnectTime()
@@ -67,7 +69,7 @@
 	l.recordsLoaded(c.now, wait)
 	l.loaded = true
 	for _, m := range l.fleetList {
-		if !m.recorded { // it reported while the records were read
+		if !m.recorded { // its worker registered while the records were being loaded
 			l.writer.recordMachine(m)
 		}
 	}
@@ -77,7 +79,7 @@
 		l.finalizeJobIfComplete(j)
 	}
 	c.log.Info("records loaded", "term", l.term, "jobs", len(l.jobsByAge), "machines", len(l.machines), "attempts", attempts)
-	l.readInventory() // it has the addresses of those that are to be probed
+	l.readInventory() // it contains the addresses of the machines to probe
 	if l.shards != nil {
 		l.assignUnshardedMachines()
 		l.shards.ownershipChanged()
@@ -85,7 +87,7 @@
 	c.after(l.reconciledAt.Sub(c.now), l.activate)
 }
 
-// checkReconciled ends the wait once nobody is left to be heard.
+// checkReconciled schedules a check whether enough machines are reconciled to end the recovery.
 func (l *leader) checkReconciled() {
 	if l.phase != phaseReconciling || l.reconcileCheckPending {
 		return
@@ -99,7 +101,7 @@
 	})
 }
 
-// activate ends the recovery: from here on work is placed.
+// activate ends the recovery. From then on the leader places tasks.
 func (l *leader) activate() {
 	if !l.alive() || !l.reconciled(l.controller.now) {
 		return
@@ -110,14 +112,16 @@
 	l.requestPlacement()
 }
 
-// enoughMachinesReconciled reports whether all but a few of the machines that should have told
-// their tasks and images have, or were probed and didn't answer, or aren't in the
-// cloud's list, so that they can't be probed. Among hundreds of machines a few are
-// always gone, and a part of a large fleet is taken out at once: placing goes on
-// without those that weren't heard, as they are skipped, and what they ran counts. So
-// are those that nothing of ours has reached yet: a heartbeat alone brings their tasks and
-// images, and waiting for a second one to show our fencing token took a small share of a
-// processor half a second more.
+// enoughMachinesReconciled reports whether at most one in maxMissingDivisor of the machines that
+// should report their tasks and images is still awaited. A machine is not awaited if it has
+// reported, if it did not answer its probes, or if it cannot be probed because the cloud's list
+// does not contain it.
+//
+// Among hundreds of machines some are always down, and part of a large fleet may be lost at
+// once. Placement can go on without the missing machines: it skips them, and the tasks that they
+// ran still count. It also skips machines that no message of this leader has reached yet, but
+// those are not awaited: one heartbeat reports their tasks and images, and waiting for a second
+// one with this leader's fencing token took half a second longer on a small CPU share.
 func (l *leader) enoughMachinesReconciled() bool {
 	if len(l.fleetList) == 0 {
 		return false
@@ -135,18 +139,19 @@
 	return missing*maxMissingDivisor <= expected
 }
 
-// expectsTaskReport reports whether a machine's worker should be up. One that only a lagging list
-// tells of may be terminated already.
+// expectsTaskReport reports whether a machine's worker should be running. A machine that is
+// known only from the cloud's list, which may lag, may already be terminated.
 func (l *leader) expectsTaskReport(m *machine) bool {
 	booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.BootTime)
 	return len(m.attempts) > 0 || booted
 }
 
-// awaitsTaskReport reports whether a machine may still tell its tasks.
+// awaitsTaskReport reports whether a machine's worker may still report its tasks.
 func (l *leader) awaitsTaskReport(m *machine) bool {
 	if m.session.Reconciled || m.session.FailedProbes >= maxProbeFailures || l.ownerTimedOut(m) {
 		return false
 	}
-	// While the cloud can't be asked, addresses come with heartbeats alone.
+	// Without an address the machine cannot be probed. While the cloud's list is not available,
+	// addresses come only with heartbeats, so the machine is still awaited.
 	return m.addr != "" || !l.autoscaler.inventoryComplete
 }
--- a/internal/coordination/timers.go
+++ b/internal/coordination/timers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// NextTick is when Tick is due; zero when nothing is planned.
+// NextTick returns the time at which Tick is due; zero if no timer is set.
 func (c *Controller) NextTick() time.Time {
 	if len(c.timers) == 0 {
 		return time.Time{}
@@ -13,14 +13,14 @@
 	return c.timers[0].at
 }
 
-// timer is a function that runs in a step of its own.
+// timer runs a function when its time has come.
 type timer struct {
 	at  time.Time
-	seq uint64 // of those for the same time, the first that was set runs first
-	run func() // nil once it is cancelled
+	seq uint64 // orders timers with equal times: the one set first runs first
+	run func() // nil once cancelled
 }
 
-// timerHeap holds the timers, the next one first (heap.Interface).
+// timerHeap is a heap of timers, the earliest first. It implements heap.Interface.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -39,7 +39,8 @@
 	return t
 }
 
-// runDueTimers runs the timers whose time has come, those included that they set for now.
+// runDueTimers runs all timers that are due, including those that other timers set for the
+// current time.
 func (c *Controller) runDueTimers() {
 	for len(c.timers) > 0 && !c.timers[0].at.After(c.now) {
 		t := heap.Pop(&c.timers).(*timer)
@@ -57,12 +58,12 @@
 	return t
 }
 
-// every runs f each d for the life of the process.
+// every runs f at intervals of d for the lifetime of the process.
 func (c *Controller) every(d time.Duration, f func()) {
 	c.after(d, func() { f(); c.every(d, f) })
 }
 
-// jitter is a random duration below d.
+// jitter returns a random duration in [0, d).
 func (c *Controller) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -70,15 +71,15 @@
 	return time.Duration(c.rng.Int64N(int64(d)))
 }
 
-// processorLoad is how much of its share of the processor this process uses.
+// processorLoad measures how much of its CPU share this process uses.
 type processorLoad struct {
-	used  time.Duration // processor time since the process began
+	used  time.Duration // processor time since the process started
 	at    time.Time     // when used was measured
-	share float64       // used between the last two measurements, 1 for all of it
+	share float64       // part of the CPU share used between the last two measurements; 1: all of it
 }
 
-// ObserveProcessorTime takes how much processor time this process has used since it began. Without
-// calls the share counts as zero.
+// ObserveProcessorTime records the processor time that this process has used since it started.
+// If it is never called, the load counts as zero.
 func (c *Controller) ObserveProcessorTime(now time.Time, used time.Duration) {
 	p := &c.processorLoad
 	if elapsed := now.Sub(p.at); !p.at.IsZero() && elapsed > 0 && c.cfg.CPUShare > 0 {
