--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -40,14 +40,14 @@
 // Watch implements leadership.Store.
 func (h electionHost) Watch(prefix string, after uint64, done func(leadership.WatchResponse)) {
 	h.controller.store.Watch(prefix, after, watchWait, func(r statestore.WatchResult) {
-		answer := leadership.WatchResponse{Status: leadership.WatchFailed, Events: r.Events, Revision: r.Revision}
+		response := leadership.WatchResponse{Status: leadership.WatchFailed, Events: r.Events, Revision: r.Revision}
 		switch r.Status {
 		case statestore.WatchEvents:
-			answer.Status = leadership.WatchDelivered
+			response.Status = leadership.WatchDelivered
 		case statestore.WatchCompacted:
-			answer.Status = leadership.WatchCompacted
+			response.Status = leadership.WatchCompacted
 		}
-		done(answer)
+		done(response)
 	})
 }
 
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -51,7 +51,7 @@
 	requeueDeadline time.Time
 }
 
-// takeAll empties the queue.
+// takeAll empties the queue and returns its entries.
 func (h *deferredHeartbeats) takeAll() []deferredHeartbeat {
 	queue := h.queue
 	h.queue = nil
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -107,14 +107,14 @@
 }
 
 func (e *Election) watch(after uint64, generation int) {
-	e.store.Watch(records.PrefixElection, after, func(answer WatchResponse) {
+	e.store.Watch(records.PrefixElection, after, func(response WatchResponse) {
 		if e.generation != generation {
 			return
 		}
-		switch answer.Status {
+		switch response.Status {
 		case WatchDelivered:
-			e.applyEvents(answer.Events)
-			e.watch(max(after, answer.Revision), generation)
+			e.applyEvents(response.Events)
+			e.watch(max(after, response.Revision), generation)
 		case WatchCompacted:
 			e.Follow()
 		case WatchFailed:
@@ -155,8 +155,8 @@
 		return
 	}
 	if leader := e.view.leader; leader.Node == e.settings.Name && leader.Incarnation != e.settings.BootID && e.view.leaderLease != 0 {
-		// This controller's previous process was the leader. It no longer runs, and any
-		// write of its that is still in flight is conditional on the leader key, which is
+		// This controller's previous process was the leader. It no longer runs, and its
+		// writes that may still be in flight are conditional on the leader key, which is
 		// deleted with this lease.
 		e.log.Info("revoking lease of previous process", "term", leader.Term)
 		e.store.RevokeLease(e.view.leaderLease)
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -105,7 +105,7 @@
 }
 
 // answerWatch responds to the latest watch.
-func (h *harness) answerWatch(answer WatchResponse) { h.watches[len(h.watches)-1](answer) }
+func (h *harness) answerWatch(response WatchResponse) { h.watches[len(h.watches)-1](response) }
 
 func leaderItem(controller string, term, boot, version, lease uint64) protocol.KeyValue {
 	return protocol.KeyValue{Key: records.KeyLeader, Version: version, Lease: lease,
--- a/internal/coordination/leadership/lease.go
+++ b/internal/coordination/leadership/lease.go
@@ -51,31 +51,31 @@
 // KeepLeaseAlive renews a lease, first at once and then every three tenths of its time to
 // live.
 func KeepLeaseAlive(clock Clock, store Store, lease *Lease, holder LeaseHolder) {
-	k := &LeaseRenewer{clock: clock, store: store, lease: lease, holder: holder}
-	k.renew()
+	lr := &LeaseRenewer{clock: clock, store: store, lease: lease, holder: holder}
+	lr.renew()
 }
 
-func (k *LeaseRenewer) renew() {
-	if !k.holder.NeedsLease() {
+func (lr *LeaseRenewer) renew() {
+	if !lr.holder.NeedsLease() {
 		return
 	}
-	sent := k.clock.Now()
-	k.store.RenewLease(k.lease.ID, k.lease.TTL/2, func(r Renewal) {
-		if !k.holder.NeedsLease() {
+	sent := lr.clock.Now()
+	lr.store.RenewLease(lr.lease.ID, lr.lease.TTL/2, func(r Renewal) {
+		if !lr.holder.NeedsLease() {
 			return
 		}
-		next := k.lease.TTL * 3 / 10
+		next := lr.lease.TTL * 3 / 10
 		switch r {
 		case RenewalSucceeded:
-			k.lease.extend(sent)
-			k.holder.LeaseRenewed()
+			lr.lease.extend(sent)
+			lr.holder.LeaseRenewed()
 		case RenewalExpired:
-			k.holder.LeaseExpired()
+			lr.holder.LeaseExpired()
 			return
 		case RenewalUnknown:
 			next = renewalRetryDelay
 		}
-		k.clock.After(next, k.renew)
+		lr.clock.After(next, lr.renew)
 	})
-	k.holder.RenewalSent()
+	lr.holder.RenewalSent()
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -44,7 +44,7 @@
 }
 
 // After a few rounds of broadcasts a follower knows the progress of every job of a large fleet,
-// and no message exceeds MaxMessage. Only the first 1,200 jobs were broadcast before, and users
+// and no message exceeds peers.MaxMessage. Only the first 1,200 jobs were broadcast before, and users
 // saw the others as queued forever.
 func TestProgressOfAllJobsIsBroadcast(t *testing.T) {
 	const jobs = 9000
