--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -10,7 +10,7 @@
 	"brasskeel/internal/ratelimit"
 )
 
-// Times of the fleet's dealings with the cloud.
+// Timeouts and intervals of cloud calls and scaling.
 const (
 	cloudTimeout          = 4 * time.Second
 	noCapacityBackoff     = 15 * time.Second // after "no capacity"
@@ -20,47 +20,47 @@
 	consolidationInterval = 10 * time.Second
 )
 
-// maxPlannedMachines bounds how many machines one turn asks for: its answers show what is
-// still needed. reservedReleaseCalls are those of the cloud's calls at once that renting
-// leaves.
+// maxPlannedMachines bounds the machines requested by one scale-out; its responses show what
+// else is needed. reservedReleaseCalls is how many calls of the burst budget scale-out leaves
+// for releases.
 const (
 	maxPlannedMachines   = 200
 	reservedReleaseCalls = 1
 )
 
-// demand is tasks of a job without a machine.
+// demand is the number of a job's tasks that found no machine.
 type demand struct {
 	job   *job
 	tasks int
 }
 
-// autoscalerState is what a leader keeps to rent and return machines.
+// autoscalerState is a leader's state for provisioning and releasing machines.
 type autoscalerState struct {
 	callBudget              *ratelimit.TokenBucket
 	unmetDemand             []demand
-	displacedReplicas       map[*job]int // replicas that silent machines are kept for, until there is room
-	demandIncomplete        bool         // the last round ended early: unmetDemand isn't all there is
+	displacedReplicas       map[*job]int // replicas on silent machines that are kept until there is capacity elsewhere
+	demandIncomplete        bool         // the last placement round ended early, so unmetDemand is incomplete
 	scaleOutScheduled       bool
 	requestCount            uint64
-	unavailableUntil        map[autoscaler.OfferKey]time.Time // offers without capacity
-	requested               map[autoscaler.OfferKey]int       // machines asked for, by offer
+	unavailableUntil        map[autoscaler.OfferKey]time.Time // when offers without capacity may be requested again
+	requested               map[autoscaler.OfferKey]int       // machines in requests in flight, by offer
 	releaseInFlight         bool
 	inventoryInFlight       bool
-	inventoryRequestedAt    time.Time // when the list was last asked for
-	inventoryComplete       bool      // it was read in full since this controller leads
+	inventoryRequestedAt    time.Time // when the last read began
+	inventoryComplete       bool      // it was read in full in this term
 	machineTypesRequestedAt time.Time
 	consolidatedAt          time.Time
 	utilizationLoggedAt     time.Time
-	largestOnDemandCPUs     float64 // CPUs of the largest job seen that may not use spot machines
+	largestOnDemandCPUs     float64 // CPUs of the largest job seen that may not use spot machines, all of its tasks together
 }
 
-func (f *autoscalerState) init(l *leader) {
+func (scaler *autoscalerState) init(l *leader) {
 	rps := l.controller.cfg.CloudRPS
-	f.callBudget = ratelimit.NewTokenBucket(rps*0.9, rps*1.5, l.controller.now)
-	f.unavailableUntil, f.requested = map[autoscaler.OfferKey]time.Time{}, map[autoscaler.OfferKey]int{}
+	scaler.callBudget = ratelimit.NewTokenBucket(rps*0.9, rps*1.5, l.controller.now)
+	scaler.unavailableUntil, scaler.requested = map[autoscaler.OfferKey]time.Time{}, map[autoscaler.OfferKey]int{}
 }
 
-// scheduleScaleOut wants the fleet looked at before its next turn.
+// scheduleScaleOut runs scaleOut soon, ahead of the next maintenance.
 func (l *leader) scheduleScaleOut() {
 	if l.autoscaler.scaleOutScheduled {
 		return
@@ -74,9 +74,9 @@
 	})
 }
 
-// maintain is the fleet's regular turn.
+// maintain is the leader's periodic maintenance of the fleet.
 func (l *leader) maintain() {
-	c, f := l.controller, &l.autoscaler
+	c, scaler := l.controller, &l.autoscaler
 	for name, at := range l.terminatedAt {
 		if c.now.Sub(at) > 5*time.Minute {
 			delete(l.terminatedAt, name)
@@ -89,8 +89,8 @@
 		l.shards.step()
 	}
 	l.logPendingReasons()
-	if c.now.Sub(f.machineTypesRequestedAt) > machineTypesInterval && f.callBudget.TryTake(c.now, 1) {
-		f.machineTypesRequestedAt = c.now
+	if c.now.Sub(scaler.machineTypesRequestedAt) > machineTypesInterval && scaler.callBudget.TryTake(c.now, 1) {
+		scaler.machineTypesRequestedAt = c.now
 		c.fetchMachineTypes(func(ok bool) {
 			if ok && l.alive() {
 				for _, m := range l.fleetList {
@@ -117,14 +117,14 @@
 	l.logUtilization()
 }
 
-// logUtilization tells now and then what the machines are used for, and what came in and
-// went out since the last time.
+// logUtilization logs, at most every 5 s, how the machines are used and how many requests and
+// calls there were since the last time.
 func (l *leader) logUtilization() {
-	c, f := l.controller, &l.autoscaler
-	if c.now.Sub(f.utilizationLoggedAt) < 5*time.Second {
+	c, scaler := l.controller, &l.autoscaler
+	if c.now.Sub(scaler.utilizationLoggedAt) < 5*time.Second {
 		return
 	}
-	f.utilizationLoggedAt = c.now
+	scaler.utilizationLoggedAt = c.now
 	type use struct{ machines, consolidating, holdingReplicas, cpus, replicaCPUs, allocated float64 }
 	var spot, onDemand use
 	for _, m := range l.fleetList {
@@ -146,11 +146,12 @@
 			u.holdingReplicas++
 		}
 	}
-	c.log.Debug("fleet utilization", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "on_demand", fmt.Sprintf("%+v", onDemand), "unmet", len(f.unmetDemand), "lag", c.overload.Lag().Round(time.Millisecond),
+	c.log.Debug("fleet utilization", "machines", len(l.fleetList), "spot", fmt.Sprintf("%+v", spot), "on_demand", fmt.Sprintf("%+v", onDemand), "unmet", len(scaler.unmetDemand), "lag", c.overload.Lag().Round(time.Millisecond),
 		"traffic", fmt.Sprintf("%+v", c.requestCounts))
 	c.requestCounts = requestCounts{}
 }
 
+// saveMachineTypes records the machine types, ordered by name.
 func (l *leader) saveMachineTypes() {
 	var list []protocol.MachineType
 	for _, t := range l.controller.types {
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -93,13 +93,13 @@
 	p := testPlan(10, NewBin(small))
 	j := testJob(func(*protocol.Job) {})
 	p.Expect(j)
-	p.AddDemand(demandOf(j, 6)) // four in the machine that boots
+	p.AddDemand(demandOf(j, 6)) // four of them fit on the booting machine
 	if got := plannedCount(p); got != 1 {
-		t.Errorf("%d machines for six tasks beside one that boots", got)
+		t.Errorf("%d machines planned for six tasks with one machine booting", got)
 	}
 	p.AddDisplaced(j, placement.ShapeKeyOf(j), 2)
 	if got := plannedCount(p); got != 1 {
-		t.Errorf("%d machines, two replicas had room in those that are planned", got)
+		t.Errorf("%d machines planned, although two replicas fit on planned ones", got)
 	}
 	if free, taken := p.CountCapacity(0, 0); free != 0 || taken != 8 {
 		t.Errorf("%g CPUs free, %g taken", free, taken)
@@ -114,7 +114,7 @@
 	p := testPlan(2)
 	p.Expect(j)
 	if p.AddDemand(demandOf(j, 100)); plannedCount(p) != 2 || !p.Full() {
-		t.Errorf("%d machines, two are allowed", plannedCount(p))
+		t.Errorf("%d machines planned, the limit is two", plannedCount(p))
 	}
 	p = testPlan(100)
 	p.quotas["red"].CPUs = 8
--- a/internal/coordination/autoscaler/bins.go
+++ b/internal/coordination/autoscaler/bins.go
@@ -7,19 +7,19 @@
 	"brasskeel/internal/protocol"
 )
 
-// Bin is room that is coming: a machine that boots or is to be rented.
+// Bin is the free capacity of a machine that is booting or planned.
 type Bin struct {
 	Offer                Offer
 	cpus, gpus, memoryGB float64
-	reportBytes          int // of a heartbeat that names the tasks in it
+	reportBytes          int // size of the tasks' entries in a heartbeat
 }
 
-// NewBin is an empty machine.
+// NewBin returns the bin of an empty machine.
 func NewBin(o Offer) *Bin {
 	return &Bin{Offer: o, cpus: o.Spec.CPUs, gpus: o.Spec.GPUs, memoryGB: o.Spec.MemoryGB}
 }
 
-// place puts a task of a job into the bin, and reports whether it fits.
+// place puts a task of a job into the bin if it fits, and reports whether it did.
 func (b *Bin) place(j *protocol.Job) bool {
 	if !b.Offer.Allows(j) || j.CPUs > b.cpus+protocol.Epsilon || j.GPUs > b.gpus+protocol.Epsilon || j.MemoryGB > b.memoryGB+protocol.Epsilon ||
 		b.reportBytes+protocol.TaskStatusBytes(j.ID) > placement.MaxTaskReportBytes {
@@ -32,13 +32,14 @@
 	return true
 }
 
-// zoneConstraint applies a job's rules about zones to tasks that are planned.
+// zoneConstraint applies a job's zone constraints to its planned tasks.
 type zoneConstraint struct {
-	job         *protocol.Job // nil without rules
+	job         *protocol.Job // nil without constraints
 	tasksByZone map[string]int
 }
 
-// newZoneConstraint begins with the zones where the job has tasks already.
+// newZoneConstraint returns a job's constraint, with the given counts of tasks already running
+// in each zone.
 func newZoneConstraint(j *protocol.Job, zones map[string]int) *zoneConstraint {
 	z := anyZone()
 	if j.OneZone || j.Spread {
@@ -48,8 +49,10 @@
 	return z
 }
 
+// anyZone returns a constraint that allows all zones.
 func anyZone() *zoneConstraint { return &zoneConstraint{tasksByZone: map[string]int{}} }
 
+// allows reports whether one more task may be placed in a zone.
 func (z *zoneConstraint) allows(zone string) bool {
 	if z.job == nil {
 		return true
--- a/internal/coordination/autoscaler/doc.go
+++ b/internal/coordination/autoscaler/doc.go
@@ -1,10 +1,10 @@
-// Package autoscaler plans which machines to rent for work that waits. It takes the cloud's
-// offers, the room of machines that boot and the demand, and gives the machines to ask for.
+// Package autoscaler plans which machines to provision for pending tasks. It takes the cloud's
+// offers, the capacity of booting machines and the demand, and returns the machines to request.
 //
-// It owns the choice among offers, by price, and one plan at a time. It knows no cloud, no
-// clock, no machine that is up and no record: all of that is handed in as values, and the
-// caller asks for what the plan says. It must never plan for more tasks of a team than its
-// quota lets start: the machines would stand idle.
+// It owns the choice among offers, by price, and one plan at a time. It has no access to the
+// cloud, a clock, running machines or records: all of these are passed in as values, and the
+// caller requests the planned machines. It must never plan for more tasks of a team than its
+// quota allows to start: the machines would be idle.
 //
-// CPUs and GPUs are counted in units of one, memory in GB, prices by machine and hour.
+// CPUs and GPUs are counted in units of one, memory in GB, prices per machine and hour.
 package autoscaler
--- a/internal/coordination/autoscaler/offers.go
+++ b/internal/coordination/autoscaler/offers.go
@@ -8,23 +8,23 @@
 	"brasskeel/internal/protocol"
 )
 
-// Offer is one kind of machine that can be rented.
+// Offer is one kind of machine that can be provisioned.
 type Offer struct {
 	Spec *protocol.MachineType
 	Zone string
-	Spot bool // for less, and taken back by the cloud at any time
+	Spot bool // cheaper, but the cloud may preempt it at any time
 }
 
-// OfferKey names an offer, whatever its price is now.
+// OfferKey identifies an offer independently of its price.
 type OfferKey struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Key is the name of the offer.
+// Key returns the key of the offer.
 func (o Offer) Key() OfferKey { return OfferKey{o.Spec.Name, o.Zone, o.Spot} }
 
-// Price is that of a machine for an hour.
+// Price is the price per machine and hour.
 func (o Offer) Price() float64 {
 	if o.Spot {
 		return o.Spec.SpotPricePerHour
@@ -32,10 +32,10 @@
 	return o.Spec.PricePerHour
 }
 
-// PricePerCPU is the price of a machine by the CPUs that it has.
+// PricePerCPU is the hourly price of a machine divided by its CPUs.
 func (o Offer) PricePerCPU() float64 { return o.Price() / o.Spec.CPUs }
 
-// Allows reports whether a job's tasks may run on such a machine.
+// Allows reports whether a job's tasks may run on a machine of the offer and fit on it.
 func (o Offer) Allows(j *protocol.Job) bool {
 	return j.AllowsType(o.Spec.Name) && o.Spec.Fits(j) && (j.Zone == "" || j.Zone == o.Zone) && (j.AllowSpot || !o.Spot)
 }
@@ -59,7 +59,7 @@
 	return cmp.Or(cmp.Compare(k.Type, o.Type), cmp.Compare(k.Zone, o.Zone), cmp.Compare(k.spotRank(), o.spotRank()))
 }
 
-// spotRank orders ordinary machines before spot machines.
+// spotRank orders on-demand machines before spot machines.
 func (k OfferKey) spotRank() int {
 	if k.Spot {
 		return 1
@@ -67,13 +67,13 @@
 	return 0
 }
 
-// Catalog is what the cloud offers.
+// Catalog is the cloud's machine types.
 type Catalog struct {
 	Types map[string]*protocol.MachineType
-	Spot  bool // spot machines may be rented
+	Spot  bool // spot machines may be provisioned
 }
 
-// Offers are those that are available, cheapest per CPU first.
+// Offers returns the available offers, cheapest per CPU first.
 func (c Catalog) Offers(available func(OfferKey) bool) []Offer {
 	var list []Offer
 	add := func(o Offer) {
@@ -95,12 +95,12 @@
 	return list
 }
 
-// opportunisticPriceFactor is how many times the lowest price per CPU, of all that a job may
-// use, is paid for work that takes what is idle.
+// opportunisticPriceFactor is the highest price per CPU to pay for opportunistic jobs, as a
+// multiple of the lowest price per CPU among the machines that the job may use.
 const opportunisticPriceFactor = 1.5
 
-// TooExpensive reports whether an offer costs too much for a job that takes what is idle, and
-// what is cheap.
+// TooExpensive reports whether an offer costs too much for an opportunistic job, which gets only
+// idle and cheap capacity.
 func (c Catalog) TooExpensive(j *protocol.Job, o Offer) bool {
 	lowest := 0.0
 	for _, t := range c.Types {
@@ -114,9 +114,9 @@
 	return o.PricePerCPU() > opportunisticPriceFactor*lowest
 }
 
-// BestOffer is the cheapest of some offers for tasks of a job, by the price of the share of a
-// machine that they use; a machine much too large for the tasks that are left counts in full.
-// It is false where none will do.
+// BestOffer returns the cheapest offer for a number of a job's tasks, by price per task. The
+// price of a machine that holds more tasks than are left is divided by those that are left, or
+// by two for a single one. It returns false if no offer is suitable.
 func BestOffer(offers []Offer, j *protocol.Job, tasks int, zoneAllowed func(zone string) bool) (best Offer, found bool) {
 	bestCost := 0.0
 	for _, o := range offers {
--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -7,42 +7,42 @@
 	"brasskeel/internal/protocol"
 )
 
-// Quota is what a team may still start under its limit, over all its jobs.
+// Quota is the resources that a team may still use within its limit, over all its jobs.
 type Quota struct{ CPUs, GPUs float64 }
 
-// Demand is tasks of a job that wait for a machine.
+// Demand is a number of a job's tasks that wait for a machine.
 type Demand struct {
 	Job   *protocol.Job
 	Shape placement.ShapeKey // of a task
 	Zones map[string]int     // of the job's live tasks
 	Tasks int
 	// TooExpensive reports whether an offer costs too much for the job, and Starving whether
-	// it has waited for so long that it gets a machine to begin on all the same.
+	// the job has waited for so long that it gets one machine to start on nevertheless.
 	TooExpensive func(Offer) bool
 	Starving     func() bool
 }
 
-// Request is machines of one offer to be asked for.
+// Request is a number of machines of one offer to request.
 type Request struct {
 	Offer Offer
 	Count int
 }
 
-// Plan is the machines to be rented beyond those that boot.
+// Plan is the machines to provision in addition to the booting ones.
 type Plan struct {
 	// Limit is how many machines may be planned for demand.
 	Limit int
-	// BinsVisited counts the bins that were looked at, over all jobs.
+	// BinsVisited counts the bins that were searched, over all jobs.
 	BinsVisited int
 
 	offers   []Offer
-	bins     []*Bin // all the room that is coming
-	openBins []*Bin // of it, what may take more of what waits, in the same order
-	fullBins int    // of them, those that by now may not
-	// searchFrom is where the search for room begins in openBins, by shape of a task: what is
-	// before it takes no more of that shape.
+	bins     []*Bin // all booting and planned machines
+	openBins []*Bin // those that may hold more pending tasks, in the same order
+	fullBins int    // number of openBins that have become too small
+	// searchFrom is the index in openBins where the search for capacity starts, by task shape.
+	// The bins before it can't hold another task of that shape.
 	searchFrom   map[placement.ShapeKey]int
-	smallest     placement.Resources // of a task that waits, each by itself
+	smallest     placement.Resources // minimum of each resource over the expected jobs
 	expectsAny   bool
 	countByOffer map[OfferKey]int
 	offerOrder   []Offer
@@ -50,15 +50,15 @@
 	quotas       map[string]*Quota // by team
 }
 
-// NewPlan begins a plan with offers, cheapest per CPU first, the machines that boot, and the
-// teams' quotas, which it uses up.
+// NewPlan returns an empty plan for offers, cheapest per CPU first, the booting machines and the
+// teams' quotas. The plan reduces the quotas as it uses them.
 func NewPlan(offers []Offer, booting []*Bin, quotas map[string]*Quota) *Plan {
 	return &Plan{offers: offers, bins: booting, openBins: slices.Clone(booting), searchFrom: map[placement.ShapeKey]int{},
 		countByOffer: map[OfferKey]int{}, quotas: quotas}
 }
 
-// Expect announces a job before demand is planned: bins too small for all that is expected
-// aren't searched.
+// Expect announces a job before its demand is added. Bins that are too small for all expected
+// jobs aren't searched.
 func (p *Plan) Expect(j *protocol.Job) {
 	if !p.expectsAny {
 		p.expectsAny = true
@@ -67,13 +67,14 @@
 	p.smallest.CPUs, p.smallest.MemGB = min(p.smallest.CPUs, j.CPUs), min(p.smallest.MemGB, j.MemoryGB)
 }
 
-// Full reports whether as many machines are planned as may be.
+// Full reports whether the plan has reached its limit of machines.
 func (p *Plan) Full() bool { return p.planned >= p.Limit }
 
-// Booting is how many machines boot or are planned.
+// Booting is the number of booting and planned machines.
 func (p *Plan) Booting() int { return len(p.bins) }
 
-// AddDemand finds room for a job's tasks in what is coming, and plans what they need beyond it.
+// AddDemand assigns a job's tasks to booting and planned machines, and plans the further machines
+// that they need.
 func (p *Plan) AddDemand(d Demand) {
 	left := min(d.Tasks, p.tasksWithinQuota(d.Job))
 	zones := newZoneConstraint(d.Job, d.Zones)
@@ -91,14 +92,14 @@
 		}
 		count := p.pack(p.addMachine(offer), d.Job, zones, left)
 		if count == 0 {
-			return // a machine of the best offer should take one at least
+			return // unexpected: a machine of the best offer holds at least one task
 		}
 		use(count)
 	}
 }
 
-// AddDisplaced finds room for replicas whose machines don't respond. They count under their
-// teams' limits already, and may go to any zone.
+// AddDisplaced plans capacity for replicas on unresponsive machines. Their teams' usage already
+// includes them, and they may be placed in any zone.
 func (p *Plan) AddDisplaced(j *protocol.Job, shape placement.ShapeKey, replicas int) {
 	zones := anyZone()
 	for left := replicas; left > 0 && !p.Full(); left-- {
@@ -113,8 +114,8 @@
 	}
 }
 
-// CountCapacity adds what the machines that boot or are planned have free, and what is taken of
-// them by what waits, in CPUs.
+// CountCapacity adds the free CPUs of the booting and planned machines, and those assigned to
+// pending tasks, to the given counts.
 func (p *Plan) CountCapacity(free, taken float64) (allFree, allTaken float64) {
 	for _, b := range p.bins {
 		free += b.cpus
@@ -123,8 +124,8 @@
 	return free, taken
 }
 
-// AddCheapest plans one more machine of the cheapest offer for tasks to come, and returns its
-// CPUs; false if there is no offer.
+// AddCheapest plans one more machine of the cheapest offer for future tasks, and returns its
+// CPUs, or false if there is no offer.
 func (p *Plan) AddCheapest() (cpus float64, ok bool) {
 	if len(p.offers) == 0 {
 		return 0, false
@@ -132,7 +133,7 @@
 	return p.addMachine(p.offers[0]).cpus, true
 }
 
-// Requests are the machines to be asked for, in the order in which they were planned first.
+// Requests returns the machines to request, ordered by when each offer was first planned.
 func (p *Plan) Requests() []Request {
 	var list []Request
 	for _, o := range p.offerOrder {
@@ -141,7 +142,7 @@
 	return list
 }
 
-// tasksWithinQuota is how many tasks of a job its team's limit still lets start.
+// tasksWithinQuota is how many tasks of a job its team's quota still allows to start.
 func (p *Plan) tasksWithinQuota(j *protocol.Job) int {
 	quota, most := p.quotas[j.Team], float64(j.Tasks)
 	if j.CPUs > 0 {
@@ -153,7 +154,8 @@
 	return max(0, int(most))
 }
 
-// fillBins puts tasks of a job into room that is coming, and returns how many found some.
+// fillBins assigns up to most tasks of a job to booting and planned machines, and returns how
+// many it assigned.
 func (p *Plan) fillBins(j *protocol.Job, shape placement.ShapeKey, zones *zoneConstraint, most int) int {
 	i, found := p.searchFrom[shape], 0
 	for ; i < len(p.openBins) && found < most; i++ {
@@ -162,7 +164,7 @@
 	}
 	if !j.OneZone && !j.Spread {
 		if found == most && i > 0 {
-			i-- // the last one may take more
+			i-- // the last bin may have room for more
 		}
 		p.searchFrom[shape] = max(p.searchFrom[shape], i)
 	}
@@ -170,7 +172,7 @@
 	return found
 }
 
-// pack puts up to a number of a job's tasks into a bin, and returns how many it took.
+// pack puts up to most tasks of a job into a bin, and returns how many it put there.
 func (p *Plan) pack(b *Bin, j *protocol.Job, zones *zoneConstraint, most int) int {
 	count := 0
 	for count < most && zones.allows(b.Offer.Zone) && b.place(j) {
@@ -183,13 +185,13 @@
 	return count
 }
 
-// tooSmall reports whether a bin takes none of the tasks that wait any more.
+// tooSmall reports whether a bin can't hold any more of the expected jobs' tasks.
 func (p *Plan) tooSmall(b *Bin) bool {
 	return b.cpus < p.smallest.CPUs-protocol.Epsilon || b.memoryGB < p.smallest.MemGB-protocol.Epsilon
 }
 
-// dropFullBins takes bins that are full out of those that are looked at, once they are most
-// of them: thousands of jobs would otherwise look at thousands of full ones each.
+// dropFullBins removes full bins from openBins once they are the majority. Otherwise thousands
+// of jobs would each search thousands of full bins.
 func (p *Plan) dropFullBins() {
 	if p.fullBins*2 <= len(p.openBins) {
 		return
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -12,11 +12,11 @@
 	"brasskeel/internal/records"
 )
 
-// benchSizes are the fleets of the benchmarks, in machines. What an event costs must not grow
-// faster than they do, and what concerns one machine not at all.
+// benchSizes are the fleet sizes of the benchmarks, in machines. The cost of an event must not grow
+// faster than the fleet, and the cost of an event of one machine must not grow with the fleet.
 var benchSizes = []int{250, 1000, 4000}
 
-// runAtSizes runs a benchmark for each size of fleet.
+// runAtSizes runs a benchmark for each fleet size.
 func runAtSizes(b *testing.B, run func(b *testing.B, machines int)) {
 	for _, machines := range benchSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -26,10 +26,10 @@
 	}
 }
 
-// benchJobs is how many jobs a fleet has: about eighteen tasks for each machine.
+// benchJobs is the number of jobs for a fleet, with about eighteen tasks per machine.
 func benchJobs(machines int) int { return machines * 3 / 8 }
 
-// largeLeader is a leader of a large, empty fleet with many waiting jobs.
+// largeLeader returns a leader of an empty fleet with pending jobs.
 func largeLeader(machines, jobs int) (*Controller, *leader) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
@@ -47,6 +47,8 @@
 	return c, l
 }
 
+// benchJob returns the i-th of a mix of jobs: batch jobs, services, and low-priority jobs that
+// save checkpoints.
 func benchJob(i int) *protocol.Job {
 	j := &protocol.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard,
 		Tasks: 50, CPUs: 1, MemoryGB: 6, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1.5, EstimatedRuntime: 40 * time.Second}
@@ -60,7 +62,8 @@
 	return j
 }
 
-// fillFleet places what has room, as often as records allow.
+// fillFleet places all tasks that fit, in as many rounds as the limit of unrecorded placements
+// requires.
 func fillFleet(l *leader) {
 	for range 10 + len(l.fleetList)/25 {
 		l.runPlacementRound()
@@ -69,7 +72,7 @@
 	markAllRunning(l)
 }
 
-// markAllRunning takes all that was placed for running.
+// markAllRunning marks all placed attempts as running.
 func markAllRunning(l *leader) {
 	for _, m := range l.fleetList {
 		for _, a := range m.attempts {
@@ -89,7 +92,7 @@
 	})
 }
 
-// BenchmarkPlaceOneTaskJobs places a burst of jobs of one task each, a round of them.
+// BenchmarkPlaceOneTaskJobs runs one placement round for a burst of jobs with one task each.
 func BenchmarkPlaceOneTaskJobs(b *testing.B) {
 	runAtSizes(b, func(b *testing.B, machines int) {
 		for b.Loop() {
@@ -110,7 +113,7 @@
 	runAtSizes(b, func(b *testing.B, machines int) {
 		_, l := largeLeader(machines, benchJobs(machines))
 		fillFleet(l)
-		l.runPlacementRound() // what gives way has been stopped by then
+		l.runPlacementRound() // stops all tasks that are to be preempted
 		for b.Loop() {
 			l.runPlacementRound()
 		}
@@ -139,8 +142,8 @@
 	})
 }
 
-// BenchmarkHeartbeatWithExits takes a report of 200 small tasks that are done, whose array has
-// thousands more.
+// BenchmarkHeartbeatWithExits handles a heartbeat that reports 200 completed tasks of a job with
+// thousands of tasks.
 func BenchmarkHeartbeatWithExits(b *testing.B) {
 	const exits = 200
 	b.ReportAllocs()
@@ -166,7 +169,7 @@
 	}
 }
 
-// BenchmarkTimers takes one step of each of a leader's timers in a full fleet.
+// BenchmarkTimers runs one step of each of a leader's periodic functions in a full fleet.
 func BenchmarkTimers(b *testing.B) {
 	for _, step := range []struct {
 		name string
@@ -185,7 +188,7 @@
 				fillFleet(l)
 				l.controller.takeEffects()
 				for b.Loop() {
-					l.autoscaler.callBudget.TryTake(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now)) // nothing is asked of the cloud
+					l.autoscaler.callBudget.TryTake(l.controller.now, l.autoscaler.callBudget.Available(l.controller.now)) // no calls to the cloud
 					step.run(l)
 				}
 			})
@@ -193,7 +196,8 @@
 	}
 }
 
-// bootingFleet boots as a whole, and twice as much waits as it will hold.
+// bootingFleet returns a leader whose whole fleet is booting, with twice as many pending tasks as
+// it will hold.
 func bootingFleet(machines int) *leader {
 	_, l := largeLeader(machines, 2*benchJobs(machines))
 	for _, m := range l.fleetList {
@@ -206,8 +210,8 @@
 	return l
 }
 
-// BenchmarkScaleOutWhileBooting looks at what is to be rented while the whole fleet boots and
-// twice as much waits as it will hold.
+// BenchmarkScaleOutWhileBooting plans a scale-out while the whole fleet is booting, with twice as
+// many pending tasks as it will hold.
 func BenchmarkScaleOutWhileBooting(b *testing.B) {
 	runAtSizes(b, func(b *testing.B, machines int) {
 		l := bootingFleet(machines)
@@ -218,8 +222,8 @@
 	})
 }
 
-// singleReplicaFleet is a fleet where each machine holds one replica, whose image others hold that
-// have no room for it.
+// singleReplicaFleet returns a leader of a fleet where each machine runs one replica. Other
+// machines hold the replica's image but have no room for it.
 func singleReplicaFleet(machines int) *leader {
 	_, l := largeLeader(machines, 0)
 	for i, m := range l.fleetList {
@@ -243,7 +247,8 @@
 	return l
 }
 
-// BenchmarkConsolidateSingleReplicas looks for machines to be returned where each holds one replica.
+// BenchmarkConsolidateSingleReplicas searches for machines to consolidate where each one runs a
+// single replica.
 func BenchmarkConsolidateSingleReplicas(b *testing.B) {
 	runAtSizes(b, func(b *testing.B, machines int) {
 		l := singleReplicaFleet(machines)
@@ -258,8 +263,8 @@
 	})
 }
 
-// BenchmarkLoad reads the records of a fleet with running tasks as a new leader, and tells
-// how much memory the loaded core holds.
+// BenchmarkLoad loads the records of a fleet with running tasks as a new leader, and reports the
+// heap memory that the leader holds.
 func BenchmarkLoad(b *testing.B) {
 	runAtSizes(b, func(b *testing.B, machines int) {
 		service := fleetRecords(machines)
@@ -278,7 +283,7 @@
 	})
 }
 
-// heapHeldBy is how much memory is freed once a leader is given up.
+// heapHeldBy returns the bytes of heap memory that are freed when a leader is dropped.
 func heapHeldBy(l **leader) uint64 {
 	inUse := func() uint64 {
 		var m runtime.MemStats
@@ -291,7 +296,7 @@
 	return before - min(before, inUse())
 }
 
-// fleetRecords are the records of a fleet whose machines run sixteen tasks each.
+// fleetRecords returns the records of a fleet with sixteen running tasks per machine.
 func fleetRecords(machines int) *fakeStateService {
 	service := &fakeStateService{items: map[string]protocol.KeyValue{}}
 	const perRecord, perMachine, perJob = 48, 16, 96
@@ -316,7 +321,7 @@
 	return service
 }
 
-// BenchmarkSubmit takes a submission in and the answer of the state service.
+// BenchmarkSubmit handles a submission and the state service's response to its write.
 func BenchmarkSubmit(b *testing.B) {
 	c, _ := largeLeader(1000, 40)
 	body := protocol.EncodeJob(benchJob(2))
@@ -332,7 +337,7 @@
 	}
 }
 
-// BenchmarkStatusQueries takes forty polls in, which one transaction checks.
+// BenchmarkStatusQueries handles forty status queries that are checked by one transaction.
 func BenchmarkStatusQueries(b *testing.B) {
 	c, _ := largeLeader(1000, 40)
 	committed := protocol.EncodeRevision(7)
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -6,29 +6,29 @@
 	"brasskeel/internal/coordination/autoscaler"
 )
 
-// Machines that boot late, or never. A machine overdue is replaced and in the end
-// returned. Where most are overdue at once the cloud is slow, and replacements would be
-// as late: then only some are replaced, to see whether new ones come sooner, and none
-// is given up before several times as long.
+// Handling of machines that boot late or never. A machine whose boot is overdue is replaced and
+// eventually released. If most booting machines are overdue at once, the cloud is slow and
+// replacements would be as late. Then only some are replaced, to find out whether new machines
+// boot faster, and all get a longer boot timeout.
 
 const (
-	overdueFactor          = 2 // times the usual boot time, after which another is rented
+	overdueFactor          = 2 // multiple of the usual boot time after which a replacement is provisioned
 	overdueMargin          = 2 * time.Second
-	bootTimeoutFactor      = 4 // times after which it is given up, but not before this margin
+	bootTimeoutFactor      = 4 // multiple after which it is released, but not before bootTimeoutMargin
 	bootTimeoutMargin      = 20 * time.Second
-	slowBootTimeoutFactor  = 10 // times, while the cloud is slow
-	minSlowBoots           = 3  // machines overdue, to call it so
-	slowReplacementDivisor = 4  // part of them that is replaced, as a divisor
+	slowBootTimeoutFactor  = 10 // multiple while the cloud is slow
+	minSlowBoots           = 3  // minimum number of overdue machines for the cloud to count as slow
+	slowReplacementDivisor = 4  // fraction of the overdue machines that is replaced then, as a divisor
 )
 
-// bootProgress is how far the machines have come that were rented lately.
+// bootProgress summarizes the machines that were provisioned recently.
 type bootProgress struct {
-	overdue []*machine // not registered, and overdue
-	booted  int        // registered
-	longest *machine   // the one that boots for longest
+	overdue []*machine // booting for longer than expected
+	booted  int        // registered recently
+	longest *machine   // the machine that has been booting for the longest
 }
 
-// booting reports whether a machine is being started and hasn't registered yet.
+// booting reports whether a machine in service hasn't registered yet since it was provisioned.
 func (l *leader) booting(m *machine) bool {
 	return !m.session.Registered && m.lifecycle.inService() && m.Spec != nil && !l.awaitsRegistration(m)
 }
@@ -38,14 +38,14 @@
 	return l.controller.now.Sub(m.provisionedAt) >= m.Spec.BootTime*overdueFactor+overdueMargin
 }
 
-// awaitsRegistration reports whether a machine that should be up by now may have registered with
-// an earlier leader, and merely not to this one yet: new leaders returned such machines as
-// if they had never come up.
+// awaitsRegistration reports whether a machine that should have booted may have registered with
+// an earlier leader and just not with this one yet. Otherwise a new leader would release such
+// machines as if they had never booted.
 func (l *leader) awaitsRegistration(m *machine) bool {
 	return m.inherited && l.bootOverdue(m) && l.controller.now.Sub(l.loadedAt) < l.controller.timing().RegistrationTimeout()
 }
 
-// bootProgress looks at the machines that boot, or booted lately.
+// bootProgress summarizes the machines that are booting or booted recently.
 func (l *leader) bootProgress() bootProgress {
 	var b bootProgress
 	for _, m := range l.fleetList {
@@ -64,12 +64,12 @@
 	return b
 }
 
-// slow reports whether boots are late in general.
+// slow reports whether the cloud is slow, with most recent boots overdue.
 func (b *bootProgress) slow() bool {
 	return len(b.overdue) >= minSlowBoots && len(b.overdue) > b.booted
 }
 
-// replacedCount is the number of machines overdue that others are rented for.
+// replacedCount is the number of overdue machines for which replacements are provisioned.
 func (b *bootProgress) replacedCount() int {
 	if b.slow() {
 		return max(1, len(b.overdue)/slowReplacementDivisor)
@@ -77,8 +77,8 @@
 	return len(b.overdue)
 }
 
-// bootingBins lists the room of machines that boot, leaving out those that are replaced:
-// some never come up, and work doesn't wait for them.
+// bootingBins returns the capacity of booting machines without those that are replaced: some of
+// them never boot, and tasks shouldn't wait for them.
 func (l *leader) bootingBins() []*autoscaler.Bin {
 	b := l.bootProgress()
 	without := b.replacedCount()
@@ -96,21 +96,22 @@
 	return bins
 }
 
-// releaseOverdueBoots gives up machines that don't come up, at once those that nothing waits for.
+// releaseOverdueBoots releases overdue machines after the boot timeout, or after
+// minimumBilledTime if no task waits for capacity.
 func (l *leader) releaseOverdueBoots() {
 	b := l.bootProgress()
 	idle := len(l.autoscaler.unmetDemand) == 0 && len(l.autoscaler.displacedReplicas) == 0 && !l.autoscaler.demandIncomplete
 	for _, m := range b.overdue {
-		patience := max(m.Spec.BootTime*bootTimeoutFactor, m.Spec.BootTime+bootTimeoutMargin)
+		timeout := max(m.Spec.BootTime*bootTimeoutFactor, m.Spec.BootTime+bootTimeoutMargin)
 		if b.slow() {
-			patience = m.Spec.BootTime * slowBootTimeoutFactor
+			timeout = m.Spec.BootTime * slowBootTimeoutFactor
 		}
 		switch age := l.controller.now.Sub(m.provisionedAt); {
-		case len(m.attempts) > 0: // it was up for an earlier leader
-		case age > patience:
-			l.release(m, "never came up")
+		case len(m.attempts) > 0: // it had booted under an earlier leader
+		case age > timeout:
+			l.release(m, "boot timed out")
 		case idle && age > minimumBilledTime:
-			l.release(m, "late, and not needed any more")
+			l.release(m, "boot overdue and no longer needed")
 		}
 	}
 }
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -6,17 +6,17 @@
 	"brasskeel/internal/protocol"
 )
 
-// consolidationDivisor is the part of the fleet whose replicas are moved in one turn, as a
-// divisor.
+// consolidationDivisor is the fraction of the fleet whose replicas are moved in one
+// consolidation, as a divisor.
 const consolidationDivisor = 30
 
-// consolidate moves the replicas of little used machines to others that hold
-// their images, where all of them find room, so that these can be returned.
-// Services stay for long, and what they were spread over when the cluster was
-// busy would stay with them. A move takes a moment: the image is there.
+// consolidate moves all replicas off underused machines, if other machines that hold their
+// images have room for them, so that the underused ones can be released. Services run for long,
+// and would otherwise keep all machines that they were spread over while the cluster was busy.
+// A move is fast because the target already holds the image.
 func (l *leader) consolidate() {
-	c, f := l.controller, &l.autoscaler
-	if len(f.unmetDemand) > 0 || f.demandIncomplete || c.store.Unavailable() || c.now.Sub(f.consolidatedAt) < consolidationInterval {
+	c, scaler := l.controller, &l.autoscaler
+	if len(scaler.unmetDemand) > 0 || scaler.demandIncomplete || c.store.Unavailable() || c.now.Sub(scaler.consolidatedAt) < consolidationInterval {
 		return
 	}
 	candidates, onDemandRoom := l.consolidationCandidates()
@@ -27,7 +27,7 @@
 			return
 		}
 		if planner.get().PlannedUsage().Allocated(m.Name) != (placement.Resources{}) {
-			continue // replicas are to move here
+			continue // replicas are planned to move here
 		}
 		if room := l.onDemandCapacity(m); !m.Consolidating && room > 0 && onDemandRoom-m.Spec.CPUs < l.onDemandReserve() {
 			continue
@@ -43,9 +43,9 @@
 	}
 }
 
-// consolidationCandidates are the machines that hold only replicas and few of them, dearest
-// first, and the room that work which may not use spot machines can have on all machines that
-// aren't being consolidated, in CPUs.
+// consolidationCandidates returns the machines that hold only replicas and are underused or
+// already marked for consolidation, the most expensive first, and the on-demand capacity of all
+// machines that aren't being consolidated, in CPUs.
 func (l *leader) consolidationCandidates() (candidates []*machine, onDemandRoom float64) {
 	for _, m := range l.fleetList {
 		if !l.acceptsTasks(m) {
@@ -63,7 +63,7 @@
 	return candidates, onDemandRoom
 }
 
-// evictReplicas stops what runs on a machine that is being consolidated, to start elsewhere.
+// evictReplicas stops all replicas on a machine, so that they start elsewhere.
 func (l *leader) evictReplicas(m *machine) {
 	l.controller.logSampled("replicas evicted for consolidation", "machine", m.Name, "attempts", len(m.attempts))
 	l.autoscaler.consolidatedAt = l.controller.now
@@ -73,7 +73,7 @@
 	}
 }
 
-// newPlanner is a planner for the fleet as it is now.
+// newPlanner returns a planner for the current fleet.
 func (l *leader) newPlanner() *balance.Planner {
 	sites := make([]balance.LoadedMachine, len(l.fleetList))
 	for i, m := range l.fleetList {
@@ -82,8 +82,8 @@
 	return balance.NewPlanner(sites, func(m *placement.Machine) bool { return l.acceptsTasks(l.machines[m.Name]) })
 }
 
-// runningReplicas are the replicas on a machine, in a fixed order; false if one of them doesn't run
-// or has to wait for others of its service.
+// runningReplicas returns the replicas on a machine, in a fixed order, or false if one of them
+// isn't running or another replica of its service is pending.
 func (m *machine) runningReplicas() (list []balance.Replica, settled bool) {
 	for _, a := range m.sortedAttempts() {
 		j := a.job
@@ -98,14 +98,14 @@
 	return list, true
 }
 
-// replicasFitElsewhere reports whether a machine's replicas find room elsewhere, and takes it unless this
-// is but a try.
+// replicasFitElsewhere reports whether all replicas on a machine fit on other machines. Unless
+// try is set, it reserves that capacity in the planner.
 func (m *machine) replicasFitElsewhere(p *balance.Planner, try bool) bool {
 	replicas, settled := m.runningReplicas()
 	return settled && p.Evacuate(&m.Machine, replicas, try)
 }
 
-// lazyPlanner makes a planner on first use: most looks at the fleet need none.
+// lazyPlanner creates a planner on first use: most passes over the fleet need none.
 type lazyPlanner struct {
 	leader  *leader
 	planner *balance.Planner
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -6,11 +6,11 @@
 	"brasskeel/internal/coordination/sessions"
 )
 
-// detectorInterval is how often the failure detector looks at all machines.
+// detectorInterval is how often the failure detector scans all machines.
 const detectorInterval = 250 * time.Millisecond
 
-// detectFailures looks for machines that don't respond. Silence proves nothing; releasing
-// the machine does, and takes a moment.
+// detectFailures probes silent machines and releases unresponsive ones. Silence doesn't prove
+// that a machine's tasks have ended, but its release does, and takes only a moment.
 func (l *leader) detectFailures() {
 	c := l.controller
 	stalled := l.detector.Scan(c.now)
@@ -21,8 +21,8 @@
 		return
 	}
 	if stalled || c.store.Unavailable() || !l.holdsLease() {
-		// Nothing could be moved now, and workers that got no answer from this
-		// controller look for another: their silence counts anew from here.
+		// No task could be moved now, and workers without a response from this controller
+		// try another one: their silence is counted from here.
 		l.detector.Reset(c.now)
 		return
 	}
@@ -35,14 +35,14 @@
 	l.releaseUnresponsive(s)
 }
 
-// probeUnreached probes the workers that nothing sent has reached yet.
+// probeUnreached probes the workers that nothing sent is known to have reached yet.
 func (l *leader) probeUnreached() {
 	var unreached []*machine
 	for _, m := range l.fleetList {
 		if !m.session.LastReached.IsZero() {
 			continue
 		}
-		// One that came by itself soon shows a token of this epoch in its next heartbeat.
+		// A worker that registered soon shows a token of this epoch in its next heartbeat.
 		if !m.session.Registered && m.inherited || m.session.Registered && l.controller.now.Sub(m.session.RegisteredAt) > tokenEchoTimeout {
 			unreached = append(unreached, m)
 		}
@@ -50,9 +50,9 @@
 	l.probeBatch(unreached)
 }
 
-// fleetReachability is how a leader's machines respond at a moment.
+// fleetReachability is the result of one scan of a leader's machines.
 type fleetReachability struct {
-	unresponsive []*machine // to be given up
+	unresponsive []*machine // to be released
 	toProbe      []*machine
 	domains      map[failureDomain]*sessions.DomainHealth
 	suspectZones map[string]bool
@@ -63,7 +63,7 @@
 	s := &fleetReachability{domains: map[failureDomain]*sessions.DomainHealth{}, suspectZones: map[string]bool{}}
 	for _, m := range l.fleetList {
 		since, expected := l.unresponsiveSince(m)
-		if m.inherited && expected { // others may be booting yet
+		if m.inherited && expected { // others may still be booting
 			s.countInherited(m)
 		}
 		if expected {
@@ -73,15 +73,16 @@
 	return s
 }
 
-// unresponsiveSince is since when a machine is silent, if its worker should be up.
+// unresponsiveSince returns since when a machine has been silent, and whether its worker is
+// expected to be up.
 func (l *leader) unresponsiveSince(m *machine) (since time.Time, expected bool) {
 	since = m.session.LastSeen
 	if !m.session.Registered {
 		if len(m.attempts) == 0 {
 			return since, false
 		}
-		// It ran tasks for an earlier leader. Those that were probed since the records
-		// were read have been silent since then.
+		// It ran tasks under an earlier leader. It counts as silent since the records were
+		// loaded if it has been probed without an answer, else since the reconciliation.
 		since = l.reconciledAt
 		if m.session.FailedProbes >= sessions.UnansweringProbeThreshold {
 			since = l.loadedAt
@@ -90,14 +91,14 @@
 	if l.shards != nil {
 		heard, ok := l.shards.ownerHeardSince(m)
 		if !ok {
-			return l.controller.now, true // nobody tells of it
+			return l.controller.now, true // no owner reports it
 		}
 		since = sessions.Latest(since, heard)
 	}
 	return sessions.Latest(since, l.detector.ResetAt()), true
 }
 
-// countInherited counts a machine that an earlier leader knew.
+// countInherited counts a machine that was loaded from an earlier leader's record.
 func (s *fleetReachability) countInherited(m *machine) {
 	s.contact.Inherited++
 	switch {
@@ -108,7 +109,7 @@
 	}
 }
 
-// add takes in a machine that was silent for a time.
+// add counts a machine that has been silent for unseen.
 func (s *fleetReachability) add(l *leader, m *machine, unseen time.Duration) {
 	key := l.failureDomain(m)
 	domain := s.domains[key]
@@ -137,30 +138,31 @@
 	}
 }
 
-// resignIfDisconnected lets another controller lead that may reach machines which this one
-// doesn't, and reports whether it did.
+// resignIfDisconnected hands the leadership over if another controller may reach machines that
+// this one can't reach, and reports whether it did.
 //
-// Only machines that this leader has heard count as lost: another controller may still reach
-// them. Where it doesn't, it won't have heard them either and stays. Counting all, leaders
-// of a cluster that had lost most machines for good handed over to one another without
-// end. It comes before any release: a leader that an outage kept from seeing it in time
-// returned its whole fleet.
+// It does so if most registered machines are unreachable. Only registered machines count:
+// another controller may still reach them, and if it can't, they won't have registered with it
+// either and it keeps leading. When all machines counted, the leaders of a cluster that had
+// permanently lost most machines handed over to one another endlessly. The check comes before
+// any release: a leader that an outage kept from detecting this in time released its whole
+// fleet.
 //
-// Nor is it the one to lead if it never heard most of those that the leader before knew,
-// while another controller hasn't tried. Those that don't answer calls either needn't be
-// waited for: with two controllers in a row that were cut off from the workers, all leases
-// were over before the third led.
+// It also does so if most machines that the previous leader knew never registered and another
+// controller hasn't tried to lead yet. Machines that don't answer probes either aren't waited
+// for: after two successive leaders that were partitioned from the workers, all worker leases
+// had expired before the third one led.
 func (l *leader) resignIfDisconnected(s *fleetReachability) bool {
 	c := l.controller
-	if s.contact.MostUnreachable() && c.now.Sub(l.reconciledAt) > 2*time.Second && c.resignDisconnected("most machines are out of reach") {
+	if s.contact.MostUnreachable() && c.now.Sub(l.reconciledAt) > 2*time.Second && c.resignDisconnected("most machines are unreachable") {
 		return true
 	}
 	waited := s.contact.MostUnanswering() || c.now.Sub(l.loadedAt) > c.timing().RegistrationTimeout()
-	return s.contact.FewRegistered() && waited && c.resignDisconnected("few machines are heard")
+	return s.contact.FewRegistered() && waited && c.resignDisconnected("few machines have registered")
 }
 
-// releaseUnresponsive returns machines that are presumed dead, but for those that a
-// partition rather parts from the leader, and those that are kept for their replicas.
+// releaseUnresponsive releases machines that are presumed dead, except for those that are more
+// likely partitioned from their controller, and those kept for the replicas they run.
 func (l *leader) releaseUnresponsive(s *fleetReachability) {
 	c := l.controller
 	deferral := l.newReleaseDeferral()
@@ -182,24 +184,24 @@
 	}
 }
 
-// presumedDead reports whether a machine that was silent for a time is to be given up.
+// presumedDead reports whether a machine that has been silent for unseen should be released.
 func (l *leader) presumedDead(m *machine, unseen time.Duration) bool {
 	silence := sessions.Silence{Unseen: unseen, Unreached: l.unreachedFor(m), Unanswered: l.unansweredFor(m), FailedProbes: m.session.FailedProbes}
 	if l.shards != nil {
-		// All of it is the word of who serves the machine: while nobody is heard it says
-		// nothing, and what was told before is no older than since it is heard again.
+		// All of this is reported by the owner of the machine's shard. Without contact to an
+		// owner nothing is known, and earlier reports count only from when contact resumed.
 		since, heard := l.shards.ownerHeardSince(m)
 		if !heard {
 			return false
 		}
-		told := l.controller.now.Sub(since)
-		silence.Unreached, silence.Unanswered = min(silence.Unreached, told), min(silence.Unanswered, told)
+		reportedFor := l.controller.now.Sub(since)
+		silence.Unreached, silence.Unanswered = min(silence.Unreached, reportedFor), min(silence.Unanswered, reportedFor)
 	}
 	return l.controller.timing().PresumedDead(silence)
 }
 
-// failureDomain is the machines that a network partition would part from their controller
-// together: those of a zone that one controller serves.
+// failureDomain identifies the machines that a network partition would cut off from their
+// controller together: those in one zone that are served by one controller.
 type failureDomain struct{ owner, zone string }
 
 func (l *leader) failureDomain(m *machine) failureDomain {
@@ -209,7 +211,7 @@
 	return failureDomain{l.shards.sharding.ownerName(m.shard), m.Zone}
 }
 
-// hasPeersInOtherZones reports whether another controller runs in another zone than this.
+// hasPeersInOtherZones reports whether any peer runs in a different zone than this controller.
 func (c *Controller) hasPeersInOtherZones() bool {
 	for i := range c.cfg.Peers {
 		if c.cfg.Peers[i].Zone != c.cfg.Zone {
--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -8,9 +8,10 @@
 	"brasskeel/internal/protocol"
 )
 
-// partitionZone has the calls to twelve machines of a zone time out, whose last reports came
-// at different times of an interval, and gives the first that is given up within span.
-func partitionZone(t *testing.T, interval, span time.Duration) (given string, asked int) {
+// partitionZone lets all calls to twelve machines of a zone time out, with their last heartbeats
+// spread over an interval. It returns the first machine released within span, and the number of
+// probes sent.
+func partitionZone(t *testing.T, interval, span time.Duration) (released string, probes int) {
 	t.Helper()
 	c, l := newTestLeader(phaseActive)
 	c.cfg.HeartbeatInterval = interval
@@ -22,7 +23,7 @@
 		m.session.LastSeen, m.session.LastReached, m.session.RegisteredAt = c.now, c.now, c.now
 		if i < 12 {
 			m.Zone = "a"
-			m.session.LastSeen = c.now.Add(-interval * 5 / 4 * time.Duration(i) / 12) // the longest between reports
+			m.session.LastSeen = c.now.Add(-interval * 5 / 4 * time.Duration(i) / 12) // spread over the longest heartbeat interval
 			cut = append(cut, m)
 		} else {
 			others = append(others, m)
@@ -36,7 +37,7 @@
 	calls := func(e Effects) {
 		for _, call := range e.Calls {
 			if call.To == Worker && call.Target == protocol.PathWorkerStatus {
-				asked++
+				probes++
 				open = append(open, probe{call.ID, c.now.Add(call.Timeout)})
 			}
 		}
@@ -53,23 +54,23 @@
 		calls(c.Tick(now))
 		for _, m := range cut {
 			if m.lifecycle.releasing() {
-				return m.Name, asked
+				return m.Name, probes
 			}
 		}
 	}
-	return "", asked
+	return "", probes
 }
 
-// Machines that a cut parts from the leader are kept, however far apart reports come.
+// Machines that are partitioned from the leader aren't released, whatever the heartbeat interval.
 func TestPartitionDetectedBeforeMachinesAreReleased(t *testing.T) {
 	for _, interval := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4 * time.Second} {
-		if given, asked := partitionZone(t, interval, 12*time.Second); given != "" || asked < 12 {
-			t.Errorf("reports each %s: %q is given up, %d times asked", interval, given, asked)
+		if released, probes := partitionZone(t, interval, 12*time.Second); released != "" || probes < 12 {
+			t.Errorf("heartbeat interval %s: %q is released, %d probes", interval, released, probes)
 		}
 	}
 }
 
-// Between reports that come in time nobody is asked.
+// A worker whose heartbeats arrive in time isn't probed between them.
 func TestNoProbesBetweenTimelyHeartbeats(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.cfg.HeartbeatInterval = 4 * time.Second
@@ -89,7 +90,7 @@
 	}
 }
 
-// Where one worker of a zone doesn't answer, the others of it are asked sooner.
+// If one worker of a zone doesn't answer a probe, the others in that zone are probed sooner.
 func TestSuspectZoneIsProbedSooner(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.cfg.HeartbeatInterval = 4 * time.Second
@@ -99,11 +100,11 @@
 	}
 	lost.session.FailedProbes, far.Zone = 1, "b"
 	c.now = c.now.Add(c.timing().ProbeAfter(true))
-	l.detector.Scan(c.now) // it hasn't stood still meanwhile
-	l.detectFailures()     // sees the doubt
+	l.detector.Scan(c.now) // so that the process doesn't count as stalled
+	l.detectFailures()     // marks the zone as suspect
 	c.now = c.now.Add(detectorInterval)
 	l.detectFailures()
 	if !near.session.ProbeInFlight || far.session.ProbeInFlight {
-		t.Errorf("asked: the same zone %t, another %t", near.session.ProbeInFlight, far.session.ProbeInFlight)
+		t.Errorf("probed in the same zone: %t, in another zone: %t", near.session.ProbeInFlight, far.session.ProbeInFlight)
 	}
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -9,17 +9,17 @@
 	"brasskeel/internal/protocol"
 )
 
-// heartbeatMessage is the place of a worker's heartbeat among its messages, and
-// responseMessage that of the status in a response of the worker's to a call.
+// heartbeatMessage returns the position of a heartbeat among the worker's messages.
 func heartbeatMessage(r *protocol.Heartbeat) sessions.Message {
 	return sessions.Message{Incarnation: r.Incarnation, Sequence: r.Sequence, Token: r.FencingToken, Heartbeat: true}
 }
 
+// responseMessage returns the position of a worker's response to a call among its messages.
 func responseMessage(r *protocol.Heartbeat) sessions.Message {
 	return sessions.Message{Incarnation: r.Incarnation, Sequence: r.Sequence, Token: r.FencingToken}
 }
 
-// answerHeartbeat answers a heartbeat of a machine that this owner serves.
+// answerHeartbeat responds to a heartbeat of a machine that this owner serves.
 func (s *workerSessions) answerHeartbeat(m *machine, id uint64, r *protocol.Heartbeat) {
 	c := s.controller
 	arrival := m.session.ClassifyHeartbeat(heartbeatMessage(r))
@@ -29,8 +29,8 @@
 	}
 	m.session.LastAnswered = c.now
 	if arrival == sessions.Overtaken {
-		// Orders in its answer would be judged by the wrong list of tasks. But the answer
-		// renews the worker's lease all the same, so it ends what must not go on.
+		// Its task list is outdated, so orders derived from it could be wrong. The response
+		// renews the worker's lease all the same, so it carries the stops of ended jobs.
 		m.session.HeartbeatSequence = r.Sequence
 		c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), s.stopOrdersForEndedJobs(r)))
 		return
@@ -42,14 +42,14 @@
 	}
 }
 
-// applyHeartbeat brings what is known of a machine up to its newest heartbeat, and returns
-// the orders for its answer.
+// applyHeartbeat updates the state of a machine from its newest heartbeat, and returns the
+// orders for the heartbeat response.
 func (s *workerSessions) applyHeartbeat(m *machine, r *protocol.Heartbeat) []protocol.Order {
 	return s.applyStatus(m, r, heartbeatMessage(r))
 }
 
-// applyResponse does so from the status in a response of the worker's to a call. That carries
-// no orders: those that are wanted go out by another call, or with the next heartbeat.
+// applyResponse updates the state of a machine from the status in a worker's response to a
+// call. Resulting orders go out by another call or with the next heartbeat response.
 func (s *workerSessions) applyResponse(m *machine, r *protocol.Heartbeat) {
 	s.applyStatus(m, r, responseMessage(r))
 }
@@ -63,8 +63,8 @@
 		s.listener.preemptionNoticed(m)
 	}
 	if !s.loaded && !m.attemptsKnown {
-		// Whether a task belongs here isn't known yet; the answer renews the lease,
-		// and ends what must not go on. The same status will come again.
+		// Which tasks belong here isn't known yet. The response still renews the worker's
+		// lease, so it carries the stops of ended jobs. The next heartbeat repeats the status.
 		return s.stopOrdersForEndedJobs(r)
 	}
 	if !m.session.Reconciled {
@@ -82,8 +82,8 @@
 	return s.fitOrders(&room, slices.Concat(orders, s.stopOrders(m), s.forgetOrders(m, r, forgets)))
 }
 
-// fitOrders leaves out what one message can't hold. All of it is found wanting again by the
-// worker's next heartbeat.
+// fitOrders drops the orders that don't fit into one message. They are found again when the
+// worker's next heartbeat is applied.
 func (s *workerSessions) fitOrders(room *protocol.OrderBudget, orders []protocol.Order) []protocol.Order {
 	fit, cut := room.Fit(orders)
 	if cut {
@@ -92,7 +92,7 @@
 	return fit
 }
 
-// updateWorker takes what a message tells of the worker itself.
+// updateWorker updates a worker's registration, message order and address from a message.
 func (s *workerSessions) updateWorker(m *machine, r *protocol.Heartbeat, message sessions.Message) {
 	c := s.controller
 	if !m.session.Registered {
@@ -112,7 +112,8 @@
 	}
 }
 
-// updateReachability takes what a message proves of what was sent to the worker.
+// updateReachability records whether a message proves that something sent has reached the
+// worker, and probes a worker that nothing has reached yet.
 func (s *workerSessions) updateReachability(m *machine, message sessions.Message) {
 	if at, proven := m.session.ProvesReached(message, s.controller.now); proven {
 		s.recordReached(m, at)
@@ -126,16 +127,16 @@
 	}
 }
 
-// recordReached notes that something sent arrived at the worker, at a time or after it.
+// recordReached records that something sent reached the worker, at the given time or later.
 func (s *workerSessions) recordReached(m *machine, at time.Time) {
 	m.session.FailedProbes = 0
 	s.listener.workerReached(m)
 	m.session.RecordReached(at)
 }
 
-// reconcileReportedTasks takes the tasks that a worker holds. It returns orders that stop orphans, which
-// only a heartbeat's answer may carry, and those that let the worker forget exited tasks,
-// which need a token of their own.
+// reconcileReportedTasks compares the tasks that a worker reports with its known attempts. It
+// returns the stops of orphaned tasks, which only a heartbeat response may carry, and the
+// orders to forget exited tasks, which may need a raised token first (forgetOrders).
 func (s *workerSessions) reconcileReportedTasks(m *machine, r *protocol.Heartbeat, heartbeat bool) (orphans, forgets []protocol.Order) {
 	s.heartbeatCount++
 	for i := range r.Tasks {
@@ -162,13 +163,14 @@
 	return orphans, forgets
 }
 
-// taskOrder is an order for a task as its worker reported it.
+// taskOrder returns an order for a task that a worker reported.
 func taskOrder(kind protocol.OrderKind, t *protocol.TaskStatus) protocol.Order {
 	return protocol.Order{Kind: kind, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt}
 }
 
-// reconcileAbsentAttempts judges the attempts that a message lacks, in a fixed order. Starts are sent as
-// far as there is room beside the stops, which go first.
+// reconcileAbsentAttempts handles the known attempts that a message doesn't report, in a fixed
+// order, and returns the starts to send with a heartbeat response. Stops have precedence:
+// their part of the message is reserved first.
 func (s *workerSessions) reconcileAbsentAttempts(m *machine, message sessions.Message, room protocol.OrderBudget) []protocol.Order {
 	for _, a := range m.attemptList {
 		if a.stopRequested {
@@ -191,8 +193,8 @@
 	return starts
 }
 
-// reconcileAbsentAttempt judges an attempt that a message lacks, and reports whether its start is to be
-// sent.
+// reconcileAbsentAttempt handles an attempt that a message doesn't report, and returns whether
+// its start should be sent.
 func (s *workerSessions) reconcileAbsentAttempt(m *machine, a *attempt, message sessions.Message) (start bool) {
 	switch verdict, reason := a.delivery.EvaluateAbsence(message, m.session.Epoch.BaseToken()); {
 	case verdict == sessions.Terminated:
@@ -207,8 +209,9 @@
 	return false
 }
 
-// startWithHeartbeat sends a start with the answer of a heartbeat, if there is room for it, or by
-// a call of its own at the end of the step if there is no heartbeat to answer.
+// startWithHeartbeat reports whether a start is to go out with the heartbeat response, which
+// it does if the message has room for it. After a response to a call, the start is instead
+// sent by a call at the end of the step.
 func (s *workerSessions) startWithHeartbeat(m *machine, a *attempt, message sessions.Message, room *protocol.OrderBudget) (sent bool) {
 	if !message.Heartbeat {
 		s.scheduleOrders(m)
@@ -216,13 +219,14 @@
 	}
 	if !room.Reserve(a.job.ID) {
 		s.controller.limits.Reached(limits.OrdersPerMessage)
-		return false // the next heartbeat lacks it, too
+		return false // the next heartbeat won't report the attempt either
 	}
 	a.delivery.MarkSent(message.Incarnation, message.Sequence)
 	return true
 }
 
-// stopOrders end the tasks of the latest message that are to end.
+// stopOrders returns the stops for attempts that the latest message reported and that were
+// requested to stop.
 func (s *workerSessions) stopOrders(m *machine) []protocol.Order {
 	if m.stopRequestedCount == 0 {
 		return nil
@@ -239,9 +243,10 @@
 	return orders
 }
 
-// forgetOrders let the worker forget exited tasks. A forgotten attempt is unknown to the
-// worker, so that a late copy of its direct start would start it once more. Copies below
-// the worker's token are refused: raise it, and forget once the worker is seen to know.
+// forgetOrders returns the orders to forget exited tasks once that is safe. A worker no longer
+// knows a forgotten attempt, so a late duplicate of its direct start would start it once more.
+// Workers refuse orders below the highest token they have seen: the token is raised first, and
+// the orders are sent once a message shows that the worker has seen the raised token.
 func (s *workerSessions) forgetOrders(m *machine, r *protocol.Heartbeat, forgets []protocol.Order) []protocol.Order {
 	if len(forgets) == 0 || m.session.DirectStartToken == 0 || r.FencingToken > m.session.DirectStartToken {
 		return forgets
@@ -250,8 +255,8 @@
 	return nil
 }
 
-// stopOrdersForEndedJobs are the orders that end the tasks of a heartbeat whose jobs are over. They
-// name attempts, so they are right however old the heartbeat is.
+// stopOrdersForEndedJobs returns the stops for reported tasks whose jobs have ended. The
+// orders name attempts, so they are correct however old the heartbeat is.
 func (s *workerSessions) stopOrdersForEndedJobs(r *protocol.Heartbeat) []protocol.Order {
 	var orders []protocol.Order
 	for i := range r.Tasks {
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -8,18 +8,20 @@
 	"brasskeel/internal/protocol"
 )
 
-// Bounds of reading the cloud's inventory, which takes a call for each 500 machines.
+// Limits for reading the cloud's inventory, which takes one call for every 500 machines.
 const (
-	// inventoryCallDivisor is the part of the cloud's calls that lists take at the most, as a divisor:
-	// those of a large fleet, read as often as those of a small one, would leave no calls for
-	// renting and returning.
+	// inventoryCallDivisor is the maximum fraction of the cloud's call rate that inventory reads
+	// use, as a divisor. If the inventory of a large fleet were read as often as that of a
+	// small one, no calls would be left for provisioning and releases.
 	inventoryCallDivisor = 4
-	// maxInventoryPageAttempts is how often a page is asked for, with inventoryRetryInterval between, before the list
-	// is given up: one refused call would otherwise cost all pages before it.
+	// maxInventoryPageAttempts is how often a page is requested, at inventoryRetryInterval,
+	// before the read is abandoned. Without retries, one refused call would waste all pages
+	// read before it.
 	maxInventoryPageAttempts = 4
 	inventoryRetryInterval   = 500 * time.Millisecond
-	// maxInventory ends a list that is longer than any that this process could hold: what
-	// was read of it is not compared, since a machine that it lacks may be on another page.
+	// maxInventory is the maximum number of machines in a read, for the sake of memory. A read
+	// that reaches it isn't compared with the known machines, since a machine missing from it
+	// may be on a later page.
 	maxInventory = 250_000
 )
 
@@ -30,7 +32,7 @@
 	return max(l.controller.cfg.ListLag/2, 3*time.Second, calls)
 }
 
-// inventoryRead is one reading of the cloud's inventory, page by page.
+// inventoryRead is one read of the cloud's inventory, page by page.
 type inventoryRead struct {
 	leader   *leader
 	machines []protocol.ListedMachine
@@ -38,17 +40,17 @@
 	attempts int    // of the next page
 }
 
-// readInventory reads the cloud's inventory and compares it with what is known.
+// readInventory reads the cloud's inventory and reconciles the known machines with it.
 func (l *leader) readInventory() {
-	c, f := l.controller, &l.autoscaler
-	if f.inventoryInFlight || c.now.Sub(f.inventoryRequestedAt) < l.inventoryInterval() || !f.callBudget.TryTake(c.now, 1) {
+	c, scaler := l.controller, &l.autoscaler
+	if scaler.inventoryInFlight || c.now.Sub(scaler.inventoryRequestedAt) < l.inventoryInterval() || !scaler.callBudget.TryTake(c.now, 1) {
 		return
 	}
-	f.inventoryInFlight, f.inventoryRequestedAt = true, c.now
+	scaler.inventoryInFlight, scaler.inventoryRequestedAt = true, c.now
 	(&inventoryRead{leader: l}).requestPage()
 }
 
-// requestPage asks for the next page.
+// requestPage requests the next page.
 func (r *inventoryRead) requestPage() {
 	r.attempts++
 	r.leader.controller.call(Cloud, "", "GET", protocol.MachinesTarget(r.after), nil, cloudTimeout, func(out Outcome) {
@@ -58,7 +60,7 @@
 	})
 }
 
-// handlePage takes a page, or that there was none.
+// handlePage handles the outcome of a page request.
 func (r *inventoryRead) handlePage(out Outcome) {
 	l := r.leader
 	if !out.Answered || out.Status != 200 {
@@ -67,7 +69,7 @@
 	}
 	list, more, err := protocol.ParseMachines(out.Body)
 	if err != nil || more && (len(list) == 0 || list[len(list)-1].Name <= r.after) {
-		r.finish() // a list that doesn't go on would be read without end
+		r.finish() // a list that doesn't advance would be read endlessly
 		return
 	}
 	r.machines = append(r.machines, list...)
@@ -86,7 +88,7 @@
 	}
 }
 
-// retry asks for the same page some time later, a few times.
+// retry requests the same page again after a delay, a limited number of times.
 func (r *inventoryRead) retry() {
 	if r.attempts >= maxInventoryPageAttempts {
 		r.finish()
@@ -99,8 +101,8 @@
 	})
 }
 
-// requestPageWithinBudget asks for the next page once the cloud takes one more call: returns and
-// rentals, which go out when there is something to rent or return, have their turns between.
+// requestPageWithinBudget requests the next page once the call budget allows it. Releases and
+// provisioning use the same budget between the pages.
 func (r *inventoryRead) requestPageWithinBudget() {
 	l := r.leader
 	if l.autoscaler.callBudget.TryTake(l.controller.now, 1) {
@@ -116,8 +118,7 @@
 
 func (r *inventoryRead) finish() { r.leader.autoscaler.inventoryInFlight = false }
 
-// reconcileInventory compares an inventory that was read in full with the machines that are
-// known.
+// reconcileInventory reconciles the known machines with an inventory that was read in full.
 func (l *leader) reconcileInventory(list []protocol.ListedMachine) {
 	listed := make(map[string]bool, len(list))
 	for i := range list {
@@ -131,13 +132,13 @@
 	}
 }
 
-// reconcileListed takes in a machine that the inventory shows.
+// reconcileListed adopts or updates a machine that the inventory lists.
 func (l *leader) reconcileListed(it *protocol.ListedMachine) {
 	c := l.controller
 	m := l.machines[it.Name]
 	if m == nil {
 		if at, ok := l.terminatedAt[it.Name]; ok && c.now.Sub(at) < c.maxInventoryStaleness() {
-			return // the inventory is older than its end
+			return // the inventory may be older than its termination
 		}
 		m = l.adoptMachine(it.Name, it.Type, it.Zone, it.Spot, it.Age)
 		if it.State == protocol.Failed {
@@ -151,7 +152,8 @@
 	}
 	m.lifecycle.unlistedSince = time.Time{}
 	if it.State == protocol.Failed && !m.lifecycle.releasing() {
-		// It has stopped on its own, which is proof; returning it takes it off the list.
+		// A failed machine has stopped, which proves that its tasks have ended. Its release
+		// removes it from the inventory.
 		for _, a := range m.sortedAttempts() {
 			l.detach(a, "machine failed")
 		}
@@ -160,9 +162,9 @@
 	}
 }
 
-// reconcileUnlisted releases a machine that inventories lack. One may be as old as twice its
-// lag. One that should show the machine and doesn't proves that it is gone, once that holds
-// for longer than any inventory can lag.
+// reconcileUnlisted releases a machine that should be in the inventory and isn't. An inventory
+// may be older than its lag, up to twice as old, so a missing machine is only known to be gone
+// once it has been missing for longer than any inventory can lag.
 func (l *leader) reconcileUnlisted(m *machine) {
 	c := l.controller
 	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.maxInventoryStaleness() {
@@ -174,14 +176,15 @@
 	if m.lifecycle.unlistedSince.IsZero() {
 		m.lifecycle.unlistedSince = c.now
 	} else if c.now.Sub(m.lifecycle.unlistedSince) > 2*c.cfg.ListLag+5*time.Second {
-		l.release(m, "not listed")
+		l.release(m, "not in the inventory")
 	}
 }
 
-// maxInventoryStaleness is how long after a change any inventory that is read shows it.
+// maxInventoryStaleness is how long after a change all inventories show it.
 func (c *Controller) maxInventoryStaleness() time.Duration { return 3*c.cfg.ListLag + 10*time.Second }
 
-// releaseUnknownFailed takes a failed machine that nobody knows off the list.
+// releaseUnknownFailed releases a failed machine that no record names, which removes it from the
+// inventory.
 func (l *leader) releaseUnknownFailed(name string) {
 	if l.autoscaler.callBudget.TryTake(l.controller.now, 1) {
 		l.controller.call(Cloud, "", "POST", protocol.PathTerminate, protocol.EncodeTerminate([]string{name}), cloudTimeout, func(Outcome) {})
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -11,53 +11,54 @@
 	"brasskeel/internal/protocol"
 )
 
-// machine is one rented machine and what is known of it.
+// machine is a provisioned machine with its lifecycle, its worker's session and the attempts
+// assigned to it.
 type machine struct {
 	placement.Machine
-	load          *balance.Load // nil while balance is off
-	addr          string        // that its worker is called at; empty: unknown
+	load          *balance.Load // nil while load balancing is off
+	addr          string        // address of its worker; empty if unknown
 	provisionedAt time.Time
-	inherited     bool          // known from an earlier leader's record
-	recorded      bool          // a record that names it is written: placements may name it
-	group         *machineGroup // whose record that is
-	removed       bool          // proven gone, or not served here any more
+	inherited     bool          // loaded from an earlier leader's record
+	recorded      bool          // a committed record names it, so placements may refer to it
+	group         *machineGroup // the group whose record names it
+	removed       bool          // terminated, or no longer served by this controller
 
 	session   sessions.Session
 	orders    orderQueue
 	lifecycle lifecycle
 
 	attempts           map[taskKey]*attempt
-	attemptList        []*attempt // the same, in no order
+	attemptList        []*attempt // the same attempts, unordered
 	replicaCount       int
-	onDemandCPUs       float64                        // CPUs taken by work that may not use spot machines
-	cpusByPriority     [protocol.Critical + 1]float64 // CPUs taken, by priority
-	stopRequestedCount int                            // attempts that are to stop
+	onDemandCPUs       float64                        // CPUs allocated to jobs that may not use spot machines
+	cpusByPriority     [protocol.Critical + 1]float64 // CPUs allocated, by priority
+	stopRequestedCount int                            // attempts that were requested to stop
 	emptySince         time.Time
 
-	// Of a machine in a shard.
-	shard              shard.ID                  // 0: none
-	registeredBefore   bool                      // its worker was heard by somebody before
-	attemptsKnown      bool                      // the leader told of all attempts that may be on it
-	incarnationReset   bool                      // its worker counts its incarnations from the beginning again
-	incomingMigrations int                       // moves whose room is held here
-	newerTokenSeen     bool                      // its worker has seen a later token than its shard's
-	reportedExits      map[taskKey]*reportedExit // that the leader was told of
-	orphans            map[taskKey]uint64        // attempts it was asked about
-	orphanStops        map[taskKey]uint64        // and those that are to end
+	// Used with sharding only, except for incomingMigrations.
+	shard              shard.ID                  // 0 if the machine is in no shard
+	registeredBefore   bool                      // its worker registered earlier, according to the leader
+	attemptsKnown      bool                      // the leader has listed all attempts that may be on it
+	incarnationReset   bool                      // its worker restarted its incarnation numbers
+	incomingMigrations int                       // migrations to this machine with capacity reserved here
+	newerTokenSeen     bool                      // its worker has seen a later token than this owner's
+	reportedExits      map[taskKey]*reportedExit // exits reported to the leader
+	orphans            map[taskKey]uint64        // attempts unknown here that were reported to the leader
+	orphanStops        map[taskKey]uint64        // attempts of those that the leader wants stopped
 
 	failuresByJob map[string]int // failed attempts by job since the last success
 	quarantined   bool
 }
 
-// orderQueue is what keeps a worker's orders from being sent to it at once.
+// orderQueue tracks when orders for a worker may be sent by a call.
 type orderQueue struct {
-	due            bool // to be sent at the end of the step
+	due            bool // to be sent at the end of the current step
 	inFlight       bool // a call with orders awaits its response
-	startsDeferred bool // starts wait until the knowledge of jobs is fresh
+	startsDeferred bool // starts wait for a recent read of the job records
 	pausedUntil    time.Time
 }
 
-// newMachine adds a machine that the leader has learned of.
+// newMachine adds a machine to the fleet.
 func (l *leader) newMachine(name, typ, zone string, spot bool) *machine {
 	m := &machine{Machine: placement.Machine{Name: name, Type: typ, Zone: zone, Spot: spot, Spec: l.controller.types[typ]}, provisionedAt: l.controller.now,
 		attempts: map[taskKey]*attempt{}, emptySince: l.controller.now, failuresByJob: map[string]int{}}
@@ -70,19 +71,19 @@
 	return m
 }
 
-// adoptMachine takes in a machine that no record tells of: rented by a request whose
-// answer was lost, or by one that was carried out late.
+// adoptMachine adds a machine that no record names. It was provisioned by a request whose
+// response was lost, or by one that the cloud carried out late.
 func (l *leader) adoptMachine(name, typ, zone string, spot bool, age time.Duration) *machine {
 	m := l.newMachine(name, typ, zone, spot)
 	m.provisionedAt = l.controller.now.Add(-age)
-	if l.phase != phaseLoading { // else its record may be read yet
+	if l.phase != phaseLoading { // otherwise its record may still be read
 		l.controller.logSampled("unrecorded machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
 		l.writer.recordMachine(m)
 	}
 	return m
 }
 
-// handleHeartbeat answers a worker.
+// handleHeartbeat responds to a worker's heartbeat.
 func (c *Controller) handleHeartbeat(id uint64, body []byte) {
 	if c.sharding != nil {
 		c.sharding.handleHeartbeat(id, body)
@@ -94,7 +95,7 @@
 		return
 	}
 	if l == nil || !l.holdsLease() {
-		// Never 200 here: it would hold the worker while its lease runs out.
+		// Never 200: the worker would stay with this controller while its lease runs out.
 		c.reply(id, 421, protocol.EncodeRedirect(c.election.OtherLeader()))
 		return
 	}
@@ -104,7 +105,7 @@
 		return
 	}
 	if sessions.TermOf(r.FencingToken) > l.term {
-		// A later leader has already spoken to this worker.
+		// The worker has already been in contact with a later leader.
 		c.election.StepDown("a worker has seen a later term")
 		c.reply(id, 421, protocol.EncodeRedirect(""))
 		return
@@ -114,9 +115,10 @@
 	}
 }
 
-// machineForHeartbeat is the machine of a worker that sent a heartbeat, adopted if no record tells of
-// it. One that was proven gone is answered so, and nil: names are not used again, and a copy
-// that comes late, however much, brings no machine back.
+// machineForHeartbeat returns the machine of the worker that sent a heartbeat, adopting it if
+// no record names it. For a terminated machine it replies with an error and returns nil:
+// machine names are never reused, so a late duplicate of a heartbeat must not bring the
+// machine back.
 func (l *leader) machineForHeartbeat(id uint64, r *protocol.Heartbeat) *machine {
 	if m := l.machines[r.Machine]; m != nil {
 		return m
@@ -138,14 +140,15 @@
 	return a.taskIndex - b.taskIndex
 }
 
-// sortedAttempts gives the machine's attempts in a fixed order.
+// sortedAttempts returns the machine's attempts ordered by job ID and task index.
 func (m *machine) sortedAttempts() []*attempt {
 	list := slices.Clone(m.attemptList)
 	slices.SortFunc(list, compareAttempts)
 	return list
 }
 
-// machineTerminated ends a machine on proof: all that was on it is gone.
+// machineTerminated removes a machine that is proven to be terminated, and with it all of its
+// attempts.
 func (l *leader) machineTerminated(m *machine, reason string) {
 	if m.removed {
 		return
--- a/internal/coordination/machine_lifecycle.go
+++ b/internal/coordination/machine_lifecycle.go
@@ -6,40 +6,41 @@
 	"brasskeel/internal/protocol"
 )
 
-// releaseState is how far the return of a machine to the cloud has come.
+// releaseState is the progress of returning a machine to the cloud.
 type releaseState uint8
 
 const (
 	notReleased releaseState = iota
-	// releaseRevocable: wanted for the machine's silence alone, and no call for it can have
-	// been carried out. The machine is taken back if it is heard.
+	// releaseRevocable: requested only because the machine is unresponsive, and the cloud
+	// can't have carried out a call for it yet. The release is revoked if the worker is
+	// reached again.
 	releaseRevocable
-	// releaseFinal: wanted, and never taken back.
+	// releaseFinal: requested, and never revoked.
 	releaseFinal
 )
 
-// lifecycle is where a machine stands between its start and the proof that it is gone. A
-// machine that drains takes nothing more and is released once it is empty; release asks the
-// cloud to take it, whatever runs on it. One that drains is never taken back.
+// lifecycle is the state of a machine from its start until it is proven to be terminated. A
+// draining machine takes no new tasks and is released once it is empty. A release returns the
+// machine to the cloud whatever runs on it. The release of a draining machine is never revoked.
 type lifecycle struct {
 	draining        bool
 	release         releaseState
-	releaseInFlight bool      // the call awaits its answer
-	releaseSentAt   time.Time // when it was last made
-	preemptionAt    time.Time // when the cloud takes the machine by itself; zero without notice
-	unlistedSince   time.Time // since when inventories that should show it don't; zero: they do
+	releaseInFlight bool      // the call awaits its response
+	releaseSentAt   time.Time // when the last call was made
+	preemptionAt    time.Time // when the cloud preempts the machine; zero without a notice
+	unlistedSince   time.Time // since when inventories that should list it don't; zero if they do
 }
 
 // inService reports whether the machine is neither draining nor being released.
 func (c *lifecycle) inService() bool { return !c.draining && c.release == notReleased }
 
-// releasing reports whether the machine's release is wanted.
+// releasing reports whether the machine's release was requested.
 func (c *lifecycle) releasing() bool { return c.release != notReleased }
 
-// preemptionNoticed reports whether the cloud said that it will take the machine.
+// preemptionNoticed reports whether the cloud announced that it will preempt the machine.
 func (c *lifecycle) preemptionNoticed() bool { return !c.preemptionAt.IsZero() }
 
-// beginRelease begins a release, and reports whether none was wanted before.
+// beginRelease requests a release, and reports whether none was requested before.
 func (c *lifecycle) beginRelease(revocable bool) bool {
 	if c.releasing() {
 		return false
@@ -51,13 +52,13 @@
 	return true
 }
 
-// releaseCallSent notes that the cloud is being asked.
+// releaseCallSent records that a release call is in flight.
 func (c *lifecycle) releaseCallSent(now time.Time) {
 	c.releaseSentAt, c.releaseInFlight = now, true
 }
 
-// releaseCallEnded notes that the call is over. Unless the cloud refused it, it may have been
-// carried out.
+// releaseCallEnded records the end of the release call. Unless the cloud refused the call, it
+// may have been carried out, so the release becomes final.
 func (c *lifecycle) releaseCallEnded(refused bool) {
 	c.releaseInFlight = false
 	if c.release == releaseRevocable && !refused {
@@ -65,7 +66,7 @@
 	}
 }
 
-// revoke takes a release back if it can't have been carried out, and reports whether it did.
+// revoke cancels a release that can't have been carried out, and reports whether it did.
 func (c *lifecycle) revoke() bool {
 	if c.release != releaseRevocable || c.releaseInFlight || c.draining {
 		return false
@@ -74,7 +75,7 @@
 	return true
 }
 
-// drainMachine takes a machine out of use.
+// drainMachine stops all tasks on a machine and lets it take no new ones.
 func (l *leader) drainMachine(m *machine) {
 	if m.lifecycle.draining {
 		return
@@ -85,8 +86,9 @@
 	}
 }
 
-// drainForPreemption saves what can be saved on a machine that will be taken. Tasks
-// that can't save go on: they may still complete.
+// drainForPreemption stops the tasks that can save a checkpoint, and service replicas, on a
+// machine that the cloud will preempt. Tasks without checkpoints go on: they may still
+// complete.
 func (l *leader) drainForPreemption(m *machine) {
 	for _, a := range m.sortedAttempts() {
 		if a.job.CheckpointInterval > 0 {
@@ -97,7 +99,7 @@
 	}
 }
 
-// checkpointGrace is the time a stopped attempt needs to save.
+// checkpointGrace is the time that a stopped attempt needs to save a checkpoint.
 func (l *leader) checkpointGrace(a *attempt) time.Duration {
 	if a.job.CheckpointInterval == 0 || a.state != protocol.Running {
 		return 0
--- a/internal/coordination/machine_lifecycle_test.go
+++ b/internal/coordination/machine_lifecycle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A release that the cloud may have carried out is never taken back, nor is that of a machine
-// that drains; one that it refused, or that wasn't sent, is.
+// A release that the cloud may have carried out is never revoked, nor is the release of a draining
+// machine. One that was refused or not sent yet is.
 func TestReleaseRevokedOnlyIfNotCarriedOut(t *testing.T) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	sent := func(c *lifecycle) { c.releaseCallSent(now) }
@@ -20,12 +20,12 @@
 		revoked   bool
 	}{
 		{"not sent yet", true, func(*lifecycle) {}, true},
-		{"not for silence alone", false, func(*lifecycle) {}, false},
-		{"under way", true, sent, false},
+		{"not only for unresponsiveness", false, func(*lifecycle) {}, false},
+		{"in flight", true, sent, false},
 		{"refused", true, answered(true), true},
-		{"without a clear answer", true, answered(false), false},
-		{"without a clear answer, refused the next time", true, func(c *lifecycle) { answered(false)(c); answered(true)(c) }, false},
-		{"of a machine that drains", true, func(c *lifecycle) { c.draining = true }, false},
+		{"without a clear outcome", true, answered(false), false},
+		{"without a clear outcome, refused when retried", true, func(c *lifecycle) { answered(false)(c); answered(true)(c) }, false},
+		{"of a draining machine", true, func(c *lifecycle) { c.draining = true }, false},
 	} {
 		var c lifecycle
 		if !c.inService() || !c.beginRelease(test.revocable) || c.inService() {
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -12,12 +12,13 @@
 	"brasskeel/internal/protocol"
 )
 
-// newTestLeader makes a controller that leads in the given phase, with nothing running.
+// newTestLeader returns a controller that leads, in the given recovery phase and with an empty
+// fleet.
 func newTestLeader(p recoveryPhase) (*Controller, *leader) {
 	return newTestLeaderInZone("a", p)
 }
 
-// newTestLeaderInZone is leading for a controller of the given zone.
+// newTestLeaderInZone is newTestLeader for a controller in the given zone.
 func newTestLeaderInZone(zone string, p recoveryPhase) (*Controller, *leader) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	cfg := &config.Settings{Name: "n0", Zone: zone, HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
@@ -34,12 +35,13 @@
 	return c, c.leader
 }
 
+// encodedHeartbeat returns a heartbeat of vm-1 that reports no tasks.
 func encodedHeartbeat(seq uint64) []byte {
 	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16})
 }
 
-// The answer to a report that a response of the worker's has overtaken renews
-// the worker's lease: not counting it would take the worker for dead too soon.
+// The response to a heartbeat that was overtaken by a call response renews the worker's lease. If
+// it didn't count, the worker's tasks would be declared ended too early.
 func TestOvertakenHeartbeatRenewsLease(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	start := c.now
@@ -56,12 +58,12 @@
 		t.Fatalf("got %+v", e.Replies)
 	}
 	if proof := l.terminationProofAt(m); proof.Before(later.Add(c.cfg.WorkerLease)) {
-		t.Errorf("taken for dead %s after the answer, its lease is %s", proof.Sub(later), c.cfg.WorkerLease)
+		t.Errorf("declared dead %s after the response, with a lease of %s", proof.Sub(later), c.cfg.WorkerLease)
 	}
 }
 
-// A machine that first reports while the records are read gets its own record
-// afterwards; without it nothing would ever be placed there.
+// A machine whose first heartbeat arrives while the records are being loaded gets a record
+// afterwards; without one, no task would ever be placed on it.
 func TestMachineFirstSeenWhileLoadingIsRecorded(t *testing.T) {
 	c, l := newTestLeader(phaseLoading)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(1))
@@ -75,8 +77,8 @@
 	}
 }
 
-// The score prefers the machine that holds the image, then the one with more
-// free room; one that is being emptied comes last.
+// The score prefers a machine that holds the image, then the one with more free capacity. A
+// machine that is being consolidated comes last.
 func TestBestMachine(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.operator.ImageWeight, c.operator.RoomWeight = 1, 1
@@ -103,7 +105,7 @@
 	}
 	list[0].Consolidating = true
 	if got := best(); got != list[1] {
-		t.Errorf("with vm-1 being emptied: %s", got.Name)
+		t.Errorf("with vm-1 being consolidated: %s", got.Name)
 	}
 	list[1].Allocated.CPUs, list[2].Allocated.CPUs = 4, 4
 	if got := best(); got != list[0] {
@@ -111,9 +113,8 @@
 	}
 }
 
-// A job gives way by the work it has left: more so when its deadline is out of
-// reach, less so the longer it waits. What is left of a late job may be small
-// and then isn't last.
+// A job's weight grows with its remaining work, and more so once its deadline can't be met, and
+// shrinks while it waits. A late job with little work left may still come first.
 func TestBacklogWeight(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	wall := c.now
@@ -135,7 +136,7 @@
 		}
 	}
 	if a, b := weight(old), weight(fresh); a >= b {
-		t.Errorf("a job that waited for hours counts %g, a fresh one %g", a, b)
+		t.Errorf("a job that waited for hours weighs %g, a fresh one %g", a, b)
 	}
 	l.corrections["c"] = 5 // tasks of the class take five times their estimates
 	if a, b := weight(fresh), weight(jobOf(2, 0, 0)); a <= b {
@@ -143,7 +144,7 @@
 	}
 }
 
-// heartbeatSender sends heartbeats of the machine vm-1 and gives their answers.
+// heartbeatSender returns a function that sends a heartbeat of vm-1 and returns the reply.
 func heartbeatSender(t *testing.T, c *Controller) func(incarnation, sequence, token uint64) Reply {
 	t.Helper()
 	id := uint64(0)
@@ -162,7 +163,7 @@
 	}
 }
 
-// A machine takes work once it is proven that something sent reaches its worker.
+// A machine accepts tasks once it is proven that messages reach its worker.
 func TestMachineAcceptsTasksOnceWorkerIsReached(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	heartbeat := heartbeatSender(t, c)
@@ -182,8 +183,8 @@
 	}
 }
 
-// What a worker says in its heartbeats, in order of arrival: only newer ones count,
-// copies that come late renew and prove nothing.
+// Heartbeats that arrive late or twice: only newer ones update the session. Late duplicates
+// neither renew the lease nor prove anything.
 func TestLateAndDuplicateHeartbeats(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	heartbeat := heartbeatSender(t, c)
@@ -192,28 +193,28 @@
 	heartbeat(1, 11, m.session.Token())
 	answered, heard := m.session.LastAnswered, m.session.LastSeen
 	if r := heartbeat(1, 11, 0); r.Status != 503 || m.session.LastAnswered != answered || m.session.LastSeen != heard {
-		t.Errorf("a copy: status %d, answered %s later, heard %s later", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(heard))
+		t.Errorf("a duplicate: status %d, answered %s later, seen %s later", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(heard))
 	}
 	l.applyResponse(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.BaseToken()})
 	if r := heartbeat(1, 12, 0); r.Status != 200 || !m.session.LastAnswered.After(answered) || m.session.Sequence != 13 {
-		t.Errorf("a heartbeat overtaken by a response: status %d, number %d", r.Status, m.session.Sequence)
+		t.Errorf("a heartbeat overtaken by a response: status %d, sequence %d", r.Status, m.session.Sequence)
 	}
 	if r := heartbeat(2, 14, 0); r.Status != 200 || m.session.Incarnation != 2 {
 		t.Errorf("the next incarnation: status %d, incarnation %d", r.Status, m.session.Incarnation)
 	}
 	if r := heartbeat(1, 20, 0); r.Status != 503 || m.session.Incarnation != 2 {
-		t.Errorf("a copy of the incarnation before: status %d, incarnation %d", r.Status, m.session.Incarnation)
+		t.Errorf("a duplicate of an earlier incarnation: status %d, incarnation %d", r.Status, m.session.Incarnation)
 	}
 	l.machineTerminated(m, "returned")
 	c.now = c.now.Add(10 * time.Minute)
 	if r := heartbeat(2, 15, 0); r.Status != 503 || l.machines["vm-1"] != nil {
-		t.Errorf("a copy long after the machine's end: status %d", r.Status)
+		t.Errorf("a duplicate long after the machine's termination: status %d", r.Status)
 	}
 }
 
-// A worker that answers under an older session than it was asked in has lost its
-// memory, and its machine is replaced; an answer that a newer session has overtaken
-// says nothing of the kind.
+// A worker whose probe response names an older incarnation than was known when the probe was sent
+// has lost its state, and its machine is released. A response that was merely overtaken by a newer
+// incarnation proves nothing.
 func TestWorkerIncarnationReset(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		c, l := newTestLeader(phaseActive)
@@ -228,14 +229,14 @@
 		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 		c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		if m.lifecycle.releasing() != lost || m.session.Incarnation != 2 {
-			t.Errorf("lost %t: to be returned %t, session %d", lost, m.lifecycle.releasing(), m.session.Incarnation)
+			t.Errorf("lost %t: releasing %t, incarnation %d", lost, m.lifecycle.releasing(), m.session.Incarnation)
 		}
 	}
 }
 
-// A machine that was given up as silent and answers again is kept, unless the cloud
-// may have taken the return. While the cloud is away, every machine that was cut off
-// for a moment was lost once it came back.
+// The release of an unresponsive machine is revoked once its worker answers again, unless the
+// cloud may have carried it out. Otherwise, during an outage of the cloud API, every machine that
+// was briefly cut off would be released when the API recovers.
 func TestReleaseRevokedWhenWorkerAnswersAgain(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -253,7 +254,7 @@
 		call := c.takeEffects().Calls[0]
 		l.recordReached(m, c.now)
 		if !m.lifecycle.releasing() {
-			t.Errorf("%s: kept while the call was under way", test.name)
+			t.Errorf("%s: revoked while the call was in flight", test.name)
 		}
 		c.Result(c.now, call.ID, test.out)
 		l.probe(m)
@@ -262,13 +263,13 @@
 			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		}
 		if m.lifecycle.releasing() == test.kept {
-			t.Errorf("%s: to be returned %t after it answered", test.name, m.lifecycle.releasing())
+			t.Errorf("%s: releasing %t after the worker answered", test.name, m.lifecycle.releasing())
 		}
 	}
 }
 
-// Without the cloud's list a new leader knows no addresses and can only wait for
-// reports: it doesn't place as if it had heard everybody.
+// Without the cloud's inventory a new leader knows no worker addresses and can only wait for
+// heartbeats. It must not become active as if all workers had been reconciled.
 func TestReconcilingWithoutInventory(t *testing.T) {
 	c, l := newTestLeader(phaseReconciling)
 	for i := range 10 {
@@ -290,9 +291,8 @@
 	}
 }
 
-// A machine whose worker can't reach any controller answers calls all the same. Nothing
-// new starts there, since its lease isn't renewed, and it is given up once that has
-// lasted for two leases.
+// A worker that can't reach any controller may still answer calls. Its lease isn't renewed, so
+// its machine takes no new tasks, and is released after two worker leases.
 func TestMachineWithUnansweredHeartbeats(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
@@ -306,13 +306,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.applyResponse(m, r) // an answer to a call
+		l.applyResponse(m, r) // a response to a call
 		l.detectFailures()
 		if open := l.acceptsTasks(m); open != (c.now.Sub(begin) <= l.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay) {
-			t.Fatalf("open %t after %s without a report", open, c.now.Sub(begin))
+			t.Fatalf("accepts tasks: %t, %s after the last heartbeat", open, c.now.Sub(begin))
 		}
 		if m.lifecycle.releasing() && c.now.Sub(begin) <= 2*c.cfg.WorkerLease {
-			t.Fatalf("given up after %s", c.now.Sub(begin))
+			t.Fatalf("released after %s", c.now.Sub(begin))
 		}
 	}
 	l.detectFailures()
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -9,8 +9,8 @@
 	"brasskeel/internal/records"
 )
 
-// loadMachineTypes gets the machine types: from the state service, where leaders keep
-// them, or from the cloud. Without them no submission can be judged.
+// loadMachineTypes loads the machine types from the state service, where leaders store them,
+// or else from the cloud. Submissions can't be validated without them.
 func (c *Controller) loadMachineTypes() {
 	c.store.Get(records.KeyMachineTypes, func(r statestore.ReadResult) {
 		if r.Status == statestore.Found {
@@ -33,8 +33,8 @@
 	})
 }
 
-// fetchMachineTypes asks the cloud for the machine types.
-// fetchMachineTypes reads the machine types from the cloud, and tells done whether it has them.
+// fetchMachineTypes reads the machine types from the cloud and calls done with whether it
+// succeeded.
 func (c *Controller) fetchMachineTypes(done func(ok bool)) {
 	c.call(Cloud, "", "GET", protocol.PathMachineTypes, nil, 3*time.Second, func(o Outcome) {
 		if o.Answered && o.Status == 200 {
@@ -48,7 +48,6 @@
 	})
 }
 
-// setMachineTypes replaces the machine types.
 func (c *Controller) setMachineTypes(types []protocol.MachineType) {
 	c.types = make(map[string]*protocol.MachineType, len(types))
 	for i := range types {
--- a/internal/coordination/release_deferral.go
+++ b/internal/coordination/release_deferral.go
@@ -6,25 +6,26 @@
 	"brasskeel/internal/protocol"
 )
 
-// releaseDeferral decides, for one look at the silent machines, which of those that hold replicas
-// are kept for now. A replica on a machine that is only cut off serves on until its
-// worker's lease ends, and one on a dead machine can't start elsewhere without room:
-// so nothing is gained by returning a machine before there is room for what it holds,
-// and where a third of all ordinary machines is cut off at once, their replicas would
-// be away for as long as new machines take to boot. Those are rented meanwhile.
+// releaseDeferral decides, for one scan of the silent machines, which of those with replicas are
+// not released yet. A replica on a machine that is only partitioned keeps serving until its
+// worker's lease expires, and one on a dead machine can't start elsewhere without free
+// capacity. So nothing is gained by releasing a machine before there is capacity for its
+// replicas. If a third of all on-demand machines was cut off at once, releasing them would make
+// their replicas unavailable until new machines have booted. Those are provisioned in the
+// meantime.
 type releaseDeferral struct {
 	leader   *leader
-	claimed  map[*machine]usage          // room that others' replicas are to have
-	unplaced map[*job]int                // replicas that wait for room, by job
-	noRoom   map[victimSearchKey]float64 // CPUs for which none was found, by kind of job
+	claimed  map[*machine]usage          // capacity claimed by replicas of machines that are released
+	unplaced map[*job]int                // replicas without capacity elsewhere, by job
+	noRoom   map[victimSearchKey]float64 // least CPUs for which no machine was found, by kind of job
 }
 
 func (l *leader) newReleaseDeferral() *releaseDeferral {
 	return &releaseDeferral{leader: l, claimed: map[*machine]usage{}, unplaced: map[*job]int{}, noRoom: map[victimSearchKey]float64{}}
 }
 
-// defers reports whether a silent machine is to be kept, and takes room for its replicas
-// if it isn't.
+// defers reports whether the release of a silent machine is deferred. If it isn't, capacity for
+// the machine's replicas is claimed.
 func (d *releaseDeferral) defers(m *machine, quiet time.Duration) bool {
 	if m.replicaCount == 0 || quiet > d.leader.controller.cfg.WorkerLease {
 		return false
@@ -63,7 +64,8 @@
 	return false
 }
 
-// machineWithRoom is a machine with room for a replica, lower work that gives way included.
+// machineWithRoom returns a machine with capacity for a replica, counting that of
+// lower-priority work that can be preempted.
 func (d *releaseDeferral) machineWithRoom(j *job, plan map[*machine]usage) *machine {
 	k := victimSearchKeyOf(j)
 	if least, ok := d.noRoom[k]; ok && j.CPUs >= least {
@@ -81,7 +83,7 @@
 			return o
 		}
 	}
-	if len(plan) == 0 { // room is only taken from here on
+	if len(plan) == 0 { // for the rest of the scan, capacity is only claimed, never returned
 		d.noRoom[k] = j.CPUs
 	}
 	return nil
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -10,10 +10,10 @@
 	"brasskeel/internal/records"
 )
 
-// Silent machines that hold replicas are returned once there is room for these, or once
-// the workers' leases have ended. Until then others are rented: a third of the machines
-// was cut off at once, and its replicas, which went on serving, were ended before new
-// machines had booted.
+// Silent machines with replicas are released once there is capacity for the replicas elsewhere, or
+// once the workers' leases have expired. Until then, replacements are provisioned. When a third of
+// the machines was partitioned at once, their replicas, which were still serving, were terminated
+// before new machines had booted.
 func TestReleaseDeferredUntilReplicasFitElsewhere(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"].CPUsMax = 100
@@ -49,21 +49,21 @@
 		}
 		return count
 	}
-	pass(8 * time.Second) // two reports of 2 s each are missing
+	pass(8 * time.Second) // several heartbeats, due every 2 s, are missing
 	if got := releasing(); got != 0 || l.autoscaler.displacedReplicas[l.jobsByAge[0]] != 8 {
-		t.Errorf("without room %d of 4 are returned, and %d replicas want room", got, l.autoscaler.displacedReplicas[l.jobsByAge[0]])
+		t.Errorf("without capacity %d of 4 are released, and %d replicas are displaced", got, l.autoscaler.displacedReplicas[l.jobsByAge[0]])
 	}
 	l.scaleOut()
 	if rented := l.autoscaler.requested[autoscaler.Offer{Spec: c.types["small"], Zone: "a"}.Key()]; rented != 4 {
-		t.Errorf("%d machines are rented for eight replicas of half a machine", rented)
+		t.Errorf("%d machines are requested for eight replicas of half a machine each", rented)
 	}
 	add(20)
 	pass(detectorInterval)
 	if got := releasing(); got != 1 {
-		t.Errorf("with room for two replicas %d machines are returned", got)
+		t.Errorf("with capacity for two replicas %d machines are released", got)
 	}
 	pass(c.cfg.WorkerLease)
 	if got := releasing(); got != 4 {
-		t.Errorf("once the leases have ended %d of 4 are returned", got)
+		t.Errorf("after the leases have expired %d of 4 are released", got)
 	}
 }
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -9,10 +9,10 @@
 	"brasskeel/internal/protocol"
 )
 
-// scaleIn returns machines that are not needed: empty ones beyond the headroom, ones that
-// never came up, and ones given up. Tasks spread over all machines, and waiting for one to be
-// empty by chance would keep them all: so it marks machines to be consolidated, which take
-// tasks only when no other has room.
+// scaleIn releases machines that aren't needed: empty ones beyond the headroom, and ones that
+// never booted. Tasks spread over all machines, so waiting for one to become empty by chance
+// would keep them all. Hence it marks machines for consolidation, which take new tasks only
+// when no other machine has room.
 func (l *leader) scaleIn() {
 	l.releaseOverdueBoots()
 	room := l.spareCapacity()
@@ -24,11 +24,11 @@
 		}
 	}
 	if l.autoscaler.demandIncomplete {
-		return // what seems to be free is needed as soon as records allow
+		return // capacity that seems free is needed as soon as records can be written
 	}
 	sortByPriceDescending(candidates)
 	for _, m := range candidates {
-		// Replicas would hold it for long, unless they can go elsewhere.
+		// Replicas would keep it in use for long, unless they can move to other machines.
 		if !room.canSpare(l, m) || m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(planner.get(), false)) {
 			continue
 		}
@@ -38,8 +38,9 @@
 	}
 }
 
-// evaluateForScaleIn releases a machine that is empty and not needed, or lets one that is being
-// consolidated go on, and reports whether it may be consolidated next.
+// evaluateForScaleIn releases a machine that is empty and not needed, ends the consolidation of
+// one whose replicas can't move elsewhere, and reports whether the machine is a candidate for
+// consolidation.
 func (l *leader) evaluateForScaleIn(m *machine, planner *lazyPlanner) (candidate bool) {
 	if reason := l.releaseReason(m); reason != "" {
 		l.release(m, reason)
@@ -49,7 +50,7 @@
 	case m.Consolidating && l.evictOpportunistic(m):
 		return false
 	case m.Consolidating && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(planner.get(), true):
-		m.Consolidating = false // it stays for its replicas, so others may use it, too
+		m.Consolidating = false // its replicas keep it in use, so other tasks may use it too
 		planner.get().CancelEvacuation(&m.Machine)
 		return false
 	}
@@ -57,7 +58,7 @@
 		m.incomingMigrations == 0 && !m.lifecycle.preemptionNoticed()
 }
 
-// releaseReason is why a machine isn't needed any more; empty if it is, or holds tasks.
+// releaseReason is why an empty machine should be released; "" if it shouldn't be.
 func (l *leader) releaseReason(m *machine) string {
 	now := l.controller.now
 	if len(m.attempts) > 0 {
@@ -76,12 +77,13 @@
 	return ""
 }
 
-// spareCapacity is the room of machines in service that aren't being consolidated, in CPUs.
+// spareCapacity is the free capacity of the machines in service that aren't being consolidated,
+// in CPUs.
 type spareCapacity struct {
 	free            float64
-	onDemand        float64 // that work which may not use spot machines can have
-	headroom        float64 // wanted of the free room
-	onDemandReserve float64 // wanted of the other
+	onDemand        float64 // available to jobs that may not use spot machines
+	headroom        float64 // of free that should stay free
+	onDemandReserve float64 // of onDemand that should stay available
 }
 
 func (l *leader) spareCapacity() spareCapacity {
@@ -101,24 +103,27 @@
 	return room
 }
 
-// canSpare reports whether a machine can be done without: what runs there must fit elsewhere.
+// canSpare reports whether a machine can be consolidated: the remaining capacity must hold its
+// tasks and the headroom.
 func (r *spareCapacity) canSpare(l *leader, m *machine) bool {
 	onDemand := l.onDemandCapacity(m)
 	return r.free-(m.Spec.CPUs-m.Allocated.CPUs) >= r.headroom+m.Allocated.CPUs && (onDemand <= 0 || r.onDemand-onDemand >= r.onDemandReserve)
 }
 
-// remove takes a machine's room out.
+// remove subtracts a machine's free capacity.
 func (r *spareCapacity) remove(l *leader, m *machine) {
 	r.free -= m.Spec.CPUs - m.Allocated.CPUs
 	r.onDemand -= l.onDemandCapacity(m)
 }
 
-// minOpportunisticRuntime is how long a guest's task runs before it has to leave a dear machine.
+// minOpportunisticRuntime is how long an opportunistic task may run on an expensive machine
+// before it can be evicted.
 const minOpportunisticRuntime = 40 * time.Second
 
-// evictOpportunistic stops work of teams without a guarantee that saves, where it alone keeps a
-// dear machine from being returned, and reports whether it did. Tasks of minutes that had
-// found idle room held a fleet's ordinary machines long after the others' work was done.
+// evictOpportunistic stops the tasks on an expensive machine if all of them can save a
+// checkpoint and belong to teams without a guarantee, and reports whether it did. Without it,
+// tasks of several minutes that had started on idle capacity kept a fleet's on-demand machines
+// in use long after all other work was done.
 func (l *leader) evictOpportunistic(m *machine) bool {
 	if len(m.attemptList) == 0 {
 		return false
@@ -135,7 +140,7 @@
 	return true
 }
 
-// onDemandReserve is the room kept on ordinary machines for the next service.
+// onDemandReserve is the on-demand capacity to keep for the next service, in CPUs.
 func (l *leader) onDemandReserve() float64 {
 	if l.needsHeadroom() {
 		return l.autoscaler.largestOnDemandCPUs
@@ -143,8 +148,8 @@
 	return 0
 }
 
-// onDemandCapacity is the room on an ordinary machine that work which may not use
-// spot machines can have, other work giving way.
+// onDemandCapacity is the CPUs of an on-demand machine that are available to jobs which may
+// not use spot machines. Other work on it can be preempted and doesn't count.
 func (l *leader) onDemandCapacity(m *machine) float64 {
 	if m.Spot {
 		return 0
@@ -152,12 +157,13 @@
 	return max(m.Spec.CPUs-m.onDemandCPUs, 0)
 }
 
-// holdsOnlyReplicas reports whether replicas are all that is left on a machine.
+// holdsOnlyReplicas reports whether all attempts on a machine are replicas of services.
 func (m *machine) holdsOnlyReplicas() bool {
 	return m.replicaCount == len(m.attemptList) && m.replicaCount > 0
 }
 
-// sortByPriceDescending orders machines by price, the emptiest first among equals.
+// sortByPriceDescending sorts machines by price per CPU, the most expensive first, and by
+// allocated CPUs among equals, the least first.
 func sortByPriceDescending(list []*machine) {
 	sort.SliceStable(list, func(i, k int) bool {
 		a, b := list[i], list[k]
@@ -168,13 +174,13 @@
 	})
 }
 
-// reasonUnresponsive is why a machine is given up that may yet be heard again.
+// reasonUnresponsive is the only release reason that is revocable: the machine may become
+// reachable again.
 const reasonUnresponsive = "unresponsive"
 
-// revokeRelease takes back the release of a machine that was given up as unresponsive and
-// has been reached since, if the cloud can't have carried it out. Where the cloud is away as
-// well, machines that were cut off for a moment would otherwise all be lost once it
-// answers.
+// revokeRelease revokes the release of an unresponsive machine that was reached again, if the
+// cloud can't have carried it out. Otherwise, when the cloud API is unavailable as well, all
+// machines that were briefly cut off would be released as soon as it responds again.
 func (l *leader) revokeRelease(m *machine) {
 	if m.lifecycle.revoke() {
 		l.controller.logSampled("machine release revoked", "machine", m.Name)
@@ -182,7 +188,8 @@
 	}
 }
 
-// release returns a machine. The answer proves that it and all on it is gone.
+// release returns a machine to the cloud. The cloud's response proves that the machine and all
+// of its tasks have ended.
 func (l *leader) release(m *machine, reason string) {
 	if m.removed || !m.lifecycle.beginRelease(reason == reasonUnresponsive) {
 		return
@@ -193,14 +200,14 @@
 	l.sendReleases()
 }
 
-// sendReleases asks the cloud to take machines, as many as a call holds.
+// sendReleases sends the pending releases to the cloud, as many as fit into one call.
 func (l *leader) sendReleases() {
-	c, f := l.controller, &l.autoscaler
-	if f.releaseInFlight {
+	c, scaler := l.controller, &l.autoscaler
+	if scaler.releaseInFlight {
 		return
 	}
 	list := l.pendingReleases()
-	if len(list) == 0 || !f.callBudget.TryTake(c.now, 1) {
+	if len(list) == 0 || !scaler.callBudget.TryTake(c.now, 1) {
 		return
 	}
 	var names []string
@@ -208,16 +215,16 @@
 		m.lifecycle.releaseCallSent(c.now)
 		names = append(names, m.Name)
 	}
-	f.releaseInFlight = true
+	scaler.releaseInFlight = true
 	c.call(Cloud, "", "POST", protocol.PathTerminate, protocol.EncodeTerminate(names), cloudTimeout, func(out Outcome) {
 		if l.alive() {
-			f.releaseInFlight = false
+			scaler.releaseInFlight = false
 			l.releasesAnswered(list, out)
 		}
 	})
 }
 
-// pendingReleases are machines whose release is to be sent, or sent again.
+// pendingReleases returns machines whose release must be sent or retried.
 func (l *leader) pendingReleases() (list []*machine) {
 	for _, m := range l.fleetList {
 		if m.lifecycle.releasing() && l.controller.now.Sub(m.lifecycle.releaseSentAt) > releaseRetryInterval && len(list) < protocol.MaxTerminate {
@@ -227,7 +234,7 @@
 	return list
 }
 
-// releasesAnswered takes what came of a call that released machines.
+// releasesAnswered handles the outcome of a release call.
 func (l *leader) releasesAnswered(list []*machine, out Outcome) {
 	refused := out.Answered && (out.Status == 503 || out.Status == 429)
 	for _, m := range list {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -9,47 +9,47 @@
 	"brasskeel/internal/protocol"
 )
 
-// mayScaleOut reports whether anything may be rented now.
+// mayScaleOut reports whether machines may be provisioned now.
 func (l *leader) mayScaleOut() bool {
-	c, f := l.controller, &l.autoscaler
-	if l.phase != phaseActive || c.store.Unavailable() || len(c.types) == 0 || !c.now.Before(l.lease.ValidUntil) || f.demandIncomplete {
+	c, scaler := l.controller, &l.autoscaler
+	if l.phase != phaseActive || c.store.Unavailable() || len(c.types) == 0 || !c.now.Before(l.lease.ValidUntil) || scaler.demandIncomplete {
 		return false
 	}
 	if c.overload.Persistent(c.now) || len(l.fleetList) > l.forecastCapacity() && l.recentlyOverloaded() {
 		c.limits.Reached(limits.ServedMachines)
 		return false
 	}
-	for _, k := range f.requested {
+	for _, k := range scaler.requested {
 		if k > 0 {
-			return false // its answer decides what else is needed
+			return false // its response decides what else is needed
 		}
 	}
 	return true
 }
 
-// Thousands of machines rented at once, while the first of them booted, left a leader on a
-// small share of a processor so late that it answered neither workers nor users any more: what
-// a fleet costs shows only when its machines are up. So beyond what its share is likely to
-// serve, a fleet grows by steps of a part of it, each one after the one before is up, and only
+// The load of a fleet shows only when its machines are up. After thousands of machines were
+// provisioned at once, while the first of them still booted, a leader with a small CPU share
+// became so slow that it responded to neither workers nor users. So beyond forecastCapacity the
+// fleet grows in steps proportional to its size, each after the previous one is up, and only
 // while the leader keeps up with its timers.
 const (
-	// heartbeatCost is about what a heartbeat costs a controller, all that comes with it included,
-	// on an ordinary core: with 86 microseconds measured (docs/MEASUREMENTS.md).
+	// heartbeatCost is the approximate CPU time that a controller needs for a heartbeat and all
+	// work it causes, on an ordinary core: 86 microseconds were measured (docs/MEASUREMENTS.md).
 	heartbeatCost        = 100 * time.Microsecond
-	scaleOutStepDivisor  = 8 // part of the fleet that may boot, as a divisor
+	scaleOutStepDivisor  = 8 // fraction of the fleet that may boot at once, as a divisor
 	recentOverloadWindow = 4 * time.Second
 )
 
-// forecastCapacity is how many machines are likely to be served in time. Those of shards' owners
-// aren't counted more: how many of them serve, and what that costs the leader, shows as the
-// fleet grows.
+// forecastCapacity is how many machines this controller can probably serve with its CPU share.
+// The capacity of shard owners isn't added: how many of them serve workers, and what load that
+// leaves to the leader, shows as the fleet grows.
 func (l *leader) forecastCapacity() int {
 	c := l.controller.cfg
 	return int(min(c.CPUShare*float64(c.HeartbeatInterval)/float64(heartbeatCost), 1e9))
 }
 
-// recentlyOverloaded reports whether the controllers that serve the fleet have been late by now: this
-// one, or the owner of a shard.
+// recentlyOverloaded reports whether this controller or the owner of a shard has recently been
+// overloaded.
 func (l *leader) recentlyOverloaded() bool {
 	c := l.controller
 	if c.overload.OverloadedWithin(c.now, recentOverloadWindow) {
@@ -58,14 +58,15 @@
 	return l.shards != nil && l.shards.ownerOverloaded()
 }
 
-// scaleOutLimit is how many machines may be rented in one turn while some boot.
+// scaleOutLimit is how many machines one scale-out may provision while others boot.
 func (l *leader) scaleOutLimit(booting int) int {
 	fleet := len(l.fleetList)
 	step := max(protocol.MaxProvision, fleet/scaleOutStepDivisor) - booting
 	return max(0, min(maxPlannedMachines, max(l.forecastCapacity()-fleet, step)))
 }
 
-// scaleOut rents what the waiting work and the headroom need beyond what boots.
+// scaleOut provisions the machines that pending tasks, displaced replicas and the headroom need
+// beyond those that are booting.
 func (l *leader) scaleOut() {
 	if !l.mayScaleOut() {
 		return
@@ -87,7 +88,7 @@
 	l.requestPlannedMachines(plan)
 }
 
-// newScaleOutPlan is a plan for the fleet as it is now, without demand.
+// newScaleOutPlan returns a plan for the current fleet, without any demand.
 func (l *leader) newScaleOutPlan() *autoscaler.Plan {
 	quotas := map[string]*autoscaler.Quota{}
 	for name, t := range l.controller.teams {
@@ -101,7 +102,7 @@
 	return plan
 }
 
-// plannedDemand is a job's demand as the plan takes it.
+// plannedDemand converts a job's demand for the plan.
 func (l *leader) plannedDemand(d demand) autoscaler.Demand {
 	j := d.job
 	return autoscaler.Demand{Job: j.Job, Shape: shapeKeyOf(j), Zones: j.attemptsByZone, Tasks: min(d.tasks, j.pendingTasks()),
@@ -109,7 +110,7 @@
 		Starving:     func() bool { return j.queueInfo(l.controller.now.Round(0)).Starving() }}
 }
 
-// planHeadroom rents ahead of the next jobs.
+// planHeadroom adds machines to the plan until it provides the headroom for future jobs.
 func (l *leader) planHeadroom(plan *autoscaler.Plan) {
 	used, free := 0.0, 0.0
 	for _, m := range l.fleetList {
@@ -134,9 +135,9 @@
 	}
 }
 
-// requestPlannedMachines asks the cloud for what is planned. What many calls take is asked for at
-// once, but some are left for releases: those are the quick proof that machines which don't
-// respond are gone.
+// requestPlannedMachines requests the planned machines from the cloud, in as many calls as the
+// budget allows. Some calls are left for releases, which are the fastest proof that tasks on
+// unresponsive machines have ended.
 func (l *leader) requestPlannedMachines(plan *autoscaler.Plan) {
 	budget := l.autoscaler.callBudget
 	for _, request := range plan.Requests() {
@@ -149,7 +150,7 @@
 	}
 }
 
-// headroomFor is the free room wanted beyond what is used.
+// headroomFor is the free capacity to keep beside the used one, in CPUs.
 func (l *leader) headroomFor(used float64) float64 {
 	if l.needsHeadroom() {
 		return l.controller.operator.HeadroomShare * used
@@ -157,8 +158,8 @@
 	return 0
 }
 
-// needsHeadroom reports whether users want work started sooner than a machine
-// boots: only then is room kept for what may come.
+// needsHeadroom reports whether an objective requires tasks to start within less than the
+// shortest boot time. Only then is capacity kept free for future jobs.
 func (l *leader) needsHeadroom() bool {
 	boot := time.Duration(0)
 	for _, t := range l.controller.types {
@@ -175,20 +176,20 @@
 	return false
 }
 
-// catalog is what the cloud offers, as far as operators let it be rented.
+// catalog returns the cloud's machine types, with spot machines only if operators allow them.
 func (l *leader) catalog() autoscaler.Catalog {
 	return autoscaler.Catalog{Types: l.controller.types, Spot: l.controller.operator.Spot}
 }
 
-// offers lists what can be rented now, cheapest per CPU first.
+// offers returns the offers that can be requested now, cheapest per CPU first.
 func (l *leader) offers() []autoscaler.Offer {
 	return l.catalog().Offers(func(key autoscaler.OfferKey) bool {
 		return !l.controller.now.Before(l.autoscaler.unavailableUntil[key])
 	})
 }
 
-// overpriced reports whether a machine isn't rented for a job at the price: teams without
-// a guarantee take what is idle, and what is cheap.
+// overpriced reports whether an offer is too expensive for a job. Teams without a guarantee get
+// only idle and cheap capacity, except for critical jobs.
 func (l *leader) overpriced(j *job, o autoscaler.Offer) bool {
 	t := l.controller.teams[j.Team]
 	if t == nil || t.CPUs > 0 || t.GPUs > 0 || j.Priority == protocol.Critical {
@@ -197,30 +198,30 @@
 	return l.catalog().TooExpensive(j.Job, o)
 }
 
-// offer is the offer that a machine was rented by. Its type must be known.
+// offer returns the offer that a machine was provisioned from. The machine's type must be known.
 func (m *machine) offer() autoscaler.Offer {
 	return autoscaler.Offer{Spec: m.Spec, Zone: m.Zone, Spot: m.Spot}
 }
 
-// requestMachines asks the cloud for machines.
+// requestMachines requests machines from the cloud.
 func (l *leader) requestMachines(o autoscaler.Offer, count int) {
-	c, f := l.controller, &l.autoscaler
-	f.requestCount++
-	// Never used again, by this controller or another: terms are unique, and so is
-	// the counter within one.
-	name := fmt.Sprintf("t%d-%d", l.term, f.requestCount)
+	c, scaler := l.controller, &l.autoscaler
+	scaler.requestCount++
+	// The name is never reused by any controller: terms are unique, and so is the counter
+	// within a term.
+	name := fmt.Sprintf("t%d-%d", l.term, scaler.requestCount)
 	key := o.Key()
-	f.requested[key] += count
+	scaler.requested[key] += count
 	c.call(Cloud, "", "POST", protocol.PathMachines, protocol.EncodeProvision(name, o.Spec.Name, o.Zone, o.Spot, count), cloudTimeout, func(out Outcome) {
 		if !l.alive() {
 			return
 		}
-		f.requested[key] -= count
+		scaler.requested[key] -= count
 		switch {
 		case out.Answered && out.Status == 200:
 			names, err := protocol.ParseMachineNames(out.Body)
 			if err != nil {
-				return // what was rented will show in the list
+				return // the inventory will show the machines
 			}
 			for _, m := range names {
 				if l.machines[m] == nil && l.terminatedAt[m].IsZero() {
@@ -229,19 +230,19 @@
 			}
 			c.log.Info("machines provisioned", "type", o.Spec.Name, "zone", o.Zone, "spot", o.Spot, "requested", count, "count", len(names))
 			if len(names) < count {
-				f.unavailableUntil[key] = c.now.Add(noCapacityBackoff)
+				scaler.unavailableUntil[key] = c.now.Add(noCapacityBackoff)
 			}
 			l.scheduleScaleOut()
 		case out.Answered && out.Status == 503 && protocol.NoCapacity(out.Body):
-			if c.now.Sub(f.unavailableUntil[key]) > noCapacityBackoff { // else it was so the last time, too
+			if c.now.Sub(scaler.unavailableUntil[key]) > noCapacityBackoff { // log only the first of successive failures
 				c.log.Info("instance offer without capacity", "type", o.Spec.Name, "zone", o.Zone, "spot", o.Spot)
 			}
-			f.unavailableUntil[key] = c.now.Add(noCapacityBackoff)
+			scaler.unavailableUntil[key] = c.now.Add(noCapacityBackoff)
 			l.scheduleScaleOut()
 		case out.Answered && out.Status == 429:
 		default:
-			// Maybe carried out; then the machines show in the list.
-			f.unavailableUntil[key] = c.now.Add(3 * time.Second)
+			// The request may have been carried out; the inventory will show the machines.
+			scaler.unavailableUntil[key] = c.now.Add(3 * time.Second)
 		}
 	})
 }
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -6,7 +6,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// What a leader makes of what workers show.
+// The leader's implementation of sessionListener.
 
 // workerRegistered implements sessionListener.
 func (l *leader) workerRegistered(*machine) { l.requestPlacement() }
@@ -38,8 +38,8 @@
 // probeFailed implements sessionListener.
 func (l *leader) probeFailed(*machine) { l.checkReconciled() }
 
-// incarnationReset implements sessionListener: the worker's incarnations and sequence numbers
-// say no more which of its messages is the newer one.
+// incarnationReset implements sessionListener. Incarnation and sequence numbers no longer tell
+// which of the worker's messages is newer, so the machine is released.
 func (l *leader) incarnationReset(m *machine) {
 	m.lifecycle.draining = true
 	l.release(m, "worker incarnation reset")
@@ -57,8 +57,8 @@
 // attemptTerminated implements sessionListener.
 func (l *leader) attemptTerminated(a *attempt, reason string) { l.detach(a, reason) }
 
-// orphanReported implements sessionListener: the task isn't on record for
-// this machine, or not any more.
+// orphanReported implements sessionListener. The task isn't recorded on this machine, or no
+// longer, so it is stopped.
 func (l *leader) orphanReported(*machine, *protocol.TaskStatus) bool { return true }
 
 // newerTokenSeen implements sessionListener.
@@ -83,18 +83,18 @@
 	if a != nil {
 		l.attemptExited(m, a, t)
 	}
-	// A result is recorded before the worker forgets it.
+	// The worker may forget a completed task only once its result is recorded.
 	return !done || j.finalState != 0 || j.task(t.TaskIndex).doneRecorded
 }
 
-// Pauses after a worker refused a start: nothing of the job is placed for the first, and
-// placement runs again after the second.
+// After a worker refused a start, tasks of the job aren't placed for refusedStartBackoff, and
+// placement runs again after refusedStartRetry.
 const (
 	refusedStartBackoff = 500 * time.Millisecond
 	refusedStartRetry   = 510 * time.Millisecond
 )
 
-// attemptExited ends an attempt whose task's exit was reported.
+// attemptExited ends an attempt whose worker reported the task's exit.
 func (l *leader) attemptExited(m *machine, a *attempt, t *protocol.TaskStatus) {
 	switch t.Reason {
 	case protocol.ExitError:
--- a/internal/coordination/sessions/detector.go
+++ b/internal/coordination/sessions/detector.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Times and counts that don't depend on settings.
+// Timeouts and thresholds that don't depend on settings.
 const (
-	// minProbeAfter is the least silence after which a worker is probed. Heartbeats may be
-	// seconds apart; a worker that lives answers a probe within milliseconds.
+	// minProbeAfter is the shortest silence after which a worker is probed. Heartbeats may be
+	// seconds apart, while a live worker answers a probe within milliseconds.
 	minProbeAfter = 2 * time.Second
-	// failedProbesReleaseAfter is the silence after which a worker that doesn't answer
-	// probes either is presumed dead.
+	// failedProbesReleaseAfter is the silence after which a worker is presumed dead if it
+	// doesn't answer probes either.
 	failedProbesReleaseAfter = 3500 * time.Millisecond
-	// LostHeartbeatDelay is what a heartbeat costs that gets no answer: the worker waits for
-	// it and tries the next controller.
+	// LostHeartbeatDelay is the delay that an unanswered heartbeat causes: the worker waits for
+	// the response and then tries the next controller.
 	LostHeartbeatDelay = 5 * time.Second
-	// UnreachableProbeThreshold is how many probes in a row a worker leaves unanswered that counts as
-	// unreachable for who calls it.
+	// UnreachableProbeThreshold is the number of consecutive failed probes from which on a
+	// worker counts as unreachable by calls.
 	UnreachableProbeThreshold = 2
-	// UnansweringProbeThreshold is how many of them prove that waiting for the worker's heartbeat is
-	// of no use, and unreachedReleaseProbes how many make one presumed dead whose heartbeats arrive.
+	// UnansweringProbeThreshold is the number of consecutive failed probes after which it is
+	// pointless to wait for the worker's heartbeat. unreachedReleaseProbes is the number after
+	// which a worker is presumed dead although its heartbeats arrive.
 	UnansweringProbeThreshold = 3
 	unreachedReleaseProbes    = 4
-	// stalledAfter is for how long a process must have done nothing that messages may wait
-	// unread, and all workers seem silent.
+	// stalledAfter is the gap between two scans after which unread messages may be waiting, so
+	// that all workers seem silent.
 	stalledAfter = time.Second
-	// registrationSlack covers a heartbeat or two lost on controllers that are gone, and
+	// registrationSlack covers one or two heartbeats sent to controllers that are down, and
 	// reconnectSlack the second that a worker takes to try the next controller.
 	registrationSlack = 6 * time.Second
 	reconnectSlack    = 1200 * time.Millisecond
 )
 
-// Timing derives the failure detector's times from two settings.
+// Timing derives the failure detector's timeouts from two settings.
 type Timing struct {
 	HeartbeatInterval time.Duration
 	WorkerLease       time.Duration
 }
 
-// SuspectAfter is the silence after which a machine takes nothing new.
+// SuspectAfter is the silence after which a machine takes no new tasks.
 func (t Timing) SuspectAfter() time.Duration { return t.longestInterval() + 700*time.Millisecond }
 
-// UnresponsiveAfter is the silence after which a machine is given up, whatever probes say.
+// UnresponsiveAfter is the silence after which a machine is presumed dead regardless of probes.
 func (t Timing) UnresponsiveAfter() time.Duration {
 	return max(t.HeartbeatInterval*2+time.Second, 4*time.Second)
 }
 
-// ProbeAfter is the silence after which a worker is probed. Where heartbeats are further
-// apart, probing between them took as many calls as there were heartbeats, and finds what is
-// dead a second sooner. In a zone where a worker doesn't answer the others are probed at the
-// soonest, or the first would be given up before a partition is seen.
+// ProbeAfter is the silence after which a worker is probed. It is no shorter than the heartbeat
+// interval: probing between heartbeats took as many calls as there were heartbeats, and detects
+// a dead worker only a second sooner. In a suspect zone, where a worker doesn't answer, the
+// others are probed as early as possible: otherwise the first machine would be released before
+// a partition is detected.
 func (t Timing) ProbeAfter(suspectZone bool) time.Duration {
 	if suspectZone {
 		return minProbeAfter
@@ -54,31 +56,35 @@
 	return max(minProbeAfter, t.HeartbeatInterval)
 }
 
-// UnreachedProbeAfter is how long nothing sent may have been seen to arrive before a worker
-// whose heartbeats arrive is probed, and unreachedReleaseAfter before it is given up when
-// probes fail, too.
+// UnreachedProbeAfter is the time without proof that anything sent reaches a worker after which
+// it is probed although its heartbeats arrive.
 func (t Timing) UnreachedProbeAfter() time.Duration { return 2*t.HeartbeatInterval + time.Second }
 
+// unreachedReleaseAfter is the time without such proof after which a worker is presumed dead if
+// probes fail as well.
 func (t Timing) unreachedReleaseAfter() time.Duration { return 3*t.HeartbeatInterval + 4*time.Second }
 
-// RegistrationTimeout is when every live worker has found a new leader.
+// RegistrationTimeout is how long it takes at most until all live workers have registered with
+// a new leader.
 func (t Timing) RegistrationTimeout() time.Duration { return t.longestInterval() + registrationSlack }
 
-// ReconnectTime is when those workers that can have found whoever serves them now.
+// ReconnectTime is how long workers take to find their current owner, except those that lose
+// heartbeats to controllers that are down.
 func (t Timing) ReconnectTime() time.Duration { return t.longestInterval() + reconnectSlack }
 
-// longestInterval is the longest time between two heartbeats: workers vary it by a quarter.
+// longestInterval is the longest time between two heartbeats: workers vary the interval by up to
+// a quarter.
 func (t Timing) longestInterval() time.Duration { return t.HeartbeatInterval * 5 / 4 }
 
-// Silence is for how long a worker wasn't in contact, and how many probes failed in a row.
+// Silence is how long a worker has been out of contact, by direction.
 type Silence struct {
-	Unseen       time.Duration // since its latest message
-	Unreached    time.Duration // since something sent was seen to arrive: calls and answers are lost
-	Unanswered   time.Duration // since a heartbeat of it was answered: heartbeats are lost
-	FailedProbes int
+	Unseen       time.Duration // since its latest message arrived
+	Unreached    time.Duration // since the latest proof that something sent reached it: calls and heartbeat responses may be lost
+	Unanswered   time.Duration // since its latest answered heartbeat: heartbeats may be lost
+	FailedProbes int           // consecutive
 }
 
-// PresumedDead reports whether a machine is to be given up.
+// PresumedDead reports whether a machine should be treated as dead and released.
 func (t Timing) PresumedDead(s Silence) bool {
 	return s.Unseen > t.UnresponsiveAfter() ||
 		s.Unseen > failedProbesReleaseAfter && s.FailedProbes >= UnansweringProbeThreshold ||
@@ -86,33 +92,33 @@
 		s.Unanswered > 2*t.WorkerLease
 }
 
-// Detector is what a failure detector remembers between two scans of its workers.
+// Detector is the state that a failure detector keeps between scans of its workers.
 type Detector struct {
-	resetAt      time.Time       // silence counts from here at the earliest
-	scannedAt    time.Time       // when the workers were last looked at
-	cursor       int             // which of the workers to be probed comes next
-	suspectZones map[string]bool // where a worker didn't answer its latest probe
+	resetAt      time.Time       // silence is counted from here at the earliest
+	scannedAt    time.Time       // when the last scan began
+	cursor       int             // position of the next worker to probe
+	suspectZones map[string]bool // zones with a worker that didn't answer its latest probe
 }
 
-// Reset lets the silence of workers count anew: it said nothing until now.
+// Reset restarts the count of all silence, because silence up to now had other causes.
 func (d *Detector) Reset(now time.Time) { d.resetAt = now }
 
-// ResetAt is when silence began to count.
+// ResetAt is when the count of silence was last restarted.
 func (d *Detector) ResetAt() time.Time { return d.resetAt }
 
-// Scan notes that the workers are looked at, and reports whether the process did nothing
-// since it last was done: messages wait unread then.
+// Scan records that a scan begins, and reports whether the process was stalled since the last
+// one, in which case unread messages may be waiting.
 func (d *Detector) Scan(now time.Time) (stalled bool) {
 	stalled = now.Sub(d.scannedAt) > stalledAfter
 	d.scannedAt = now
 	return stalled
 }
 
-// SetSuspectZones replaces the zones where a worker doesn't answer.
+// SetSuspectZones sets the zones with a worker that didn't answer its latest probe.
 func (d *Detector) SetSuspectZones(zones map[string]bool) { d.suspectZones = zones }
 
-// Unanswered is how long no heartbeat of a worker has been answered, although it may answer
-// calls: it reaches no controller. It is 0 for one that isn't registered.
+// Unanswered is how long no heartbeat of a worker has been answered: its heartbeats may reach no
+// controller although it answers calls. It is 0 for an unregistered worker.
 func (d *Detector) Unanswered(s *Session, now time.Time) time.Duration {
 	if !s.Registered {
 		return 0
@@ -120,8 +126,8 @@
 	return now.Sub(Latest(s.LastAnswered, s.RegisteredAt, d.resetAt))
 }
 
-// Unreached is how long nothing sent was seen to arrive at a worker. It is 0 for one that
-// isn't registered.
+// Unreached is how long there has been no proof that anything sent reaches a worker. It is 0 for
+// an unregistered worker.
 func (d *Detector) Unreached(s *Session, now time.Time) time.Duration {
 	if !s.Registered {
 		return 0
@@ -129,14 +135,15 @@
 	return now.Sub(Latest(s.LastReached, s.RegisteredAt, d.resetAt))
 }
 
-// NeedsProbe reports whether a worker of a zone is to be probed that was silent for a time.
+// NeedsProbe reports whether a worker in the given zone that was silent for unseen should be
+// probed.
 func (d *Detector) NeedsProbe(t Timing, s *Session, zone string, unseen time.Duration, now time.Time) bool {
 	return unseen > t.ProbeAfter(d.suspectZones[zone]) || s.Registered && s.LastReached.IsZero() ||
 		d.Unreached(s, now) > t.UnreachedProbeAfter() || s.FailedProbes > 0
 }
 
-// ProbeRoundRobin visits some of count workers, beginning after those that it visited the last
-// time, until as many as limit were probed.
+// ProbeRoundRobin calls probe for up to count workers, continuing after those of the last call,
+// until limit of them were probed.
 func (d *Detector) ProbeRoundRobin(count, limit int, probe func(i int) (probed bool)) {
 	for i := range count {
 		if limit == 0 {
@@ -149,37 +156,38 @@
 	}
 }
 
-// DomainHealth is how the machines of a failure domain answer: those that a network
-// partition would part from their controller together.
+// DomainHealth counts the machines of a failure domain, which a network partition would cut off
+// from their controller together.
 type DomainHealth struct {
 	Machines int
 	Suspect  int // silent, or with a failed probe
 }
 
-// Partitioned reports whether the silence of the machines speaks for a partition rather than
-// for their deaths: most of them are suspect at once. Heartbeats come at different times, so
-// those that are only late by now count, too.
+// Partitioned reports whether a partition explains the silence better than dead machines do,
+// since most machines are suspect at once. Heartbeats arrive at different times, so machines
+// that are only late so far count as suspect, too.
 func (h *DomainHealth) Partitioned() bool { return h.Suspect > 2 && h.Suspect*5 > h.Machines*3 }
 
-// FleetContact counts how the workers of a fleet are in contact with their controller.
+// FleetContact counts the workers of a fleet by their contact with the controller.
 type FleetContact struct {
 	Registered  int // in this epoch
-	Unreachable int // of them, those that don't answer probes
-	// Of those that an earlier epoch knew: all, those that registered, and those that neither
-	// did nor answer probes.
+	Unreachable int // registered, but not answering probes
+	// Workers known from an earlier epoch: all of them, those that registered in this one, and
+	// those that neither registered nor answer probes.
 	Inherited, InheritedRegistered, InheritedUnanswering int
 }
 
-// MostUnreachable reports whether most of the workers that registered can't be called.
+// MostUnreachable reports whether most registered workers don't answer probes.
 func (f *FleetContact) MostUnreachable() bool {
 	return f.Registered > 2 && f.Unreachable*2 > f.Registered
 }
 
-// FewRegistered reports whether most workers of the epoch before never registered.
+// FewRegistered reports whether fewer than a third of the workers known from an earlier epoch
+// have registered.
 func (f *FleetContact) FewRegistered() bool {
 	return f.Inherited > 2 && f.InheritedRegistered*3 < f.Inherited
 }
 
-// MostUnanswering reports whether most workers of the epoch before don't answer probes
-// either, and needn't be waited for.
+// MostUnanswering reports whether more than two thirds of the workers known from an earlier
+// epoch neither registered nor answer probes, so that waiting for them is pointless.
 func (f *FleetContact) MostUnanswering() bool { return f.InheritedUnanswering*3 > f.Inherited*2 }
--- a/internal/coordination/sessions/session.go
+++ b/internal/coordination/sessions/session.go
@@ -6,88 +6,89 @@
 	"time"
 )
 
-// TokenBits is how many low bits of a fencing token raise it for one worker; the bits above
-// hold the term of the epoch.
+// TokenBits is the number of low bits of a fencing token that count raises for a single worker.
+// The bits above hold the term of the epoch.
 const TokenBits = 16
 
-// ErrTokensExhausted says that a worker's token can't be raised any more in its epoch: it
-// never wraps, since a worker ignores a lower token.
+// ErrTokensExhausted means that a worker's token can't be raised any further in its epoch. The
+// token never wraps around, since a worker ignores lower tokens.
 var ErrTokensExhausted = errors.New("no higher fencing token is left in this epoch")
 
-// TermOf is the term of the epoch that gave out a fencing token.
+// TermOf returns the term of the epoch that issued a fencing token.
 func TermOf(token uint64) uint64 { return token >> TokenBits }
 
-// Epoch is the time for which one owner serves machines, under tokens of one term.
+// Epoch is the period in which one owner serves machines, with tokens of one term.
 type Epoch struct {
 	Term  uint64
 	Since time.Time
-	// PredecessorUntil is until when whoever served the machines before may have answered
-	// their workers.
+	// PredecessorUntil is until when the previous owner of the machines may have responded
+	// to their workers.
 	PredecessorUntil time.Time
-	Paused           bool // nothing is answered or sent
+	Paused           bool // no responses or calls are sent
 }
 
 // BaseToken is the lowest fencing token of the epoch.
 func (e *Epoch) BaseToken() uint64 { return e.Term << TokenBits }
 
-// Session is what the owner of a machine knows of its worker. Its zero value is that of a
-// worker that was never heard, on a machine that isn't served.
+// Session is what the owner of a machine knows of its worker. The zero value is for a worker
+// that was never in contact, on a machine that isn't served.
 type Session struct {
-	// Epoch is that of who serves the machine here; nil: it isn't served here.
+	// Epoch is the current ownership epoch of the machine; nil if it isn't served here.
 	Epoch      *Epoch
-	Registered bool // it has sent a heartbeat in this epoch
-	Reconciled bool // its tasks were compared with what is known of them
+	Registered bool // a status of the worker was received in this epoch
+	Reconciled bool // its tasks were compared with the known attempts
 	MessageOrder
 	FencingState
 	Contact
 }
 
-// MessageOrder orders the messages of a worker. A worker numbers its incarnations, and in each
-// of them all its messages: heartbeats and responses to calls.
+// MessageOrder holds the position of a worker's latest messages. A worker numbers its
+// incarnations, and within each of them all its messages: heartbeats and responses to calls.
 type MessageOrder struct {
 	Incarnation       uint64
-	IncarnationSince  time.Time // when it was first heard of: it began no later
+	IncarnationSince  time.Time // when its first message arrived; it began no later
 	Sequence          uint64    // of the latest message
 	HeartbeatSequence uint64    // of the latest heartbeat
 }
 
-// FencingState is a worker's fencing token. A worker takes no orders and no answers with a token
-// below the highest it has seen.
+// FencingState is the state of a worker's fencing token. A worker rejects orders and heartbeat
+// responses with a token below the highest it has seen.
 type FencingState struct {
+	// SeenToken is the highest token that the worker's latest message reports.
 	SeenToken uint64
-	// EpochSeenAt is when the worker first showed a token of this epoch.
+	// EpochSeenAt is when a message of the worker first reported a token of this epoch.
 	EpochSeenAt time.Time
-	// DirectStartToken is that of the latest start that was sent by a call of its own: a late
-	// copy of it is refused once the worker has seen a higher one.
+	// DirectStartToken is the token of the latest direct start. The worker refuses a late
+	// duplicate of that start once it has seen a higher token.
 	DirectStartToken uint64
 
-	offset    uint16    // raises the token for this worker alone
-	sentSince time.Time // since when answers carry the present token; zero: none has yet
-	confirmed bool      // a heartbeat has shown it
+	offset    uint16    // raises of the token, for this worker only
+	sentSince time.Time // since when heartbeat responses carry the current token; zero if none has yet
+	confirmed bool      // a heartbeat has reported the current token
 }
 
-// Contact is when a worker was reached, in either direction. Heartbeats may arrive while
-// answers and calls don't reach the worker, and a heartbeat may be a late copy: only a
-// response to a call, or a heartbeat that shows a token raised here, proves that what is
-// sent arrives.
+// Contact is when there was contact with a worker, by direction. Heartbeats may arrive while
+// responses and calls don't reach the worker, and a heartbeat may be a late duplicate. Only a
+// response to a call, or a heartbeat that reports a token issued here, proves that messages
+// reach the worker.
 type Contact struct {
-	RegisteredAt  time.Time // the first heartbeat in this epoch
-	LastSeen      time.Time // the latest message of the worker's
+	RegisteredAt  time.Time // the first status in this epoch
+	LastSeen      time.Time // the latest message from the worker
 	LastAnswered  time.Time // the latest heartbeat that was answered
-	LastReached   time.Time // the latest proof that something sent arrived; zero: none yet
-	FailedProbes  int       // probes in a row without an answer
+	LastReached   time.Time // the latest proof that something sent reached it; zero if none yet
+	FailedProbes  int       // consecutive probes without an answer
 	ProbeInFlight bool
 }
 
-// Served reports whether the worker is this owner's to answer and to call now.
+// Served reports whether this owner currently responds to and calls the worker.
 func (s *Session) Served() bool { return s.Epoch != nil && !s.Epoch.Paused }
 
-// Token is the worker's present fencing token. It must be served here.
+// Token returns the worker's current fencing token. The worker must be served here.
 func (s *Session) Token() uint64 { return s.Epoch.BaseToken() | uint64(s.offset) }
 
-// RaiseToken makes the token exceed one that the worker may have seen: that of a direct
-// start, or its present one where only a heartbeat with a new token can tell whether answers
-// reach it. It does nothing if the token is above that one by now. The error is
+// RaiseToken raises the token above one that the worker may have seen: the token of a direct
+// start, or the current one if only a heartbeat with a new token can prove that heartbeat
+// responses reach the worker. It does nothing if the token is already above it. The error is
 // ErrTokensExhausted.
 func (s *Session) RaiseToken(above uint64, now time.Time) error {
 	if s.Token() > above {
@@ -101,28 +102,28 @@
 	return nil
 }
 
-// Message is the place of a worker's message among its others.
+// Message is the position of a message among a worker's messages.
 type Message struct {
 	Incarnation, Sequence uint64
-	Token                 uint64 // the highest that the worker had seen
-	Heartbeat             bool   // a heartbeat, and no response to a call
+	Token                 uint64 // the highest token that the worker had seen
+	Heartbeat             bool   // a heartbeat rather than a response to a call
 }
 
-// Arrival says how a heartbeat stands to what came before it.
+// Arrival classifies a heartbeat by the messages that arrived before it.
 type Arrival uint8
 
 const (
-	// Newest is one that tells something new.
+	// Newest is a heartbeat that is newer than all messages so far.
 	Newest Arrival = iota + 1
-	// Overtaken is one that a response which the worker sent later has come before. It tells
-	// nothing new, but its answer renews the worker's lease.
+	// Overtaken is a heartbeat that arrived after a response to a call which the worker sent
+	// later. Its status is outdated, but the heartbeat response renews the worker's lease.
 	Overtaken
-	// Stale is a copy, or one that the worker has given up: it has one heartbeat in flight at
-	// a time, and no answer to this one renews its lease.
+	// Stale is a duplicate, or a heartbeat that the worker has abandoned. A worker has one
+	// heartbeat in flight at a time, so a response to this one doesn't renew its lease.
 	Stale
 )
 
-// ClassifyHeartbeat judges a heartbeat before it is taken.
+// ClassifyHeartbeat classifies a heartbeat before it is applied.
 func (s *Session) ClassifyHeartbeat(heartbeat Message) Arrival {
 	switch sameIncarnation := heartbeat.Incarnation == s.Incarnation; {
 	case !s.Registered:
@@ -135,13 +136,13 @@
 	return Newest
 }
 
-// IsNewer reports whether a message is newer than all that were taken.
+// IsNewer reports whether a message is newer than all that were applied.
 func (n *MessageOrder) IsNewer(m Message) bool {
 	return m.Incarnation > n.Incarnation || m.Incarnation == n.Incarnation && m.Sequence > n.Sequence
 }
 
-// Apply takes the newest message, and reports whether it begins an incarnation. It must be
-// served here.
+// Apply updates the session from the newest message, and reports whether the message begins an
+// incarnation. The worker must be served here.
 func (s *Session) Apply(m Message, now time.Time) (began bool) {
 	began = m.Incarnation != s.Incarnation
 	s.Incarnation, s.Sequence, s.SeenToken, s.LastSeen = m.Incarnation, m.Sequence, m.Token, now
@@ -150,18 +151,18 @@
 	}
 	if began {
 		s.HeartbeatSequence = 0
-		// An incarnation has its whole lease from its beginning, which was no later than now,
-		// whether or not a heartbeat of it is ever answered. A machine whose heartbeats reach
-		// nobody gets its work by direct starts all the same, incarnation after incarnation;
-		// when it then fell silent, its tasks were taken for ended long before they were.
+		// An incarnation has a full lease from its beginning, which was no later than now,
+		// whether or not any of its heartbeats is answered. A worker whose heartbeats reach no
+		// controller still gets tasks by direct starts, one incarnation after the other. When
+		// such a worker fell silent, its tasks were declared ended long before they had ended.
 		s.IncarnationSince = now
 	}
 	return began
 }
 
-// ProvesReached reports whether a taken message proves that something sent has reached the
-// worker, and since when: a response proves a call, and a heartbeat that shows a raised
-// token proves an answer.
+// ProvesReached reports whether an applied message proves that something sent has reached the
+// worker, and the earliest time at which it can have: a response proves it for a call, and a
+// heartbeat that reports a raised token for a heartbeat response.
 func (s *Session) ProvesReached(m Message, now time.Time) (at time.Time, proven bool) {
 	switch {
 	case !m.Heartbeat:
@@ -173,7 +174,7 @@
 	return time.Time{}, false
 }
 
-// RecordAnswer notes that a heartbeat is about to be answered, with the present token.
+// RecordAnswer records that a heartbeat is about to be answered with the current token.
 func (s *Session) RecordAnswer(sequence uint64, now time.Time) {
 	s.HeartbeatSequence = sequence
 	if s.sentSince.IsZero() {
@@ -181,26 +182,26 @@
 	}
 }
 
-// RecordReached notes that something sent arrived at the worker, at a time or after it.
+// RecordReached records that something sent reached the worker, at the given time or later.
 func (c *Contact) RecordReached(at time.Time) {
 	if at.After(c.LastReached) {
 		c.LastReached = at
 	}
 }
 
-// TerminationProofAt is when a worker that stays silent has certainly ended its tasks, if its
-// lease, with what clocks may differ by, lasts for a time. Whoever served it before may have
-// answered it until its own grace period ended.
+// TerminationProofAt is when a worker that stays silent has certainly ended its tasks. The lease
+// is the worker's, with an allowance for clock drift. The previous owner may have responded to
+// the worker until its own grace period ended.
 func (s *Session) TerminationProofAt(lease time.Duration) time.Time {
 	last := s.Epoch.PredecessorUntil
 	if !s.EpochSeenAt.IsZero() {
-		// It has seen a token of this epoch and takes no other's answer any more. Until then
-		// an earlier owner's may have renewed its lease: a token that came with a direct
-		// command says nothing of when that was.
+		// The worker has seen a token of this epoch and accepts no responses of earlier owners
+		// any more. Until then, they may have renewed its lease: a token that arrived with a
+		// direct order doesn't tell when the lease was last renewed.
 		last = s.EpochSeenAt
 	}
 	return Latest(last, s.LastAnswered, s.IncarnationSince).Add(lease)
 }
 
-// Latest is the latest of some times.
+// Latest returns the latest of the given times.
 func Latest(times ...time.Time) time.Time { return slices.MaxFunc(times, time.Time.Compare) }
--- a/internal/coordination/sessions/sessions_test.go
+++ b/internal/coordination/sessions/sessions_test.go
@@ -13,7 +13,7 @@
 func TestClassifyHeartbeat(t *testing.T) {
 	s := servedSession(1)
 	if got := s.ClassifyHeartbeat(Message{Incarnation: 3, Sequence: 9}); got != Newest {
-		t.Errorf("the first heartbeat: %d", got)
+		t.Errorf("the first heartbeat is classified as %d", got)
 	}
 	s.Registered = true
 	s.Apply(Message{Incarnation: 3, Sequence: 9}, start)
@@ -24,7 +24,7 @@
 		incarnation, sequence uint64
 		want                  Arrival
 	}{
-		{"a copy", 3, 9, Stale},
+		{"a duplicate", 3, 9, Stale},
 		{"an older one", 3, 4, Stale},
 		{"of an earlier incarnation", 2, 40, Stale},
 		{"overtaken by the response", 3, 11, Overtaken},
@@ -53,7 +53,7 @@
 	}
 	last := s.Token()
 	if err := s.RaiseToken(last, start); !errors.Is(err, ErrTokensExhausted) || s.Token() != last || TermOf(last) != 7 {
-		t.Errorf("beyond the last token: %x, %v", s.Token(), err)
+		t.Errorf("raised above the last token: %x, %v", s.Token(), err)
 	}
 }
 
@@ -93,7 +93,7 @@
 		predecessor, seen, began, last time.Time
 		want                           time.Time
 	}{
-		{name: "never heard", predecessor: at(20), want: at(35)},
+		{name: "never in contact", predecessor: at(20), want: at(35)},
 		{name: "has seen the epoch's token", predecessor: at(20), seen: at(5), want: at(20)},
 		{name: "was answered since", predecessor: at(20), seen: at(5), last: at(9), want: at(24)},
 		{name: "answered, and hasn't seen the token", predecessor: at(20), last: at(9), want: at(35)},
@@ -136,14 +136,14 @@
 		{"was reported", Delivery{Reported: true, DirectPending: true}, heartbeat, Terminated, ReasonNoLongerReported},
 		{"inherited, token seen", Delivery{Inherited: true}, heartbeat, Terminated, ReasonNotHeld},
 		{"inherited, token not seen", Delivery{Inherited: true}, Message{Token: base - 1, Heartbeat: true}, Undecided, ""},
-		{"direct start under way", Delivery{DirectPending: true, DirectToken: base, DirectIncarnation: 1}, heartbeat, Undecided, ""},
+		{"direct start in flight", Delivery{DirectPending: true, DirectToken: base, DirectIncarnation: 1}, heartbeat, Undecided, ""},
 		{"unanswered direct start, fenced", Delivery{DirectToken: base, DirectIncarnation: 3}, heartbeat, NotStarted, ""},
 		{"unanswered direct start, not fenced", Delivery{DirectToken: base + 1, DirectIncarnation: 3}, heartbeat, Unfenced, ""},
 		{"unanswered direct start, another incarnation", Delivery{DirectToken: base + 9, DirectIncarnation: 2}, response, Terminated, ReasonLeaseExpired},
 		{"sent to an earlier incarnation", Delivery{SentIncarnation: 2, SentSequence: 40}, response, Terminated, ReasonLeaseExpired},
-		{"sent with an answer, next heartbeat", Delivery{SentIncarnation: 3, SentSequence: 19}, heartbeat, NotStarted, ""},
-		{"sent with an answer, response", Delivery{SentIncarnation: 3, SentSequence: 19}, response, Undecided, ""},
-		{"sent with a later answer", Delivery{SentIncarnation: 3, SentSequence: 20}, heartbeat, Undecided, ""},
+		{"sent with a heartbeat response, next heartbeat", Delivery{SentIncarnation: 3, SentSequence: 19}, heartbeat, NotStarted, ""},
+		{"sent with a heartbeat response, call response", Delivery{SentIncarnation: 3, SentSequence: 19}, response, Undecided, ""},
+		{"sent with a later heartbeat response", Delivery{SentIncarnation: 3, SentSequence: 20}, heartbeat, Undecided, ""},
 	} {
 		got, reason := test.delivery.EvaluateAbsence(test.message, base)
 		if got != test.want || reason != test.reason {
@@ -157,7 +157,7 @@
 		"inherited":      func(d *Delivery) { d.Inherited = true },
 		"owner notified": func(d *Delivery) { d.OwnerNotified = true },
 		"reported":       func(d *Delivery) { d.Reported = true },
-		"in an answer":   func(d *Delivery) { d.MarkSent(1, 2) },
+		"in a response":  func(d *Delivery) { d.MarkSent(1, 2) },
 		"by a call":      func(d *Delivery) { d.MarkDirectSent(1, 2) },
 	} {
 		var d Delivery
@@ -184,9 +184,9 @@
 		{"doesn't answer probes, was seen", Silence{Unseen: 3 * time.Second, FailedProbes: 3}, false},
 		{"nothing reaches it", Silence{Unreached: 11 * time.Second, FailedProbes: 4}, true},
 		{"nothing reaches it, for less", Silence{Unreached: 10 * time.Second, FailedProbes: 4}, false},
-		{"nothing was seen to reach it, and it answers", Silence{Unreached: time.Minute}, false},
-		{"its heartbeats reach nobody", Silence{Unanswered: 31 * time.Second}, true},
-		{"its heartbeats reach nobody, for less", Silence{Unanswered: 30 * time.Second}, false},
+		{"nothing is proven to reach it, but it answers probes", Silence{Unreached: time.Minute}, false},
+		{"its heartbeats aren't answered", Silence{Unanswered: 31 * time.Second}, true},
+		{"its heartbeats aren't answered, for less", Silence{Unanswered: 30 * time.Second}, false},
 	} {
 		if got := timing.PresumedDead(test.silence); got != test.want {
 			t.Errorf("%s: %t", test.name, got)
@@ -241,7 +241,7 @@
 	for range 5 {
 		d.ProbeRoundRobin(len(probed), 4, func(i int) bool {
 			if i == 3 {
-				return false // one is under way
+				return false // its probe is in flight
 			}
 			probed[i]++
 			return true
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -8,16 +8,16 @@
 	"brasskeel/internal/protocol"
 )
 
-// ordersTimeout is how long a worker has to answer orders.
+// ordersTimeout is how long a worker has to respond to a call with orders.
 const ordersTimeout = 1200 * time.Millisecond
 
-// startOrder is the order that starts an attempt.
+// startOrder returns the order that starts an attempt.
 func startOrder(a *attempt) protocol.Order {
 	return protocol.Order{Kind: protocol.Start, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number}
 }
 
-// stopOrder gives the order that ends an attempt, unless it is saving in the
-// time it was given.
+// stopOrder returns the order that stops an attempt, or false while the attempt is saving a
+// checkpoint within its grace time.
 func (s *workerSessions) stopOrder(a *attempt) (protocol.Order, bool) {
 	if a.state == protocol.Checkpointing && a.stopGrace > 0 {
 		return protocol.Order{}, false
@@ -25,16 +25,17 @@
 	return protocol.Order{Kind: protocol.Stop, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number, Grace: a.stopGrace}, true
 }
 
-// acceptsOrders reports whether orders can be sent to a worker without waiting for its heartbeat.
+// acceptsOrders reports whether orders can be sent to a worker by a call, without waiting for
+// its next heartbeat.
 func (s *workerSessions) acceptsOrders(m *machine) bool {
 	if !s.alive() || m.orders.inFlight || m.removed || !m.session.Registered || m.addr == "" || !s.loaded && !m.attemptsKnown || !s.serves(m) || !s.holdsLease() {
 		return false
 	}
-	// One that is unreachable gets its orders with its next heartbeat.
+	// An unreachable worker gets its orders with its next heartbeat response.
 	return !s.controller.now.Before(m.orders.pausedUntil) && s.controller.now.Sub(m.session.LastSeen) <= s.controller.cfg.HeartbeatInterval*3/2
 }
 
-// sendOrders sends a worker what it must do without waiting for its heartbeat.
+// sendOrders sends a worker its pending orders by a call, without waiting for its heartbeat.
 func (s *workerSessions) sendOrders(m *machine) {
 	if !s.acceptsOrders(m) {
 		return
@@ -59,8 +60,8 @@
 	})
 }
 
-// pendingOrders are the stops and starts that a worker hasn't been sent, as far as one
-// message holds them: the others go out once it is answered.
+// pendingOrders returns the unsent stops and starts for a worker, as many as one message
+// holds. The others go out once that message was answered.
 func (s *workerSessions) pendingOrders(m *machine) (orders []protocol.Order, starts []*attempt) {
 	mayStart := s.startsAllowed()
 	room := protocol.NewOrderBudget()
@@ -85,8 +86,8 @@
 	return orders, starts
 }
 
-// pendingOrder is what a worker is to be sent about an attempt without waiting for its
-// heartbeat, if anything is.
+// pendingOrder returns the order for an attempt to be sent without waiting for a heartbeat, if
+// there is one.
 func (s *workerSessions) pendingOrder(a *attempt) (order protocol.Order, wanted bool) {
 	switch {
 	case a.stopRequested && a.delivery.Reported && a.stopSentAt.IsZero():
@@ -97,7 +98,7 @@
 	return startOrder(a), true
 }
 
-// deferStarts keeps a machine's starts until knowledge is fresh.
+// deferStarts keeps a machine's starts back until a recent read of the job records allows them.
 func (s *workerSessions) deferStarts(m *machine) {
 	if !m.orders.startsDeferred {
 		m.orders.startsDeferred = true
@@ -105,7 +106,7 @@
 	}
 }
 
-// ordersAnswered takes what came of orders that were sent.
+// ordersAnswered handles the outcome of a call with orders.
 func (s *workerSessions) ordersAnswered(m *machine, incarnation uint64, starts []*attempt, out Outcome) {
 	m.orders.inFlight = false
 	for _, a := range starts {
@@ -126,7 +127,7 @@
 		}
 	}
 	if m.session.Epoch == nil {
-		return // its shard went to another owner meanwhile
+		return // its shard has moved to another owner
 	}
 	if sessions.TermOf(r.FencingToken) > m.session.Epoch.Term {
 		s.listener.newerTokenSeen(m)
@@ -140,9 +141,9 @@
 	}
 }
 
-// ordersUnanswered takes that orders got no answer. They may be carried out late, so a
-// start's token stays until the worker has seen a higher one, unless the orders were
-// never sent or were refused.
+// ordersUnanswered handles a call with orders that got no valid response. The worker may still
+// carry the orders out late. So the token of a direct start is kept until the worker has seen
+// a higher one, unless the orders were never sent or were refused.
 func (s *workerSessions) ordersUnanswered(m *machine, starts []*attempt, out Outcome) {
 	if out.NotSent || out.Answered && out.Status == 400 {
 		for _, a := range starts {
--- a/internal/coordination/worker_probes.go
+++ b/internal/coordination/worker_probes.go
@@ -9,22 +9,24 @@
 const (
 	probeTimeout    = 800 * time.Millisecond
 	announceTimeout = time.Second
-	// Probes sent at a time: a part of the fleet, so that a new leader has probed all of it
-	// within the time that it waits for heartbeats, and one that lost its workers finds out
-	// before it gives up any of them. The part is a divisor.
+	// Each batch probes the larger of minProbeBatch workers and the fleet divided by
+	// probeBatchDivisor. At that rate a new leader probes its whole fleet while it waits for
+	// heartbeats, and a leader that lost contact with its workers notices before it releases
+	// any machine.
 	minProbeBatch     = 24
 	probeBatchDivisor = 6
-	// A worker that has seen a new token sends its next heartbeat within half a second.
+	// tokenEchoTimeout bounds the wait for a heartbeat that shows a new token: a worker sends
+	// its next heartbeat within 500 ms of seeing one.
 	tokenEchoTimeout = 700 * time.Millisecond
 )
 
-// needsProbe reports whether a machine is to be probed that was silent for a time.
+// needsProbe reports whether a machine should be probed after it was silent for unseen.
 func (s *workerSessions) needsProbe(m *machine, unseen time.Duration) bool {
 	return s.detector.NeedsProbe(s.controller.timing(), &m.session, m.Zone, unseen, s.controller.now)
 }
 
-// terminateExpired takes the attempts on a machine for terminated whose worker's lease has
-// certainly expired.
+// terminateExpired terminates all attempts on a machine if its worker's lease has certainly
+// expired.
 func (s *workerSessions) terminateExpired(m *machine) {
 	if !s.controller.now.After(s.terminationProofAt(m)) {
 		return
@@ -34,8 +36,8 @@
 	}
 }
 
-// probeBatch probes some of the machines that are to be probed, others the next time:
-// probing hundreds at once takes longer than the answers are waited for.
+// probeBatch probes some of the listed machines, and others the next time: sending hundreds of
+// probes at once takes longer than probeTimeout.
 func (s *workerSessions) probeBatch(list []*machine) {
 	limit := max(minProbeBatch, len(s.fleetList)/probeBatchDivisor)
 	if s.controller.overload.ShouldDefer() {
@@ -51,8 +53,8 @@
 	})
 }
 
-// probe asks a worker for its status: it may send its heartbeats to another controller, they
-// may be lost, or nothing sent may reach it.
+// probe requests the status of a worker. The worker may be sending its heartbeats to another
+// controller, they may get lost, or nothing that is sent may reach it.
 func (s *workerSessions) probe(m *machine) {
 	if m.session.ProbeInFlight || m.addr == "" || m.lifecycle.release == releaseFinal || m.removed || !s.serves(m) {
 		return
@@ -67,10 +69,11 @@
 	})
 }
 
-// probeAnswered takes what came of a probe that was sent when an incarnation was known.
+// probeAnswered handles the outcome of a probe. The given incarnation is the latest that was
+// known when the probe was sent.
 func (s *workerSessions) probeAnswered(m *machine, incarnation uint64, out Outcome) {
 	if out.Busy || m.removed || m.session.Epoch == nil {
-		return // nobody was asked, or the machine isn't served here any more
+		return // the probe wasn't sent, or the machine is no longer served here
 	}
 	var r *protocol.Heartbeat
 	if out.Answered && out.Status == 200 {
@@ -80,27 +83,27 @@
 	case r == nil || r.Machine != m.Name:
 		m.session.FailedProbes++
 		s.listener.probeFailed(m)
-		// Perhaps only calls fail. A token that the worker hasn't seen yet tells,
-		// when a heartbeat shows it, whether answers to its heartbeats arrive.
+		// Perhaps only calls fail. A raised token proves, once a heartbeat shows it,
+		// that heartbeat responses reach the worker.
 		if m.session.Registered && m.session.SeenToken >= m.session.Token() {
 			s.raiseFencingToken(m, m.session.SeenToken)
 		}
 	case r.Incarnation < incarnation:
-		// This was asked after the newer incarnation was heard of, so the worker has
-		// lost what it knew: it was started anew and counts from the beginning.
+		// The probe was sent after the newer incarnation was known, so the worker lost its
+		// state: it was restarted and numbers its incarnations from the beginning.
 		s.controller.log.Warn("worker incarnation reset", "machine", m.Name, "incarnation", r.Incarnation, "previous", m.session.Incarnation)
 		s.listener.incarnationReset(m)
 	case m.session.IsNewer(responseMessage(r)):
 		s.applyResponse(m, r)
 		s.announceEpoch(m)
 	default:
-		s.recordReached(m, s.controller.now) // overtaken by a heartbeat of the worker's
+		s.recordReached(m, s.controller.now) // a later heartbeat arrived first
 	}
 }
 
-// announceEpoch lets a worker see a token of this epoch at once, although it sends its
-// heartbeats to another controller: an earlier owner that lost the state service may still
-// answer it, and would hold it until its grace period ends.
+// announceEpoch sends a worker a token of this epoch by a call if the worker's heartbeats go to
+// another controller. An earlier owner that lost the state service may still respond to them,
+// and would keep the worker until its grace period ends.
 func (s *workerSessions) announceEpoch(m *machine) {
 	if !s.needsAnnouncement(m) {
 		return
@@ -120,9 +123,9 @@
 	})
 }
 
-// needsAnnouncement reports whether a worker has seen no token of this epoch and isn't about
-// to. Those that come by themselves aren't called for it: on a small share of a processor
-// that cost a new leader a tenth of its first seconds.
+// needsAnnouncement reports whether a worker has seen no token of this epoch although it had
+// time to reconnect. Workers that reconnect by themselves aren't called: with a small CPU
+// share, those calls took a new leader a tenth of its first seconds.
 func (s *workerSessions) needsAnnouncement(m *machine) bool {
 	if !m.session.EpochSeenAt.IsZero() || m.orders.inFlight || !s.loaded && !m.attemptsKnown || !s.serves(m) {
 		return false
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -10,78 +10,80 @@
 	"brasskeel/internal/protocol"
 )
 
-// workerSessions serves the workers of machines, for a leader or for the owner of shards: it
-// answers their heartbeats, sends them orders, probes those that fall silent, and learns
-// which attempts are terminated. It places nothing and records nothing; what it learns it
-// tells its listener, who places.
+// workerSessions manages the workers of a leader's or a shard owner's machines: it responds to
+// their heartbeats, sends orders, probes silent workers, and determines which attempts have
+// terminated. It neither places tasks nor writes records. It reports events to its listener,
+// which does.
 type workerSessions struct {
 	controller *Controller
 	listener   sessionListener
-	ended      bool // it serves nobody any more
+	ended      bool // it no longer serves any worker
 	loaded     bool // all attempts that may be on its machines are known
-	// probesNewWorkers: workers that register are asked whether calls reach them.
+	// probesNewWorkers: workers that register are probed to find out whether calls reach them.
 	probesNewWorkers bool
 
-	jobs        map[string]*job // the unfinished ones
-	jobsKnownAt time.Time       // all that was recorded of jobs before it is known here; zero: nothing is
+	jobs        map[string]*job // unfinished jobs
+	jobsKnownAt time.Time       // all job records written before this time are known here; zero if none are
 	machines    map[string]*machine
-	fleetList   []*machine // the same, in the order they became known
+	fleetList   []*machine // the same machines, in the order in which they became known
 	lease       leadership.Lease
 
 	detector       sessions.Detector
-	heartbeatCount uint64     // taken, responses included, to tell which attempts the latest one holds
+	heartbeatCount uint64     // statuses applied, call responses included; marks the attempts in the latest one
 	ordersDue      []*machine // machines with orders to send at the end of the step
-	deferredStarts []*machine // machines whose starts wait for fresh knowledge of jobs
+	deferredStarts []*machine // machines whose starts wait for a recent read of the job records
 }
 
-// sessionListener is told what workers show.
+// sessionListener is notified of events in worker sessions.
 type sessionListener interface {
-	// workerRegistered: a machine's worker sends a heartbeat here for the first time.
+	// workerRegistered: the first status of a machine's worker was received in this epoch.
 	workerRegistered(m *machine)
-	// incarnationBegan: the worker lost all tasks and images of an earlier incarnation.
+	// incarnationBegan: the worker began a new incarnation and lost all earlier tasks and images.
 	incarnationBegan(m *machine)
-	// incarnationReset: the worker counts its incarnations from the beginning again.
+	// incarnationReset: the worker lost its state and restarted its incarnation numbers.
 	incarnationReset(m *machine)
-	// addressChanged: the worker is to be called at another address.
+	// addressChanged: the worker's address has changed.
 	addressChanged(m *machine)
-	// preemptionNoticed: the cloud will take the machine.
+	// preemptionNoticed: the cloud announced that it will preempt the machine.
 	preemptionNoticed(m *machine)
-	// tasksReconciled: the tasks that the worker holds were compared with what is known.
+	// tasksReconciled: the worker's tasks are about to be compared with the known attempts for
+	// the first time.
 	tasksReconciled(m *machine)
-	// workerReached: something that was sent arrived at the worker.
+	// workerReached: it was proven that something sent has reached the worker.
 	workerReached(m *machine)
-	// probeFailed: a probe of the worker got no answer.
+	// probeFailed: a probe of the worker got no valid response.
 	probeFailed(m *machine)
-	// newerTokenSeen: the worker has seen a token of a later epoch than its machine's.
+	// newerTokenSeen: the worker has seen a fencing token of a later epoch than this one.
 	newerTokenSeen(m *machine)
-	// taskStateReported: an attempt's state, which may be the same as before.
+	// taskStateReported: the worker reported an attempt's state, which may be unchanged.
 	taskStateReported(a *attempt, s protocol.TaskState)
-	// taskExitReported tells whether the worker may forget an exited task; a is nil for one
-	// that isn't known here.
+	// taskExitReported: the worker reported an exited task; a is nil if the attempt is unknown
+	// here. It returns whether the worker may forget the task.
 	taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool)
-	// orphanReported tells whether a task that isn't known here is to be stopped.
+	// orphanReported: the worker reported a task that is unknown here. It returns whether to
+	// stop the task.
 	orphanReported(m *machine, t *protocol.TaskStatus) (stop bool)
-	// attemptTerminated: it was proven that an attempt is gone and can't start any more.
+	// attemptTerminated: it was proven that an attempt has ended and can't start any more.
 	attemptTerminated(a *attempt, reason string)
-	// jobRecorded: there is a record of an unfinished job; live says that it was just
-	// written. jobEnded: its outcome is recorded. jobRemoved: its record was removed.
+	// jobRecorded: a record of an unfinished job was read; live means that it has just been
+	// written. jobEnded: the job's outcome is recorded. jobRemoved: its record was removed.
 	jobRecorded(id string, value json.RawMessage, live bool)
 	jobEnded(j *job, s protocol.JobState)
 	jobRemoved(id string)
 }
 
-// serves reports whether a machine's worker is this owner's to answer and to call now.
+// serves reports whether this owner currently responds to and calls a machine's worker.
 func (s *workerSessions) serves(m *machine) bool { return m.session.Served() }
 
-// newWorkerSessions serves nobody until machines are added and jobs are known.
+// newWorkerSessions returns sessions without machines and jobs.
 func newWorkerSessions(c *Controller, r leadership.Lease) workerSessions {
 	return workerSessions{controller: c, lease: r, jobs: map[string]*job{}, machines: map[string]*machine{}}
 }
 
-// alive reports whether the owner still serves.
+// alive reports whether the owner still serves workers.
 func (s *workerSessions) alive() bool { return !s.ended }
 
-// every runs f each d while the owner serves.
+// every runs f at the interval d while the owner serves workers.
 func (s *workerSessions) every(d time.Duration, f func()) {
 	s.controller.after(d, func() {
 		if s.alive() {
@@ -91,24 +93,24 @@
 	})
 }
 
-// gracePeriod is how long an owner whose lease may have ended goes on answering
-// heartbeats, so that an outage of the state service doesn't end every task. Whoever comes
-// next waits for its end before it takes silence for a proof. It is never longer than
-// lets lease, grace and worker lease together stay within the time a cancellation has;
-// what the owner knows bounds it further (maxAnswerStaleness).
+// gracePeriod is how long an owner keeps responding to heartbeats after its lease may have
+// expired, so that an outage of the state service doesn't end every task. The next owner waits
+// for its end before it treats a worker's silence as proof that the tasks have ended. It is
+// short enough that lease, grace period and worker lease together fit into the time in which
+// a cancellation must take effect; maxAnswerStaleness bounds it further.
 func (s *workerSessions) gracePeriod() time.Duration {
 	return s.controller.gracePeriodForLease(s.lease.TTL)
 }
 
-// gracePeriodForLease is the grace period of an owner with a lease of the given time.
+// gracePeriodForLease is the grace period of an owner whose lease has the given TTL.
 func (c *Controller) gracePeriodForLease(lease time.Duration) time.Duration {
 	settings := c.cfg
 	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.MaxClockDrift(2*settings.WorkerLease)-lease-2*time.Second)
 }
 
-// holdsLease reports whether this owner may still answer workers: it may hold its lease, or
-// its grace isn't over, and it knows of every cancellation that is so old that an answer
-// now could keep its tasks beyond their time.
+// holdsLease reports whether this owner may still respond to workers: its lease or grace period
+// hasn't ended, and it knows of every cancellation whose tasks a response now could keep
+// running past the cancellation deadline.
 func (s *workerSessions) holdsLease() bool {
 	if s.jobsKnownAt.IsZero() || s.controller.now.After(s.jobsKnownAt.Add(s.controller.maxAnswerStaleness())) {
 		return false
@@ -116,36 +118,38 @@
 	return !s.controller.now.After(s.lease.ValidUntil.Add(s.gracePeriod()))
 }
 
-// maxAnswerStaleness is how long after an owner last knew of every cancellation it may go on
-// answering workers. One that it doesn't know of was confirmed after that; an answer
-// renews a worker's lease, counted from when the heartbeat was sent, so from before the
-// answer. The lease of a leader doesn't stand for what it knows: one that was elected and
-// then refused before it had read the records held it, and renewed the leases of tasks
-// whose cancellation was older than its term.
+// maxAnswerStaleness is how long an owner may keep responding to workers after it last knew of
+// every cancellation. A cancellation that it doesn't know of was confirmed after that time, and
+// a heartbeat response renews the worker's lease from when the heartbeat was sent, which is
+// before the response. Holding the leader's lease doesn't imply this knowledge: a leader that
+// was elected, and was then refused by the state service before it had read the records, held
+// the lease and renewed worker leases for tasks that were cancelled before its term.
 //
-// Nothing is owed to the delay of the loop: a watch that is read late is as old as when
-// it was asked for, and a heartbeat that is read late as when it was sent.
+// Delays of the event loop need no allowance: a watch response that is read late counts from
+// when the watch was requested, and a heartbeat that is read late from when it was sent.
 func (c *Controller) maxAnswerStaleness() time.Duration {
 	settings := c.cfg
 	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.MaxClockDrift(settings.CancelWithin+settings.WorkerLease)-deadlineMargin)
 }
 
-// maxStartStaleness is how long after that it may send starts that were recorded before. The
-// tasks of a cancelled job would end in time all the same, but nobody should start them.
+// maxStartStaleness is how long an owner may send recorded starts after it last knew of every
+// cancellation. The tasks of a cancelled job would still end in time, but they shouldn't be
+// started at all.
 const maxStartStaleness = 2500 * time.Millisecond
 
-// startsAllowed reports whether starts may be sent.
+// startsAllowed reports whether the job records are known recently enough to send starts.
 func (s *workerSessions) startsAllowed() bool {
 	return !s.jobsKnownAt.IsZero() && s.controller.now.Sub(s.jobsKnownAt) <= maxStartStaleness && !s.controller.store.Unavailable()
 }
 
-// noteJobsKnown notes that all that was recorded of jobs before at is known.
+// noteJobsKnown records that all job records written before the given time are known, and
+// schedules deferred starts that are allowed again.
 func (s *workerSessions) noteJobsKnown(at time.Time) {
 	if at.After(s.jobsKnownAt) {
 		s.jobsKnownAt = at
 	}
-	// An owner that is behind reads its watches late, and is short of fresh knowledge most
-	// of the time: what it deferred goes out now, and doesn't wait for the machines' heartbeats.
+	// An overloaded owner reads its watches late, so starts are not allowed most of the time.
+	// Deferred starts go out now rather than with the machines' next heartbeats.
 	if len(s.deferredStarts) > 0 && s.startsAllowed() {
 		for _, m := range s.deferredStarts {
 			m.orders.startsDeferred = false
@@ -155,35 +159,35 @@
 	}
 }
 
-// terminationProofAt is when a machine that stays silent has certainly ended its tasks.
+// terminationProofAt is when the tasks on a machine that stays silent have certainly ended.
 func (s *workerSessions) terminationProofAt(m *machine) time.Time {
 	lease := s.controller.cfg.WorkerLease
 	return m.session.TerminationProofAt(lease + leadership.MaxClockDrift(lease) + deadlineMargin)
 }
 
-// raiseFencingToken makes the worker's token exceed one that it may have seen.
+// raiseFencingToken raises the worker's token above one that it may have seen.
 func (s *workerSessions) raiseFencingToken(m *machine, above uint64) {
 	if err := m.session.RaiseToken(above, s.controller.now); err != nil {
 		s.controller.limits.Reached(limits.FencingTokenRaises)
 	}
 }
 
-// timing derives the failure detector's times from the settings.
+// timing returns the settings that the failure detector's timeouts are derived from.
 func (c *Controller) timing() sessions.Timing {
 	return sessions.Timing{HeartbeatInterval: c.cfg.HeartbeatInterval, WorkerLease: c.cfg.WorkerLease}
 }
 
-// unansweredFor is how long no heartbeat of a machine has been answered, and unreachedFor how
-// long nothing sent was seen to arrive there.
+// unansweredFor is how long no heartbeat of a machine has been answered.
 func (s *workerSessions) unansweredFor(m *machine) time.Duration {
 	return s.detector.Unanswered(&m.session, s.controller.now)
 }
 
+// unreachedFor is how long there has been no proof that anything sent reaches a machine.
 func (s *workerSessions) unreachedFor(m *machine) time.Duration {
 	return s.detector.Unreached(&m.session, s.controller.now)
 }
 
-// flushOrders sends the orders that a step left, at its end.
+// flushOrders sends the scheduled orders at the end of a step.
 func (s *workerSessions) flushOrders() {
 	for i := 0; i < len(s.ordersDue); i++ {
 		m := s.ordersDue[i]
@@ -193,7 +197,7 @@
 	s.ordersDue = s.ordersDue[:0]
 }
 
-// scheduleOrders wants a machine's orders sent at the end of the step.
+// scheduleOrders schedules a machine's pending orders to be sent at the end of the step.
 func (s *workerSessions) scheduleOrders(m *machine) {
 	if !m.orders.due {
 		m.orders.due = true
@@ -201,7 +205,7 @@
 	}
 }
 
-// track adds an attempt to those of its machine, untrack takes it out.
+// track adds an attempt to its machine.
 func (s *workerSessions) track(a *attempt) {
 	m := a.machine
 	m.attempts[taskKey{a.job.ID, a.taskIndex}] = a
@@ -210,6 +214,7 @@
 	m.ReportBytes += protocol.TaskStatusBytes(a.job.ID)
 }
 
+// untrack removes an attempt from its machine.
 func (s *workerSessions) untrack(a *attempt) {
 	m := a.machine
 	m.ReportBytes -= protocol.TaskStatusBytes(a.job.ID)
