--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -19,7 +19,7 @@
 	if len(scaler.unmetDemand) > 0 || scaler.demandIncomplete || c.store.Unavailable() || c.now.Sub(scaler.consolidatedAt) < consolidationInterval {
 		return
 	}
-	candidates, onDemandRoom := l.consolidationCandidates()
+	candidates, onDemandCapacity := l.consolidationCandidates()
 	left := max(1, len(l.fleetList)/consolidationDivisor)
 	planner := &lazyPlanner{leader: l}
 	for _, m := range candidates {
@@ -29,14 +29,14 @@
 		if planner.get().PlannedUsage().Allocated(m.Name) != (placement.Resources{}) {
 			continue // replicas are planned to move here
 		}
-		if room := l.onDemandCapacity(m); !m.Consolidating && room > 0 && onDemandRoom-m.Spec.CPUs < l.onDemandReserve() {
+		if capacity := l.onDemandCapacity(m); !m.Consolidating && capacity > 0 && onDemandCapacity-m.Spec.CPUs < l.onDemandReserve() {
 			continue
 		}
 		if !m.replicasFitElsewhere(planner.get(), false) {
 			continue
 		}
 		if !m.Consolidating {
-			onDemandRoom -= l.onDemandCapacity(m)
+			onDemandCapacity -= l.onDemandCapacity(m)
 		}
 		l.evictReplicas(m)
 		left--
@@ -46,13 +46,13 @@
 // consolidationCandidates returns the machines that hold only replicas and are underused or
 // already marked for consolidation, the most expensive first, and the on-demand capacity of all
 // machines that aren't being consolidated, in CPUs.
-func (l *leader) consolidationCandidates() (candidates []*machine, onDemandRoom float64) {
+func (l *leader) consolidationCandidates() (candidates []*machine, onDemandCapacity float64) {
 	for _, m := range l.fleetList {
 		if !l.acceptsTasks(m) {
 			continue
 		}
 		if !m.Consolidating {
-			onDemandRoom += l.onDemandCapacity(m)
+			onDemandCapacity += l.onDemandCapacity(m)
 		}
 		littleUsed := m.Consolidating || m.Allocated.CPUs <= m.Spec.CPUs/2+protocol.Epsilon
 		if m.holdsOnlyReplicas() && littleUsed && l.controller.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
@@ -60,7 +60,7 @@
 		}
 	}
 	sortByPriceDescending(candidates)
-	return candidates, onDemandRoom
+	return candidates, onDemandCapacity
 }
 
 // evictReplicas stops all replicas on a machine, so that they start elsewhere.
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -89,11 +89,11 @@
 		}
 	}
 	if l.shards != nil {
-		heard, ok := l.shards.ownerHeardSince(m)
+		contactSince, ok := l.shards.ownerHeardSince(m)
 		if !ok {
-			return l.controller.now, true // no owner reports it
+			return l.controller.now, true // no owner is in contact
 		}
-		since = sessions.Latest(since, heard)
+		since = sessions.Latest(since, contactSince)
 	}
 	return sessions.Latest(since, l.detector.ResetAt()), true
 }
@@ -170,11 +170,11 @@
 		if l.serves(m) {
 			l.terminateExpired(m)
 		}
-		quiet := c.now.Sub(sessions.Latest(m.session.LastSeen, m.session.LastReached, l.detector.ResetAt(), l.electedAt))
-		if s.domains[l.failureDomain(m)].Partitioned() && quiet <= c.cfg.WorkerLease {
+		silence := c.now.Sub(sessions.Latest(m.session.LastSeen, m.session.LastReached, l.detector.ResetAt(), l.electedAt))
+		if s.domains[l.failureDomain(m)].Partitioned() && silence <= c.cfg.WorkerLease {
 			continue
 		}
-		if m.lifecycle.releasing() || !deferral.defers(m, quiet) {
+		if m.lifecycle.releasing() || !deferral.defers(m, silence) {
 			l.release(m, reasonUnresponsive)
 		}
 	}
@@ -190,12 +190,12 @@
 	if l.shards != nil {
 		// All of this is reported by the owner of the machine's shard. Without contact to an
 		// owner nothing is known, and earlier reports count only from when contact resumed.
-		since, heard := l.shards.ownerHeardSince(m)
-		if !heard {
+		since, inContact := l.shards.ownerHeardSince(m)
+		if !inContact {
 			return false
 		}
-		reportedFor := l.controller.now.Sub(since)
-		silence.Unreached, silence.Unanswered = min(silence.Unreached, reportedFor), min(silence.Unanswered, reportedFor)
+		contactFor := l.controller.now.Sub(since)
+		silence.Unreached, silence.Unanswered = min(silence.Unreached, contactFor), min(silence.Unanswered, contactFor)
 	}
 	return l.controller.timing().PresumedDead(silence)
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -72,20 +72,20 @@
 		s.listener.tasksReconciled(m)
 	}
 	orphans, forgets := s.reconcileReportedTasks(m, r, message.Heartbeat)
-	room := protocol.NewOrderBudget()
-	orders := s.fitOrders(&room, orphans)
-	orders = append(orders, s.reconcileAbsentAttempts(m, message, room)...)
+	budget := protocol.NewOrderBudget()
+	orders := s.fitOrders(&budget, orphans)
+	orders = append(orders, s.reconcileAbsentAttempts(m, message, budget)...)
 	if !message.Heartbeat {
 		return nil
 	}
-	room = protocol.NewOrderBudget()
-	return s.fitOrders(&room, slices.Concat(orders, s.stopOrders(m), s.forgetOrders(m, r, forgets)))
+	budget = protocol.NewOrderBudget()
+	return s.fitOrders(&budget, slices.Concat(orders, s.stopOrders(m), s.forgetOrders(m, r, forgets)))
 }
 
 // fitOrders drops the orders that don't fit into one message. They are found again when the
 // worker's next heartbeat is applied.
-func (s *workerSessions) fitOrders(room *protocol.OrderBudget, orders []protocol.Order) []protocol.Order {
-	fit, cut := room.Fit(orders)
+func (s *workerSessions) fitOrders(budget *protocol.OrderBudget, orders []protocol.Order) []protocol.Order {
+	fit, cut := budget.Fit(orders)
 	if cut {
 		s.controller.limits.Reached(limits.OrdersPerMessage)
 	}
@@ -171,10 +171,10 @@
 // reconcileAbsentAttempts handles the known attempts that a message doesn't report, in a fixed
 // order, and returns the starts to send with a heartbeat response. Stops have precedence:
 // their part of the message is reserved first.
-func (s *workerSessions) reconcileAbsentAttempts(m *machine, message sessions.Message, room protocol.OrderBudget) []protocol.Order {
+func (s *workerSessions) reconcileAbsentAttempts(m *machine, message sessions.Message, budget protocol.OrderBudget) []protocol.Order {
 	for _, a := range m.attemptList {
 		if a.stopRequested {
-			room.Reserve(a.job.ID)
+			budget.Reserve(a.job.ID)
 		}
 	}
 	var absent []*attempt
@@ -186,7 +186,7 @@
 	slices.SortFunc(absent, compareAttempts)
 	var starts []protocol.Order
 	for _, a := range absent {
-		if a.recorded && s.reconcileAbsentAttempt(m, a, message) && s.startWithHeartbeat(m, a, message, &room) {
+		if a.recorded && s.reconcileAbsentAttempt(m, a, message) && s.startWithHeartbeat(m, a, message, &budget) {
 			starts = append(starts, startOrder(a))
 		}
 	}
@@ -212,12 +212,12 @@
 // startWithHeartbeat reports whether a start is to go out with the heartbeat response, which
 // it does if the message has room for it. After a response to a call, the start is instead
 // sent by a call at the end of the step.
-func (s *workerSessions) startWithHeartbeat(m *machine, a *attempt, message sessions.Message, room *protocol.OrderBudget) (sent bool) {
+func (s *workerSessions) startWithHeartbeat(m *machine, a *attempt, message sessions.Message, budget *protocol.OrderBudget) (sent bool) {
 	if !message.Heartbeat {
 		s.scheduleOrders(m)
 		return false
 	}
-	if !room.Reserve(a.job.ID) {
+	if !budget.Reserve(a.job.ID) {
 		s.controller.limits.Reached(limits.OrdersPerMessage)
 		return false // the next heartbeat won't report the attempt either
 	}
@@ -265,6 +265,6 @@
 			orders = append(orders, taskOrder(protocol.Stop, t))
 		}
 	}
-	room := protocol.NewOrderBudget()
-	return s.fitOrders(&room, orders)
+	budget := protocol.NewOrderBudget()
+	return s.fitOrders(&budget, orders)
 }
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -191,9 +191,9 @@
 	heartbeat(1, 10, 0)
 	m := l.machines["vm-1"]
 	heartbeat(1, 11, m.session.Token())
-	answered, heard := m.session.LastAnswered, m.session.LastSeen
-	if r := heartbeat(1, 11, 0); r.Status != 503 || m.session.LastAnswered != answered || m.session.LastSeen != heard {
-		t.Errorf("a duplicate: status %d, answered %s later, seen %s later", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(heard))
+	answered, seen := m.session.LastAnswered, m.session.LastSeen
+	if r := heartbeat(1, 11, 0); r.Status != 503 || m.session.LastAnswered != answered || m.session.LastSeen != seen {
+		t.Errorf("a duplicate: status %d, answered %s later, seen %s later", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(seen))
 	}
 	l.applyResponse(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.BaseToken()})
 	if r := heartbeat(1, 12, 0); r.Status != 200 || !m.session.LastAnswered.After(answered) || m.session.Sequence != 13 {
@@ -308,8 +308,8 @@
 		}
 		l.applyResponse(m, r) // a response to a call
 		l.detectFailures()
-		if open := l.acceptsTasks(m); open != (c.now.Sub(begin) <= l.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay) {
-			t.Fatalf("accepts tasks: %t, %s after the last heartbeat", open, c.now.Sub(begin))
+		if accepts := l.acceptsTasks(m); accepts != (c.now.Sub(begin) <= l.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay) {
+			t.Fatalf("accepts tasks: %t, %s after the last heartbeat", accepts, c.now.Sub(begin))
 		}
 		if m.lifecycle.releasing() && c.now.Sub(begin) <= 2*c.cfg.WorkerLease {
 			t.Fatalf("released after %s", c.now.Sub(begin))
--- a/internal/coordination/release_deferral.go
+++ b/internal/coordination/release_deferral.go
@@ -26,8 +26,8 @@
 
 // defers reports whether the release of a silent machine is deferred. If it isn't, capacity for
 // the machine's replicas is claimed.
-func (d *releaseDeferral) defers(m *machine, quiet time.Duration) bool {
-	if m.replicaCount == 0 || quiet > d.leader.controller.cfg.WorkerLease {
+func (d *releaseDeferral) defers(m *machine, silence time.Duration) bool {
+	if m.replicaCount == 0 || silence > d.leader.controller.cfg.WorkerLease {
 		return false
 	}
 	plan := map[*machine]usage{}
@@ -75,11 +75,11 @@
 		if !d.leader.acceptsTasks(o) || !o.Allows(j.Job) {
 			continue
 		}
-		room := o.Spec.CPUs - o.Allocated.CPUs - d.claimed[o].cpus - plan[o].cpus
+		available := o.Spec.CPUs - o.Allocated.CPUs - d.claimed[o].cpus - plan[o].cpus
 		for p := protocol.Priority(0); p < j.Priority; p++ {
-			room += o.cpusByPriority[p]
+			available += o.cpusByPriority[p]
 		}
-		if room >= j.CPUs-protocol.Epsilon {
+		if available >= j.CPUs-protocol.Epsilon {
 			return o
 		}
 	}
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -15,7 +15,7 @@
 // when no other machine has room.
 func (l *leader) scaleIn() {
 	l.releaseOverdueBoots()
-	room := l.spareCapacity()
+	spare := l.spareCapacity()
 	var candidates []*machine
 	planner := &lazyPlanner{leader: l}
 	for _, m := range slices.Clone(l.fleetList) {
@@ -29,10 +29,10 @@
 	sortByPriceDescending(candidates)
 	for _, m := range candidates {
 		// Replicas would keep it in use for long, unless they can move to other machines.
-		if !room.canSpare(l, m) || m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(planner.get(), false)) {
+		if !spare.canSpare(l, m) || m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(planner.get(), false)) {
 			continue
 		}
-		room.remove(l, m)
+		spare.remove(l, m)
 		m.Consolidating = true
 		l.controller.log.Debug("machine marked for consolidation", "machine", m.Name, "cpus", m.Allocated.CPUs)
 	}
@@ -87,7 +87,7 @@
 }
 
 func (l *leader) spareCapacity() spareCapacity {
-	var room spareCapacity
+	var spare spareCapacity
 	used := 0.0
 	for _, m := range l.fleetList {
 		if m.Spec == nil || !m.session.Registered || !m.lifecycle.inService() {
@@ -95,12 +95,12 @@
 		}
 		used += m.Allocated.CPUs
 		if !m.Consolidating {
-			room.free += m.Spec.CPUs - m.Allocated.CPUs
-			room.onDemand += l.onDemandCapacity(m)
+			spare.free += m.Spec.CPUs - m.Allocated.CPUs
+			spare.onDemand += l.onDemandCapacity(m)
 		}
 	}
-	room.headroom, room.onDemandReserve = l.headroomFor(used), l.onDemandReserve()
-	return room
+	spare.headroom, spare.onDemandReserve = l.headroomFor(used), l.onDemandReserve()
+	return spare
 }
 
 // canSpare reports whether a machine can be consolidated: the remaining capacity must hold its
@@ -194,9 +194,9 @@
 	if m.removed || !m.lifecycle.beginRelease(reason == reasonUnresponsive) {
 		return
 	}
-	quiet := l.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.provisionedAt))
+	silence := l.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.provisionedAt))
 	l.controller.logSampled("machine release requested", "machine", m.Name, "reason", reason, "attempts", len(m.attempts),
-		"registered", m.session.Registered, "silent", quiet.Round(time.Millisecond))
+		"registered", m.session.Registered, "silent", silence.Round(time.Millisecond))
 	l.sendReleases()
 }
 
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -64,7 +64,7 @@
 // holds. The others go out once that message was answered.
 func (s *workerSessions) pendingOrders(m *machine) (orders []protocol.Order, starts []*attempt) {
 	mayStart := s.startsAllowed()
-	room := protocol.NewOrderBudget()
+	budget := protocol.NewOrderBudget()
 	for _, a := range m.sortedAttempts() {
 		order, wanted := s.pendingOrder(a)
 		switch {
@@ -73,7 +73,7 @@
 		case order.Kind == protocol.Start && !mayStart:
 			s.deferStarts(m)
 			continue
-		case !room.Reserve(a.job.ID):
+		case !budget.Reserve(a.job.ID):
 			s.controller.limits.Reached(limits.OrdersPerMessage)
 			return orders, starts
 		case order.Kind == protocol.Start:
