--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -144,26 +144,26 @@
 
 // tasksWithinQuota is how many tasks of a job its team's quota still allows to start.
 func (p *Plan) tasksWithinQuota(j *protocol.Job) int {
-	quota, most := p.quotas[j.Team], float64(j.Tasks)
+	quota, limit := p.quotas[j.Team], float64(j.Tasks)
 	if j.CPUs > 0 {
-		most = min(most, (quota.CPUs+protocol.Epsilon)/j.CPUs)
+		limit = min(limit, (quota.CPUs+protocol.Epsilon)/j.CPUs)
 	}
 	if j.GPUs > 0 {
-		most = min(most, (quota.GPUs+protocol.Epsilon)/j.GPUs)
+		limit = min(limit, (quota.GPUs+protocol.Epsilon)/j.GPUs)
 	}
-	return max(0, int(most))
+	return max(0, int(limit))
 }
 
-// fillBins assigns up to most tasks of a job to booting and planned machines, and returns how
+// fillBins assigns up to limit tasks of a job to booting and planned machines, and returns how
 // many it assigned.
-func (p *Plan) fillBins(j *protocol.Job, shape placement.ShapeKey, zones *zoneConstraint, most int) int {
+func (p *Plan) fillBins(j *protocol.Job, shape placement.ShapeKey, zones *zoneConstraint, limit int) int {
 	i, found := p.searchFrom[shape], 0
-	for ; i < len(p.openBins) && found < most; i++ {
+	for ; i < len(p.openBins) && found < limit; i++ {
 		p.BinsVisited++
-		found += p.pack(p.openBins[i], j, zones, most-found)
+		found += p.pack(p.openBins[i], j, zones, limit-found)
 	}
 	if !j.OneZone && !j.Spread {
-		if found == most && i > 0 {
+		if found == limit && i > 0 {
 			i-- // the last bin may have room for more
 		}
 		p.searchFrom[shape] = max(p.searchFrom[shape], i)
@@ -172,10 +172,10 @@
 	return found
 }
 
-// pack puts up to most tasks of a job into a bin, and returns how many it put there.
-func (p *Plan) pack(b *Bin, j *protocol.Job, zones *zoneConstraint, most int) int {
+// pack puts up to limit tasks of a job into a bin, and returns how many it put there.
+func (p *Plan) pack(b *Bin, j *protocol.Job, zones *zoneConstraint, limit int) int {
 	count := 0
-	for count < most && zones.allows(b.Offer.Zone) && b.place(j) {
+	for count < limit && zones.allows(b.Offer.Zone) && b.place(j) {
 		zones.tasksByZone[b.Offer.Zone]++
 		count++
 	}
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// headroomFor is the free capacity to keep beside the used one, in CPUs.
+// headroomFor is the free capacity to keep when used CPUs are allocated.
 func (l *leader) headroomFor(used float64) float64 {
 	if l.needsHeadroom() {
 		return l.controller.operator.HeadroomShare * used
