--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -16,8 +16,8 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// Fetches at the same time share the rate; one that is done or that nobody waits for counts
-// no more.
+// Concurrent fetches share the rate. Fetches that are complete, or that no attempt waits for, don't
+// count.
 func TestFetches(t *testing.T) {
 	const rate = 2.0
 	var f PendingFetches
@@ -30,8 +30,8 @@
 		want time.Duration
 	}{
 		{func() {}, 0, 6 * time.Second},
-		{func() {}, 2, 4 * time.Second}, // 2 GB of each were fetched
-		{func() {}, 4, 2 * time.Second}, // the first is there, 4 GB of the other are left
+		{func() {}, 2, 4 * time.Second}, // 2 GB of each image were fetched
+		{func() {}, 4, 2 * time.Second}, // the first fetch is complete, 4 GB of the other remain
 		{func() { f.Cancel(at(4), 1, rate) }, 4, 2 * time.Second},
 		{func() { f.Add(at(4), 3, 6, rate) }, 4, 5 * time.Second},
 		{func() { f.Complete(at(4), 2, rate) }, 5, 2 * time.Second},
@@ -39,12 +39,12 @@
 	} {
 		c.do()
 		if got := f.Backlog(at(c.when), rate); got != c.want {
-			t.Errorf("after %g s %s are queued, want %s", c.when, got, c.want)
+			t.Errorf("after %g s the backlog is %s, want %s", c.when, got, c.want)
 		}
 	}
 }
 
-// Reserved follows attempts, whoever ends first.
+// The usage of each team is right in whatever order attempts are removed.
 func TestLoadByTeam(t *testing.T) {
 	var l Load
 	l.AddAttempt(1, placement.Resources{CPUs: 2, MemGB: 4})
@@ -52,19 +52,19 @@
 	l.AddAttempt(1, placement.Resources{CPUs: 1, MemGB: 8})
 	l.RemoveAttempt(1, placement.Resources{CPUs: 2, MemGB: 4})
 	if r, tasks := l.TeamUsage(1); tasks != 1 || r != (placement.Resources{CPUs: 1, MemGB: 8}) {
-		t.Errorf("%d tasks with %+v", tasks, r)
+		t.Errorf("usage is %d tasks with %+v", tasks, r)
 	}
 	l.RemoveAttempt(2, placement.Resources{CPUs: 1, MemGB: 1})
 	if r, tasks := l.TeamUsage(2); tasks != 0 || r != (placement.Resources{}) {
-		t.Errorf("%d tasks with %+v", tasks, r)
+		t.Errorf("usage is %d tasks with %+v", tasks, r)
 	}
 	if got := DominantShare(placement.Resources{CPUs: 1, MemGB: 8}, placement.Resources{CPUs: 4, MemGB: 16}); got != 0.5 {
-		t.Errorf("a share of %g", got)
+		t.Errorf("dominant share is %g, want 0.5", got)
 	}
 }
 
-// A slow machine is told from others although owners' estimates are wrong by half and more,
-// and few samples say little of any.
+// Slow machines are detected although users' estimates are wrong by half and more. A few samples
+// are not enough to count a machine as slow.
 func TestSlowdown(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	wrong := distuv.LogNormal{Mu: 0, Sigma: 0.5, Src: rng}
@@ -86,49 +86,49 @@
 	for k := range machines {
 		got := machines[k].Slowdown()
 		if slow[k] > 0 && got < 1.25 || slow[k] == 0 && (got > 1.15 || got < 0.85) {
-			t.Errorf("machine %d, %g times as slow: %.2f", k, slow[k], got)
+			t.Errorf("machine %d (slowed down by %g; 0: not slow): slowdown %.2f", k, slow[k], got)
 		}
 	}
 	var few Speed
 	few.Observe(400*time.Second, 40*time.Second, &RunTimes{}, class)
 	if got := few.Slowdown(); got > 1.2 {
-		t.Errorf("one long run makes a machine slow: %.2f", got)
+		t.Errorf("slowdown %.2f after one long run, want at most 1.2", got)
 	}
 }
 
-// A surge is noticed as it begins, also one that doubles; it ends after a while below, and what
-// is usual for long is no surge.
+// A surge is detected at its start, and a further rise changes nothing. It ends when demand has been
+// low for surgeEndDelay, or after maxSurgeDuration.
 func TestSurge(t *testing.T) {
 	var s Surge
 	observe := func(sec float64, demand float64) SurgeChange { return s.Observe(at(sec), demand, 4) }
 	for sec := range 120 {
 		if c := observe(float64(sec), 20); c != Unchanged {
-			t.Fatalf("change %d of a steady demand", c)
+			t.Fatalf("change %d at steady demand, want none", c)
 		}
 	}
 	if c := observe(120, 33); c != Unchanged {
-		t.Errorf("change %d below the bound", c)
+		t.Errorf("change %d below the starting threshold, want none", c)
 	}
 	if c := observe(121, 40); c != Started {
-		t.Errorf("not noticed")
+		t.Errorf("no surge started above the starting threshold")
 	}
 	number := s.Number()
 	for sec := 122; sec < 180; sec++ {
 		if c := observe(float64(sec), 80); c != Unchanged {
-			t.Errorf("change %d as it doubles", c)
+			t.Errorf("change %d when demand doubles during a surge, want none", c)
 		}
 	}
 	observe(180, 22)
-	observe(185, 60) // not over yet
+	observe(185, 60) // demand rises again before the end of surgeEndDelay
 	observe(186, 22)
 	if c := observe(195, 22); c != Unchanged {
-		t.Errorf("change %d after 9 s below", c)
+		t.Errorf("change %d after 9 s of low demand, want none", c)
 	}
 	if c := observe(196, 22); c != Ended || s.Number() != 0 {
-		t.Errorf("change %d after 10 s below", c)
+		t.Errorf("change %d after 10 s of low demand, want Ended and no active surge", c)
 	}
 	if observe(197, 90); s.Number() <= number {
-		t.Errorf("surge %d after %d", s.Number(), number)
+		t.Errorf("surge number %d after %d, want a higher one", s.Number(), number)
 	}
 	ended := 0.0
 	for sec := 198; sec < 1000 && ended == 0; sec++ {
@@ -137,26 +137,27 @@
 		}
 	}
 	if ended != 197+maxSurgeDuration.Seconds() {
-		t.Errorf("what is usual by now ended as a surge at %g", ended)
+		t.Errorf("surge that started at 197 s ended at %g s, want the end after maxSurgeDuration", ended)
 	}
 }
 
-// What swings about a bound, or comes and goes as arrivals do, makes no surges to and fro.
+// Demand that oscillates about the starting threshold, or varies randomly, starts and ends at most
+// one surge.
 func TestNoSurgeForNoise(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var s Surge
 	changes := 0
 	for sec := range 3600 {
-		swing := 20*surgeStartFactor + 4 + 3*math.Sin(float64(sec)/3)
+		demand := 20*surgeStartFactor + 4 + 3*math.Sin(float64(sec)/3)
 		if sec < 60 {
-			swing = 20
+			demand = 20
 		}
-		if s.Observe(at(float64(sec)), swing, 4) != Unchanged {
+		if s.Observe(at(float64(sec)), demand, 4) != Unchanged {
 			changes++
 		}
 	}
 	if changes > 2 {
-		t.Errorf("%d changes of a demand that swings about the bound", changes)
+		t.Errorf("%d changes with demand oscillating about the threshold, want at most 2", changes)
 	}
 	s, changes = Surge{}, 0
 	arrivals := distuv.Poisson{Lambda: 1, Src: rng}
@@ -176,11 +177,11 @@
 		}
 	}
 	if changes > 2 {
-		t.Errorf("%d changes of steady arrivals", changes)
+		t.Errorf("%d changes with random arrivals at a steady rate, want at most 2", changes)
 	}
 }
 
-// A new leader begins with the surge on record, and with none otherwise, whatever it sees.
+// A new leader continues a recorded surge. Without one, its first observation starts no surge.
 func TestRestoredSurge(t *testing.T) {
 	var s Surge
 	if s.Observe(at(0), 500, 4); s.Number() != 0 {
@@ -188,10 +189,10 @@
 	}
 	s.Restore(at(1), SurgeRecord{Number: 7, Level: 20})
 	if s.Observe(at(2), 500, 4); s.Number() != 7 {
-		t.Errorf("surge %d", s.Number())
+		t.Errorf("surge number %d, want 7", s.Number())
 	}
-	if r, under := s.Record(); !under || r.Number != 7 || r.Level != 20 {
-		t.Errorf("record %+v %v", r, under)
+	if r, active := s.Record(); !active || r.Number != 7 || r.Level != 20 {
+		t.Errorf("record %+v, active: %v", r, active)
 	}
 }
 
@@ -203,27 +204,27 @@
 	return m
 }
 
-// A machine is above its ceiling by the team's own work, and by what it has to fetch.
+// A machine is above the ceiling because of the team's own tasks or because of its fetch backlog.
 func TestExceeds(t *testing.T) {
 	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 2}, Image: 1}
 	policy := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: 5 * time.Second}, Now: start, Team: 1, Task: task}
 	large := task
 	large.Job = &protocol.Job{CPUs: 4, MemoryGB: 1, Image: "a", ImageGB: 2}
 	for _, c := range []struct {
-		name  string
-		team  int // tasks
-		other int
-		queue float64
-		holds bool
-		large bool
-		want  bool
+		name     string
+		team     int     // tasks of the team
+		other    int     // tasks of another team
+		queue    float64 // GB to fetch, at 1 GB/s
+		hasImage bool
+		large    bool
+		want     bool
 	}{
-		{name: "empty"}, {name: "one of the team", team: 1}, {name: "two of the team", team: 2, want: true},
-		{name: "others", other: 3}, {name: "one that takes it all", large: true}, {name: "a second one", team: 1, large: true, want: true},
-		{name: "a long queue", queue: 6, want: true}, {name: "a queue", queue: 5}, {name: "a long queue, and the image", queue: 6, holds: true},
+		{name: "empty"}, {name: "one task of the team", team: 1}, {name: "two tasks of the team", team: 2, want: true},
+		{name: "others", other: 3}, {name: "large task on an empty machine", large: true}, {name: "large task beside another", team: 1, large: true, want: true},
+		{name: "fetch backlog too long", queue: 6, want: true}, {name: "fetch backlog at the limit", queue: 5}, {name: "long fetch backlog, but image cached", queue: 6, hasImage: true},
 	} {
 		l, m := &Load{}, machine()
-		if c.holds {
+		if c.hasImage {
 			m = machine(1)
 		}
 		for range c.team {
@@ -240,29 +241,29 @@
 			j.Task = large
 		}
 		if got := j.Exceeds(m, l); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: above the ceiling: %v", c.name, got)
 		}
 	}
 }
 
-// The trade decides in seconds: a task leaves the machine that holds its image once heat
-// there costs more than the fetch.
+// A task is placed away from a loaded machine that caches its image if the load penalty there exceeds
+// the time for fetching the image.
 func TestPenaltyAgainstFetch(t *testing.T) {
 	weights := placement.Weights{Image: 1, Room: 0}
 	task := placement.Task{Job: &protocol.Job{CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 3}, Image: 1}
-	hot, cold := machine(1), machine()
+	cached, uncached := machine(1), machine()
 	busy, idle := &Load{}, &Load{}
-	busy.AddAttempt(1, placement.Resources{CPUs: 2, MemGB: 2}) // as far as the ceiling
+	busy.AddAttempt(1, placement.Resources{CPUs: 2, MemGB: 2}) // up to the ceiling
 	for _, c := range []struct {
-		trade time.Duration
-		stays bool
+		penalty       time.Duration
+		prefersCached bool
 	}{{0, true}, {2 * time.Second, true}, {4 * time.Second, false}} {
-		j := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: time.Minute, LoadPenalty: c.trade}, Now: start, Team: 1, Task: task}
+		j := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: time.Minute, LoadPenalty: c.penalty}, Now: start, Team: 1, Task: task}
 		score := func(m *placement.Machine, l *Load) float64 {
 			return weights.Score(m, task) - j.Penalty(m, l, weights.Image)
 		}
-		if stays := score(hot, busy) > score(cold, idle); stays != c.stays {
-			t.Errorf("with %s it stays: %v", c.trade, stays)
+		if prefersCached := score(cached, busy) > score(uncached, idle); prefersCached != c.prefersCached {
+			t.Errorf("load penalty %s: prefers the machine with the image: %v", c.penalty, prefersCached)
 		}
 	}
 }
--- a/internal/coordination/balance/ceiling.go
+++ b/internal/coordination/balance/ceiling.go
@@ -6,7 +6,7 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// CeilingPolicy says how placing a task of a surging team on a machine would leave it.
+// CeilingPolicy applies the ceiling to the placement of a task of a surging team.
 type CeilingPolicy struct {
 	Settings
 	Now  time.Time
@@ -16,46 +16,49 @@
 
 // Exceeds reports whether one more task would put a machine above the ceiling. A machine
 // without work of the team may always take one task.
-func (j *CeilingPolicy) Exceeds(m *placement.Machine, l *Load) bool {
-	r, tasks := l.TeamUsage(j.Team)
-	r = r.Plus(m.Incoming) // running work of a surging team is on its way here
-	if tasks > 0 && DominantShare(r.Plus(placement.Needs(j.Task.Job)), placement.Capacity(m.Spec)) > j.CeilingShare+shareEpsilon {
+func (p *CeilingPolicy) Exceeds(m *placement.Machine, l *Load) bool {
+	r, tasks := l.TeamUsage(p.Team)
+	r = r.Plus(m.Incoming) // tasks of surging teams that are being migrated to the machine
+	if tasks > 0 && DominantShare(r.Plus(placement.Needs(p.Task.Job)), placement.Capacity(m.Spec)) > p.CeilingShare+shareEpsilon {
 		return true
 	}
-	if m.ImageShare(j.Task) >= 1 {
+	if m.ImageShare(p.Task) >= 1 {
 		return false
 	}
-	// What it would fetch itself doesn't count: no machine could ever take a larger image.
-	queued := l.Fetches.Backlog(j.Now, m.Spec.FetchGBPerSecond)
-	return queued > j.MaxFetchBacklog
+	// The task's own fetch doesn't count; otherwise no machine could ever take a task whose image
+	// takes longer to fetch than MaxFetchBacklog.
+	queued := l.Fetches.Backlog(p.Now, m.Spec.FetchGBPerSecond)
+	return queued > p.MaxFetchBacklog
 }
 
-// shareEpsilon absorbs what adding parts of machines leaves behind.
+// shareEpsilon absorbs rounding errors in sums of resources.
 const shareEpsilon = 1e-9
 
-// Penalty is what the score of a machine loses, given the image term's weight.
-func (j *CeilingPolicy) Penalty(m *placement.Machine, l *Load, imageWeight float64) float64 {
-	if j.LoadPenalty <= 0 {
+// Penalty returns by how much the score of a machine is reduced, for the load that its team's tasks
+// put on it, its slowdown, and its fetch backlog if it lacks the image. imageWeight is the weight of
+// the image term of the score.
+func (p *CeilingPolicy) Penalty(m *placement.Machine, l *Load, imageWeight float64) float64 {
+	if p.LoadPenalty <= 0 {
 		return 0
 	}
-	r, _ := l.TeamUsage(j.Team)
-	heat := DominantShare(r, placement.Capacity(m.Spec)) / j.CeilingShare
-	cost := j.LoadPenalty.Seconds() * (heat + max(0, l.Speed.Slowdown()-1))
-	if m.ImageShare(j.Task) < 1 {
-		cost += l.Fetches.Backlog(j.Now, m.Spec.FetchGBPerSecond).Seconds()
+	r, _ := l.TeamUsage(p.Team)
+	load := DominantShare(r, placement.Capacity(m.Spec)) / p.CeilingShare
+	cost := p.LoadPenalty.Seconds() * (load + max(0, l.Speed.Slowdown()-1))
+	if m.ImageShare(p.Task) < 1 {
+		cost += l.Fetches.Backlog(p.Now, m.Spec.FetchGBPerSecond).Seconds()
 	}
-	return cost * j.scorePerFetchSecond(m.Spec.FetchGBPerSecond, imageWeight)
+	return cost * p.scorePerFetchSecond(m.Spec.FetchGBPerSecond, imageWeight)
 }
 
-// scorePerFetchSecond is what a second of fetching the task's image is worth in score: all of it is
-// worth the image term's weight.
-func (j *CeilingPolicy) scorePerFetchSecond(rate, imageWeight float64) float64 {
-	whole := 0.0
+// scorePerFetchSecond converts seconds of fetching into score: fetching the whole image of the task
+// corresponds to the weight of the image term. rate is the machine's fetch rate, in GB per second.
+func (p *CeilingPolicy) scorePerFetchSecond(rate, imageWeight float64) float64 {
+	fetchSeconds := 0.0
 	if rate > 0 {
-		whole = j.Task.ImageGB / rate
+		fetchSeconds = p.Task.ImageGB / rate
 	}
-	return max(imageWeight, 0) / max(whole, minFetchSeconds)
+	return max(imageWeight, 0) / max(fetchSeconds, minFetchSeconds)
 }
 
-// minFetchSeconds is the shortest fetch in seconds that a second's worth is derived from.
+// minFetchSeconds is the shortest fetch time from which scorePerFetchSecond is derived.
 const minFetchSeconds = 1
--- a/internal/coordination/balance/load.go
+++ b/internal/coordination/balance/load.go
@@ -6,24 +6,24 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// Team numbers a team for one leadership.
+// Team is the number of a team, valid for one leader's term.
 type Team int32
 
-// Load is what one machine has to do.
+// Load is the load of one machine.
 type Load struct {
 	teams   []teamLoad
 	Fetches PendingFetches
 	Speed   Speed
 }
 
-// teamLoad is what a team's attempts take.
+// teamLoad is the number of a team's attempts and the resources that they use.
 type teamLoad struct {
 	team  Team
 	tasks int
 	placement.Resources
 }
 
-// AddAttempt counts an attempt of a team's that isn't proven gone.
+// AddAttempt adds an attempt of a team, until it is proven terminated.
 func (l *Load) AddAttempt(team Team, r placement.Resources) {
 	for i := range l.teams {
 		if t := &l.teams[i]; t.team == team {
@@ -35,7 +35,7 @@
 	l.teams = append(l.teams, teamLoad{team, 1, r})
 }
 
-// RemoveAttempt takes an attempt out that is proven gone.
+// RemoveAttempt removes an attempt that is proven terminated.
 func (l *Load) RemoveAttempt(team Team, r placement.Resources) {
 	for i := range l.teams {
 		t := &l.teams[i]
@@ -52,7 +52,7 @@
 	}
 }
 
-// TeamUsage is what a team's attempts take, and how many they are.
+// TeamUsage returns the resources that a team's attempts use, and the number of attempts.
 func (l *Load) TeamUsage(team Team) (r placement.Resources, tasks int) {
 	for i := range l.teams {
 		if t := &l.teams[i]; t.team == team {
@@ -62,8 +62,7 @@
 	return r, 0
 }
 
-// DominantShare is the part of a machine that some amounts take, of the resource that they take most
-// of.
+// DominantShare returns the largest share of a machine's capacity that r uses of any resource.
 func DominantShare(r, capacity placement.Resources) float64 {
 	share := 0.0
 	if capacity.CPUs > 0 {
@@ -78,23 +77,24 @@
 	return share
 }
 
-// ResetFetches forgets what the machine's worker lost.
+// ResetFetches discards the pending fetches, which a worker loses when it restarts.
 func (l *Load) ResetFetches() { l.Fetches = PendingFetches{} }
 
-// PendingFetches are the image fetches that attempts on a machine wait for. Those that go on at the
-// same time share the machine's rate.
+// PendingFetches are the image fetches that attempts on a machine wait for. Concurrent fetches
+// share the machine's fetch rate equally.
 type PendingFetches struct {
 	list      []fetch
-	updatedAt time.Time // as of when what is left is known
+	updatedAt time.Time // the time as of which remainingGB is correct
 }
 
 type fetch struct {
 	image       placement.ImageID
-	remainingGB float64 // GB
-	waiting     int     // attempts
+	remainingGB float64
+	waiting     int // attempts that wait for the image
 }
 
-// Add notes that an attempt waits for an image that isn't there.
+// Add records that an attempt waits for an image that isn't cached. rate is the fetch rate of the
+// machine, in GB per second.
 func (f *PendingFetches) Add(now time.Time, image placement.ImageID, gb, rate float64) {
 	f.advance(now, rate)
 	for i := range f.list {
@@ -106,13 +106,14 @@
 	f.list = append(f.list, fetch{image, gb, 1})
 }
 
-// Complete notes that an image is there.
+// Complete records that an image has been fetched.
 func (f *PendingFetches) Complete(now time.Time, image placement.ImageID, rate float64) {
 	f.advance(now, rate)
 	f.remove(image)
 }
 
-// Cancel notes that an attempt waits no more. The last one's fetch is given up.
+// Cancel records that an attempt no longer waits for an image. The fetch ends with the last
+// attempt that waits for it.
 func (f *PendingFetches) Cancel(now time.Time, image placement.ImageID, rate float64) {
 	f.advance(now, rate)
 	for i := range f.list {
@@ -134,7 +135,7 @@
 	}
 }
 
-// Backlog is how long the fetches under way still take together.
+// Backlog returns how long it takes to complete all pending fetches.
 func (f *PendingFetches) Backlog(now time.Time, rate float64) time.Duration {
 	if len(f.list) == 0 || rate <= 0 {
 		return 0
@@ -147,30 +148,31 @@
 	return seconds(left / rate)
 }
 
-// advance lets time pass, in which each fetch that has something left gets its part of the
-// rate.
+// advance updates the pending fetches to a time. Until then, the unfinished fetches have shared the
+// rate equally.
 func (f *PendingFetches) advance(now time.Time, rate float64) {
 	elapsed := now.Sub(f.updatedAt).Seconds()
 	f.updatedAt = now
 	for elapsed > 0 && rate > 0 {
-		under, least := 0, 0.0
+		active, smallest := 0, 0.0
 		for i := range f.list {
 			if left := f.list[i].remainingGB; left > 0 {
-				if under == 0 || left < least {
-					least = left
+				if active == 0 || left < smallest {
+					smallest = left
 				}
-				under++
+				active++
 			}
 		}
-		if under == 0 {
+		if active == 0 {
 			return
 		}
-		each := min(least, elapsed*rate/float64(under))
+		// Until the smallest fetch completes, all active fetches progress by the same amount.
+		each := min(smallest, elapsed*rate/float64(active))
 		for i := range f.list {
 			f.list[i].remainingGB = max(0, f.list[i].remainingGB-each)
 		}
-		elapsed -= each * float64(under) / rate
-		if each < least {
+		elapsed -= each * float64(active) / rate
+		if each < smallest {
 			return
 		}
 	}
--- a/internal/coordination/balance/snapshot.go
+++ b/internal/coordination/balance/planned_usage.go
@@ -7,32 +7,32 @@
 	"brasskeel/internal/protocol"
 )
 
-// PlannedUsage is the room that planned moves take of machines, beside what is taken there. It is
-// persistent: a plan that is tried costs what it changes, and one that isn't kept leaves
-// nothing behind.
+// PlannedUsage holds the resources that planned moves will use on their targets, in addition to
+// those already allocated. It is a persistent data structure: With copies only what it changes, and
+// a plan that is discarded needs no undo.
 type PlannedUsage struct {
-	allocated *iradix.Tree[placement.Resources] // by machine
+	allocated *iradix.Tree[placement.Resources] // by machine name
 }
 
-// NewPlannedUsage is one without moves.
+// NewPlannedUsage returns a PlannedUsage without moves.
 func NewPlannedUsage() PlannedUsage { return PlannedUsage{iradix.New[placement.Resources]()} }
 
-// Allocated is what planned moves take of a machine.
+// Allocated returns the resources that planned moves will use on a machine.
 func (s PlannedUsage) Allocated(machine string) placement.Resources {
 	r, _ := s.allocated.Get([]byte(machine))
 	return r
 }
 
-// With is a snapshot with one move more.
+// With returns a copy of s with one more move to a machine.
 func (s PlannedUsage) With(machine string, r placement.Resources) PlannedUsage {
-	taken, _, _ := s.allocated.Insert([]byte(machine), s.Allocated(machine).Plus(r))
-	return PlannedUsage{taken}
+	allocated, _, _ := s.allocated.Insert([]byte(machine), s.Allocated(machine).Plus(r))
+	return PlannedUsage{allocated}
 }
 
-// TargetCount is how many machines moves are planned to.
+// TargetCount returns the number of machines to which moves are planned.
 func (s PlannedUsage) TargetCount() int { return s.allocated.Len() }
 
-// fits reports whether one more task of a job may move to a machine.
+// fits reports whether one more task of a job may move to a machine, beside the planned moves.
 func (s PlannedUsage) fits(m *placement.Machine, j *protocol.Job) bool {
 	return m.Allows(j) && m.FitsInReport(j) &&
 		m.Allocated.Plus(m.Incoming).Plus(s.Allocated(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -5,56 +5,57 @@
 	"brasskeel/internal/protocol"
 )
 
-// LoadedMachine is a machine that running work may move from or to.
+// LoadedMachine is a machine from or to which running tasks may be moved, with its load.
 type LoadedMachine struct {
 	*placement.Machine
-	Load *Load // nil where loads aren't followed
+	Load *Load // nil without load balancing
 }
 
-// Planner plans moves of running work on a fleet at a moment: replicas off machines that are to
-// be emptied (Evacuate), and tasks of surging teams off machines that are overloaded for them (Rebalance). It
-// decides nothing else; the same arguments after the same calls give the same plans.
+// Planner plans moves of running tasks for the state of a fleet at one time: of replicas off
+// machines that are to be consolidated (Evacuate), and of surging teams' tasks off overloaded
+// machines (Rebalance). It decides nothing else. It is deterministic: the same sequence of calls
+// gives the same plans.
 //
-// Machines are looked up by the image that they hold, and each search goes on where the last
-// one for the same kind of replica ended: with one search through the whole fleet for every
-// replica, a fleet of 4,000 took a third of a second, many times that on a small share of a
-// processor.
+// Machines are looked up by the images that they cache, and each search continues where the
+// previous one for the same shape of replica ended. With a search through the whole fleet for
+// every replica, a fleet of 4,000 machines took a third of a second, and many times that on a
+// small share of a processor.
 type Planner struct {
 	machines     []LoadedMachine
-	acceptsTasks func(*placement.Machine) bool // whether a machine takes new tasks
+	acceptsTasks func(*placement.Machine) bool // whether a machine accepts new tasks
 	planned      PlannedUsage
-	holders      map[cachedImage][]*LoadedMachine // in the order of the fleet; nil before the first search
+	holders      map[cachedImage][]*LoadedMachine // by cached image, in the order of the fleet; nil before the first search
 	searches     map[searchKey]searchState
-	reopened     map[cachedImage]int // times that a machine became one that may be moved to
-	Examined     int                 // machines that were looked at, over all searches
+	reopened     map[cachedImage]int // how often a machine with the image became available as a target again
+	Examined     int                 // machines examined, over all searches
 }
 
-// cachedImage is an image on the machines of a zone.
+// cachedImage identifies the machines of a zone that cache an image.
 type cachedImage struct {
 	image placement.ImageID
 	zone  string
 }
 
-// searchKey is what decides where a replica may move to.
+// searchKey is what determines the possible targets of a replica.
 type searchKey struct {
 	image cachedImage
 	shape placement.ShapeKey
 }
 
-// searchState is how far a search has come: those before it take no more of the kind, unless
-// there were changes since.
+// searchState is the progress of a search: the machines before next can take no more replicas of
+// the kind, unless the planner's reopened count for the image has changed since.
 type searchState struct{ next, reopened int }
 
-// NewPlanner is a planner for a fleet as it is now, of which some machines are open to new
-// tasks.
-func NewPlanner(machines []LoadedMachine, open func(*placement.Machine) bool) *Planner {
-	return &Planner{machines: machines, acceptsTasks: open, planned: NewPlannedUsage(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
+// NewPlanner returns a planner for the current state of a fleet. acceptsTasks reports whether a
+// machine accepts new tasks.
+func NewPlanner(machines []LoadedMachine, acceptsTasks func(*placement.Machine) bool) *Planner {
+	return &Planner{machines: machines, acceptsTasks: acceptsTasks, planned: NewPlannedUsage(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
 }
 
-// PlannedUsage is the room that the plans so far take.
+// PlannedUsage returns the room that the plans so far use.
 func (p *Planner) PlannedUsage() PlannedUsage { return p.planned }
 
-// indexImages lists the machines that hold an image.
+// indexImages fills holders.
 func (p *Planner) indexImages() {
 	p.holders = map[cachedImage][]*LoadedMachine{}
 	for i := range p.machines {
@@ -66,16 +67,16 @@
 	}
 }
 
-// Replica is a replica of a service that runs, with the key of its shape.
+// Replica is a running replica of a service, with the key of its shape.
 type Replica struct {
 	placement.Task
 	Shape placement.ShapeKey
 }
 
-// Evacuate reports whether each replica on a machine finds room and its image elsewhere in its
-// zone, beside what is taken already, and takes that room if so. With try set, nothing is
-// taken.
-func (p *Planner) Evacuate(m *placement.Machine, replicas []Replica, try bool) bool {
+// Evacuate reports whether each of the replicas on a machine fits on another machine of the same
+// zone that caches its image, beside the moves planned so far. If so, it adds the moves to the plan,
+// unless dryRun is set.
+func (p *Planner) Evacuate(m *placement.Machine, replicas []Replica, dryRun bool) bool {
 	if p.holders == nil {
 		p.indexImages()
 	}
@@ -88,28 +89,30 @@
 		plan.planned = plan.planned.With(o.Name, placement.Needs(replicas[i].Job))
 		plan.targets[o.Name] = true
 	}
-	if !try {
+	if !dryRun {
 		p.planned = plan.planned
 	}
 	return true
 }
 
-// CancelEvacuation notes that a machine takes moves again that was being emptied.
+// CancelEvacuation records that a machine whose consolidation was cancelled is a possible target
+// again.
 func (p *Planner) CancelEvacuation(m *placement.Machine) {
 	for id := range m.Images.All {
 		p.reopened[cachedImage{id, m.Zone}]++
 	}
 }
 
-// evacuation is a try to move all replicas off a machine.
+// evacuation is an attempt to plan the moves of all replicas off a machine.
 type evacuation struct {
 	*Planner
 	from    *placement.Machine
 	planned PlannedUsage
-	targets map[string]bool // of this try
+	targets map[string]bool // names of the machines that the replicas move to
 }
 
-// findTarget is the first machine but the one that is emptied that a replica may move to.
+// findTarget returns the first machine, other than the evacuated one, that a replica may move to;
+// nil if there is none.
 func (e *evacuation) findTarget(r *Replica) *LoadedMachine {
 	p := e.Planner
 	key := searchKey{cachedImage{r.Image, e.from.Zone}, r.Shape}
@@ -118,7 +121,9 @@
 		s = searchState{reopened: p.reopened[key.image]}
 	}
 	list := p.holders[key.image]
-	sure := true // that those looked at take no more, whatever machine is asked for next
+	// sure is true as long as the machines examined can take no more replicas of the kind,
+	// whichever machine is evacuated next.
+	sure := true
 	defer func() { p.searches[key] = s }()
 	for i := s.next; i < len(list); i++ {
 		o := list[i]
@@ -135,5 +140,5 @@
 	return nil
 }
 
-// isBatch reports whether a job's tasks run to completion by themselves.
+// isBatch reports whether a job is a batch job: its tasks run to completion, independently.
 func isBatch(j *protocol.Job) bool { return j.Kind == protocol.Batch }
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -8,58 +8,58 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// MigratableTask is a task of a surging team that runs, or waits for its image, and may migrate once in
-// the surge.
+// MigratableTask is a task of a surging team that is running, or waiting for its image, and that
+// may migrate once during the surge.
 type MigratableTask struct {
 	placement.Task
 	Team        Team
 	Running     bool          // it has its image
-	RanFor      time.Duration // since then
-	Remaining   time.Duration // that it is likely to run on here
-	Checkpoints bool          // what it has done is kept when it is stopped
-	// ZoneAllowed reports whether the rules about its job's zones allow one.
+	RanFor      time.Duration // how long it has been running
+	Remaining   time.Duration // expected remaining run time on its machine
+	Checkpoints bool          // it saves a checkpoint when it is stopped
+	// ZoneAllowed reports whether the job's zone rules allow a zone.
 	ZoneAllowed func(zone string) bool
-	// Of is whose work it is, for the caller.
+	// Owner is a value of the caller's, not used by the planner.
 	Owner any
 }
 
-// Source is a machine with work that may migrate.
+// Source is a machine with tasks that may migrate.
 type Source struct {
 	LoadedMachine
 	Tasks []MigratableTask
 }
 
-// Migration is one task's planned move, with what it is likely to save and to cost, in time of
-// work.
+// Migration is the planned move of a task, with its expected saving and cost, both as time.
 type Migration struct {
 	Task         *MigratableTask
 	From, To     *placement.Machine
 	Saving, Cost time.Duration
 }
 
-// MigrationParams are the terms on which migrations are planned.
+// MigrationParams are the parameters for planning migrations.
 type MigrationParams struct {
 	Settings
 	Now           time.Time
-	StopDuration  time.Duration // until a stopped attempt is proven gone and another is on record
-	WriteDuration time.Duration // what a change in the state service costs
-	Margin        float64       // times its cost that a move has to save
-	MaxMigrations int           // moves
+	StopDuration  time.Duration // until a stopped attempt is proven terminated and its successor is recorded
+	WriteDuration time.Duration // cost of a write to the state service
+	Margin        float64       // how many times its cost a migration has to save
+	MaxMigrations int
 }
 
-// Bounds of a plan: what it looks at doesn't grow with the fleet's square.
+// Bounds of a plan. They keep the effort from growing with the square of the fleet size.
 const (
-	maxSources         = 16 // most loaded machines that are looked at
-	maxTargets         = 48 // least loaded machines, and machines that hold an image, for one task
-	writesPerMigration = 2  // in the state service, for a move: the mark, and the new start
-	// Work that loses what it has done is moved only for several times the margin, and early.
+	maxSources         = 16 // most loaded machines that are examined as sources
+	maxTargets         = 48 // least loaded machines, and machines that cache the image, examined per task
+	writesPerMigration = 2  // writes to the state service: the mark and the new start
+	// A running task without checkpoints loses its work. It is migrated only for a multiple of
+	// the margin, and only early in its run.
 	noCheckpointMargin  = 2
-	noCheckpointDivisor = 4 // of what is left, that it may have run, as a divisor
+	noCheckpointDivisor = 4 // it may have run for this fraction of its remaining run time
 )
 
-// Rebalance plans migrations off machines that are overloaded for the work on them: those whose team has more
-// than its ceiling there, whose fetches queue for too long, or that run it slower than others.
-// A machine's moves are tried as a whole and kept if any pays.
+// Rebalance plans migrations off overloaded sources: those where a team is above its ceiling, where
+// image fetches are queued for too long, or that are slower than other machines. The migrations off
+// a source are planned as a whole, the most loaded sources first.
 func (p *Planner) Rebalance(t MigrationParams, sources []Source) []Migration {
 	mostLoaded := slices.Clone(sources)
 	slices.SortStableFunc(mostLoaded, func(a, b Source) int {
@@ -71,28 +71,28 @@
 		if len(moves) >= t.MaxMigrations {
 			break
 		}
-		spot := &sourcePlanner{Planner: p, params: t, source: &mostLoaded[i], targets: leastLoaded, planned: p.planned}
-		planned := spot.plan(t.MaxMigrations - len(moves))
+		sp := &sourcePlanner{Planner: p, params: t, source: &mostLoaded[i], targets: leastLoaded, planned: p.planned}
+		planned := sp.plan(t.MaxMigrations - len(moves))
 		if len(planned) > 0 {
-			p.planned = spot.planned
+			p.planned = sp.planned
 			moves = append(moves, planned...)
 		}
 	}
 	return moves
 }
 
-// overload is the load of a source by the team that loads it most, as a part of the ceiling, and
-// how much slower than usual it is.
+// overload ranks sources: it returns the largest load by a team's tasks, as a fraction of the
+// ceiling, plus the slowdown of the machine.
 func (t *MigrationParams) overload(s *Source) float64 {
-	most := 0.0
+	highest := 0.0
 	for i := range s.Tasks {
 		r, _ := s.Load.TeamUsage(s.Tasks[i].Team)
-		most = max(most, DominantShare(r, placement.Capacity(s.Spec))/t.CeilingShare+s.Load.Speed.Slowdown()-1)
+		highest = max(highest, DominantShare(r, placement.Capacity(s.Spec))/t.CeilingShare+s.Load.Speed.Slowdown()-1)
 	}
-	return most
+	return highest
 }
 
-// leastLoaded are the open machines with most room, a bounded number of them.
+// leastLoaded returns the least loaded machines that accept tasks, at most maxTargets.
 func (p *Planner) leastLoaded() []*LoadedMachine {
 	var list []*LoadedMachine
 	for i := range p.machines {
@@ -101,16 +101,16 @@
 		}
 	}
 	p.Examined += len(list)
-	free := func(s *LoadedMachine) float64 {
+	load := func(s *LoadedMachine) float64 {
 		return DominantShare(s.Allocated, placement.Capacity(s.Spec)) + s.Load.Speed.Slowdown() - 1
 	}
 	slices.SortStableFunc(list, func(a, b *LoadedMachine) int {
-		return cmp.Or(cmp.Compare(free(a), free(b)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(load(a), load(b)), cmp.Compare(a.Name, b.Name))
 	})
 	return list[:min(len(list), maxTargets)]
 }
 
-// sourcePlanner is an overloaded machine for which migrations are planned.
+// sourcePlanner plans the migrations off one source.
 type sourcePlanner struct {
 	*Planner
 	params  MigrationParams
@@ -119,76 +119,79 @@
 	planned PlannedUsage
 }
 
-// plan finds the moves off the source that pay, the one that gains most first.
-func (h *sourcePlanner) plan(most int) []Migration {
-	work := make([]*MigratableTask, 0, len(h.source.Tasks))
+// plan returns up to maxMoves worthwhile migrations off the source, the one with the largest gain
+// first.
+func (h *sourcePlanner) plan(maxMoves int) []Migration {
+	tasks := make([]*MigratableTask, 0, len(h.source.Tasks))
 	for i := range h.source.Tasks {
-		work = append(work, &h.source.Tasks[i])
+		tasks = append(tasks, &h.source.Tasks[i])
 	}
 	var moves []Migration
-	left := placement.Resources{} // of the source, by the moves so far
-	for len(moves) < most {
-		best, at := Migration{}, -1
-		for i, w := range work {
-			if w == nil || !isBatch(w.Job) || !h.overloaded(w, left) {
+	moved := placement.Resources{} // resources of the tasks planned to leave the source
+	for len(moves) < maxMoves {
+		best, bestIndex := Migration{}, -1
+		for i, w := range tasks {
+			if w == nil || !isBatch(w.Job) || !h.overloaded(w, moved) {
 				continue
 			}
-			if m, ok := h.bestTarget(w, left); ok && (at < 0 || m.Saving-m.Cost > best.Saving-best.Cost) {
-				best, at = m, i
+			if m, ok := h.bestTarget(w, moved); ok && (bestIndex < 0 || m.Saving-m.Cost > best.Saving-best.Cost) {
+				best, bestIndex = m, i
 			}
 		}
-		if at < 0 {
+		if bestIndex < 0 {
 			break
 		}
-		work[at] = nil
+		tasks[bestIndex] = nil
 		needs := placement.Needs(best.Task.Job)
-		left = left.Plus(needs)
+		moved = moved.Plus(needs)
 		h.planned = h.planned.With(best.To.Name, needs)
 		moves = append(moves, best)
 	}
 	return moves
 }
 
-// overloaded reports whether there is a reason to move work off the source.
-func (h *sourcePlanner) overloaded(w *MigratableTask, left placement.Resources) bool {
+// overloaded reports whether there is a reason to migrate a task off the source.
+func (h *sourcePlanner) overloaded(w *MigratableTask, moved placement.Resources) bool {
 	l := h.source.Load
 	r, tasks := l.TeamUsage(w.Team)
-	above := tasks > 1 && DominantShare(r.Minus(left), placement.Capacity(h.source.Spec)) > h.params.CeilingShare+shareEpsilon
+	above := tasks > 1 && DominantShare(r.Minus(moved), placement.Capacity(h.source.Spec)) > h.params.CeilingShare+shareEpsilon
 	queued := !w.Running && l.Fetches.Backlog(h.params.Now, h.source.Spec.FetchGBPerSecond) > h.params.MaxFetchBacklog
 	return above || queued || l.Speed.Slowdown() > slowSourceThreshold
 }
 
-// slowSourceThreshold is how slow a machine must be to be left for that alone.
+// slowSourceThreshold is the slowdown above which a task is migrated off a machine for that reason
+// alone.
 const slowSourceThreshold = 1.3
 
-// bestTarget finds where a move pays most.
-func (h *sourcePlanner) bestTarget(w *MigratableTask, left placement.Resources) (best Migration, found bool) {
-	try := func(o *LoadedMachine) {
+// bestTarget returns the worthwhile migration of a task with the largest gain, if there is one.
+func (h *sourcePlanner) bestTarget(w *MigratableTask, moved placement.Resources) (best Migration, found bool) {
+	consider := func(o *LoadedMachine) {
 		if o.Machine == h.source.Machine || o.Load == nil || o.Consolidating || !h.acceptsTasks(o.Machine) {
-			return // one that isn't open may be of an unknown type
+			return // one that accepts no tasks may be of an unknown type
 		}
 		if !w.ZoneAllowed(o.Zone) || !h.planned.fits(o.Machine, w.Job) {
 			return
 		}
-		if m, pays := h.evaluate(w, o, left); pays && (!found || m.Saving-m.Cost > best.Saving-best.Cost) {
+		if m, pays := h.evaluate(w, o, moved); pays && (!found || m.Saving-m.Cost > best.Saving-best.Cost) {
 			best, found = m, true
 		}
 	}
 	for _, o := range h.targets {
-		try(o)
+		consider(o)
 	}
 	if h.holders == nil {
 		h.indexImages()
 	}
 	holders := h.holders[cachedImage{w.Image, h.source.Zone}]
 	for _, o := range holders[:min(len(holders), maxTargets)] {
-		try(o)
+		consider(o)
 	}
 	return best, found
 }
 
-// evaluate says what a migration would save and cost, and whether it is worthwhile.
-func (h *sourcePlanner) evaluate(w *MigratableTask, o *LoadedMachine, left placement.Resources) (Migration, bool) {
+// evaluate returns what the migration of a task to a machine would save and cost, and whether it is
+// worthwhile.
+func (h *sourcePlanner) evaluate(w *MigratableTask, o *LoadedMachine, moved placement.Resources) (Migration, bool) {
 	t, src := &h.params, h.source
 	move := Migration{Task: w, From: src.Machine, To: o.Machine}
 	planned := h.planned.Allocated(o.Name)
@@ -196,11 +199,11 @@
 	needs := placement.Needs(w.Job)
 	after := DominantShare(there.Plus(planned).Plus(needs), placement.Capacity(o.Spec))
 	if (tasks > 0 || planned != (placement.Resources{})) && after > t.CeilingShare+shareEpsilon {
-		return move, false // it would be as loaded there
+		return move, false // the team would exceed its ceiling there, too
 	}
 	here, _ := src.Load.TeamUsage(w.Team)
-	heat := max(0, DominantShare(here.Minus(left), placement.Capacity(src.Spec))-after) / t.CeilingShare
-	move.Saving = time.Duration(t.LoadPenalty.Seconds() * heat * float64(time.Second))
+	loadReduction := max(0, DominantShare(here.Minus(moved), placement.Capacity(src.Spec))-after) / t.CeilingShare
+	move.Saving = time.Duration(t.LoadPenalty.Seconds() * loadReduction * float64(time.Second))
 	if slower := src.Load.Speed.Slowdown() / o.Load.Speed.Slowdown(); slower > 1 {
 		move.Saving += time.Duration(float64(w.Remaining) * (1 - 1/slower))
 	}
@@ -217,8 +220,8 @@
 	return move, h.worthwhile(w, &move)
 }
 
-// worthwhile adds what is lost of the work to the cost, and judges the migration. Work about to
-// end stays.
+// worthwhile adds the work that is lost to the cost of a migration, and reports whether the
+// migration saves enough. Tasks that are about to end aren't migrated.
 func (h *sourcePlanner) worthwhile(w *MigratableTask, m *Migration) bool {
 	margin := h.params.Margin
 	if w.Running && w.Checkpoints {
--- a/internal/coordination/balance/rebalance_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -9,8 +9,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// fleet is a small fleet to plan moves on: machines of four CPUs, of which the first is full
-// of a surging team's tasks.
+// fleet is a small fleet for planning migrations: machines of four CPUs with tasks of surging teams.
 type fleet struct {
 	machines []LoadedMachine
 	work     []MigratableTask
@@ -18,36 +17,36 @@
 }
 
 func newFleet(machines int) *fleet {
-	b := &fleet{params: MigrationParams{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: 20 * time.Second, LoadPenalty: 20 * time.Second},
+	f := &fleet{params: MigrationParams{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: 20 * time.Second, LoadPenalty: 20 * time.Second},
 		Now: start, StopDuration: time.Second, WriteDuration: 25 * time.Millisecond, Margin: 1.5, MaxMigrations: 8}}
 	for i := range machines {
 		m := machine(0)
 		m.Name, m.Zone = fmt.Sprintf("vm-%04d", i), "a"
-		b.machines = append(b.machines, LoadedMachine{Machine: m, Load: &Load{}})
+		f.machines = append(f.machines, LoadedMachine{Machine: m, Load: &Load{}})
 	}
-	return b
+	return f
 }
 
-// addTask puts a task of a team on a machine.
-func (b *fleet) addTask(site int, team Team, change func(*MigratableTask)) {
-	s := b.machines[site]
+// addTask puts a task of a team on a machine, given by its index. change, if not nil, changes the task.
+func (f *fleet) addTask(index int, team Team, change func(*MigratableTask)) {
+	s := f.machines[index]
 	job := &protocol.Job{Kind: protocol.Batch, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1, CheckpointInterval: 5 * time.Second, CheckpointDuration: time.Second}
 	w := MigratableTask{Task: placement.Task{Job: job, Image: 1}, Team: team, Running: true, RanFor: 10 * time.Second, Remaining: 100 * time.Second,
-		Checkpoints: true, ZoneAllowed: func(string) bool { return true }, Owner: site}
+		Checkpoints: true, ZoneAllowed: func(string) bool { return true }, Owner: index}
 	if change != nil {
 		change(&w)
 	}
 	s.Allocated = s.Allocated.Plus(placement.Needs(w.Job))
 	s.Load.AddAttempt(team, placement.Needs(w.Job))
 	s.Images.Add(w.Image, w.ImageGB, 20)
-	b.work = append(b.work, w)
+	f.work = append(f.work, w)
 }
 
-func (b *fleet) plan() []Migration {
+func (f *fleet) plan() []Migration {
 	var sources []Source
-	for i, s := range b.machines {
+	for i, s := range f.machines {
 		source := Source{LoadedMachine: s}
-		for _, w := range b.work {
+		for _, w := range f.work {
 			if w.Owner == i {
 				source.Tasks = append(source.Tasks, w)
 			}
@@ -56,139 +55,140 @@
 			sources = append(sources, source)
 		}
 	}
-	return NewPlanner(b.machines, func(*placement.Machine) bool { return true }).Rebalance(b.params, sources)
+	return NewPlanner(f.machines, func(*placement.Machine) bool { return true }).Rebalance(f.params, sources)
 }
 
-// A hot machine is cooled down to its ceiling and no further, by moves that pay; the same
-// board gives the same plan.
+// An overloaded machine is relieved down to the ceiling and no further, by worthwhile migrations. The
+// same fleet gives the same plan.
 func TestRebalance(t *testing.T) {
-	b := newFleet(4)
+	f := newFleet(4)
 	for range 4 {
-		b.addTask(0, 1, nil)
+		f.addTask(0, 1, nil)
 	}
-	moves := b.plan()
+	moves := f.plan()
 	if len(moves) != 2 {
-		t.Fatalf("%d moves", len(moves))
+		t.Fatalf("%d migrations, want 2", len(moves))
 	}
 	for i, m := range moves {
-		if m.From != b.machines[0].Machine || m.To == m.From || m.Saving.Seconds() <= 1.5*m.Cost.Seconds() {
-			t.Errorf("move %+v", m)
+		if m.From != f.machines[0].Machine || m.To == m.From || m.Saving.Seconds() <= 1.5*m.Cost.Seconds() {
+			t.Errorf("migration to the same machine, from another one, or not worthwhile: %+v", m)
 		}
-		if again := b.plan(); again[i].To != m.To || again[i].Saving != m.Saving {
-			t.Errorf("another plan: %+v", again[i])
+		if again := f.plan(); again[i].To != m.To || again[i].Saving != m.Saving {
+			t.Errorf("plan differs the second time: %+v", again[i])
 		}
 	}
-	b.params.MaxMigrations = 1
-	if moves := b.plan(); len(moves) != 1 {
-		t.Errorf("%d moves where one is allowed", len(moves))
+	f.params.MaxMigrations = 1
+	if moves := f.plan(); len(moves) != 1 {
+		t.Errorf("%d migrations, want 1 with MaxMigrations 1", len(moves))
 	}
 }
 
-// migrationCases are moves of one of three tasks off a machine, and whether any is made.
+// migrationCases are cases of three tasks on a machine, and whether any of them is migrated.
 var migrationCases = []struct {
 	name   string
 	change func(*MigratableTask)
-	board  func(*fleet)
-	moves  bool
+	setUp  func(*fleet)
+	moves  bool // whether any migration is planned
 }{
-	{name: "one that pays", moves: true},
-	{name: "unsaved work of minutes", change: func(w *MigratableTask) { w.Checkpoints, w.RanFor, w.Remaining = false, 4*time.Minute, 5*time.Minute }},
-	{name: "unsaved work that began", change: func(w *MigratableTask) { w.Checkpoints, w.RanFor = false, time.Second }, moves: true},
-	{name: "a huge image", change: func(w *MigratableTask) { w.ImageGB = 60; w.Remaining = 10 * time.Minute }},
-	{name: "saving that takes long", change: func(w *MigratableTask) { w.CheckpointDuration = 30 * time.Second }},
-	{name: "work about to end", change: func(w *MigratableTask) { w.Remaining = 2 * time.Second }},
-	{name: "overdue work", change: func(w *MigratableTask) { w.Remaining = 0 }},
-	{name: "half of what was estimated", change: func(w *MigratableTask) { w.Remaining /= 2 }, moves: true},
-	{name: "half as long again", change: func(w *MigratableTask) { w.Remaining = w.Remaining * 3 / 2 }, moves: true},
-	{name: "busy links", board: func(b *fleet) {
-		for _, s := range b.machines[1:] {
+	{name: "worthwhile migration", moves: true},
+	{name: "minutes of work without checkpoints", change: func(w *MigratableTask) { w.Checkpoints, w.RanFor, w.Remaining = false, 4*time.Minute, 5*time.Minute }},
+	{name: "just started without checkpoints", change: func(w *MigratableTask) { w.Checkpoints, w.RanFor = false, time.Second }, moves: true},
+	{name: "huge image", change: func(w *MigratableTask) { w.ImageGB = 60; w.Remaining = 10 * time.Minute }},
+	{name: "long checkpoint", change: func(w *MigratableTask) { w.CheckpointDuration = 30 * time.Second }},
+	{name: "task about to end", change: func(w *MigratableTask) { w.Remaining = 2 * time.Second }},
+	{name: "overdue task", change: func(w *MigratableTask) { w.Remaining = 0 }},
+	{name: "half of the estimated run time", change: func(w *MigratableTask) { w.Remaining /= 2 }, moves: true},
+	{name: "one and a half times the estimated run time", change: func(w *MigratableTask) { w.Remaining = w.Remaining * 3 / 2 }, moves: true},
+	{name: "long fetch backlog on the targets", setUp: func(f *fleet) {
+		for _, s := range f.machines[1:] {
 			s.Load.Fetches.Add(start, 9, 40, 1)
 		}
 	}},
-	{name: "targets as slow", board: func(b *fleet) {
-		b.params.LoadPenalty = 0
-		for _, s := range b.machines {
+	{name: "targets equally slow", setUp: func(f *fleet) {
+		f.params.LoadPenalty = 0
+		for _, s := range f.machines {
 			s.Load.Speed = Speed{sum: 10, weight: 10}
 		}
 	}},
-	{name: "a slow machine", board: func(b *fleet) {
-		b.params.LoadPenalty = 0
-		b.machines[0].Load.Speed = Speed{sum: 10, weight: 10}
+	{name: "slow machine", setUp: func(f *fleet) {
+		f.params.LoadPenalty = 0
+		f.machines[0].Load.Speed = Speed{sum: 10, weight: 10}
 	}, moves: true},
-	{name: "an even load", board: func(b *fleet) { b.params.CeilingShare = 1 }},
-	{name: "another zone", change: func(w *MigratableTask) { w.ZoneAllowed = func(zone string) bool { return zone != "a" } }},
-	{name: "a replica", change: func(w *MigratableTask) { w.Kind = protocol.Service }},
-	{name: "a gang", change: func(w *MigratableTask) { w.Kind = protocol.Gang }},
-	{name: "full targets", board: func(b *fleet) {
-		for _, s := range b.machines[1:] {
+	{name: "load within the ceiling", setUp: func(f *fleet) { f.params.CeilingShare = 1 }},
+	{name: "zone not allowed", change: func(w *MigratableTask) { w.ZoneAllowed = func(zone string) bool { return zone != "a" } }},
+	{name: "service replica", change: func(w *MigratableTask) { w.Kind = protocol.Service }},
+	{name: "gang member", change: func(w *MigratableTask) { w.Kind = protocol.Gang }},
+	{name: "targets full", setUp: func(f *fleet) {
+		for _, s := range f.machines[1:] {
 			s.Incoming = placement.Resources{CPUs: 4}
 		}
 	}},
 }
 
-// A move that costs more than it saves isn't made, with estimates wrong by half both ways.
+// A migration that costs more than it saves isn't planned, also if estimates are wrong by half in
+// either direction.
 func TestMigrationCosts(t *testing.T) {
 	for _, c := range migrationCases {
-		b := newFleet(3)
+		f := newFleet(3)
 		for range 3 {
-			b.addTask(0, 1, func(w *MigratableTask) {
+			f.addTask(0, 1, func(w *MigratableTask) {
 				if c.change != nil {
 					c.change(w)
 				}
 			})
 		}
-		if c.board != nil {
-			c.board(b)
+		if c.setUp != nil {
+			c.setUp(f)
 		}
-		if moves := b.plan(); (len(moves) > 0) != c.moves {
-			t.Errorf("%s: %d moves", c.name, len(moves))
+		if moves := f.plan(); (len(moves) > 0) != c.moves {
+			t.Errorf("%s: %d migrations planned", c.name, len(moves))
 		}
 	}
 }
 
-// Tasks that wait behind a long queue of fetches go where theirs begins at once.
+// A task that waits for its image behind a long fetch backlog migrates to a machine without one.
 func TestMigrationFromFetchQueue(t *testing.T) {
-	b := newFleet(3)
-	b.params.LoadPenalty = 0
-	b.addTask(0, 1, func(w *MigratableTask) { w.Running, w.RanFor, w.Image = false, 0, 7 })
-	b.machines[0].Images.Reset()
-	b.machines[0].Load.Fetches.Add(start, 9, 50, 1)
-	if moves := b.plan(); len(moves) != 1 {
-		t.Errorf("%d moves", len(moves))
+	f := newFleet(3)
+	f.params.LoadPenalty = 0
+	f.addTask(0, 1, func(w *MigratableTask) { w.Running, w.RanFor, w.Image = false, 0, 7 })
+	f.machines[0].Images.Reset()
+	f.machines[0].Load.Fetches.Add(start, 9, 50, 1)
+	if moves := f.plan(); len(moves) != 1 {
+		t.Errorf("%d migrations, want 1", len(moves))
 	}
 }
 
-// A machine of an unknown type that holds the image isn't open, and isn't looked at further.
+// A machine of an unknown type accepts no tasks and is no target, although it caches the image.
 func TestUnknownTypeIsNoTarget(t *testing.T) {
-	b := newFleet(2)
+	f := newFleet(2)
 	for range 3 {
-		b.addTask(0, 1, nil)
+		f.addTask(0, 1, nil)
 	}
-	b.machines[1].Images.Add(1, 1, 20)
-	b.machines[1].Spec = nil
-	sources := []Source{{LoadedMachine: b.machines[0], Tasks: b.work}}
-	if moves := NewPlanner(b.machines, func(m *placement.Machine) bool { return m.Spec != nil }).Rebalance(b.params, sources); len(moves) != 0 {
-		t.Errorf("%d moves", len(moves))
+	f.machines[1].Images.Add(1, 1, 20)
+	f.machines[1].Spec = nil
+	sources := []Source{{LoadedMachine: f.machines[0], Tasks: f.work}}
+	if moves := NewPlanner(f.machines, func(m *placement.Machine) bool { return m.Spec != nil }).Rebalance(f.params, sources); len(moves) != 0 {
+		t.Errorf("%d migrations, want none", len(moves))
 	}
 }
 
-// Two hot teams that would like each other's machines settle: moves that were made leave
-// nothing to be moved back.
+// The plans for two teams, each of which overloads a machine, converge: completed migrations
+// are not followed by migrations back.
 func TestPlansConverge(t *testing.T) {
-	b := newFleet(4)
+	f := newFleet(4)
 	for range 3 {
-		b.addTask(0, 1, nil)
-		b.addTask(1, 2, nil)
+		f.addTask(0, 1, nil)
+		f.addTask(1, 2, nil)
 	}
 	total := 0
 	for round := range 20 {
-		moves := b.plan()
+		moves := f.plan()
 		if total += len(moves); len(moves) == 0 && round > 2 {
 			break
 		}
-		for _, m := range moves { // carried out, and not marked: each may move again
+		for _, m := range moves { // carry it out without a mark, so that each task may migrate again
 			from, to := -1, -1
-			for i, s := range b.machines {
+			for i, s := range f.machines {
 				if s.Machine == m.From {
 					from = i
 				}
@@ -197,24 +197,24 @@
 				}
 			}
 			needs := placement.Needs(m.Task.Job)
-			b.machines[from].Allocated = b.machines[from].Allocated.Minus(needs)
-			b.machines[from].Load.RemoveAttempt(m.Task.Team, needs)
-			b.machines[to].Allocated = b.machines[to].Allocated.Plus(needs)
-			b.machines[to].Load.AddAttempt(m.Task.Team, needs)
-			for i := range b.work {
-				if b.work[i].Owner == from && b.work[i].Team == m.Task.Team {
-					b.work[i].Owner = to
+			f.machines[from].Allocated = f.machines[from].Allocated.Minus(needs)
+			f.machines[from].Load.RemoveAttempt(m.Task.Team, needs)
+			f.machines[to].Allocated = f.machines[to].Allocated.Plus(needs)
+			f.machines[to].Load.AddAttempt(m.Task.Team, needs)
+			for i := range f.work {
+				if f.work[i].Owner == from && f.work[i].Team == m.Task.Team {
+					f.work[i].Owner = to
 					break
 				}
 			}
 		}
 	}
 	if total == 0 || total > 4 {
-		t.Errorf("%d moves of six tasks", total)
+		t.Errorf("%d migrations of six tasks, want 1 to 4", total)
 	}
 }
 
-// A try leaves nothing behind, and costs what it changes.
+// With doesn't change the PlannedUsage that it is called on.
 func TestPlannedUsage(t *testing.T) {
 	s := NewPlannedUsage()
 	one := s.With("vm-1", placement.Resources{CPUs: 1})
@@ -224,20 +224,20 @@
 	}
 }
 
-// BenchmarkRebalance plans moves on a fleet in which one machine in eight is hot.
+// BenchmarkRebalance plans migrations on a fleet in which one machine in eight is overloaded.
 func BenchmarkRebalance(b *testing.B) {
 	for _, machines := range []int{250, 1000, 4000} {
-		board := newFleet(machines)
+		f := newFleet(machines)
 		for i := range machines {
 			for range 1 + 3*(i%8/7) {
-				board.addTask(i, 1, nil)
+				f.addTask(i, 1, nil)
 			}
 		}
 		var sources []Source
-		for i, s := range board.machines {
+		for i, s := range f.machines {
 			if i%8 == 7 {
 				source := Source{LoadedMachine: s}
-				for _, w := range board.work[:4] {
+				for _, w := range f.work[:4] {
 					w.Owner = i
 					source.Tasks = append(source.Tasks, w)
 				}
@@ -246,9 +246,9 @@
 		}
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
-				p := NewPlanner(board.machines, func(*placement.Machine) bool { return true })
-				if moves := p.Rebalance(board.params, sources); len(moves) == 0 {
-					b.Fatal("nothing is planned")
+				p := NewPlanner(f.machines, func(*placement.Machine) bool { return true })
+				if moves := p.Rebalance(f.params, sources); len(moves) == 0 {
+					b.Fatal("no migration planned")
 				}
 			}
 		})
--- a/internal/coordination/balance/speed.go
+++ b/internal/coordination/balance/speed.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Bounds of what run times tell.
+// Parameters of the estimation of machine speeds from run times.
 const (
-	maxSampleDeviation = math.Ln2 // the most that one sample counts for, as a logarithm
-	sampleDecay        = 0.9      // what is left of a sample's weight with the next one
-	priorWeight        = 4        // samples of the usual speed that are added
-	minJobSamples      = 3        // tasks of a job after which its own run times count
-	meanSmoothing      = 0.1      // of a sample, in the mean that others are compared with
+	maxSampleDeviation = math.Ln2 // bound of a single sample's logarithmic deviation: a factor of 2
+	sampleDecay        = 0.9      // factor by which each new sample reduces the weight of the earlier ones
+	priorWeight        = 4        // weight of the prior assumption that a machine is as fast as others, in samples
+	minJobSamples      = 3        // completed tasks of a job before its samples are compared with its own mean
+	meanSmoothing      = 0.1      // least weight of a new sample in a mean
 )
 
-// RunTimes are the run times of one kind of tasks, as logarithms.
+// RunTimes is the mean run time of similar tasks, in relation to the estimates, as a logarithm.
 type RunTimes struct {
 	mean  float64
 	count int
 }
 
-// add takes a sample and returns by how much it is above the mean before.
+// add adds a sample to the mean. It returns the sample's deviation from the mean before, clamped to
+// maxSampleDeviation; the mean moves by the clamped deviation.
 func (r *RunTimes) add(x float64) float64 {
 	if r.count == 0 {
 		r.mean = x
@@ -31,11 +32,12 @@
 	return above
 }
 
-// Speed is how a machine's run times compare with those of other machines.
+// Speed compares a machine's run times with those of other machines: it is the decaying sum of the
+// samples' deviations and the sum of their weights.
 type Speed struct{ sum, weight float64 }
 
-// Observe takes a completed task's run time. job holds the times of its job, class those of its
-// class on this kind of machine, as parts of their owners' estimates.
+// Observe adds the run time of a completed task. job are the run times of its job, class those of
+// its class on the same machine type.
 func (s *Speed) Observe(run, estimate time.Duration, job, class *RunTimes) {
 	if run <= 0 || estimate <= 0 {
 		return
@@ -45,12 +47,12 @@
 	known := job.count >= minJobSamples
 	above := job.add(x)
 	if !known {
-		above = ofClass / 2 // an estimate may be wrong by half, for all tasks of the job
+		above = ofClass / 2 // the estimate may be wrong by half for all tasks of the job
 	}
 	s.sum = s.sum*sampleDecay + above
 	s.weight = s.weight*sampleDecay + 1
 }
 
-// Slowdown is how many times as long as usual tasks take on the machine; 1 where little is
-// known.
+// Slowdown returns by which factor tasks run longer on the machine than usual; close to 1 while
+// there are few samples.
 func (s *Speed) Slowdown() float64 { return math.Exp(s.sum / (s.weight + priorWeight)) }
--- a/internal/coordination/balance/surge.go
+++ b/internal/coordination/balance/surge.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// What makes and ends a surge.
+// Parameters of surge detection.
 const (
-	levelTimeConstant = time.Minute      // time constant of a team's usual level
-	surgeStartFactor  = 1.5              // times the level, and a machine's worth besides
-	surgeEndFactor    = 1.2              // times the level, and half of that
-	surgeEndDelay     = 10 * time.Second // that demand stays below for a surge to end
-	maxSurgeDuration  = 10 * time.Minute // after which the new demand is the level
+	levelTimeConstant = time.Minute      // time constant of the moving average of a team's demand
+	surgeStartFactor  = 1.5              // a surge starts when demand exceeds this multiple of the level by more than one machine
+	surgeEndFactor    = 1.2              // demand is low at no more than this multiple of the level plus half a machine
+	surgeEndDelay     = 10 * time.Second // how long demand must stay low to end a surge
+	maxSurgeDuration  = 10 * time.Minute // after which a surge ends and the present demand becomes the level
 )
 
-// SurgeRecord is what is kept of a surge that is under way.
+// SurgeRecord is the part of an active surge that is recorded.
 type SurgeRecord struct {
-	Number uint64 // Unix milliseconds of its beginning, above every earlier one's
+	Number uint64 // start time in Unix milliseconds, increased if necessary to exceed all earlier numbers
 	Level  float64
 }
 
-// SurgeChange is what an observation of a team's demand has changed.
+// SurgeChange says whether an observation of a team's demand started or ended a surge.
 type SurgeChange uint8
 
-// Changes of a team's surge.
+// The changes of a team's surge.
 const (
 	Unchanged SurgeChange = iota
 	Started
 	Ended
 )
 
-// Surge follows a team's demand, and tells whether its work arrives in a surge.
+// Surge detects surges in a team's demand: demand far above its usual level.
 type Surge struct {
 	initialized bool
 	observedAt  time.Time
-	level       float64 // CPUs that the team usually wants
-	number      uint64  // of the surge under way; 0 without one
+	level       float64 // usual demand of the team, in CPUs
+	number      uint64  // of the active surge; 0 if there is none
 	lastNumber  uint64  // highest number so far
 	startedAt   time.Time
-	lowSince    time.Time // since when demand is low enough to end it; zero while it isn't
+	lowSince    time.Time // since when demand has been low enough to end the surge; zero if it isn't
 }
 
-// Restore begins with a surge that is on record.
+// Restore sets the active surge from its record.
 func (s *Surge) Restore(now time.Time, r SurgeRecord) {
 	*s = Surge{initialized: true, observedAt: now, level: r.Level, number: r.Number, lastNumber: r.Number, startedAt: now}
 }
 
-// Record is what is to be kept of the surge under way; false without one.
+// Record returns the record of the active surge; false if there is none.
 func (s *Surge) Record() (SurgeRecord, bool) {
 	return SurgeRecord{Number: s.number, Level: s.level}, s.number != 0
 }
 
-// Number is that of the surge under way, 0 without one.
+// Number returns the number of the active surge; 0 if there is none.
 func (s *Surge) Number() uint64 { return s.number }
 
-// Observe takes a team's demand in CPUs. machine is what a machine has of them: less than
-// that is no surge.
+// Observe updates the state with a team's demand. machine is the number of CPUs of a machine: demand
+// must exceed the starting threshold by that much.
 func (s *Surge) Observe(now time.Time, demand, machine float64) SurgeChange {
 	if !s.initialized {
-		// What a new leader sees first is usual for all it knows.
+		// A new leader takes the first demand that it observes as the usual level.
 		*s = Surge{initialized: true, observedAt: now, level: demand, lastNumber: s.lastNumber}
 		return Unchanged
 	}
@@ -76,6 +76,7 @@
 	return Unchanged
 }
 
+// observeSurge is Observe while a surge is active.
 func (s *Surge) observeSurge(now time.Time, demand, machine float64) SurgeChange {
 	switch {
 	case demand > s.level*surgeEndFactor+machine/2:
@@ -83,12 +84,12 @@
 	case s.lowSince.IsZero():
 		s.lowSince = now
 	}
-	over := !s.lowSince.IsZero() && now.Sub(s.lowSince) >= surgeEndDelay
-	usual := now.Sub(s.startedAt) >= maxSurgeDuration
-	if !over && !usual {
+	demandLow := !s.lowSince.IsZero() && now.Sub(s.lowSince) >= surgeEndDelay
+	expired := now.Sub(s.startedAt) >= maxSurgeDuration
+	if !demandLow && !expired {
 		return Unchanged
 	}
-	if usual {
+	if expired {
 		s.level = demand
 	}
 	s.number = 0
