--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -8,16 +8,16 @@
 	"brasskeel/internal/protocol"
 )
 
-// Candidate is a machine with room for a task and what ranks it.
+// Candidate is a machine with room for a task, with the values by which it is ranked.
 type Candidate struct {
-	Machine      int32 // its place in the list of those with room; the first goes first among equals
-	AboveCeiling bool  // the task would put it above a ceiling: after all that stay below
-	LastResort   bool  // it is being emptied: after all others
+	Machine      int32 // index in the list of machines with room; breaks ties, lower first
+	AboveCeiling bool  // the task would put it above a surge ceiling: ranks after those below
+	LastResort   bool  // it is being consolidated: ranks after those that aren't
 	Score        float64
-	FreeCPUs     float64 // free CPUs, for those that score the same
+	FreeCPUs     float64 // ranks machines of equal score, higher first
 }
 
-// before reports whether a candidate goes before another one.
+// before reports whether a candidate ranks before another one.
 func (k *Candidate) before(o *Candidate) bool {
 	switch {
 	case k.AboveCeiling != o.AboveCeiling:
@@ -32,19 +32,18 @@
 	return k.Machine < o.Machine
 }
 
-// Candidates are the machines that may take tasks of a job, the best one first. They are
-// scored once, not once per task: placing one changes the score of its own machine alone.
+// Candidates are the machines that may take tasks of a job, as a priority queue. They are scored
+// once per job, not once per task, because placing a task changes only the score of its machine.
 type Candidates struct{ list candidateHeap }
 
-// NewCandidates orders candidates; the list is theirs from here on.
+// NewCandidates returns a priority queue of the candidates. It takes ownership of the list.
 func NewCandidates(list []Candidate) Candidates {
 	c := Candidates{list}
 	heap.Init(&c.list)
 	return c
 }
 
-// Best is the machine with the highest score; ties go to more free room. It is nil when none
-// is left.
+// Best returns the candidate that ranks first, or nil when none is left.
 func (c *Candidates) Best() *Candidate {
 	if len(c.list) == 0 {
 		return nil
@@ -52,7 +51,7 @@
 	return &c.list[0]
 }
 
-// All yields the candidates in no order.
+// All yields the candidates in no particular order.
 func (c *Candidates) All(yield func(*Candidate) bool) {
 	for i := range c.list {
 		if !yield(&c.list[i]) {
@@ -61,32 +60,34 @@
 	}
 }
 
-// DropBest takes the best one out.
+// DropBest removes the best candidate.
 func (c *Candidates) DropBest() { heap.Pop(&c.list) }
 
-// UpdateBest ranks the best one anew, after it was given a task.
+// UpdateBest replaces the best candidate by k and ranks it again.
 func (c *Candidates) UpdateBest(k Candidate) {
 	c.list[0] = k
 	heap.Fix(&c.list, 0)
 }
 
-// candidateHeap are candidates as a heap (container/heap) with the best one on top.
+// candidateHeap implements heap.Interface, with the best candidate on top.
 type candidateHeap []Candidate
 
 func (h candidateHeap) Len() int           { return len(h) }
 func (h candidateHeap) Less(i, k int) bool { return h[i].before(&h[k]) }
 func (h candidateHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
 
-// Push is there for heap.Interface alone: candidates are given at once.
+// Push implements heap.Interface. It isn't used: candidates are only added by NewCandidates.
 func (h *candidateHeap) Push(x any) { *h = append(*h, x.(Candidate)) }
 
-// Pop takes the last candidate out. It returns nothing, so that nothing is boxed.
+// Pop implements heap.Interface. It removes the last candidate and returns nil instead of it,
+// which saves an allocation for the interface value.
 func (h *candidateHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
 }
 
-// Shape is what decides where a task finds room: what it takes and what it may use.
+// Shape is what determines on which machines a task finds room: the resources that it needs and
+// the machines that it may use.
 type Shape struct {
 	needs Resources
 	zone  string
@@ -94,11 +95,11 @@
 	types []string
 }
 
-// ShapeOf is the shape of a job's tasks.
+// ShapeOf returns the shape of a job's tasks.
 func ShapeOf(j *protocol.Job) Shape { return Shape{Needs(j), j.Zone, j.AllowSpot, j.MachineTypes} }
 
-// KnownNotToFit reports whether one of the same kind, and no larger, has found nothing. During a
-// round room is only used up.
+// KnownNotToFit reports whether a shape that needs no more, with the same restrictions, is in
+// failed, i.e. found no room earlier in the round. During a round, room is only used up.
 func (s *Shape) KnownNotToFit(failed []Shape) bool {
 	for i := range failed {
 		f := &failed[i]
@@ -110,14 +111,14 @@
 	return false
 }
 
-// ShapeKey is a shape that can be looked up.
+// ShapeKey is a comparable form of Shape, for use as a map key.
 type ShapeKey struct {
 	needs       Resources
 	zone, types string
 	spot        bool
 }
 
-// ShapeKeyOf is the key of the shape of a job's tasks.
+// ShapeKeyOf returns the key of the shape of a job's tasks.
 func ShapeKeyOf(j *protocol.Job) ShapeKey {
 	return ShapeKey{Needs(j), j.Zone, strings.Join(j.MachineTypes, " "), j.AllowSpot}
 }
--- a/internal/coordination/placement/images.go
+++ b/internal/coordination/placement/images.go
@@ -1,15 +1,15 @@
 package placement
 
-// ImageID numbers an image for one leadership. Machines are scored for every job, and
-// comparing names took most of that.
+// ImageID is the number of an image, valid for one leader's term. Machines are scored for every
+// job, and comparing image names took most of that time.
 type ImageID = int32
 
-// ImageCache is what a machine is taken to hold. Heartbeats carry no image lists, so it is
-// inferred: a task that runs had its image, and the worker keeps the most recently used ones
-// within its space.
+// ImageCache models the image cache of a machine. Heartbeats don't list the cached images, so they
+// are inferred: the image of a running task must be there, and the worker keeps the most recently
+// used images that fit into its cache (LRU).
 type ImageCache struct {
 	images []cachedImage // most recently used last
-	used   float64
+	used   float64       // GB
 }
 
 type cachedImage struct {
@@ -17,10 +17,11 @@
 	gb float64
 }
 
-// Reset forgets all images.
+// Reset removes all images.
 func (c *ImageCache) Reset() { c.images, c.used = c.images[:0], 0 }
 
-// Add notes the use of an image.
+// Add records the use of an image of size gb in a cache of size space, and evicts the least
+// recently used images, but not this one, while the cache exceeds its size.
 func (c *ImageCache) Add(id ImageID, gb, space float64) {
 	for i := range c.images {
 		if c.images[i].id == id {
@@ -38,7 +39,7 @@
 	}
 }
 
-// CachedGB is how many GB of an image the machine holds.
+// CachedGB returns how many GB of an image are cached.
 func (c *ImageCache) CachedGB(id ImageID) float64 {
 	for i := range c.images {
 		if c.images[i].id == id {
@@ -48,7 +49,7 @@
 	return 0
 }
 
-// All yields the images, the least recently used first.
+// All yields the cached images, the least recently used first.
 func (c *ImageCache) All(yield func(ImageID) bool) {
 	for i := range c.images {
 		if !yield(c.images[i].id) {
@@ -57,12 +58,12 @@
 	}
 }
 
-// ImageCounts says how many attempts on a machine need which image.
+// ImageCounts counts the attempts on a machine by the image that they need.
 type ImageCounts []imageCount
 
 type imageCount struct{ id, count int32 }
 
-// Add counts more or fewer attempts.
+// Add changes the count of an image by the given number, which may be negative.
 func (c *ImageCounts) Add(id ImageID, by int32) {
 	for i := range *c {
 		if k := &(*c)[i]; k.id == id {
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -1,57 +1,57 @@
-// Package placement ranks machines for tasks: what a machine has and what of it is taken,
-// which images it is taken to hold, the score, and the candidates in their order. It knows
-// neither the state service nor the network, reads no clock and starts no goroutine.
+// Package placement ranks machines for tasks: it models a machine's capacity, allocations and
+// image cache, computes scores, and keeps candidates in order. It uses neither the state service
+// nor the network, reads no clock and starts no goroutine.
 //
-// It owns what is inferred of a machine's image cache. It never decides whose turn it is, and
-// never starts or stops anything.
+// It owns the inferred state of a machine's image cache. It doesn't decide which job is served
+// next, and never starts or stops anything.
 package placement
 
 import "brasskeel/internal/protocol"
 
-// Resources are amounts of what tasks take of machines.
+// Resources are the resources that a task needs or a machine has.
 type Resources struct{ CPUs, GPUs, MemGB float64 }
 
-// Needs is what one task of a job takes.
+// Needs returns the resources that one task of a job needs.
 func Needs(j *protocol.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
-// Capacity is what a machine of a type has.
+// Capacity returns the resources of a machine of a type.
 func Capacity(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
-// Plus adds amounts.
+// Plus returns the sum of r and o.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemGB + o.MemGB}
 }
 
-// Minus subtracts amounts.
+// Minus returns r reduced by o.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemGB - o.MemGB}
 }
 
-// Within reports whether no amount exceeds a limit.
+// Within reports whether no resource exceeds its limit.
 func (r Resources) Within(limit Resources) bool {
 	return r.CPUs <= limit.CPUs+protocol.Epsilon && r.GPUs <= limit.GPUs+protocol.Epsilon && r.MemGB <= limit.MemGB+protocol.Epsilon
 }
 
-// Machine is what placement knows of a machine.
+// Machine is a machine as placement sees it.
 type Machine struct {
 	Name          string
 	Type, Zone    string
 	Spot          bool
 	Spec          *protocol.MachineType // nil for an unknown type
-	Consolidating bool                  // takes new tasks only when no other has room
+	Consolidating bool                  // takes new tasks only if no other machine has room
 
-	Allocated   Resources // by all attempts that aren't proven gone
-	Terminating Resources // of that, by attempts that were told to end
-	Reserved    Resources // room that preemption frees for others, until the next round
-	Incoming    Resources // room kept for running work that is to move here
-	ReplicaCPUs float64   // taken by replicas of services
-	ReportBytes int       // that the tasks take in a heartbeat of the worker's at the most
+	Allocated   Resources // by all attempts that aren't proven terminated
+	Terminating Resources // the part of Allocated of attempts that were told to stop
+	Reserved    Resources // for preempting or starving jobs, until the next round
+	Incoming    Resources // reserved for tasks that are being migrated to the machine
+	ReplicaCPUs float64   // the part of Allocated.CPUs of service replicas
+	ReportBytes int       // upper bound of the size of the tasks in the worker's heartbeat
 
 	Images       ImageCache
 	NeededImages ImageCounts // images of the attempts on it
 }
 
-// CacheGB is the space for images.
+// CacheGB returns the size of the image cache; 0 for an unknown machine type.
 func (m *Machine) CacheGB() float64 {
 	if m.Spec == nil {
 		return 0
@@ -59,16 +59,18 @@
 	return m.Spec.CacheGB
 }
 
-// Fits reports whether one more task of a job fits beside all that is taken and held.
+// Fits reports whether one more task of a job fits into the room that is neither allocated nor
+// reserved for incoming migrations.
 func (m *Machine) Fits(j *protocol.Job) bool {
-	// Every machine is asked for every job: written out, this takes half of the time.
+	// This is called for every machine and job. Written out, it takes half of the time that it
+	// takes with Plus and Within.
 	return m.Allocated.CPUs+m.Incoming.CPUs+j.CPUs <= m.Spec.CPUs+protocol.Epsilon &&
 		m.Allocated.MemGB+m.Incoming.MemGB+j.MemoryGB <= m.Spec.MemoryGB+protocol.Epsilon &&
 		m.Allocated.GPUs+m.Incoming.GPUs+j.GPUs <= m.Spec.GPUs+protocol.Epsilon
 }
 
-// HasRoom reports whether one more task of a job fits, also beside the tasks that others
-// were stopped for.
+// HasRoom reports whether one more task of a job fits, into the worker's heartbeat as well, without
+// using the room that is reserved for other jobs.
 func (m *Machine) HasRoom(j *protocol.Job) bool {
 	if !m.Fits(j) || !m.FitsInReport(j) {
 		return false
@@ -76,11 +78,14 @@
 	return m.Reserved == (Resources{}) || m.fitsBesideReserved(j)
 }
 
+// fitsBesideReserved reports whether one more task of a job fits beside the reserved room, part of
+// which terminating attempts still use.
 func (m *Machine) fitsBesideReserved(j *protocol.Job) bool {
 	return m.Allocated.Plus(m.Incoming).Plus(Needs(j)).Plus(m.Reserved).Minus(m.Terminating).Within(Capacity(m.Spec))
 }
 
-// TaskCapacity is how many more tasks of a job fit beside all that is taken and held.
+// TaskCapacity returns how many more tasks of a job fit into the room that is neither allocated
+// nor reserved for incoming migrations.
 func (m *Machine) TaskCapacity(j *protocol.Job) int {
 	free := Capacity(m.Spec).Minus(m.Allocated).Minus(m.Incoming)
 	count := protocol.MaxTasks
@@ -92,21 +97,22 @@
 	return max(0, count)
 }
 
-// Reserve sets room aside that preemption is freeing, until the next placement round.
+// Reserve reserves room for one task of a job, until the next placement round.
 func (m *Machine) Reserve(j *protocol.Job) { m.Reserved = m.Reserved.Plus(Needs(j)) }
 
-// Allows reports whether a job's own rules let it run on the machine.
+// Allows reports whether a job's restrictions on machine types, zone and spot machines allow the
+// machine.
 func (m *Machine) Allows(j *protocol.Job) bool {
 	return j.AllowsType(m.Type) && (j.Zone == "" || j.Zone == m.Zone) && (j.AllowSpot || !m.Spot)
 }
 
-// FitsInReport reports whether a machine may hold one more task, by what a report that
-// names all its tasks takes. Part of a heartbeat is left for exited tasks that the worker may
-// not forget yet.
+// FitsInReport reports whether the tasks of the machine and one more still fit into a heartbeat,
+// which lists all of them. Part of each heartbeat is left for exited tasks that the worker has to
+// keep reporting.
 func (m *Machine) FitsInReport(j *protocol.Job) bool {
 	return m.ReportBytes+protocol.TaskStatusBytes(j.ID) <= MaxTaskReportBytes
 }
 
-// MaxTaskReportBytes is what the tasks placed on a machine may take in its worker's heartbeat: three
-// quarters of it.
+// MaxTaskReportBytes is the size that the tasks placed on a machine may have in its worker's
+// heartbeat: three quarters of the maximum size of a heartbeat.
 const MaxTaskReportBytes = protocol.MaxBody * 3 / 4
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -8,7 +8,7 @@
 	c.Add(a, 1, 3)
 	c.Add(b, 1, 3)
 	c.Add(d, 1, 3)
-	c.Add(a, 1, 3) // used again: now b is the oldest
+	c.Add(a, 1, 3) // used again: b is now the least recently used
 	c.Add(e, 1, 3)
 	for image, want := range map[int32]float64{a: 1, b: 0, d: 1, e: 1} {
 		if got := c.CachedGB(image); got != want {
--- a/internal/coordination/placement/score.go
+++ b/internal/coordination/placement/score.go
@@ -2,19 +2,19 @@
 
 import "brasskeel/internal/protocol"
 
-// Task is one task of a job, with the number of its image.
+// Task is a task of a job, with the number of its image.
 type Task struct {
 	*protocol.Job
 	Image ImageID
 }
 
-// Weights are those of the two terms of the score.
+// Weights are the weights of the two terms of the score.
 type Weights struct{ Image, Room float64 }
 
-// Score ranks a machine with room for a task: the cached share of its image and the free
-// share of the machine, each times its weight. For a replica, which stays for long, the share
-// that replicas hold already stands for the free one: scattered, one on each, they would keep
-// all those machines from being returned.
+// Score returns the score of a machine for a task: the weighted sum of the cached share of the
+// task's image and the free share of the machine. For service replicas, which run for long, the
+// share of the machine that replicas already use takes the place of the free share: spread over
+// many machines, one on each, replicas would keep all of them from being returned.
 func (w Weights) Score(m *Machine, t Task) float64 {
 	room := m.FreeShare(t.Job)
 	if t.Kind == protocol.Service && m.Spec.CPUs > 0 {
@@ -23,9 +23,9 @@
 	return w.Image*m.ImageShare(t) + w.Room*room
 }
 
-// ImageShare is the matched share of a task's image on a machine. An image that other tasks
-// there already wait for counts as held: it is fetched once for all of them, and a new image
-// would otherwise scatter over many machines before the first of them is seen to hold it.
+// ImageShare returns the share of a task's image that is cached on a machine. An image that other
+// tasks there need already counts as cached: it is fetched once for all of them. Otherwise the
+// tasks of a new image would spread over many machines before the first one is known to have it.
 func (m *Machine) ImageShare(t Task) float64 {
 	if t.ImageGB <= 0 {
 		return 1
@@ -36,7 +36,7 @@
 	return min(1, m.Images.CachedGB(t.Image)/t.ImageGB)
 }
 
-// FreeShare is the machine's free share, averaged over the resources that a job asks for.
+// FreeShare returns the machine's free share, averaged over the resources that a job needs.
 func (m *Machine) FreeShare(j *protocol.Job) float64 {
 	sum, n := 0.0, 0.0
 	if j.CPUs > 0 && m.Spec.CPUs > 0 {
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -1,8 +1,8 @@
-// Package queue decides in which order pending jobs are served: by tier, then by priority,
-// both with the wait considered (ageing), then by the work that is left.
+// Package queue decides in which order pending jobs are served: by tier, then by priority, both
+// adjusted for the time that a job has waited (ageing), then by the remaining work.
 //
-// It is pure: values in, values out. It reads no clock, keeps no jobs, and never decides what
-// is placed where or what is preempted.
+// It consists of pure functions. It reads no clock, keeps no jobs, and never decides what is
+// placed where or what is preempted.
 package queue
 
 import (
@@ -15,33 +15,34 @@
 // Tier is a class of service. All pending jobs of a tier are served before those of the next.
 type Tier uint8
 
-// The tiers, the first served one first.
+// The tiers, in the order of service.
 const (
-	Critical    Tier = iota // of critical priority
-	Starving                // has waited for its first task for too long
-	WithinQuota             // came within its team's quota
-	BestEffort              // all others
+	Critical    Tier = iota // jobs of critical priority
+	Starving                // jobs that have waited too long for their first task to start
+	WithinQuota             // jobs that were within their team's quota on arrival
+	BestEffort              // all other jobs
 )
 
-// StarvingAfter is how long a job may wait for its first task before it goes ahead of all but
-// critical ones. Without it a stream of small jobs that fills the cluster keeps large ones
-// from ever beginning.
+// StarvingAfter is how long a job may wait for its first task before it is served before all but
+// critical jobs. Otherwise a continuous stream of small jobs that fills the cluster would keep
+// large jobs from ever starting.
 const StarvingAfter = 170 * time.Second
 
-// AgeingStep is the wait that raises a job's priority among pending ones by one. Without it a
-// stream of more urgent jobs keeps low ones from ever beginning.
+// AgeingStep is the waiting time that raises the priority of a pending job by one. Otherwise a
+// continuous stream of more urgent jobs would keep jobs of low priority from ever starting.
 const AgeingStep = 6 * time.Minute
 
-// JobInfo is what a job's place in the queue follows from, besides the work that is left.
+// JobInfo holds the properties of a job that determine its place in the queue, other than its
+// remaining work.
 type JobInfo struct {
 	Priority    protocol.Priority
 	WithinQuota bool
-	Started     bool          // a task of it is done, or has an attempt that may run
-	Waited      time.Duration // since it was submitted; below zero while clocks disagree
+	Started     bool          // a task is done, or an attempt may be running
+	Waited      time.Duration // since it was submitted; negative if clocks disagree
 }
 
-// Tier is the job's tier, the wait aside. Preemption goes by this one: what may be stopped for
-// a job doesn't change by its wait.
+// Tier returns the job's tier without ageing. Preemption uses this one: what a job may preempt
+// doesn't depend on how long it has waited.
 func (s JobInfo) Tier() Tier {
 	switch {
 	case s.Priority == protocol.Critical:
@@ -52,7 +53,8 @@
 	return BestEffort
 }
 
-// AgedTier is the job's tier, the wait for a first task considered.
+// AgedTier returns the job's tier, which takes into account how long it has waited for its first
+// task.
 func (s JobInfo) AgedTier() Tier {
 	if t := s.Tier(); t < BestEffort || !s.Starving() {
 		return t
@@ -60,10 +62,11 @@
 	return Starving
 }
 
-// Starving reports whether the job has waited for its first task for too long.
+// Starving reports whether the job has waited too long for its first task to start.
 func (s JobInfo) Starving() bool { return !s.Started && s.Waited >= StarvingAfter }
 
-// AgedPriority is the priority that waiting has brought the job, below critical.
+// AgedPriority returns the job's priority, raised by one for each AgeingStep of waiting. Ageing
+// never makes a job critical.
 func (s JobInfo) AgedPriority() int {
 	if s.Priority == protocol.Critical {
 		return int(protocol.Critical)
@@ -71,27 +74,29 @@
 	return min(int(protocol.Urgent), int(s.Priority)+int(max(s.Waited, 0)/AgeingStep))
 }
 
-// RemainingWork is the work of a job that is left.
+// RemainingWork is the work of a job that isn't done yet.
 type RemainingWork struct {
 	Tasks   int           // not done
 	Runtime time.Duration // of one task, by the corrected estimate
 	CPUs    float64       // of one task
 	Waited  time.Duration // since the job was submitted
-	// Deadlines are the times since submission in which users want the job finished.
+	// Deadlines are the times, counted from submission, by which users want the job finished.
 	Deadlines []time.Duration
 }
 
-// missedDeadlinePenalty is how many times its work a deadline out of reach adds to a job.
+// missedDeadlinePenalty is how many times the work of a job is added to its weight for each
+// deadline that can't be met.
 const missedDeadlinePenalty = 4
 
-// Weight says how a job compares with others of the same tier and priority: the smallest goes
-// first. It is the work left, since what counts is how many jobs are in time: by deadline alone
-// a backlog makes every job a little late. A deadline that can't be met any more makes it count
-// several times as much, so that the job gives way without being last: the one task that is
-// left of it may be small. Waiting makes it count less, so that no job waits for ever.
+// Weight orders jobs of the same tier and priority: the job of the lowest weight is served first.
+// It is based on the remaining work, because the aim is to have as many jobs as possible in time.
+// Ordered by deadline alone, every job of a backlog would be a little late. Deadlines that can't
+// be met any more raise the weight several times, so that the job yields to others without being
+// last: its only remaining task may be small. Waiting reduces the weight, so that no job waits
+// forever.
 //
-// Owners' estimates are often wrong by half, so a deadline is given up only when half of the
-// estimate is too long for it.
+// Users' estimates are often wrong by half, so a deadline counts as missed only if half of the
+// estimated run time is too long to meet it.
 func (b *RemainingWork) Weight() float64 {
 	runtime := max(b.Runtime, time.Second)
 	waited := max(b.Waited, 0)
@@ -105,15 +110,15 @@
 	return work * float64(1+missedDeadlinePenalty*missed) / (1 + waited.Minutes()/10)
 }
 
-// Entry is a pending job with what it is ordered by.
+// Entry is a pending job with the values by which it is sorted.
 type Entry[J any] struct {
 	Job      J
-	Tier     Tier    // aged
-	Priority int     // aged; higher first
+	Tier     Tier    // with ageing
+	Priority int     // with ageing; higher first
 	Weight   float64 // lower first
 }
 
-// Sort puts entries into the order of service. Equal ones stay as they are.
+// Sort sorts entries into the order of service. The sort is stable.
 func Sort[J any](entries []Entry[J]) {
 	slices.SortStableFunc(entries, func(a, b Entry[J]) int {
 		if a.Tier != b.Tier {
