--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -29,26 +29,26 @@
 		cost    float64
 		ok      bool
 	}{
-		{name: "nothing gives way", needs: placement.Resources{CPUs: 1}},
-		{name: "one is enough", needs: placement.Resources{CPUs: 2}, work: []Candidate[string]{work("a", nil), work("b", nil)},
+		{name: "no candidates", needs: placement.Resources{CPUs: 1}},
+		{name: "one victim is enough", needs: placement.Resources{CPUs: 2}, work: []Candidate[string]{work("a", nil), work("b", nil)},
 			victims: []string{"a"}, cost: 11, ok: true},
-		{name: "room that is left counts", free: placement.Resources{CPUs: 2}, needs: placement.Resources{CPUs: 4},
+		{name: "free resources count", free: placement.Resources{CPUs: 2}, needs: placement.Resources{CPUs: 4},
 			work: []Candidate[string]{work("a", nil), work("b", nil)}, victims: []string{"a"}, cost: 11, ok: true},
-		{name: "two are needed", needs: placement.Resources{CPUs: 3}, work: []Candidate[string]{work("a", nil), work("b", nil)},
+		{name: "two victims are needed", needs: placement.Resources{CPUs: 3}, work: []Candidate[string]{work("a", nil), work("b", nil)},
 			victims: []string{"a", "b"}, cost: 22, ok: true},
-		{name: "all are too little", needs: placement.Resources{CPUs: 5}, work: []Candidate[string]{work("a", nil), work("b", nil)}},
+		{name: "not enough candidates", needs: placement.Resources{CPUs: 5}, work: []Candidate[string]{work("a", nil), work("b", nil)}},
 		{name: "memory counts", needs: placement.Resources{CPUs: 1, MemGB: 6}, work: []Candidate[string]{work("a", nil), work("b", nil)},
 			victims: []string{"a", "b"}, cost: 22, ok: true},
-		{name: "no GPU", needs: placement.Resources{GPUs: 1}, work: []Candidate[string]{work("a", nil)}},
-		{name: "the lowest priority first", needs: placement.Resources{CPUs: 2},
+		{name: "no candidate has a GPU", needs: placement.Resources{GPUs: 1}, work: []Candidate[string]{work("a", nil)}},
+		{name: "lowest priority first", needs: placement.Resources{CPUs: 2},
 			work:    []Candidate[string]{work("a", func(w *Candidate[string]) { w.Priority = protocol.Standard }), work("b", func(w *Candidate[string]) { w.LostWork = 50 })},
 			victims: []string{"b"}, cost: 51, ok: true},
-		{name: "the latest job first", needs: placement.Resources{CPUs: 2},
+		{name: "job submitted last first", needs: placement.Resources{CPUs: 2},
 			work:    []Candidate[string]{work("a", func(w *Candidate[string]) { w.LostWork = 0 }), work("b", func(w *Candidate[string]) { w.JobSubmitted = start.Add(time.Second) })},
 			victims: []string{"b"}, cost: 11, ok: true},
-		{name: "the least work of a job's", needs: placement.Resources{CPUs: 2},
+		{name: "least lost work within a job", needs: placement.Resources{CPUs: 2},
 			work: []Candidate[string]{work("a", nil), work("b", func(w *Candidate[string]) { w.JobID, w.TaskIndex, w.LostWork = "a", 1, 5 })}, victims: []string{"b"}, cost: 6, ok: true},
-		{name: "the first task of equals", needs: placement.Resources{CPUs: 2},
+		{name: "lowest task index first", needs: placement.Resources{CPUs: 2},
 			work: []Candidate[string]{work("a", func(w *Candidate[string]) { w.TaskIndex = 7 }), work("b", func(w *Candidate[string]) { w.JobID, w.TaskIndex = "a", 2 })}, victims: []string{"b"}, cost: 11, ok: true},
 	} {
 		victims, cost, ok := ChooseVictims(c.free, c.needs, c.work)
@@ -57,14 +57,14 @@
 			names = append(names, v.Attempt)
 		}
 		if !slices.Equal(names, c.victims) || cost != c.cost || ok != c.ok {
-			t.Errorf("%s: %q at %g, %t", c.name, names, cost, ok)
+			t.Errorf("%s: victims %q, cost %g, ok %t", c.name, names, cost, ok)
 		}
 	}
 }
 
-// fakeMachines have room for tasks of one size at costs that rise from task to task.
+// fakeMachines has room for tasks of one size, at costs that rise from task to task.
 type fakeMachines struct {
-	costs     map[string][]float64 // of the next tasks; none left: no room
+	costs     map[string][]float64 // of the next tasks on each machine; empty: no room
 	excluded  string
 	costCalls int
 	preempted []string
@@ -85,20 +85,20 @@
 	f.costs[machine] = f.costs[machine][1:]
 }
 
-// Tasks are given the machines that cost least, those of equal cost in their order.
+// Tasks get the machine of the lowest cost; among machines of equal cost, the first one.
 func TestSearch(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		costs    map[string][]float64
 		excluded string
-		want     []string // machines of the tasks, until there is no more room
+		want     []string // the machine of each task, until there is no more room
 	}{
 		{name: "no room", costs: map[string][]float64{}},
-		{name: "the cheapest first", costs: map[string][]float64{"a": {5}, "b": {1}, "c": {3}}, want: []string{"b", "c", "a"}},
-		{name: "in order among equals", costs: map[string][]float64{"a": {1, 1}, "b": {1}, "c": {1}}, want: []string{"a", "a", "b", "c"}},
-		{name: "a cost that rises", costs: map[string][]float64{"a": {1, 9}, "b": {2, 3}}, want: []string{"a", "b", "b", "a"}},
-		{name: "room that is free", costs: map[string][]float64{"a": {1}, "b": {0, 0, 4}}, want: []string{"b", "b", "a", "b"}},
-		{name: "one that the job can't use", costs: map[string][]float64{"a": {1}, "b": {2}}, excluded: "a", want: []string{"b"}},
+		{name: "lowest cost first", costs: map[string][]float64{"a": {5}, "b": {1}, "c": {3}}, want: []string{"b", "c", "a"}},
+		{name: "first machine of equal cost", costs: map[string][]float64{"a": {1, 1}, "b": {1}, "c": {1}}, want: []string{"a", "a", "b", "c"}},
+		{name: "rising costs", costs: map[string][]float64{"a": {1, 9}, "b": {2, 3}}, want: []string{"a", "b", "b", "a"}},
+		{name: "free room first", costs: map[string][]float64{"a": {1}, "b": {0, 0, 4}}, want: []string{"b", "b", "a", "b"}},
+		{name: "excluded machine", costs: map[string][]float64{"a": {1}, "b": {2}}, excluded: "a", want: []string{"b"}},
 	} {
 		f := &fakeMachines{costs: c.costs, excluded: c.excluded}
 		var s Search[string]
@@ -109,13 +109,13 @@
 		for s.PreemptNext(f) {
 		}
 		if !slices.Equal(f.preempted, c.want) {
-			t.Errorf("%s: %q, want %q", c.name, f.preempted, c.want)
+			t.Errorf("%s: preempted on %q, want %q", c.name, f.preempted, c.want)
 		}
 	}
 }
 
-// What is exhausted is looked at again for smaller tasks alone, what a job couldn't use for
-// every later one.
+// Exhausted machines are examined again only for smaller tasks, machines that a job couldn't use
+// for every later job.
 func TestSearchOfSeveralJobs(t *testing.T) {
 	f := &fakeMachines{costs: map[string][]float64{}}
 	var s Search[string]
@@ -127,16 +127,16 @@
 	}
 	s.BeginJob(f, placement.Resources{CPUs: 4, MemGB: 4})
 	if !s.Started() || f.costCalls != 100 || s.PreemptNext(f) {
-		t.Errorf("%d asked, or room on none", f.costCalls)
+		t.Errorf("search not started, room found where there is none, or %d machines examined, want 100", f.costCalls)
 	}
 	f.costs["7"] = []float64{1, 1}
 	s.BeginJob(f, placement.Resources{CPUs: 4, MemGB: 5})
 	if f.costCalls != 100 || s.PreemptNext(f) {
-		t.Errorf("%d asked for a larger task", f.costCalls)
+		t.Errorf("room found, or exhausted machines examined again, for a larger task: %d examined, want 100", f.costCalls)
 	}
 	s.BeginJob(f, placement.Resources{CPUs: 5, MemGB: 3})
 	if f.costCalls != 200 || !s.PreemptNext(f) || f.preempted[0] != "7" {
-		t.Errorf("%d asked for one that takes less memory, on %q", f.costCalls, f.preempted)
+		t.Errorf("task that needs less memory: %d machines examined, want 200; preempted on %q, want 7", f.costCalls, f.preempted)
 	}
 	f.excluded = "7"
 	if s.PreemptNext(f) {
--- a/internal/coordination/preemption/search.go
+++ b/internal/coordination/preemption/search.go
@@ -6,57 +6,58 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// Machines is what a search asks about machines, for the job whose turn it is.
+// Machines provides a search with the properties of machines, for the current job.
 type Machines[M any] interface {
-	// Excluded reports whether the job can't use a machine, though other jobs may.
+	// Excluded reports whether the current job can't use a machine, though other jobs may.
 	Excluded(machine M) bool
-	// Cost is what making room for one more task of the job on a machine costs; false where
-	// no work that gives way makes enough of it.
+	// Cost returns the cost of making room for one more task of the job on a machine; ok is
+	// false if preempting all preemptible work there doesn't make enough room.
 	Cost(machine M) (cost float64, ok bool)
-	// Preempt makes the room that the last call of Cost was asked for, and keeps it for the
+	// Preempt makes the room that the last call of Cost was about, and reserves it for the
 	// job.
 	Preempt(machine M)
 }
 
-// Search finds, one task after the other, the machine where making room costs least. Room that
-// earlier rounds are freeing costs nothing and so is taken first. All machines are looked at
-// once for all jobs that may preempt the same work, which share the search during a round of
-// placement; after that only the one that was chosen last changes. Looking at all of them for
-// every task, or every job, kept the leader of a large fleet away from its lease for seconds.
+// Search finds, task by task, the machine where making room costs least. Room that is already
+// being freed costs nothing and is therefore used first. All machines are examined once for all
+// jobs that may preempt the same work; these jobs share the search during a placement round.
+// After that, only the machine that was chosen last is examined again. Examining all of them for
+// every task, or for every job, kept the leader of a large fleet from renewing its lease for
+// seconds.
 //
-// Each machine that was added is in exactly one of three places: among the options, which have
-// room for the job's tasks at a cost that was right when it was found and may have risen since;
-// skipped, as the present job can't use it; or exhausted, without room for the smallest task
-// that was asked for so far. During a round room is only used up, so that what is exhausted
-// for a task stays so for larger ones.
+// Each machine that was added is in exactly one of three lists: options, which have room for the
+// job's tasks at a cost that was right when it was computed and may have risen since; skipped,
+// which the current job can't use; or exhausted, which have no room for the smallest task so far.
+// During a round, room is only used up, so a machine that is exhausted for a task is also
+// exhausted for larger ones.
 type Search[M any] struct {
 	options   optionHeap[M]
 	skipped   []option[M]
 	exhausted []option[M]
-	smallest  placement.Resources // task that was asked for so far
-	started   bool                // smallest is known
+	smallest  placement.Resources // needs of the smallest task so far
+	started   bool                // smallest is set
 }
 
 // option is a machine in a search.
 type option[M any] struct {
 	machine M
 	cost    float64
-	order   int32 // among those of equal cost
+	order   int32 // breaks ties between machines of equal cost, lower first
 }
 
-// Add adds a machine before the first job's turn. Those of equal cost are taken in the order
-// in which they were added. most is how many there will be.
-func (s *Search[M]) Add(machine M, order, most int) {
+// Add adds a machine to a search that hasn't started. Among machines of equal cost, the one of the
+// lowest order is chosen. capacity is the expected number of machines.
+func (s *Search[M]) Add(machine M, order, capacity int) {
 	if s.exhausted == nil {
-		s.exhausted = make([]option[M], 0, most)
+		s.exhausted = make([]option[M], 0, capacity)
 	}
 	s.exhausted = append(s.exhausted, option[M]{machine: machine, order: int32(order)})
 }
 
-// Started reports whether the search has had a job's turn.
+// Started reports whether BeginJob was called.
 func (s *Search[M]) Started() bool { return s.started }
 
-// BeginJob begins the turn of a job whose tasks have some needs.
+// BeginJob makes a job the current one. needs are the resources that each of its tasks needs.
 func (s *Search[M]) BeginJob(machines Machines[M], needs placement.Resources) {
 	s.options = append(s.options, s.skipped...)
 	s.skipped = s.skipped[:0]
@@ -67,8 +68,8 @@
 	heap.Init(&s.options)
 }
 
-// retryExhausted looks again at machines without room, for a task that isn't larger in every
-// respect.
+// retryExhausted examines the exhausted machines again, for a task that needs less of some resource
+// than the smallest one before.
 func (s *Search[M]) retryExhausted(machines Machines[M]) {
 	left := s.exhausted[:0]
 	for _, o := range s.exhausted {
@@ -83,8 +84,8 @@
 	s.exhausted = left
 }
 
-// PreemptNext makes room for one more task of the job whose turn it is, and reports whether there was
-// any to be made.
+// PreemptNext makes room for one more task of the current job, and reports whether that was
+// possible.
 func (s *Search[M]) PreemptNext(machines Machines[M]) bool {
 	for len(s.options) > 0 {
 		o := s.options[0]
@@ -98,12 +99,13 @@
 			s.exhaust()
 			continue
 		}
-		if cost > o.cost { // it was found for a smaller task, or what was to give way has ended
+		if cost > o.cost { // computed for a smaller task, or an attempt to be preempted has ended
 			s.update(cost)
 			continue
 		}
 		machines.Preempt(o.machine)
-		// What it costs next is at least nothing; it is looked at again when its turn comes.
+		// The next cost can't be lower than 0. It is computed when the machine is at the top of
+		// the heap again.
 		if cost == 0 {
 			return true
 		}
@@ -117,19 +119,19 @@
 	return false
 }
 
-// update gives the best option another cost.
+// update changes the cost of the best option.
 func (s *Search[M]) update(cost float64) {
 	s.options[0].cost = cost
 	heap.Fix(&s.options, 0)
 }
 
-// exhaust takes the best option out of the options: it has no room.
+// exhaust moves the best option to the exhausted machines.
 func (s *Search[M]) exhaust() {
 	s.exhausted = append(s.exhausted, s.options[0])
 	heap.Pop(&s.options)
 }
 
-// optionHeap are a heap (container/heap) with the option that costs least on top.
+// optionHeap implements heap.Interface, with the option of the lowest cost on top.
 type optionHeap[M any] []option[M]
 
 func (h optionHeap[M]) Len() int { return len(h) }
@@ -139,10 +141,12 @@
 }
 func (h optionHeap[M]) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
 
-// Push is there for heap.Interface alone: options are appended, then ordered at once.
+// Push implements heap.Interface. It isn't used: options are appended and then ordered by
+// heap.Init.
 func (h *optionHeap[M]) Push(x any) { *h = append(*h, x.(option[M])) }
 
-// Pop takes the last option out. It returns nothing, so that nothing is boxed.
+// Pop implements heap.Interface. It removes the last option and returns nil instead of it, which
+// saves an allocation for the interface value.
 func (h *optionHeap[M]) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
--- a/internal/coordination/preemption/victims.go
+++ b/internal/coordination/preemption/victims.go
@@ -1,8 +1,8 @@
-// Package preemption chooses what is stopped to make room for a task: which work on one
-// machine (Choose), and on which machine of many that costs least (Search).
+// Package preemption chooses the attempts that are preempted to make room for a task: on one
+// machine (ChooseVictims), and on the machine of many where that costs least (Search).
 //
-// It owns the state of a search. It never stops anything itself, and never decides who may
-// preempt whom: its callers hand it only work that has to give way. It reads no clock.
+// It owns the state of a search. It never stops anything itself, and never decides which job may
+// preempt which: its callers pass only preemptible attempts. It reads no clock.
 package preemption
 
 import (
@@ -14,24 +14,24 @@
 	"brasskeel/internal/protocol"
 )
 
-// Candidate is an attempt that has to give way, with what it is chosen by.
+// Candidate is a preemptible attempt, with the values by which victims are chosen.
 type Candidate[A any] struct {
 	Attempt      A
 	Priority     protocol.Priority
-	JobSubmitted time.Time // its job
-	LostWork     float64   // work lost by stopping it now, in seconds of its resources
+	JobSubmitted time.Time // when its job was submitted
+	LostWork     float64   // work lost by stopping it now, in CPU seconds
 	Needs        placement.Resources
-	JobID        string // its ID; with Task it breaks ties
+	JobID        string // with TaskIndex, breaks ties
 	TaskIndex    int
 }
 
-// before reports the order in which work is stopped.
+// before compares candidates: the result is negative if w is preempted before o.
 func (w *Candidate[A]) before(o *Candidate[A]) int {
 	if d := int(w.Priority) - int(o.Priority); d != 0 {
 		return d
 	}
-	// The latest job first: taking the least work first would hit the tasks that were just
-	// restarted again and again.
+	// The job submitted last comes first. With the least lost work first, tasks that were just
+	// restarted would be preempted again and again.
 	if d := o.JobSubmitted.Compare(w.JobSubmitted); d != 0 {
 		return d
 	}
@@ -44,28 +44,28 @@
 	return w.TaskIndex - o.TaskIndex
 }
 
-// costPerVictim is what each victim costs besides its lost work: of two choices that lose the
-// same, the one with fewer victims is better.
+// costPerVictim is the cost of each victim in addition to its lost work: of two choices that lose
+// the same work, the one with fewer victims is better.
 const costPerVictim = 1
 
-// ChooseVictims finds the work to be stopped on a machine with some room left so that a task with
-// some needs fits: the victims, and what stopping them costs, in seconds of their resources.
-// It sorts work; the victims are a part of it. None are returned where all of them wouldn't
-// do.
-func ChooseVictims[A any](free, needs placement.Resources, work []Candidate[A]) (victims []Candidate[A], cost float64, ok bool) {
-	slices.SortFunc(work, func(a, b Candidate[A]) int { return a.before(&b) })
-	for i := range work {
-		w := &work[i]
+// ChooseVictims chooses the attempts to preempt on a machine with the given free resources so that
+// a task with the given needs fits. It returns the victims and the cost of preempting them, in CPU
+// seconds. It sorts candidates; victims is a prefix of it. ok is false if preempting all of them
+// doesn't make enough room.
+func ChooseVictims[A any](free, needs placement.Resources, candidates []Candidate[A]) (victims []Candidate[A], cost float64, ok bool) {
+	slices.SortFunc(candidates, func(a, b Candidate[A]) int { return a.before(&b) })
+	for i := range candidates {
+		w := &candidates[i]
 		cost += w.LostWork + costPerVictim
 		free = free.Plus(w.Needs)
 		if Fits(free, needs) {
-			return work[:i+1], cost, true
+			return candidates[:i+1], cost, true
 		}
 	}
 	return nil, 0, false
 }
 
-// Fits reports whether a task with some needs fits into the room left.
+// Fits reports whether a task with the given needs fits into the free resources.
 func Fits(free, needs placement.Resources) bool {
 	return free.CPUs >= needs.CPUs-protocol.Epsilon && free.GPUs >= needs.GPUs-protocol.Epsilon && free.MemGB >= needs.MemGB-protocol.Epsilon
 }
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -1,10 +1,10 @@
-// Package quarantine tells jobs that fail everywhere from machines that fail every job, and
-// says how long either is held back.
+// Package quarantine distinguishes jobs that fail on every machine from machines on which every
+// job fails. It decides how long a failing job has to wait and whether a machine is faulty.
 //
-// Jobs are submitted with a mistake and fail on every machine; machines turn faulty and fail
-// every job. What tells them apart is a job that is known to work: one of which a task is done,
-// or runs. Counting jobs alone, two with a mistake that met on a machine cost it, and each new
-// leader returned some.
+// A job that was submitted with a mistake fails on every machine; a faulty machine fails every
+// job. What tells the two apart is jobs that are known to work, because a task of them is done or
+// has been running for a while. When failing jobs were merely counted, two faulty jobs on the
+// same machine were enough to have it returned, and each new leader returned a few machines.
 //
 // The package owns the history of a job's failures. It reads no clock, and never stops, places
 // or returns anything itself.
@@ -13,63 +13,67 @@
 import "time"
 
 const (
-	// MinRunTime is how long tasks of a job must run for the job to be taken for one that
-	// works.
+	// MinRunTime is how long tasks of a job must have been running for the job to count as
+	// working.
 	MinRunTime = 3 * time.Second
-	// MinTimeSinceFailure is how long none of them may have broken off meanwhile: a service is never
-	// done, and a faulty machine may have ended one of its replicas.
+	// MinTimeSinceFailure is how long, in addition, no running task of the job may have failed.
+	// It lets a service count as working again, whose tasks are never done, after a faulty
+	// machine has failed one of its replicas.
 	MinTimeSinceFailure = 30 * time.Second
-	// failureThreshold without a success in between, on MachineThreshold, put a job into quarantine.
+	// failureThreshold is the number of failures without a success in between that, on at least
+	// MachineThreshold machines, put a job into quarantine.
 	failureThreshold = 4
-	// MachineThreshold is the number of machines that saw failures of a job from which on the job,
+	// MachineThreshold is the number of machines with failures of a job from which on the job,
 	// not the machines, is taken for the cause.
 	MachineThreshold = 3
-	// A job in quarantine is tried with one task at a time, after pauses that double from
-	// trialBackoff to MaxTrialBackoff.
+	// trialBackoff is the first pause of a job in quarantine. The job is tried with one task at
+	// a time, after pauses that double up to MaxTrialBackoff.
 	trialBackoff = 500 * time.Millisecond
 	// MaxTrialBackoff is the longest pause between two trials.
 	MaxTrialBackoff     = 30 * time.Second
 	maxBackoffDoublings = 8
-	// multiMachineBackoff is the pause after a failure of a job that isn't in quarantine, though many
-	// machines saw failures of it.
+	// multiMachineBackoff is the pause after a failure of a job that isn't in quarantine but has
+	// failed on at least MachineThreshold machines.
 	multiMachineBackoff = 250 * time.Millisecond
 )
 
-// State is what is held of a job, by its history and its progress.
+// State is the assessment of a job, derived from its history and its progress.
 type State uint8
 
 // States of a job. A new one is Untested.
 //
-//	Untested    -> Working      a task is done, or has run for MinRunTime unbroken
-//	Untested    -> Quarantined  failureThreshold on MachineThreshold, or on the whole of a smaller fleet
+//	Untested    -> Working      a task is done, or has been running for MinRunTime without failures
+//	Untested    -> Quarantined  failureThreshold failures on MachineThreshold machines, or on all
+//	                            machines of a smaller fleet
 //	Quarantined -> Working      a trial succeeds
-//	Quarantined -> Untested     the fleet has grown beyond the machines that saw the failures
-//	Working     -> Untested     nothing runs any more, or a task broke off, and none is done
+//	Quarantined -> Untested     the fleet has grown beyond the machines with failures
+//	Working     -> Untested     nothing is running any more, or a running task failed, and no task
+//	                            is done
 const (
 	Untested State = iota
 	Working
 	Quarantined
 )
 
-// Progress is how far a job is.
+// Progress is the progress of a job.
 type Progress struct {
 	DoneTasks    int
 	RunningTasks int
 }
 
-// History is what is remembered of a job's failures. The zero value is that of a new job.
+// History is the history of a job's failures. The zero value is the history of a new job.
 type History struct {
-	failures       int       // since the last success
-	trials         int       // of them, single tasks tried in quarantine
-	lastRunFailure time.Time // when a task last failed after it had run; zero: never
-	runningSince   time.Time // when the first of the tasks that run began
-	machines       map[string]struct{}
+	failures       int                 // since the last success
+	trials         int                 // the part of failures that were trials in quarantine
+	lastRunFailure time.Time           // when a running task last failed; zero: never
+	runningSince   time.Time           // since when at least one task has been running
+	machines       map[string]struct{} // that ever had a failure
 }
 
-// Failures is the number of failures since the last success.
+// Failures returns the number of failures since the last success.
 func (h *History) Failures() int { return h.failures }
 
-// Machines is the number of machines that ever saw a failure.
+// Machines returns the number of machines that ever had a failure of the job.
 func (h *History) Machines() int { return len(h.machines) }
 
 // KnownWorking reports whether the job is known to work on some machine.
@@ -78,7 +82,7 @@
 		(h.lastRunFailure.IsZero() || now.Sub(h.lastRunFailure) >= MinTimeSinceFailure)
 }
 
-// State is the job's state in a fleet of some machines.
+// State returns the job's state. fleet is the number of machines in the fleet.
 func (h *History) State(now time.Time, p Progress, fleet int) State {
 	switch {
 	case h.KnownWorking(now, p):
@@ -89,27 +93,27 @@
 	return Untested
 }
 
-// RecordSuccess notes that a task is done.
+// RecordSuccess records that a task is done.
 func (h *History) RecordSuccess() { h.failures, h.trials = 0, 0 }
 
-// RecordRunning notes that a task runs while no other does.
+// RecordRunning records that a task has started running while no other task of the job is running.
 func (h *History) RecordRunning(now time.Time) { h.runningSince = now }
 
 // Failure is an attempt that ended in an error.
 type Failure struct {
 	Machine      string
-	Ran          bool // it had its image and ran
-	LiveAttempts int  // of the job that may still run, this one included
+	Ran          bool // it had its image and was running
+	LiveAttempts int  // attempts of the job that may still exist, including this one
 }
 
-// Verdict is what follows from a failure.
+// Verdict is the consequence of a failure.
 type Verdict struct {
 	State             State
-	EnteredQuarantine bool          // it put the job into quarantine
-	Backoff           time.Duration // until a task of the job may be tried again
+	EnteredQuarantine bool          // this failure put the job into quarantine
+	Backoff           time.Duration // until a task of the job may be started again
 }
 
-// RecordFailure notes a failure in a fleet of some machines.
+// RecordFailure records a failure. fleet is the number of machines in the fleet.
 func (h *History) RecordFailure(now time.Time, f Failure, p Progress, fleet int) Verdict {
 	if h.KnownWorking(now, p) {
 		h.failures, h.trials = 0, 0
@@ -137,16 +141,16 @@
 	return v
 }
 
-// MachineEvidence is what speaks against a machine on which a task just failed.
+// MachineEvidence is the evidence for a fault of a machine on which a task just failed.
 type MachineEvidence struct {
-	WorkingJobs int  // that are known to work and failed there since the last success there
-	JobWorking  bool // the job of the task is known to work
-	Failures    int  // of that job, on this machine
-	Machines    int  // that ever saw a failure of that job
+	WorkingJobs int  // jobs that are known to work and failed on the machine since its last success
+	JobWorking  bool // the task's job is known to work
+	Failures    int  // of that job on the machine
+	Machines    int  // machines that ever had a failure of that job
 }
 
-// Faulty reports whether the machine is at fault: two jobs that work failed on it since the
-// last success there, or one did twice and hardly elsewhere.
+// Faulty reports whether the machine is faulty: since its last success, two working jobs failed
+// on it, or one working job failed on it twice and on fewer than MachineThreshold machines in all.
 func (e MachineEvidence) Faulty() bool {
 	return e.WorkingJobs >= 2 || e.WorkingJobs == 1 && e.JobWorking && e.Failures >= 2 && e.Machines < MachineThreshold
 }
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -8,7 +8,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// recordFailures lets attempts fail on as many machines, one attempt at a time.
+// recordFailures records failures on different machines, one attempt at a time.
 func recordFailures(h *History, now time.Time, times int, p Progress, fleet int) (v Verdict) {
 	for i := range times {
 		v = h.RecordFailure(now, Failure{Machine: fmt.Sprintf("vm-%d", i), LiveAttempts: 1}, p, fleet)
@@ -19,22 +19,22 @@
 func TestState(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		failures int // on as many machines
+		failures int // each on another machine
 		running  time.Duration
-		broken   time.Duration // since a task broke off; 0: never
+		broken   time.Duration // since a running task failed; 0: never
 		progress Progress
 		fleet    int
 		want     State
 	}{
-		{name: "a new job", fleet: 10, want: Untested},
-		{name: "failures within bounds", failures: failureThreshold - 1, fleet: 10, want: Untested},
-		{name: "failures everywhere", failures: failureThreshold, fleet: 10, want: Quarantined},
-		{name: "a fleet that has grown", failures: 2, fleet: 10, want: Untested},
-		{name: "a task done", failures: 10, progress: Progress{DoneTasks: 1}, fleet: 10, want: Working},
-		{name: "a task that begins", failures: failureThreshold, running: MinRunTime - 1, progress: Progress{RunningTasks: 1}, fleet: 10, want: Quarantined},
-		{name: "a task that runs", failures: failureThreshold, running: MinRunTime, progress: Progress{RunningTasks: 1}, fleet: 10, want: Working},
-		{name: "one broke off lately", failures: failureThreshold, running: time.Minute, broken: MinTimeSinceFailure - 1, progress: Progress{RunningTasks: 1}, fleet: 10, want: Quarantined},
-		{name: "one broke off long ago", failures: failureThreshold, running: time.Minute, broken: MinTimeSinceFailure, progress: Progress{RunningTasks: 1}, fleet: 10, want: Working},
+		{name: "new job", fleet: 10, want: Untested},
+		{name: "failures below the threshold", failures: failureThreshold - 1, fleet: 10, want: Untested},
+		{name: "failures at the threshold", failures: failureThreshold, fleet: 10, want: Quarantined},
+		{name: "failures on few machines of the fleet", failures: 2, fleet: 10, want: Untested},
+		{name: "one task done", failures: 10, progress: Progress{DoneTasks: 1}, fleet: 10, want: Working},
+		{name: "task running for less than MinRunTime", failures: failureThreshold, running: MinRunTime - 1, progress: Progress{RunningTasks: 1}, fleet: 10, want: Quarantined},
+		{name: "task running for MinRunTime", failures: failureThreshold, running: MinRunTime, progress: Progress{RunningTasks: 1}, fleet: 10, want: Working},
+		{name: "recent failure of a running task", failures: failureThreshold, running: time.Minute, broken: MinTimeSinceFailure - 1, progress: Progress{RunningTasks: 1}, fleet: 10, want: Quarantined},
+		{name: "old failure of a running task", failures: failureThreshold, running: time.Minute, broken: MinTimeSinceFailure, progress: Progress{RunningTasks: 1}, fleet: 10, want: Working},
 	} {
 		var h History
 		recordFailures(&h, start, c.failures, Progress{}, c.fleet)
@@ -49,7 +49,7 @@
 	}
 }
 
-// In a fleet of two machines failures on both are failures everywhere.
+// In a fleet of two machines, failures on both of them are enough for quarantine.
 func TestSmallFleet(t *testing.T) {
 	var h History
 	for i := range failureThreshold {
@@ -60,35 +60,35 @@
 	}
 }
 
-// Pauses between trials double up to the longest; failures of tasks that were started
+// The backoff doubles with each trial up to MaxTrialBackoff. Failures of tasks that were started
 // together count as one trial.
 func TestBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		earlier  int // failures, the one that led into quarantine included
-		attempts int // that are live when the last one fails
+		earlier  int // failures, including the one that led to quarantine
+		attempts int // live attempts when the last one fails
 		progress Progress
 		want     time.Duration
 	}{
-		{name: "the first failure", attempts: 1},
-		{name: "on many machines", earlier: MachineThreshold - 1, attempts: 1, want: multiMachineBackoff},
-		{name: "a job that works, on many machines", earlier: 10, attempts: 1, progress: Progress{DoneTasks: 1}, want: multiMachineBackoff},
-		{name: "into quarantine", earlier: failureThreshold - 1, attempts: 1, want: trialBackoff},
-		{name: "others of the same start", earlier: failureThreshold, attempts: 2, want: trialBackoff},
-		{name: "the first trial", earlier: failureThreshold, attempts: 1, want: 2 * trialBackoff},
-		{name: "the third trial", earlier: failureThreshold + 2, attempts: 1, want: 8 * trialBackoff},
-		{name: "the twentieth trial", earlier: failureThreshold + 19, attempts: 1, want: MaxTrialBackoff},
+		{name: "first failure", attempts: 1},
+		{name: "failures on several machines", earlier: MachineThreshold - 1, attempts: 1, want: multiMachineBackoff},
+		{name: "working job, failures on several machines", earlier: 10, attempts: 1, progress: Progress{DoneTasks: 1}, want: multiMachineBackoff},
+		{name: "entering quarantine", earlier: failureThreshold - 1, attempts: 1, want: trialBackoff},
+		{name: "started together with another attempt", earlier: failureThreshold, attempts: 2, want: trialBackoff},
+		{name: "first trial", earlier: failureThreshold, attempts: 1, want: 2 * trialBackoff},
+		{name: "third trial", earlier: failureThreshold + 2, attempts: 1, want: 8 * trialBackoff},
+		{name: "twentieth trial", earlier: failureThreshold + 19, attempts: 1, want: MaxTrialBackoff},
 	} {
 		var h History
 		recordFailures(&h, start, c.earlier, c.progress, 100)
 		v := h.RecordFailure(start, Failure{Machine: "vm-last", LiveAttempts: c.attempts}, c.progress, 100)
 		if v.Backoff != c.want {
-			t.Errorf("%s: %s, want %s", c.name, v.Backoff, c.want)
+			t.Errorf("%s: backoff %s, want %s", c.name, v.Backoff, c.want)
 		}
 	}
 }
 
-// A success ends quarantine and forgets the failures, though not the machines that saw them.
+// A success ends quarantine and resets the count of failures, but not the machines that had them.
 func TestSucceeded(t *testing.T) {
 	var h History
 	recordFailures(&h, start, 10, Progress{}, 100)
@@ -107,15 +107,15 @@
 		evidence MachineEvidence
 		want     bool
 	}{
-		{"jobs of which nothing is known", MachineEvidence{Failures: 5, Machines: 1}, false},
-		{"two that work", MachineEvidence{WorkingJobs: 2, Failures: 1, Machines: 5}, true},
-		{"one that works, once", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 1, Machines: 1}, false},
-		{"one that works, twice", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 2, Machines: 2}, true},
-		{"one that works and fails elsewhere", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 2, Machines: MachineThreshold}, false},
-		{"another one works", MachineEvidence{WorkingJobs: 1, Failures: 2, Machines: 1}, false},
+		{"no job known to work", MachineEvidence{Failures: 5, Machines: 1}, false},
+		{"two working jobs", MachineEvidence{WorkingJobs: 2, Failures: 1, Machines: 5}, true},
+		{"working job, one failure", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 1, Machines: 1}, false},
+		{"working job, two failures", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 2, Machines: 2}, true},
+		{"working job that also fails elsewhere", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 2, Machines: MachineThreshold}, false},
+		{"another job works", MachineEvidence{WorkingJobs: 1, Failures: 2, Machines: 1}, false},
 	} {
 		if got := c.evidence.Faulty(); got != c.want {
-			t.Errorf("%s: %t", c.name, got)
+			t.Errorf("%s: faulty: %t", c.name, got)
 		}
 	}
 }
