--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -7,9 +7,10 @@
 	"brasskeel/internal/coordination/sessions"
 )
 
-// acceptsTasks reports whether a machine takes new tasks: it has reported to this
-// leader and been reached by it, is not on its way out, and isn't silent. One whose heartbeats don't come
-// while it answers calls loses all that runs there once its lease is over.
+// acceptsTasks reports whether a machine accepts new tasks: its worker has registered with this
+// leader and was reached by it, the machine is in service, and neither heartbeats nor responses
+// are overdue. A worker that answers calls but whose heartbeats don't arrive terminates all its
+// tasks when its lease expires.
 func (l *leader) acceptsTasks(m *machine) bool {
 	if !m.session.Registered || m.session.LastReached.IsZero() || !m.recorded || m.Spec == nil || !m.lifecycle.inService() ||
 		m.lifecycle.preemptionNoticed() || m.session.FailedProbes != 0 {
@@ -19,7 +20,7 @@
 	return l.controller.now.Sub(m.session.LastSeen) <= suspectAfter && l.unansweredFor(m) <= suspectAfter+sessions.LostHeartbeatDelay
 }
 
-// imageID numbers an image for this leadership.
+// imageID returns the number of an image, which is valid for this leader's term.
 func (l *leader) imageID(name string) placement.ImageID {
 	id, ok := l.imageIDs[name]
 	if !ok {
@@ -29,10 +30,11 @@
 	return id
 }
 
-// placementTask is what placement knows of a job's tasks.
+// placementTask returns the job's tasks as the placement package sees them.
 func (j *job) placementTask() placement.Task { return placement.Task{Job: j.Job, Image: j.imageID} }
 
-// shapeKeyOf makes the key of a job's shape once: it is looked up for each look at the fleet.
+// shapeKeyOf returns the key of a job's shape. It is computed once, as every scan of the fleet
+// looks it up.
 func shapeKeyOf(j *job) placement.ShapeKey {
 	if j.shapeKey == (placement.ShapeKey{}) {
 		j.shapeKey = placement.ShapeKeyOf(j.Job)
@@ -40,18 +42,18 @@
 	return j.shapeKey
 }
 
-// scoreWeights are those that operators set.
+// scoreWeights returns the score weights that the operator has set.
 func (l *leader) scoreWeights() placement.Weights {
 	return placement.Weights{Image: l.controller.operator.ImageWeight, Room: l.controller.operator.RoomWeight}
 }
 
-// findCandidates finds the machines that a job's tasks may be placed on now.
+// findCandidates returns the machines that a job's tasks may be placed on now.
 func (l *leader) findCandidates(j *job) placement.Candidates {
 	l.round.candidates = l.round.candidates[:0]
 	l.round.ceilingPolicy = l.rebalancer.ceilingPolicy(j)
 	s := placement.ShapeOf(j.Job)
-	// Where nothing found room before, nothing of the same kind and size will, and
-	// while enough waits to be recorded, nothing is to be placed.
+	// A shape that is at least as large as one that found no room won't find any either, and
+	// nothing is placed while too many records wait to be written.
 	if l.writer.saturated() || s.KnownNotToFit(l.round.unplaceable) {
 		return placement.Candidates{}
 	}
@@ -63,7 +65,7 @@
 		}
 		room = true
 		if m.Consolidating && j.CheckpointInterval > 0 && l.overpriced(j, m.offer()) {
-			continue // it would soon have to leave again
+			continue // its task would soon be evicted again
 		}
 		if !l.avoidsMachine(j, m) {
 			l.round.candidates = append(l.round.candidates, l.scoreCandidate(m, j, int32(i)))
@@ -75,8 +77,8 @@
 	return placement.NewCandidates(l.round.candidates)
 }
 
-// canTakeTask reports whether an open machine may take one more task of a job, zones
-// aside.
+// canTakeTask reports whether a machine that accepts tasks may take one more task of a job. It
+// doesn't check the job's zone rules.
 func (l *leader) canTakeTask(m *machine, j *job) bool {
 	if !m.FitsInReport(j.Job) {
 		l.controller.limits.Reached(limits.TasksPerMachine)
@@ -84,25 +86,27 @@
 	return m.HasRoom(j.Job) && m.Allows(j.Job) && !l.avoidsMachine(j, m)
 }
 
-// avoidsMachine reports whether a job stays away from a machine that failed it.
+// avoidsMachine reports whether a job avoids a machine on which it failed. Once its tasks have
+// failed on quarantine.MachineThreshold machines, the job is taken for the cause and avoids none.
 func (l *leader) avoidsMachine(j *job, m *machine) bool {
 	return m.failuresByJob[j.ID] > 0 && j.history.Machines() < quarantine.MachineThreshold
 }
 
-// bestMachine is the machine with the highest score that a job's rules about zones allow, nil
-// without any. Machines that are being emptied come only after all others.
+// bestMachine returns the machine with the highest score that a job's zone rules allow, or nil.
+// Machines that are being consolidated come after all others.
 func (l *leader) bestMachine(c *placement.Candidates, j *job) *machine {
 	for k := c.Best(); k != nil; k = c.Best() {
 		if m := l.round.withRoom[k.Machine]; j.zoneAllowed(m.Zone) {
 			return m
 		}
-		// What is placed meanwhile opens no zone to the job again.
+		// Further placements in this round can't make the zone allowed again.
 		c.DropBest()
 	}
 	return nil
 }
 
-// rerankBest looks anew at the best machine after it was given a task.
+// rerankBest updates the rank of the best machine after it was given a task, or drops it if it
+// can't take another one.
 func (l *leader) rerankBest(c *placement.Candidates, j *job) {
 	k := c.Best()
 	m := l.round.withRoom[k.Machine]
@@ -113,9 +117,9 @@
 	c.UpdateBest(l.scoreCandidate(m, j, k.Machine))
 }
 
-// scoreCandidate gives what ranks a machine, by its place among those with room, for a job.
-func (l *leader) scoreCandidate(m *machine, j *job, place int32) placement.Candidate {
-	k := placement.Candidate{Machine: place, LastResort: m.Consolidating, Score: l.scoreWeights().Score(&m.Machine, j.placementTask()),
+// scoreCandidate ranks a machine for a job. index is the machine's index in round.withRoom.
+func (l *leader) scoreCandidate(m *machine, j *job, index int32) placement.Candidate {
+	k := placement.Candidate{Machine: index, LastResort: m.Consolidating, Score: l.scoreWeights().Score(&m.Machine, j.placementTask()),
 		FreeCPUs: m.Spec.CPUs - m.Allocated.CPUs}
 	if l.round.ceilingPolicy != nil {
 		l.rebalancer.applyCeilingPolicy(l.round.ceilingPolicy, m, &k)
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -9,14 +9,15 @@
 	"brasskeel/internal/coordination/autoscaler"
 )
 
-// What operators see, at level info, of tasks that are pending and of a controller that can't
-// act: logged when it changes, and from time to time while it lasts.
+// This file logs, for operators, why tasks are pending and why a controller is unavailable: when
+// that changes, and from time to time while it lasts.
 
-// pendingLogAfter is how long a task is pending before operators hear of it.
+// pendingLogAfter is how long a job must have been pending to be logged.
 const pendingLogAfter = 5 * time.Second
 
-// logAvailability tells operators that this controller can't place, or can't promise anything
-// to users: it knows no leader, doesn't lead yet or any more, or can't reach the state service.
+// logAvailability logs when this controller can neither place tasks nor confirm anything to users,
+// with the reason: it knows no leader, is still loading records as the leader, may no longer hold
+// the leader lease, or can't reach the state service.
 func (c *Controller) logAvailability() {
 	what := ""
 	switch {
@@ -45,20 +46,20 @@
 	}
 }
 
-// pendingReason is why tasks are pending.
+// pendingReason is the reason why tasks are pending.
 type pendingReason uint8
 
 const (
-	pendingRoomExpected  pendingReason = iota // more will have room soon
+	pendingRoomExpected  pendingReason = iota // machines that the job may use can be rented, or will have room soon
 	pendingTeamLimit                          // the team's limit is reached
-	pendingQuarantine                         // the job fails everywhere
-	pendingZoneRules                          // its rules about zones leave none
-	pendingRecordBacklog                      // the round ended early: records are behind
-	pendingBoots                              // machines boot
-	pendingCloudCapacity                      // the cloud has no instance that it may use
-	pendingPrice                              // those that the cloud has are too dear for it
+	pendingQuarantine                         // the job is in quarantine: it seems to fail on every machine
+	pendingZoneRules                          // the job's zone rules allow no zone in which it could run
+	pendingRecordBacklog                      // the round ended early, e.g. because too many records wait to be written
+	pendingBoots                              // machines are booting
+	pendingCloudCapacity                      // the cloud offers no instance that the job may use
+	pendingPrice                              // the instances that the cloud offers are too expensive for the job
 	pendingHeartbeats                         // a new leader still waits for heartbeats
-	pendingSurgeCeiling                       // room is above the ceiling of a team that surges
+	pendingSurgeCeiling                       // all room would put a machine above the surge ceiling of the team
 	pendingReasonCount
 )
 
@@ -71,8 +72,8 @@
 	}[r]
 }
 
-// pendingReasonOf is why a job's tasks are pending, the first that applies. booting says whether
-// any machine boots, open which instances the cloud offers.
+// pendingReasonOf returns why a job's tasks are pending: the first reason that applies. booting
+// tells whether any machine is booting, open which instances the cloud offers.
 func (l *leader) pendingReasonOf(j *job, booting bool, open []autoscaler.Offer) pendingReason {
 	switch {
 	case l.phase != phaseActive:
@@ -105,10 +106,10 @@
 // pendingSummary counts the jobs and tasks that are pending, by reason.
 type pendingSummary struct {
 	jobs, tasks [pendingReasonCount]int
-	longest     *job // of those without a task that runs or is done; nil: none
+	longest     *job // the oldest job without a live attempt or a completed task; nil: none
 }
 
-// summarizePending looks at all jobs that have been pending for long enough to tell.
+// summarizePending summarizes the jobs that have been pending for at least pendingLogAfter.
 func (l *leader) summarizePending(booting bool) (sum pendingSummary) {
 	var open []autoscaler.Offer
 	now := l.controller.now.Round(0)
@@ -130,7 +131,8 @@
 	return sum
 }
 
-// describe lists the reasons, alone and with their counts.
+// describe returns the reasons that apply to any job, and the same with the counts of jobs and
+// tasks.
 func (sum *pendingSummary) describe() (reasons, counts []string) {
 	for r := range pendingReasonCount {
 		if sum.jobs[r] > 0 {
@@ -141,7 +143,7 @@
 	return reasons, counts
 }
 
-// logPendingReasons tells operators why tasks are pending.
+// logPendingReasons logs why tasks are pending, when that has changed and from time to time.
 func (l *leader) logPendingReasons() {
 	c := l.controller
 	if !l.pendingLog.MayLog(c.now) {
--- a/internal/coordination/place_job.go
+++ b/internal/coordination/place_job.go
@@ -8,7 +8,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// pendingTasks is the number of a job's tasks that wait for a machine.
+// pendingTasks returns the number of a job's tasks that wait for a machine.
 func (j *job) pendingTasks() int {
 	if j.finalState != 0 {
 		return 0
@@ -16,7 +16,8 @@
 	return len(j.retryQueue) + j.Tasks - j.firstUnstarted
 }
 
-// nextPendingTask gives the next task to start, popPendingTask takes it out.
+// nextPendingTask returns the index of the next task to start, without removing it. Tasks to
+// retry come before those that were never started.
 func (j *job) nextPendingTask() int {
 	for len(j.retryQueue) > 0 {
 		i := j.retryQueue[0]
@@ -28,6 +29,7 @@
 	return j.firstUnstarted
 }
 
+// popPendingTask removes the task that nextPendingTask returned.
 func (j *job) popPendingTask() {
 	if len(j.retryQueue) > 0 {
 		j.retryQueue = j.retryQueue[1:]
@@ -36,8 +38,8 @@
 	j.firstUnstarted++
 }
 
-// tasksWithinQuota reports whether one more task of the job stays within its team's
-// limit, which counts every attempt not proven gone.
+// withinTeamLimit reports whether one more task of the job stays within its team's limit. Every
+// attempt that is not proven terminated counts towards the limit.
 func (l *leader) withinTeamLimit(j *job) bool {
 	team, u := l.controller.teams[j.Team], l.teamUsage[j.Team]
 	if team == nil || u == nil {
@@ -46,8 +48,8 @@
 	return u.cpus+j.CPUs <= team.CPUsMax+protocol.Epsilon && u.gpus+j.GPUs <= team.GPUsMax+protocol.Epsilon
 }
 
-// zoneAllowed applies the rules about a job's other tasks. They count wherever
-// an attempt may still be.
+// zoneAllowed reports whether the job's OneZone and Spread rules allow another task in a zone.
+// Every attempt that may still exist counts in its zone.
 func (j *job) zoneAllowed(zone string) bool {
 	if j.OneZone {
 		for z := range j.attemptsByZone {
@@ -62,16 +64,16 @@
 	return true
 }
 
-// anyZoneAllowed reports whether a job's rules about zones leave any that has machines.
-// Replicas that wait for ever for another zone would otherwise have every machine
-// looked at for them in every round.
+// anyZoneAllowed reports whether a job's zone rules allow any zone that has machines. Without
+// this check, every round would examine every machine for replicas that wait indefinitely for
+// another zone.
 func (l *leader) anyZoneAllowed(j *job) bool {
 	return slices.ContainsFunc(l.round.zones, func(z string) bool { return (j.Zone == "" || j.Zone == z) && j.zoneAllowed(z) })
 }
 
-// provisionable reports whether any machine that can be rented would take one more
-// task of the job: where machines can be had in one zone only, a job that may
-// have half of its tasks there waits for ever, and nothing should wait with it.
+// provisionable reports whether any machine that can be rented would take one more task of the
+// job. If machines are available in one zone only, a job that may have at most half of its tasks
+// there waits indefinitely. It must not count as unmet demand, which holds up consolidation.
 func (l *leader) provisionable(j *job) bool {
 	for _, t := range l.controller.types {
 		if !j.AllowsType(t.Name) || !t.Fits(j.Job) {
@@ -86,8 +88,8 @@
 	return false
 }
 
-// placeJob places what it can of a job and returns how many tasks are left that more machines
-// would help. tier is the one in which it is served.
+// placeJob places as many tasks of a job as possible and returns how many tasks are left that
+// more machines would help. tier is the tier in which the job is served in this round.
 func (l *leader) placeJob(j *job, tier queue.Tier) int {
 	if l.controller.now.Before(j.backoffUntil) {
 		return j.pendingTasks()
@@ -97,20 +99,21 @@
 	}
 	if !l.withinTeamLimit(j) {
 		l.preemptWithinTeamLimit(j)
-		return 0 // more machines wouldn't help
+		return 0 // more machines would not help
 	}
 	candidates := l.findCandidates(j)
-	most := j.pendingTasks()
+	maxTasks := j.pendingTasks()
 	if tier < j.tier() {
-		most = min(most, (j.Tasks+9)/10) // it begins; the rest waits in its own turn
+		// A starving job starts a tenth of its tasks; the others wait for their regular tier.
+		maxTasks = min(maxTasks, (j.Tasks+9)/10)
 	}
-	most = l.limitQuarantineTrials(j, most)
+	maxTasks = l.limitQuarantineTrials(j, maxTasks)
 	var imageHolders *victimSearch
-	held := 0 // tasks that wait for room that isn't to be had by more machines
-	for placed := 0; placed < most && j.pendingTasks() > held && !l.writer.saturated(); placed++ {
+	held := 0 // tasks that wait for room which more machines would not provide
+	for placed := 0; placed < maxTasks && j.pendingTasks() > held && !l.writer.saturated(); placed++ {
 		if !l.withinTeamLimit(j) {
 			l.preemptWithinTeamLimit(j)
-			return 0 // more machines wouldn't help
+			return 0 // more machines would not help
 		}
 		i := j.nextPendingTask()
 		if i >= j.Tasks {
@@ -121,7 +124,8 @@
 			break
 		}
 		if candidates.Best().AboveCeiling && !l.rebalancer.mayExceedCeiling(j) {
-			// These have room, though above the ceiling: no machine is rented for them.
+			// The remaining candidates have room, but above the surge ceiling. The tasks
+			// that fit there wait, and no machine is rented for them.
 			held += min(j.pendingTasks()-held, l.taskCapacityAboveCeiling(&candidates, j))
 			break
 		}
@@ -135,8 +139,8 @@
 	return l.capAtTeamLimit(j, j.pendingTasks()-held)
 }
 
-// preemptOnImageHolder makes room for one task on a machine that holds its image, by stopping
-// work that ends at once. The search is made on first use.
+// preemptOnImageHolder makes room for one task on a machine that caches its image, by preempting
+// attempts that end at once. *search is created on first use.
 func (l *leader) preemptOnImageHolder(search **victimSearch, j *job) bool {
 	if *search == nil {
 		*search = &victimSearch{rules: immediateVictims}
@@ -145,7 +149,8 @@
 	return l.preemptNext(*search, j)
 }
 
-// capAtTeamLimit is how many of some tasks of a job its team's limit lets start.
+// capAtTeamLimit returns how many of the given number of tasks the CPU limit of the job's team
+// lets start.
 func (l *leader) capAtTeamLimit(j *job, tasks int) int {
 	if u, t := l.teamUsage[j.Team], l.controller.teams[j.Team]; j.CPUs > 0 && t != nil {
 		return min(tasks, int((t.CPUsMax-u.cpus)/j.CPUs+protocol.Epsilon))
@@ -153,13 +158,13 @@
 	return tasks
 }
 
-// placeGang places all tasks of a gang or none: a part of it would only hold room until its
-// workers give up waiting for the rest. It returns how many tasks are left that more machines
-// would help.
+// placeGang places all tasks of a gang or none: a partial gang would only hold resources until
+// its workers give up waiting for the rest. It returns how many tasks are left that more
+// machines would help.
 func (l *leader) placeGang(j *job) int {
 	need := j.pendingTasks()
 	if j.liveAttempts > 0 {
-		return 0 // what is left of the last try ends first
+		return 0 // attempts of the previous start have to terminate first
 	}
 	chosen := l.chooseForGang(j, need)
 	if len(chosen) < need {
@@ -171,8 +176,9 @@
 	return 0
 }
 
-// chooseForGang chooses a machine for each task of a gang, as far as there are any. Each is
-// taken for its task while the next ones are chosen.
+// chooseForGang chooses a machine for each task of a gang, or for as many tasks as find one.
+// Resources of the chosen machines are allocated while the next ones are chosen, and released
+// before it returns.
 func (l *leader) chooseForGang(j *job, need int) []*machine {
 	var chosen []*machine
 	needs := placement.Needs(j.Job)
@@ -199,14 +205,16 @@
 	return chosen
 }
 
-// assign starts a job's next pending task on a machine, which is needed from now on.
+// assign starts task i, the job's next pending one, on a machine and ends the machine's
+// consolidation.
 func (l *leader) assign(j *job, i int, m *machine) {
 	j.popPendingTask()
 	l.startAttempt(j, i, m)
 	m.Consolidating = false
 }
 
-// startAttempt begins a new attempt at a task that is pending no more.
+// startAttempt creates a new attempt of a task that the caller has removed from the pending
+// ones, and queues the record of its start.
 func (l *leader) startAttempt(j *job, i int, m *machine) {
 	t := j.task(i)
 	t.lastAttemptNumber++
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -11,46 +11,48 @@
 	"brasskeel/internal/protocol"
 )
 
-// baseExamineLimit is how many machines a round may look at, over all jobs. Between rounds
-// the leader renews its lease and answers workers and users.
+// baseExamineLimit is how many machines a round may examine, over all jobs. Between rounds the
+// leader renews its lease and answers workers and users.
 const baseExamineLimit = 250_000
 
-// maxExamineLimitFactor bounds how far the limit grows from round to round.
+// maxExamineLimitFactor bounds the examine limit, as a multiple of baseExamineLimit, when it
+// doubles from round to round.
 const maxExamineLimitFactor = 16
 
-// interruptedRoundPause is how soon a round that ended early is followed by another.
+// interruptedRoundPause is the minimum pause between a round that ended early and the next one.
 const interruptedRoundPause = 50 * time.Millisecond
 
-// placementRound is the state of one round of placement; its buffers are kept for the next.
+// placementRound is the state of one placement round. Its buffers are reused by the next one.
 //
-// From the beginning to the end of a round room is only used up: machines are neither added to
-// accepting and withRoom nor given room back. So what found no room (unplaceable, exhausted
-// machines of victimSearches) isn't looked for again. Each machine in withRoom is in accepting,
-// each zone in zones is that of one in accepting.
+// During a round, room is only used up: no machine is added to accepting or withRoom, and no
+// room is released. A search that found no room (unplaceable, and the exhausted machines of
+// victimSearches) is therefore not repeated. Each machine in withRoom is also in accepting, and
+// zones holds the zones of the machines in accepting.
 type placementRound struct {
 	queue     []queue.Entry[*job] // pending jobs in the order of service
-	deadlines []time.Duration     // of the job that is weighed
+	deadlines []time.Duration     // buffer for the job whose weight is computed
 
-	accepting []*machine // take tasks
-	withRoom  []*machine // of them, those with room for the smallest pending task
-	zones     []string   // of those in accepting
+	accepting []*machine // machines that accept tasks
+	withRoom  []*machine // those of them with room for the smallest pending task
+	zones     []string   // zones of the machines in accepting
 
-	candidates    []placement.Candidate  // for the job whose turn it is
-	ceilingPolicy *balance.CeilingPolicy // for that job; nil without
-	unplaceable   []placement.Shape      // found no machine with room
+	candidates    []placement.Candidate  // for the current job
+	ceilingPolicy *balance.CeilingPolicy // for the current job; nil if none applies
+	unplaceable   []placement.Shape      // shapes that found no machine with room
 
 	victimSearches map[victimSearchKey]*victimSearch
 	victims        victimSelector
 
-	examined     int // machines looked at, over all jobs
-	examineLimit int // how many may be
+	examined     int // machines examined so far, over all jobs
+	examineLimit int // bound of examined, after which the round ends
 }
 
 func newPlacementRound() placementRound {
 	return placementRound{victimSearches: map[victimSearchKey]*victimSearch{}, examineLimit: baseExamineLimit}
 }
 
-// begin takes in the fleet as it is, for jobs in the order of service.
+// begin starts a round for the given jobs: it collects the machines that accept tasks and those
+// with room for the smallest task.
 func (r *placementRound) begin(l *leader, jobs []queue.Entry[*job]) {
 	r.unplaceable, r.examined = r.unplaceable[:0], len(l.fleetList)+len(jobs)
 	clear(r.victimSearches)
@@ -75,11 +77,12 @@
 	}
 }
 
-// examineLimitReached reports whether the round has looked at as many machines as it may.
+// examineLimitReached reports whether the round has examined more machines than its limit.
 func (r *placementRound) examineLimitReached() bool { return r.examined > r.examineLimit }
 
-// adjustExamineLimit sets the limit of the next round. A round that ended for its length is followed
-// by one that may take longer, so that those at its end get their turn whatever is before them.
+// adjustExamineLimit sets the limit of the next round. After a round that ended at its limit, the
+// next one may examine more machines, so that jobs at the end of the queue are served however
+// expensive the jobs before them are.
 func (r *placementRound) adjustExamineLimit(interrupted bool) {
 	if r.examineLimitReached() {
 		r.examineLimit = min(2*r.examineLimit, maxExamineLimitFactor*baseExamineLimit)
@@ -88,8 +91,8 @@
 	}
 }
 
-// runPlacementRound gives machines to pending tasks: per job in the order of service, per task
-// the highest score among the machines with room.
+// runPlacementRound assigns machines to pending tasks: job by job in the order of service, each
+// task to the machine with the highest score among those with room.
 func (l *leader) runPlacementRound() {
 	c := l.controller
 	if l.phase != phaseActive || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
@@ -115,30 +118,30 @@
 	}
 }
 
-// roundOutcome is what becomes of a round after a job's turn.
+// roundOutcome says whether a round goes on after a job was served.
 type roundOutcome uint8
 
 const (
 	continueRound  roundOutcome = iota
-	interruptRound              // the jobs that are left have their turn in the next round
+	interruptRound              // the remaining jobs are served in the next round
 )
 
-// serveJob gives a job its turn in a round: tasks are placed, room is made for those that are
-// left, and what still has none is demand on the fleet.
+// serveJob serves a job in a round: it places tasks, preempts other work for the tasks that are
+// left, and adds the tasks that still have no room to the unmet demand.
 func (l *leader) serveJob(j *job) roundOutcome {
 	now := l.controller.now
-	// Not the tier that the queue was ordered by: the turns before may have stopped all that
-	// had started.
+	// The tier may differ from the one that the queue was sorted by: serving the jobs before
+	// may have preempted all attempts of this one.
 	tier := j.queueInfo(now.Round(0)).AgedTier()
 	if tier >= queue.BestEffort && l.controller.overload.Overloaded() {
-		// Each start makes heartbeats and records to come. A leader alone with thousands
-		// of tasks of a few seconds lost its lease to them again and again.
+		// Each start causes later heartbeats and records. A single leader with thousands of
+		// tasks of a few seconds each repeatedly lost its lease because of them.
 		return interruptRound
 	}
 	left := l.placeOrReserve(j, tier)
 	if left > 0 && (l.writer.saturated() || l.round.examineLimitReached()) {
-		// The rest waits for records or for the next round, not for room: nothing is stopped
-		// for it, and what it needs of the fleet shows once room is all that it lacks.
+		// The remaining tasks wait for records or for the next round, not for room. Nothing is
+		// preempted for them, and they count as demand only once room is all that they lack.
 		return interruptRound
 	}
 	if left > 0 && now.Before(j.backoffUntil) {
@@ -154,8 +157,8 @@
 	return continueRound
 }
 
-// placeOrReserve places what it can of a job and returns how many tasks are left. For one that
-// is starving it keeps a machine.
+// placeOrReserve places as many tasks of a job as possible and returns how many are left. If some
+// are left and the job is starving, it reserves a machine.
 func (l *leader) placeOrReserve(j *job, tier queue.Tier) int {
 	if !l.anyZoneAllowed(j) {
 		return j.pendingTasks()
@@ -167,9 +170,9 @@
 	return left
 }
 
-// reserveMachine keeps the machine with most free room for one task of a job that is starving.
-// Where small tasks take each bit of room that frees, a large one never finds enough
-// of it in one place, although its turn comes first.
+// reserveMachine reserves the machine with the most free CPUs for one task of a starving job.
+// Otherwise small tasks take all room as soon as it is released, and a large task never finds
+// enough of it on one machine, although its job is served first.
 func (l *leader) reserveMachine(j *job) {
 	var best *machine
 	for _, m := range l.round.accepting {
@@ -183,8 +186,8 @@
 	}
 }
 
-// requestPlacementIfLeading is requestPlacement for a timer, which may go off once this leader
-// has stepped down.
+// requestPlacementIfLeading is requestPlacement for timers, which may fire after this leader has
+// stepped down.
 func (l *leader) requestPlacementIfLeading() {
 	if l.alive() {
 		l.requestPlacement()
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -7,8 +7,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// fetchMissesObjective reports whether fetching the image on a machine alone would take a
-// critical task past the time in which its users want it started.
+// fetchMissesObjective reports whether fetching the image on a machine alone would take longer
+// than the start objective of a critical task's class.
 func (l *leader) fetchMissesObjective(j *job, m *machine) bool {
 	if j.Priority != protocol.Critical || m.Spec.FetchGBPerSecond <= 0 {
 		return false
@@ -22,21 +22,20 @@
 	return false
 }
 
-// preemptionDelay is how long a job within its team's quota waits for room that
-// frees by itself before work of others is stopped for it: a part of the time
-// that users allow it. Tasks are short, so most of the room comes by itself,
-// and what is stopped has to run again.
+// preemptionDelay is how long a job within its team's quota waits for room before it preempts
+// work of others: two fifths of the start objective. Tasks are short, so most of the room becomes
+// available without preemption, and preempted work has to run again.
 func (l *leader) preemptionDelay() time.Duration { return l.quotaStartObjective() * 2 / 5 }
 
-// preemptionDelayOver reports whether a job has waited for long enough to preempt any work that
-// has to give way to it.
+// preemptionDelayOver reports whether a job has waited long enough to preempt any preemptible
+// work.
 func (l *leader) preemptionDelayOver(j *job) bool {
 	return j.Priority == protocol.Critical || !j.submitted.Add(l.preemptionDelay()).After(l.controller.now.Round(0))
 }
 
-// mayPreempt reports whether other work may be stopped for a job now. A job within its team's
-// quota gets a timer for the end of its delay; until then it preempts only work that saves a
-// checkpoint in time.
+// mayPreempt reports whether a job may preempt other work now. Until the preemption delay of a
+// job within its team's quota is over, it may preempt only work that saves a checkpoint in time;
+// a timer requests a placement round at the end of the delay.
 func (l *leader) mayPreempt(j *job) bool {
 	if j.Priority == protocol.Critical {
 		return true
@@ -54,24 +53,25 @@
 	return true
 }
 
-// checkpointMargin is what it takes, besides saving a checkpoint, to stop work and start other
-// work in its place.
+// checkpointMargin is the time needed, in addition to saving a checkpoint, to stop an attempt and
+// to start another one in its place.
 const checkpointMargin = time.Second
 
-// checkpointsInTime reports whether a job's tasks save a checkpoint, and end soon enough for a
-// job within its team's quota if they are stopped at once, though not once that job's delay is
-// over. Little is lost with them.
+// checkpointsInTime reports whether a job's tasks save checkpoints and end within the start
+// objective of a job within its team's quota if they are stopped at once, but not if they are
+// stopped only after that job's preemption delay. Little work is lost with such tasks.
 func (l *leader) checkpointsInTime(j *job) bool {
 	objective, duration := l.quotaStartObjective(), j.CheckpointDuration+checkpointMargin
 	return j.CheckpointInterval > 0 && duration <= objective && duration > objective-l.preemptionDelay()
 }
 
-// hasCheckpointingVictims reports whether there may be such work.
+// hasCheckpointingVictims reports whether any job with live attempts satisfies checkpointsInTime.
 func (l *leader) hasCheckpointingVictims() bool {
 	return slices.ContainsFunc(l.jobsByAge, func(j *job) bool { return j.liveAttempts > 0 && l.checkpointsInTime(j) })
 }
 
-// quotaStartObjective is the time in which users want work within a quota started.
+// quotaStartObjective returns the objective for the start of jobs within their team's quota; 5 s
+// if none is configured.
 func (l *leader) quotaStartObjective() time.Duration {
 	for i := range l.controller.cfg.Objectives {
 		if o := &l.controller.cfg.Objectives[i]; o.Kind == "guarantee" && o.Within > 0 {
@@ -81,10 +81,10 @@
 	return 5 * time.Second
 }
 
-// preemptible reports whether an attempt has to give way to a job: work of lower priority does,
-// and so does what another team runs beyond its own quota when the job lies within its team's.
+// preemptible reports whether an attempt may be preempted for a job: if its priority is lower, or
+// if its team runs more than its quota while the job is within the quota of another team.
 func (l *leader) preemptible(a *attempt, j *job) bool {
-	// What is served before the job would only take its place again.
+	// A job that is served before this one would only be placed there again.
 	if a.stopRequested || a.job == j || a.job.tier() < j.tier() {
 		return false
 	}
@@ -94,9 +94,8 @@
 	return j.withinQuota() && a.job.Team != j.Team && !a.job.withinQuota() && a.job.Kind != protocol.Service && l.overQuota(a.job.Team)
 }
 
-// overQuota reports whether a team runs more than its quota, even once what
-// was told to stop is gone. Without counting that, one round would stop far
-// more than what is beyond.
+// overQuota reports whether a team uses more than its quota, not counting attempts that are being
+// stopped. If they counted, one round would preempt far more than the excess.
 func (l *leader) overQuota(team string) bool {
 	u, t := l.teamUsage[team], l.controller.teams[team]
 	if u == nil || t == nil {
@@ -106,23 +105,24 @@
 	return u.cpus-s.cpus > t.CPUs+protocol.Epsilon || u.gpus-s.gpus > t.GPUs+protocol.Epsilon
 }
 
-// gpuCPUEquivalent is how many CPUs a GPU counts as.
+// gpuCPUEquivalent is how many CPUs a GPU counts as when lost work is measured.
 const gpuCPUEquivalent = 8
 
-// lostWork is the work lost when an attempt is stopped now, in seconds of CPUs.
+// lostWork returns the work that is lost if an attempt is stopped now, in CPU seconds
+// (gpuCPUEquivalent for each GPU).
 func (l *leader) lostWork(a *attempt) float64 {
 	if a.state != protocol.Running {
 		return 0
 	}
 	d := l.controller.now.Sub(a.stateSince)
 	if a.job.CheckpointInterval > 0 {
-		d = a.job.CheckpointDuration // it saves, and only that time is lost
+		d = a.job.CheckpointDuration // only the time for saving a checkpoint is lost
 	}
 	return d.Seconds() * (a.job.CPUs + gpuCPUEquivalent*a.job.GPUs)
 }
 
-// preemptWithinTeamLimit stops work of the job's own team where the team's limit is
-// what keeps a critical job waiting.
+// preemptWithinTeamLimit preempts lower-priority work of the job's own team if the team's limit
+// keeps a critical job waiting.
 func (l *leader) preemptWithinTeamLimit(j *job) {
 	if j.Priority != protocol.Critical {
 		return
@@ -157,5 +157,5 @@
 	}
 }
 
-// headroom is how many CPUs are left of a limit.
+// headroom returns how many CPUs are left below a limit.
 func (u *usage) headroom(cpus float64) float64 { return max(0, cpus-u.cpus) }
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -7,30 +7,31 @@
 	"brasskeel/internal/protocol"
 )
 
-// progress is how far a job is.
+// progress returns how many tasks of a job are done and how many are running.
 func (j *job) progress() quarantine.Progress {
 	return quarantine.Progress{DoneTasks: j.doneTasks, RunningTasks: j.runningTasks}
 }
 
-// quarantined reports whether a job seems to fail everywhere. All of its tasks at once,
-// again and again, cost records, fetches and its team's room until its user cancels it.
+// quarantined reports whether a job seems to fail on every machine. Restarting all of its tasks
+// at once, again and again, would cost record writes, image fetches and room of its team until the
+// user cancels it.
 func (l *leader) quarantined(j *job) bool {
 	return j.history.State(l.controller.now, j.progress(), len(l.fleetList)) == quarantine.Quarantined
 }
 
-// limitQuarantineTrials bounds how many tasks of a job may be placed: of one in quarantine one at a time.
-// Gangs start as a whole or not at all.
-func (l *leader) limitQuarantineTrials(j *job, most int) int {
+// limitQuarantineTrials returns how many of the given number of tasks of a job may be placed: at
+// most one at a time of a job in quarantine. Gangs start as a whole or not at all and are exempt.
+func (l *leader) limitQuarantineTrials(j *job, tasks int) int {
 	if j.Kind == protocol.Gang || !l.quarantined(j) {
-		return most
+		return tasks
 	}
-	return min(most, max(0, 1-j.liveAttempts))
+	return min(tasks, max(0, 1-j.liveAttempts))
 }
 
-// timerMargin is how much later than what they wait for timers go off.
+// timerMargin is added to timers, so that they fire after the time that they wait for.
 const timerMargin = 10 * time.Millisecond
 
-// attemptFailed notes an attempt that ended in an error.
+// attemptFailed records the failure of an attempt, and sets the job's backoff accordingly.
 func (l *leader) attemptFailed(m *machine, a *attempt) {
 	j, c := a.job, l.controller
 	failure := quarantine.Failure{Machine: m.Name, Ran: a.state == protocol.Running, LiveAttempts: j.liveAttempts}
@@ -47,7 +48,8 @@
 	l.checkMachineFaulty(m, j)
 }
 
-// checkMachineFaulty returns a machine that is at fault for the failures of its tasks.
+// checkMachineFaulty quarantines and drains a machine that is the cause of its tasks' failures. j
+// is the job whose attempt just failed there.
 func (l *leader) checkMachineFaulty(m *machine, j *job) {
 	if m.quarantined {
 		return
@@ -66,12 +68,12 @@
 	}
 }
 
-// taskStartedRunning notes that a task of a job runs.
+// taskStartedRunning records that a task of a job has started running.
 func (l *leader) taskStartedRunning(j *job) {
 	j.runningTasks++
 	if j.runningTasks == 1 {
 		j.history.RecordRunning(l.controller.now)
-		if l.quarantined(j) { // a trial that may succeed
+		if l.quarantined(j) { // the trial succeeds if the task runs for quarantine.MinRunTime
 			l.controller.after(quarantine.MinRunTime+timerMargin, l.requestPlacementIfLeading)
 		}
 	}
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -8,10 +8,11 @@
 	"brasskeel/internal/protocol"
 )
 
-// checkQuotas finds the jobs within their team's quota: those that fit into it together with
-// the team's earlier unfinished jobs when they come. A job that came beyond it stays so: to let
-// each of a backlog in as the ones before it end would stop other teams' work again and again,
-// although the quota is guaranteed only while all of the team's unfinished jobs fit.
+// checkQuotas decides once for each new job whether it is within its team's quota: whether it
+// fits into the quota together with the team's earlier unfinished jobs. A job that exceeds the
+// quota on arrival stays outside it. Admitting the jobs of a backlog one by one as earlier ones
+// end would preempt other teams' work again and again, although the quota is guaranteed only
+// while all unfinished jobs of the team fit into it.
 func (l *leader) checkQuotas() {
 	sums := map[string]*usage{}
 	for _, j := range l.jobsByAge {
@@ -40,17 +41,19 @@
 	}
 }
 
-// queueInfo is what a job's place in the queue follows from.
+// queueInfo returns the properties of a job that determine its place in the queue. wall is the
+// current wall-clock time, without a monotonic clock reading.
 func (j *job) queueInfo(wall time.Time) queue.JobInfo {
 	return queue.JobInfo{Priority: j.Priority, WithinQuota: j.withinQuota(), Started: j.liveAttempts > 0 || j.doneTasks > 0, Waited: wall.Sub(j.submitted)}
 }
 
-// tier is a job's tier, its wait aside.
+// tier returns a job's tier without ageing.
 func (j *job) tier() queue.Tier {
 	return queue.JobInfo{Priority: j.Priority, WithinQuota: j.withinQuota()}.Tier()
 }
 
-// remainingWork is the work of a job that is left. Its deadlines are good until the next call.
+// remainingWork returns the work of a job that isn't done. Its Deadlines are valid until the next
+// call.
 func (l *leader) remainingWork(j *job, wall time.Time) queue.RemainingWork {
 	l.round.deadlines = l.round.deadlines[:0]
 	if j.HasDeadline {
@@ -66,8 +69,8 @@
 		Runtime: time.Duration(float64(j.EstimatedRuntime) * l.corrections.Factor(j.Class))}
 }
 
-// observeRunTime takes a completed task's run time into what is known of its class and of its
-// machine.
+// observeRunTime updates the estimate correction of a completed task's class and the speed of its
+// machine with the task's run time.
 func (l *leader) observeRunTime(a *attempt) {
 	if a.state != protocol.Running || a.delivery.Inherited || a.job.EstimatedRuntime <= 0 {
 		return
@@ -77,8 +80,8 @@
 	l.corrections.Observe(a.job.Class, run, a.job.EstimatedRuntime)
 }
 
-// queueOrder lists the jobs with pending tasks in the order in which they are served. The list
-// is good until the next call.
+// queueOrder returns the jobs with pending tasks in the order in which they are served. The
+// returned slice is valid until the next call.
 func (l *leader) queueOrder() []queue.Entry[*job] {
 	wall := l.controller.now.Round(0)
 	entries := slices.Grow(l.round.queue[:0], len(l.jobsByAge))
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// maxCeilingWait is how long a job waits at the most for a machine that stays below its
-	// team's ceiling, far from the time that any may wait beside room.
+	// maxCeilingWait is the longest time that a job waits for a machine that stays below its
+	// team's ceiling. It is far below the time for which a job may wait while there is room.
 	maxCeilingWait = 15 * time.Second
-	// ceilingWaitDivisor is the part of the time that users give a job's class, as a divisor,
-	// that is waited at the most.
+	// ceilingWaitDivisor bounds the wait to a fraction of the time in which users want a job
+	// of the class started or finished: a quarter of it.
 	ceilingWaitDivisor = 4
 )
 
-// ceilingPolicy is the policy for a job's tasks; nil where its team has no surge, or where its
-// work never waits for a ceiling.
+// ceilingPolicy returns the surge ceiling policy for a job's tasks. It is nil if the job's team
+// has no surge, or if the job is exempt from the ceiling: critical jobs, jobs within their team's
+// quota, and gangs.
 func (b *rebalancer) ceilingPolicy(j *job) *balance.CeilingPolicy {
 	if b.surgeOf(j) == 0 || j.Priority == protocol.Critical || j.withinQuota() || j.Kind == protocol.Gang {
 		return nil
@@ -28,17 +29,18 @@
 	return &balance.CeilingPolicy{Settings: b.settings, Now: b.l.controller.now, Team: b.teams[j.Team].id, Task: j.placementTask()}
 }
 
-// applyCeilingPolicy lets a policy change what ranks a machine.
+// applyCeilingPolicy adjusts the rank of a candidate machine by a ceiling policy.
 func (b *rebalancer) applyCeilingPolicy(policy *balance.CeilingPolicy, m *machine, k *placement.Candidate) {
 	k.AboveCeiling = policy.Exceeds(&m.Machine, m.load)
 	k.Score -= policy.Penalty(&m.Machine, m.load, b.l.controller.operator.ImageWeight)
 }
 
-// ceilingState is how a job's tasks stand to the ceiling of their team's surge.
+// ceilingState is the state of a job with respect to the ceiling of its team's surge.
 type ceilingState uint8
 
-// A job goes from ceilingNotReached to ceilingWaiting when only machines above the ceiling have
-// room, and on to ceilingExceeded when nothing else will do in time. Another surge begins anew.
+// A job goes from ceilingNotReached to ceilingWaiting when the only machines with room would be
+// put above the ceiling, and to ceilingExceeded when no other machine will be available in time.
+// With another surge it starts again.
 const (
 	ceilingNotReached ceilingState = iota
 	ceilingWaiting
@@ -47,14 +49,14 @@
 
 // ceilingWait is a job's wait for machines below the ceiling.
 type ceilingWait struct {
-	surge    uint64 // to which the rest belongs; 0: none yet
+	surge    uint64 // number of the surge that the other fields belong to; 0: none yet
 	state    ceilingState
-	since    time.Time // when it began to wait
-	timerSet bool      // the end of the wait has a timer
+	since    time.Time // when the wait began
+	timerSet bool      // a timer is set for the end of the wait
 }
 
-// mayExceedCeiling reports whether a job's tasks may go above the ceiling, as nothing else will
-// do in time. Its team must be in a surge.
+// mayExceedCeiling reports whether a job's tasks may be placed above the ceiling: its wait is
+// over, or no machine below the ceiling will boot before that. The job's team must be in a surge.
 func (b *rebalancer) mayExceedCeiling(j *job) bool {
 	c, hold, surge := b.l.controller, &j.ceiling, b.surgeOf(j)
 	if hold.surge != surge {
@@ -77,7 +79,8 @@
 	return true
 }
 
-// taskCapacityAboveCeiling is how many more tasks of a job the machines that are left would take.
+// taskCapacityAboveCeiling returns how many more tasks of a job the remaining candidates, all of
+// them above the ceiling, have room for.
 func (l *leader) taskCapacityAboveCeiling(c *placement.Candidates, j *job) int {
 	count := 0
 	for k := range c.All {
@@ -95,7 +98,8 @@
 	return surge != 0 && j.ceiling.surge == surge && j.ceiling.state == ceilingWaiting && b.ceilingPolicy(j) != nil
 }
 
-// ceilingWaitLimit is how long a job may be held: a part of the shortest time that its users give it.
+// ceilingWaitLimit returns how long a job waits for a machine below the ceiling: a fraction of the
+// shortest time that its deadline and the objectives of its class leave, at most maxCeilingWait.
 func (b *rebalancer) ceilingWaitLimit(j *job) time.Duration {
 	least := maxCeilingWait * ceilingWaitDivisor
 	if j.HasDeadline {
@@ -110,8 +114,8 @@
 	return least / ceilingWaitDivisor
 }
 
-// bootsInTime reports whether a machine that boots, and that a job may use, is likely to be up
-// by a time.
+// bootsInTime reports whether a machine that is booting, and that a job may use, is expected to be
+// up by the given time.
 func (b *rebalancer) bootsInTime(j *job, until time.Time) bool {
 	l := b.l
 	if b.expectedBoots == nil {
@@ -126,8 +130,8 @@
 	return false
 }
 
-// expectedBootTimes is when the first of the machines of a kind that boot is likely to be up. Those
-// that are late count for nothing.
+// expectedBootTimes returns, for each machine type, zone and kind of instance (spot or on-demand),
+// when the first booting machine is expected to be up. Machines whose boot is overdue are ignored.
 func (l *leader) expectedBootTimes() map[autoscaler.OfferKey]time.Time {
 	list := map[autoscaler.OfferKey]time.Time{}
 	for _, m := range l.fleetList {
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -11,49 +11,54 @@
 	"brasskeel/internal/records"
 )
 
-// Running work of surging teams migrates off overloaded machines. A migration goes by the steps
-// of a preemption, with a record before the first of them:
+// Running tasks of surging teams are migrated off overloaded machines. A migration has the steps
+// of a preemption, preceded by a record:
 //
-//  1. that the task moves in this surge is recorded, and room is held on its target;
+//  1. a mark that the task was migrated in this surge is recorded, and room is reserved on the
+//     target machine;
 //  2. the attempt is told to stop;
-//  3. it is proven gone, like any other;
-//  4. the next round of placement starts the task on its target, before anything else.
+//  3. its termination is proven, as for any other attempt;
+//  4. the next placement round starts the task on the target before it places anything else.
 //
-// A leader that ends in between leaves a task that counts as moved and waits like others.
+// If the leader changes in between, the task still counts as migrated and waits to be placed like
+// any other.
 
 const (
-	// stopDuration is what a stop and its proof take besides saving: a call, and a heartbeat.
+	// stopDuration is the time for a stop and the proof of termination in addition to saving a
+	// checkpoint: a call and a heartbeat.
 	stopDuration = time.Second
-	// machinesPerMigration bounds the moves under way, as a part of the fleet, and minActiveMigrations from below.
+	// machinesPerMigration bounds the migrations in progress: one for this many machines of the
+	// fleet, but at least minActiveMigrations.
 	machinesPerMigration = 50
 	minActiveMigrations  = 2
 )
 
-// migrations are the moves of one leadership.
+// migrations are the migrations of one leader's term.
 type migrations struct {
-	active    map[*attempt]*migration // not proven gone yet
-	stopped   []*migration            // proven gone, to be started on their targets
+	active    map[*attempt]*migration // the old attempt isn't proven terminated yet
+	stopped   []*migration            // the old attempt is terminated; to be started on the target
 	started   int
 	completed int
-	abandoned int // came to nothing: the task is placed like any other
+	abandoned int // not completed; the task is placed like any other
 }
 
-// migration is a task on its way from one machine to another.
+// migration moves a task from one machine to another.
 type migration struct {
 	attempt  *attempt
 	target   *machine
-	needs    placement.Resources // held on the target
-	deadline time.Time           // when the target's room is given up
+	needs    placement.Resources // reserved on the target
+	deadline time.Time           // when the reservation is released
 }
 
-// reconcileMigrations is the regular turn: it gives up moves that come to nothing, and plans new ones.
+// reconcileMigrations abandons migrations whose target is lost or whose deadline has passed, and
+// plans new ones. It is called periodically.
 func (b *rebalancer) reconcileMigrations() {
 	if b == nil {
 		return
 	}
-	for _, r := range b.migrations.sortedActive() {
-		if !b.l.controller.now.Before(r.deadline) || !b.l.acceptsTasks(r.target) {
-			b.abandonMigration(r, "target lost or deadline passed")
+	for _, mg := range b.migrations.sortedActive() {
+		if !b.l.controller.now.Before(mg.deadline) || !b.l.acceptsTasks(mg.target) {
+			b.abandonMigration(mg, "target lost or deadline passed")
 		}
 	}
 	if b.mayMigrate() {
@@ -61,18 +66,19 @@
 	}
 }
 
-// sortedActive gives the moves under way in a fixed order.
-func (s *migrations) sortedActive() []*migration {
-	list := make([]*migration, 0, len(s.active))
-	for _, r := range s.active {
-		list = append(list, r)
+// sortedActive returns the migrations in progress in a deterministic order.
+func (m *migrations) sortedActive() []*migration {
+	list := make([]*migration, 0, len(m.active))
+	for _, mg := range m.active {
+		list = append(list, mg)
 	}
 	slices.SortFunc(list, func(x, y *migration) int { return compareAttempts(x.attempt, y.attempt) })
 	return list
 }
 
-// mayMigrate reports whether moves may begin: this leader has heard its machines, its right lasts,
-// and neither it nor the state service has more to do than it can.
+// mayMigrate reports whether migrations may begin: the operator allows them, workers have had time
+// to reconnect to this leader, its lease is valid for at least half its TTL, the last placement
+// round served all jobs, and neither the leader nor the state service is overloaded.
 func (b *rebalancer) mayMigrate() bool {
 	l, c := b.l, b.l.controller
 	if l.controller.operator.Balance == nil || !l.controller.operator.Balance.Moves || l.phase != phaseActive || c.store.Unavailable() || l.autoscaler.demandIncomplete {
@@ -84,20 +90,20 @@
 	return !c.overload.ShouldDefer() && !c.overload.Persistent(c.now) && len(l.writer.urgentBlocks) <= c.cfg.TxnOps
 }
 
-// planMigrations begins the moves that pay.
+// planMigrations plans worthwhile migrations and starts them.
 func (b *rebalancer) planMigrations() {
 	l, c := b.l, b.l.controller
-	room := max(minActiveMigrations, len(l.fleetList)/machinesPerMigration) - len(b.migrations.active) - len(b.migrations.stopped)
-	if room <= 0 || !b.anySurge() {
+	slots := max(minActiveMigrations, len(l.fleetList)/machinesPerMigration) - len(b.migrations.active) - len(b.migrations.stopped)
+	if slots <= 0 || !b.anySurge() {
 		return
 	}
 	sources := b.migrationSources()
 	if len(sources) == 0 {
 		return
 	}
-	terms := balance.MigrationParams{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MoveMargin, MaxMigrations: room,
+	params := balance.MigrationParams{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MoveMargin, MaxMigrations: slots,
 		WriteDuration: time.Duration(float64(time.Second) / c.cfg.StateWriteRPS)}
-	moves := l.newPlanner().Rebalance(terms, sources)
+	moves := l.newPlanner().Rebalance(params, sources)
 	if len(moves) == 0 {
 		return
 	}
@@ -120,7 +126,7 @@
 	return false
 }
 
-// migrationSources are the machines that are heard and run work that may be moved.
+// migrationSources returns the machines that accept tasks and have attempts that may be migrated.
 func (b *rebalancer) migrationSources() []balance.Source {
 	var list []balance.Source
 	for _, m := range b.l.fleetList {
@@ -140,8 +146,9 @@
 	return list
 }
 
-// migratable reports whether an attempt is one of a surging team's that runs or fetches, and that
-// wasn't moved in this surge. Replicas and gangs stay where they are: they serve together.
+// migratable reports whether an attempt may be migrated: it belongs to a batch job of a surging
+// team, is running or fetching its image, and its task wasn't migrated in this surge. Service
+// replicas and gang members aren't migrated, because they work together.
 func (b *rebalancer) migratable(a *attempt) bool {
 	j := a.job
 	surge := b.surgeOf(j)
@@ -149,7 +156,7 @@
 		a.recorded && a.delivery.Reported && !a.stopRequested && (a.state == protocol.Running || a.state == protocol.Fetching)
 }
 
-// migratableTask is an attempt as the planner sees it.
+// migratableTask returns an attempt as the planner sees it.
 func (b *rebalancer) migratableTask(a *attempt) balance.MigratableTask {
 	j, m := a.job, a.machine
 	w := balance.MigratableTask{Task: j.placementTask(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Checkpoints: j.CheckpointInterval > 0,
@@ -158,18 +165,19 @@
 		w.RanFor = b.l.controller.now.Sub(a.stateSince)
 	}
 	likely := time.Duration(float64(j.EstimatedRuntime) * b.l.corrections.Factor(j.Class) * m.load.Speed.Slowdown())
-	w.Remaining = max(0, likely-w.RanFor) // one that is overdue may end at any moment
+	w.Remaining = max(0, likely-w.RanFor) // an overdue task may end at any moment
 	return w
 }
 
-// startMigration holds room for a task on its target and has its mark recorded.
+// startMigration reserves room for a task on its target and queues the record of its migration
+// mark.
 func (b *rebalancer) startMigration(a *attempt, to *machine) {
 	l := b.l
 	t := a.job.task(a.taskIndex)
 	t.migratedInSurge = b.surgeOf(a.job)
-	r := &migration{attempt: a, target: to, needs: placement.Needs(a.job.Job), deadline: l.controller.now.Add(l.controller.cfg.WorkerLease + a.job.CheckpointDuration + stopDuration)}
-	to.reserveIncoming(r.needs)
-	b.migrations.active[a] = r
+	mg := &migration{attempt: a, target: to, needs: placement.Needs(a.job.Job), deadline: l.controller.now.Add(l.controller.cfg.WorkerLease + a.job.CheckpointDuration + stopDuration)}
+	to.reserveIncoming(mg.needs)
+	b.migrations.active[a] = mg
 	b.migrations.started++
 	block := a.job.block(a.taskIndex)
 	block.migrating = append(block.migrating, a)
@@ -177,21 +185,22 @@
 	l.controller.log.Debug("migration started", "job", a.job.ID, "task", a.taskIndex, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
 }
 
-// reserveIncoming keeps room for a task that is to move here.
+// reserveIncoming reserves room for a task that is to be migrated to the machine.
 func (m *machine) reserveIncoming(needs placement.Resources) {
 	m.Incoming = m.Incoming.Plus(needs)
 	m.incomingMigrations++
 }
 
-// releaseIncoming gives such room back.
+// releaseIncoming releases room that reserveIncoming reserved.
 func (m *machine) releaseIncoming(needs placement.Resources) {
 	m.Incoming = m.Incoming.Minus(needs)
 	if m.incomingMigrations--; m.incomingMigrations == 0 {
-		m.Incoming = placement.Resources{} // no rounding left behind
+		m.Incoming = placement.Resources{} // leaves no rounding error
 	}
 }
 
-// migrationRecorded notes that it is on record that an attempt moves: now it may be stopped.
+// migrationRecorded is called when the migration mark of an attempt's task is recorded. It stops
+// the attempt.
 func (b *rebalancer) migrationRecorded(a *attempt) {
 	if b == nil || b.migrations.active[a] == nil || a.job.task(a.taskIndex).live != a {
 		return
@@ -199,36 +208,39 @@
 	b.l.stopAttempt(a, b.l.checkpointGrace(a))
 }
 
-// migrationStopped notes that an attempt is proven gone.
+// migrationStopped is called when an attempt is proven terminated. If it was being migrated, its
+// task is started on the target in the next placement round.
 func (b *rebalancer) migrationStopped(a *attempt) {
 	if b == nil {
 		return
 	}
-	if r := b.migrations.active[a]; r != nil {
+	if mg := b.migrations.active[a]; mg != nil {
 		delete(b.migrations.active, a)
-		b.migrations.stopped = append(b.migrations.stopped, r)
+		b.migrations.stopped = append(b.migrations.stopped, mg)
 	}
 }
 
-// releaseUnresponsive gives a target's room back. Its task, if it is told to stop, is placed like others.
-func (b *rebalancer) abandonMigration(r *migration, reason string) {
-	delete(b.migrations.active, r.attempt)
-	r.target.releaseIncoming(r.needs)
+// abandonMigration releases the room on the target. If the attempt was already told to stop, its
+// task is placed like any other.
+func (b *rebalancer) abandonMigration(mg *migration, reason string) {
+	delete(b.migrations.active, mg.attempt)
+	mg.target.releaseIncoming(mg.needs)
 	b.migrations.abandoned++
-	b.l.controller.log.Debug("migration abandoned", "job", r.attempt.job.ID, "task", r.attempt.taskIndex, "to", r.target.Name, "reason", reason)
+	b.l.controller.log.Debug("migration abandoned", "job", mg.attempt.job.ID, "task", mg.attempt.taskIndex, "to", mg.target.Name, "reason", reason)
 }
 
-// completeMigrations starts tasks whose old attempts are proven gone on their targets, before anything else
-// is placed: their teams' limits and their zones count them without a gap.
+// completeMigrations starts the tasks whose old attempts are terminated on their targets. It runs
+// before anything else is placed, so that no other task takes up the team limits or zone shares
+// that the old attempts used.
 func (b *rebalancer) completeMigrations() {
 	if b == nil {
 		return
 	}
-	gone := b.migrations.stopped
+	stopped := b.migrations.stopped
 	b.migrations.stopped = nil
-	for _, r := range gone {
-		r.target.releaseIncoming(r.needs)
-		if b.l.startOnTarget(r) {
+	for _, mg := range stopped {
+		mg.target.releaseIncoming(mg.needs)
+		if b.l.startOnTarget(mg) {
 			b.migrations.completed++
 		} else {
 			b.migrations.abandoned++
@@ -236,9 +248,9 @@
 	}
 }
 
-// startOnTarget starts a moved task on its target if it still may.
-func (l *leader) startOnTarget(r *migration) bool {
-	j, i, m := r.attempt.job, r.attempt.taskIndex, r.target
+// startOnTarget starts a migrated task on its target, and reports whether that is still possible.
+func (l *leader) startOnTarget(mg *migration) bool {
+	j, i, m := mg.attempt.job, mg.attempt.taskIndex, mg.target
 	t := j.task(i)
 	if j.finalState != 0 || t.done || t.live != nil || m.removed || !l.acceptsTasks(m) || l.controller.now.Before(j.backoffUntil) || l.writer.saturated() {
 		return false
@@ -255,7 +267,7 @@
 	return true
 }
 
-// encodeMigrationMarks puts the marks of a block's tasks into its record: those of the latest surge.
+// encodeMigrationMarks stores in a block's record which tasks were migrated in the latest surge.
 func (b *taskBlock) encodeMigrationMarks(r *records.TaskBlock) {
 	surge := uint64(0)
 	for i := range b.tasks {
@@ -271,7 +283,8 @@
 	r.SetMigrated(surge, moved)
 }
 
-// loadMigrationMarks takes the marks of a record. Where they can't be read, all tasks count as moved.
+// loadMigrationMarks restores the migration marks from a record. If they can't be decoded, all
+// tasks count as migrated.
 func (b *taskBlock) loadMigrationMarks(r *records.TaskBlock, log *slog.Logger) {
 	if r.Surge == 0 && r.Migrated == "" {
 		return
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -12,8 +12,8 @@
 	"brasskeel/internal/records"
 )
 
-// leaderWithMigration is a leader with a surging team, whose task moves from one machine to another and
-// is told to stop.
+// leaderWithMigration returns a leader with a surging team, an attempt of that team that was told
+// to stop because its task is being migrated, and the target of the migration.
 func leaderWithMigration(t *testing.T) (l *leader, a *attempt, to *machine) {
 	t.Helper()
 	c, l, a := leaderWithBalancing(t)
@@ -29,23 +29,24 @@
 	return l, a, to
 }
 
-// Room on the target is kept for the move and for nothing else, and given back in the end.
+// Room on the target is reserved for the migration alone, and released when the migration is
+// abandoned or completed.
 func TestMigrationReservesTarget(t *testing.T) {
 	whole := &protocol.Job{ID: "run-000009", CPUs: 4, MemoryGB: 1}
 	l, a, to := leaderWithMigration(t)
 	if !a.stopRequested || to.HasRoom(whole) {
-		t.Fatalf("told to stop: %t, room for others: %t", a.stopRequested, to.HasRoom(whole))
+		t.Fatalf("stop requested: %t, room for other tasks: %t; want true, false", a.stopRequested, to.HasRoom(whole))
 	}
 	l.controller.now = l.rebalancer.migrations.active[a].deadline
 	l.rebalancer.reconcileMigrations()
 	if len(l.rebalancer.migrations.active) != 0 || to.Incoming != (placement.Resources{}) || !to.HasRoom(whole) {
-		t.Errorf("held %+v although the move took too long", to.Incoming)
+		t.Errorf("%+v still reserved after the migration's deadline", to.Incoming)
 	}
 	l, _, to = leaderWithMigration(t)
 	to.lifecycle.draining = true
 	l.rebalancer.reconcileMigrations()
 	if len(l.rebalancer.migrations.active) != 0 || to.Incoming != (placement.Resources{}) {
-		t.Errorf("held %+v although the target is lost", to.Incoming)
+		t.Errorf("%+v still reserved although the target is lost", to.Incoming)
 	}
 	l, a, to = leaderWithMigration(t)
 	l.detach(a, "exited")
@@ -54,30 +55,30 @@
 	}
 	l.rebalancer.completeMigrations()
 	if to.Incoming != (placement.Resources{}) || len(to.attemptList) != 1 {
-		t.Errorf("held %+v, %d attempts", to.Incoming, len(to.attemptList))
+		t.Errorf("%+v still reserved after the start, %d attempts on the target, want 1", to.Incoming, len(to.attemptList))
 	}
 }
 
-// A task whose old attempt is gone starts on its target if everything still allows it, and
-// waits like others otherwise. Either way the room isn't held any more.
+// A task whose old attempt is terminated starts on its target if it still may run there, and is
+// pending like any other task otherwise. In both cases the reservation is released.
 func TestMigrationStartsOnTarget(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(l *leader, a *attempt, to *machine)
-		lands  bool
-		waits  bool
+		starts bool // on the target
+		waits  bool // is pending
 	}{
-		{name: "all is well", lands: true},
-		{name: "the target is gone", change: func(_ *leader, _ *attempt, to *machine) { to.removed = true }, waits: true},
-		{name: "the target is silent", change: func(l *leader, _ *attempt, to *machine) { to.session.LastSeen = l.controller.now.Add(-time.Minute) }, waits: true},
-		{name: "the target is to be taken", change: func(l *leader, _ *attempt, to *machine) { to.lifecycle.preemptionAt = l.controller.now }, waits: true},
-		{name: "the target is full", change: func(_ *leader, _ *attempt, to *machine) { to.Allocated.CPUs = 4 }, waits: true},
-		{name: "the team is at its limit", change: func(l *leader, _ *attempt, _ *machine) { l.teamUsage["red"].cpus = 16 }, waits: true},
-		{name: "its zone is closed", change: func(_ *leader, a *attempt, _ *machine) { a.job.OneZone, a.job.attemptsByZone["b"] = true, 1 }, waits: true},
-		{name: "the target failed the job", change: func(_ *leader, a *attempt, to *machine) { to.failuresByJob[a.job.ID] = 1 }, waits: true},
-		{name: "the job is over", change: func(l *leader, a *attempt, _ *machine) { l.endJob(a.job, protocol.Cancelled) }},
-		{name: "the task is done", change: func(l *leader, a *attempt, _ *machine) { l.taskDone(a.job, a.taskIndex) }},
-		{name: "it was started elsewhere", change: func(l *leader, a *attempt, _ *machine) {
+		{name: "no obstacle", starts: true},
+		{name: "target removed", change: func(_ *leader, _ *attempt, to *machine) { to.removed = true }, waits: true},
+		{name: "heartbeats of the target overdue", change: func(l *leader, _ *attempt, to *machine) { to.session.LastSeen = l.controller.now.Add(-time.Minute) }, waits: true},
+		{name: "preemption notice for the target", change: func(l *leader, _ *attempt, to *machine) { to.lifecycle.preemptionAt = l.controller.now }, waits: true},
+		{name: "target full", change: func(_ *leader, _ *attempt, to *machine) { to.Allocated.CPUs = 4 }, waits: true},
+		{name: "team at its limit", change: func(l *leader, _ *attempt, _ *machine) { l.teamUsage["red"].cpus = 16 }, waits: true},
+		{name: "zone not allowed", change: func(_ *leader, a *attempt, _ *machine) { a.job.OneZone, a.job.attemptsByZone["b"] = true, 1 }, waits: true},
+		{name: "job failed on the target", change: func(_ *leader, a *attempt, to *machine) { to.failuresByJob[a.job.ID] = 1 }, waits: true},
+		{name: "job cancelled", change: func(l *leader, a *attempt, _ *machine) { l.endJob(a.job, protocol.Cancelled) }},
+		{name: "task done", change: func(l *leader, a *attempt, _ *machine) { l.taskDone(a.job, a.taskIndex) }},
+		{name: "started elsewhere", change: func(l *leader, a *attempt, _ *machine) {
 			other := l.newMachine("vm-3", "small", "a", false)
 			a.job.retryQueue = nil
 			l.startAttempt(a.job, a.taskIndex, other)
@@ -90,74 +91,75 @@
 		}
 		l.rebalancer.completeMigrations()
 		live := a.job.task(a.taskIndex).live
-		if landed := live != nil && live.machine == to; landed != test.lands {
-			t.Errorf("%s: lands %t", test.name, landed)
+		if starts := live != nil && live.machine == to; starts != test.starts {
+			t.Errorf("%s: started on the target: %t", test.name, starts)
 		}
 		if waits := len(a.job.retryQueue) == 1; waits != test.waits {
-			t.Errorf("%s: waits %t", test.name, waits)
+			t.Errorf("%s: pending: %t", test.name, waits)
 		}
 		if to.Incoming != (placement.Resources{}) {
-			t.Errorf("%s: %+v is still held", test.name, to.Incoming)
+			t.Errorf("%s: %+v still reserved", test.name, to.Incoming)
 		}
 	}
 }
 
-// Moves begin only while this leader can stand behind them.
+// Migrations begin only while the leader holds its lease safely, knows the state of its workers
+// and isn't overloaded.
 func TestMayMigrate(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(c *Controller, l *leader)
 		may    bool
 	}{
-		{name: "all is well", may: true},
-		{name: "moves are off", change: func(c *Controller, _ *leader) { c.operator.Balance.Moves = false }},
-		{name: "the state service is away", change: func(c *Controller, _ *leader) { failStateServiceCalls(c) }},
-		{name: "machines are still to be heard", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
-		{name: "the leader still settles", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
-		{name: "the right is near its end", change: func(c *Controller, l *leader) { l.lease.ValidUntil = c.now.Add(500 * time.Millisecond) }},
-		{name: "timers are late", change: func(c *Controller, _ *leader) { c.overload.Observe(c.now, overload.DeferThreshold+1) }},
-		{name: "more to serve than the share allows", change: func(c *Controller, _ *leader) {
+		{name: "no obstacle", may: true},
+		{name: "migrations turned off", change: func(c *Controller, _ *leader) { c.operator.Balance.Moves = false }},
+		{name: "state service unavailable", change: func(c *Controller, _ *leader) { failStateServiceCalls(c) }},
+		{name: "workers still reconnecting", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
+		{name: "leader still reconciling", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
+		{name: "lease about to expire", change: func(c *Controller, l *leader) { l.lease.ValidUntil = c.now.Add(500 * time.Millisecond) }},
+		{name: "event loop lags", change: func(c *Controller, _ *leader) { c.overload.Observe(c.now, overload.DeferThreshold+1) }},
+		{name: "persistent overload", change: func(c *Controller, _ *leader) {
 			for ago := 10 * time.Second; ago >= time.Second; ago -= time.Second {
 				c.overload.Observe(c.now.Add(-ago), overload.OverloadThreshold+1)
 			}
 			c.overload.Observe(c.now, 0)
 		}},
-		{name: "the last round ended early", change: func(_ *Controller, l *leader) { l.autoscaler.demandIncomplete = true }},
-		{name: "records are behind", change: func(c *Controller, l *leader) { l.writer.urgentBlocks = make([]*taskBlock, c.cfg.TxnOps+1) }},
+		{name: "last placement round ended early", change: func(_ *Controller, l *leader) { l.autoscaler.demandIncomplete = true }},
+		{name: "too many records waiting to be written", change: func(c *Controller, l *leader) { l.writer.urgentBlocks = make([]*taskBlock, c.cfg.TxnOps+1) }},
 	} {
 		l, _, _ := leaderWithMigration(t)
 		if test.change != nil {
 			test.change(l.controller, l)
 		}
 		if got := l.rebalancer.mayMigrate(); got != test.may {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: may migrate: %t", test.name, got)
 		}
 	}
 }
 
-// That a task was moved stands in its record, for the next leader; a mark that can't be read
-// counts for all tasks of the record.
+// The record of a task block tells the next leader which tasks were migrated. If the marks can't
+// be decoded, all tasks of the block count as migrated.
 func TestMigrationMarks(t *testing.T) {
 	l, a, _ := leaderWithMigration(t)
-	record := a.job.block(a.taskIndex)
+	block := a.job.block(a.taskIndex)
 	var r records.TaskBlock
-	record.encodeMigrationMarks(&r)
-	load := func(r records.TaskBlock) (moved int) {
-		tasks := &taskBlock{job: a.job, tasks: make([]task, len(record.tasks))}
-		tasks.loadMigrationMarks(&r, l.controller.log)
-		for i := range tasks.tasks {
-			if tasks.tasks[i].migratedInSurge == 7 {
-				moved++
+	block.encodeMigrationMarks(&r)
+	load := func(r records.TaskBlock) (migrated int) {
+		loaded := &taskBlock{job: a.job, tasks: make([]task, len(block.tasks))}
+		loaded.loadMigrationMarks(&r, l.controller.log)
+		for i := range loaded.tasks {
+			if loaded.tasks[i].migratedInSurge == 7 {
+				migrated++
 			}
 		}
-		return moved
+		return migrated
 	}
 	if got := load(r); r.Surge != 7 || got != 1 {
-		t.Errorf("%d tasks are marked in surge %d", got, r.Surge)
+		t.Errorf("%d tasks are marked as migrated in surge %d, want 1 in surge 7", got, r.Surge)
 	}
 	r.Migrated = "!"
-	if got := load(r); got != len(record.tasks) {
-		t.Errorf("%d tasks of %d count as moved where the mark can't be read", got, len(record.tasks))
+	if got := load(r); got != len(block.tasks) {
+		t.Errorf("%d of %d tasks count as migrated with unreadable marks, want all", got, len(block.tasks))
 	}
 	if l.rebalancer.migratable(a) {
 		t.Error("it may be moved once more in the surge")
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -10,25 +10,26 @@
 	"brasskeel/internal/records"
 )
 
-// rebalancer is the leader's part in balance: it tells the loads of machines what happens, and
-// bounds what surging teams may put on one. It is nil where operators didn't turn balance on;
-// its methods then do nothing.
+// rebalancer connects the leader to the balance package: it keeps the loads of machines and the
+// surges of teams up to date, and enforces the ceiling for surging teams. It is nil if the
+// operator hasn't turned load balancing on; its methods then do nothing.
 type rebalancer struct {
 	l             *leader
 	settings      balance.Settings
 	teams         map[string]*teamSurge
 	classRunTimes map[classAndType]*balance.RunTimes
 	migrations    migrations
-	expectedBoots map[autoscaler.OfferKey]time.Time // when the first machine of a kind is likely up; nil: not looked at in this round
+	expectedBoots map[autoscaler.OfferKey]time.Time // expectedBootTimes of this round; nil: not computed yet
 }
 
-// teamSurge is a team with its surge.
+// teamSurge is the surge detection of a team.
 type teamSurge struct {
 	id    balance.Team
 	surge balance.Surge
 }
 
-// classAndType is a kind of tasks whose run times are compared.
+// classAndType identifies the tasks whose run times are compared with each other: those of a job
+// class on a machine type.
 type classAndType struct{ class, machineType string }
 
 func newRebalancer(l *leader) *rebalancer {
@@ -45,7 +46,7 @@
 	return b
 }
 
-// newLoad is the load of a machine that becomes known.
+// newLoad returns the load of a new machine; nil without load balancing.
 func (b *rebalancer) newLoad() *balance.Load {
 	if b == nil {
 		return nil
@@ -53,7 +54,7 @@
 	return &balance.Load{}
 }
 
-// attemptAttached notes an attempt that counts from now on.
+// attemptAttached adds a new attempt to its machine's load.
 func (b *rebalancer) attemptAttached(a *attempt) {
 	if b == nil {
 		return
@@ -62,13 +63,13 @@
 	if t := b.teams[a.job.Team]; t != nil {
 		m.load.AddAttempt(t.id, placement.Needs(a.job.Job))
 	}
-	// What an earlier leader's attempts wait for isn't known.
+	// It isn't known whether attempts of an earlier leader still wait for their image.
 	if !a.delivery.Inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.CachedGB(a.job.imageID) == 0 {
 		m.load.Fetches.Add(b.l.controller.now, a.job.imageID, a.job.ImageGB, m.Spec.FetchGBPerSecond)
 	}
 }
 
-// attemptDetached notes an attempt that is proven gone.
+// attemptDetached removes an attempt that is proven terminated from its machine's load.
 func (b *rebalancer) attemptDetached(a *attempt) {
 	if b == nil {
 		return
@@ -82,14 +83,14 @@
 	}
 }
 
-// attemptStartedRunning notes that an attempt has its image.
+// attemptStartedRunning records that the fetch of an attempt's image is complete.
 func (b *rebalancer) attemptStartedRunning(a *attempt) {
 	if b != nil && a.machine.Spec != nil {
 		a.machine.load.Fetches.Complete(b.l.controller.now, a.job.imageID, a.machine.Spec.FetchGBPerSecond)
 	}
 }
 
-// attemptCompleted takes a completed task's run time.
+// attemptCompleted updates the speed of a machine with the run time of a completed task.
 func (b *rebalancer) attemptCompleted(a *attempt, run time.Duration) {
 	if b == nil {
 		return
@@ -103,15 +104,16 @@
 	a.machine.load.Speed.Observe(run, a.job.EstimatedRuntime, &a.job.runTimes, class)
 }
 
-// workerRestarted notes that a worker lost what it had.
+// workerRestarted discards the pending image fetches of a machine whose worker began a new
+// incarnation.
 func (b *rebalancer) workerRestarted(m *machine) {
 	if b != nil {
 		m.load.ResetFetches()
 	}
 }
 
-// beginRound observes the teams' demand before tasks are placed: what is bounded must be
-// known by then, and a whole array may just have come.
+// beginRound observes the demand of all teams before a placement round places any task: a large
+// job may just have been submitted, and the round has to apply the ceiling to it.
 func (b *rebalancer) beginRound() {
 	if b == nil {
 		return
@@ -142,7 +144,7 @@
 	}
 }
 
-// smallestMachineCPUs is the CPUs of the smallest machine type.
+// smallestMachineCPUs returns the number of CPUs of the smallest machine type.
 func (b *rebalancer) smallestMachineCPUs() float64 {
 	least := 0.0
 	for _, t := range b.l.controller.types {
@@ -153,7 +155,7 @@
 	return least
 }
 
-// recordSurges keeps the surges under way for the next leader.
+// recordSurges writes the active surges to the state service for the next leader.
 func (b *rebalancer) recordSurges() {
 	surges := records.Surges{}
 	for name, t := range b.teams {
@@ -164,7 +166,8 @@
 	b.l.writer.put(records.KeySurges, records.Encode(surges))
 }
 
-// restoreSurges takes the surges on record.
+// restoreSurges restores the surges that an earlier leader recorded. Records that can't be decoded
+// are logged and ignored.
 func (b *rebalancer) restoreSurges(items []protocol.KeyValue) {
 	for _, it := range items {
 		var surges records.Surges
@@ -181,7 +184,7 @@
 	}
 }
 
-// surgeOf is the number of the surge of a job's team, 0 without one.
+// surgeOf returns the number of the active surge of a job's team; 0 if there is none.
 func (b *rebalancer) surgeOf(j *job) uint64 {
 	if b == nil {
 		return 0
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -10,7 +10,8 @@
 	"brasskeel/internal/records"
 )
 
-// leaderWithBalancing is a leader with balance on, and a task on a machine that reported once.
+// leaderWithBalancing returns a controller that leads with load balancing on, and an attempt on a
+// machine whose worker has sent one heartbeat.
 func leaderWithBalancing(t *testing.T) (*Controller, *leader, *attempt) {
 	t.Helper()
 	c, l := newTestLeader(phaseActive)
@@ -28,41 +29,43 @@
 	return c, l, a
 }
 
-// stateReport is a report that shows an attempt in a state.
+// stateReport returns a heartbeat that reports an attempt in a state.
 func stateReport(a *attempt, seq uint64, s protocol.TaskState) []byte {
 	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: a.machine.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16,
 		Tasks: []protocol.TaskStatus{{Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number, State: s}}})
 }
 
-// Load follows what workers show, and nothing that is a copy or older.
+// The load of a machine follows the heartbeats of its worker, but not those that are duplicates or
+// arrive out of order.
 func TestLoadFollowsReports(t *testing.T) {
 	c, l, a := leaderWithBalancing(t)
 	m := a.machine
 	queued := func() time.Duration { return m.load.Fetches.Backlog(c.now, m.Spec.FetchGBPerSecond) }
 	if r, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
-		t.Fatalf("reserved %+v by %d, %s queued", r, tasks, queued())
+		t.Fatalf("usage of the team is %+v by %d tasks, %s of fetches queued; want 1 task and 2s", r, tasks, queued())
 	}
 	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, stateReport(a, 5, protocol.Fetching))
-	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, stateReport(a, 4, protocol.Running)) // a copy, or held up
+	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, stateReport(a, 4, protocol.Running)) // a duplicate, or delayed
 	if queued() != 2*time.Second {
-		t.Errorf("%s queued after an older report", queued())
+		t.Errorf("%s of fetches queued after an older heartbeat, want 2s", queued())
 	}
 	c.Request(c.now, 4, "POST", protocol.PathHeartbeat, stateReport(a, 6, protocol.Running))
 	if queued() != 0 {
-		t.Errorf("%s queued while the task runs", queued())
+		t.Errorf("%s of fetches queued while the task runs, want none", queued())
 	}
 	m.load.Fetches.Add(c.now, 99, 5, m.Spec.FetchGBPerSecond)
 	c.Request(c.now, 5, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 2, Sequence: 7, FencingToken: 1 << 16}))
 	if _, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 0 || queued() != 0 {
-		t.Errorf("%d tasks and %s queued in a new session", tasks, queued())
+		t.Errorf("%d tasks and %s of fetches queued in a new incarnation, want none", tasks, queued())
 	}
 	c.Request(c.now, 6, "POST", protocol.PathHeartbeat, stateReport(a, 9, protocol.Running))
 	if _, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 0 {
-		t.Errorf("%d tasks after a report of an earlier session", tasks)
+		t.Errorf("%d tasks after a heartbeat of an earlier incarnation, want none", tasks)
 	}
 }
 
-// Surges that can't be read are told of and count as none.
+// A surges record that can't be decoded is logged and counts as no surge. Surges of unknown teams
+// are ignored.
 func TestUnreadableSurges(t *testing.T) {
 	_, l, a := leaderWithBalancing(t)
 	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
--- a/internal/coordination/victim_search.go
+++ b/internal/coordination/victim_search.go
@@ -9,23 +9,23 @@
 	"brasskeel/internal/protocol"
 )
 
-// victimRules bound the work that a search may stop, besides that it has to give way.
+// victimRules restrict which of the preemptible attempts a search may choose.
 type victimRules uint8
 
 const (
 	anyVictims           victimRules = iota
-	checkpointingVictims             // only work that saves a checkpoint in time
-	immediateVictims                 // only work that ends at once, on machines that hold the image
+	checkpointingVictims             // only attempts that save a checkpoint in time (checkpointsInTime)
+	immediateVictims                 // only attempts that end at once, on machines that cache the image
 )
 
-// victimSearchKey is what jobs have in common that may preempt the same work on the same
-// machines.
+// victimSearchKey identifies the jobs that may preempt the same attempts on the same machines and
+// therefore share a search.
 type victimSearchKey struct {
 	zone, types string
 	spot        bool
 	priority    protocol.Priority
 	tier        queue.Tier
-	team        string // whose quota is asked for; empty: none
+	team        string // the job's team if the job is within its quota, otherwise empty
 	rules       victimRules
 }
 
@@ -37,15 +37,15 @@
 	return k
 }
 
-// victimSearch is a search for work to stop.
+// victimSearch is a search for attempts to preempt.
 type victimSearch struct {
 	rules  victimRules
 	search preemption.Search[*machine]
 }
 
-// preemptFor stops work that has to give way to a job, as far as that gives tasks of it a
-// machine, and returns how many tasks still have none. The victims' room is free once their
-// exit is reported; the job's tasks are placed then.
+// preemptFor preempts other work for up to left tasks of a job and returns for how many tasks no
+// room could be made. The victims' room is available once their exit is reported; the job's tasks
+// are placed then.
 func (l *leader) preemptFor(j *job, left int) int {
 	k := victimSearchKeyOf(j)
 	if !l.preemptionDelayOver(j) {
@@ -63,7 +63,8 @@
 	return left
 }
 
-// beginVictimSearch makes a search one for a job's tasks.
+// beginVictimSearch prepares a search for the tasks of a job. The first job of a search adds the
+// machines to it.
 func (l *leader) beginVictimSearch(s *victimSearch, j *job) {
 	if !s.search.Started() {
 		l.round.examined += len(l.round.accepting)
@@ -76,22 +77,22 @@
 	s.search.BeginJob(l.victimSelectorFor(j, s.rules), placement.Needs(j.Job))
 }
 
-// preemptNext stops work for one more task of the job whose turn it is, and reports whether
-// there was any.
+// preemptNext makes room for one more task of the job that the search was begun for, and reports
+// whether that was possible.
 func (l *leader) preemptNext(s *victimSearch, j *job) bool {
 	return s.search.PreemptNext(l.victimSelectorFor(j, s.rules))
 }
 
-// victimSelector looks at machines for one job, as preemption.Machines asks.
+// victimSelector implements preemption.Machines for one job.
 type victimSelector struct {
 	l          *leader
 	job        *job
 	rules      victimRules
-	candidates []preemption.Candidate[*attempt] // reused by every look
-	victims    []preemption.Candidate[*attempt] // of the last look
+	candidates []preemption.Candidate[*attempt] // buffer, reused by every call of Cost
+	victims    []preemption.Candidate[*attempt] // chosen by the last call of Cost
 }
 
-// victimSelectorFor prepares the leader's choice of victims for a job.
+// victimSelectorFor returns the round's selector, set to a job and rules.
 func (l *leader) victimSelectorFor(j *job, rules victimRules) *victimSelector {
 	v := &l.round.victims
 	v.l, v.job, v.rules = l, j, rules
@@ -133,11 +134,12 @@
 	return cost, ok
 }
 
-// attemptScanCost is how many machines looked at it counts as to look at all work on one.
+// attemptScanCost is how many examined machines a scan of all attempts on a machine counts as.
 const attemptScanCost = 10
 
-// canFreeEnough reports whether all work of lower priority on a machine would be enough. For a
-// job within its team's quota it isn't asked: what other teams borrowed gives way, too.
+// canFreeEnough reports whether a machine would have enough CPUs for the job if all work of lower
+// priority on it were preempted. It always does so for a job within its team's quota, which may
+// also preempt work that other teams run beyond their quota.
 func (v *victimSelector) canFreeEnough(m *machine, cpus float64) bool {
 	if v.job.withinQuota() {
 		return true
@@ -148,7 +150,7 @@
 	return cpus >= v.job.CPUs-protocol.Epsilon
 }
 
-// matchesRules applies the rules of a search to an attempt.
+// matchesRules reports whether the rules of the search allow an attempt as a victim.
 func (v *victimSelector) matchesRules(a *attempt) bool {
 	switch v.rules {
 	case checkpointingVictims:
@@ -159,8 +161,8 @@
 	return true
 }
 
-// Preempt implements preemption.Machines: it stops the victims of the last look and promises
-// their room to the job.
+// Preempt implements preemption.Machines. It stops the victims that the last call of Cost chose
+// and reserves their room for the job.
 func (v *victimSelector) Preempt(m *machine) {
 	l, j := v.l, v.job
 	for i := range v.victims {
