--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -36,7 +36,7 @@
 	zone  string
 }
 
-// searchKey is what determines the possible targets of a replica.
+// searchKey identifies replicas that have the same possible targets.
 type searchKey struct {
 	image cachedImage
 	shape placement.ShapeKey
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -19,30 +19,30 @@
 // with the reason: it knows no leader, is still loading records as the leader, may no longer hold
 // the leader lease, or can't reach the state service.
 func (c *Controller) logAvailability() {
-	what := ""
+	reason := ""
 	switch {
 	case c.store.Unavailable():
-		what = "state service unavailable"
+		reason = "state service unavailable"
 	case c.leader != nil && c.leader.phase == phaseLoading && c.now.Sub(c.leader.electedAt) > pendingLogAfter:
-		what = "loading records"
+		reason = "loading records"
 	case c.leader != nil && !c.leader.jobsKnownAt.IsZero() && !c.leader.holdsLease():
-		what = "leader lease expired"
+		reason = "leader lease expired"
 	case c.leader == nil && c.election.OtherLeader() == "":
-		what = "no leader known"
+		reason = "no leader known"
 	}
-	if what != c.unavailability {
+	if reason != c.unavailability {
 		c.unavailableSince = c.now
 	}
-	if what == "" {
+	if reason == "" {
 		if c.availabilityLog.Allow(c.now, "") {
 			c.log.Info("controller available")
 		}
 		c.unavailability = ""
 		return
 	}
-	c.unavailability = what
-	if c.now.Sub(c.unavailableSince) >= 2*time.Second && c.availabilityLog.Allow(c.now, what) {
-		c.log.Warn("controller unavailable", "reason", what, "duration", c.now.Sub(c.unavailableSince).Round(time.Second))
+	c.unavailability = reason
+	if c.now.Sub(c.unavailableSince) >= 2*time.Second && c.availabilityLog.Allow(c.now, reason) {
+		c.log.Warn("controller unavailable", "reason", reason, "duration", c.now.Sub(c.unavailableSince).Round(time.Second))
 	}
 }
 
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Shape is what determines on which machines a task finds room: the resources that it needs and
-// the machines that it may use.
+// Shape holds the properties of a task that determine on which machines it finds room: the
+// resources that it needs and the machines that it may use.
 type Shape struct {
 	needs Resources
 	zone  string
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -81,8 +81,9 @@
 	return 5 * time.Second
 }
 
-// preemptible reports whether an attempt may be preempted for a job: if its priority is lower, or
-// if its team runs more than its quota while the job is within the quota of another team.
+// preemptible reports whether an attempt may be preempted for a job. It may if its priority is
+// lower. A job within its team's quota may also preempt attempts of another team that uses more
+// than its quota, except those of services and of jobs within that quota.
 func (l *leader) preemptible(a *attempt, j *job) bool {
 	// A job that is served before this one would only be placed there again.
 	if a.stopRequested || a.job == j || a.job.tier() < j.tier() {
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -28,9 +28,9 @@
 			s = &usage{}
 			sums[j.Team] = s
 		}
-		left := float64(j.Tasks - j.doneTasks)
-		s.cpus += left * j.CPUs
-		s.gpus += left * j.GPUs
+		remaining := float64(j.Tasks - j.doneTasks)
+		s.cpus += remaining * j.CPUs
+		s.gpus += remaining * j.GPUs
 		if j.quota != quotaUnchecked {
 			continue
 		}
@@ -87,8 +87,8 @@
 	entries := slices.Grow(l.round.queue[:0], len(l.jobsByAge))
 	for _, j := range l.jobsByAge {
 		if j.pendingTasks() > 0 {
-			standing, backlog := j.queueInfo(wall), l.remainingWork(j, wall)
-			entries = append(entries, queue.Entry[*job]{Job: j, Tier: standing.AgedTier(), Priority: standing.AgedPriority(), Weight: backlog.Weight()})
+			info, work := j.queueInfo(wall), l.remainingWork(j, wall)
+			entries = append(entries, queue.Entry[*job]{Job: j, Tier: info.AgedTier(), Priority: info.AgedPriority(), Weight: work.Weight()})
 		}
 	}
 	queue.Sort(entries)
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -101,17 +101,17 @@
 // ceilingWaitLimit returns how long a job waits for a machine below the ceiling: a fraction of the
 // shortest time that its deadline and the objectives of its class leave, at most maxCeilingWait.
 func (b *rebalancer) ceilingWaitLimit(j *job) time.Duration {
-	least := maxCeilingWait * ceilingWaitDivisor
+	shortest := maxCeilingWait * ceilingWaitDivisor
 	if j.HasDeadline {
-		least = min(least, max(0, j.Deadline-j.EstimatedRuntime))
+		shortest = min(shortest, max(0, j.Deadline-j.EstimatedRuntime))
 	}
 	for i := range b.l.controller.cfg.Objectives {
 		o := &b.l.controller.cfg.Objectives[i]
 		if (o.Kind == "wait" || o.Kind == "finished") && o.Class == j.Class && o.Within > 0 {
-			least = min(least, o.Within)
+			shortest = min(shortest, o.Within)
 		}
 	}
-	return least / ceilingWaitDivisor
+	return shortest / ceilingWaitDivisor
 }
 
 // bootsInTime reports whether a machine that is booting, and that a job may use, is expected to be
@@ -133,15 +133,15 @@
 // expectedBootTimes returns, for each machine type, zone and kind of instance (spot or on-demand),
 // when the first booting machine is expected to be up. Machines whose boot is overdue are ignored.
 func (l *leader) expectedBootTimes() map[autoscaler.OfferKey]time.Time {
-	list := map[autoscaler.OfferKey]time.Time{}
+	times := map[autoscaler.OfferKey]time.Time{}
 	for _, m := range l.fleetList {
 		if !l.booting(m) || l.bootOverdue(m) {
 			continue
 		}
 		key, up := autoscaler.OfferKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.provisionedAt.Add(m.Spec.BootTime)
-		if first, ok := list[key]; !ok || up.Before(first) {
-			list[key] = up
+		if first, ok := times[key]; !ok || up.Before(first) {
+			times[key] = up
 		}
 	}
-	return list
+	return times
 }
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -126,11 +126,11 @@
 		}
 	}
 	changed := false
-	worth := b.smallestMachineCPUs()
+	machineCPUs := b.smallestMachineCPUs()
 	for i := range b.l.controller.cfg.Teams {
 		name := b.l.controller.cfg.Teams[i].Name
 		t := b.teams[name]
-		switch t.surge.Observe(b.l.controller.now.Round(0), demand[name], worth) {
+		switch t.surge.Observe(b.l.controller.now.Round(0), demand[name], machineCPUs) {
 		case balance.Started:
 			b.l.controller.log.Info("surge started", "team", name, "surge", t.surge.Number(), "cpus", demand[name])
 			changed = true
@@ -146,13 +146,13 @@
 
 // smallestMachineCPUs returns the number of CPUs of the smallest machine type.
 func (b *rebalancer) smallestMachineCPUs() float64 {
-	least := 0.0
+	smallest := 0.0
 	for _, t := range b.l.controller.types {
-		if least == 0 || t.CPUs < least {
-			least = t.CPUs
+		if smallest == 0 || t.CPUs < smallest {
+			smallest = t.CPUs
 		}
 	}
-	return least
+	return smallest
 }
 
 // recordSurges writes the active surges to the state service for the next leader.
--- a/internal/coordination/victim_search.go
+++ b/internal/coordination/victim_search.go
@@ -166,9 +166,9 @@
 func (v *victimSelector) Preempt(m *machine) {
 	l, j := v.l, v.job
 	for i := range v.victims {
-		w := &v.victims[i]
-		a := w.Attempt
-		l.controller.log.Debug("attempt preempted", "job", a.job.ID, "task", a.taskIndex, "machine", m.Name, "beneficiary", j.ID, "lost_work", w.LostWork)
+		victim := &v.victims[i]
+		a := victim.Attempt
+		l.controller.log.Debug("attempt preempted", "job", a.job.ID, "task", a.taskIndex, "machine", m.Name, "beneficiary", j.ID, "lost_work", victim.LostWork)
 		l.stopAttempt(a, l.checkpointGrace(a))
 	}
 	m.Reserve(j.Job)
