--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -185,7 +185,7 @@
 func TestRestoredSurge(t *testing.T) {
 	var s Surge
 	if s.Observe(at(0), 500, 4); s.Number() != 0 {
-		t.Error("the first thing seen is a surge")
+		t.Error("first observation starts a surge")
 	}
 	s.Restore(at(1), SurgeRecord{Number: 7, Level: 20})
 	if s.Observe(at(2), 500, 4); s.Number() != 7 {
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -123,7 +123,7 @@
 		s.Add(fmt.Sprint(i), i, 100)
 	}
 	if s.Started() {
-		t.Error("begun before a job's turn")
+		t.Error("search started before BeginJob")
 	}
 	s.BeginJob(f, placement.Resources{CPUs: 4, MemGB: 4})
 	if !s.Started() || f.costCalls != 100 || s.PreemptNext(f) {
@@ -140,11 +140,11 @@
 	}
 	f.excluded = "7"
 	if s.PreemptNext(f) {
-		t.Error("an excluded machine is used")
+		t.Error("preempted on an excluded machine")
 	}
 	f.excluded = ""
 	s.BeginJob(f, placement.Resources{CPUs: 5, MemGB: 5})
 	if !s.PreemptNext(f) || s.PreemptNext(f) {
-		t.Error("a machine that another job couldn't use")
+		t.Error("machine that was excluded for an earlier job is not used, or is used beyond its room")
 	}
 }
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -51,7 +51,7 @@
 	l, a, to = leaderWithMigration(t)
 	l.detach(a, "exited")
 	if to.HasRoom(whole) {
-		t.Error("room for others between the proof and the new start")
+		t.Error("target has room for other tasks between the termination of the old attempt and the new start")
 	}
 	l.rebalancer.completeMigrations()
 	if to.Incoming != (placement.Resources{}) || len(to.attemptList) != 1 {
@@ -162,6 +162,6 @@
 		t.Errorf("%d of %d tasks count as migrated with unreadable marks, want all", got, len(block.tasks))
 	}
 	if l.rebalancer.migratable(a) {
-		t.Error("it may be moved once more in the surge")
+		t.Error("task may migrate a second time in the same surge")
 	}
 }
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -70,10 +70,10 @@
 	_, l, a := leaderWithBalancing(t)
 	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
 	if l.rebalancer.surgeOf(a.job) != 0 {
-		t.Error("a surge was guessed at")
+		t.Error("surge restored from an unreadable record")
 	}
 	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, Level: 1}, "nobody": {Number: 6}})}})
 	if l.rebalancer.surgeOf(a.job) != 5 {
-		t.Error("the surge on record isn't under way")
+		t.Error("recorded surge not restored")
 	}
 }
