--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,22 +1,22 @@
-// Package ratelimit holds the token bucket by which controllers keep within what a service
-// lets them ask of it. It owns no clock: every call is told the time.
+// Package ratelimit provides the token bucket that keeps controllers within the rate limits
+// of the services they call. It has no clock: each call is passed the current time.
 //
-// golang.org/x/time/rate isn't used. Its bursts are whole numbers and it refuses to take more
-// than a burst at once, while here bursts are fractions of a service's rate, and requests that
-// can't wait are taken on credit.
+// golang.org/x/time/rate isn't used, because its bursts are whole numbers and it refuses to
+// take more than a burst at once. Here bursts are fractions of a service's rate, and requests
+// that can't wait may overdraw the bucket.
 package ratelimit
 
 import "time"
 
-// TokenBucket is a token bucket that may be overdrawn. Make one with NewTokenBucket. It isn't
+// TokenBucket is a token bucket that may be overdrawn. Create one with NewTokenBucket. It isn't
 // safe for concurrent use.
 type TokenBucket struct {
 	rate, burst, tokens float64
-	filledAt            time.Time // as of when tokens are counted
+	filledAt            time.Time // time at which tokens was last updated
 }
 
-// NewTokenBucket returns a full bucket that holds burst tokens, one at the least, and gets
-// rate tokens a second.
+// NewTokenBucket returns a full bucket that holds burst tokens, at least one, and is refilled
+// with rate tokens per second.
 func NewTokenBucket(rate, burst float64, now time.Time) *TokenBucket {
 	return &TokenBucket{rate: rate, burst: max(burst, 1), tokens: max(burst, 1), filledAt: now}
 }
@@ -28,13 +28,13 @@
 	}
 }
 
-// Available is how many tokens there are; below zero for a bucket that is overdrawn.
+// Available returns the number of tokens; it is negative while the bucket is overdrawn.
 func (b *TokenBucket) Available(now time.Time) float64 {
 	b.refill(now)
 	return b.tokens
 }
 
-// TryTake takes n tokens if they are there, and reports whether it did.
+// TryTake takes n tokens if they are available, and reports whether it did.
 func (b *TokenBucket) TryTake(now time.Time, n float64) bool {
 	b.refill(now)
 	if b.tokens < n {
@@ -44,13 +44,15 @@
 	return true
 }
 
-// Spend takes n tokens whether or not they are there. What is missing delays later takers.
+// Spend takes n tokens even if fewer are available. Later callers wait until the deficit is
+// refilled.
 func (b *TokenBucket) Spend(now time.Time, n float64) {
 	b.refill(now)
 	b.tokens -= n
 }
 
-// Wait is how long until n tokens are there, or the bucket is full if it never holds as many.
+// Wait returns how long it takes until n tokens are available, or until the bucket is full if
+// it never holds n tokens.
 func (b *TokenBucket) Wait(now time.Time, n float64) time.Duration {
 	b.refill(now)
 	if b.tokens >= n {
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -12,11 +12,11 @@
 		t.Error("the burst is not five")
 	}
 	if w := b.Wait(now, 2); w != 200*time.Millisecond {
-		t.Errorf("two units after %s", w)
+		t.Errorf("two tokens are available after %s, want 200ms", w)
 	}
 	now = now.Add(time.Minute)
 	if got := b.Available(now); got != 5 {
-		t.Errorf("after a minute %g units", got)
+		t.Errorf("%g tokens after a minute, want 5", got)
 	}
 	b.Spend(now, 8)
 	if b.TryTake(now.Add(300*time.Millisecond), 1) {
@@ -30,16 +30,16 @@
 		name        string
 		rate, burst float64
 		spent, want float64
-		after       time.Duration // when it is asked
+		after       time.Duration // time between Spend and Wait
 		wait        time.Duration
 	}{
-		{name: "tokens are there", rate: 10, burst: 5, spent: 4, want: 1},
-		{name: "one is missing", rate: 10, burst: 5, spent: 5, want: 1, wait: 100 * time.Millisecond},
-		{name: "refilled meanwhile", rate: 10, burst: 5, spent: 5, want: 1, after: 60 * time.Millisecond, wait: 40 * time.Millisecond},
+		{name: "enough tokens", rate: 10, burst: 5, spent: 4, want: 1},
+		{name: "one token short", rate: 10, burst: 5, spent: 5, want: 1, wait: 100 * time.Millisecond},
+		{name: "partly refilled", rate: 10, burst: 5, spent: 5, want: 1, after: 60 * time.Millisecond, wait: 40 * time.Millisecond},
 		{name: "overdrawn", rate: 10, burst: 5, spent: 8, want: 1, wait: 400 * time.Millisecond},
-		{name: "more than it ever holds", rate: 10, burst: 5, spent: 5, want: 50, wait: 500 * time.Millisecond},
-		{name: "a burst below one", rate: 2, burst: 0.5, spent: 1, want: 1, wait: 500 * time.Millisecond},
-		{name: "a clock that stands before", rate: 10, burst: 5, spent: 5, want: 1, after: -time.Second, wait: 100 * time.Millisecond},
+		{name: "more than the bucket holds", rate: 10, burst: 5, spent: 5, want: 50, wait: 500 * time.Millisecond},
+		{name: "burst below one", rate: 2, burst: 0.5, spent: 1, want: 1, wait: 500 * time.Millisecond},
+		{name: "clock went backwards", rate: 10, burst: 5, spent: 5, want: 1, after: -time.Second, wait: 100 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := NewTokenBucket(test.rate, test.burst, start)
--- a/internal/records/doc.go
+++ b/internal/records/doc.go
@@ -1,12 +1,13 @@
-// Package records is the schema of what controllers keep in the state service: under which
-// keys records lie, and what they hold. Records of shards' owners and members are the one
-// exception: package shard, which alone changes them, defines what they hold, under keys that
-// are defined here.
+// Package records defines the schema of the data that controllers keep in the state service:
+// the keys of records and their contents. Records of shard owners and members are the one
+// exception: their keys are defined here, but their contents are defined by package shard,
+// the only package that writes them.
 //
-// The package owns the keys, the JSON of each record, and how much of it fits a value. It
-// knows neither who writes a record nor when: that is the core's and package statestore's.
+// The package owns the keys, the JSON encoding of each record, and the limits that keep a
+// record within the size of a value. Who writes a record and when is up to package
+// coordination and package statestore.
 //
-// A key or a JSON field must never change its meaning, as controllers of two versions run
-// side by side during each roll-out, and records outlive all of them. A new field must be
-// one that earlier versions may ignore. The files in testdata hold each form.
+// A key or a JSON field must never change its meaning, because controllers of two versions run
+// side by side during each rollout, and records outlive both of them. Earlier versions must be
+// able to ignore a new field. The files in testdata hold the encoding of each record.
 package records
--- a/internal/records/encode.go
+++ b/internal/records/encode.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Encode makes the value of a record.
+// Encode returns the JSON value of a record.
 func Encode(v any) json.RawMessage {
 	raw, err := json.Marshal(v)
-	if err != nil { // records hold only strings and finite numbers
+	if err != nil { // impossible: records hold only strings and finite numbers
 		panic(err)
 	}
 	return raw
 }
 
-// UnixMillis is a wall-clock instant as records keep it.
+// UnixMillis converts a time to the Unix milliseconds that records hold.
 func UnixMillis(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/records/forms_test.go
+++ b/internal/records/forms_test.go
@@ -8,8 +8,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// Every form of record is written as the versions before wrote it, with all of its fields
-// and with as few as it can have.
+// Each record is encoded as earlier versions encoded it, both with all of its fields and with
+// as few as possible.
 func TestRecordEncodings(t *testing.T) {
 	sharded := true
 	golden.Check(t, []golden.Form{
@@ -39,7 +39,7 @@
 	})
 }
 
-// Forms that are no longer written are still read.
+// Encodings that are no longer written are still read.
 func TestLegacyRecordEncodings(t *testing.T) {
 	golden.CheckRead(t, []golden.Form{
 		{File: "machine_old.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true, LegacyRentedAt: 1790000000123}},
@@ -47,7 +47,7 @@
 	})
 }
 
-// Keys lie where the versions before look for them.
+// Records are stored under the keys where earlier versions look for them.
 func TestKeys(t *testing.T) {
 	for _, key := range []struct{ got, want string }{
 		{KeyLeader, "e/leader"}, {KeyTerm, "e/term"}, {KeyPreferredZone, "e/prefer"}, {KeySharded, "e/sharded"},
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -10,14 +10,14 @@
 // Job is the record of an accepted job.
 type Job struct {
 	SubmittedAt int64         `json:"at"`    // Unix milliseconds
-	BlockSize   int           `json:"chunk"` // tasks per block, for good
-	Spec        *protocol.Job `json:"spec"`  // as its user described it
+	BlockSize   int           `json:"chunk"` // tasks per block, fixed for the life of the job
+	Spec        *protocol.Job `json:"spec"`  // as submitted by the user
 }
 
 // Outcome is the record of a job's final state.
 type Outcome struct {
 	State string `json:"state"`
-	Done  int    `json:"done,omitempty"` // tasks, for display
+	Done  int    `json:"done,omitempty"` // number of completed tasks, for display only
 }
 
 const (
@@ -25,10 +25,10 @@
 	outcomeCancelled = "cancelled"
 )
 
-// ErrUnknownOutcome is the error for a record of an outcome that this version doesn't know.
+// ErrUnknownOutcome is returned for a record whose outcome this version doesn't know.
 var ErrUnknownOutcome = errors.New("records: unknown outcome")
 
-// EncodeOutcome makes the record of a final state.
+// EncodeOutcome returns the record of a final state.
 func EncodeOutcome(s protocol.JobState, done int) json.RawMessage {
 	state := outcomeDone
 	if s == protocol.Cancelled {
@@ -37,8 +37,8 @@
 	return Encode(Outcome{State: state, Done: done})
 }
 
-// DecodeOutcome reads a final state and the number of tasks done. It returns
-// ErrUnknownOutcome, or an error of the JSON library's.
+// DecodeOutcome decodes a final state and the number of completed tasks. The error is
+// ErrUnknownOutcome or comes from the JSON decoder.
 func DecodeOutcome(raw json.RawMessage) (s protocol.JobState, done int, err error) {
 	var o Outcome
 	if err := protocol.Decode(raw, &o); err != nil {
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// Keys of the election of a leader, under one prefix so that one watch tells of them all.
+// Keys of the leader election. They share a prefix so that one watch covers them all.
 const (
 	PrefixElection   = "e/"
 	KeyLeader        = "e/leader" // bound to the leader's lease
 	KeyTerm          = "e/term"
 	KeyPreferredZone = "e/prefer"
-	KeySharded       = "e/sharded" // there while machines are divided into shards
+	KeySharded       = "e/sharded" // exists while machines are divided into shards
 )
 
-// Prefixes of what is kept of jobs and may be changed by any controller. All of it lies under
-// PrefixJobs, so that one watch tells the leader of submissions and of cancellations.
+// Prefixes of the job records that any controller may write. They all begin with PrefixJobs,
+// so that one watch informs the leader of submissions and cancellations.
 const (
 	PrefixJobs    = "b/"
 	PrefixActive  = "b/q/"
 	PrefixOutcome = "b/f/"
 )
 
-// Keys and prefixes of what the leader alone writes.
+// Keys and prefixes of the records that only the leader writes.
 const (
 	PrefixTaskBlocks    = "c/"
 	PrefixMachineGroups = "m/"
@@ -32,15 +32,15 @@
 	KeySurges           = "u/surges"
 )
 
-// Prefixes of what is kept of shards. All of it lies under PrefixShards, so that one watch
-// tells of owners and of members.
+// Prefixes of shard records. They all begin with PrefixShards, so that one watch covers owners
+// and members.
 const (
 	PrefixShards  = "s/"
 	PrefixOwners  = "s/o/"
 	PrefixMembers = "s/m/" // bound to the members' leases
 )
 
-// KeyOwner is where the record of who owns a shard lies.
+// KeyOwner returns the key of the record of a shard's owner.
 func KeyOwner(shard int) string { return fmt.Sprintf("%s%04d", PrefixOwners, shard) }
 
 // ParseOwnerKey is the inverse of KeyOwner.
@@ -53,18 +53,19 @@
 	return shard, err == nil && shard > 0
 }
 
-// KeyMember is where a controller that may own shards records itself, bound to its lease.
+// KeyMember returns the key under which a controller that may own shards registers. The key is
+// bound to the controller's lease.
 func KeyMember(controller string) string { return PrefixMembers + controller }
 
-// KeyActive is where an unfinished job's record lies.
+// KeyActive returns the key of an unfinished job's record.
 func KeyActive(job string) string { return PrefixActive + job }
 
-// KeyOutcome is where a job's final state lies. It is created once and never
-// overwritten (every write of it demands its absence), so whoever reads it may
-// tell the user: nothing can contradict it later.
+// KeyOutcome returns the key of a job's final state. The key is created once and never
+// overwritten (every write is conditional on its absence), so a controller that has read it
+// may tell the user: no later write can contradict it.
 func KeyOutcome(job string) string { return PrefixOutcome + job }
 
-// KeyTaskBlock is where the attempts of one run of a job's tasks lie.
+// KeyTaskBlock returns the key of the record of one block of a job's tasks.
 func KeyTaskBlock(job string, block int) string {
 	return fmt.Sprintf("%s%s/%05d", PrefixTaskBlocks, job, block)
 }
@@ -83,10 +84,10 @@
 	return job, block, err == nil && block >= 0
 }
 
-// KeyMachineGroup is where the record of some rented machines lies, by the term of the
-// leader that wrote it first and a counter of its own. Machines of a shard have it in the
-// key, so that no late write of the record changes it; 0 is none. Keys with a shard come
-// first in a list.
+// KeyMachineGroup returns the key of the record of a group of machines. It is made from the
+// term of the leader that created the group and a counter of that leader's. The shard of the
+// group's machines is part of the key, so that a delayed write of the record can't change it;
+// 0 is no shard. Keys with a shard sort before those without.
 func KeyMachineGroup(shard int, term, counter uint64) string {
 	if shard == 0 {
 		return fmt.Sprintf("%st%d-%d", PrefixMachineGroups, term, counter)
@@ -94,7 +95,7 @@
 	return fmt.Sprintf("%ss%04d/t%d-%d", PrefixMachineGroups, shard, term, counter)
 }
 
-// ShardOfGroupKey is the shard that a key of machines names, 0 for none.
+// ShardOfGroupKey returns the shard that the key of a machine group names, or 0 for none.
 func ShardOfGroupKey(key string) int {
 	rest, _ := strings.CutPrefix(key, PrefixMachineGroups+"s")
 	number, _, ok := strings.Cut(rest, "/")
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -1,18 +1,21 @@
 package records
 
-// MachineGroup is the record of some machines of one kind that were provisioned.
+// MachineGroup is the record of a group of provisioned machines of the same type, zone and
+// purchase option (spot or on demand).
 type MachineGroup struct {
 	Type     string         `json:"type"`
 	Zone     string         `json:"zone"`
 	Spot     bool           `json:"spot,omitempty"`
 	Machines []MachineEntry `json:"m"`
 
-	// LegacyRentedAt is when the machine was provisioned, in Unix milliseconds, of a record from
-	// before machines shared them. Such a record's key ends with the name of its machine.
+	// LegacyRentedAt is set in records that were written when each machine had its own: when
+	// the machine was provisioned, in Unix milliseconds. The key of such a record ends with the
+	// machine's name.
 	LegacyRentedAt int64 `json:"at,omitempty"`
 }
 
-// Bounds of a group: bytes beside its machines, and bytes of one with a long name at the most.
+// Size limits of a group: the bytes of its record besides the machines, and the most bytes that
+// one machine with a long name takes.
 const (
 	groupOverheadBytes = 256
 	bytesPerMachine    = 104
@@ -21,7 +24,7 @@
 	maxMachinesPerGroup = 50
 )
 
-// MachinesPerGroup is how many machines fit a value of the state service.
+// MachinesPerGroup returns how many machines fit into a value of the state service.
 func MachinesPerGroup(valueBytes int) int {
 	return max(minMachinesPerGroup, min(maxMachinesPerGroup, (valueBytes-groupOverheadBytes)/bytesPerMachine))
 }
@@ -30,5 +33,5 @@
 type MachineEntry struct {
 	Name     string `json:"n"`
 	RentedAt int64  `json:"at"`          // when it was provisioned, in Unix milliseconds
-	Addr     string `json:"a,omitempty"` // of its worker, once it is known
+	Addr     string `json:"a,omitempty"` // address of its worker, once it is known
 }
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -10,8 +10,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// A full block of live tasks stays within a value of the state service, with
-// long machine names and high attempt numbers.
+// A full block of live tasks fits into a value of the state service, even with long machine
+// names and high attempt numbers.
 func TestTaskBlockFitsValue(t *testing.T) {
 	for _, valueBytes := range []int{1 << 10, 4 << 10, 8 << 10, 64 << 10} {
 		size := TasksPerBlock(valueBytes)
@@ -25,7 +25,7 @@
 	}
 }
 
-// So does a record of machines.
+// A full group of machines with long names fits into a value of the state service.
 func TestMachineGroupFitsValue(t *testing.T) {
 	for _, valueBytes := range []int{1 << 10, 4 << 10, 8 << 10, 64 << 10} {
 		r := MachineGroup{Type: strings.Repeat("t", 40), Zone: strings.Repeat("z", 40), Spot: true}
@@ -56,7 +56,7 @@
 	}
 }
 
-// Records are read by another JSON library than the one that writes them.
+// Records are decoded by a different JSON library than the one that encodes them.
 func TestRecordsAreReadAsWritten(t *testing.T) {
 	job := &protocol.Job{ID: "run-000001", Class: "c", Team: "red", Kind: protocol.Gang, Priority: protocol.Urgent, Tasks: 9, CPUs: 1.5, GPUs: 0.25,
 		MemoryGB: 3, Image: "i\u00e9\n", ImageGB: 1e-7, MachineTypes: []string{"a", "b"}, Zone: "z", OneZone: true, Spread: true, AllowSpot: true,
--- a/internal/records/surges.go
+++ b/internal/records/surges.go
@@ -1,10 +1,10 @@
 package records
 
-// Surge is the record of a team's surge that is under way.
+// Surge is the record of a team's surge that is in progress.
 type Surge struct {
-	Number uint64  `json:"n"`     // never used again for the team
-	Level  float64 `json:"level"` // CPUs that it usually wants
+	Number uint64  `json:"n"`     // never reused for the team
+	Level  float64 `json:"level"` // the team's usual demand in CPUs
 }
 
-// Surges are the surges under way, by team.
+// Surges holds the surges in progress, by team.
 type Surges map[string]Surge
--- a/internal/records/task_blocks.go
+++ b/internal/records/task_blocks.go
@@ -2,40 +2,40 @@
 
 import "encoding/base64"
 
-// TaskEntry is what a block keeps of a task that was started and isn't done.
+// TaskEntry is a block's entry for a task that was started and isn't done.
 type TaskEntry struct {
 	Offset  int    `json:"i"`           // within the block
-	Attempt uint64 `json:"a"`           // the latest number; never used again
-	Machine string `json:"m,omitempty"` // where the attempt may be live
+	Attempt uint64 `json:"a"`           // number of the latest attempt; never reused
+	Machine string `json:"m,omitempty"` // on which the attempt may be live
 }
 
-// TaskBlock is the record of a run of consecutive tasks of a job. A task in neither list was
-// never started.
+// TaskBlock is the record of a block of consecutive tasks of a job. A task in neither Done nor
+// Tasks was never started.
 type TaskBlock struct {
-	Done  string      `json:"d,omitempty"` // bit set, base64
+	Done  string      `json:"d,omitempty"` // completed tasks, as a base64 bit set
 	Tasks []TaskEntry `json:"t,omitempty"`
-	// Migrated are the tasks that were migrated in a surge of their team: bit set, base64.
+	// Migrated are the tasks that were migrated in a surge of their team, as a base64 bit set.
 	Migrated string `json:"m,omitempty"`
-	Surge    uint64 `json:"s,omitempty"` // that surge
+	Surge    uint64 `json:"s,omitempty"` // number of that surge
 }
 
-// SetDone packs the done tasks.
+// SetDone records which tasks are done.
 func (b *TaskBlock) SetDone(done []bool) { b.Done = packBits(done) }
 
-// DoneTasks unpacks the done tasks of a block of n.
+// DoneTasks returns which tasks of a block of n tasks are done.
 func (b *TaskBlock) DoneTasks(n int) ([]bool, error) { return unpackBits(b.Done, n) }
 
-// SetMigrated packs the tasks that were moved in a surge.
-func (b *TaskBlock) SetMigrated(surge uint64, moved []bool) {
-	if b.Migrated = packBits(moved); b.Migrated != "" {
+// SetMigrated records which tasks were migrated in a surge.
+func (b *TaskBlock) SetMigrated(surge uint64, migrated []bool) {
+	if b.Migrated = packBits(migrated); b.Migrated != "" {
 		b.Surge = surge
 	}
 }
 
-// MigratedTasks unpacks the moved tasks of a block of n.
+// MigratedTasks returns which tasks of a block of n tasks were migrated.
 func (b *TaskBlock) MigratedTasks(n int) ([]bool, error) { return unpackBits(b.Migrated, n) }
 
-// packBits makes a bit set, empty when none is set.
+// packBits encodes a bit set in base64, or as the empty string if no bit is set.
 func packBits(set []bool) string {
 	empty := true
 	bits := make([]byte, (len(set)+7)/8)
@@ -51,7 +51,7 @@
 	return base64.RawStdEncoding.EncodeToString(bits)
 }
 
-// unpackBits is the inverse of packBits for a set of n.
+// unpackBits decodes a bit set of n bits that packBits encoded.
 func unpackBits(packed string, n int) ([]bool, error) {
 	set := make([]bool, n)
 	bits, err := base64.RawStdEncoding.DecodeString(packed)
@@ -64,8 +64,8 @@
 	return set, nil
 }
 
-// Bounds of a block: bytes beside its tasks, and bytes of one with a long machine name and a
-// high attempt number at the most.
+// Size limits of a block: the bytes of its record besides the tasks, and the most bytes that one
+// task with a long machine name and a high attempt number takes.
 const (
 	blockOverheadBytes = 512
 	bytesPerTask       = 72
@@ -74,7 +74,7 @@
 	maxTasksPerBlock = 96
 )
 
-// TasksPerBlock is how many tasks fit a value of the state service.
+// TasksPerBlock returns how many tasks fit into a value of the state service.
 func TasksPerBlock(valueBytes int) int {
 	return max(minTasksPerBlock, min(maxTasksPerBlock, (valueBytes-blockOverheadBytes)/bytesPerTask))
 }
