--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -9,29 +9,29 @@
 	"brasskeel/internal/records"
 )
 
-// maxConcurrentOutcomeChecks is how many checks of outcomes are under way at a time.
+// maxConcurrentOutcomeChecks is how many checks of outcomes are in flight at a time.
 const maxConcurrentOutcomeChecks = 4
 
-// loadJobs reads the unfinished jobs and which of them are over, and gives the revision
-// from which a watch of jobs misses nothing. Outcomes are kept for ever, so they aren't
-// listed: a long-lived deployment has a hundred times more of them than jobs. Those of
-// the jobs whose records are still there are asked for one by one; a job without a
-// record has no attempt left.
+// loadJobs reads the records of active jobs and the outcomes of those that have one, and passes
+// done the revision from which a watch of jobs misses no change. Outcomes are kept forever, so
+// they aren't listed: a long-running deployment has a hundred times more outcomes than active
+// jobs. Only the outcomes of jobs whose records still exist are looked up, key by key; a job
+// without a record has no live attempts.
 func (s *workerSessions) loadJobs(done func(revision uint64)) {
 	s.controller.store.List(records.PrefixActive, s.alive, func(list statestore.ListResult) {
 		for _, it := range list.Items {
 			s.applyJobRecord(it.Key, it.Value, false)
 		}
 		s.checkOutcomes(s.unfinishedJobs(), func() {
-			// Every outcome written before the list was asked for is known by now.
-			s.noteJobsKnown(list.AskedAt)
+			// Every outcome that was written before the list was requested is known now.
+			s.noteJobsKnown(list.RequestedAt)
 			s.controller.resumeDeferred()
 			done(list.Revision)
 		})
 	})
 }
 
-// unfinishedJobs are the jobs that aren't known to be over, in order.
+// unfinishedJobs returns the sorted IDs of the jobs without a known outcome.
 func (s *workerSessions) unfinishedJobs() []string {
 	var ids []string
 	for id, j := range s.jobs {
@@ -43,11 +43,11 @@
 	return ids
 }
 
-// checkOutcomes learns which of the jobs are over.
+// checkOutcomes finds out which of the jobs have an outcome, and applies those outcomes.
 func (s *workerSessions) checkOutcomes(ids []string, done func()) {
 	batches := slices.Collect(slices.Chunk(ids, s.controller.maxConditions()))
-	left := len(batches)
-	if left == 0 {
+	remaining := len(batches)
+	if remaining == 0 {
 		done()
 		return
 	}
@@ -60,7 +60,7 @@
 		batch := batches[next]
 		next++
 		s.checkOutcomeBatch(batch, func() {
-			if left--; left == 0 {
+			if remaining--; remaining == 0 {
 				done()
 				return
 			}
@@ -72,8 +72,8 @@
 	}
 }
 
-// checkOutcomeBatch compares outcomes with none in one transaction, as often as it takes, and
-// reads those that are there.
+// checkOutcomeBatch checks, in a transaction that is retried until answered, that the jobs have no
+// outcomes, and reads the outcomes that exist.
 func (s *workerSessions) checkOutcomeBatch(ids []string, done func()) {
 	t := &protocol.Txn{}
 	for _, id := range ids {
@@ -92,24 +92,24 @@
 	})
 }
 
-// readOutcomes takes the records under some keys, however often it must ask.
+// readOutcomes reads the outcomes under the given keys, with retries, and applies them.
 func (s *workerSessions) readOutcomes(keys []string, done func()) {
-	left := len(keys)
+	remaining := len(keys)
 	for _, key := range keys {
 		s.controller.store.GetWithRetry(key, s.alive, func(r statestore.ReadResult) {
 			if r.Status == statestore.Found {
 				s.applyJobRecord(r.Item.Key, r.Item.Value, false)
 			}
-			if left--; left == 0 {
+			if remaining--; remaining == 0 {
 				done()
 			}
 		})
 	}
 }
 
-// watchJobs learns of submissions and of outcomes from a revision on.
+// watchJobs watches for submissions and outcomes after a revision.
 func (s *workerSessions) watchJobs(after uint64) {
-	asked := s.controller.now
+	requestedAt := s.controller.now
 	store := s.controller.store
 	store.Watch(records.PrefixJobs, after, s.controller.jobsWatchWait(), func(r statestore.WatchResult) {
 		if !s.alive() {
@@ -120,7 +120,7 @@
 			for _, ev := range r.Events {
 				s.applyJobEvent(ev)
 			}
-			s.noteJobsKnown(asked)
+			s.noteJobsKnown(requestedAt)
 			s.watchJobs(max(after, r.Revision))
 		case statestore.WatchCompacted:
 			s.loadJobs(s.watchJobs)
@@ -130,7 +130,7 @@
 	})
 }
 
-// applyJobEvent takes a change under PrefixJobs.
+// applyJobEvent applies a change of a key under PrefixJobs.
 func (s *workerSessions) applyJobEvent(ev protocol.Event) {
 	if !ev.Deleted {
 		s.applyJobRecord(ev.Key, ev.Value, true)
@@ -141,8 +141,8 @@
 	}
 }
 
-// applyJobRecord takes a record under PrefixJobs; justWritten tells one that a watch brought from those
-// that were there before.
+// applyJobRecord applies a record under PrefixJobs. justWritten says that a watch delivered it, so
+// that it is new; otherwise it existed before.
 func (s *workerSessions) applyJobRecord(key string, value json.RawMessage, justWritten bool) {
 	if id, ok := cutPrefix(key, records.PrefixActive); ok {
 		s.listener.jobRecorded(id, value, justWritten)
@@ -157,13 +157,13 @@
 		s.controller.log.Error("job outcome unreadable", "job", id, "error", err)
 		return
 	}
-	s.controller.admission.cacheOutcome(id, outcome, done) // who wrote it told the peers
+	s.controller.admission.cacheOutcome(id, outcome, done) // its writer announces it to the peers
 	if j := s.jobs[id]; j != nil {
 		s.listener.jobEnded(j, outcome)
 	}
 }
 
-// cutPrefix returns what follows a prefix, and whether s has the prefix and something after it.
+// cutPrefix returns what follows prefix in s, and whether s begins with prefix and is longer.
 func cutPrefix(s, prefix string) (string, bool) {
 	if len(s) > len(prefix) && s[:len(prefix)] == prefix {
 		return s[len(prefix):], true
--- a/internal/coordination/statestore/client.go
+++ b/internal/coordination/statestore/client.go
@@ -7,22 +7,22 @@
 	"brasskeel/internal/protocol"
 )
 
-// requestTimeout is how long the state service has to answer: now and then it takes some
-// hundred milliseconds.
+// requestTimeout is the time limit for most requests. The state service occasionally takes
+// several hundred milliseconds to answer.
 const requestTimeout = 1500 * time.Millisecond
 
-// Pauses before a read, or a page of a list, is asked for again: a fixed part and a random one,
-// so that controllers don't ask all at once after an outage.
+// Delays before a read, or the read of one page of a list, is retried: a fixed part and a random
+// part, so that controllers don't all retry at the same moment after an outage.
 const (
 	readRetryDelay  = 200 * time.Millisecond
 	listRetryDelay  = 250 * time.Millisecond
 	readRetryJitter = 100 * time.Millisecond
 )
 
-// pageSize is how many keys one page of a list holds at the most.
+// pageSize is the maximum number of keys in one page of a list.
 const pageSize = 500
 
-// watchTimeoutMargin is how long past its end a watch may take to be answered.
+// watchTimeoutMargin is how long after the end of its wait a watch may still be answered.
 const watchTimeoutMargin = 4 * time.Second
 
 // Request is a request to the state service.
@@ -33,8 +33,8 @@
 	Timeout time.Duration
 }
 
-// Response is what came of a request. Without an answer the request may have been carried
-// out, or may be later, unless NotSent says that it never left.
+// Response is the result of a request. If it wasn't answered, the request may have been carried
+// out, or may be carried out later, unless NotSent is set.
 type Response struct {
 	Status   int
 	Body     []byte
@@ -45,22 +45,21 @@
 // ok reports whether the service answered with 200.
 func (r *Response) ok() bool { return r.Answered && r.Status == 200 }
 
-// Timer is a timer of the host's.
+// Timer is a timer that the host has set.
 type Timer interface {
-	// Stop keeps the timer from firing.
+	// Stop prevents the timer from firing.
 	Stop()
 }
 
-// Host is what a client needs of the process it runs in.
+// Host is what a client needs from the process it runs in.
 type Host interface {
-	// Now is the time of the current step.
+	// Now returns the time of the current step.
 	Now() time.Time
 	// After runs f once d has passed.
 	After(d time.Duration, f func()) Timer
-	// Jitter is a random duration below d.
+	// Jitter returns a random duration below d.
 	Jitter(d time.Duration) time.Duration
-	// Send carries a request out and calls done with what came of it, never before it
-	// returns.
+	// Send sends a request and calls done with its result, never before Send has returned.
 	Send(r Request, done func(Response))
 }
 
@@ -72,33 +71,34 @@
 	health   health
 }
 
-// NewClient returns a client that probes an ailing service by reading probeKey.
+// NewClient returns a client that probes a failing service by reading probeKey.
 func NewClient(host Host, log *slog.Logger, probeKey string) *Client {
 	return &Client{host: host, log: log, probeKey: probeKey}
 }
 
-// send sends a request. done is to begin with observe.
+// send sends a request. done must first call observe, unless the response says nothing about
+// the service's health.
 func (c *Client) send(method, target string, body []byte, timeout time.Duration, done func(Response)) {
 	c.host.Send(Request{method, target, body, timeout}, done)
 }
 
-// ReadStatus tells what is known after a read.
+// ReadStatus is the status of a read.
 type ReadStatus uint8
 
-// Outcomes of reads.
+// Statuses of reads.
 const (
-	ReadUnknown ReadStatus = iota // no answer, a refusal, or an answer that makes no sense
+	ReadUnknown ReadStatus = iota // no answer, a refusal, or an invalid answer
 	Absent                        // there is no such key
 	Found
 )
 
-// ReadResult is what came of reading a key.
+// ReadResult is the result of reading a key.
 type ReadResult struct {
 	Status ReadStatus
-	Item   protocol.KeyValue // when it was found
+	Item   protocol.KeyValue // set if Status is Found
 }
 
-// Get reads one key, once.
+// Get reads one key, without retries.
 func (c *Client) Get(key string, done func(ReadResult)) {
 	c.send("GET", protocol.KeyTarget(key), nil, requestTimeout, func(r Response) {
 		c.observe(r)
@@ -118,8 +118,8 @@
 	})
 }
 
-// GetWithRetry reads one key as often as it takes to know it. It gives up, without calling
-// done, as soon as alive says so.
+// GetWithRetry reads one key and retries until the result is known. It gives up, without calling
+// done, once alive returns false.
 func (c *Client) GetWithRetry(key string, alive func() bool, done func(ReadResult)) {
 	c.Get(key, func(r ReadResult) {
 		switch {
@@ -132,7 +132,7 @@
 	})
 }
 
-// RetryRead runs f after the pause between attempts at a read, if alive still says so.
+// RetryRead runs f after the retry delay of reads, if alive still returns true then.
 func (c *Client) RetryRead(alive func() bool, f func()) {
 	c.host.After(readRetryDelay+c.host.Jitter(readRetryJitter), func() {
 		if alive() {
@@ -141,23 +141,23 @@
 	})
 }
 
-// ListResult is all keys with a prefix.
+// ListResult holds all keys with a prefix.
 type ListResult struct {
 	Items []protocol.KeyValue
-	// Revision is that of the first page: a watch from it misses nothing.
+	// Revision is the revision of the first page. A watch from it misses no change.
 	Revision uint64
-	// AskedAt is when the first page was asked for: all that was written before is listed.
-	AskedAt time.Time
+	// RequestedAt is when the first page was requested. Everything written before is listed.
+	RequestedAt time.Time
 }
 
-// List reads all keys with a prefix, page by page, and asks for each page until it has it.
-// It gives up, without calling done, as soon as alive says so.
+// List reads all keys with a prefix, page by page, and retries each page until it is read. It
+// gives up, without calling done, once alive returns false.
 func (c *Client) List(prefix string, alive func() bool, done func(ListResult)) {
 	l := &listing{client: c, prefix: prefix, alive: alive, done: done}
 	l.requestPage("")
 }
 
-// listing is a list that is being read.
+// listing is a list in progress.
 type listing struct {
 	client *Client
 	prefix string
@@ -166,10 +166,10 @@
 	result ListResult
 }
 
-// requestPage asks for the page of keys after one.
+// requestPage requests the page of the keys that follow after.
 func (l *listing) requestPage(after string) {
 	if l.result.Revision == 0 {
-		l.result.AskedAt = l.client.host.Now()
+		l.result.RequestedAt = l.client.host.Now()
 	}
 	l.client.send("GET", protocol.RangeTarget(l.prefix, after, pageSize), nil, 2*requestTimeout, func(r Response) {
 		l.client.observe(r)
@@ -179,8 +179,8 @@
 	})
 }
 
-// addPage adds a page and goes on to the next, or ends the list. It returns false where there
-// is no page that makes sense.
+// addPage adds a page and requests the next one, or completes the list. It returns false if the
+// response holds no valid page.
 func (l *listing) addPage(r Response) bool {
 	if !r.ok() {
 		return false
@@ -210,28 +210,29 @@
 	})
 }
 
-// WatchStatus tells what is known after a watch ended.
+// WatchStatus is the status of a watch that has ended.
 type WatchStatus uint8
 
-// Outcomes of watches.
+// Statuses of watches.
 const (
-	WatchUnknown   WatchStatus = iota // no answer, a refusal, or an answer that makes no sense
-	WatchEvents                       // all changes up to the revision are told
-	WatchCompacted                    // the service no longer has all of them: the keys must be read again
+	WatchUnknown   WatchStatus = iota // no answer, a refusal, or an invalid answer
+	WatchEvents                       // all changes up to the revision were delivered
+	WatchCompacted                    // the service no longer has all of the changes: the keys must be read again
 )
 
-// WatchResult is what came of a watch.
+// WatchResult is the result of a watch.
 type WatchResult struct {
 	Status   WatchStatus
 	Events   []protocol.Event
 	Revision uint64
 }
 
-// Watch waits for changes of keys with a prefix after a revision, for as long as wait.
+// Watch waits for changes that were made after a revision to keys with a prefix, for at most
+// wait.
 func (c *Client) Watch(prefix string, after uint64, wait time.Duration, done func(WatchResult)) {
 	target := protocol.WatchTarget(prefix, after, wait)
 	c.send("GET", target, nil, wait+watchTimeoutMargin, func(r Response) {
-		if r.Answered { // else nothing may have changed, which says nothing of the service
+		if r.Answered { // without an answer there may just have been no change, which doesn't count as a failure
 			c.observe(r)
 		}
 		done(watchResult(r))
@@ -250,26 +251,26 @@
 	return WatchResult{}
 }
 
-// CommitStatus tells what became of a transaction.
+// CommitStatus is the status of a transaction.
 type CommitStatus uint8
 
-// Outcomes of transactions.
+// Statuses of transactions.
 const (
-	CommitUnknown      CommitStatus = iota // it may have been applied, or may yet be
-	CommitApplied                          // all of it was done
-	CommitConflict                         // a condition didn't hold; nothing was done
-	CommitRefused                          // it wasn't executed, and may be sent again
-	CommitLeaseExpired                     // it names a lease that has ended; nothing was done
+	CommitUnknown      CommitStatus = iota // it may have been applied, or may be applied later
+	CommitApplied                          // all of its operations were executed
+	CommitConflict                         // a condition didn't hold; nothing was written
+	CommitRefused                          // it wasn't executed and never will be; it may be sent again
+	CommitLeaseExpired                     // it refers to a lease that has ended; nothing was written
 )
 
-// CommitResult is what became of a transaction.
+// CommitResult is the result of a transaction.
 type CommitResult struct {
 	Status   CommitStatus
-	Revision uint64   // of its writes, when it was applied
-	Failed   []string // keys whose condition didn't hold, on a conflict
+	Revision uint64   // of its writes, if it was applied
+	Failed   []string // on a conflict, the keys whose conditions didn't hold
 }
 
-// Commit sends a transaction, once.
+// Commit sends a transaction, without retries.
 func (c *Client) Commit(t *protocol.Txn, done func(CommitResult)) {
 	c.send("POST", protocol.PathTransactions, protocol.EncodeTxn(t), requestTimeout, func(r Response) {
 		c.observe(r)
@@ -299,6 +300,6 @@
 	return CommitResult{}
 }
 
-// MaxConditions is how many keys one transaction compares at the most, where it may hold
-// maxOps writes: what the state service takes, and what a request's body holds.
+// MaxConditions returns how many conditions one transaction may have if it may hold maxOps
+// writes: the smaller of what the state service accepts and what fits into a request's body.
 func MaxConditions(maxOps int) int { return min(4*maxOps, protocol.MaxConditions) }
--- a/internal/coordination/statestore/client_test.go
+++ b/internal/coordination/statestore/client_test.go
@@ -18,9 +18,9 @@
 	}{
 		{name: "found", response: answered(200, found), status: Found, version: 7},
 		{name: "absent", response: answered(404, nil), status: Absent},
-		{name: "no sense", response: answered(200, []byte(`{}`))},
+		{name: "invalid answer", response: answered(200, []byte(`{}`))},
 		{name: "refused", response: answered(503, nil)},
-		{name: "too much asked", response: answered(429, nil)},
+		{name: "rate limited", response: answered(429, nil)},
 		{name: "no answer", response: Response{}},
 		{name: "not sent", response: Response{NotSent: true}},
 	} {
@@ -36,9 +36,9 @@
 	}
 }
 
-// A read that must succeed is repeated after a pause until it does, and no longer than
-// somebody waits for it.
-func TestGetUntilKnown(t *testing.T) {
+// A read that must succeed is retried after a delay until its result is known, and no longer
+// than its caller is alive.
+func TestGetWithRetry(t *testing.T) {
 	h, c := newTestClient()
 	alive, results := true, 0
 	c.GetWithRetry("a", func() bool { return alive }, func(ReadResult) { results++ })
@@ -62,27 +62,27 @@
 	}
 }
 
-// A list goes on after each page, asks again for one that it didn't get, and holds the
-// revision of its first page and the time when that was asked for.
+// A list continues after each page, retries a page that failed, and reports the revision of its
+// first page and the time when that page was requested.
 func TestList(t *testing.T) {
 	h, c := newTestClient()
 	var got []ListResult
 	c.List("c/", always, func(r ListResult) { got = append(got, r) })
 	h.answer(t, Response{})
 	h.run(time.Second, func() {})
-	asked := h.now.Add(-time.Second + 300*time.Millisecond) // after the pause
+	requested := h.now.Add(-time.Second + 300*time.Millisecond) // after the retry delay
 	h.sent = slices.DeleteFunc(h.sent, func(r sentRequest) bool { return r.Target == protocol.KeyTarget("probe") })
 	h.answer(t, answered(200, protocol.EncodeRange([]protocol.KeyValue{item("c/1", 3)}, true, 9)))
 	second := h.answer(t, answered(200, protocol.EncodeRange([]protocol.KeyValue{item("c/2", 4)}, false, 12)))
 	if second.Target != protocol.RangeTarget("c/", "c/1", pageSize) {
-		t.Errorf("the second page is %s", second.Target)
+		t.Errorf("the second page is requested as %s", second.Target)
 	}
-	if len(got) != 1 || len(got[0].Items) != 2 || got[0].Revision != 9 || !got[0].AskedAt.Equal(asked) {
-		t.Errorf("got %+v, asked at %s", got, asked)
+	if len(got) != 1 || len(got[0].Items) != 2 || got[0].Revision != 9 || !got[0].RequestedAt.Equal(requested) {
+		t.Errorf("got %+v, requested at %s", got, requested)
 	}
 }
 
-// A page that says there is more and holds nothing would be asked for for ever.
+// An empty page that announces more pages would be requested forever.
 func TestListRefusesEmptyPageWithMore(t *testing.T) {
 	h, c := newTestClient()
 	c.List("c/", always, func(ListResult) { t.Error("listed") })
@@ -101,8 +101,8 @@
 	}{
 		{name: "changes", response: answered(200, protocol.EncodeEvents([]protocol.Event{{Key: "c/1", Deleted: true, Version: 12}}, 12)), status: WatchEvents, revision: 12},
 		{name: "none", response: answered(200, protocol.EncodeEvents(nil, 9)), status: WatchEvents, revision: 9},
-		{name: "too old", response: answered(410, nil), status: WatchCompacted},
-		{name: "no sense", response: answered(200, []byte(`{}`))},
+		{name: "revision compacted", response: answered(410, nil), status: WatchCompacted},
+		{name: "invalid answer", response: answered(200, []byte(`{}`))},
 		{name: "refused", response: answered(503, nil)},
 		{name: "no answer", response: Response{}},
 	} {
@@ -118,7 +118,7 @@
 	}
 }
 
-// An answer that doesn't come says nothing of a transaction, nor does one that makes no sense.
+// A missing or invalid answer says nothing about whether a transaction was applied.
 func TestCommit(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -126,11 +126,11 @@
 		want     CommitResult
 	}{
 		{name: "applied", response: answered(200, protocol.EncodeRevision(7)), want: CommitResult{Status: CommitApplied, Revision: 7}},
-		{name: "applied, no sense", response: answered(200, []byte(`{}`))},
+		{name: "applied, invalid answer", response: answered(200, []byte(`{}`))},
 		{name: "conflict", response: answered(409, protocol.EncodeFailedConditions([]string{"a"}, 9)), want: CommitResult{Status: CommitConflict, Failed: []string{"a"}}},
-		{name: "conflict on nothing", response: answered(409, protocol.EncodeFailedConditions(nil, 9))},
+		{name: "conflict without keys", response: answered(409, protocol.EncodeFailedConditions(nil, 9))},
 		{name: "refused", response: answered(503, nil), want: CommitResult{Status: CommitRefused}},
-		{name: "too much asked", response: answered(429, nil), want: CommitResult{Status: CommitRefused}},
+		{name: "rate limited", response: answered(429, nil), want: CommitResult{Status: CommitRefused}},
 		{name: "lease ended", response: answered(400, nil), want: CommitResult{Status: CommitLeaseExpired}},
 		{name: "fault", response: answered(500, nil)},
 		{name: "no answer", response: Response{}},
@@ -185,7 +185,7 @@
 	}
 }
 
-// What single responses tell of the service, as seen 1.3 s later.
+// How a single response affects the service's health, as seen 1.3 s later.
 func TestHealth(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -194,13 +194,13 @@
 		unavailable bool
 	}{
 		{name: "answers", response: answered(200, nil)},
-		{name: "says no", response: answered(404, nil)},
-		{name: "asked too much", response: answered(429, nil)},
+		{name: "not found", response: answered(404, nil)},
+		{name: "rate limited", response: answered(429, nil)},
 		{name: "refuses", response: answered(503, nil), unavailable: true},
-		{name: "has a fault", response: answered(500, nil), unavailable: true},
-		{name: "doesn't answer", response: Response{}, unavailable: true},
-		{name: "a watch is cut", response: Response{}, watch: true},
-		{name: "a watch is refused", response: answered(503, nil), watch: true, unavailable: true},
+		{name: "server error", response: answered(500, nil), unavailable: true},
+		{name: "no answer", response: Response{}, unavailable: true},
+		{name: "watch without an answer", response: Response{}, watch: true},
+		{name: "watch refused", response: answered(503, nil), watch: true, unavailable: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, c := newTestClient()
@@ -221,7 +221,7 @@
 	}
 }
 
-// A service that fails is asked again and again until it answers, and no more then.
+// A failing service is probed until it answers, and not after that.
 func TestProbesUntilRecovered(t *testing.T) {
 	h, c := newTestClient()
 	c.Get("a", func(ReadResult) {})
@@ -229,7 +229,7 @@
 	for range 5 {
 		h.run(300*time.Millisecond, func() {})
 		if r := h.answer(t, Response{}); r.Target != protocol.KeyTarget("probe") {
-			t.Fatalf("asked for %s", r.Target)
+			t.Fatalf("read %s instead of the probe key", r.Target)
 		}
 	}
 	if !c.Unavailable() {
@@ -243,7 +243,7 @@
 	}
 }
 
-// Without answers for a while the service is asked once more; while it fails it is anyway.
+// A service that has been silent is probed once; while it fails, other probes are already sent.
 func TestProbeIfSilent(t *testing.T) {
 	h, c := newTestClient()
 	c.ProbeIfSilent()
--- a/internal/coordination/statestore/committer.go
+++ b/internal/coordination/statestore/committer.go
@@ -9,17 +9,17 @@
 	"brasskeel/internal/ratelimit"
 )
 
-// maxTransactionBytes bounds what one transaction holds, well below what a request's body
-// may have.
+// maxTransactionBytes limits the size of a transaction, well below the limit on the size of a
+// request's body.
 const maxTransactionBytes = 48 << 10
 
-// Bytes of a condition and of an operation beside keys and values, at the most.
+// Maximum encoded size of a condition and of an operation, without keys and values.
 const (
 	conditionBytes = 50
 	opBytes        = 60
 )
 
-// The pause after a transaction that was refused: a fixed part and a random one.
+// Delay after a refused transaction: a fixed part and a random part.
 const (
 	refusedDelay  = 150 * time.Millisecond
 	refusedJitter = 100 * time.Millisecond
@@ -28,26 +28,27 @@
 // minWakeDelay is the shortest time for which a committer sets a timer.
 const minWakeDelay = time.Millisecond
 
-// Shares of what the state service writes a second that a committer uses, and of it at once:
-// the rest is for what users submit and cancel.
+// Shares of the state service's write rate per second that a committer uses continuously, and in
+// a burst. The rest is left for users' submissions and cancellations.
 const (
 	rateShare  = 0.75
 	burstShare = 0.6
 )
 
-// Transaction is a transaction that is being filled.
+// Transaction is a transaction under construction.
 type Transaction struct {
 	txn    protocol.Txn
 	bytes  int
 	maxOps int
 }
 
-// HasRoom reports whether the transaction takes another operation.
+// HasRoom reports whether another operation may be added.
 func (t *Transaction) HasRoom() bool {
 	return len(t.txn.Ops) < t.maxOps && t.bytes < maxTransactionBytes
 }
 
-// Require makes the transaction conditional on a key's version, 0 for no such key.
+// Require makes the transaction conditional on a key's version. Version 0 means that the key
+// doesn't exist. Only the first condition on a key counts.
 func (t *Transaction) Require(key string, version uint64) {
 	for i := range t.txn.Conditions {
 		if t.txn.Conditions[i].Key == key {
@@ -71,55 +72,56 @@
 	t.bytes += len(op.Put) + len(op.Delete) + len(op.Value) + opBytes
 }
 
-// reset empties the transaction and keeps its memory.
+// reset empties the transaction and keeps its allocated memory.
 func (t *Transaction) reset(maxOps int) {
 	clear(t.txn.Ops) // values may be large
 	t.txn.Conditions, t.txn.Ops = t.txn.Conditions[:0], t.txn.Ops[:0]
 	t.bytes, t.maxOps = 0, maxOps
 }
 
-// Source holds the records that are to be written.
+// Source supplies the records to be written.
 type Source interface {
-	// Alive reports whether there still is anything to write for.
+	// Alive reports whether the source still exists. After it has ended, nothing is written.
 	Alive() bool
-	// Pending is when something is next to be written.
+	// Pending returns whether and when there is something to write.
 	Pending() Pending
-	// Fill moves what is to be written next into a transaction, as far as it has room, and
-	// returns what that is. It isn't used where it adds no operation.
+	// Fill moves the next records into a transaction, as long as it has room, and returns them
+	// as a batch. The batch is discarded if Fill adds no operation.
 	Fill(t *Transaction) Batch
 }
 
-// Pending is what there is to write: something now, or only from a time on.
+// Pending says whether there is something to write, and how soon.
 type Pending struct {
 	Any   bool
-	Delay time.Duration // until then; 0 for now
+	Delay time.Duration // until it is due; 0 if it is due now
 }
 
-// Batch is what one transaction writes. Exactly one of its methods is called, once.
+// Batch is what one transaction writes. Exactly one of its methods is called, once, unless the
+// source has ended by then.
 type Batch interface {
-	// Applied: it was written, with this revision.
+	// Applied reports that the batch was written, at this revision.
 	Applied(revision uint64)
-	// Conflict: nothing was written, as the conditions on these keys don't hold.
+	// Conflict reports that nothing was written, because the conditions on these keys failed.
 	Conflict(failed []string)
-	// Refused: nothing was written nor ever will be.
+	// Refused reports that nothing was written or ever will be.
 	Refused()
-	// Unknown: it may have been written, or may yet be.
+	// Unknown reports that the batch may have been written, or may be written later.
 	Unknown()
 }
 
-// commitStage is what a committer is doing.
+// commitStage is the state of a committer.
 type commitStage uint8
 
 const (
 	committerIdle commitStage = iota
-	committing                // a transaction is under way
-	rereading                 // versions are being read before the next one
+	committing                // a transaction is in flight
+	rereading                 // versions are being read before the next transaction
 )
 
-// Committer writes a source's records with group commit: whatever became dirty while one
-// transaction was under way goes into the next. There is one at a time, so that they apply
-// in order, and each is conditional on a guard key's version, so that one that is applied
-// late, after the guard changed hands, fails.
+// Committer writes a source's records with group commit: records that become dirty while one
+// transaction is in flight go into the next. Only one transaction is in flight at a time, so
+// that they are applied in order. Each is conditional on a guard key's version, so that one that
+// is applied late, after the guard key has changed, fails.
 type Committer struct {
 	client *Client
 	log    *slog.Logger
@@ -130,31 +132,33 @@
 
 	stage       commitStage
 	pausedUntil time.Time
-	wakeTimer   Timer // nil without one
+	wakeTimer   Timer // nil if none is set
 	wakeAt      time.Time
 	transaction Transaction // reused
 }
 
 // NewCommitter returns a committer whose transactions are conditional on guard and hold at
-// most maxOps operations. The state service takes writesPerSecond operations of all its
-// clients together.
+// most maxOps operations. writesPerSecond is the number of operations that the state service
+// accepts from all of its clients together.
 func NewCommitter(client *Client, source Source, guard protocol.Condition, maxOps int, writesPerSecond float64) *Committer {
 	return &Committer{client: client, log: client.log, source: source, guard: guard, maxOps: maxOps,
 		budget: ratelimit.NewTokenBucket(writesPerSecond*rateShare, writesPerSecond*burstShare, client.host.Now())}
 }
 
-// Spend counts operations that others wrote, or that were written past the committer.
+// Spend charges operations to the write budget that others wrote or that bypassed the committer.
 func (c *Committer) Spend(ops int) { c.budget.Spend(c.client.host.Now(), float64(ops)) }
 
-// Available is how many operations may be written at once.
+// Available returns how many operations the write budget allows now. It is negative while the
+// budget is overdrawn.
 func (c *Committer) Available() float64 { return c.budget.Available(c.client.host.Now()) }
 
-// Pause sends nothing for a while.
+// Pause delays further transactions by d.
 func (c *Committer) Pause(d time.Duration) { c.pausedUntil = c.client.host.Now().Add(d) }
 
-// Flush sends the next transaction if there is something to write, none is under way, and
-// the budget allows. Otherwise it sets a timer for when it may: whoever runs the timers calls
-// Flush after each step.
+// Flush sends the next transaction if there is something to write, none is in flight, and the
+// write budget allows it. If it has to wait for the end of a pause, the due time of a record or
+// the budget, it sets a timer. The host must call Flush after each step, including those that
+// run timers.
 func (c *Committer) Flush() {
 	if c.stage != committerIdle || !c.source.Alive() {
 		return
@@ -195,7 +199,7 @@
 	})
 }
 
-// reportResult tells a batch what became of its transaction.
+// reportResult reports the result of a transaction to its batch.
 func (c *Committer) reportResult(batch Batch, ops int, r CommitResult) {
 	switch r.Status {
 	case CommitApplied:
@@ -211,26 +215,27 @@
 	}
 }
 
-// RereadVersions reads the versions of keys, however often it must ask, and sends no transaction
-// before all are known. done is told each key's place in the list, and its version, 0 without
-// such a key.
-func (c *Committer) RereadVersions(keys []string, done func(place int, version uint64)) {
+// RereadVersions reads the versions of keys, with retries, and holds transactions back until
+// all are known. done is called for each key with its index in keys and its version, which is 0
+// if there is no such key.
+func (c *Committer) RereadVersions(keys []string, done func(index int, version uint64)) {
 	if len(keys) == 0 {
 		return
 	}
 	c.stage = rereading
-	left := len(keys)
-	for place, key := range keys {
+	remaining := len(keys)
+	for index, key := range keys {
 		c.client.GetWithRetry(key, c.source.Alive, func(r ReadResult) {
-			if left--; left == 0 {
+			if remaining--; remaining == 0 {
 				c.stage = committerIdle
 			}
-			done(place, r.Item.Version) // 0 when it is absent
+			done(index, r.Item.Version) // 0 if the key is absent
 		})
 	}
 }
 
-// scheduleWake sets a timer, unless one is set that fires sooner. Its step ends with a Flush.
+// scheduleWake sets a timer, unless one is set that fires no later. The step that runs it ends
+// with a call of Flush.
 func (c *Committer) scheduleWake(d time.Duration) {
 	d = max(d, minWakeDelay)
 	at := c.client.host.Now().Add(d)
--- a/internal/coordination/statestore/committer_test.go
+++ b/internal/coordination/statestore/committer_test.go
@@ -9,17 +9,18 @@
 	"brasskeel/internal/protocol"
 )
 
-// guard is the condition of all transactions here.
+// guard is the condition on all transactions in these tests.
 var guard = protocol.Condition{Key: "guard", Version: 5}
 
-// newTestCommitter writes at most three keys at once and has ten a second.
+// newTestCommitter returns a committer with at most three operations per transaction and a
+// budget of ten operations per second.
 func newTestCommitter() (*fakeHost, *fakeSource, *Committer) {
 	h, c := newTestClient()
 	s := &fakeSource{}
 	return h, s, NewCommitter(c, s, guard, 3, 10/rateShare)
 }
 
-// sentTxn takes the transaction that was sent last, nil without one.
+// sentTxn returns the oldest unanswered transaction, or nil if there is none.
 func sentTxn(t *testing.T, h *fakeHost) *protocol.Txn {
 	t.Helper()
 	for _, r := range h.sent {
@@ -34,8 +35,8 @@
 	return nil
 }
 
-// What becomes of a transaction is told its batch, once, and when the next one may go out
-// depends on it.
+// The result of a transaction is reported to its batch, once, and decides whether the next
+// transaction is delayed.
 func TestTransactionResults(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -46,12 +47,12 @@
 		{name: "applied", response: answered(200, protocol.EncodeRevision(7)), history: "applied [a b] at 7"},
 		{name: "conflict", response: answered(409, protocol.EncodeFailedConditions([]string{"b"}, 9)), history: "conflict on [b]"},
 		{name: "refused", response: answered(503, nil), history: "refused [a b]", pause: true},
-		{name: "too much asked", response: answered(429, nil), history: "refused [a b]", pause: true},
+		{name: "rate limited", response: answered(429, nil), history: "refused [a b]", pause: true},
 		{name: "not sent", response: Response{NotSent: true}, history: "refused [a b]", pause: true},
 		{name: "no answer", response: Response{}, history: "unknown [a b]"},
 		{name: "fault", response: answered(500, nil), history: "unknown [a b]"},
-		{name: "no sense", response: answered(200, nil), history: "unknown [a b]"},
-		{name: "a lease that none names", response: answered(400, nil), history: "unknown [a b]"},
+		{name: "invalid answer", response: answered(200, nil), history: "unknown [a b]"},
+		{name: "lease error without a lease", response: answered(400, nil), history: "unknown [a b]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, s, c := newTestCommitter()
@@ -59,7 +60,7 @@
 			c.Flush()
 			s.keys = []string{"c"}
 			if c.Flush(); len(h.sent) != 1 {
-				t.Fatalf("%d transactions at a time", len(h.sent))
+				t.Fatalf("%d transactions in flight at a time", len(h.sent))
 			}
 			txn := sentTxn(t, h)
 			if len(txn.Ops) != 2 || len(txn.Conditions) != 3 || txn.Conditions[0] != guard {
@@ -67,7 +68,7 @@
 			}
 			h.answer(t, test.response)
 			if len(s.history) != 1 || s.history[0] != test.history {
-				t.Errorf("told %q, want %q", s.history, test.history)
+				t.Errorf("results %q, want %q", s.history, test.history)
 			}
 			c.Flush()
 			if paused := sentTxn(t, h) == nil; paused != test.pause {
@@ -81,7 +82,7 @@
 	}
 }
 
-// Nothing becomes of a transaction for a source that has ended, and nothing more is sent.
+// A result isn't reported to a source that has ended, and nothing more is sent for it.
 func TestEndedSource(t *testing.T) {
 	h, s, c := newTestCommitter()
 	s.keys = []string{"a"}
@@ -91,15 +92,15 @@
 	s.keys = []string{"b"}
 	c.Flush()
 	if len(s.history) != 0 || len(h.sent) != 0 {
-		t.Errorf("told %q, %d requests", s.history, len(h.sent))
+		t.Errorf("results %q, %d requests", s.history, len(h.sent))
 	}
 }
 
-// Versions that aren't known are read, however often it takes, before anything else is sent.
+// Unknown versions are read, with retries, before the next transaction is sent.
 func TestRereadBlocksTransactions(t *testing.T) {
 	h, s, c := newTestCommitter()
 	versions := map[int]uint64{}
-	c.RereadVersions([]string{"a", "b"}, func(place int, version uint64) { versions[place] = version })
+	c.RereadVersions([]string{"a", "b"}, func(index int, version uint64) { versions[index] = version })
 	s.keys = []string{"c"}
 	c.Flush()
 	h.answer(t, answered(200, protocol.EncodeKeyValue(item("a", 7))))
@@ -119,14 +120,14 @@
 
 func TestRereadWithoutKeys(t *testing.T) {
 	h, s, c := newTestCommitter()
-	c.RereadVersions(nil, func(int, uint64) { t.Error("something is read") })
+	c.RereadVersions(nil, func(int, uint64) { t.Error("a version is reported without keys") })
 	s.keys = []string{"a"}
 	if c.Flush(); sentTxn(t, h) == nil {
 		t.Error("nothing is sent")
 	}
 }
 
-// What doesn't fit a transaction goes into the next, and what exceeds the budget waits.
+// What doesn't fit into a transaction goes into the next, and what exceeds the write budget waits.
 func TestRoomAndBudget(t *testing.T) {
 	h, s, c := newTestCommitter()
 	s.keys = strings.Split("abcdefghijklmn", "")
@@ -142,18 +143,18 @@
 	}
 	step()
 	if !slices.Equal(sizes, []int{3, 3, 2}) {
-		t.Fatalf("at once %v", sizes)
+		t.Fatalf("transaction sizes at first: %v", sizes)
 	}
 	h.run(time.Second, step)
 	if len(s.keys) != 0 {
-		t.Errorf("%d keys wait after %s", len(s.keys), h.now.Sub(start))
+		t.Errorf("%d keys unwritten after %s", len(s.keys), h.now.Sub(start))
 	}
 	if c.Spend(20); c.Available() > -10 {
-		t.Errorf("%g left after others wrote twenty", c.Available())
+		t.Errorf("%g operations available after others wrote twenty", c.Available())
 	}
 }
 
-// What may wait is written when it is due, by the nearest of the timers asked for.
+// A lazy write is sent when it is due. Of several requested timers only the earliest is kept.
 func TestLazyWrites(t *testing.T) {
 	h, s, c := newTestCommitter()
 	s.pending = Pending{Any: true, Delay: time.Second}
@@ -169,7 +170,7 @@
 	if c.Flush(); len(h.sent) != 0 {
 		t.Error("sent without anything to write")
 	}
-	// A source may find nothing worth writing after all.
+	// A source may turn out to have nothing to write.
 	s.pending = Pending{Any: true}
 	if c.Flush(); len(h.sent) != 0 {
 		t.Error("an empty transaction is sent")
@@ -186,7 +187,7 @@
 		{name: "empty", fill: func(*Transaction) {}, room: true},
 		{name: "one of two", fill: func(t *Transaction) { t.Delete("a") }, room: true},
 		{name: "two of two", fill: func(t *Transaction) { t.Delete("a"); t.Put("b", nil) }},
-		{name: "conditions take bytes alone", fill: func(t *Transaction) { t.Require("a", 1); t.Require("a", 1); t.Require("b", 0) }, room: true},
+		{name: "conditions count as bytes only", fill: func(t *Transaction) { t.Require("a", 1); t.Require("a", 1); t.Require("b", 0) }, room: true},
 		{name: "too many bytes", fill: func(t *Transaction) { t.Put("a", large) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/statestore/doc.go
+++ b/internal/coordination/statestore/doc.go
@@ -1,14 +1,14 @@
 // Package statestore is a controller's client of the state service, a consensus-backed
-// key-value store. It reads, lists and watches keys, commits transactions, keeps leases,
-// judges from all answers whether the service works for this controller, and writes records
-// in groups (Committer).
+// key-value store. It reads, lists and watches keys, commits transactions, grants, renews and
+// revokes leases, judges from the responses whether the service works for this controller, and
+// writes records with group commit (Committer).
 //
-// It owns the requests under way, their retries, and what is known of the service's health.
-// It knows no schema: package records defines keys and values, and whoever commits supplies
-// them. It does no I/O, reads no clock and starts no goroutine: a Host carries requests out,
-// and everything runs on the host's single thread.
+// It owns the requests in flight, their retries, and the state of the service's health. It
+// knows no schema: package records defines keys and values, and callers supply them. It does no
+// I/O, reads no clock and starts no goroutine: a Host sends the requests, and everything runs
+// on the host's single thread.
 //
-// It must never guess. A transaction without an answer may have been applied, or may be
-// applied at any later time; it is reported as CommitUnknown, never as a failure, and it is
-// never sent again by this package.
+// It must never guess the result of a transaction. One without an answer may have been applied,
+// or may be applied at any later time; it is reported as CommitUnknown, never as a failure, and
+// this package never sends it again.
 package statestore
--- a/internal/coordination/statestore/fake_test.go
+++ b/internal/coordination/statestore/fake_test.go
@@ -10,7 +10,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// fakeHost is a host whose clock moves only with run, and whose requests wait for an answer.
+// fakeHost is a host whose clock advances only in run, and whose requests wait for answer.
 type fakeHost struct {
 	now    time.Time
 	timers fakeTimers
@@ -53,7 +53,7 @@
 	h.sent = append(h.sent, sentRequest{r, done})
 }
 
-// run lets time pass, and calls step after each timer.
+// run advances the clock by d, runs the timers that fire, and calls step after each.
 func (h *fakeHost) run(d time.Duration, step func()) {
 	end := h.now.Add(d)
 	for len(h.timers) > 0 && !h.timers[0].at.After(end) {
@@ -67,11 +67,11 @@
 	h.now = end
 }
 
-// answer answers the oldest request that waits.
+// answer answers the oldest unanswered request, and returns it.
 func (h *fakeHost) answer(t *testing.T, r Response) Request {
 	t.Helper()
 	if len(h.sent) == 0 {
-		t.Fatal("no request is under way")
+		t.Fatal("no request is in flight")
 	}
 	oldest := h.sent[0]
 	h.sent = h.sent[1:]
@@ -96,8 +96,7 @@
 	return protocol.KeyValue{Key: key, Value: []byte(`{}`), Version: version}
 }
 
-// fakeSource is a source of keys without conditions of their own. It notes what became of
-// its batches.
+// fakeSource is a source of keys to be created. It records the results of its batches.
 type fakeSource struct {
 	keys    []string
 	pending Pending
--- a/internal/coordination/statestore/health.go
+++ b/internal/coordination/statestore/health.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Times by which the service's health is judged.
+// Thresholds for judging the service's health.
 const (
-	probeInterval        = 300 * time.Millisecond  // between probes while it fails
-	probeAfterSilence    = 1500 * time.Millisecond // without an answer, and it is probed
-	unavailableAfter     = 1200 * time.Millisecond // of failures; less is a hiccup
-	recoveryLogThreshold = time.Second             // of failures, whose end is logged
-	healthyWithin        = 5 * time.Second
+	probeInterval        = 300 * time.Millisecond  // between probes while the service fails
+	probeAfterSilence    = 1500 * time.Millisecond // without an answer before the service is probed
+	unavailableAfter     = 1200 * time.Millisecond // of failures; shorter interruptions are tolerated
+	recoveryLogThreshold = time.Second             // of failures, above which a recovery is logged
+	healthyWithin        = 5 * time.Second         // of the last answer, the service counts as healthy
 )
 
-// health is what the responses so far tell of the service, as it is for this controller.
+// health is the state of the service as this controller sees it, judged from its responses.
 type health struct {
-	answeredAt   time.Time // when it last answered as it should
-	failingSince time.Time // its first failure since; zero while it works
+	answeredAt   time.Time // last answer that wasn't a failure
+	failingSince time.Time // first failure since then; zero while the service works
 }
 
-// Start begins to judge the service's health.
+// Start starts judging the service's health.
 func (c *Client) Start() { c.health.answeredAt = c.host.Now() }
 
-// observe notes what a response tells of the service.
+// observe updates the service's health from a response.
 func (c *Client) observe(r Response) {
 	h, now := &c.health, c.host.Now()
 	switch {
 	case r.Answered && r.Status == 429:
-		// It works, and is asked too much.
+		// The service works, but limits the rate of requests.
 	case r.Answered && r.Status < 500:
 		if failed := now.Sub(h.failingSince); !h.failingSince.IsZero() && failed > recoveryLogThreshold {
 			c.log.Info("state service recovered", "duration", failed)
@@ -39,9 +39,9 @@
 	}
 }
 
-// probeUntilRecovered asks the service until it answers again. While it is taken for
-// unavailable users are refused without asking it, so that nothing else might ever find out:
-// a follower that sends no requests of its own stayed so for good.
+// probeUntilRecovered probes the service until it answers again. While the service counts as
+// unavailable, users are refused without a request to it, so nothing else might ever detect the
+// recovery: a follower that sent no requests of its own considered it unavailable forever.
 func (c *Client) probeUntilRecovered() {
 	if c.health.failingSince.IsZero() {
 		return
@@ -49,23 +49,23 @@
 	c.Get(c.probeKey, func(ReadResult) { c.host.After(probeInterval, c.probeUntilRecovered) })
 }
 
-// ProbeIfSilent asks the service when nothing else has for a while. A watch that is cut says
-// nothing for many seconds, and a controller without other requests would still call itself
-// healthy.
+// ProbeIfSilent probes the service if it hasn't answered for a while. A watch whose connection
+// was cut shows no failure for many seconds, and a controller without other requests would still
+// report itself healthy.
 func (c *Client) ProbeIfSilent() {
 	if c.health.failingSince.IsZero() && c.host.Now().Sub(c.health.answeredAt) > probeAfterSilence {
 		c.Get(c.probeKey, func(ReadResult) {})
 	}
 }
 
-// Unavailable reports whether the service has refused or ignored this controller for longer
-// than a hiccup.
+// Unavailable reports whether the service has refused or not answered this controller's requests
+// for longer than unavailableAfter.
 func (c *Client) Unavailable() bool {
 	h := &c.health
 	return !h.failingSince.IsZero() && c.host.Now().Sub(h.failingSince) > unavailableAfter
 }
 
-// Healthy reports whether the service isn't unavailable and has answered lately.
+// Healthy reports whether the service is available and has answered within healthyWithin.
 func (c *Client) Healthy() bool {
 	return !c.Unavailable() && c.host.Now().Sub(c.health.answeredAt) < healthyWithin
 }
--- a/internal/coordination/statestore/lease.go
+++ b/internal/coordination/statestore/lease.go
@@ -6,17 +6,17 @@
 	"brasskeel/internal/protocol"
 )
 
-// LeaseStatus tells what is known of a lease after a request about it.
+// LeaseStatus is the status of a lease after a request about it.
 type LeaseStatus uint8
 
-// Outcomes of requests about leases.
+// Statuses of leases.
 const (
-	LeaseUnknown LeaseStatus = iota // no answer, a refusal, or an answer that makes no sense
-	LeaseHeld                       // it holds for its full time, counted from when the request was sent
-	LeaseEnded                      // it has expired, or was revoked
+	LeaseUnknown LeaseStatus = iota // no answer, or a refusal
+	LeaseHeld                       // valid for its full time to live, counted from when the request was sent
+	LeaseEnded                      // expired or revoked
 )
 
-// GrantLease asks for a new lease, and tells done its id if it was granted.
+// GrantLease requests a new lease, and passes done its ID if it was granted.
 func (c *Client) GrantLease(ttl time.Duration, done func(id uint64, granted bool)) {
 	c.send("POST", protocol.PathLeases, protocol.EncodeLeaseRequest(ttl), requestTimeout, func(r Response) {
 		c.observe(r)
@@ -29,8 +29,8 @@
 	})
 }
 
-// RenewLease gives a lease its full time again. A renewal that isn't answered within the
-// timeout is given up.
+// RenewLease extends a lease to its full time to live. A renewal that isn't answered within the
+// timeout is reported as LeaseUnknown.
 func (c *Client) RenewLease(id uint64, timeout time.Duration, done func(LeaseStatus)) {
 	c.send("POST", protocol.RenewLeaseTarget(id), nil, timeout, func(r Response) {
 		c.observe(r)
@@ -45,8 +45,8 @@
 	})
 }
 
-// RevokeLease ends a lease, and with it all keys bound to it, also those that a transaction
-// on its way may yet write. Where the request is lost the lease expires by itself.
+// RevokeLease ends a lease and thereby all keys bound to it, including keys that a transaction
+// in flight may still write. If the request is lost, the lease expires by itself.
 func (c *Client) RevokeLease(id uint64) {
 	c.send("DELETE", protocol.LeaseTarget(id), nil, requestTimeout, c.observe)
 }
--- a/internal/coordination/statestore/record.go
+++ b/internal/coordination/statestore/record.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// dirtiness tells how soon a record is to be written.
+// dirtiness says whether and how soon a record must be written.
 type dirtiness uint8
 
 const (
-	clean  dirtiness = iota // as it is in the store, or being written
-	lazy                    // to be written some time: nobody waits for it
-	urgent                  // to be written soon
+	clean  dirtiness = iota // unchanged since its last write, which may be in flight
+	lazy                    // to be written by its due time; nothing waits for the write
+	urgent                  // to be written as soon as possible
 )
 
-// stage is how far a write of a record has come.
+// stage is the stage of a record's write.
 type stage uint8
 
 const (
 	idle      stage = iota // its version in the store is known
-	writing                // a transaction that holds it is under way
-	verifying              // a transaction may or may not have written it: its version is being read
+	writing                // a transaction that contains the record is in flight
+	verifying              // a transaction may or may not have written the record; its version is being read
 )
 
-// RecordState is what is known of one record: whether it is to be written, and which version
-// of it is in the store. Each write is conditional on that version, so that one that is
-// applied after it was given up can't overwrite a newer one. The zero value is a clean record
-// that isn't in the store.
+// RecordState is the state of one record: whether it must be written, and which version of it
+// is in the store. Each write is conditional on that version, so that a write that is applied
+// after it was given up can't overwrite a newer one. The zero value is a clean record that isn't
+// in the store.
 //
-//	clean --MarkLazy--> lazy --MarkUrgent--> urgent        (any) --Clean--> clean
+//	clean --MarkLazy--> lazy --MarkUrgent--> urgent        (any) --MarkClean--> clean
 //	idle --BeginWrite--> writing --Written or NotWritten--> idle
 //	                     writing --BeginVerify--> verifying --Verified--> idle
 type RecordState struct {
@@ -35,14 +35,14 @@
 	due       time.Time // of a lazy write
 }
 
-// LoadedRecord is the state of a record that was read from the store with a version.
+// LoadedRecord returns the state of a record that was read from the store with a version.
 func LoadedRecord(version uint64) RecordState { return RecordState{version: version} }
 
-// Version is the record's version in the store as far as it is known; 0 without one.
+// Version returns the record's last known version in the store, or 0 if there is none.
 func (r *RecordState) Version() uint64 { return r.version }
 
-// MarkUrgent wants the record written soon. It returns whether it must be queued for that,
-// and isn't yet.
+// MarkUrgent marks the record to be written as soon as possible. It reports whether the caller
+// must queue the record; one that is already urgent is queued.
 func (r *RecordState) MarkUrgent() bool {
 	if r.dirtiness == urgent {
 		return false
@@ -51,8 +51,8 @@
 	return true
 }
 
-// MarkLazy wants the record written by due at the latest. It returns whether it must be
-// queued for that; a record that is dirty already is.
+// MarkLazy marks a clean record to be written by due at the latest. It reports whether the
+// caller must queue the record; one that is already dirty is queued.
 func (r *RecordState) MarkLazy(due time.Time) bool {
 	if r.dirtiness != clean {
 		return false
@@ -61,32 +61,32 @@
 	return true
 }
 
-// Lazy reports whether the record is to be written, and nobody waits for it.
+// Lazy reports whether the record must be written and nothing waits for the write.
 func (r *RecordState) Lazy() bool { return r.dirtiness == lazy }
 
-// Due is when a lazy record is to be written.
+// Due returns the time by which a lazy record is to be written.
 func (r *RecordState) Due() time.Time { return r.due }
 
-// MarkClean takes the record as it is now for written.
+// MarkClean marks the record's present contents as written.
 func (r *RecordState) MarkClean() { r.dirtiness = clean }
 
-// BeginWrite notes that a transaction that holds the record is being sent.
+// BeginWrite notes that a transaction that contains the record is being sent.
 func (r *RecordState) BeginWrite() { r.stage = writing }
 
 // Written notes that the transaction was applied.
 func (r *RecordState) Written(version uint64) { r.version, r.stage = version, idle }
 
-// NotWritten notes that the transaction certainly wasn't applied and never will be, and
-// that the version is still the one that was known.
+// NotWritten notes that the transaction wasn't applied and never will be, and that the known
+// version still holds.
 func (r *RecordState) NotWritten() { r.stage = idle }
 
-// BeginVerify notes that the version in the store isn't known any more.
+// BeginVerify notes that the version in the store is no longer known.
 func (r *RecordState) BeginVerify() { r.stage = verifying }
 
-// Verified notes the version that was read.
+// Verified sets the version that was read from the store.
 func (r *RecordState) Verified(version uint64) { r.version, r.stage = version, idle }
 
-// InFlight reports whether a write of the record may be under way.
+// InFlight reports whether a write of the record may be in flight.
 func (r *RecordState) InFlight() bool { return r.stage != idle }
 
 // MayExist reports whether the record is, or may be, in the store.
--- a/internal/coordination/statestore/record_test.go
+++ b/internal/coordination/statestore/record_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A record is queued once for each write: where it is lazy and becomes urgent it is queued
-// for both, and taken from the first.
+// A record is queued once per write. One that is lazy and becomes urgent is queued again; it is
+// no longer lazy then, so its first entry is skipped.
 func TestRecordDirtiness(t *testing.T) {
 	due := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	urgent := func(r *RecordState) bool { return r.MarkUrgent() }
@@ -17,7 +17,7 @@
 		before []func(*RecordState) bool
 		mark   func(*RecordState) bool
 		queue  bool
-		lazy   bool // then
+		lazy   bool // after mark
 	}{
 		{name: "clean, urgent", mark: urgent, queue: true},
 		{name: "clean, lazy", mark: lazily, queue: true, lazy: true},
