--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -8,45 +8,46 @@
 	"brasskeel/internal/protocol"
 )
 
-// Bounds of what admission keeps in memory: a small part of what the smallest controllers
-// have. What is forgotten is read again from the state service.
+// Limits on what admission caches: a small part of the memory of the smallest controllers. What
+// is evicted is read again from the state service.
 const (
 	maxCachedOutcomes     = 50_000
 	maxCachedAcceptedJobs = 50_000
 )
 
-// admission serves users. It works the same on every controller: jobs and their final states
-// are written to the state service before the user is told, and the leader learns of them from
-// there. It never tells a user of a state that it hasn't written, or read since the request.
+// admission serves users' requests. It works the same on every controller: jobs and their final
+// states are written to the state service before the user is told, and the leader learns of them
+// from there. A final state may be served from the cache, as it never changes; any other state is
+// reported only if this controller wrote it, or read it after the request arrived.
 type admission struct {
 	limits                  *limits.Counters
 	maxPendingAnnouncements int
-	outcomes                map[string]jobOutcome // told or read; can't change any more
-	accepted                map[string]struct{}   // accepted jobs
-	pendingQueries          []statusQuery         // wait for the next check
-	lastCheckSentAt         time.Time             // when the last check was sent
+	outcomes                map[string]jobOutcome // final states by job ID; they never change
+	accepted                map[string]struct{}   // IDs of accepted jobs without a known outcome
+	pendingQueries          []statusQuery         // waiting for the next check
+	lastCheckSentAt         time.Time
 	checkInFlight           bool
-	pendingAnnouncements    []outcomeAnnouncement // final states that peers are to be told
+	pendingAnnouncements    []outcomeAnnouncement // final states to broadcast to the peers
 	openRequests            int
 
-	pendingSubmissions []*submission // wait for the next transaction
+	pendingSubmissions []*submission // waiting for the next transaction
 	submissionInFlight bool
 }
 
-// outcomeAnnouncement is a final state on its way to the peers.
+// outcomeAnnouncement is a final state that is being broadcast to the peers.
 type outcomeAnnouncement struct {
 	job       string
 	outcome   jobOutcome
-	sendCount int // it was told
+	sendCount int // number of broadcasts so far
 }
 
-// jobOutcome is a job's final state and the number of its tasks that were done.
+// jobOutcome is a job's final state and the number of its tasks that completed.
 type jobOutcome struct {
 	state protocol.JobState
 	done  int
 }
 
-// statusQuery is a request for a job's status that waits for a check.
+// statusQuery is a request for a job's status that waits for a status check.
 type statusQuery struct {
 	id  uint64
 	job string
@@ -72,8 +73,8 @@
 	delete(a.accepted, job)
 }
 
-// publishOutcome is cacheOutcome for what this controller wrote or learned as a leader: its peers
-// hear of it, so that they need not read it for each user who asks them.
+// publishOutcome caches a final state that this controller wrote, and announces it to the peers,
+// so that they need not read it for each user who asks them.
 func (a *admission) publishOutcome(job string, s protocol.JobState, done int) {
 	if _, ok := a.outcomes[job]; !ok {
 		a.announceOutcome(outcomeAnnouncement{job: job, outcome: jobOutcome{s, done}})
@@ -81,7 +82,7 @@
 	a.cacheOutcome(job, s, done)
 }
 
-// announceOutcome lets the peers hear of a final state with the next lines.
+// announceOutcome queues a final state for the next broadcasts to the peers.
 func (a *admission) announceOutcome(f outcomeAnnouncement) {
 	if len(a.pendingAnnouncements) >= a.maxPendingAnnouncements {
 		a.limits.Reached(limits.OutcomesToBroadcast)
@@ -98,7 +99,7 @@
 	a.accepted[job] = struct{}{}
 }
 
-// routeRequest hands a request to whoever serves it, and answers those for nobody.
+// routeRequest passes a request to its handler, and refuses requests that have none.
 func (c *Controller) routeRequest(id uint64, method, target string, body []byte) {
 	route, job := protocol.ParseTarget(target)
 	want := "POST"
@@ -139,10 +140,11 @@
 	}
 }
 
-// replyHealth is honest about the cases in which other controllers may serve users and this
-// one can't: the state service refuses it while a peer still reaches it, or it is
-// cut off from both. In an outage that peers confirm, no controller is better than
-// another, and leaving the balancer would only cost time when it ends.
+// replyHealth answers a health check. The controller reports itself unhealthy only while it can't
+// serve users but other controllers may: when the state service fails for this controller while a
+// peer still reaches it, or when this controller has lost both the state service and its peers. In
+// an outage that the peers confirm, no controller is better than another, and leaving the load
+// balancer would only cost time when the outage ends.
 func (c *Controller) replyHealth(id uint64) {
 	if c.store.Unavailable() && len(c.cfg.Peers) > 0 && (c.peers.StoreReachable(c.now) || !c.peers.AnyFresh(c.now)) {
 		c.refuse(id, 503, "the state service refuses this node")
@@ -151,24 +153,24 @@
 	c.reply(id, 200, []byte(`{"ok":true}`))
 }
 
-// refuseStoreUnavailable refuses what needs the state service. The connection is
-// closed: its user would go on asking this controller, perhaps the only one that is cut
-// off, while a new connection may lead to another.
+// refuseStoreUnavailable refuses a request that needs the state service, and closes the
+// connection. On the same connection the user would keep asking this controller, perhaps the only
+// one that is cut off, while a new connection may reach another.
 func (c *Controller) refuseStoreUnavailable(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
 		Body: protocol.EncodeError("the state service does not answer")})
 }
 
-// refuseRetryLater sends a user away whose request is one too many at the moment. Not all
-// are told to come back at the same time.
+// refuseRetryLater refuses a request while there are too many. The time after which to retry is
+// random, so that not all users retry at once.
 func (c *Controller) refuseRetryLater(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + c.rng.IntN(3),
 		Body: protocol.EncodeError("too much at once")})
 }
 
-// refuseFailedTxn refuses a request whose transaction was neither applied nor compared. The
-// state service may only have too much to do; that it doesn't answer another controller can
-// help with.
+// refuseFailedTxn refuses a request whose transaction was neither applied nor rejected by its
+// conditions. If the state service is only overloaded, the user retries on this controller;
+// if it doesn't answer, another controller may still reach it.
 func (c *Controller) refuseFailedTxn(id uint64, r statestore.CommitResult) {
 	if r.Status == statestore.CommitRefused && !c.store.Unavailable() {
 		c.refuseRetryLater(id)
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -10,8 +10,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// attach makes an attempt count for its machine, its team's limit and its job's zones,
-// until detach.
+// attach counts an attempt toward its machine's allocation, its team's usage and its job's
+// zones, until detach.
 func (l *leader) attach(a *attempt) {
 	j, m := a.job, a.machine
 	j.task(a.taskIndex).live = a
@@ -41,8 +41,8 @@
 	u.gpus += j.GPUs
 }
 
-// detach ends an attempt's account. It must be called only on proof that the
-// attempt is gone and can't start any more.
+// detach undoes attach. It must be called only on proof that the attempt has terminated and
+// can't be started any more.
 func (l *leader) detach(a *attempt, reason string) {
 	j, m := a.job, a.machine
 	t := j.task(a.taskIndex)
@@ -72,7 +72,7 @@
 		m.replicaCount--
 	}
 	if len(m.attempts) == 0 {
-		m.Allocated, m.Terminating, m.ReplicaCPUs, m.onDemandCPUs = placement.Resources{}, placement.Resources{}, 0, 0 // no rounding left behind
+		m.Allocated, m.Terminating, m.ReplicaCPUs, m.onDemandCPUs = placement.Resources{}, placement.Resources{}, 0, 0 // discards accumulated rounding errors
 		m.cpusByPriority = [protocol.Critical + 1]float64{}
 		m.emptySince = l.controller.now
 	}
@@ -90,7 +90,7 @@
 	l.requestPlacement()
 }
 
-// setTaskState notes an attempt's reported state.
+// setTaskState sets an attempt's state as its worker reported it.
 func (l *leader) setTaskState(a *attempt, s protocol.TaskState) {
 	if a.state == s {
 		return
@@ -109,7 +109,7 @@
 	a.state, a.stateSince = s, l.controller.now
 }
 
-// taskDone notes that a task has completed, whichever attempt did it.
+// taskDone marks a task as completed, whichever of its attempts completed it.
 func (l *leader) taskDone(j *job, i int) {
 	t := j.task(i)
 	if t.done || j.Kind == protocol.Service {
@@ -127,8 +127,8 @@
 	l.finalizeJobIfComplete(j)
 }
 
-// finalizeJobIfComplete writes the outcome of a complete job and removes the records
-// of one that is over and has no attempt left.
+// finalizeJobIfComplete records the outcome of a job whose tasks are all done, and deletes the
+// records of a finished job that has no live attempts.
 func (l *leader) finalizeJobIfComplete(j *job) {
 	if l.phase == phaseLoading {
 		return
@@ -137,14 +137,14 @@
 		j.finishing = true
 		l.writer.recordDone(j)
 	}
-	if j.finalState != 0 && j.liveAttempts == 0 && !j.removed {
-		j.removed = true
+	if j.finalState != 0 && j.liveAttempts == 0 && !j.deleting {
+		j.deleting = true
 		l.writer.deleteJob(j)
 	}
 }
 
-// endJob notes a recorded outcome. No task of the job starts any more, and
-// those that run are stopped.
+// endJob applies a recorded outcome: no further task of the job is started, and live attempts
+// are stopped.
 func (l *leader) endJob(j *job, s protocol.JobState) {
 	if j.finalState != 0 {
 		return
@@ -167,7 +167,7 @@
 	l.requestPlacement()
 }
 
-// forgetJob drops a job whose records are removed.
+// forgetJob drops a job whose records were deleted.
 func (l *leader) forgetJob(j *job) {
 	delete(l.jobs, j.ID)
 	if i := slices.Index(l.jobsByAge, j); i >= 0 {
@@ -175,8 +175,9 @@
 	}
 }
 
-// stopAttempt wants an attempt ended. One whose start never left is gone at
-// once.
+// stopAttempt requests that an attempt stop, with a grace period in which it may save its state.
+// A later request may only shorten the grace period. An attempt whose start was never sent
+// terminates at once.
 func (l *leader) stopAttempt(a *attempt, grace time.Duration) {
 	if a.stopRequested && a.stopGrace <= grace {
 		return
@@ -193,16 +194,16 @@
 	l.scheduleAttemptOrders(a)
 }
 
-// writeInFlight reports whether a write that holds the attempt may be under
-// way; it is dealt with when that ends.
+// writeInFlight reports whether a write that contains the attempt's placement may be in flight.
+// The result of the write then decides what happens to the attempt.
 func (l *leader) writeInFlight(a *attempt) bool {
 	return !a.recorded && a.job.block(a.taskIndex).record.InFlight()
 }
 
-// adjustStoppingTotals counts an attempt among those that were told to end, or takes it out.
-// Whoever looks for room needs the sums of a machine or a team, for every job and
-// task: found anew each time they cost a leader with thousands of waiting tasks
-// seconds at a time, more than its lease.
+// adjustStoppingTotals adds an attempt to the totals of attempts that were told to stop (delta 1)
+// or removes it (delta -1). The search for room uses the totals of a machine or a team for every
+// job and task. Recomputing them each time took a leader with thousands of pending tasks seconds
+// at a time, longer than its lease.
 func (l *leader) adjustStoppingTotals(a *attempt, delta int) {
 	j, m, sign := a.job, a.machine, float64(delta)
 	m.stopRequestedCount += delta
@@ -218,15 +219,15 @@
 }
 
 type task struct {
-	lastAttemptNumber  uint64 // the latest number used
+	lastAttemptNumber  uint64 // the highest number used so far; 0: never started
 	live               *attempt
 	done               bool
-	doneRecorded       bool        // recorded as done
-	unacknowledgedExit *shard.Task // whose owner waits for that
-	migratedInSurge    uint64      // surge in which it was moved; 0: none
+	doneRecorded       bool        // its completion is in the state service
+	unacknowledgedExit *shard.Task // acknowledged to the shard's owner once the completion is recorded
+	migratedInSurge    uint64      // number of the surge in which it was migrated; 0: none
 }
 
-// attempt is one try at a task on a machine, until proven gone.
+// attempt is one attempt to run a task on a machine. It is live until proven terminated.
 type attempt struct {
 	job       *job
 	taskIndex int
@@ -234,17 +235,17 @@
 	machine   *machine
 	placedAt  time.Time
 
-	recorded   bool // in the state service: its start may be sent
+	recorded   bool // the placement is in the state service, so the start may be sent
 	delivery   sessions.Delivery
 	state      protocol.TaskState
 	stateSince time.Time
 
 	stopRequested bool
-	stopGrace     time.Duration // to save in, once it is told to stop
+	stopGrace     time.Duration // time to save its state once it is told to stop
 	stopSentAt    time.Time
 
-	listIndex     int    // in its machine's list
-	lastHeartbeat uint64 // the last message of its worker's that held it
+	listIndex     int    // index in its machine's attemptList
+	lastHeartbeat uint64 // heartbeatCount of the last message from its worker that listed it
 }
 
 type taskKey struct {
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -6,23 +6,23 @@
 	"brasskeel/internal/records"
 )
 
-// jobPresence is what a fresh read tells of whether a job exists.
+// jobPresence says whether a job exists, according to a fresh read.
 type jobPresence uint8
 
 const (
-	presenceUnknown jobPresence = iota // the state service didn't answer, or with what can't be read
-	jobAbsent                          // it was never accepted
+	presenceUnknown jobPresence = iota // the state service didn't answer, or its answer was invalid
+	jobAbsent                          // the job was never accepted
 	jobPresent
 )
 
 // jobRead is the result of a fresh read of a job.
 type jobRead struct {
 	presence jobPresence
-	state    protocol.JobState // of one that is present
+	state    protocol.JobState // set if the job is present
 }
 
-// readJobState reads a job's state afresh. The record is read before the outcome: a job whose
-// record is gone by the first read has its outcome by the second.
+// readJobState reads a job's state from the state service. The job's record is read before its
+// outcome: if the record is already deleted by the first read, the outcome exists by the second.
 func (c *Controller) readJobState(job string, done func(jobRead)) {
 	c.store.Get(records.KeyActive(job), func(active statestore.ReadResult) {
 		if active.Status == statestore.ReadUnknown {
@@ -52,7 +52,7 @@
 	})
 }
 
-// cancel answers a request to cancel a job.
+// cancel handles a request to cancel a job.
 func (c *Controller) cancel(id uint64, job string) {
 	if !protocol.ValidJobID(job) {
 		c.reply(id, 404, protocol.EncodeError("no such job"))
@@ -91,11 +91,12 @@
 }
 
 // writeCancellation records that a job is cancelled, unless it has another outcome by then.
-// version is that of its record.
+// version is the version of the job's record.
 func (c *Controller) writeCancellation(job string, version uint64, finish func(jobRead)) {
 	_, done, _ := c.knownProgress(job)
-	// The outcome is created at most once, by this or by the leader's "done"; whoever comes
-	// second learns what the first wrote. The user is told only after that.
+	// The outcome is created at most once, by this transaction or by the leader's "done". The
+	// second of them to be applied fails, and its sender reads what the first wrote. The user is
+	// told only after that.
 	c.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: records.KeyActive(job), Version: version}, {Key: records.KeyOutcome(job)}},
 		Ops:        []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
--- a/internal/coordination/forms_test.go
+++ b/internal/coordination/forms_test.go
@@ -8,7 +8,7 @@
 	"brasskeel/internal/golden"
 )
 
-// Lines between controllers are written as the versions before wrote them.
+// Messages between controllers are encoded as earlier versions encoded them.
 func TestPeerMessageEncodings(t *testing.T) {
 	golden.Check(t, []golden.Form{
 		{File: "peer_full.json", Value: &peers.Message{Sender: "n1", StoreReachable: true, Disconnected: true, WorkersUnreachable: true, Term: 41,
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -10,7 +10,7 @@
 	"brasskeel/internal/records"
 )
 
-// sentTxn is the transaction that a step sends.
+// sentTxn returns the transaction that the current step sends.
 func sentTxn(t *testing.T, c *Controller) *protocol.Txn {
 	t.Helper()
 	for _, call := range c.takeEffects().Calls {
@@ -35,14 +35,15 @@
 	return false
 }
 
-// What a leader records holds only while it leads, while the job has no outcome and while
-// the record is the one it knows: each alone keeps a late copy of the transaction, a
-// cancellation that came first, or an older write of its own from doing harm.
+// A leader's writes of placements are conditional on its leader key, on the absence of an outcome
+// of the job, and on the known version of the record. These conditions protect against a delayed
+// copy of the transaction after another leader was elected, against an earlier cancellation, and
+// against an older write of the same leader, respectively.
 func TestRecordsAreConditional(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	j, _ := addRunningJob(c, l)
 	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
-	applyTransactions(c, e.Calls) // with the record of the machine
+	applyTransactions(c, e.Calls) // including the machine's record
 	m := l.machines["vm-1"]
 	m.recorded, m.session.LastReached = true, c.now
 	block := j.block(0)
@@ -51,22 +52,23 @@
 	txn := sentTxn(t, c)
 	for key, version := range map[string]uint64{records.KeyLeader: l.keyVersion, records.KeyOutcome(j.ID): 0, records.KeyTaskBlock(j.ID, 0): 7} {
 		if !hasCondition(txn, key, version) {
-			t.Errorf("a placement is recorded whatever %s is: %+v", key, txn.Conditions)
+			t.Errorf("a placement is written without the condition on %s: %+v", key, txn.Conditions)
 		}
 	}
-	// So does the outcome: whoever writes it first decides.
+	// The outcome is conditional, too: the first write of it decides.
 	c, l = newTestLeader(phaseActive)
 	j, _ = addRunningJob(c, l)
 	l.writer.newGroups = nil
 	l.taskDone(j, 0)
 	txn = sentTxn(t, c)
 	if !hasCondition(txn, records.KeyLeader, l.keyVersion) || !hasCondition(txn, records.KeyOutcome(j.ID), 0) {
-		t.Errorf("a job is called done whatever its outcome is: %+v", txn.Conditions)
+		t.Errorf("the outcome is written without the conditions on the leader key and its own absence: %+v", txn.Conditions)
 	}
 }
 
-// A direct start without an answer may be carried out late. That the worker lacks it is
-// proof only under a token above that of the start; until then it counts for its team.
+// An unanswered direct start may be carried out late. The absence of the task from a heartbeat
+// proves that it terminated only if the worker has seen a fencing token above that of the start.
+// Until then the attempt counts toward its team's usage.
 func TestUnansweredStartIsFenced(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	j, _ := addRunningJob(c, l)
@@ -76,13 +78,13 @@
 	l.attach(a)
 	m.session.DirectStartToken = a.delivery.DirectToken
 	l.endJob(j, protocol.Cancelled)
-	below := m.session.Token()
+	tokenBefore := m.session.Token()
 	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5))
 	if j.task(0).live != a || l.teamUsage["red"].cpus != 1 {
-		t.Fatal("gone while its start may still be carried out")
+		t.Fatal("detached while its start may still be carried out")
 	}
-	if m.session.Token() <= below {
-		t.Fatal("the start isn't fenced off")
+	if m.session.Token() <= tokenBefore {
+		t.Fatal("the fencing token isn't raised above that of the start")
 	}
 	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small",
 		Zone: "a", Incarnation: 1, Sequence: 6, FencingToken: m.session.Token()}))
@@ -91,8 +93,8 @@
 	}
 }
 
-// Work that was told to stop counts for its team's limit, and for its job's zones, until
-// it is proven gone: its machine may hang, or be cut off.
+// Tasks that were told to stop count toward their team's limit and their job's zones until they
+// are proven terminated: their machine may hang or be disconnected.
 func TestStoppingTasksCountTowardLimits(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	s := jobSpec("run-000001")
@@ -105,7 +107,7 @@
 	}
 	other := &job{Job: jobSpec("run-000002"), attemptsByZone: map[string]int{}}
 	if l.withinTeamLimit(other) {
-		t.Fatal("the team has 16 CPUs and uses them")
+		t.Fatal("within the limit although the team uses all of its 16 CPUs")
 	}
 	l.endJob(j, protocol.Cancelled)
 	c.now = c.now.Add(time.Hour)
@@ -117,8 +119,8 @@
 	}
 }
 
-// A task is placed only on a machine that is on record: the next leader finds attempts by
-// their machines, and takes those on others for gone.
+// A task is placed only on a recorded machine: the next leader finds attempts by their machines,
+// and considers attempts on unrecorded machines terminated.
 func TestPlacesOnlyOnRecordedMachines(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: jobSpec("run-000001")})
@@ -129,13 +131,14 @@
 		m.recorded = recorded
 		l.runPlacementRound()
 		if placed := len(m.attempts) > 0; placed != recorded {
-			t.Errorf("on record %t, task placed %t", recorded, placed)
+			t.Errorf("machine recorded %t, task placed %t", recorded, placed)
 		}
 	}
 }
 
-// A leader whose lease may have ended places nothing, and after its grace it answers no
-// worker, whatever it knows: another may lead, and wait for the end of that grace only.
+// A leader whose lease may have expired places nothing, and after its grace period it answers no
+// worker, however recent its knowledge of jobs is: another leader may have been elected, and that
+// leader waits only for the end of the grace period.
 func TestLeaderStopsAfterLeaseExpiry(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 8, Spec: jobSpec("run-000001")})
@@ -155,13 +158,13 @@
 	c.now = c.now.Add(time.Millisecond)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 {
-		t.Errorf("after its grace it answers %+v", e.Replies)
+		t.Errorf("after the grace period: replies %+v, want status 421", e.Replies)
 	}
 }
 
-// A start in an answer to a report is carried out before the worker's next report, or
-// never. A response of the worker's may be older than that answer, and so may prove
-// nothing by lacking the task; the next report does, and the start is sent once more.
+// A start in the answer to a heartbeat is carried out before the worker's next heartbeat or never.
+// The worker's response to a call may be older than that answer, so the absence of the task from
+// it proves nothing. Its absence from the next heartbeat proves that the start was lost.
 func TestStartInHeartbeatResponse(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	j, _ := addRunningJob(c, l)
@@ -174,9 +177,9 @@
 		t.Fatal(err)
 	}
 	l.stopAttempt(a, 0)
-	l.applyResponse(m, r) // on its way since before the answer
+	l.applyResponse(m, r) // may have been sent before the answer arrived
 	if j.task(0).live != a {
-		t.Fatal("a response that may be older than the start proves it gone")
+		t.Fatal("detached because of a response that may be older than the start")
 	}
 	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5))
 	if j.task(0).live == a {
@@ -184,19 +187,20 @@
 	}
 }
 
-// A leader that a worker shows a later term's token answers nobody any more.
+// A leader stops leading when a worker's heartbeat carries a fencing token of a later term.
 func TestLaterTermEndsLeadership(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: (l.term + 1) << 16})
 	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body); e.Replies[0].Status != 421 || c.leader != nil {
-		t.Errorf("got %d, leads %t", e.Replies[0].Status, c.leader != nil)
+		t.Errorf("status %d, still leading %t", e.Replies[0].Status, c.leader != nil)
 	}
 }
 
-// A session has its whole lease from its beginning, whether or not a report of it is ever
-// answered: a machine whose reports reach nobody gets work by direct starts in it, and when
-// it then falls silent its tasks go on until that lease is over. Counted from the last
-// answer, in a session before, they were taken for ended and started elsewhere meanwhile.
+// A worker incarnation has its full lease from its beginning, whether or not any of its heartbeats
+// is answered. A machine whose heartbeats don't arrive gets tasks by direct starts; if it then
+// falls silent, they run on until that lease ends. When the lease was counted from the last
+// answer, in an earlier incarnation, the tasks were considered terminated too early and were
+// started elsewhere while they still ran.
 func TestIncarnationStartsWorkerLease(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
@@ -208,9 +212,9 @@
 		t.Fatal(err)
 	}
 	r.Incarnation, r.FencingToken = 2, m.session.Token()
-	l.applyResponse(m, r) // a response: its reports don't come
+	l.applyResponse(m, r) // a response to a call: the worker's heartbeats don't arrive
 	if proof := l.terminationProofAt(m); proof.Before(c.now.Add(c.cfg.WorkerLease)) {
-		t.Errorf("taken for dead %s after its session began, its lease is %s", proof.Sub(c.now), c.cfg.WorkerLease)
+		t.Errorf("considered terminated %s after the incarnation began, but the lease is %s", proof.Sub(c.now), c.cfg.WorkerLease)
 	}
 	if m.session.LastAnswered != answered {
 		t.Error("a session that began counts as a report that was answered")
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -12,44 +12,44 @@
 	"brasskeel/internal/records"
 )
 
-// job is an unfinished job as this leader, or the owner of a shard, knows it.
+// job is the in-memory state of an unfinished job, kept by the leader or by the owner of a shard.
 type job struct {
 	*protocol.Job
 	submitted time.Time
 	blockSize int          // tasks per block
-	blocks    []*taskBlock // made on first use
+	blocks    []*taskBlock // created on first use
 
-	// How it ends.
-	finalState protocol.JobState // that is recorded; 0 while there is none
-	finishing  bool              // the outcome "done" is being written
-	removed    bool              // its records are being removed
+	// Completion.
+	finalState protocol.JobState // the recorded outcome; 0 without one
+	finishing  bool              // a write of the outcome "done" is queued or in flight
+	deleting   bool              // deletion of its records is queued or in flight
 
-	// Its tasks. Pending are those in retryQueue, and all from firstUnstarted on.
+	// Tasks. Pending tasks are those in retryQueue and all from firstUnstarted on.
 	doneTasks      int
 	runningTasks   int
-	liveAttempts   int // not proven gone
+	liveAttempts   int // attempts not proven terminated
 	retryQueue     []int
-	firstUnstarted int              // first task that was never started
+	firstUnstarted int              // index of the first task that was never started
 	attemptsByZone map[string]int   // live attempts by zone
 	runTimes       balance.RunTimes // of completed tasks
 
-	// How it is served.
+	// Scheduling.
 	quota              quotaStatus
 	history            quarantine.History // of its failures
-	backoffUntil       time.Time          // until which no task of it is started
-	preemptionTimerSet bool               // the end of its preemption delay has a timer
-	ceiling            ceilingWait        // of its team's surge
+	backoffUntil       time.Time          // no task is started before
+	preemptionTimerSet bool               // a timer is set for the end of its preemption delay
+	ceiling            ceilingWait        // its wait for machines below the ceiling of its team's surge
 
 	imageID  placement.ImageID
-	shapeKey placement.ShapeKey // made on first use
+	shapeKey placement.ShapeKey // created on first use
 
-	progressBroadcast bool // peers were told of tasks that run or are done
+	progressBroadcast bool // the last broadcast to the peers showed running or done tasks
 
-	// heldAttempts are the attempts that a shard's owner holds; a leader has them in blocks.
+	// heldAttempts are the job's attempts at the owner of a shard; a leader keeps attempts in blocks.
 	heldAttempts map[*attempt]struct{}
 }
 
-// quotaStatus is how a job stands to its team's quota, as of when it came.
+// quotaStatus says whether a job was within its team's quota when it first entered the queue.
 type quotaStatus uint8
 
 const (
@@ -58,10 +58,10 @@
 	quotaExceeded
 )
 
-// withinQuota reports whether a job came within its team's quota.
+// withinQuota reports whether the job was within its team's quota when it entered the queue.
 func (j *job) withinQuota() bool { return j.quota == quotaWithin }
 
-// jobRecorded implements observer.
+// jobRecorded implements sessionListener.
 func (l *leader) jobRecorded(id string, value json.RawMessage, live bool) {
 	var r records.Job
 	if err := protocol.Decode(value, &r); err != nil || r.Spec == nil || r.BlockSize <= 0 || r.Spec.Tasks <= 0 {
@@ -70,20 +70,20 @@
 	}
 	l.addJob(&r)
 	if live {
-		// Its record took a change, too: where users submit many jobs a second, the
-		// leader's own records leave them what the state service takes.
+		// Writing the job's record used write capacity of the state service. Charging it to
+		// the leader's write budget leaves room for users that submit many jobs per second.
 		l.writer.committer.Spend(1)
 		l.requestPlacement()
 	}
 }
 
-// jobEnded implements observer.
+// jobEnded implements sessionListener.
 func (l *leader) jobEnded(j *job, s protocol.JobState) { l.endJob(j, s) }
 
-// jobRemoved implements observer: the leader removes records itself.
+// jobRemoved implements sessionListener. The leader ignores it, as it deletes job records itself.
 func (l *leader) jobRemoved(string) {}
 
-// addJob takes in a job that is on record, if it isn't known yet.
+// addJob adds a recorded job, unless it is already known.
 func (l *leader) addJob(r *records.Job) {
 	if l.jobs[r.Spec.ID] != nil {
 		return
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -8,49 +8,49 @@
 	"brasskeel/internal/records"
 )
 
-// loadRecords reads the records, all kinds of them at the same time: since this controller was
-// elected nobody else writes those of machines and attempts, so that it doesn't matter which is
-// read first, and one slow answer of the state service costs no more than itself.
+// loadRecords reads all kinds of records concurrently, so that the delays of slow responses of the
+// state service don't add up. The order of the reads doesn't matter: since this controller was
+// elected, no other writes the records of machines and attempts.
 func (l *leader) loadRecords() {
 	var machines, blocks []protocol.KeyValue
-	left := 3
+	remaining := 3
 	if l.rebalancer != nil {
-		left++
+		remaining++
 	}
-	read := func() {
-		if left--; left == 0 {
+	readDone := func() {
+		if remaining--; remaining == 0 {
 			l.applyRecords(machines, blocks)
 		}
 	}
 	l.loadJobs(func(revision uint64) {
 		l.watchJobs(revision)
-		read()
+		readDone()
 	})
 	l.controller.store.List(records.PrefixMachineGroups, l.alive, func(list statestore.ListResult) {
 		machines = list.Items
-		read()
+		readDone()
 	})
 	l.controller.store.List(records.PrefixTaskBlocks, l.alive, func(list statestore.ListResult) {
 		blocks = list.Items
-		read()
+		readDone()
 	})
 	if l.rebalancer != nil {
 		l.controller.store.List(records.PrefixSurges, l.alive, func(list statestore.ListResult) {
 			l.rebalancer.restoreSurges(list.Items)
-			read()
+			readDone()
 		})
 	}
 }
 
-// blocksPerStep is how many records of task blocks are taken in one step. Those of a fleet of
-// thousands of machines hold tens of thousands of attempts: taken at once, they kept a
-// leader on a small share of a processor from renewing its lease in time.
+// blocksPerStep is how many records of task blocks are loaded in one step. The records of a fleet
+// of thousands of machines hold tens of thousands of attempts. Loaded in a single step, they kept
+// a leader with a small share of a CPU from renewing its lease in time.
 const blocksPerStep = 32
 
-// blockStepPause is between two such steps: whatever is due has its turn.
+// blockStepPause is the pause between two such steps, in which the event loop handles other work.
 const blockStepPause = time.Millisecond
 
-// applyRecords takes what was read: attempts belong to jobs and machines.
+// applyRecords loads machines before task blocks, whose attempts refer to jobs and machines.
 func (l *leader) applyRecords(machines, blocks []protocol.KeyValue) {
 	for _, it := range machines {
 		l.loadMachineGroup(it)
@@ -58,7 +58,8 @@
 	l.applyTaskBlocks(blocks)
 }
 
-// applyTaskBlocks takes records of task blocks, some of them in each step, and then goes on.
+// applyTaskBlocks loads records of task blocks, blocksPerStep at a time, and then starts
+// reconciling.
 func (l *leader) applyTaskBlocks(blocks []protocol.KeyValue) {
 	count := min(blocksPerStep, len(blocks))
 	for _, it := range blocks[:count] {
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -12,18 +12,18 @@
 	"brasskeel/internal/records"
 )
 
-// fakeStateService answers a new leader's reads.
+// fakeStateService holds items and answers a new leader's reads of them.
 type fakeStateService struct {
 	items         map[string]protocol.KeyValue
-	readKeys      []string // targets of what was read, and what transactions compare
-	unansweredKey string   // a key whose read gets no answer
+	readKeys      []string // keys read, prefixes listed, and keys compared by transactions
+	unansweredKey string   // a read of this key gets no answer
 }
 
 func (s *fakeStateService) put(key string, value any) {
 	s.items[key] = protocol.KeyValue{Key: key, Value: records.Encode(value), Version: 3}
 }
 
-// answer gives the response to a call; status 0 for none.
+// answer returns the response to a call; status 0 means that there is none.
 func (s *fakeStateService) answer(call Call) (status int, body []byte) {
 	if call.To != StateService {
 		return 0, nil
@@ -79,7 +79,7 @@
 	return 200, protocol.EncodeRange(page, len(keys) > limit, 9)
 }
 
-// electLeader lets a controller that nobody leads become the leader, and answers what it reads.
+// electLeader makes a controller the leader, and answers its reads.
 func (s *fakeStateService) electLeader(c *Controller) *leader {
 	c.election.BecomeLeader(leadership.LeaderTerm{Term: 2, KeyVersion: 20, ElectedAt: c.now,
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}})
@@ -91,15 +91,15 @@
 			calls = append(calls, c.Result(c.now, call.ID, Outcome{Answered: true, Status: status, Body: body}).Calls...)
 		}
 	}
-	// Records are taken in steps with pauses between.
+	// Task blocks are loaded in steps with pauses in between.
 	for c.leader.phase == phaseLoading && !c.NextTick().After(c.now.Add(blockStepPause)) {
 		c.Tick(c.now.Add(blockStepPause))
 	}
 	return c.leader
 }
 
-// newStateServiceWithJobs are records of jobs, of which the second is cancelled, and of many more
-// that were over long ago.
+// newStateServiceWithJobs returns a state service with the records of three jobs, of which the
+// second is cancelled, and with the outcomes of 3000 jobs that finished long ago.
 func newStateServiceWithJobs() *fakeStateService {
 	service := &fakeStateService{items: map[string]protocol.KeyValue{}}
 	for i := range 3 {
@@ -113,26 +113,26 @@
 	return service
 }
 
-// A new leader asks for the outcomes of unfinished jobs alone: outcomes are kept for
-// ever, and reading all of them made each election of a long-lived deployment longer.
+// A new leader reads only the outcomes of jobs that still have a record. Outcomes are kept
+// forever, and reading all of them lengthened each election of a long-running deployment.
 func TestLoadReadsOutcomesOfUnfinishedJobs(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	service := newStateServiceWithJobs()
 	l := service.electLeader(c)
 	for _, key := range service.readKeys {
 		if key != records.PrefixActive && strings.HasPrefix(records.KeyOutcome("run-1"), key) || strings.HasPrefix(key, records.KeyOutcome("run-1")) {
-			t.Fatalf("%s was read", key)
+			t.Fatalf("%s was read, though no unfinished job has this outcome", key)
 		}
 	}
 	if len(l.jobs) != 3 || l.jobs["run-000002"].finalState != protocol.Cancelled || l.jobs["run-000001"].finalState != 0 {
 		t.Errorf("jobs %v", l.jobs)
 	}
 	if l.phase != phaseReconciling || l.jobsKnownAt.IsZero() {
-		t.Errorf("phase %d, known %s", l.phase, l.jobsKnownAt)
+		t.Errorf("phase %d, jobs known as of %s", l.phase, l.jobsKnownAt)
 	}
 }
 
-// It knows nothing, and answers no worker, before each outcome is read: the answer could
+// A new leader answers no worker before all outcomes of recorded jobs are read: the answer could
 // renew the lease of a task whose job was cancelled.
 func TestNoWorkerAnswerBeforeOutcomesAreRead(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
@@ -140,7 +140,7 @@
 	service.unansweredKey = records.KeyOutcome("run-000002")
 	l := service.electLeader(c)
 	if !l.jobsKnownAt.IsZero() || l.holdsLease() {
-		t.Fatalf("known as of %s", l.jobsKnownAt)
+		t.Fatalf("jobs known as of %s before all outcomes were read", l.jobsKnownAt)
 	}
 	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4)); len(e.Replies) != 0 {
 		t.Errorf("answered: %+v", e.Replies)
--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -10,39 +10,39 @@
 	"brasskeel/internal/records"
 )
 
-// machineGroup is some machines of one kind that share a record. A fleet comes by the hundred,
-// and nothing starts on a machine before its record is written: with a record for
-// each, the first placements waited for seconds behind those of booting machines.
+// machineGroup is a group of machines of the same type, zone and purchase option that share a
+// record. Machines are provisioned by the hundred, and no task starts on a machine before its
+// record is written: with a record for each machine, the first placements waited for seconds
+// behind the records of booting machines.
 //
-// A group's machines are fixed once it is written for the first time and only grow
-// fewer, each after it was proven gone, so that a write that is applied late tells of
-// too many machines and never of too few.
+// From its first write on, machines are only removed from a group, each after it was proven
+// terminated. A write that is applied late therefore lists too many machines, never too few.
 type machineGroup struct {
 	key               string
 	machines          []*machine
-	shard             shard.ID // in the key, so that it never changes; 0: none
+	shard             shard.ID // part of the key, so it never changes; 0: none
 	stage             groupStage
-	rewriteQueued     bool // waits to be written again, by due
+	rewriteQueued     bool // queued to be rewritten, no earlier than rewriteDue
 	rewriteDue        time.Time
 	machineType, zone string
 	spot              bool
 }
 
-// groupStage is how far the first write of a group's record has come.
+// groupStage is the stage of the first write of a group's record.
 type groupStage uint8
 
 const (
 	groupOpen   groupStage = iota // machines may still be added
-	groupSealed                   // sent for the first time, or about to be
-	groupStored                   // it is in the store
+	groupSealed                   // the first write is in flight or queued; no machines are added
+	groupStored                   // the record is in the store
 )
 
-// groupRewriteDelay lets changes of a group be written together: machines that are gone, and
-// the addresses of those that come up. The next leader asks them there at once, without
-// the cloud's list, which it may not get.
+// groupRewriteDelay lets several changes of a group share one write: machines that terminated, and
+// the addresses of machines that came up. The next leader probes the recorded addresses at once,
+// without the cloud's inventory, which may not be available.
 const groupRewriteDelay = 5 * time.Second
 
-// recordMachine wants a machine recorded.
+// recordMachine queues a machine to be recorded, in a new group if no queued one accepts it.
 func (w *recordWriter) recordMachine(m *machine) {
 	for _, group := range w.newGroups {
 		if group.accepts(m) && len(group.machines) < w.machinesPerGroup() {
@@ -52,13 +52,14 @@
 	}
 	w.groupCount++
 	id := w.leader.shardForNewMachine(m)
-	// Never used again: terms are unique, and so is the counter within one.
+	// The key is never reused: terms are unique, and so is the counter within a term.
 	group := &machineGroup{key: records.KeyMachineGroup(int(id), w.leader.term, w.groupCount), shard: id, machineType: m.Type, zone: m.Zone, spot: m.Spot}
 	group.add(m)
 	w.newGroups = append(w.newGroups, group)
 }
 
-// accepts reports whether a machine may be added to the group as far as its kind goes.
+// accepts reports whether the group is open and holds machines of this machine's type, zone and
+// purchase option. It doesn't check the size of the group.
 func (g *machineGroup) accepts(m *machine) bool {
 	return g.stage == groupOpen && g.machineType == m.Type && g.zone == m.Zone && g.spot == m.Spot
 }
@@ -66,14 +67,14 @@
 // stored reports whether the group's record is in the store.
 func (g *machineGroup) stored() bool { return g.stage == groupStored }
 
-// add puts a machine into the group.
+// add adds a machine to the group, and thereby to the group's shard.
 func (g *machineGroup) add(m *machine) {
 	g.machines = append(g.machines, m)
 	m.group, m.shard = g, g.shard
 }
 
-// machinesPerGroup is how many machines share a record: fewer where shards are to have
-// about as many machines each.
+// machinesPerGroup returns how many machines may share a record. With shards the groups are
+// smaller, so that all shards can have about the same number of machines.
 func (w *recordWriter) machinesPerGroup() int {
 	most := records.MachinesPerGroup(w.leader.controller.cfg.ValueBytes)
 	if w.leader.shards != nil {
@@ -82,10 +83,10 @@
 	return most
 }
 
-// maxMachinesPerShardGroup is how many machines of a shard share a record at the most.
+// maxMachinesPerShardGroup is the maximum number of machines of a shard that share a record.
 const maxMachinesPerShardGroup = 12
 
-// removeMachineFromRecord takes a machine that is gone out of its record.
+// removeMachineFromRecord removes a terminated machine from its group's record.
 func (w *recordWriter) removeMachineFromRecord(m *machine) {
 	group := m.group
 	if group == nil {
@@ -94,7 +95,7 @@
 	m.group = nil
 	group.machines = slices.DeleteFunc(group.machines, func(other *machine) bool { return other == m })
 	switch {
-	case group.stage == groupOpen: // it will be without it
+	case group.stage == groupOpen: // the first write won't include the machine
 	case len(group.machines) == 0:
 		w.deleteKey(group.key)
 	default:
@@ -102,7 +103,7 @@
 	}
 }
 
-// scheduleGroupRewrite wants a group's record written again some time.
+// scheduleGroupRewrite queues a group's record to be rewritten after groupRewriteDelay.
 func (w *recordWriter) scheduleGroupRewrite(group *machineGroup) {
 	if group != nil && group.stage != groupOpen && !group.rewriteQueued {
 		group.rewriteQueued, group.rewriteDue = true, w.leader.controller.now.Add(groupRewriteDelay)
@@ -110,7 +111,8 @@
 	}
 }
 
-// nextGroupToWrite is the next group to be written, nil when none is.
+// nextGroupToWrite returns the next group to write, or nil if there is none: new groups first,
+// then changed ones that are due.
 func (w *recordWriter) nextGroupToWrite() *machineGroup {
 	for len(w.newGroups) > 0 {
 		group := w.newGroups[0]
@@ -124,14 +126,14 @@
 		group := w.changedGroups[0]
 		w.changedGroups = w.changedGroups[1:]
 		group.rewriteQueued = false
-		if len(group.machines) > 0 { // else its record is being removed
+		if len(group.machines) > 0 { // otherwise its record is being deleted
 			return group
 		}
 	}
 	return nil
 }
 
-// encode makes the group's record.
+// encode returns the group's record.
 func (g *machineGroup) encode() json.RawMessage {
 	r := records.MachineGroup{Type: g.machineType, Zone: g.zone, Spot: g.spot}
 	for _, m := range g.machines {
@@ -140,7 +142,7 @@
 	return records.Encode(r)
 }
 
-// groupRecorded notes that a group's record was applied.
+// groupRecorded handles a write of a group that was applied: its machines may now get tasks.
 func (l *leader) groupRecorded(group *machineGroup) {
 	first := group.stage != groupStored
 	group.stage = groupStored
@@ -155,7 +157,7 @@
 	}
 }
 
-// loadMachineGroup takes in a record of machines.
+// loadMachineGroup loads the record of a group of machines.
 func (l *leader) loadMachineGroup(item protocol.KeyValue) {
 	var r records.MachineGroup
 	if err := protocol.Decode(item.Value, &r); err != nil {
@@ -173,11 +175,11 @@
 		}
 	}
 	if len(group.machines) == 0 {
-		l.writer.deleteKey(group.key) // all of them stand in other records
+		l.writer.deleteKey(group.key) // all of its machines are in other records
 	}
 }
 
-// loadMachine takes in a machine that is on record.
+// loadMachine loads a machine from its group's record.
 func (l *leader) loadMachine(group *records.MachineGroup, entry *records.MachineEntry) *machine {
 	m := l.machines[entry.Name]
 	if m == nil {
@@ -192,7 +194,7 @@
 	if rentedAt.After(now) {
 		rentedAt = now
 	}
-	// Steady time only from here on.
+	// The age is measured by the wall clock once, and by the monotonic clock from here on.
 	m.provisionedAt = now.Add(-now.Round(0).Sub(rentedAt))
 	return m
 }
--- a/internal/coordination/machine_groups_test.go
+++ b/internal/coordination/machine_groups_test.go
@@ -11,9 +11,10 @@
 	"brasskeel/internal/records"
 )
 
-// records plays the state service for a leader's transactions: it applies those
-// under way, and those that they lead to, and keeps the records of machines.
-func applyMachineGroupWrites(c *Controller, kept map[string]json.RawMessage) (writes int) {
+// applyMachineGroupWrites acts as the state service for a leader's transactions. It applies those
+// in flight and those that follow from them, keeps the records of machine groups in stored, and
+// returns the number of operations.
+func applyMachineGroupWrites(c *Controller, stored map[string]json.RawMessage) (writes int) {
 	e := c.takeEffects()
 	for len(e.Calls) > 0 {
 		var next []Call
@@ -28,9 +29,9 @@
 			for _, op := range t.Ops {
 				writes++
 				if op.Delete != "" {
-					delete(kept, op.Delete)
+					delete(stored, op.Delete)
 				} else if _, ok := cutPrefix(op.Put, records.PrefixMachineGroups); ok {
-					kept[op.Put] = op.Value
+					stored[op.Put] = op.Value
 				}
 			}
 			next = append(next, c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(20)}).Calls...)
@@ -40,10 +41,10 @@
 	return writes
 }
 
-// loadedMachineNames are the machines that a next leader would load.
-func loadedMachineNames(kept map[string]json.RawMessage) []string {
+// loadedMachineNames returns the names of the machines that the next leader would load.
+func loadedMachineNames(stored map[string]json.RawMessage) []string {
 	_, l := newTestLeader(phaseLoading)
-	for key, value := range kept {
+	for key, value := range stored {
 		l.loadMachineGroup(protocol.KeyValue{Key: key, Value: value})
 	}
 	var list []string
@@ -57,65 +58,65 @@
 	return list
 }
 
-// A fleet that comes by the hundred is recorded with a few writes, and what is on
-// record are at any time at least the machines that aren't proven gone: with a write
-// for each machine, the first placements waited four seconds behind them.
+// Hundreds of machines that are provisioned together are recorded with a few writes. With a write
+// for each machine, the first placements waited four seconds behind them. The records always
+// include all machines that aren't proven terminated.
 func TestMachinesShareRecords(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
-	kept := map[string]json.RawMessage{}
+	stored := map[string]json.RawMessage{}
 	const count = 320
 	for i := range count {
 		l.writer.recordMachine(l.newMachine(fmt.Sprintf("vm-%03d", i), "small", "a", i%4 == 0))
 	}
 	writes := 0
-	for range 20 { // the budget of writes is small here
+	for range 20 { // this test's write budget is small
 		c.now = c.now.Add(200 * time.Millisecond)
-		writes += applyMachineGroupWrites(c, kept)
+		writes += applyMachineGroupWrites(c, stored)
 	}
 	if writes > 10 {
-		t.Errorf("%d machines took %d writes", count, writes)
+		t.Errorf("%d machines took %d writes, want at most 10", count, writes)
 	}
-	if got := loadedMachineNames(kept); len(got) != count {
-		t.Fatalf("%d machines on record", len(got))
+	if got := loadedMachineNames(stored); len(got) != count {
+		t.Fatalf("%d machines recorded, want %d", len(got), count)
 	}
 	for i, m := range slices.Clone(l.fleetList) {
 		if !m.recorded {
-			t.Fatalf("%s isn't taken for recorded", m.Name)
+			t.Fatalf("%s doesn't count as recorded", m.Name)
 		}
 		if i >= 10 {
 			l.machineTerminated(m, "returned")
 		}
 		for _, name := range []string{"vm-000", "vm-009"} {
-			if !slices.Contains(loadedMachineNames(kept), name) {
-				t.Fatalf("%s is off the record", name)
+			if !slices.Contains(loadedMachineNames(stored), name) {
+				t.Fatalf("%s is missing from the records", name)
 			}
 		}
 		if i%100 == 0 {
 			c.now = c.now.Add(200 * time.Millisecond)
-			applyMachineGroupWrites(c, kept)
+			applyMachineGroupWrites(c, stored)
 		}
 	}
 	for range 20 {
 		c.now = c.now.Add(500 * time.Millisecond)
-		applyMachineGroupWrites(c, kept)
+		applyMachineGroupWrites(c, stored)
 	}
-	if got := loadedMachineNames(kept); len(got) != 10 {
-		t.Errorf("%d machines on record, want the ten that are left", len(got))
+	if got := loadedMachineNames(stored); len(got) != 10 {
+		t.Errorf("%d machines recorded, want the ten that are left", len(got))
 	}
 }
 
-// The address of a machine that has come up is on record, so that the next leader can
-// ask it while the cloud's list can't be had.
+// The address of a machine that has come up is recorded, so that the next leader can probe the
+// machine while the cloud's inventory is unavailable.
 func TestMachineAddressesAreRecorded(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
-	kept := map[string]json.RawMessage{}
+	stored := map[string]json.RawMessage{}
 	l.writer.recordMachine(l.newMachine("vm-1", "small", "a", false))
-	applyMachineGroupWrites(c, kept)
+	applyMachineGroupWrites(c, stored)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	c.now = c.now.Add(groupRewriteDelay + time.Second)
-	applyMachineGroupWrites(c, kept)
+	applyMachineGroupWrites(c, stored)
 	next, leader := newTestLeader(phaseLoading)
-	for key, value := range kept {
+	for key, value := range stored {
 		leader.loadMachineGroup(protocol.KeyValue{Key: key, Value: value})
 	}
 	if got := leader.machines["vm-1"]; got == nil || got.addr != "x" {
@@ -124,16 +125,16 @@
 	leader.startReconciling()
 	next.now = next.now.Add(2 * probeDelay)
 	leader.detectFailures()
-	asked := false
+	probed := false
 	for _, call := range next.takeEffects().Calls {
-		asked = asked || call.To == Worker && call.Addr == "x"
+		probed = probed || call.To == Worker && call.Addr == "x"
 	}
-	if !asked {
+	if !probed {
 		t.Error("the next leader doesn't ask the machine without the cloud's list")
 	}
 }
 
-// A record from before machines shared them is understood.
+// A record from the time when each machine had its own is still loaded.
 func TestLoadsLegacySingleMachineRecord(t *testing.T) {
 	_, l := newTestLeader(phaseLoading)
 	l.loadMachineGroup(protocol.KeyValue{Key: records.PrefixMachineGroups + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -19,8 +19,8 @@
 	"brasskeel/internal/records"
 )
 
-// What on-call met: jobs with a mistake, boots that are late, polls by the thousand,
-// guests, and a service that said nothing.
+// Tests of problems met in operation: faulty jobs and machines, late boots, thousands of status
+// queries, teams without a guarantee, starvation, overload, and missing logs.
 
 func addTestJob(l *leader, id string, change func(*protocol.Job)) *job {
 	spec := &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 10, CPUs: 1,
@@ -38,7 +38,7 @@
 	return m
 }
 
-// failTask lets one task of a job fail on a machine.
+// failTask places a job's next pending task on a machine and lets it fail there.
 func failTask(l *leader, m *machine, j *job) {
 	a := &attempt{job: j, taskIndex: j.nextPendingTask(), machine: m, recorded: true}
 	j.popPendingTask()
@@ -47,8 +47,8 @@
 	l.detach(a, "test")
 }
 
-// Jobs that fail everywhere cost no machine, however many meet on it; jobs that are
-// known to work do when they fail there.
+// Jobs that fail everywhere don't get a machine quarantined, however many of them fail on it. Jobs
+// that are known to work elsewhere do.
 func TestQuarantinesMachineOnlyForWorkingJobs(t *testing.T) {
 	for _, works := range []bool{false, true} {
 		c, l := newTestLeader(phaseActive)
@@ -58,24 +58,24 @@
 			failTask(l, m, addTestJob(l, fmt.Sprintf("run-%06d", i), func(*protocol.Job) {}))
 		}
 		if m.quarantined {
-			t.Fatal("five jobs of which nothing is known cost a machine")
+			t.Fatal("machine quarantined after failures of five jobs that never ran anywhere")
 		}
 		for i := range 2 {
 			j := addTestJob(l, fmt.Sprintf("run-%06d", 10+i), func(*protocol.Job) {})
-			if works { // tasks of it run elsewhere
+			if works { // its tasks run on another machine
 				l.taskStartedRunning(j)
 				c.now = c.now.Add(quarantine.MinRunTime)
 			}
 			failTask(l, m, j)
 		}
 		if m.quarantined != works {
-			t.Errorf("two jobs that work elsewhere %t: faulty %t", works, m.quarantined)
+			t.Errorf("after failures of two jobs that work elsewhere (%t): quarantined %t", works, m.quarantined)
 		}
 	}
 }
 
-// A job that fails everywhere is tried with one task at a time, ever more slowly, and
-// all of it once a task runs for a while.
+// A job that fails everywhere is tried with one task at a time, with increasing backoff. Once a
+// task has run for a while, all of its tasks are placed.
 func TestQuarantinedJobRunsTrials(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.teamUsage["red"] = &usage{}
@@ -102,7 +102,7 @@
 		last = j.backoffUntil.Sub(c.now)
 	}
 	if last != quarantine.MaxTrialBackoff {
-		t.Errorf("after 12 trials %s until the next", last)
+		t.Errorf("backoff %s after 12 trials, want %s", last, quarantine.MaxTrialBackoff)
 	}
 	c.now = j.backoffUntil
 	for _, m := range l.fleetList {
@@ -117,8 +117,8 @@
 	}
 }
 
-// Replicas that faulty machines ended are started again although others of their job
-// run: a service is never done, and what failed in its long life doesn't add up.
+// Replicas that fail on faulty machines are restarted while other replicas of their job run. A
+// service is never done, so the failures of its long life must not add up to a quarantine.
 func TestServiceIsNotQuarantined(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"].CPUsMax = 100
@@ -153,37 +153,38 @@
 	}
 }
 
-// Boots that are late are replaced once; when most are, only a part is, and none is
-// given up soon. A new leader doesn't judge machines that may have been up for long.
+// Machines whose boots are late are replaced once. When most boots are late, only some of the
+// machines are replaced, and none is released early. A new leader doesn't judge the boots of
+// inherited machines, which may have been up for a long time.
 func TestOverdueBoots(t *testing.T) {
-	count := func(late, came int, inherited bool) (*Controller, *leader) {
+	count := func(lateBoots, completedBoots int, inherited bool) (*Controller, *leader) {
 		c, l := newTestLeader(phaseActive)
 		c.teams["red"].CPUsMax = 1000
 		l.loadedAt = c.now
-		for i := range late {
+		for i := range lateBoots {
 			m := addTestMachine(l, fmt.Sprintf("vm-%d", i), false)
 			m.provisionedAt, m.inherited = c.now.Add(-45*time.Second), inherited
 		}
-		for i := range came {
+		for i := range completedBoots {
 			addTestMachine(l, fmt.Sprintf("vm-up-%d", i), true)
 		}
 		return c, l
 	}
 	for _, test := range []struct {
-		late, came int
-		inherited  bool
-		coming     int
-		returned   int // of 45 s after the rental, when four times the usual time is 40 s
+		lateBoots, completedBoots int
+		inherited                 bool
+		coming                    int
+		returned                  int // 45 s after provisioning; four times the usual boot time is 40 s
 	}{
-		{late: 2, came: 8, coming: 0, returned: 2},
-		{late: 8, came: 2, coming: 6, returned: 0},
-		{late: 2, came: 8, inherited: true, coming: 0, returned: 0},
-		{late: 8, came: 2, inherited: true, coming: 0, returned: 0},
+		{lateBoots: 2, completedBoots: 8, coming: 0, returned: 2},
+		{lateBoots: 8, completedBoots: 2, coming: 6, returned: 0},
+		{lateBoots: 2, completedBoots: 8, inherited: true, coming: 0, returned: 0},
+		{lateBoots: 8, completedBoots: 2, inherited: true, coming: 0, returned: 0},
 	} {
-		_, l := count(test.late, test.came, test.inherited)
+		_, l := count(test.lateBoots, test.completedBoots, test.inherited)
 		l.autoscaler.unmetDemand = []demand{{job: addTestJob(l, "run-000001", func(*protocol.Job) {}), tasks: 1}}
 		if got := len(l.bootingBins()); got != test.coming {
-			t.Errorf("%+v: %d counted as room to come", test, got)
+			t.Errorf("%+v: %d machines counted as booting", test, got)
 		}
 		l.releaseOverdueBoots()
 		returned := 0
@@ -193,13 +194,13 @@
 			}
 		}
 		if returned != test.returned {
-			t.Errorf("%+v: %d returned", test, returned)
+			t.Errorf("%+v: %d machines released", test, returned)
 		}
 	}
 }
 
-// However many users ask, a controller asks the state service a bounded number of times, and
-// what another controller has told it to be over costs nothing.
+// However many status queries arrive, a controller sends the state service a bounded number of
+// checks. For a job that a peer has announced as finished it sends none.
 func TestStatusQueriesShareChecks(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.election.StepDown("test")
@@ -227,7 +228,7 @@
 		t.Errorf("%d checks in 10 s, want at most %d", checks, most)
 	}
 	if answered < 1900 {
-		t.Errorf("%d of 2000 questions answered", answered)
+		t.Errorf("%d of 2000 queries answered", answered)
 	}
 
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
@@ -238,22 +239,22 @@
 	c.PeerMessage(c.now, raw)
 	e := c.Request(c.now, 9999, "GET", protocol.PathJobs+"/run-000999", nil)
 	if len(e.Calls) != 0 || len(e.Replies) != 1 || e.Replies[0].Status != 200 {
-		t.Errorf("a job that a peer has told to be done: %+v", e)
+		t.Errorf("query for a job that a peer announced as done: %+v", e)
 	}
 }
 
-// Each job that comes leaves the leader's own records a change less.
+// Each submitted job takes one write from the leader's own write budget.
 func TestSubmissionsSpendWriteBudget(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	before := l.writer.committer.Available()
 	record := records.Encode(records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: benchJob(2)})
 	l.applyJobRecord(records.KeyActive(benchJob(2).ID), record, true)
 	if after := l.writer.committer.Available(); after != before-1 {
-		t.Errorf("%g changes are left of %g", after, before)
+		t.Errorf("%g operations available, want one less than %g", after, before)
 	}
 }
 
-// Submissions that come together share a transaction; one that is known already doesn't
+// Submissions that arrive together share a transaction. One of a job that already exists doesn't
 // keep the others from being accepted.
 func TestSubmissionsShareTransactions(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
@@ -268,7 +269,7 @@
 	}
 	e := c.Result(c.now, calls[0].ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(7)})
 	if len(e.Replies) != 1 || len(e.Calls) != 1 || bytes.Count(e.Calls[0].Body, []byte(`"write"`)) != 4 {
-		t.Fatalf("the rest in one: %d answers, %d calls", len(e.Replies), len(e.Calls))
+		t.Fatalf("the other four submissions don't share a transaction: %d replies, %d calls", len(e.Replies), len(e.Calls))
 	}
 	failed := protocol.EncodeFailedConditions([]string{records.KeyActive(benchJob(4).ID)}, 8)
 	e = c.Result(c.now, e.Calls[0].ID, Outcome{Answered: true, Status: 409, Body: failed})
@@ -283,20 +284,20 @@
 	}
 }
 
-// Teams without a guarantee don't have dear machines rented, but one to begin on once
-// they have waited for long.
+// No expensive machines are provisioned for teams without a guarantee, except one to start on once
+// their job has waited for StarvingAfter.
 func TestOpportunisticPrice(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
 	l.teamUsage["guest"] = &usage{}
 	guest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Team = "guest" })
 	other := addTestJob(l, "run-000002", func(*protocol.Job) {})
-	dear := autoscaler.Offer{Spec: c.types["small"], Zone: "a"} // twice the price of a spot machine
-	if !l.overpriced(guest, dear) || l.overpriced(other, dear) || l.overpriced(guest, autoscaler.Offer{Spec: dear.Spec, Zone: "a", Spot: true}) {
+	expensive := autoscaler.Offer{Spec: c.types["small"], Zone: "a"} // twice the price of a spot machine
+	if !l.overpriced(guest, expensive) || l.overpriced(other, expensive) || l.overpriced(guest, autoscaler.Offer{Spec: expensive.Spec, Zone: "a", Spot: true}) {
 		t.Error("prices are judged wrongly")
 	}
 	// Spot machines have run out.
-	l.autoscaler.unavailableUntil[autoscaler.Offer{Spec: dear.Spec, Zone: "a", Spot: true}.Key()] = c.now.Add(time.Hour)
+	l.autoscaler.unavailableUntil[autoscaler.Offer{Spec: expensive.Spec, Zone: "a", Spot: true}.Key()] = c.now.Add(time.Hour)
 	for _, test := range []struct {
 		job   *job
 		rents bool
@@ -305,22 +306,23 @@
 		l.autoscaler.unmetDemand = []demand{{test.job, 4}}
 		l.scaleOut()
 		if rents := len(c.takeEffects().Calls) > 0; rents != test.rents {
-			t.Errorf("%s: dear machines rented %t", test.job.Team, rents)
+			t.Errorf("%s: expensive machines requested %t", test.job.Team, rents)
 		}
 	}
 	c.now = c.now.Add(queue.StarvingAfter)
 	clear(l.autoscaler.requested)
 	l.autoscaler.unmetDemand = []demand{{guest, guest.Tasks}}
-	l.autoscaler.unavailableUntil[autoscaler.Offer{Spec: dear.Spec, Zone: "a", Spot: true}.Key()] = c.now.Add(time.Hour)
+	l.autoscaler.unavailableUntil[autoscaler.Offer{Spec: expensive.Spec, Zone: "a", Spot: true}.Key()] = c.now.Add(time.Hour)
 	c.takeEffects()
 	l.scaleOut()
 	if calls := c.takeEffects().Calls; len(calls) != 1 || !bytes.Contains(calls[0].Body, []byte(`"howMany":1}`)) {
-		t.Errorf("for a guest's job that is overdue: %d calls, want one machine", len(calls))
+		t.Errorf("for the starving job of a team without a guarantee: %d calls, want one for one machine", len(calls))
 	}
 }
 
-// Guests' work that saves leaves a dear machine that is to be returned once nothing else is
-// on it, and isn't placed there again; other teams' work stays to its end.
+// Tasks of teams without a guarantee that save checkpoints are stopped on an expensive machine that
+// is being consolidated, if nothing else runs on it, and aren't placed there again. Tasks of other
+// teams run to their end.
 func TestOpportunisticWorkLeavesExpensiveMachines(t *testing.T) {
 	for _, test := range []struct {
 		team   string
@@ -359,8 +361,8 @@
 	}
 }
 
-// Why work waits is told at level info: when it changes and from time to time, and no
-// more often.
+// The reasons why tasks are pending are logged at level info when they change and at intervals, and
+// no more often.
 func TestPendingReasonsAreLogged(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	var out bytes.Buffer
@@ -377,12 +379,12 @@
 	}
 	step(20 * time.Second)
 	if lines("tasks pending") != 1 {
-		t.Fatalf("said %q", out.String())
+		t.Fatalf("logged %q", out.String())
 	}
 	l.teamUsage["red"].cpus = 4
 	step(60 * time.Second)
 	if k := lines("team limit"); k < 2 || k > 4 {
-		t.Errorf("the limit is told %d times in a minute: %s", k, out.String())
+		t.Errorf("the team limit is logged %d times in a minute: %s", k, out.String())
 	}
 	c.election.StepDown("test")
 	for range 20 {
@@ -390,12 +392,12 @@
 		c.logAvailability()
 	}
 	if k := lines("no leader known"); k != 1 {
-		t.Errorf("a missing leader is told %d times in 20 s: %s", k, out.String())
+		t.Errorf("the missing leader is logged %d times in 20 s: %s", k, out.String())
 	}
 }
 
-// A large task finds room although small ones would take each bit that frees: a machine
-// is kept for it once its job has waited for too long.
+// A large task is placed although small tasks would take any room that becomes free: a machine is
+// reserved for it once its job has waited for too long.
 func TestMachineIsReservedForStarvingJob(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"].CPUsMax = 100
@@ -408,7 +410,7 @@
 	small := addTestJob(l, "run-000003", func(*protocol.Job) {})
 	l.runPlacementRound()
 	if first.liveAttempts != 1 || small.liveAttempts != 0 {
-		t.Fatalf("%d and %d tasks run beside a job that is overdue", first.liveAttempts, small.liveAttempts)
+		t.Fatalf("%d and %d live tasks of the other jobs, want 1 and 0 while a job is starving", first.liveAttempts, small.liveAttempts)
 	}
 	l.detach(m.attemptList[0], "test")
 	first.retryQueue = nil
@@ -418,8 +420,8 @@
 	}
 }
 
-// A leader that is late starts what is critical and leaves the rest for later; once it
-// has lost its lease for that, it asks for a longer one.
+// An overloaded leader places critical tasks and defers the others. After it has lost its lease
+// through overload, it campaigns with a longer one.
 func TestOverloadedLeader(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"].CPUsMax = 100
@@ -432,21 +434,21 @@
 	c.overload.Observe(c.now, 2*overload.OverloadThreshold)
 	l.runPlacementRound()
 	if critical.liveAttempts != 2 || rest.liveAttempts != 0 {
-		t.Errorf("while late: %d critical tasks and %d others placed", critical.liveAttempts, rest.liveAttempts)
+		t.Errorf("while overloaded: %d critical tasks and %d others placed", critical.liveAttempts, rest.liveAttempts)
 	}
 	c.overload.Observe(c.now, 0)
 	l.runPlacementRound()
 	if rest.liveAttempts != 12 {
-		t.Errorf("%d of 12 tasks placed once it isn't late", rest.liveAttempts)
+		t.Errorf("%d of 12 tasks placed after the overload", rest.liveAttempts)
 	}
 	base := c.operator.LeaderLease()
 	c.overload.Observe(c.now, 2*overload.OverloadThreshold)
 	c.election.StepDown("test")
 	if got := c.election.CampaignTTL(); got != 4*base {
-		t.Errorf("after a lease lost for being late %s, want %s", got, 4*base)
+		t.Errorf("lease %s after one was lost through overload, want %s", got, 4*base)
 	}
 	c.now = c.now.Add(2 * time.Minute)
 	if got := c.election.CampaignTTL(); got != base {
-		t.Errorf("after two minutes %s, want %s", got, base)
+		t.Errorf("lease %s after two minutes, want %s", got, base)
 	}
 }
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/record_batch.go
@@ -8,7 +8,7 @@
 	"brasskeel/internal/records"
 )
 
-// recordBatch is what one transaction of a leader's writes.
+// recordBatch is what one transaction of a leader writes.
 type recordBatch struct {
 	writer      *recordWriter
 	doneJobs    []*job
@@ -18,12 +18,12 @@
 	deletedKeys []string
 }
 
-// blockWrite is what a transaction says of a block of tasks.
+// blockWrite is the write of one block of tasks in a transaction.
 type blockWrite struct {
 	block     *taskBlock
-	starts    []*attempt // to be sent once it is applied
-	migrating []*attempt // to be stopped then
-	completed []*task    // whose results are recorded by it
+	starts    []*attempt // attempts to start once the write is applied
+	migrating []*attempt // attempts to stop, for migration, once the write is applied
+	completed []*task    // tasks whose completion the write records
 }
 
 // Applied implements statestore.Batch.
@@ -64,12 +64,13 @@
 // Refused implements statestore.Batch.
 func (b *recordBatch) Refused() { b.requeue(func(*taskBlock) bool { return false }) }
 
-// Unknown implements statestore.Batch. What each record is now decides. If the transaction is
-// applied later after all, its conditions fail as soon as the records were written again.
+// Unknown implements statestore.Batch. The versions of all blocks are read before the batch is
+// written again. If the transaction is applied late, its conditions fail once the records have
+// been rewritten.
 func (b *recordBatch) Unknown() { b.requeue(func(*taskBlock) bool { return true }) }
 
-// requeue wants everything written again. The versions of the blocks that unsure picks are
-// read before.
+// requeue queues everything in the batch to be written again. The versions of the blocks for
+// which unsure returns true are read first.
 func (b *recordBatch) requeue(unsure func(*taskBlock) bool) {
 	w := b.writer
 	var unsureBlocks []*taskBlock
@@ -90,13 +91,14 @@
 	w.newGroups = append(b.groups, w.newGroups...)
 	w.otherPuts = append(b.otherPuts, w.otherPuts...)
 	w.keysToDelete = append(b.deletedKeys, w.keysToDelete...)
-	w.committer.RereadVersions(keys, func(place int, version uint64) {
-		unsureBlocks[place].record.Verified(version)
-		w.markUrgent(unsureBlocks[place])
+	w.committer.RereadVersions(keys, func(index int, version uint64) {
+		unsureBlocks[index].record.Verified(version)
+		w.markUrgent(unsureBlocks[index])
 	})
 }
 
-// blockRecorded acts on a block's record that was applied: what waited for it goes on.
+// blockRecorded handles a write of a block that was applied: its attempts may now be started, and
+// its migrating attempts stopped.
 func (l *leader) blockRecorded(write *blockWrite, revision uint64) {
 	block := write.block
 	block.record.Written(revision)
@@ -109,7 +111,7 @@
 		}
 		a.recorded = true
 		if a.stopRequested {
-			l.detach(a, "given up before it was sent")
+			l.detach(a, "stopped before it was sent")
 			continue
 		}
 		l.scheduleAttemptOrders(a)
@@ -119,7 +121,8 @@
 	}
 }
 
-// resultRecorded notes that a task's result is recorded.
+// resultRecorded notes that a task's completion is recorded, and acknowledges its exit to the
+// shard's owner that reported it.
 func (l *leader) resultRecorded(t *task) {
 	t.doneRecorded = true
 	if t.unacknowledgedExit != nil && l.shards != nil {
@@ -128,14 +131,14 @@
 	t.unacknowledgedExit = nil
 }
 
-// keyDeleted forgets the job whose last key was removed, if that one was.
+// keyDeleted drops the job whose last key was deleted, if key is the last key of a job.
 func (w *recordWriter) keyDeleted(key string) {
-	place := slices.IndexFunc(w.jobDeletions, func(d jobDeletion) bool { return d.lastKey == key })
-	if place < 0 {
+	index := slices.IndexFunc(w.jobDeletions, func(d jobDeletion) bool { return d.lastKey == key })
+	if index < 0 {
 		return
 	}
-	j := w.jobDeletions[place].job
-	w.jobDeletions = slices.Delete(w.jobDeletions, place, place+1)
+	j := w.jobDeletions[index].job
+	w.jobDeletions = slices.Delete(w.jobDeletions, index, index+1)
 	w.leader.forgetJob(j)
 }
 
--- a/internal/coordination/record_batch_test.go
+++ b/internal/coordination/record_batch_test.go
@@ -9,13 +9,14 @@
 	"brasskeel/internal/records"
 )
 
-// leaderWithUnansweredPlacement is a leader that has sent a transaction with a placement of a task.
+// leaderWithUnansweredPlacement returns a leader that has sent a transaction with the placement of
+// a task, the attempt, and the ID of the call.
 func leaderWithUnansweredPlacement(t *testing.T) (c *Controller, a *attempt, transaction uint64) {
 	t.Helper()
 	c, l := newTestLeader(phaseActive)
 	j, _ := addRunningJob(c, l)
 	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
-	applyTransactions(c, e.Calls) // with the record of the machine
+	applyTransactions(c, e.Calls) // including the machine's record
 	m := l.machines["vm-1"]
 	m.recorded, m.session.LastReached = true, c.now
 	c.now = c.now.Add(time.Second)
@@ -32,9 +33,9 @@
 	return c, a, transaction
 }
 
-// What becomes of a placement follows from what became of the transaction that holds it: it
-// is on record, or written again on the version that is read then, and only once it is on
-// record anything of it is sent.
+// The result of a transaction decides what happens to a placement in it: the placement counts as
+// recorded, or it is written again, after the keys in doubt were read. Nothing of the placement
+// is sent to a worker before it is recorded.
 func TestPlacementAfterTransactionResult(t *testing.T) {
 	const id = "run-000001"
 	block, outcome := records.KeyTaskBlock(id, 0), records.KeyOutcome(id)
@@ -45,7 +46,7 @@
 		name     string
 		outcome  Outcome
 		recorded bool
-		reads    string // the key that is read for it
+		reads    string // the key that must be read after the result
 	}{
 		{name: "applied", outcome: Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(21)}, recorded: true},
 		{name: "refused", outcome: Outcome{Answered: true, Status: 503}},
@@ -60,7 +61,7 @@
 			}
 			e := c.Result(c.now, transaction, test.outcome)
 			if a.recorded != test.recorded {
-				t.Errorf("on record %t", a.recorded)
+				t.Errorf("placement recorded %t, want %t", a.recorded, test.recorded)
 			}
 			var reads []string
 			started := false
@@ -71,7 +72,7 @@
 				started = started || call.To == Worker
 			}
 			if test.reads != "" && !slices.Contains(reads, protocol.KeyTarget(test.reads)) || test.reads == "" && len(reads) > 0 {
-				t.Errorf("reads %v", reads)
+				t.Errorf("reads %v, want %q", reads, test.reads)
 			}
 			if started && !test.recorded {
 				t.Error("started without a record")
@@ -80,7 +81,7 @@
 	}
 }
 
-// A block whose version isn't sure is written again on the version that was read.
+// After an unanswered write, a block is written again conditional on the version that was read.
 func TestUnansweredBlockWriteRereadsVersion(t *testing.T) {
 	c, a, transaction := leaderWithUnansweredPlacement(t)
 	e := c.Result(c.now, transaction, Outcome{})
@@ -101,14 +102,14 @@
 			t.Fatal(err)
 		}
 		if !hasCondition(txn, key, 12) || !hasCondition(txn, records.KeyOutcome(a.job.ID), 0) {
-			t.Errorf("written under %+v", txn.Conditions)
+			t.Errorf("written again with conditions %+v", txn.Conditions)
 		}
 		return
 	}
 	t.Error("the placement isn't written again")
 }
 
-// A leader whose key has changed writes nothing more.
+// A leader whose key has changed stops leading.
 func TestLeaderKeyConflictEndsLeadership(t *testing.T) {
 	c, _, transaction := leaderWithUnansweredPlacement(t)
 	c.Result(c.now, transaction, Outcome{Answered: true, Status: 409, Body: protocol.EncodeFailedConditions([]string{records.KeyLeader}, 9)})
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -11,32 +11,32 @@
 	"brasskeel/internal/records"
 )
 
-// lazyWriteDelay is how long a record that nobody waits for may stay unwritten, so
-// that several changes share one write.
+// lazyWriteDelay is how long the write of a record that nothing waits for may be delayed, so that
+// several changes share one write.
 const lazyWriteDelay = 700 * time.Millisecond
 
-// recordWriter holds a leader's records that are dirty, and fills transactions with them. Its
-// committer sends these one at a time, each conditional on the leader key's version, so that
-// one that is applied late, after another leader was elected, fails. Within a transaction
-// outcomes of jobs come first, then machines, as nothing starts on one before it is on
-// record, then blocks of tasks.
+// recordWriter queues a leader's dirty records and fills transactions with them. Its committer
+// sends one transaction at a time, each conditional on the leader key's version, so that one that
+// is applied late, after another leader was elected, fails. A transaction is filled with outcomes
+// of jobs first, then with machine groups, because no task starts on a machine before the machine
+// is recorded, and then with blocks of tasks.
 type recordWriter struct {
 	leader           *leader
 	committer        *statestore.Committer
 	urgentBlocks     []*taskBlock
 	lazyBlocks       []*taskBlock
-	doneJobs         []*job          // to be recorded as done
-	newGroups        []*machineGroup // never written yet
-	changedGroups    []*machineGroup // to be written again some time
-	groupCount       uint64          // made by this leader
+	doneJobs         []*job          // whose outcome "done" is to be recorded
+	newGroups        []*machineGroup // not yet written
+	changedGroups    []*machineGroup // to be rewritten once due
+	groupCount       uint64          // number of groups created by this leader
 	otherPuts        []protocol.Op
-	keysToDelete     []string // keys
+	keysToDelete     []string
 	jobDeletions     []jobDeletion
 	unrecordedStarts int
-	tasksPerBlock    int // of new jobs
+	tasksPerBlock    int // for new jobs
 }
 
-// jobDeletion drops a job once the removal of its last key is applied.
+// jobDeletion is a job that is dropped once its last key is deleted.
 type jobDeletion struct {
 	lastKey string
 	job     *job
@@ -50,17 +50,18 @@
 		settings.TxnOps, settings.StateWriteRPS)
 }
 
-// flush sends the next transaction if there is one and it may be sent.
+// flush sends the next transaction, if there is something to write and the committer allows it.
 func (w *recordWriter) flush() {
 	if w.leader.phase != phaseLoading {
 		w.committer.Flush()
 	}
 }
 
-// saturated reports whether so much waits to be recorded that nothing more is placed:
-// what would be placed now should be chosen among what there is once its record's
-// turn comes. A record holds what was placed of a block of a job's tasks, so the
-// bound is the records of about half a second, a few transactions at the least.
+// saturated reports whether so many records are queued that no more tasks should be placed. A
+// task that is placed now has to wait for its record to be written; it is better chosen from the
+// tasks that are pending by then. Each record holds the placements of one block of a job's tasks.
+// The bound is the number of records written in about half a second, and at least a few
+// transactions.
 func (w *recordWriter) saturated() bool {
 	settings := w.leader.controller.cfg
 	if w.unrecordedStarts >= w.maxUnrecordedStarts() {
@@ -70,21 +71,21 @@
 	return len(w.urgentBlocks) >= max(4*settings.TxnOps, int(settings.StateWriteRPS/2))
 }
 
-// markUrgent wants a block written soon.
+// markUrgent queues a block to be written as soon as possible.
 func (w *recordWriter) markUrgent(block *taskBlock) {
 	if block.record.MarkUrgent() {
 		w.urgentBlocks = append(w.urgentBlocks, block)
 	}
 }
 
-// markLazy wants a block written some time.
+// markLazy queues a block whose write may be delayed by lazyWriteDelay.
 func (w *recordWriter) markLazy(block *taskBlock) {
 	if block.record.MarkLazy(w.leader.controller.now.Add(lazyWriteDelay)) {
 		w.lazyBlocks = append(w.lazyBlocks, block)
 	}
 }
 
-// recordStart wants a placement recorded; its start is sent after that.
+// recordStart queues a placement to be recorded. The attempt is started only after that.
 func (w *recordWriter) recordStart(a *attempt) {
 	block := a.job.block(a.taskIndex)
 	block.unrecorded = append(block.unrecorded, a)
@@ -92,19 +93,19 @@
 	w.markUrgent(block)
 }
 
-// recordDone wants it recorded that all tasks of a job are done.
+// recordDone queues the outcome "done" of a job whose tasks are all done.
 func (w *recordWriter) recordDone(j *job) { w.doneJobs = append(w.doneJobs, j) }
 
-// put wants a key written that nothing is conditional on.
+// put queues a write of a key whose own version isn't checked.
 func (w *recordWriter) put(key string, value json.RawMessage) {
 	w.otherPuts = append(w.otherPuts, protocol.Op{Put: key, Value: value})
 }
 
-// deleteKey wants a key removed.
+// deleteKey queues the deletion of a key.
 func (w *recordWriter) deleteKey(key string) { w.keysToDelete = append(w.keysToDelete, key) }
 
-// deleteJob removes a job's records, the job's own last: by it a later leader
-// finds the others.
+// deleteJob queues the deletion of a job's records. The job's own record is last, because a
+// later leader needs it to find the others.
 func (w *recordWriter) deleteJob(j *job) {
 	for _, block := range j.blocks {
 		if block != nil && block.record.MayExist() {
@@ -116,7 +117,7 @@
 	w.jobDeletions = append(w.jobDeletions, jobDeletion{key, j})
 }
 
-// recordMachineTypes keeps the machine types for controllers that can't reach the cloud.
+// recordMachineTypes stores the machine types for controllers that can't reach the cloud.
 func (w *recordWriter) recordMachineTypes(types []protocol.MachineType) {
 	raw := records.Encode(types)
 	if len(raw) > w.leader.controller.cfg.ValueBytes {
@@ -173,7 +174,7 @@
 		j := w.doneJobs[0]
 		w.doneJobs = w.doneJobs[1:]
 		if j.finalState != 0 {
-			continue // it was cancelled meanwhile
+			continue // cancelled in the meantime
 		}
 		b.doneJobs = append(b.doneJobs, j)
 		key := records.KeyOutcome(j.ID)
@@ -193,7 +194,8 @@
 	}
 }
 
-// fillBlocks adds blocks of tasks: the urgent ones by priority, then those that wait longest.
+// fillBlocks adds blocks of tasks: urgent ones by priority, then lazy ones in the order in which
+// they were queued.
 func (w *recordWriter) fillBlocks(t *statestore.Transaction, b *recordBatch) {
 	if len(w.urgentBlocks) > 1 {
 		slices.SortStableFunc(w.urgentBlocks, func(a, b *taskBlock) int { return int(b.job.Priority) - int(a.job.Priority) })
@@ -206,25 +208,25 @@
 	for len(w.lazyBlocks) > 0 && t.HasRoom() {
 		block := w.lazyBlocks[0]
 		w.lazyBlocks = w.lazyBlocks[1:]
-		if block.record.Lazy() { // else it became urgent and is in the other list
+		if block.record.Lazy() { // otherwise it has become urgent and was queued again
 			w.fillBlock(t, b, block)
 		}
 	}
 }
 
-// fillBlock adds a block's record. Placements that were given up by now are dropped here,
-// before anything of them is recorded or sent.
+// fillBlock adds a block's record. Attempts that were stopped in the meantime are detached here,
+// before their placement is recorded or their start sent.
 func (w *recordWriter) fillBlock(t *statestore.Transaction, b *recordBatch, block *taskBlock) {
 	j := block.job
 	write := blockWrite{block: block, migrating: block.migrating}
 	block.migrating = nil
 	write.starts = w.takeStarts(block)
-	block.record.MarkClean() // also of what dropping placements asked for
-	if j.removed || j.finalState != 0 {
+	block.record.MarkClean() // takeStarts may have marked the block again
+	if j.deleting || j.finalState != 0 {
 		return
 	}
 	if j.finishing && len(write.starts) == 0 {
-		return // the outcome says it all
+		return // the outcome makes the block's record redundant
 	}
 	block.record.BeginWrite()
 	value, completed := block.encode()
@@ -232,12 +234,13 @@
 	b.blocks = append(b.blocks, write)
 	key := records.KeyTaskBlock(j.ID, block.index)
 	t.Require(key, block.record.Version())
-	// A start is never recorded, and so never sent, once the job is over.
+	// Once the job has an outcome, no start is recorded and therefore none is sent.
 	t.Require(records.KeyOutcome(j.ID), 0)
 	t.Put(key, value)
 }
 
-// takeStarts takes the placements of a block that are to be recorded.
+// takeStarts removes the unrecorded placements from a block and returns those to be recorded. The
+// others were stopped in the meantime and are detached.
 func (w *recordWriter) takeStarts(block *taskBlock) []*attempt {
 	j := block.job
 	block.record.MarkClean()
@@ -249,7 +252,7 @@
 		switch {
 		case j.task(a.taskIndex).live != a:
 		case a.stopRequested || j.finalState != 0:
-			w.leader.detach(a, "given up before it was recorded")
+			w.leader.detach(a, "stopped before it was recorded")
 		default:
 			keep = append(keep, a)
 		}
@@ -257,7 +260,7 @@
 	return keep
 }
 
-// requeue wants a block written again with what a transaction that wasn't applied held.
+// requeue returns to a block the contents of a write that may not have been applied.
 func (w *recordWriter) requeue(write *blockWrite) {
 	block := write.block
 	for _, a := range write.starts {
@@ -269,8 +272,8 @@
 	block.migrating = append(block.migrating, write.migrating...)
 }
 
-// readOutcome learns how a job ended that another controller ended. Until it is known,
-// nothing of the job is written: the condition on its outcome fails.
+// readOutcome reads the outcome of a job that another controller ended. Until it is known, every
+// write of the job's blocks fails on the condition that there is no outcome.
 func (w *recordWriter) readOutcome(id string) {
 	l, c := w.leader, w.leader.controller
 	c.store.Get(records.KeyOutcome(id), func(r statestore.ReadResult) {
--- a/internal/coordination/state_service.go
+++ b/internal/coordination/state_service.go
@@ -6,19 +6,19 @@
 	"brasskeel/internal/coordination/statestore"
 )
 
-// watchWait is how long a watch stays open without events.
+// watchWait is how long a watch waits for events.
 const watchWait = 8 * time.Second
 
-// jobsWatchWait is how long a watch of jobs stays open without events. A leader learns of
-// cancellations by it, and what it knows is as old as the watch that was answered last.
+// jobsWatchWait is how long a watch of jobs waits for events. A leader learns of cancellations
+// from this watch, and its knowledge is as old as the last watch that was answered.
 func (c *Controller) jobsWatchWait() time.Duration {
 	return min(max(c.maxAnswerStaleness()/4, 250*time.Millisecond), time.Second)
 }
 
-// maxConditions is how many keys one transaction compares at the most.
+// maxConditions is the maximum number of conditions of one transaction.
 func (c *Controller) maxConditions() int { return statestore.MaxConditions(c.cfg.TxnOps) }
 
-// storeHost lets the client of the state service use a controller's clock, timers and calls.
+// storeHost gives the client of the state service a controller's clock, timers and calls.
 type storeHost struct{ controller *Controller }
 
 // Now implements statestore.Host.
--- a/internal/coordination/state_service_test.go
+++ b/internal/coordination/state_service_test.go
@@ -8,8 +8,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// failStateServiceCalls lets a controller's last request to the state service have failed a minute
-// ago.
+// failStateServiceCalls makes the state service unavailable to a controller: its last request
+// failed a minute ago.
 func failStateServiceCalls(c *Controller) {
 	now := c.now
 	c.now = now.Add(-time.Minute)
@@ -29,7 +29,7 @@
 	}
 }
 
-// Without answers the state service counts as unavailable, and is asked until it answers.
+// A state service that doesn't answer counts as unavailable, and is probed until it answers.
 func TestStateServiceIsProbedWhileUnavailable(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	failStateServiceCalls(c)
@@ -43,7 +43,7 @@
 		}
 	}
 	if probe == 0 {
-		t.Fatal("it isn't asked again")
+		t.Fatal("the state service isn't probed")
 	}
 	c.Result(c.now, probe, Outcome{Answered: true, Status: 404})
 	if c.store.Unavailable() {
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -8,20 +8,19 @@
 	"brasskeel/internal/records"
 )
 
-// statusCheckDivisor is the part of the state service's requests that one controller's status
-// checks take at the most, as a divisor. A check serves dozens of queries, and when users ask
-// ever more often, more share one: with a check as soon as the last one was over, those of
-// three controllers alone took more than the service allows, and submissions were refused for
-// it.
+// statusCheckDivisor limits one controller's status checks to this fraction (one twelfth) of the
+// state service's request rate. A check serves dozens of queries, and the more often users ask,
+// the more queries share one. When each check was sent as soon as the last one was answered, the
+// checks of three controllers alone exceeded the service's rate limit, and submissions were
+// refused.
 const statusCheckDivisor = 12
 
-// statusCheckInterval is the least time between two status checks.
-
+// statusCheckInterval is the minimum time between two status checks.
 func (c *Controller) statusCheckInterval() time.Duration {
 	return max(10*time.Millisecond, time.Duration(statusCheckDivisor/c.cfg.StateRPS*float64(time.Second)))
 }
 
-// queryStatus answers a request for a job's status.
+// queryStatus handles a request for a job's status.
 func (c *Controller) queryStatus(id uint64, job string) {
 	if !protocol.ValidJobID(job) {
 		c.reply(id, 404, protocol.EncodeError("no such job"))
@@ -35,8 +34,8 @@
 		c.refuse(id, 503, "busy")
 		return
 	}
-	// Anything but a final state may have been overtaken at another controller, so
-	// it needs a fresh read; without one there is no answer.
+	// A state that isn't final may have changed through another controller, so it is reported
+	// only after a fresh read; without one there is no answer.
 	if c.store.Unavailable() {
 		c.refuseStoreUnavailable(id)
 		return
@@ -46,7 +45,8 @@
 	c.checkStatuses()
 }
 
-// answerStatus answers with what is known here, once it is known to be no older than the request.
+// answerStatus replies with the state that is known here, after a check has shown that the job
+// had no other state when the request arrived.
 func (c *Controller) answerStatus(id uint64, job string) {
 	s, done, running := c.knownProgress(job)
 	if f, ok := c.admission.outcomes[job]; ok {
@@ -55,16 +55,16 @@
 	c.reply(id, 200, protocol.EncodeJobStatus(job, s, done, running))
 }
 
-// statusCheck is a transaction that only compares: whether each of some jobs has an outcome, and
-// of those this controller hasn't heard of, whether they exist. Both are told as of the same
-// moment.
+// statusCheck is a read-only transaction. It compares whether each of some jobs has an outcome
+// and, for jobs that this controller doesn't know to be accepted, whether they exist. Both are
+// read at the same moment.
 type statusCheck struct {
 	txn     *protocol.Txn
 	queries []statusQuery
-	unknown map[string]bool // jobs that may not exist
+	unknown map[string]bool // jobs not known to exist
 }
 
-// nextCheck takes the queries that wait into a check, as far as its conditions reach.
+// nextCheck moves pending queries into a check, as many as the limit on its conditions allows.
 func (a *admission) nextCheck(maxConditions int) statusCheck {
 	check := statusCheck{txn: &protocol.Txn{}, unknown: map[string]bool{}}
 	listed := map[string]bool{}
@@ -88,8 +88,8 @@
 	return check
 }
 
-// checkStatuses answers the status queries that wait, many with one check, one check after the
-// other and no more often than statusCheckInterval.
+// checkStatuses answers the pending status queries, many with each check. One check is in flight
+// at a time, and checks are at least statusCheckInterval apart.
 func (c *Controller) checkStatuses() {
 	a := &c.admission
 	if a.checkInFlight || len(a.pendingQueries) == 0 {
@@ -110,13 +110,14 @@
 	})
 }
 
-// answerCheck answers the queries of a check. The keys that exist are those on which it failed.
+// answerCheck answers the queries of a check. The keys that exist are those whose conditions
+// failed.
 func (c *Controller) answerCheck(check statusCheck, r statestore.CommitResult) {
 	exists := map[string]bool{}
 	for _, key := range r.Failed {
 		exists[key] = true
 	}
-	reads := map[string][]uint64{} // queries for jobs that are over, by job
+	reads := map[string][]uint64{} // queries for finished jobs, by job
 	for _, q := range check.queries {
 		_, final := c.admission.outcomes[q.job]
 		switch {
@@ -141,7 +142,7 @@
 	}
 }
 
-// answerFromOutcomeRecord answers the queries for a job that is known to be over.
+// answerFromOutcomeRecord reads the outcome of a finished job and answers the queries for it.
 func (c *Controller) answerFromOutcomeRecord(job string, ids []uint64) {
 	c.admission.openRequests += len(ids)
 	c.store.Get(records.KeyOutcome(job), func(r statestore.ReadResult) {
@@ -161,7 +162,7 @@
 	})
 }
 
-// knownProgress is what is known here of an unfinished job, for display.
+// knownProgress returns what this controller knows of an unfinished job's progress, for display.
 func (c *Controller) knownProgress(job string) (s protocol.JobState, done, running int) {
 	if c.leader != nil {
 		if j := c.leader.jobs[job]; j != nil {
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -10,15 +10,15 @@
 	"brasskeel/internal/records"
 )
 
-// submission is a job whose record is to be written, and who asked for it.
+// submission is a job whose record is to be written, with the requests that wait for it.
 type submission struct {
 	job      *protocol.Job
 	record   json.RawMessage
 	requests []uint64
 }
 
-// submit answers the submission of a job. Submissions are idempotent by the job's ID: one of a
-// known job gets its state.
+// submit handles the submission of a job. Submissions are idempotent by job ID: for a job that
+// already exists, the reply is its state.
 func (c *Controller) submit(id uint64, body []byte) {
 	job, err := protocol.ParseJob(body)
 	if err != nil {
@@ -54,8 +54,8 @@
 	c.writeSubmissions()
 }
 
-// rejectUnlessKnown answers the submission of a job that could never run. A known job gets its
-// state whatever the limits say by now.
+// rejectUnlessKnown rejects the submission of a job that could never run. If the job already
+// exists, the reply is its state, even if the limits have changed since.
 func (c *Controller) rejectUnlessKnown(id uint64, job *protocol.Job, reason error) {
 	c.readJobState(job.ID, func(r jobRead) {
 		c.admission.openRequests--
@@ -70,11 +70,12 @@
 	})
 }
 
-// maxSubmissionBytes bounds the records in one transaction of submissions.
+// maxSubmissionBytes limits the size of the records in one transaction of submissions.
 const maxSubmissionBytes = 32 << 10
 
-// nextSubmissions takes the submissions that wait into a transaction. Half a transaction at the
-// most: all of it is refused at once when the state service has too little left.
+// nextSubmissions moves pending submissions into a transaction. It fills at most half of one,
+// because the state service refuses all of a transaction if its remaining write capacity is too
+// small for it.
 func (a *admission) nextSubmissions(txnOps int) ([]*submission, *protocol.Txn) {
 	t := &protocol.Txn{}
 	count, size := 0, 0
@@ -82,9 +83,9 @@
 		if count == max(1, txnOps/2) || count > 0 && size+len(s.record) > maxSubmissionBytes {
 			break
 		}
-		// The job exists once this is applied, and only then is the user told. The
-		// outcome's absence keeps a late copy from reviving a job that is over and
-		// whose record is already gone.
+		// The job exists once this is applied, and the user is told only then. The condition
+		// that there is no outcome keeps a delayed duplicate from recreating a finished job
+		// whose record was already deleted.
 		t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyActive(s.job.ID)}, protocol.Condition{Key: records.KeyOutcome(s.job.ID)})
 		t.Ops = append(t.Ops, protocol.Op{Put: records.KeyActive(s.job.ID), Value: s.record})
 		count, size = count+1, size+len(s.record)
@@ -94,8 +95,8 @@
 	return group, t
 }
 
-// writeSubmissions writes the records of the jobs that came while the last transaction was
-// under way.
+// writeSubmissions writes the records of the jobs that were submitted while the last transaction
+// was in flight.
 func (c *Controller) writeSubmissions() {
 	a := &c.admission
 	if a.submissionInFlight || len(a.pendingSubmissions) == 0 {
@@ -105,7 +106,7 @@
 	group, t := a.nextSubmissions(c.cfg.TxnOps)
 	c.store.Commit(t, func(r statestore.CommitResult) {
 		a.submissionInFlight = false
-		var again []*submission
+		var retries []*submission
 		for _, s := range group {
 			switch {
 			case r.Status == statestore.CommitApplied:
@@ -113,17 +114,17 @@
 			case r.Status == statestore.CommitConflict && (slices.Contains(r.Failed, records.KeyActive(s.job.ID)) || slices.Contains(r.Failed, records.KeyOutcome(s.job.ID))):
 				c.replyExisting(s)
 			case r.Status == statestore.CommitConflict:
-				again = append(again, s) // another of the group was known already
+				retries = append(retries, s) // another job of the group already exists
 			default:
 				c.refuseSubmission(s, r)
 			}
 		}
-		a.pendingSubmissions = append(again, a.pendingSubmissions...)
+		a.pendingSubmissions = append(retries, a.pendingSubmissions...)
 		c.writeSubmissions()
 	})
 }
 
-// refuseSubmission refuses all requests for a submission that couldn't be written.
+// refuseSubmission refuses all requests for a job whose record couldn't be written.
 func (c *Controller) refuseSubmission(s *submission, r statestore.CommitResult) {
 	c.admission.openRequests -= len(s.requests)
 	for _, id := range s.requests {
@@ -131,7 +132,7 @@
 	}
 }
 
-// replyAccepted tells of a job whose record is written.
+// replyAccepted replies to the requests for a job whose record was written.
 func (c *Controller) replyAccepted(s *submission) {
 	c.admission.openRequests -= len(s.requests)
 	c.admission.cacheAccepted(s.job.ID)
@@ -146,7 +147,7 @@
 	}
 }
 
-// replyExisting tells of a job that was known already.
+// replyExisting replies to the requests for a job that already existed.
 func (c *Controller) replyExisting(s *submission) {
 	c.readJobState(s.job.ID, func(r jobRead) {
 		c.admission.openRequests -= len(s.requests)
@@ -160,14 +161,14 @@
 	})
 }
 
-// Reasons why a job can't ever run. Users see the texts.
+// Reasons why a job can never run. Users see the texts.
 var (
 	errUnknownTeam          = errors.New("unknown team")
 	errNoFittingMachineType = errors.New("a task fits no allowed machine type")
 	errOverTeamLimit        = errors.New("the job needs more than its team's limit")
 )
 
-// checkRunnable returns why a job can't ever run, or nil.
+// checkRunnable returns the reason why a job can never run, or nil.
 func (c *Controller) checkRunnable(j *protocol.Job) error {
 	team := c.teams[j.Team]
 	if team == nil {
@@ -183,11 +184,11 @@
 	if !fits {
 		return errNoFittingMachineType
 	}
-	together := 1.0 // tasks that must run at the same time
+	concurrentTasks := 1.0 // tasks that must run at the same time
 	if j.Kind != protocol.Batch {
-		together = float64(j.Tasks)
+		concurrentTasks = float64(j.Tasks)
 	}
-	if together*j.CPUs > team.CPUsMax+protocol.Epsilon || together*j.GPUs > team.GPUsMax+protocol.Epsilon {
+	if concurrentTasks*j.CPUs > team.CPUsMax+protocol.Epsilon || concurrentTasks*j.GPUs > team.GPUsMax+protocol.Epsilon {
 		return errOverTeamLimit
 	}
 	return nil
--- a/internal/coordination/task_blocks.go
+++ b/internal/coordination/task_blocks.go
@@ -10,18 +10,18 @@
 	"brasskeel/internal/records"
 )
 
-// taskBlock is a run of a job's tasks that share a record.
+// taskBlock is a block of consecutive tasks of a job that share a record.
 type taskBlock struct {
 	job        *job
-	index      int // among the job's blocks
+	index      int // index among the job's blocks
 	tasks      []task
 	record     statestore.RecordState
-	unrecorded []*attempt // placed since the last write
-	migrating  []*attempt // to be stopped once it is on record that they move
+	unrecorded []*attempt // attempts placed since the last write
+	migrating  []*attempt // attempts to be stopped once their migration is recorded
 }
 
-// block gives the block that holds a task, made on first use: a job may have
-// a hundred thousand tasks of which few run at a time.
+// block returns the block that holds the task with the given index. Blocks are created on first
+// use: a job may have a hundred thousand tasks of which few run at a time.
 func (j *job) block(index int) *taskBlock {
 	i := index / j.blockSize
 	added := j.blocks[i]
@@ -34,7 +34,7 @@
 
 func (j *job) task(i int) *task { return &j.block(i).tasks[i%j.blockSize] }
 
-// encode makes the block's record, and returns the tasks whose results it is the first to hold.
+// encode returns the block's record, and the tasks whose completion isn't recorded before it.
 func (b *taskBlock) encode() (value json.RawMessage, completed []*task) {
 	r := records.TaskBlock{}
 	done := make([]bool, len(b.tasks))
@@ -59,12 +59,12 @@
 	return records.Encode(r), completed
 }
 
-// loadTaskBlock takes in a record of a block of tasks. Jobs and machines are known by now.
+// loadTaskBlock loads the record of a block of tasks. Jobs and machines must already be loaded.
 func (l *leader) loadTaskBlock(it protocol.KeyValue) {
 	id, index, ok := records.ParseTaskBlockKey(it.Key)
 	j := l.jobs[id]
 	if !ok || j == nil || index >= len(j.blocks) {
-		// Left behind by a job that is over: its removal was cut short.
+		// Left over from a finished job: the deletion of its records was interrupted.
 		l.writer.deleteKey(it.Key)
 		return
 	}
@@ -82,7 +82,7 @@
 	block.requeueInactiveTasks()
 }
 
-// decode takes the block's version, results and migrations from its record.
+// decode loads the block's version, completed tasks and migrations from its record.
 func (b *taskBlock) decode(it protocol.KeyValue, r *records.TaskBlock, log *slog.Logger) error {
 	if err := protocol.Decode(it.Value, r); err != nil {
 		return err
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// loadAttempt takes the latest attempt at a task from its record. It is live if it was on a
-// machine.
+// loadAttempt loads the latest attempt at a task from its record. It is live if the record names
+// a machine and the task isn't done.
 func (l *leader) loadAttempt(block *taskBlock, entry *records.TaskEntry) {
 	t := &block.tasks[entry.Offset]
 	t.lastAttemptNumber = entry.Attempt
@@ -112,20 +112,20 @@
 	}
 	m := l.machines[entry.Machine]
 	if m == nil {
-		// Recorded on a machine whose own record is gone: records are
-		// removed only after the machine is.
+		// The machine's own record is gone. It is deleted only after the machine was proven
+		// terminated, so the attempt has terminated too.
 		return
 	}
 	a := &attempt{job: block.job, taskIndex: block.index*block.job.blockSize + entry.Offset, number: entry.Attempt, machine: m, placedAt: l.controller.now,
 		recorded: true, delivery: sessions.Delivery{Inherited: true}, stateSince: l.controller.now}
-	// Outcomes are read before task blocks: a job that was cancelled just
-	// before the leadership changed still has attempts to be stopped.
+	// Outcomes are read before task blocks. A job that was cancelled just before the change
+	// of leader still has attempts that must be stopped.
 	a.stopRequested = block.job.finalState != 0
 	l.attach(a)
 }
 
-// requeueInactiveTasks wants the tasks up to the end of a loaded block started again that aren't live
-// or done: blocks are made in order, so these were started before.
+// requeueInactiveTasks queues the tasks up to the end of a loaded block that are neither live nor
+// done to be started again. Tasks are started in order, so all of these were started before.
 func (b *taskBlock) requeueInactiveTasks() {
 	j := b.job
 	end := min(j.Tasks, b.index*j.blockSize+len(b.tasks))
