--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -28,7 +28,7 @@
 	lastCheckSentAt         time.Time
 	checkInFlight           bool
 	pendingAnnouncements    []outcomeAnnouncement // final states to broadcast to the peers
-	openRequests            int
+	openRequests            int                   // requests that wait for the state service
 
 	pendingSubmissions []*submission // waiting for the next transaction
 	submissionInFlight bool
@@ -59,6 +59,7 @@
 	a.accepted = map[string]struct{}{}
 }
 
+// cacheOutcome caches a job's final state. If the cache is full, about a tenth of it is evicted.
 func (a *admission) cacheOutcome(job string, s protocol.JobState, done int) {
 	if len(a.outcomes) >= maxCachedOutcomes {
 		a.limits.Reached(limits.CachedOutcomes)
@@ -83,14 +84,15 @@
 }
 
 // announceOutcome queues a final state for the next broadcasts to the peers.
-func (a *admission) announceOutcome(f outcomeAnnouncement) {
+func (a *admission) announceOutcome(announcement outcomeAnnouncement) {
 	if len(a.pendingAnnouncements) >= a.maxPendingAnnouncements {
 		a.limits.Reached(limits.OutcomesToBroadcast)
 		return
 	}
-	a.pendingAnnouncements = append(a.pendingAnnouncements, f)
+	a.pendingAnnouncements = append(a.pendingAnnouncements, announcement)
 }
 
+// cacheAccepted caches that a job was accepted. A full cache is cleared first.
 func (a *admission) cacheAccepted(job string) {
 	if len(a.accepted) >= maxCachedAcceptedJobs {
 		a.limits.Reached(limits.CachedAcceptedJobs)
@@ -161,8 +163,8 @@
 		Body: protocol.EncodeError("the state service does not answer")})
 }
 
-// refuseRetryLater refuses a request while there are too many. The time after which to retry is
-// random, so that not all users retry at once.
+// refuseRetryLater asks the user to retry a request after a few seconds. The time is random, so
+// that not all users retry at once.
 func (c *Controller) refuseRetryLater(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + c.rng.IntN(3),
 		Body: protocol.EncodeError("too much at once")})
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -58,8 +58,8 @@
 		c.reply(id, 404, protocol.EncodeError("no such job"))
 		return
 	}
-	if f, ok := c.admission.outcomes[job]; ok {
-		c.reply(id, 200, protocol.EncodeJobState(job, f.state))
+	if outcome, ok := c.admission.outcomes[job]; ok {
+		c.reply(id, 200, protocol.EncodeJobState(job, outcome.state))
 		return
 	}
 	if c.store.Unavailable() {
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -36,7 +36,7 @@
 	// Scheduling.
 	quota              quotaStatus
 	history            quarantine.History // of its failures
-	backoffUntil       time.Time          // no task is started before
+	backoffUntil       time.Time          // time before which no task is started
 	preemptionTimerSet bool               // a timer is set for the end of its preemption delay
 	ceiling            ceilingWait        // its wait for machines below the ceiling of its team's surge
 
@@ -100,7 +100,7 @@
 		at--
 	}
 	l.jobsByAge = slices.Insert(l.jobsByAge, at, j)
-	if f, ok := l.controller.admission.outcomes[j.ID]; ok {
-		l.endJob(j, f.state)
+	if outcome, ok := l.controller.admission.outcomes[j.ID]; ok {
+		l.endJob(j, outcome.state)
 	}
 }
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -10,7 +10,7 @@
 
 // loadRecords reads all kinds of records concurrently, so that the delays of slow responses of the
 // state service don't add up. The order of the reads doesn't matter: since this controller was
-// elected, no other writes the records of machines and attempts.
+// elected, no other controller writes the records of machines and attempts.
 func (l *leader) loadRecords() {
 	var machines, blocks []protocol.KeyValue
 	remaining := 3
@@ -52,8 +52,8 @@
 
 // applyRecords loads machines before task blocks, whose attempts refer to jobs and machines.
 func (l *leader) applyRecords(machines, blocks []protocol.KeyValue) {
-	for _, it := range machines {
-		l.loadMachineGroup(it)
+	for _, item := range machines {
+		l.loadMachineGroup(item)
 	}
 	l.applyTaskBlocks(blocks)
 }
@@ -62,8 +62,8 @@
 // reconciling.
 func (l *leader) applyTaskBlocks(blocks []protocol.KeyValue) {
 	count := min(blocksPerStep, len(blocks))
-	for _, it := range blocks[:count] {
-		l.loadTaskBlock(it)
+	for _, item := range blocks[:count] {
+		l.loadTaskBlock(item)
 	}
 	if count == len(blocks) {
 		l.startReconciling()
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -19,8 +19,8 @@
 // without a record has no live attempts.
 func (s *workerSessions) loadJobs(done func(revision uint64)) {
 	s.controller.store.List(records.PrefixActive, s.alive, func(list statestore.ListResult) {
-		for _, it := range list.Items {
-			s.applyJobRecord(it.Key, it.Value, false)
+		for _, item := range list.Items {
+			s.applyJobRecord(item.Key, item.Value, false)
 		}
 		s.checkOutcomes(s.unfinishedJobs(), func() {
 			// Every outcome that was written before the list was requested is known now.
--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -28,7 +28,7 @@
 	spot              bool
 }
 
-// groupStage is the stage of the first write of a group's record.
+// groupStage is the progress of the first write of a group's record.
 type groupStage uint8
 
 const (
@@ -86,7 +86,8 @@
 // maxMachinesPerShardGroup is the maximum number of machines of a shard that share a record.
 const maxMachinesPerShardGroup = 12
 
-// removeMachineFromRecord removes a terminated machine from its group's record.
+// removeMachineFromRecord removes a terminated machine from its group, and from the group's record
+// with the next rewrite. The record of an empty group is deleted.
 func (w *recordWriter) removeMachineFromRecord(m *machine) {
 	group := m.group
 	if group == nil {
@@ -165,6 +166,7 @@
 		return
 	}
 	if name, ok := cutPrefix(item.Key, records.PrefixMachineGroups); ok && len(r.Machines) == 0 {
+		// From before machines shared records: the key ends with the machine's name.
 		r.Machines = []records.MachineEntry{{Name: name, RentedAt: r.LegacyRentedAt}}
 	}
 	group := &machineGroup{key: item.Key, shard: shard.ID(records.ShardOfGroupKey(item.Key)), stage: groupStored,
@@ -194,7 +196,7 @@
 	if rentedAt.After(now) {
 		rentedAt = now
 	}
-	// The age is measured by the wall clock once, and by the monotonic clock from here on.
+	// The age so far is measured by the wall clock; from here on the monotonic clock counts.
 	m.provisionedAt = now.Add(-now.Round(0).Sub(rentedAt))
 	return m
 }
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/record_batch.go
@@ -103,7 +103,7 @@
 	block := write.block
 	block.record.Written(revision)
 	for _, t := range write.completed {
-		l.resultRecorded(t)
+		l.completionRecorded(t)
 	}
 	for _, a := range write.starts {
 		if block.job.task(a.taskIndex).live != a {
@@ -111,7 +111,7 @@
 		}
 		a.recorded = true
 		if a.stopRequested {
-			l.detach(a, "stopped before it was sent")
+			l.detach(a, "stopped before its start was sent")
 			continue
 		}
 		l.scheduleAttemptOrders(a)
@@ -121,9 +121,9 @@
 	}
 }
 
-// resultRecorded notes that a task's completion is recorded, and acknowledges its exit to the
+// completionRecorded notes that a task's completion is recorded, and acknowledges its exit to the
 // shard's owner that reported it.
-func (l *leader) resultRecorded(t *task) {
+func (l *leader) completionRecorded(t *task) {
 	t.doneRecorded = true
 	if t.unacknowledgedExit != nil && l.shards != nil {
 		l.shards.forgetExit(*t.unacknowledgedExit)
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -252,7 +252,7 @@
 		switch {
 		case j.task(a.taskIndex).live != a:
 		case a.stopRequested || j.finalState != 0:
-			w.leader.detach(a, "stopped before it was recorded")
+			w.leader.detach(a, "stopped before its placement was recorded")
 		default:
 			keep = append(keep, a)
 		}
--- a/internal/coordination/statestore/committer.go
+++ b/internal/coordination/statestore/committer.go
@@ -28,8 +28,8 @@
 // minWakeDelay is the shortest time for which a committer sets a timer.
 const minWakeDelay = time.Millisecond
 
-// Shares of the state service's write rate per second that a committer uses continuously, and in
-// a burst. The rest is left for users' submissions and cancellations.
+// Shares of the state service's writes per second that a committer may use continuously, and in
+// one burst. The rest is left for users' submissions and cancellations.
 const (
 	rateShare  = 0.75
 	burstShare = 0.6
@@ -47,8 +47,8 @@
 	return len(t.txn.Ops) < t.maxOps && t.bytes < maxTransactionBytes
 }
 
-// Require makes the transaction conditional on a key's version. Version 0 means that the key
-// doesn't exist. Only the first condition on a key counts.
+// Require makes the transaction conditional on a key's version. Version 0 requires that the key
+// doesn't exist. A second condition on the same key is ignored.
 func (t *Transaction) Require(key string, version uint64) {
 	for i := range t.txn.Conditions {
 		if t.txn.Conditions[i].Key == key {
--- a/internal/coordination/statestore/health.go
+++ b/internal/coordination/statestore/health.go
@@ -4,11 +4,11 @@
 
 // Thresholds for judging the service's health.
 const (
-	probeInterval        = 300 * time.Millisecond  // between probes while the service fails
-	probeAfterSilence    = 1500 * time.Millisecond // without an answer before the service is probed
-	unavailableAfter     = 1200 * time.Millisecond // of failures; shorter interruptions are tolerated
-	recoveryLogThreshold = time.Second             // of failures, above which a recovery is logged
-	healthyWithin        = 5 * time.Second         // of the last answer, the service counts as healthy
+	probeInterval        = 300 * time.Millisecond  // time between probes while the service fails
+	probeAfterSilence    = 1500 * time.Millisecond // time without an answer after which the service is probed
+	unavailableAfter     = 1200 * time.Millisecond // failures count as an outage once they last longer than this
+	recoveryLogThreshold = time.Second             // a recovery is logged if the failures lasted longer than this
+	healthyWithin        = 5 * time.Second         // time after an answer in which the service counts as healthy
 )
 
 // health is the state of the service as this controller sees it, judged from its responses.
--- a/internal/coordination/statestore/record.go
+++ b/internal/coordination/statestore/record.go
@@ -11,7 +11,7 @@
 	urgent                  // to be written as soon as possible
 )
 
-// stage is the stage of a record's write.
+// stage is the progress of a record's write.
 type stage uint8
 
 const (
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -8,9 +8,9 @@
 	"brasskeel/internal/records"
 )
 
-// statusCheckDivisor limits one controller's status checks to this fraction (one twelfth) of the
-// state service's request rate. A check serves dozens of queries, and the more often users ask,
-// the more queries share one. When each check was sent as soon as the last one was answered, the
+// statusCheckDivisor divides the state service's request rate to give the limit on one
+// controller's status checks. A check serves dozens of queries, and the more often users ask, the
+// more queries share one. When each check was sent as soon as the last one was answered, the
 // checks of three controllers alone exceeded the service's rate limit, and submissions were
 // refused.
 const statusCheckDivisor = 12
@@ -26,8 +26,8 @@
 		c.reply(id, 404, protocol.EncodeError("no such job"))
 		return
 	}
-	if f, ok := c.admission.outcomes[job]; ok {
-		c.reply(id, 200, protocol.EncodeJobStatus(job, f.state, f.done, 0))
+	if outcome, ok := c.admission.outcomes[job]; ok {
+		c.reply(id, 200, protocol.EncodeJobStatus(job, outcome.state, outcome.done, 0))
 		return
 	}
 	if c.overload.ShouldShed() {
@@ -45,19 +45,19 @@
 	c.checkStatuses()
 }
 
-// answerStatus replies with the state that is known here, after a check has shown that the job
-// had no other state when the request arrived.
+// answerStatus replies with the state that is known here. The caller must have found out since the
+// request arrived whether the job has a final state.
 func (c *Controller) answerStatus(id uint64, job string) {
 	s, done, running := c.knownProgress(job)
-	if f, ok := c.admission.outcomes[job]; ok {
-		s, done, running = f.state, f.done, 0
+	if outcome, ok := c.admission.outcomes[job]; ok {
+		s, done, running = outcome.state, outcome.done, 0
 	}
 	c.reply(id, 200, protocol.EncodeJobStatus(job, s, done, running))
 }
 
 // statusCheck is a read-only transaction. It compares whether each of some jobs has an outcome
-// and, for jobs that this controller doesn't know to be accepted, whether they exist. Both are
-// read at the same moment.
+// and, for jobs that this controller doesn't know to be accepted, whether they exist. Both answers
+// are as of the same moment.
 type statusCheck struct {
 	txn     *protocol.Txn
 	queries []statusQuery
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -25,8 +25,8 @@
 		c.reply(id, 400, protocol.EncodeError(err.Error()))
 		return
 	}
-	if f, ok := c.admission.outcomes[job.ID]; ok {
-		c.reply(id, 200, protocol.EncodeJobState(job.ID, f.state))
+	if outcome, ok := c.admission.outcomes[job.ID]; ok {
+		c.reply(id, 200, protocol.EncodeJobState(job.ID, outcome.state))
 		return
 	}
 	if len(c.types) == 0 || c.store.Unavailable() {
--- a/internal/coordination/task_blocks.go
+++ b/internal/coordination/task_blocks.go
@@ -34,7 +34,8 @@
 
 func (j *job) task(i int) *task { return &j.block(i).tasks[i%j.blockSize] }
 
-// encode returns the block's record, and the tasks whose completion isn't recorded before it.
+// encode returns the block's record, and the tasks whose completion it would be the first to
+// record.
 func (b *taskBlock) encode() (value json.RawMessage, completed []*task) {
 	r := records.TaskBlock{}
 	done := make([]bool, len(b.tasks))
@@ -60,17 +61,17 @@
 }
 
 // loadTaskBlock loads the record of a block of tasks. Jobs and machines must already be loaded.
-func (l *leader) loadTaskBlock(it protocol.KeyValue) {
-	id, index, ok := records.ParseTaskBlockKey(it.Key)
+func (l *leader) loadTaskBlock(item protocol.KeyValue) {
+	id, index, ok := records.ParseTaskBlockKey(item.Key)
 	j := l.jobs[id]
 	if !ok || j == nil || index >= len(j.blocks) {
 		// Left over from a finished job: the deletion of its records was interrupted.
-		l.writer.deleteKey(it.Key)
+		l.writer.deleteKey(item.Key)
 		return
 	}
 	block := j.block(index * j.blockSize)
 	var r records.TaskBlock
-	if err := block.decode(it, &r, l.controller.log); err != nil {
+	if err := block.decode(item, &r, l.controller.log); err != nil {
 		l.controller.log.Error("task record unreadable", "job", id, "block", index, "error", err)
 		return
 	}
@@ -83,11 +84,11 @@
 }
 
 // decode loads the block's version, completed tasks and migrations from its record.
-func (b *taskBlock) decode(it protocol.KeyValue, r *records.TaskBlock, log *slog.Logger) error {
-	if err := protocol.Decode(it.Value, r); err != nil {
+func (b *taskBlock) decode(item protocol.KeyValue, r *records.TaskBlock, log *slog.Logger) error {
+	if err := protocol.Decode(item.Value, r); err != nil {
 		return err
 	}
-	b.record = statestore.LoadedRecord(it.Version)
+	b.record = statestore.LoadedRecord(item.Version)
 	done, err := r.DoneTasks(len(b.tasks))
 	if err != nil {
 		return err
