--- a/internal/coordination/shard/channel.go
+++ b/internal/coordination/shard/channel.go
@@ -2,136 +2,138 @@
 
 import "time"
 
-// Header goes with each message between the leader and an owner.
+// Header is part of each message between the leader and an owner.
 type Header struct {
-	// Epoch tells which leader and which owner talk: messages of others are dropped.
+	// Epoch identifies the leader and the owner: messages of any other epoch are dropped.
 	Epoch        ChannelEpoch `json:"h"`
-	Sequence     uint64       `json:"q"` // of this line, from 1; 0 for one that only acknowledges
-	Acknowledged uint64       `json:"k"` // of the last line taken from the other side
-	// Reset begins a snapshot: what was told before is void.
+	Sequence     uint64       `json:"q"` // of this message, from 1; 0 for one that only acknowledges
+	Acknowledged uint64       `json:"k"` // sequence of the last message accepted from the other side
+	// Snapshot marks the first message of a snapshot, which replaces everything sent before.
 	Snapshot bool `json:"b,omitempty"`
-	// Again asks for a snapshot: messages were lost.
+	// SnapshotRequested asks the other side for a snapshot, because messages were lost.
 	SnapshotRequested bool `json:"g,omitempty"`
 }
 
-// ChannelEpoch is a leader's term and the member that it talks to.
+// ChannelEpoch is a leader's term and the member that it exchanges messages with.
 type ChannelEpoch struct {
 	Term   uint64 `json:"t"`
 	Member Member `json:"m"`
 }
 
-// ackTimeout is how long a message may go without being acknowledged before all is told anew,
-// and minSnapshotInterval how long after a snapshot another one may be begun.
 const (
-	ackTimeout          = 2 * time.Second
+	// ackTimeout is how long a message may be unacknowledged before a snapshot is sent.
+	ackTimeout = 2 * time.Second
+	// minSnapshotInterval is the minimum time from the start of a snapshot to one that the other
+	// side requests.
 	minSnapshotInterval = 500 * time.Millisecond
 )
 
-// maxUnacknowledged is how many messages may be on their way without an acknowledgement: fewer than
-// a stream keeps for a peer that reads slowly. A snapshot of a large shard takes many more
-// messages than that; sent at once, most of them were lost, each time it was asked for again.
+// maxUnacknowledged is the send window: how many messages may be unacknowledged. It is smaller than
+// what a stream buffers for a slow peer. A snapshot of a large shard takes many more messages:
+// sent all at once, most of them would be lost, and again with each requested snapshot.
 const maxUnacknowledged = 8
 
-// Channel numbers the messages of one side and notices lost ones. Messages come in order, but some
-// may be missing: then the other side is asked for a snapshot. Nothing is repeated
-// otherwise.
+// Channel numbers the messages of one side and detects lost ones of the other. Messages arrive in
+// order, but some may be lost: then the other side is asked for a snapshot. Single messages are
+// never resent.
 type Channel struct {
 	epoch               ChannelEpoch
 	sent                uint64
 	acknowledged        uint64
-	unacknowledgedSince time.Time // since when the oldest message without an acknowledgement waits
+	unacknowledgedSince time.Time // since when no acknowledgement has arrived for sent messages; zero after one
 	received            uint64
-	inOrder             bool // a snapshot was begun, and no message was lost since
-	snapshotDue         bool // the next message begins a snapshot
+	inOrder             bool // a snapshot has begun to arrive, and no message was lost since
+	snapshotDue         bool // the next message sent begins a snapshot
 	snapshotAt          time.Time
 	snapshotRequested   bool // the other side asks for a snapshot
-	ackDue              bool // a message was taken that isn't acknowledged
+	ackDue              bool // an acknowledgement or a snapshot request is to be sent
 }
 
-// NewChannel begins an epoch with a snapshot.
+// NewChannel returns the channel of an epoch. Its first message begins a snapshot.
 func NewChannel(e ChannelEpoch) *Channel { return &Channel{epoch: e, snapshotDue: true} }
 
-// Epoch is the link's.
-func (l *Channel) Epoch() ChannelEpoch { return l.epoch }
+// Epoch is the channel's epoch.
+func (c *Channel) Epoch() ChannelEpoch { return c.epoch }
 
-// SnapshotDue reports whether the next message has to begin a snapshot.
-func (l *Channel) SnapshotDue() bool { return l.snapshotDue }
+// SnapshotDue reports whether the next message must begin a snapshot.
+func (c *Channel) SnapshotDue() bool { return c.snapshotDue }
 
-// WindowFull reports whether so many messages are on their way that others have to wait.
-func (l *Channel) WindowFull() bool {
-	return l.sent-l.acknowledged >= maxUnacknowledged && !l.snapshotDue
+// WindowFull reports whether so many messages are unacknowledged that further ones must wait. A
+// snapshot that is due doesn't wait.
+func (c *Channel) WindowFull() bool {
+	return c.sent-c.acknowledged >= maxUnacknowledged && !c.snapshotDue
 }
 
-// Acknowledged is the last message that the other side is known to have taken.
-func (l *Channel) Acknowledged() uint64 { return l.acknowledged }
+// Acknowledged is the sequence of the last message that the other side acknowledged.
+func (c *Channel) Acknowledged() uint64 { return c.acknowledged }
 
-// AckDue reports whether messages were taken that the other side doesn't know to have arrived.
-func (l *Channel) AckDue() bool { return l.ackDue }
+// AckDue reports whether a message must be sent to acknowledge others or to request a snapshot.
+func (c *Channel) AckDue() bool { return c.ackDue }
 
-// NextHeader makes the header of the next message. Without content the message only acknowledges.
-func (l *Channel) NextHeader(now time.Time, content bool) Header {
-	h := Header{Epoch: l.epoch, Acknowledged: l.received, SnapshotRequested: !l.inOrder}
-	l.ackDue = false
+// NextHeader creates the header of the next message. Without content the message only acknowledges.
+func (c *Channel) NextHeader(now time.Time, content bool) Header {
+	h := Header{Epoch: c.epoch, Acknowledged: c.received, SnapshotRequested: !c.inOrder}
+	c.ackDue = false
 	if !content {
 		return h
 	}
-	if l.sent == l.acknowledged {
-		l.unacknowledgedSince = now
+	if c.sent == c.acknowledged {
+		c.unacknowledgedSince = now
 	}
-	l.sent++
-	h.Sequence, h.Snapshot = l.sent, l.snapshotDue
-	if l.snapshotDue {
-		l.snapshotDue, l.snapshotRequested, l.snapshotAt = false, false, now
+	c.sent++
+	h.Sequence, h.Snapshot = c.sent, c.snapshotDue
+	if c.snapshotDue {
+		c.snapshotDue, c.snapshotRequested, c.snapshotAt = false, false, now
 	}
 	return h
 }
 
-// Receive looks at the header of a message that came, and reports whether its content is to be
-// taken.
-func (l *Channel) Receive(h Header) bool {
-	if h.Epoch != l.epoch {
+// Receive processes the header of a received message, and reports whether its content is to be
+// applied.
+func (c *Channel) Receive(h Header) bool {
+	if h.Epoch != c.epoch {
 		return false
 	}
-	l.receiveAck(h)
+	c.receiveAck(h)
 	if h.Sequence == 0 {
 		return false
 	}
-	if h.Sequence <= l.received {
-		return false // a copy: what it told may be long over, also where it began a snapshot
+	if h.Sequence <= c.received {
+		return false // a duplicate: its content may be outdated, even if it begins a snapshot
 	}
-	if !h.Snapshot && (!l.inOrder || h.Sequence != l.received+1) {
-		// One of those after a lost message: a snapshot will come.
-		l.inOrder, l.ackDue = false, true
+	if !h.Snapshot && (!c.inOrder || h.Sequence != c.received+1) {
+		// A message before it was lost: a snapshot is requested.
+		c.inOrder, c.ackDue = false, true
 		return false
 	}
-	l.received, l.inOrder, l.ackDue = h.Sequence, true, true
+	c.received, c.inOrder, c.ackDue = h.Sequence, true, true
 	return true
 }
 
-// RequestSnapshot notes that a message contradicts what is known: a snapshot is asked for.
-func (l *Channel) RequestSnapshot() { l.inOrder, l.ackDue = false, true }
+// RequestSnapshot asks the other side for a snapshot, because a message contradicts the known state.
+func (c *Channel) RequestSnapshot() { c.inOrder, c.ackDue = false, true }
 
-func (l *Channel) receiveAck(h Header) {
-	if h.Acknowledged > l.acknowledged && h.Acknowledged <= l.sent {
-		l.acknowledged = h.Acknowledged
-		l.unacknowledgedSince = time.Time{}
+func (c *Channel) receiveAck(h Header) {
+	if h.Acknowledged > c.acknowledged && h.Acknowledged <= c.sent {
+		c.acknowledged = h.Acknowledged
+		c.unacknowledgedSince = time.Time{}
 	}
-	l.snapshotRequested = h.SnapshotRequested
+	c.snapshotRequested = h.SnapshotRequested
 }
 
-// CheckTimeouts notes that time has passed: what the other side lacks, or doesn't acknowledge for
-// long, is told anew.
-func (l *Channel) CheckTimeouts(now time.Time) {
-	if l.snapshotRequested && now.Sub(l.snapshotAt) > minSnapshotInterval {
-		l.snapshotDue = true
+// CheckTimeouts makes a snapshot due if the other side requested one, or if it hasn't acknowledged
+// messages within ackTimeout.
+func (c *Channel) CheckTimeouts(now time.Time) {
+	if c.snapshotRequested && now.Sub(c.snapshotAt) > minSnapshotInterval {
+		c.snapshotDue = true
 	}
-	if l.sent == l.acknowledged || l.snapshotDue {
+	if c.sent == c.acknowledged || c.snapshotDue {
 		return
 	}
-	if l.unacknowledgedSince.IsZero() {
-		l.unacknowledgedSince = now
+	if c.unacknowledgedSince.IsZero() {
+		c.unacknowledgedSince = now
 	}
-	if now.Sub(l.unacknowledgedSince) > ackTimeout {
-		l.snapshotDue, l.unacknowledgedSince = true, now
+	if now.Sub(c.unacknowledgedSince) > ackTimeout {
+		c.snapshotDue, c.unacknowledgedSince = true, now
 	}
 }
--- a/internal/coordination/shard/doc.go
+++ b/internal/coordination/shard/doc.go
@@ -1,16 +1,18 @@
 // Package shard divides the machines of a fleet into shards, each with one owner among the
 // controllers, which serves the shard's workers.
 //
-// It owns the records of owners and members (Table), the transactions that change owners
-// (Change), the decisions who should own what (Planner), the progress of moves (Moves), and the
-// messages between the leader and owners: their forms, how they are numbered and acknowledged
-// (Channel), when they go out (Outbox), and how they are cut to size. A controller hands in what
-// the state service and peers say and carries out what comes back.
+// It contains the records of owners and members (Table), the transactions that change owners
+// (Change), the assignment of shards to owners (Planner), the progress of moves (Moves), and the
+// messages between the leader and owners: their encodings, how they are numbered and acknowledged
+// (Channel), when they are sent (Outbox), and how they are split to fit a size limit. The
+// controller passes in records of the state service and messages of peers, and carries out the
+// resulting changes and sends.
 //
-// The state service alone says who owns a shard. A change of the owner is one transaction,
-// conditional on the version of the shard's record, and comes with a term above every one
-// before it, from which the owner's fencing tokens are made.
+// The state service alone decides who owns a shard. A change of the owner is one transaction,
+// conditional on the version of the shard's record, and carries a term above all earlier ones,
+// from which the owner's fencing tokens are made.
 //
-// The package must never do I/O, read a clock, start a goroutine, or call an owner ended for
-// not being heard: times come in as arguments, and an owner has ended when its lease has.
+// The package must never do I/O, read a clock, or start a goroutine: times are passed as arguments.
+// It must never take an owner for ended because no messages arrive from it: an owner ends with
+// its lease.
 package shard
--- a/internal/coordination/shard/envelope.go
+++ b/internal/coordination/shard/envelope.go
@@ -8,27 +8,27 @@
 	"brasskeel/internal/protocol"
 )
 
-// Message is what the leader and an owner send each other, one message of JSON: instructions or
-// observations.
+// Message is the JSON envelope of all messages between the leader and an owner: it holds
+// instructions or observations.
 type Message struct {
-	From         string        `json:"shards"` // controller; first, to tell it from other lines
+	From         string        `json:"shards"` // sending controller; the first field, which IsMessage recognizes
 	Instructions *Instructions `json:"instructions,omitempty"`
 	Observations *Observations `json:"observations,omitempty"`
 }
 
-// ErrEmptyMessage is a message with neither instructions nor observations.
+// ErrEmptyMessage reports a message with neither instructions nor observations.
 var ErrEmptyMessage = errors.New("a line about shards without content")
 
-// messagePrefix begins a message that is a Message.
+// messagePrefix is what the encoding of each Message begins with.
 var messagePrefix = []byte(`{"shards":`)
 
-// IsMessage reports whether a message from a peer is a Message, whether or not it can be read.
-func IsMessage(line []byte) bool { return bytes.HasPrefix(line, messagePrefix) }
+// IsMessage reports whether a message from a peer is a Message, even if it can't be parsed.
+func IsMessage(message []byte) bool { return bytes.HasPrefix(message, messagePrefix) }
 
-// ParseMessage reads a message. The error is ErrEmptyMessage or that of protocol.Decode.
-func ParseMessage(line []byte) (*Message, error) {
+// ParseMessage decodes a message. The error is ErrEmptyMessage or that of protocol.Decode.
+func ParseMessage(message []byte) (*Message, error) {
 	var m Message
-	if err := protocol.Decode(line, &m); err != nil {
+	if err := protocol.Decode(message, &m); err != nil {
 		return nil, err
 	}
 	if m.Instructions == nil && m.Observations == nil {
@@ -37,7 +37,7 @@
 	return &m, nil
 }
 
-// Encode writes the message as one message, without its end.
+// Encode returns the JSON of the message, without a line end.
 func (m *Message) Encode() []byte {
 	raw, err := json.Marshal(m)
 	if err != nil { // messages hold only strings and finite numbers
--- a/internal/coordination/shard/errors_test.go
+++ b/internal/coordination/shard/errors_test.go
@@ -8,7 +8,7 @@
 	"brasskeel/internal/records"
 )
 
-// Operators read these texts in logs and in the output of commands: they stay as they are.
+// Operators read these texts in logs and in the output of commands, so they must not change.
 func TestRecordErrors(t *testing.T) {
 	for _, test := range []struct{ key, value, want string }{
 		{"s/x", `{}`, `unknown key "s/x"`},
--- a/internal/coordination/shard/fleet.go
+++ b/internal/coordination/shard/fleet.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Fleet gives the shard and the zone of each machine, 0 for one that is in no shard.
+// Fleet yields the shard and the zone of each machine; the shard is 0 for a machine without one.
 type Fleet = iter.Seq2[ID, string]
 
-// ForNewMachine is the shard of 1 to count that a new machine of a zone belongs in: the one with
-// fewest machines among those with machines of that zone only, of all where there is none.
+// ForNewMachine is the shard from 1 to count that a new machine of a zone is to be in: the one with
+// the fewest machines among the shards without machines of other zones, or among all if there is
+// no such shard.
 func ForNewMachine(zone string, count int, fleet Fleet) ID {
 	machines, foreign := map[ID]int{}, map[ID]bool{}
 	for id, other := range fleet {
@@ -34,9 +35,9 @@
 	return best
 }
 
-// PlannerShards gives the shards that have a record, and those of 1 to count, as the planner sees
-// them. One whose record can't be read is left out until ended says that whoever owned it has
-// stopped serving.
+// PlannerShards gives the shards that have a record, and those from 1 to count, as input of the
+// planner. A shard whose record can't be parsed is left out until ended reports that any owner of
+// it has stopped serving.
 func (t *Table) PlannerShards(count int, fleet Fleet, ended func(id ID, version uint64) bool) []Shard {
 	zones := map[ID]map[string]int{}
 	for id, zone := range fleet {
@@ -69,7 +70,7 @@
 	return list
 }
 
-// countMachines sets the number of machines, and the zone of most of them.
+// countMachines sets the number of machines, and the zone that has the most of them.
 func (s *Shard) countMachines(zones map[string]int) {
 	for zone, count := range zones {
 		s.Machines += count
@@ -79,7 +80,7 @@
 	}
 }
 
-// UnreadableRecords remembers since when records can't be read.
+// UnreadableRecords tracks since when records of shards have been unreadable.
 type UnreadableRecords struct{ seen map[ID]unreadableRecord }
 
 type unreadableRecord struct {
@@ -87,12 +88,12 @@
 	since   time.Time
 }
 
-// NewUnreadableRecords remembers none.
+// NewUnreadableRecords returns an empty tracker.
 func NewUnreadableRecords() *UnreadableRecords {
 	return &UnreadableRecords{seen: map[ID]unreadableRecord{}}
 }
 
-// Age is for how long a shard's record has stood at a version that can't be read.
+// Age is how long ago a version of a shard's record that can't be parsed was first seen.
 func (u *UnreadableRecords) Age(now time.Time, id ID, version uint64) time.Duration {
 	r, ok := u.seen[id]
 	if !ok || r.version != version {
--- a/internal/coordination/shard/forms_test.go
+++ b/internal/coordination/shard/forms_test.go
@@ -8,8 +8,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// Records and messages are written as the versions before wrote them, with all of their
-// fields and with as few as they can have.
+// Records and messages keep the encoding of earlier versions, with all fields set and with none.
 func TestEncodings(t *testing.T) {
 	member := Member{Name: "n1", Incarnation: 1<<64 - 1}
 	grant := Ownership{Member: member, Term: 41}
@@ -42,7 +41,7 @@
 	})
 }
 
-// The numbers that stand for states and reasons are those of the versions before.
+// The numbers of states and reasons in messages are those of earlier versions.
 func TestNumbersInMessages(t *testing.T) {
 	for _, number := range []struct{ got, want uint8 }{
 		{uint8(protocol.Fetching), 1}, {uint8(protocol.Running), 2}, {uint8(protocol.Checkpointing), 3}, {uint8(protocol.Exited), 4},
--- a/internal/coordination/shard/moves.go
+++ b/internal/coordination/shard/moves.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// Move is a move that this leader proposed, and how far it has come for all that the leader
-// knows.
+// Move is a move that this leader proposed, and its progress as far as the leader knows.
 type Move struct {
 	ID         ID
 	From, To   string // controllers, by name
 	Reason     Reason
 	Proposed   time.Time
 	HandedOver time.Time // when the next member became the owner
-	Served     time.Time // when it said that it serves the shard
+	Served     time.Time // when the next owner announced that it serves the shard
 }
 
-// Moves follows the moves that this leader proposed. It doesn't follow those of an earlier one.
+// Moves tracks the moves that this leader proposed, but not those of an earlier leader.
 type Moves struct {
 	abandonAfter time.Duration
 	byShard      map[ID]*Move
 }
 
-// NewMoves follows no moves yet. A move that was taken back is forgotten once it was proposed
-// longer ago than abandonAfter: until then the table may show what stood there before.
+// NewMoves returns an empty tracker. A move that the table doesn't show is dropped once
+// abandonAfter has passed since its proposal: until then the table may be older than the proposal.
 func NewMoves(abandonAfter time.Duration) *Moves {
 	return &Moves{abandonAfter: abandonAfter, byShard: map[ID]*Move{}}
 }
 
-// Begin follows a move from its proposal on.
+// Begin tracks a move from its proposal on.
 func (ms *Moves) Begin(now time.Time, t *Table, d Decision) {
 	owner, _ := t.Owner(d.ID)
 	ms.byShard[d.ID] = &Move{ID: d.ID, From: owner.Name, To: d.To.Name, Reason: d.Reason, Proposed: now}
 }
 
-// Update notes which shards were handed over, and forgets moves that came to nothing.
+// Update records which shards were handed over, and drops moves that were canceled or overtaken.
 func (ms *Moves) Update(now time.Time, t *Table) {
 	for id, m := range ms.byShard {
 		r, _, ok := t.Record(id)
@@ -43,13 +42,13 @@
 				m.HandedOver = now
 			}
 		case r.Next == nil && now.Sub(m.Proposed) > ms.abandonAfter || r.Owner.Name != m.From:
-			delete(ms.byShard, id) // taken back, or somebody else's
+			delete(ms.byShard, id) // canceled, or another controller became the owner
 		}
 	}
 }
 
-// Served notes that a controller says that it serves a shard. It gives the move if that ends
-// it: that of a shard without machines, where no worker will ever be heard.
+// Served records that a controller announced that it serves a shard. It returns the move if that
+// completes it: a shard without machines gets no heartbeats to wait for.
 func (ms *Moves) Served(now time.Time, id ID, controller string, hasMachines func(ID) bool) *Move {
 	m := ms.byShard[id]
 	if m == nil || m.To != controller || m.HandedOver.IsZero() {
@@ -63,8 +62,8 @@
 	return m
 }
 
-// HeartbeatReceived notes that the owner of a shard heard one of its workers. It gives the move that is
-// over by that, nil without one.
+// HeartbeatReceived records that the owner of a shard received a heartbeat from one of its workers.
+// It returns the move that this completes, nil if there is none.
 func (ms *Moves) HeartbeatReceived(id ID) *Move {
 	m := ms.byShard[id]
 	if m == nil || m.Served.IsZero() {
--- a/internal/coordination/shard/outbox.go
+++ b/internal/coordination/shard/outbox.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// messageInterval is the least time between messages to one side: what happens meanwhile shares
-// one, since each message costs both sides some wake-ups.
+// messageInterval is the minimum time between messages to one side. What happens meanwhile goes into
+// one message, since each message wakes up both sides several times.
 const messageInterval = 25 * time.Millisecond
 
-// Outbox decides when one side sends its messages. What there is to send, and how it goes out,
-// is up to the side.
+// Outbox decides when one side sends its messages. The side provides the content and sends it.
 type Outbox struct {
-	Channel   *Channel // to the other side; nil while there is none
+	Channel   *Channel // to the other side; nil while none is open
 	scheduled bool
-	blocked   bool // more waits until messages are acknowledged
+	blocked   bool // the window is full and more is pending
 	sentAt    time.Time
 }
 
-// Schedule wants flush called at the end of the step, or once the last message is long enough
-// ago. after runs a function when a time has passed.
+// Schedule has flush called at the end of the step, or once messageInterval has passed since the
+// last message. after runs a function after a duration.
 func (o *Outbox) Schedule(now time.Time, after func(time.Duration, func()), flush func()) {
 	if o.scheduled {
 		return
@@ -28,8 +27,7 @@
 	})
 }
 
-// Flush calls send once, and again while pending says that there is more, as far as messages
-// may be on their way.
+// Flush calls send once, and again while pending reports more, until the send window is full.
 func (o *Outbox) Flush(pending func() bool, send func()) {
 	first := true
 	for ; !o.Channel.WindowFull() && (first || pending()); first = false {
@@ -38,19 +36,19 @@
 	o.blocked = pending()
 }
 
-// NextHeader is the header of the message that is sent now.
+// NextHeader creates the header of a message that is sent now.
 func (o *Outbox) NextHeader(now time.Time, content bool) Header {
 	o.sentAt = now
 	return o.Channel.NextHeader(now, content)
 }
 
-// Ready reports whether a message is to be sent after one was received: to acknowledge it, or
-// because the window has opened.
+// Ready reports whether a received message requires one to be sent: to acknowledge it, or because
+// pending content fits the window again.
 func (o *Outbox) Ready() bool { return o.Channel.AckDue() || o.blocked && !o.Channel.WindowFull() }
 
-// UnacknowledgedTerminations keeps terminations until the message that told of them is acknowledged. The
-// owner forgets the attempts, so that no snapshot tells of them: one whose only message was lost
-// counted for ever. The zero value keeps none.
+// UnacknowledgedTerminations keeps terminations until the message that carried them is acknowledged.
+// The owner drops terminated attempts, so no snapshot contains them: if the only message about one
+// were lost, it would stay with the leader forever. The zero value keeps none.
 type UnacknowledgedTerminations struct{ sent []sentTermination }
 
 type sentTermination struct {
@@ -58,14 +56,14 @@
 	termination Termination
 }
 
-// Sent keeps what a message told.
+// Sent keeps the terminations that a message carried.
 func (u *UnacknowledgedTerminations) Sent(message uint64, list []Termination) {
 	for i := range list {
 		u.sent = append(u.sent, sentTermination{message, list[i]})
 	}
 }
 
-// Acknowledged forgets what was told by messages up to one that arrived.
+// Acknowledged drops the terminations of all messages up to an acknowledged one.
 func (u *UnacknowledgedTerminations) Acknowledged(message uint64) {
 	kept := u.sent[:0]
 	for _, s := range u.sent {
@@ -77,7 +75,7 @@
 	u.sent = kept
 }
 
-// Take gives what is kept, to be told anew, and keeps it no more.
+// Take removes all kept terminations and returns them, to be sent again.
 func (u *UnacknowledgedTerminations) Take() []Termination {
 	var list []Termination
 	for i := range u.sent {
@@ -87,11 +85,11 @@
 	return list
 }
 
-// StatusParts gathers a status that comes in parts. The zero value has none.
+// StatusParts reassembles a status that is sent in parts. The zero value has none.
 type StatusParts struct{ unhealthy map[string]*UnhealthyWorker }
 
-// Add takes the next part. Once it was the last one, it gives the workers that aren't well by
-// machine, and complete is true: all others are well.
+// Add adds the next part. After the last one it returns all unhealthy workers by machine, and
+// complete is true: all other workers are healthy.
 func (p *StatusParts) Add(s *Status) (unhealthy map[string]*UnhealthyWorker, complete bool) {
 	if s.Part == 0 || p.unhealthy == nil {
 		p.unhealthy = map[string]*UnhealthyWorker{}
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -5,35 +5,36 @@
 	"brasskeel/internal/records"
 )
 
-// ID numbers a shard, from 1. 0 is no shard.
+// ID is the number of a shard, from 1; 0 is no shard.
 type ID int
 
-// Member is one life of a controller that may own shards. It ends with its lease.
+// Member is one incarnation of a controller that may own shards. It ends with its lease.
 type Member struct {
 	Name        string `json:"node"`
-	Incarnation uint64 `json:"inc"` // never used again
+	Incarnation uint64 `json:"inc"` // unique among all members
 }
 
-// MemberRecord is what a controller records of itself, bound to the member's lease.
+// MemberRecord is a controller's record of its membership, bound to the member's lease.
 type MemberRecord struct {
 	Member
 	Zone     string `json:"zone"`
-	Draining bool   `json:"draining,omitempty"` // it wants to own nothing
-	// Reach is written while no leader is heard, and anew every few seconds.
+	Draining bool   `json:"draining,omitempty"` // it is to own no shards
+	// Reachability is written every ReachabilityInterval while no messages arrive from a leader.
 	Reachability *ReachabilityReport `json:"reach,omitempty"`
 }
 
-// ReachabilityReport is what a member shows through the state service of the workers that it serves.
+// ReachabilityReport is how many of its workers a member reaches, published in the state service.
 type ReachabilityReport struct {
-	Sequence    uint64 `json:"n"`              // of these accounts, from 1
-	Workers     int    `json:"w"`              // that were heard by it
-	Unreachable int    `json:"lost,omitempty"` // of them, those that don't answer its calls
+	Sequence    uint64 `json:"n"`              // of the report, from 1
+	Workers     int    `json:"w"`              // registered with it
+	Unreachable int    `json:"lost,omitempty"` // of them, those that it lost contact with
 }
 
-// minWorkersForPartition is how many workers must be known for most of them to say anything.
+// minWorkersForPartition is how many workers must be known before losing most of them counts as a
+// partition.
 const minWorkersForPartition = 3
 
-// Partitioned reports whether most of some workers are lost.
+// Partitioned reports whether more than half of the workers are unreachable.
 func Partitioned(workers, unreachable int) bool {
 	return workers >= minWorkersForPartition && unreachable*2 > workers
 }
@@ -41,45 +42,45 @@
 // Ownership is the right to serve the workers of a shard.
 type Ownership struct {
 	Member
-	// Term is that of the tokens under which the member serves. It is drawn from the same
-	// counter as leaders' terms, so that it is above every one before it.
+	// Term is the term of the fencing tokens under which the member serves. It is allocated from
+	// the same counter as leaders' terms, so that it is above all earlier ones.
 	Term uint64 `json:"term"`
 }
 
-// OwnerRecord tells who owns a shard.
+// OwnerRecord is the record of a shard's owner.
 type OwnerRecord struct {
 	Owner Ownership `json:"owner"`
-	// Next is whom the shard is to move to. The owner stops serving, then makes it the
-	// owner.
+	// Next is the ownership that the shard is to move to. The present owner stops serving, then
+	// makes Next the owner.
 	Next *Ownership `json:"next,omitempty"`
-	// Released is whether every owner before stopped serving before this one was made the
-	// owner. Otherwise one of them may have gone on for its grace.
+	// HandedOver reports whether all earlier owners had stopped serving when this one became the
+	// owner. Otherwise one of them may have gone on for its grace period.
 	HandedOver bool `json:"released,omitempty"`
-	// Generation counts the owners.
+	// Generation counts the owners of the shard, this one included.
 	Generation uint64 `json:"gen"`
 }
 
-// LeaderState is what a leader's changes are conditional on.
+// LeaderState is the state that a leader's changes are conditional on.
 type LeaderState struct {
 	LeaderVersion    uint64 // of the leader key
-	Term             uint64 // the highest drawn so far
-	TermVersion      uint64 // of its key
-	ShardingRecorded bool   // it is on record that there are shards
+	Term             uint64 // the highest allocated so far
+	TermVersion      uint64 // of the term's key
+	ShardingRecorded bool   // whether the record that sharding is in use exists
 }
 
 // Change is a transaction that changes owners.
 type Change struct {
 	Txn protocol.Txn
-	// Term is the highest term after the change, for the next Authority.
+	// Term is the highest allocated term after the change, for the next LeaderState.
 	Term uint64
-	// Records are those written.
+	// Records are the owner records that the transaction writes.
 	Records map[ID]OwnerRecord
 }
 
-// newChange begins a change of a leader's.
-func newChange(a LeaderState) *Change {
-	c := &Change{Term: a.Term, Records: map[ID]OwnerRecord{}}
-	c.require(records.KeyLeader, a.LeaderVersion)
+// newChange returns an empty change by a leader, conditional on its leadership.
+func newChange(leader LeaderState) *Change {
+	c := &Change{Term: leader.Term, Records: map[ID]OwnerRecord{}}
+	c.require(records.KeyLeader, leader.LeaderVersion)
 	return c
 }
 
@@ -94,94 +95,94 @@
 	c.Records[id] = r
 }
 
-// nextOwnership draws a term for a new owner.
+// nextOwnership allocates a term for a new owner.
 func (c *Change) nextOwnership(to Member) Ownership {
 	c.Term++
 	return Ownership{Member: to, Term: c.Term}
 }
 
-// recordTerm records the terms that were drawn.
-func (c *Change) recordTerm(a LeaderState) *Change {
-	if c.Term != a.Term {
-		c.require(records.KeyTerm, a.TermVersion)
+// recordTerm adds the write of the term if terms were allocated.
+func (c *Change) recordTerm(leader LeaderState) *Change {
+	if c.Term != leader.Term {
+		c.require(records.KeyTerm, leader.TermVersion)
 		c.Txn.Ops = append(c.Txn.Ops, protocol.Op{Put: records.KeyTerm, Value: records.Encode(records.Term{Term: c.Term})})
 	}
 	return c
 }
 
-// Assignment gives a shard to a member.
+// Assignment is a shard and the member that is to own it.
 type Assignment struct {
 	ID ID
 	To Member
 }
 
-// Assign gives shards that nobody serves to members: new ones, and those whose owner's
-// lease has ended. That no such lease is there is a condition of the change, so that the
-// right of the owner before has ended in the state service. It gives nothing for shards
-// whose owner is alive. One whose record can't be read is given too: whoever asks for that
-// has waited until the right of any owner has ended.
-func (t *Table) Assign(list []Assignment, a LeaderState) *Change {
-	c := newChange(a)
+// Assign assigns unowned shards to members: new shards, and those whose owner's lease has ended.
+// The change is conditional on the absence of that lease's member record, so that the previous
+// ownership has ended in the state service. Shards with a live owner are skipped. A shard whose
+// record can't be parsed is assigned too: the caller must have waited until any owner of it has
+// stopped serving.
+func (t *Table) Assign(list []Assignment, leader LeaderState) *Change {
+	c := newChange(leader)
 	owners := map[string]bool{}
-	for _, as := range list {
-		k, ok := t.records[as.ID]
-		if ok && t.Alive(k.value.Owner.Member) {
+	for _, assignment := range list {
+		current, ok := t.records[assignment.ID]
+		if ok && t.Alive(current.value.Owner.Member) {
 			continue
 		}
-		unreadable := t.unreadable[as.ID]
-		r := OwnerRecord{Owner: c.nextOwnership(as.To), Generation: k.value.Generation + 1}
-		r.HandedOver = !ok && unreadable == 0 // nobody served it
-		c.put(as.ID, max(k.version, unreadable), r)
-		if controller := k.value.Owner.Name; ok && !owners[controller] {
+		unreadable := t.unreadable[assignment.ID]
+		r := OwnerRecord{Owner: c.nextOwnership(assignment.To), Generation: current.value.Generation + 1}
+		r.HandedOver = !ok && unreadable == 0 // the shard never had an owner
+		c.put(assignment.ID, max(current.version, unreadable), r)
+		if controller := current.value.Owner.Name; ok && !owners[controller] {
 			owners[controller] = true
 			c.require(records.KeyMember(controller), t.members[controller].version)
 		}
 	}
-	if !a.ShardingRecorded {
-		// With a term in the same change: who is elected later knows of it.
+	if !leader.ShardingRecorded {
+		// The same change raises the term, so that every leader elected later sees the record.
 		c.Txn.Ops = append(c.Txn.Ops, protocol.Op{Put: records.KeySharded, Value: records.Encode(true)})
 	}
-	return c.recordTerm(a)
+	return c.recordTerm(leader)
 }
 
-// ProposeMove asks the owner of a shard to release it to a member. It gives nil where the shard
-// has no owner that is alive, or moves already.
-func (t *Table) ProposeMove(id ID, to Member, a LeaderState) *Change {
-	k, ok := t.records[id]
-	if !ok || k.value.Next != nil || !t.Alive(k.value.Owner.Member) || k.value.Owner.Member == to {
+// ProposeMove asks the owner of a shard to hand it over to a member. It is nil if the shard has no
+// live owner, is moving already, or belongs to that member.
+func (t *Table) ProposeMove(id ID, to Member, leader LeaderState) *Change {
+	current, ok := t.records[id]
+	if !ok || current.value.Next != nil || !t.Alive(current.value.Owner.Member) || current.value.Owner.Member == to {
 		return nil
 	}
-	c := newChange(a)
-	r := k.value
+	c := newChange(leader)
+	r := current.value
 	grant := c.nextOwnership(to)
 	r.Next = &grant
-	c.put(id, k.version, r)
-	return c.recordTerm(a)
+	c.put(id, current.version, r)
+	return c.recordTerm(leader)
 }
 
-// CancelMove takes an intent back, as when the member that the shard was to move to has
-// ended. It gives nil without one.
-func (t *Table) CancelMove(id ID, a LeaderState) *Change {
-	k, ok := t.records[id]
-	if !ok || k.value.Next == nil {
+// CancelMove cancels a proposed move, for example when the member that the shard was to move to
+// has ended. It is nil without such a move.
+func (t *Table) CancelMove(id ID, leader LeaderState) *Change {
+	current, ok := t.records[id]
+	if !ok || current.value.Next == nil {
 		return nil
 	}
-	c := newChange(a)
-	r := k.value
+	c := newChange(leader)
+	r := current.value
 	r.Next = nil
-	c.put(id, k.version, r)
+	c.put(id, current.version, r)
 	return c
 }
 
-// HandOver makes the member that a shard moves to its owner. The owner alone may do so,
-// once it has stopped serving. No leader is needed for it. alone says that nobody before that
-// owner may still answer workers: otherwise the next one has to wait for that as well.
+// HandOver makes the member that a shard moves to its owner. Only the present owner may do so,
+// once it has stopped serving; no leader is involved. exclusive says that no earlier owner may
+// still answer workers: otherwise the next owner must wait for that as well.
 func (t *Table) HandOver(id ID, from Member, exclusive bool) *Change {
-	k, ok := t.records[id]
-	if !ok || k.value.Next == nil || k.value.Owner.Member != from {
+	current, ok := t.records[id]
+	if !ok || current.value.Next == nil || current.value.Owner.Member != from {
 		return nil
 	}
 	c := &Change{Records: map[ID]OwnerRecord{}}
-	c.put(id, k.version, OwnerRecord{Owner: *k.value.Next, Generation: k.value.Generation + 1, HandedOver: exclusive})
+	c.put(id, current.version, OwnerRecord{Owner: *current.value.Next, Generation: current.value.Generation + 1, HandedOver: exclusive})
 	return c
 }
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// Load is what an owner tells of its work.
+// Load is the load that an owner reports of itself.
 type Load struct {
-	CPUShare      float64       `json:"share"`         // of its processor share in use
-	Lag           time.Duration `json:"lag,omitempty"` // by which its timers fire late
-	HeartbeatRate float64       `json:"reports"`       // answered a second
+	CPUShare      float64       `json:"share"`         // used part of the processor share that it may use
+	Lag           time.Duration `json:"lag,omitempty"` // how late its timers fire
+	HeartbeatRate float64       `json:"reports"`       // heartbeats answered per second
 	Machines      int           `json:"machines"`
 }
 
-// Controller is a member as the planner sees it.
+// Controller is a member as input of the planner.
 type Controller struct {
 	Member
 	Zone     string
 	Draining bool
-	// Healthy is whether it may be given more: it is heard, isn't late, and reaches most of
-	// the workers that it has.
+	// Healthy reports whether it may be given more shards: its messages arrive, its timers aren't
+	// late, and it reaches most of its workers.
 	Healthy bool
-	// Reachability is what is known of whether it reaches its workers.
+	// Reachability is whether it reaches its workers, as far as known.
 	Reachability Reachability
-	// SinceLastMessage is how long nothing was heard of it, its lease notwithstanding.
+	// SinceLastMessage is how long ago the leader received its last message. Its lease may
+	// be valid all the same.
 	SinceLastMessage time.Duration
 	Load             Load
 }
 
-// Shard is a shard as the planner sees it.
+// Shard is a shard as input of the planner.
 type Shard struct {
 	ID       ID
 	Owner    Member
 	Unowned  bool // its owner's lease has ended, or it never had one
-	Moving   bool // it is to be released
+	Moving   bool // a move of it is recorded or decided
 	Machines int
 	Zone     string // of most of its machines
 }
 
-// Reason tells why a shard is to move.
+// Reason is why a shard is to move.
 type Reason uint8
 
 // Reasons of moves.
@@ -57,50 +58,50 @@
 		ReasonUnresponsive: "its owner is not heard", ReasonZone: "its machines are in another zone", ReasonBalance: "balance"}[r]
 }
 
-// Decision gives a shard to a member.
+// Decision is an assignment of a shard to a member and the reason for it.
 type Decision struct {
 	Assignment
 	Reason Reason
 }
 
-// Bounds of the planner. A move makes workers look for their owner, so there are few.
+// Limits of the planner. They keep moves rare, since after a move workers must find their new owner.
 const (
 	maxConcurrentMoves     = 2                // of shards with machines
 	rebalanceInterval      = 20 * time.Second // between moves for balance
 	moveCooldown           = 60 * time.Second // before a shard moves again for balance
-	reachFailureTTL        = 60 * time.Second // a member that lost a zone's workers is given no other's there
-	lastShardKeepTime      = 30 * time.Second // by an owner that isn't heard and serves, of its last shard
-	maxTakeoverCPUShare    = 0.5              // of a processor, up to which shards of an unheard owner are taken
-	reasonHoldTime         = 15 * time.Second // a reason must last that long to move a working shard
-	unresponsiveAfter      = 6 * time.Second  // an owner isn't heard for so long that its shards move
-	minCPUShareGap         = 0.25             // between the busiest and the idlest, to move for balance
-	maxRemainingGap        = 0.75             // a move must leave this part of the gap at the most
-	minMachineRatio        = 2.0              // times as many machines, where no load is known
-	minMachinesToRebalance = 8                // machines, below which nothing moves for balance
+	reachFailureTTL        = 60 * time.Second // how long a member that lost a zone's workers is given no other shard of the zone
+	lastShardKeepTime      = 30 * time.Second // how long an unresponsive owner that reaches its workers keeps its last shard
+	maxTakeoverCPUShare    = 0.5              // processor share up to which a controller takes shards of an unresponsive owner
+	reasonHoldTime         = 15 * time.Second // how long a reason must hold before a served shard moves for it
+	unresponsiveAfter      = 6 * time.Second  // after how long without a message an owner's shards move
+	minCPUShareGap         = 0.25             // between the busiest and the idlest controller, to move for balance
+	maxRemainingGap        = 0.75             // part of the gap that a move may leave at most
+	minMachineRatio        = 2.0              // ratio of machines, to move for balance while loads are unknown
+	minMachinesToRebalance = 8                // of the busiest controller, to move for balance
 )
 
-// Planner decides which shards move. It remembers what it decided, and how long reasons
-// have lasted.
+// Planner decides which shards move. It keeps the times of its decisions, and since when each
+// reason for a move has held.
 type Planner struct {
 	movedAt        map[ID]time.Time
-	rebalancedAt   time.Time            // of the last move for balance
-	pendingReasons map[ID]pendingReason // why a shard should move
+	rebalancedAt   time.Time            // last move for balance
+	pendingReasons map[ID]pendingReason // why a shard should move; at key 0 since when loads differ, with no reason
 	reachFailures  reachFailures
 }
 
-// pendingReason is a reason and since when it holds.
+// pendingReason is a reason and since when it has held.
 type pendingReason struct {
 	reason Reason
 	since  time.Time
 }
 
-// NewPlanner is a planner that knows of no moves yet.
+// NewPlanner returns a planner without any decisions.
 func NewPlanner() *Planner {
 	return &Planner{movedAt: map[ID]time.Time{}, pendingReasons: map[ID]pendingReason{}, reachFailures: reachFailures{}}
 }
 
-// Plan decides what is to change now. The same arguments after the same calls give the same
-// decisions.
+// Plan decides which shards get another owner now. It is deterministic: the same sequence of calls
+// with the same arguments gives the same decisions.
 func (p *Planner) Plan(now time.Time, controllers []Controller, shards []Shard) []Decision {
 	v := newView(controllers, shards)
 	p.recordPartitioned(now, v)
@@ -109,7 +110,7 @@
 	return append(decisions, p.rebalance(now, v)...)
 }
 
-// view is what the planner works on: decisions change it as they are made.
+// view is the planner's copy of its input, which each decision updates.
 type view struct {
 	controllers []Controller
 	shards      []Shard
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// assign notes a decision.
+// assign makes a decision and updates the view.
 func (v *view) assign(s *Shard, to Member, why Reason) Decision {
 	if !s.Unowned {
 		v.machines[s.Owner] -= s.Machines
@@ -155,8 +156,7 @@
 	return Decision{Assignment{s.ID, to}, why}
 }
 
-// bestController is the controller that a shard is best given to among those that will do, nil without
-// any.
+// bestController is the best of the eligible controllers for a shard, nil if there is none.
 func (v *view) bestController(s *Shard, eligible func(c *Controller) bool) *Controller {
 	var best *Controller
 	for i := range v.controllers {
@@ -171,7 +171,7 @@
 	return best
 }
 
-// compareControllers tells which of two controllers is the better one for a shard.
+// compareControllers compares two controllers as owners of a shard; the better one is less.
 func (v *view) compareControllers(s *Shard, a, b *Controller) int {
 	return cmp.Or(
 		compareBool(a.Draining, b.Draining),
@@ -203,7 +203,7 @@
 	return -1
 }
 
-// assignUnowned gives shards that nobody serves to somebody, at once.
+// assignUnowned assigns shards without a live owner at once.
 func (p *Planner) assignUnowned(now time.Time, v *view) []Decision {
 	var list []Decision
 	for i := range v.shards {
@@ -211,7 +211,7 @@
 		if !s.Unowned {
 			continue
 		}
-		// One that is alive will do, fit or not: better than nobody.
+		// Any live controller is eligible, healthy or not: a shard must not stay unowned.
 		if c := v.bestController(s, func(*Controller) bool { return true }); c != nil {
 			list = append(list, v.assign(s, c.Member, ReasonUnowned))
 			p.movedAt[s.ID] = now
@@ -220,7 +220,8 @@
 	return list
 }
 
-// evacuate moves shards away from owners that should not have them.
+// evacuate moves shards away from owners that are draining, partitioned, unresponsive, or in another
+// zone than the machines.
 func (p *Planner) evacuate(now time.Time, v *view) []Decision {
 	var list []Decision
 	for i := range v.shards {
@@ -241,7 +242,7 @@
 	return list
 }
 
-// moveReason is why a shard should have another owner, 0 without a reason.
+// moveReason is why a shard should have another owner, 0 if there is no reason.
 func (v *view) moveReason(s *Shard) Reason {
 	c := v.controller(s.Owner)
 	switch {
@@ -251,7 +252,7 @@
 		return ReasonDraining
 	case c.Reachability == WorkersUnreachable:
 		return ReasonPartitioned
-	case c.SinceLastMessage > unresponsiveAfter || c.Reachability == WorkersReachable: // who shows so says that it doesn't hear the leader either
+	case c.SinceLastMessage > unresponsiveAfter || c.Reachability == WorkersReachable: // an owner writes its reachability only while it receives no messages from a leader
 		return ReasonUnresponsive
 	case s.Zone != "" && c.Zone != s.Zone:
 		return ReasonZone
@@ -259,21 +260,22 @@
 	return 0
 }
 
-// heldLongEnough reports whether a reason has held for long enough.
+// heldLongEnough reports whether a reason has held for long enough to move a shard. It also records
+// since when it has held.
 func (p *Planner) heldLongEnough(now time.Time, s *Shard, why Reason) bool {
-	l, ok := p.pendingReasons[s.ID]
-	if !ok || l.reason != why {
-		l = pendingReason{why, now}
-		p.pendingReasons[s.ID] = l
+	held, ok := p.pendingReasons[s.ID]
+	if !ok || held.reason != why {
+		held = pendingReason{why, now}
+		p.pendingReasons[s.ID] = held
 	}
 	if why == ReasonDraining || why == ReasonUnresponsive || why == ReasonPartitioned || s.Machines == 0 {
 		return true
 	}
-	return now.Sub(l.since) >= reasonHoldTime
+	return now.Sub(held.since) >= reasonHoldTime
 }
 
-// rebalance moves one shard from the busiest controller to the idlest, if they stay far apart
-// and the move brings them closer.
+// rebalance moves one shard from the busiest controller to the idlest, if their loads have differed
+// for reasonHoldTime and the move brings them closer.
 func (p *Planner) rebalance(now time.Time, v *view) []Decision {
 	busiest, idlest := v.busiestAndIdlest()
 	if busiest == nil || v.moving > 0 {
@@ -287,8 +289,8 @@
 	}
 	gap, lasting := p.pendingReasons[0]
 	if !lasting {
-		// A new leader knows of the gap since now: loads right after a change of leaders
-		// say little.
+		// A new leader counts the gap from now: loads right after a change of leaders
+		// aren't meaningful.
 		gap = pendingReason{0, now}
 		p.pendingReasons[0] = gap
 	}
@@ -300,7 +302,8 @@
 	return []Decision{v.assign(s, idlest.Member, ReasonBalance)}
 }
 
-// busiestAndIdlest are the controllers with most and least work among those that are fit.
+// busiestAndIdlest are the most loaded controller, and the least loaded of the healthy ones. Both
+// exclude draining and unresponsive controllers, and are nil if there is no such pair.
 func (v *view) busiestAndIdlest() (busiest, idlest *Controller) {
 	for i := range v.controllers {
 		c := &v.controllers[i]
@@ -320,8 +323,8 @@
 	return busiest, idlest
 }
 
-// load is what a controller has to do: its share of processor in use, or where that isn't
-// known, its machines.
+// load is a controller's used processor share, or its number of machines while the shares aren't
+// known.
 func (v *view) load(c *Controller) float64 {
 	if v.loadsKnown() {
 		return c.Load.CPUShare
@@ -333,11 +336,11 @@
 	return !slices.ContainsFunc(v.controllers, func(c Controller) bool { return c.Load.CPUShare == 0 })
 }
 
-// rebalanceCandidate is the shard whose move brings two controllers closest, nil where none is worth
-// its move.
+// rebalanceCandidate is the shard whose move brings the loads of two controllers closest, nil if no
+// move is worth its cost.
 func (p *Planner) rebalanceCandidate(now time.Time, v *view, busiest, idlest *Controller) *Shard {
-	has := float64(v.machines[busiest.Member])
-	if has < minMachinesToRebalance {
+	machines := float64(v.machines[busiest.Member])
+	if machines < minMachinesToRebalance {
 		return nil
 	}
 	gap := v.load(busiest) - v.load(idlest)
@@ -346,8 +349,8 @@
 		if gap < minCPUShareGap {
 			return nil
 		}
-		perMachine = busiest.Load.CPUShare / has
-	} else if has < minMachineRatio*max(1, float64(v.machines[idlest.Member])) {
+		perMachine = busiest.Load.CPUShare / machines
+	} else if machines < minMachineRatio*max(1, float64(v.machines[idlest.Member])) {
 		return nil
 	}
 	var best *Shard
@@ -357,12 +360,12 @@
 		if s.Owner != busiest.Member || !p.canRebalance(now, s, busiest, idlest) {
 			continue
 		}
-		left := gap - 2*perMachine*float64(s.Machines)
-		if left < 0 {
-			left = -left
+		remaining := gap - 2*perMachine*float64(s.Machines)
+		if remaining < 0 {
+			remaining = -remaining
 		}
-		if left <= bestGap {
-			best, bestGap = s, left
+		if remaining <= bestGap {
+			best, bestGap = s, remaining
 		}
 	}
 	return best
--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// reachFailure is a member that lost most of its workers while it served machines of a zone.
+// reachFailure identifies a member that lost contact with most of its workers while it owned
+// machines of a zone.
 type reachFailure struct {
 	member Member
 	zone   string
 }
 
-// reachFailures remembers when members last lost their workers, by zone. By time alone a shard
-// rested for a minute wherever it was: an owner that had just been given shards kept them
-// when it lost its workers, until their leases ended. By this a shard goes to everybody who
-// hasn't lately failed with its zone, and to nobody twice in a row: where no controller
-// reaches the machines, it isn't passed round.
+// reachFailures are the times at which members last had lost contact with most of their workers, by
+// zone. They let a shard move at once to a member that hasn't recently failed in its zone, but not
+// back to one that has: where no controller reaches the machines, the shard doesn't circulate. A
+// cooldown of a minute per shard wasn't enough: an owner that lost its workers soon after it was
+// given shards kept them until the workers' leases ended.
 type reachFailures map[reachFailure]time.Time
 
-// recent reports whether a member lost the workers of a zone not long ago.
+// recent reports whether a member lost contact with its workers in a zone within reachFailureTTL.
 func (f reachFailures) recent(now time.Time, m Member, zone string) bool {
 	at, ok := f[reachFailure{m, zone}]
 	return ok && now.Sub(at) < reachFailureTTL
 }
 
-// recordPartitioned remembers who doesn't reach its workers now.
+// recordPartitioned records the members that don't reach their workers now, and drops old records.
 func (p *Planner) recordPartitioned(now time.Time, v *view) {
 	for k, at := range p.reachFailures {
 		if now.Sub(at) >= reachFailureTTL {
@@ -36,9 +37,10 @@
 	}
 }
 
-// canTake reports whether a controller may be given a shard that is to leave its owner. A
-// partitioned owner's go to one that isn't heard, too, if the state service shows that it reaches
-// its workers: where controllers can't talk to each other, the leader may be the partitioned one.
+// canTake reports whether a controller may be given a shard that is to leave its owner. A shard of a
+// partitioned owner may also go to a controller without contact to the leader, if the state service
+// shows that it reaches its workers: where controllers can't reach each other, the leader's own
+// controller may be the partitioned one.
 func (p *Planner) canTake(now time.Time, c *Controller, s *Shard, why Reason) bool {
 	if c.Member == s.Owner || p.reachFailures.recent(now, c.Member, s.Zone) {
 		return false
@@ -46,8 +48,8 @@
 	return c.Healthy || why == ReasonPartitioned && c.Reachability == WorkersReachable
 }
 
-// HasAlternative reports whether another controller than a zone's present owner may reach the
-// zone's workers, for all that is known.
+// HasAlternative reports whether a controller other than the present owner may reach the workers of
+// a zone, as far as known.
 func (p *Planner) HasAlternative(now time.Time, controllers []Controller, owner Member, zone string) bool {
 	s := Shard{Owner: owner, Zone: zone}
 	for i := range controllers {
@@ -58,26 +60,27 @@
 	return false
 }
 
-// servesUnresponsive reports whether a shard would leave its owner only because the leader doesn't
-// hear it, while the state service shows that it reaches its workers.
+// servesUnresponsive reports whether a shard would leave its owner only because the owner's messages
+// don't reach the leader, while the state service shows that it reaches its workers.
 func (v *view) servesUnresponsive(s *Shard, why Reason) bool {
 	return why == ReasonUnresponsive && s.Machines > 0 && v.controller(s.Owner).Reachability == WorkersReachable
 }
 
-// hasCapacity reports whether a controller has the processor for a shard of an owner that serves
-// unheard: silence between controllers is no reason to put a whole fleet on one of them.
+// hasCapacity reports whether a controller has the processor capacity for a shard of an unresponsive
+// owner that reaches its workers: lost contact between controllers is no reason to move the whole
+// fleet to one of them. For other shards the capacity isn't checked.
 func (v *view) hasCapacity(c *Controller, s *Shard, why Reason) bool {
 	return !v.servesUnresponsive(s, why) || v.projectedCPUShare(c, s) <= maxTakeoverCPUShare
 }
 
-// keepsShard reports whether an owner that serves unheard keeps a shard. It isn't emptied,
-// but for its last shard only for lastShardKeepTime: results that its workers report are recorded
-// by nobody meanwhile.
+// keepsShard reports whether an unresponsive owner that reaches its workers keeps its last shard.
+// It does so only for lastShardKeepTime, since results that its workers report meanwhile aren't
+// recorded.
 func (v *view) keepsShard(s *Shard, why Reason) bool {
 	return v.servesUnresponsive(s, why) && v.countStaying(s.Owner) <= 1 && v.controller(s.Owner).SinceLastMessage <= lastShardKeepTime
 }
 
-// countStaying counts a member's shards with machines that aren't about to leave it.
+// countStaying counts a member's shards with machines that aren't moving away.
 func (v *view) countStaying(m Member) int {
 	count := 0
 	for i := range v.shards {
@@ -88,8 +91,8 @@
 	return count
 }
 
-// projectedCPUShare is about which share of its processor a controller would use with a shard more.
-// Where no load is known it is the part of the fleet that it would serve.
+// projectedCPUShare estimates which share of its processor a controller would use with another shard.
+// If its load isn't known, it is the part of the fleet that it would serve.
 func (v *view) projectedCPUShare(c *Controller, s *Shard) float64 {
 	machines := float64(v.machines[c.Member] + s.Machines)
 	if c.Load.Machines > 0 && c.Load.CPUShare > 0 {
@@ -102,38 +105,39 @@
 	return machines / float64(max(1, all))
 }
 
-// Reachability is what is known of whether a controller reaches the workers of its shards.
+// Reachability is whether a controller reaches the workers of its shards, as far as known.
 type Reachability uint8
 
-// What may be known of it.
+// Values of Reachability.
 const (
-	// ReachabilityUnknown: nothing speaks against it, nor does the state service show it.
+	// ReachabilityUnknown: there is no evidence for either.
 	ReachabilityUnknown Reachability = iota
-	// WorkersReachable: the state service lately showed that it reaches most of them, although
-	// the leader doesn't hear it.
+	// WorkersReachable: its member record recently showed that it reaches most of them, although
+	// its messages don't reach the leader.
 	WorkersReachable
 	// WorkersUnreachable: it doesn't reach most of them.
 	WorkersUnreachable
 )
 
-// ReachabilityInterval is how often an owner that hears no leader writes its reachability into
-// its member record: one change each time, and none while the leader is heard.
+// ReachabilityInterval is how often an owner that receives no messages from a leader writes its
+// reachability into its member record. It costs one write each time, and none in normal operation.
 const ReachabilityInterval = 3 * time.Second
 
-// reachabilityValidity is for how long the leader takes what it wrote.
+// reachabilityValidity is for how long the leader relies on a written report.
 const reachabilityValidity = 2 * ReachabilityInterval
 
-// ReachabilityTracker follows what a member's record shows. The zero value has seen none.
+// ReachabilityTracker follows the reachability reports in a member's record. The zero value has seen
+// no record.
 type ReachabilityTracker struct {
 	report      ReachabilityReport
-	initialized bool      // a record was looked at before
-	reportedAt  time.Time // when the report was first seen; zero where it may be old
+	initialized bool      // a record was seen before
+	reportedAt  time.Time // when the report was first seen; zero if it may be old
 }
 
-// Update takes a member's record.
+// Update processes a member's record.
 func (s *ReachabilityTracker) Update(now time.Time, m MemberRecord) {
 	if m.Reachability != nil && m.Reachability.Sequence != s.report.Sequence {
-		// What stood there at first may be old.
+		// The report in the first record may be old.
 		if s.initialized {
 			s.reportedAt = now
 		}
@@ -142,7 +146,7 @@
 	s.initialized = true
 }
 
-// At is what is known at a time.
+// At is the member's reachability at a time.
 func (s *ReachabilityTracker) At(now time.Time) Reachability {
 	switch {
 	case s.reportedAt.IsZero() || now.Sub(s.reportedAt) > reachabilityValidity:
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -13,7 +13,7 @@
 
 func member(controller string) Member { return Member{Name: controller, Incarnation: 1} }
 
-// tableGeneration has three members, and shards that are owned by the controllers named.
+// newTestTable returns a table with three members, and shards that are owned by the named controllers.
 func newTestTable(t *testing.T, owners ...string) *Table {
 	t.Helper()
 	table := NewTable()
@@ -33,58 +33,59 @@
 
 var leader = LeaderState{LeaderVersion: 5, Term: 9, TermVersion: 6, ShardingRecorded: true}
 
-// conditionVersions are the conditions of a change.
+// conditionVersions are the versions that a change is conditional on, by key.
 func conditionVersions(c *Change) map[string]uint64 {
-	when := map[string]uint64{}
+	conditions := map[string]uint64{}
 	for _, k := range c.Txn.Conditions {
-		when[k.Key] = k.Version
+		conditions[k.Key] = k.Version
 	}
-	return when
+	return conditions
 }
 
-// Shards are given only where the owner before has ended, and the change says so.
+// Shards are assigned only if the previous owner has ended, and the change is conditional on that.
 func TestAssignAfterTheOwnerEnded(t *testing.T) {
 	table := newTestTable(t, "a", "a")
 	if c := table.Assign([]Assignment{{1, member("b")}}, leader); len(c.Records) != 0 {
-		t.Errorf("the shard of a member that is alive was given: %+v", c.Records)
+		t.Errorf("a shard with a live owner was assigned: %+v", c.Records)
 	}
 	table.Remove(records.KeyMember("a"), 30)
 	c := table.Assign([]Assignment{{1, member("b")}, {2, member("c")}}, leader)
-	when := conditionVersions(c)
-	if version, there := when[records.KeyMember("a")]; !there || version != 0 {
-		t.Errorf("its lease may be there: %v", when)
+	conditions := conditionVersions(c)
+	if version, there := conditions[records.KeyMember("a")]; !there || version != 0 {
+		t.Errorf("the change isn't conditional on the previous owner's lease: %v", conditions)
 	}
-	if when[records.KeyLeader] != 5 || when[records.KeyTerm] != 6 || when[records.KeyOwner(1)] != 20 {
-		t.Errorf("conditions %v", when)
+	if conditions[records.KeyLeader] != 5 || conditions[records.KeyTerm] != 6 || conditions[records.KeyOwner(1)] != 20 {
+		t.Errorf("conditions %v", conditions)
 	}
 	if r := c.Records[1]; r.HandedOver || r.Owner.Term != 10 || c.Records[2].Owner.Term != 11 || c.Term != 11 {
 		t.Errorf("records %+v", c.Records)
 	}
 }
 
-// A move is asked for by the leader and carried out by the owner, each on the record's version.
+// A move is proposed by the leader and carried out by the owner, each conditional on the record's
+// version.
 func TestMove(t *testing.T) {
 	table := newTestTable(t, "a")
 	if table.HandOver(1, member("a"), true) != nil {
 		t.Error("released without an intent")
 	}
-	intent := table.ProposeMove(1, member("b"), leader)
-	table.Applied(intent, 40)
+	proposal := table.ProposeMove(1, member("b"), leader)
+	table.Applied(proposal, 40)
 	if table.ProposeMove(1, member("c"), leader) != nil {
 		t.Error("a second move of a shard that moves")
 	}
 	if table.HandOver(1, member("b"), true) != nil {
 		t.Error("released by somebody else")
 	}
-	release := table.HandOver(1, member("a"), true)
-	if when := conditionVersions(release); when[records.KeyOwner(1)] != 40 || len(when) != 1 {
-		t.Errorf("conditions %v", when)
+	handover := table.HandOver(1, member("a"), true)
+	if conditions := conditionVersions(handover); conditions[records.KeyOwner(1)] != 40 || len(conditions) != 1 {
+		t.Errorf("conditions %v", conditions)
 	}
-	table.Applied(release, 41)
+	table.Applied(handover, 41)
 	if owner, ok := table.Owner(1); !ok || owner.Name != "b" || owner.Term != 10 {
 		t.Errorf("owner %+v", owner)
 	}
-	// What was written before, and is heard later, changes nothing.
+	// An older record that arrives later changes nothing.
 	if err := table.Put(records.KeyOwner(1), records.Encode(OwnerRecord{Owner: Ownership{member("a"), 1}}), 20); err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +94,7 @@
 	}
 }
 
-// A record that can't be read belongs to nobody that is known, and isn't guessed at.
+// A shard whose record can't be parsed has no known owner.
 func TestUnreadableRecord(t *testing.T) {
 	table := newTestTable(t, "a")
 	if table.Put(records.KeyOwner(1), json.RawMessage(`{"owner":7}`), 50) == nil {
@@ -102,12 +103,13 @@
 	if _, ok := table.Owner(1); ok {
 		t.Error("it has an owner")
 	}
-	if version, odd := table.Unreadable(1); !odd || version != 50 {
-		t.Errorf("version %d, unreadable %t", version, odd)
+	if version, unreadable := table.Unreadable(1); !unreadable || version != 50 {
+		t.Errorf("version %d, unreadable %t", version, unreadable)
 	}
 }
 
-// fleetWithLoads is three fit controllers, and shards of a hundred machines in turn.
+// fleetWithLoads returns three healthy controllers with these processor shares, and six shards of a
+// hundred machines each, owned by the controllers in turn.
 func fleetWithLoads(shares ...float64) ([]Controller, []Shard) {
 	var controllers []Controller
 	for i, controller := range []string{"a", "b", "c"} {
@@ -120,7 +122,7 @@
 	return controllers, shards
 }
 
-// Nothing moves for loads that differ little, or differ much for a moment.
+// No shard moves for loads that differ little, or differ much only briefly.
 func TestNoMoveForNoise(t *testing.T) {
 	p := NewPlanner()
 	for i := range 120 {
@@ -135,7 +137,7 @@
 	}
 }
 
-// A lasting difference moves one shard, and another one not before the pause is over.
+// A lasting difference of loads moves one shard, and another only after rebalanceInterval.
 func TestRebalance(t *testing.T) {
 	p := NewPlanner()
 	controllers, shards := fleetWithLoads(0.95, 0.3, 0.3)
@@ -153,8 +155,8 @@
 	}
 }
 
-// A controller that is drained loses its shards, two at a time, and gets none; one that is late
-// gets none either.
+// A draining controller loses its shards, two at a time, and is given none; an unhealthy controller
+// is given none either.
 func TestDrain(t *testing.T) {
 	p := NewPlanner()
 	controllers, shards := fleetWithLoads(0.4, 0.4, 0.4)
@@ -171,31 +173,31 @@
 	}
 }
 
-// A shard whose machines nobody reaches is tried by each controller once, at once, and goes to
-// none that failed with it in the last minute.
+// A shard whose machines no controller reaches is tried by each controller once without delay, and
+// isn't given to one that failed with it in the last minute.
 func TestUnreachableShardIsTriedOncePerController(t *testing.T) {
 	p := NewPlanner()
 	controllers, shards := fleetWithLoads(0.4, 0.4, 0.4)
-	had := map[Member]time.Time{}
+	lastOwned := map[Member]time.Time{}
 	moves := 0
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * time.Second)
-		for k := range controllers { // whoever has it reaches few of its workers
+		for k := range controllers { // its owner doesn't reach its workers
 			controllers[k].Healthy, controllers[k].Reachability = true, ReachabilityUnknown
 			if controllers[k].Member == shards[0].Owner {
 				controllers[k].Healthy, controllers[k].Reachability = false, WorkersUnreachable
 			}
 		}
-		had[shards[0].Owner] = now
+		lastOwned[shards[0].Owner] = now
 		for _, d := range p.Plan(now, controllers, shards[:1]) {
-			if at, ok := had[d.To]; ok && now.Sub(at) < reachFailureTTL {
-				t.Errorf("after %s it went back to %s, who had it %s ago", now.Sub(start), d.To.Name, now.Sub(at))
+			if at, ok := lastOwned[d.To]; ok && now.Sub(at) < reachFailureTTL {
+				t.Errorf("after %s it went back to %s, which owned it %s ago", now.Sub(start), d.To.Name, now.Sub(at))
 			}
 			shards[0].Owner = d.To
 			moves++
 		}
 		if i == 2 && moves != 2 {
-			t.Errorf("tried by %d others at once", moves)
+			t.Errorf("moved %d times in 3 s, want 2", moves)
 		}
 	}
 	if moves < 2 || moves > 2+2*300/60 {
@@ -203,22 +205,23 @@
 	}
 }
 
-// An owner that the leader doesn't hear, while the state service shows that it reaches its
-// workers, keeps a shard, and its shards go to nobody who is busy without them.
+// An owner whose messages don't reach the leader, while the state service shows that it reaches its
+// workers, keeps its last shard for a time. Its other shards don't go to a controller that is
+// already busy.
 func TestUnresponsiveOwnerThatServes(t *testing.T) {
 	for _, c := range []struct {
-		share   float64 // of the one that would take them
-		vouched bool
-		silent  time.Duration
-		want    int
+		share            float64 // of the controller that would take them
+		reportsReachable bool
+		sinceLastMessage time.Duration
+		want             int
 	}{{0.1, true, unresponsiveAfter, 1}, {0.9, true, unresponsiveAfter, 0}, {0.1, false, unresponsiveAfter, 2}, {0.1, true, lastShardKeepTime, 2}, {0.9, true, lastShardKeepTime, 0}} {
 		p := NewPlanner()
 		controllers, shards := fleetWithLoads(c.share, 0.4, 0.9)
 		for k := range controllers {
 			controllers[k].Load.Machines = 200
 		}
-		controllers[1].SinceLastMessage, controllers[1].Healthy = c.silent+time.Second, false
-		if c.vouched {
+		controllers[1].SinceLastMessage, controllers[1].Healthy = c.sinceLastMessage+time.Second, false
+		if c.reportsReachable {
 			controllers[1].Reachability = WorkersReachable
 		}
 		moved := 0
@@ -233,26 +236,26 @@
 	}
 }
 
-const messageRoom, entries = 4000, 200 // of the tests below
+const messageRoom, entries = 4000, 200 // bytes of a message, and entries of each list
 
 func messageBytes(v any) int { return len(records.Encode(v)) }
 
-// oversizedMessages is more than one message takes.
+// oversizedMessages returns instructions and observations that don't fit one message.
 func oversizedMessages() (*Instructions, *Observations) {
-	in, seen := &Instructions{}, &Observations{Status: &Status{}}
+	in, observed := &Instructions{}, &Observations{Status: &Status{}}
 	for i := range entries {
 		k := Task{Machine: fmt.Sprintf("vm-%06d", i), Job: "run-000001", TaskIndex: i, Attempt: 1}
 		in.Machines = append(in.Machines, Machine{Name: k.Machine, Type: "t", Zone: "z", Starts: []Start{{Task: k}, {Task: k}}})
 		in.Starts = append(in.Starts, Start{Task: k})
 		in.TerminatedMachines = append(in.TerminatedMachines, k.Machine)
-		seen.TaskStates = append(seen.TaskStates, TaskState{Task: k})
-		seen.Terminations = append(seen.Terminations, Termination{Task: k, Reason: "no longer reported"})
-		seen.Status.Unhealthy = append(seen.Status.Unhealthy, UnhealthyWorker{Machine: k.Machine, SilentMillis: 5000})
+		observed.TaskStates = append(observed.TaskStates, TaskState{Task: k})
+		observed.Terminations = append(observed.Terminations, Termination{Task: k, Reason: "no longer reported"})
+		observed.Status.Unhealthy = append(observed.Status.Unhealthy, UnhealthyWorker{Machine: k.Machine, SilentMillis: 5000})
 	}
-	return in, seen
+	return in, observed
 }
 
-// Messages that are cut from instructions hold all of them, in order, each within its room.
+// Instructions are split into messages that together hold all of them, in order, each within its room.
 func TestTakeFittingInstructions(t *testing.T) {
 	in, _ := oversizedMessages()
 	machines, starts, terminated := 0, 0, 0
@@ -272,12 +275,12 @@
 	}
 }
 
-// Messages that are cut from observations hold all of them, the status in parts at the end.
+// Observations are split into messages that together hold all of them, the status in parts at the end.
 func TestTakeFittingObservations(t *testing.T) {
-	_, seen := oversizedMessages()
+	_, observed := oversizedMessages()
 	states, terminations, unhealthy, parts := 0, 0, 0, 0
-	for !seen.Empty() {
-		message := seen.TakeFitting(messageRoom)
+	for !observed.Empty() {
+		message := observed.TakeFitting(messageRoom)
 		if size := messageBytes(message); size > messageRoom {
 			t.Fatalf("a message of %d bytes", size)
 		}
@@ -294,7 +297,7 @@
 	}
 }
 
-// A channel notices a lost message and asks for a snapshot; a copy changes nothing.
+// A channel detects a lost message and requests a snapshot; a duplicate changes nothing.
 func TestChannel(t *testing.T) {
 	e := ChannelEpoch{Term: 3, Member: member("a")}
 	from, to := NewChannel(e), NewChannel(e)
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -1,10 +1,10 @@
 package shard
 
-// Messages between the leader and owners have a limited length. What there is to tell waits in
-// one long message, from which parts are taken that fit. Lists are cut in the order in which the
-// other side takes them, so that nothing overtakes what was told before of the same task.
+// Messages between the leader and owners have a limited size. Pending content is collected in one
+// message of any size, from which parts that fit are taken. Its lists are split in the order in
+// which the other side applies them, so that no entry overtakes an earlier one of the same task.
 
-// Bytes of an entry beside the names in it, at the most.
+// Maximum encoded bytes of an entry, without the names in it.
 const (
 	taskBytes        = 80
 	startBytes       = taskBytes + 40
@@ -17,24 +17,24 @@
 	nameBytes        = 8
 )
 
-// StartSize is about how long an attempt is in a machine's list.
+// StartSize estimates the encoded size of an attempt in a machine's entry.
 func StartSize(machine, job string) int { return len(machine) + len(job) + startBytes }
 
 func (t *Task) stringBytes() int     { return len(t.Machine) + len(t.Job) }
 func (t *Task) size() int            { return t.stringBytes() + taskBytes }
-func (r *Start) size() int           { return r.stringBytes() + startBytes }
+func (s *Start) size() int           { return s.stringBytes() + startBytes }
 func (s *Stop) size() int            { return s.stringBytes() + startBytes }
 func (s *TaskState) size() int       { return s.stringBytes() + stateBytes }
 func (e *Exit) size() int            { return e.stringBytes() + exitBytes }
-func (g *Termination) size() int     { return g.stringBytes() + len(g.Reason) + terminationBytes }
-func (l *UnhealthyWorker) size() int { return len(l.Machine) + unhealthyBytes }
+func (t *Termination) size() int     { return t.stringBytes() + len(t.Reason) + terminationBytes }
+func (w *UnhealthyWorker) size() int { return len(w.Machine) + unhealthyBytes }
 func nameSize(n *string) int         { return len(*n) + nameBytes }
 
 func (w *Worker) size() int {
 	return len(w.Machine) + len(w.Addr) + len(w.Type) + len(w.Zone) + workerBytes
 }
 
-// Size is about how long the machine is in a message.
+// Size estimates the encoded size of the machine's entry.
 func (m *Machine) Size() int {
 	size := len(m.Name) + len(m.Addr) + len(m.Type) + len(m.Zone) + machineBytes
 	for i := range m.Starts {
@@ -43,68 +43,68 @@
 	return size
 }
 
-// messageFiller fills one message from lists that are cut in order. The first entry of an empty
+// messageFiller fills one message from the fronts of lists, in order. The first entry of an empty
 // message is taken whatever its size.
 type messageFiller struct {
 	remaining, capacity int
-	full                bool // a list had to be cut: what comes after it waits
+	full                bool // a list had to be split: the lists after it wait
 }
 
-// takeFront takes entries from the front of a list as long as there is room, and leaves the rest.
-func takeFront[T any](c *messageFiller, list *[]T, size func(*T) int) (part []T) {
-	if c.full {
+// takeFront removes entries from the front of a list as long as there is room, and returns them.
+func takeFront[T any](f *messageFiller, list *[]T, size func(*T) int) (part []T) {
+	if f.full {
 		return nil
 	}
 	all := *list
 	for i := range all {
 		k := size(&all[i])
-		if k > c.remaining && (c.remaining != c.capacity || i != 0) {
-			*list, c.full = all[i:], true
+		if k > f.remaining && (f.remaining != f.capacity || i != 0) {
+			*list, f.full = all[i:], true
 			return all[:i:i]
 		}
-		c.remaining -= k
+		f.remaining -= k
 	}
 	*list = nil
 	return all
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether there is no content apart from the header.
 func (in *Instructions) Empty() bool {
 	return len(in.Machines)+len(in.TerminatedMachines)+len(in.Starts)+len(in.Stops)+len(in.Forgets) == 0
 }
 
-// TakeFitting takes from what there is to tell what fits one message of so many bytes, and
-// returns it with the room that is left.
+// TakeFitting moves what fits into room bytes into one message, and returns it with the room that
+// is left.
 func (in *Instructions) TakeFitting(room int) (message Instructions, left int) {
-	c := &messageFiller{remaining: room, capacity: room}
-	message.Machines = takeFront(c, &in.Machines, (*Machine).Size)
-	message.Starts = takeFront(c, &in.Starts, (*Start).size)
-	message.Stops = takeFront(c, &in.Stops, (*Stop).size)
-	if c.full {
-		return message, c.remaining
+	f := &messageFiller{remaining: room, capacity: room}
+	message.Machines = takeFront(f, &in.Machines, (*Machine).Size)
+	message.Starts = takeFront(f, &in.Starts, (*Start).size)
+	message.Stops = takeFront(f, &in.Stops, (*Stop).size)
+	if f.full {
+		return message, f.remaining
 	}
-	message.Forgets = takeFront(c, &in.Forgets, (*Task).size)
-	c.full = false // the names have no order to keep with what an owner may forget
-	message.TerminatedMachines = takeFront(c, &in.TerminatedMachines, nameSize)
-	return message, c.remaining
+	message.Forgets = takeFront(f, &in.Forgets, (*Task).size)
+	f.full = false // the order between terminated machines and forgets doesn't matter
+	message.TerminatedMachines = takeFront(f, &in.TerminatedMachines, nameSize)
+	return message, f.remaining
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether there is no content apart from the header and the served terms.
 func (o *Observations) Empty() bool {
 	return len(o.Workers)+len(o.TaskStates)+len(o.Exits)+len(o.Terminations)+len(o.Orphans) == 0 && o.Status == nil
 }
 
-// TakeFitting takes from what there is to tell what fits one message of so many bytes. The
-// status comes after all else, its unhealthy workers in several messages if they are many.
+// TakeFitting moves what fits into room bytes into one message. The status comes last; if it has
+// many unhealthy workers, they are sent in several messages.
 func (o *Observations) TakeFitting(room int) (message Observations) {
-	c := &messageFiller{remaining: room, capacity: room}
-	message.Workers = takeFront(c, &o.Workers, (*Worker).size)
-	message.TaskStates = takeFront(c, &o.TaskStates, (*TaskState).size)
-	message.Exits = takeFront(c, &o.Exits, (*Exit).size)
-	message.Terminations = takeFront(c, &o.Terminations, (*Termination).size)
-	message.Orphans = takeFront(c, &o.Orphans, (*Task).size)
-	if o.Status != nil && !c.full {
-		message.Status = o.Status.takeFitting(c)
+	f := &messageFiller{remaining: room, capacity: room}
+	message.Workers = takeFront(f, &o.Workers, (*Worker).size)
+	message.TaskStates = takeFront(f, &o.TaskStates, (*TaskState).size)
+	message.Exits = takeFront(f, &o.Exits, (*Exit).size)
+	message.Terminations = takeFront(f, &o.Terminations, (*Termination).size)
+	message.Orphans = takeFront(f, &o.Orphans, (*Task).size)
+	if o.Status != nil && !f.full {
+		message.Status = o.Status.takeFitting(f)
 		if !message.Status.More {
 			o.Status = nil
 		}
@@ -112,10 +112,10 @@
 	return message
 }
 
-// takeFitting takes the next part of a status.
-func (s *Status) takeFitting(c *messageFiller) *Status {
+// takeFitting moves the unhealthy workers that fit into the next part of the status.
+func (s *Status) takeFitting(f *messageFiller) *Status {
 	part := &Status{Load: s.Load, Part: s.Part}
-	part.Unhealthy = takeFront(c, &s.Unhealthy, (*UnhealthyWorker).size)
+	part.Unhealthy = takeFront(f, &s.Unhealthy, (*UnhealthyWorker).size)
 	part.More = len(s.Unhealthy) > 0
 	s.Part++
 	return part
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -11,40 +11,40 @@
 	"brasskeel/internal/records"
 )
 
-// RecordError is a key of shards whose record can't be read. Callers find it with errors.As.
+// RecordError reports a key of shards whose record can't be parsed. Callers find it with errors.As.
 type RecordError struct {
 	Key    string // in the state service
-	Reason string // names the shard or the member, and the value
-	Err    error  // of the decoder; nil where the value is JSON but no such record
+	Reason string // names the shard or member and quotes the value
+	Err    error  // of the decoder; nil if the value decodes but isn't a valid record, or the key is unknown
 }
 
 // Error implements error.
 func (e *RecordError) Error() string { return e.Reason }
 
-// Unwrap gives the decoder's error.
+// Unwrap returns the decoder's error.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// versioned is a record and the version of its key.
+// versioned is a record with the version of its key.
 type versioned[T any] struct {
 	value   T
 	version uint64
 }
 
-// Table is what the state service tells of owners and members.
+// Table holds the records of shard owners and members, as read from the state service.
 type Table struct {
 	records map[ID]versioned[OwnerRecord]
 	members map[string]versioned[MemberRecord]
-	// Records that can't be read, and their versions. Nobody guesses at their owners.
+	// unreadable are the versions of records that can't be parsed. Their owners are unknown.
 	unreadable map[ID]uint64
 }
 
-// NewTable is an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{records: map[ID]versioned[OwnerRecord]{}, members: map[string]versioned[MemberRecord]{}, unreadable: map[ID]uint64{}}
 }
 
-// Put takes a record; an error says that it can't be read. Older versions than the one
-// that is known change nothing.
+// Put adds or replaces a record, unless a newer version of it is known. An error says that the
+// record can't be parsed; the one known before is dropped then.
 func (t *Table) Put(key string, value json.RawMessage, version uint64) error {
 	if controller, ok := strings.CutPrefix(key, records.PrefixMembers); ok {
 		return t.putMember(controller, value, version)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Remove takes a key out that was removed at a version.
+// Remove drops a key that was deleted at a version, unless a newer version of it is known.
 func (t *Table) Remove(key string, version uint64) {
 	if controller, ok := strings.CutPrefix(key, records.PrefixMembers); ok && t.members[controller].version <= version {
 		delete(t.members, controller)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Applied takes a change of this controller's own that was applied at a version.
+// Applied adds the records of a change that this controller committed at a version.
 func (t *Table) Applied(c *Change, version uint64) {
 	for id, r := range c.Records {
 		if t.records[id].version < version {
@@ -102,25 +102,26 @@
 	}
 }
 
-// Record gives a shard's record.
+// Record returns a shard's record and its version.
 func (t *Table) Record(id ID) (r OwnerRecord, version uint64, ok bool) {
 	k, ok := t.records[id]
 	return k.value, k.version, ok
 }
 
-// Owner gives who serves a shard, if its record can be read and its lease hasn't ended.
+// Owner returns a shard's ownership. It is false if the record can't be parsed or the owner's lease
+// has ended.
 func (t *Table) Owner(id ID) (Ownership, bool) {
 	k, ok := t.records[id]
 	return k.value.Owner, ok && t.Alive(k.value.Owner.Member)
 }
 
-// Alive reports whether a member's lease is there.
+// Alive reports whether a member's record, which ends with its lease, is present.
 func (t *Table) Alive(m Member) bool {
 	k, ok := t.members[m.Name]
 	return ok && k.value.Member == m
 }
 
-// Member gives the member of a controller, and the version of its key; 0 without one.
+// Member returns the member record of a controller and its version; the version is 0 without a record.
 func (t *Table) Member(controller string) (MemberRecord, uint64) {
 	k := t.members[controller]
 	return k.value, k.version
@@ -135,14 +136,14 @@
 	return list
 }
 
-// IDs lists the shards that have a record, readable or not.
+// IDs lists the shards that have a record, readable or not, in order.
 func (t *Table) IDs() []ID {
 	ids := slices.AppendSeq(slices.Collect(maps.Keys(t.records)), maps.Keys(t.unreadable))
 	slices.Sort(ids)
 	return ids
 }
 
-// Unreadable gives the version of a shard's record that can't be read.
+// Unreadable returns the version of a shard's record if it can't be parsed.
 func (t *Table) Unreadable(id ID) (version uint64, ok bool) {
 	version, ok = t.unreadable[id]
 	return version, ok
