--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -7,24 +7,26 @@
 	"brasskeel/internal/coordination/shard"
 )
 
-// Messages between the leader and owners.
+// Limits of the messages between the leader and shard owners.
 const (
-	// itemsPerMessage is about how many workers and states are gathered for one message at a time.
+	// itemsPerMessage is about how many workers and task states are collected for one message.
 	itemsPerMessage = 400
-	// exitRetention is how long an exit is remembered after the leader let it be forgotten.
+	// exitRetention is how long an owner keeps an exit after the leader said that the worker may
+	// forget it.
 	exitRetention = 30 * time.Second
 )
 
-// changeFeed is what an owner tells the leader, and takes from it.
+// changeFeed exchanges messages between a shard owner and the leader: it sends the changes that
+// the owner observes, and applies the instructions that it receives.
 type changeFeed struct {
 	owner           *shardOwner
-	shard.Outbox    // to the leader; without a channel while none is known
+	shard.Outbox    // to the leader; its Channel is nil while no leader is known
 	leader          string
-	pending         shard.Observations // that is being filled
-	changedWorkers  map[*machine]bool  // to be told in it
-	snapshotWorkers map[*machine]bool  // of them, those whose tasks' states are to be told, too
-	leaderHeardAt   time.Time          // when a leader last told something
-	// unacknowledged are the terminations that the leader may not know of yet.
+	pending         shard.Observations // not yet sent
+	changedWorkers  map[*machine]bool  // with an entry to send
+	snapshotWorkers map[*machine]bool  // of changedWorkers, those whose task states are sent as well
+	leaderHeardAt   time.Time          // when the last message of a leader was received
+	// unacknowledged are the terminations that were sent and that the leader may not have received.
 	unacknowledged shard.UnacknowledgedTerminations
 }
 
@@ -54,15 +56,16 @@
 	f.schedule()
 }
 
-// announceOwnership lets the leader know at once which shards are served, so that it tells of
-// their machines.
+// announceOwnership sends the served shards to the leader at once, so that it answers with their
+// machines.
 func (f *changeFeed) announceOwnership() { f.flush() }
 
 func attemptTask(a *attempt) shard.Task {
 	return shard.Task{Machine: a.machine.Name, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number}
 }
 
-// schedule wants a message sent.
+// schedule has a message sent at the end of the step, or once the minimum interval between
+// messages has passed.
 func (f *changeFeed) schedule() {
 	c := f.owner.controller
 	f.Schedule(c.now, c.runAfter, func() {
@@ -72,11 +75,11 @@
 	})
 }
 
-// flush sends what there is to tell, as far as messages may be on their way, and begins a
-// snapshot if the leader lacks it.
+// flush sends what is pending, as far as the send window allows, and begins a snapshot if one is
+// due.
 func (f *changeFeed) flush() {
 	if f.Channel == nil {
-		f.pending, f.changedWorkers = shard.Observations{}, map[*machine]bool{} // a snapshot will come
+		f.pending, f.changedWorkers = shard.Observations{}, map[*machine]bool{} // a new channel begins with a snapshot
 		return
 	}
 	if f.Channel.SnapshotDue() {
@@ -92,25 +95,25 @@
 
 func (f *changeFeed) hasPending() bool { return !f.pending.Empty() || len(f.changedWorkers) > 0 }
 
-// beginSnapshot wants all told that is known of the workers.
+// beginSnapshot marks all that is known of the workers to be sent.
 func (f *changeFeed) beginSnapshot() {
-	gone := f.pending.Terminations
+	terminations := f.pending.Terminations
 	f.pending, f.changedWorkers, f.snapshotWorkers = shard.Observations{Status: f.pending.Status}, map[*machine]bool{}, map[*machine]bool{}
-	f.pending.Terminations = append(f.unacknowledged.Take(), gone...)
+	f.pending.Terminations = append(f.unacknowledged.Take(), terminations...)
 	if f.pending.Status != nil && f.pending.Status.Part > 0 {
-		f.pending.Status = nil // half of it was told: the next one comes within a second
+		f.pending.Status = nil // it was sent in part only; the next status follows within a second
 	}
 	for _, m := range f.owner.fleetList {
 		f.changedWorkers[m], f.snapshotWorkers[m] = true, true
 		for _, k := range m.reportedExits {
-			k.sentAt = time.Time{} // the next snapshot brings it
+			k.sentAt = time.Time{} // it is sent again when the worker next reports it
 		}
 		clear(m.orphans)
 	}
 }
 
-// appendWorkers adds workers that are to be told of, about as many as a message holds, and in a
-// snapshot the states of their tasks.
+// appendWorkers moves changed workers into the pending message, about as many as one message
+// holds, and in a snapshot the states of their tasks.
 func (f *changeFeed) appendWorkers() {
 	if len(f.changedWorkers) == 0 {
 		return
@@ -134,7 +137,7 @@
 			return
 		}
 	}
-	clear(f.changedWorkers) // of machines that are gone
+	clear(f.changedWorkers) // what is left are machines that were removed
 	clear(f.snapshotWorkers)
 }
 
@@ -159,29 +162,30 @@
 	return w
 }
 
-// sendMessage sends a message.
-func (f *changeFeed) sendMessage(line shard.Observations) {
+// sendMessage completes a message with its header and the served terms, and sends it.
+func (f *changeFeed) sendMessage(message shard.Observations) {
 	c := f.owner.controller
-	line.Header = f.NextHeader(c.now, true)
-	f.unacknowledged.Sent(line.Sequence, line.Terminations)
-	line.ServedTerms = f.owner.servedTerms()
-	c.sendShardMessage(f.leader, shard.Message{Observations: &line})
+	message.Header = f.NextHeader(c.now, true)
+	f.unacknowledged.Sent(message.Sequence, message.Terminations)
+	message.ServedTerms = f.owner.servedTerms()
+	c.sendShardMessage(f.leader, shard.Message{Observations: &message})
 }
 
-// connect begins to talk to whoever leads.
+// connect opens a channel to the leader of a term, unless it is open already or the present
+// leader's term is higher.
 func (f *changeFeed) connect(leader string, term uint64) {
 	epoch := shard.ChannelEpoch{Term: term, Member: f.owner.sharding.member}
 	if f.Channel != nil && f.Channel.Epoch() == epoch || f.Channel != nil && f.Channel.Epoch().Term > term {
 		return
 	}
-	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.UnacknowledgedTerminations{} // the leader lists what it knows
+	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.UnacknowledgedTerminations{} // the leader's snapshot lists the attempts that it knows of
 	f.schedule()
 }
 
-// receive takes a message of the leader's.
+// receive applies a message of the leader.
 func (f *changeFeed) receive(from string, in *shard.Instructions) {
 	if in.Epoch.Member != f.owner.sharding.member {
-		return // meant for an earlier life
+		return // addressed to an earlier incarnation of this controller
 	}
 	f.leaderHeardAt = f.owner.controller.now
 	f.connect(from, in.Epoch.Term)
@@ -192,7 +196,7 @@
 	}
 	if in.Snapshot {
 		for _, m := range f.owner.fleetList {
-			m.attemptsKnown = false // until the snapshot lists it
+			m.attemptsKnown = false // until the snapshot lists the machine
 		}
 	}
 	for i := range in.Machines {
@@ -215,15 +219,15 @@
 	}
 }
 
-// applyMachine takes a machine and all attempts that may be on it.
+// applyMachine applies the leader's entry of a machine, which lists all attempts that may be on it.
 func (o *shardOwner) applyMachine(k *shard.Machine) {
-	h := o.shards[k.Shard]
-	if h == nil || h.epoch.Term != k.Term {
-		return // it was meant for an earlier or a later ownership epoch
+	owned := o.shards[k.Shard]
+	if owned == nil || owned.epoch.Term != k.Term {
+		return // the entry is for an earlier or a later ownership epoch
 	}
 	m := o.machines[k.Name]
 	if m == nil {
-		m = o.newMachine(*k, h)
+		m = o.newMachine(*k, owned)
 	}
 	if m.addr == "" {
 		m.addr = k.Addr
@@ -236,7 +240,7 @@
 	}
 	for _, a := range m.sortedAttempts() {
 		if r := runs[taskKey{a.job.ID, a.taskIndex}]; r == nil || r.Attempt != a.number {
-			o.removeAttempt(a) // the leader knows that it is gone
+			o.removeAttempt(a) // the leader knows that it was terminated
 		}
 	}
 	for i := range k.Starts {
@@ -244,7 +248,7 @@
 		a := m.attempts[taskKey{r.Job, r.TaskIndex}]
 		switch {
 		case a == nil:
-			// Who was told of it before, if anybody was, may have sent its start.
+			// An owner that was notified of the attempt before may have sent its start.
 			o.addAttempt(m, *r, !r.FirstNotice)
 		case r.Stopping:
 			o.stopAttempt(a, time.Duration(r.GraceMillis)*time.Millisecond)
@@ -254,7 +258,7 @@
 	o.controller.resumeDeferred()
 }
 
-// applyStart takes an attempt that was recorded and told to nobody before.
+// applyStart adds an attempt that was recorded and of which no owner was notified before.
 func (o *shardOwner) applyStart(r *shard.Start) {
 	m := o.machines[r.Machine]
 	if m == nil || !m.attemptsKnown || m.attempts[taskKey{r.Job, r.TaskIndex}] != nil {
@@ -264,7 +268,7 @@
 	o.addAttempt(m, *r, false)
 }
 
-// applyStop ends a task, known here or not.
+// applyStop stops a task, whether or not this owner knows its attempt.
 func (o *shardOwner) applyStop(s *shard.Stop) {
 	m := o.machines[s.Machine]
 	if m == nil {
@@ -278,7 +282,7 @@
 	m.orphanStops[key] = s.Attempt
 }
 
-// applyForget lets a worker forget an exited task.
+// applyForget lets a worker forget an exited task, whose result is recorded.
 func (o *shardOwner) applyForget(t *shard.Task) {
 	m := o.machines[t.Machine]
 	if m == nil {
@@ -289,14 +293,14 @@
 	}
 }
 
-// dropTerminatedMachine drops a machine that was proven gone.
+// dropTerminatedMachine removes a machine that the leader knows to be terminated.
 func (o *shardOwner) dropTerminatedMachine(name string) {
 	if m := o.machines[name]; m != nil {
 		o.removeMachine(m)
 	}
 }
 
-// sendStatus tells how this owner and its workers are.
+// sendStatus sends the owner's load and its unhealthy workers to the leader.
 func (o *shardOwner) sendStatus() {
 	o.writeReachability()
 	f := o.feed
@@ -312,13 +316,14 @@
 		}
 		o.sweepExits(m)
 	}
-	if f.pending.Status == nil || f.pending.Status.Part == 0 { // else the last one isn't told yet
+	if f.pending.Status == nil || f.pending.Status.Part == 0 { // otherwise parts of the last status are still to be sent
 		f.pending.Status = s
 	}
 	f.flush()
 }
 
-// unhealthy tells of a worker that isn't well.
+// unhealthy gives the status entry of a worker that is silent, that doesn't answer probes, that
+// nothing sent was seen to reach, or whose heartbeats go unanswered.
 func (o *shardOwner) unhealthy(m *machine) (shard.UnhealthyWorker, bool) {
 	silent, unreached, unreported := o.silentFor(m), o.unreachedFor(m), o.unansweredFor(m)
 	if !o.expectsHeartbeats(m) || silent <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unreported <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
@@ -328,7 +333,7 @@
 		UnansweredMillis: unreported.Milliseconds(), FailedProbes: m.session.FailedProbes}, true
 }
 
-// sweepExits drops exits that were forgotten long ago.
+// sweepExits drops exits that workers were allowed to forget longer than exitRetention ago.
 func (o *shardOwner) sweepExits(m *machine) {
 	for key, k := range m.reportedExits {
 		if k.forget && o.controller.now.Sub(k.sentAt) > exitRetention {
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -9,23 +9,23 @@
 	"brasskeel/internal/protocol"
 )
 
-// shardCoordinator is the leader's part in shards: it decides who owns them, tells owners what
-// is to run, and takes what they saw.
+// shardCoordinator is the leader's side of sharding: it assigns shards to owners, sends the
+// owners instructions, and applies their observations.
 type shardCoordinator struct {
 	leader                 *leader
 	sharding               *sharding
-	shardCount             int  // of shards that there are to be
-	retiring               bool // they are to be given up: the leader is to serve all machines again
+	shardCount             int  // configured number of shards
+	retiring               bool // sharding is being disabled: all shards move to the leader's own controller
 	planner                *shard.Planner
 	channels               map[string]*ownerChannel // by controller
-	ownerHeardSinceByShard map[shard.ID]time.Time   // since when the owner of a shard is heard without a break
+	ownerHeardSinceByShard map[shard.ID]time.Time   // since when a shard's owner has sent messages without a gap
 	moves                  *shard.Moves
-	changeInFlight         bool // a change of owners is under way
+	changeInFlight         bool // a transaction that changes owners is being committed
 	unreadable             *shard.UnreadableRecords
 }
 
-// ownerTimeout is after how long without a message an owner's word on its workers counts for
-// nothing.
+// ownerTimeout is after how long without a message an owner's reports of its workers are no longer
+// relied on.
 const ownerTimeout = 2500 * time.Millisecond
 
 func newShardCoordinator(l *leader, s *sharding, retiring bool) *shardCoordinator {
@@ -37,118 +37,122 @@
 		channels: map[string]*ownerChannel{}, ownerHeardSinceByShard: map[shard.ID]time.Time{}, unreadable: shard.NewUnreadableRecords()}
 }
 
-// ownershipChanged acts on new owners and members.
-func (sl *shardCoordinator) ownershipChanged() {
-	c := sl.leader.controller
-	for _, m := range sl.sharding.table.Members() {
-		owner := sl.channels[m.Name]
+// ownershipChanged updates the channels and moves after a change of owners or members, and plans
+// anew.
+func (sc *shardCoordinator) ownershipChanged() {
+	c := sc.leader.controller
+	for _, m := range sc.sharding.table.Members() {
+		owner := sc.channels[m.Name]
 		if owner == nil || owner.member != m.Member {
-			owner = &ownerChannel{member: m.Member, Outbox: shard.Outbox{Channel: shard.NewChannel(shard.ChannelEpoch{Term: sl.leader.term, Member: m.Member})},
+			owner = &ownerChannel{member: m.Member, Outbox: shard.Outbox{Channel: shard.NewChannel(shard.ChannelEpoch{Term: sc.leader.term, Member: m.Member})},
 				pendingMachines: map[*machine]bool{}, announcedTerms: map[shard.ID]uint64{}, heardAt: c.now}
-			sl.channels[m.Name] = owner
-			sl.schedule(owner)
+			sc.channels[m.Name] = owner
+			sc.schedule(owner)
 		}
 		owner.reachabilityTracker.Update(c.now, m)
 	}
-	for controller := range sl.channels {
-		if m, _ := sl.sharding.table.Member(controller); m.Name == "" {
-			delete(sl.channels, controller)
+	for controller := range sc.channels {
+		if m, _ := sc.sharding.table.Member(controller); m.Name == "" {
+			delete(sc.channels, controller)
 		}
 	}
-	for _, id := range sl.sharding.table.IDs() {
-		if sl.channelToOwner(id) == nil {
-			delete(sl.ownerHeardSinceByShard, id)
+	for _, id := range sc.sharding.table.IDs() {
+		if sc.channelToOwner(id) == nil {
+			delete(sc.ownerHeardSinceByShard, id)
 		}
 	}
-	sl.moves.Update(c.now, sl.sharding.table)
-	sl.plan()
+	sc.moves.Update(c.now, sc.sharding.table)
+	sc.plan()
 }
 
-// channelToOwner is the channel to who serves a shard, nil when nobody does.
-func (sl *shardCoordinator) channelToOwner(id shard.ID) *ownerChannel {
-	ownership, ok := sl.sharding.table.Owner(id)
+// channelToOwner is the channel to the owner of a shard, nil when the shard has no live owner.
+func (sc *shardCoordinator) channelToOwner(id shard.ID) *ownerChannel {
+	ownership, ok := sc.sharding.table.Owner(id)
 	if !ok {
 		return nil
 	}
-	if owner := sl.channels[ownership.Name]; owner != nil && owner.member == ownership.Member {
+	if owner := sc.channels[ownership.Name]; owner != nil && owner.member == ownership.Member {
 		return owner
 	}
 	return nil
 }
 
-// ownerHeardSince is since when the owner of a machine's shard has been heard without a break;
-// without one, silence of the machine says nothing.
-func (sl *shardCoordinator) ownerHeardSince(m *machine) (time.Time, bool) {
-	since, ok := sl.ownerHeardSinceByShard[m.shard]
-	if ok && sl.hasAlternativeOwner(m) {
+// ownerHeardSince is since when the owner of a machine's shard has sent messages without a gap. It
+// is false when the owner's reports can't be relied on: then the machine's silence proves nothing.
+func (sc *shardCoordinator) ownerHeardSince(m *machine) (time.Time, bool) {
+	since, ok := sc.ownerHeardSinceByShard[m.shard]
+	if ok && sc.hasAlternativeOwner(m) {
 		return time.Time{}, false
 	}
-	owner := sl.channelToOwner(m.shard)
-	// An owner that has yet to say that it serves the shard has asked nobody: what is known of
-	// its machines is the word of the one before, which may have lost them.
-	if !ok || owner == nil || owner.announcedTerms[m.shard] == 0 || sl.leader.controller.now.Sub(owner.heardAt) > ownerTimeout {
-		delete(sl.ownerHeardSinceByShard, m.shard)
+	owner := sc.channelToOwner(m.shard)
+	// An owner that hasn't announced the shard yet has probed none of its workers: what is known of
+	// them comes from the previous owner, which may have lost contact with them.
+	if !ok || owner == nil || owner.announcedTerms[m.shard] == 0 || sc.leader.controller.now.Sub(owner.heardAt) > ownerTimeout {
+		delete(sc.ownerHeardSinceByShard, m.shard)
 		return time.Time{}, false
 	}
 	return since, true
 }
 
-// redirectHeartbeat tells a worker who serves it.
-func (sl *shardCoordinator) redirectHeartbeat(id uint64, r *protocol.Heartbeat, body []byte) {
-	c := sl.leader.controller
-	m := sl.leader.machineForHeartbeat(id, r)
+// redirectHeartbeat answers a heartbeat with the name of the worker's owner.
+func (sc *shardCoordinator) redirectHeartbeat(id uint64, r *protocol.Heartbeat, body []byte) {
+	c := sc.leader.controller
+	m := sc.leader.machineForHeartbeat(id, r)
 	if m == nil {
 		return
 	}
-	name := sl.sharding.ownerName(m.shard)
+	name := sc.sharding.ownerName(m.shard)
 	if name == "" || name == c.cfg.Name {
-		c.deferHeartbeat(id, body) // it is about to be served
+		c.deferHeartbeat(id, body) // until the shard has an owner or this controller serves it
 		return
 	}
 	c.reply(id, 421, protocol.EncodeRedirect(name))
 }
 
-// inRecordedShard reports whether a machine's shard is on record, so that an owner may be told.
+// inRecordedShard reports whether the machine is recorded with its shard, so that the shard's owner
+// may be notified of it.
 func (m *machine) inRecordedShard() bool {
 	return m.shard != 0 && m.group != nil && m.group.stored() && m.recorded
 }
 
-// ownerOverloaded reports whether an owner told lately that its timers fire too late.
-func (sl *shardCoordinator) ownerOverloaded() bool {
-	for _, owner := range sl.channels {
-		if owner.status.Load.Lag > overload.OverloadThreshold && sl.leader.controller.now.Sub(owner.heardAt) <= recentOverloadWindow {
+// ownerOverloaded reports whether an owner that sent a message within recentOverloadWindow reported
+// that its timers fire too late.
+func (sc *shardCoordinator) ownerOverloaded() bool {
+	for _, owner := range sc.channels {
+		if owner.status.Load.Lag > overload.OverloadThreshold && sc.leader.controller.now.Sub(owner.heardAt) <= recentOverloadWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// step is the regular turn: it watches the channels and plans.
-func (sl *shardCoordinator) step() {
-	if !sl.sharding.tableLoaded || sl.leader.phase == phaseLoading {
+// step runs periodically: it checks the channels for timeouts and plans.
+func (sc *shardCoordinator) step() {
+	if !sc.sharding.tableLoaded || sc.leader.phase == phaseLoading {
 		return
 	}
-	sl.leader.checkReconciled()
-	for _, controller := range sl.memberNames() {
-		owner := sl.channels[controller]
-		owner.Channel.CheckTimeouts(sl.leader.controller.now)
+	sc.leader.checkReconciled()
+	for _, controller := range sc.memberNames() {
+		owner := sc.channels[controller]
+		owner.Channel.CheckTimeouts(sc.leader.controller.now)
 		if owner.Channel.SnapshotDue() || owner.Channel.AckDue() {
-			sl.schedule(owner)
+			sc.schedule(owner)
 		}
 	}
-	sl.plan()
+	sc.plan()
 }
 
-func (sl *shardCoordinator) memberNames() []string {
+func (sc *shardCoordinator) memberNames() []string {
 	var nodes []string
-	for controller := range sl.channels {
+	for controller := range sc.channels {
 		nodes = append(nodes, controller)
 	}
 	slices.Sort(nodes)
 	return nodes
 }
 
-// reachabilityAt is what is known of whether an owner that isn't heard reaches its workers.
+// reachabilityAt is whether an owner reaches its workers according to its member record. It is used
+// only for an owner whose messages don't arrive.
 func (owner *ownerChannel) reachabilityAt(now time.Time) shard.Reachability {
 	if now.Sub(owner.heardAt) <= ownerTimeout {
 		return shard.ReachabilityUnknown
@@ -156,31 +160,32 @@
 	return owner.reachabilityTracker.At(now)
 }
 
-// hasAlternativeOwner reports whether a machine's owner doesn't reach its workers while another
-// controller may: then their silence says nothing of them.
-func (sl *shardCoordinator) hasAlternativeOwner(m *machine) bool {
-	owner := sl.channelToOwner(m.shard)
+// hasAlternativeOwner reports whether a machine's owner is partitioned from its workers while
+// another controller may reach them: then their silence proves nothing.
+func (sc *shardCoordinator) hasAlternativeOwner(m *machine) bool {
+	owner := sc.channelToOwner(m.shard)
 	return owner != nil && owner.partitioned && owner.alternatives[m.Zone]
 }
 
-// updateAlternatives notes for a partitioned owner which zones' workers another controller may reach.
-func (sl *shardCoordinator) updateAlternatives(owner *ownerChannel) {
+// updateAlternatives determines for a partitioned owner in which zones another controller may reach
+// the workers.
+func (sc *shardCoordinator) updateAlternatives(owner *ownerChannel) {
 	owner.alternatives = nil
 	if !owner.partitioned {
 		return
 	}
 	owner.alternatives = map[string]bool{}
-	controllers := sl.plannerControllers()
-	for _, m := range sl.leader.fleetList {
+	controllers := sc.plannerControllers()
+	for _, m := range sc.leader.fleetList {
 		if _, known := owner.alternatives[m.Zone]; !known {
-			owner.alternatives[m.Zone] = sl.planner.HasAlternative(sl.leader.controller.now, controllers, owner.member, m.Zone)
+			owner.alternatives[m.Zone] = sc.planner.HasAlternative(sc.leader.controller.now, controllers, owner.member, m.Zone)
 		}
 	}
 }
 
-// ownerTimedOut reports whether a machine's owner isn't heard, so that there is no point in
-// waiting for its tasks: with controllers that refuse each other's connections a new leader
-// waited its longest for two thirds of the fleet.
+// ownerTimedOut reports whether a machine's owner has sent no message within ownerTimeout, so that
+// a new leader need not wait for a report of its tasks: between controllers that refuse each
+// other's connections it would wait the maximum time for two thirds of the fleet.
 func (l *leader) ownerTimedOut(m *machine) bool {
 	if l.shards == nil {
 		return false
@@ -189,15 +194,16 @@
 	return owner == nil || l.controller.now.Sub(owner.heardAt) > ownerTimeout
 }
 
-// resignIfDisconnected lets another controller lead if this one hears no owner but itself, reaches no workers
-// either, and the state service shows that others do. It reports whether it did.
-func (sl *shardCoordinator) resignIfDisconnected() bool {
-	l, c := sl.leader, sl.leader.controller
+// resignIfDisconnected lets another controller lead if this one receives messages from no other
+// owner, doesn't reach its own workers either, and the state service shows that another owner
+// reaches its workers. It reports whether it resigned.
+func (sc *shardCoordinator) resignIfDisconnected() bool {
+	l, c := sc.leader, sc.leader.controller
 	if c.now.Sub(l.reconciledAt) <= ownerTimeout {
 		return false
 	}
 	able := 0
-	for controller, owner := range sl.channels {
+	for controller, owner := range sc.channels {
 		if controller == c.cfg.Name {
 			if owner.status.Load.Machines > 0 && !owner.partitioned {
 				return false
@@ -212,9 +218,9 @@
 			able++
 		}
 	}
-	return able > 0 && c.resignDisconnected("neither workers nor their owners are heard")
+	return able > 0 && c.resignDisconnected("no contact with workers or other shard owners")
 }
 
-// ownerUnresponsiveAfter is after how long without a message an owner counts as one that the leader can't
-// talk to.
+// ownerUnresponsiveAfter is after how long without a message an owner counts as disconnected from the
+// leader.
 const ownerUnresponsiveAfter = 6 * time.Second
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -13,8 +13,8 @@
 	"brasskeel/internal/records"
 )
 
-// newShardedLeader is a leader of one machine that runs a task, in a shard which n2 owns under term
-// 7 and which n1 owned under term 5.
+// newShardedLeader returns a leader and a recorded attempt on its one machine, which is in shard 1.
+// n1 owns the shard under term 5; n2 is a member too.
 func newShardedLeader(t *testing.T) (*leader, *attempt) {
 	t.Helper()
 	c, l := newTestLeader(phaseActive)
@@ -42,51 +42,53 @@
 	}
 }
 
-// observationsFrom is a message of an owner's that tells of a shard under a term.
+// observationsFrom returns a message of an owner that serves shard 1 under a term.
 func observationsFrom(l *leader, controller string, term, seq uint64) *shard.Observations {
 	member := shard.Member{Name: controller, Incarnation: 1}
 	return &shard.Observations{Header: shard.Header{Epoch: shard.ChannelEpoch{Term: l.term, Member: member}, Sequence: seq, Snapshot: seq == 1},
 		ServedTerms: map[shard.ID]uint64{1: term}}
 }
 
-// What an owner saw is taken while it owns the shard, and not when it comes after another one
-// took over: the successor may have started what the first saw missing.
+// An owner's observations are applied while it owns the shard, but not if they arrive after another
+// owner took over: the successor may have started what the first one saw missing.
 func TestObservationsOfEarlierOwners(t *testing.T) {
 	l, a := newShardedLeader(t)
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
 	putShardRecord(t, l.controller.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 7}}, 6)
 	l.shards.ownershipChanged()
-	late := observationsFrom(l, "n1", 5, 2)
-	late.Terminations = []shard.Termination{{Task: attemptTask(a), Reason: "never sent"}}
-	l.shards.receive("n1", late)
+	outdated := observationsFrom(l, "n1", 5, 2)
+	outdated.Terminations = []shard.Termination{{Task: attemptTask(a), Reason: "never sent"}}
+	l.shards.receive("n1", outdated)
 	if l.jobsByAge[0].task(0).live != a {
-		t.Fatal("the word of an earlier owner was taken")
+		t.Fatal("a termination from an earlier owner was applied")
 	}
 	l.shards.receive("n2", observationsFrom(l, "n2", 7, 1))
-	now := observationsFrom(l, "n2", 7, 2)
-	now.Terminations = late.Terminations
-	l.shards.receive("n2", now)
+	current := observationsFrom(l, "n2", 7, 2)
+	current.Terminations = outdated.Terminations
+	l.shards.receive("n2", current)
 	if l.jobsByAge[0].task(0).live != nil {
 		t.Error("the owner's word was not taken")
 	}
 }
 
-// Nobody is silent while its owner isn't heard: the leader waits for the next owner's word.
+// While no messages arrive from a shard's owner, its workers don't count as silent: the leader waits
+// for the reports of the next owner.
 func TestOwnerTimeoutIsNotWorkerSilence(t *testing.T) {
 	l, a := newShardedLeader(t)
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
 	a.machine.session.LastSeen, a.machine.session.LastAnswered, a.machine.session.LastReached, a.machine.session.RegisteredAt = l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	l.controller.now = l.controller.now.Add(time.Minute)
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
-		t.Errorf("%s is given up while nobody tells of it", a.machine.Name)
+		t.Errorf("%s is unresponsive although its owner has timed out", a.machine.Name)
 	}
-	l.shards.receive("n1", observationsFrom(l, "n1", 5, 2)) // its status comes within a second
+	l.shards.receive("n1", observationsFrom(l, "n1", 5, 2)) // its status follows within a second
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
-		t.Errorf("%s is given up as soon as its owner is heard again", a.machine.Name)
+		t.Errorf("%s is unresponsive as soon as a message arrives from its owner again", a.machine.Name)
 	}
 }
 
-// newTestShardOwner is an owner of shard 1 under term 7, with one machine.
+// newTestShardOwner returns an owner of shard 1 under term 7, with the machine vm-1, connected to
+// leader n1 of term 9.
 func newTestShardOwner(t *testing.T) *shardOwner {
 	t.Helper()
 	c, _ := newTestLeader(phaseActive)
@@ -102,15 +104,16 @@
 	return o
 }
 
-// instructionsWithTask is a leader's message that lists the owner's machine with a task to run.
+// instructionsWithTask returns a leader's snapshot that lists the owner's machine under a term of
+// the shard's ownership, with a task to start.
 func instructionsWithTask(o *shardOwner, term uint64) *shard.Instructions {
-	run := shard.Start{Task: shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1}, FirstNotice: true}
+	start := shard.Start{Task: shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1}, FirstNotice: true}
 	return &shard.Instructions{Header: shard.Header{Epoch: o.feed.Channel.Epoch(), Sequence: 1, Snapshot: true},
-		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Starts: []shard.Start{run}}}}
+		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Starts: []shard.Start{start}}}}
 }
 
-// A list that was made for another ownership epoch of the shard isn't taken: it may lack what the owner
-// between them started.
+// A machine's list for another ownership epoch of the shard isn't applied: it may lack attempts that
+// an owner in between started.
 func TestMachineListsOfOtherTerms(t *testing.T) {
 	o := newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 5))
@@ -124,7 +127,8 @@
 	}
 }
 
-// An owner that is asked to release a shard answers none of its workers, and names the next.
+// An owner that is asked to hand over a shard redirects its workers to the next owner, and answers
+// them again once the move is canceled.
 func TestOwnerHandingOverRedirectsWorkers(t *testing.T) {
 	o := newTestShardOwner(t)
 	putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
@@ -136,7 +140,7 @@
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 || protocol.ParseRedirect(e.Replies[0].Body) != "n2" {
 		t.Errorf("answers %+v", e.Replies)
 	}
-	record.Next = nil // taken back
+	record.Next = nil // the move is canceled
 	putShardRecord(t, o.sharding.table, records.KeyOwner(1), record, 5)
 	o.applyTable()
 	if e := o.controller.Request(o.controller.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
@@ -144,8 +148,8 @@
 	}
 }
 
-// The silence of workers that a partitioned owner tells of isn't theirs while another controller may
-// reach them, and is once each has tried.
+// Silent workers of a partitioned owner aren't taken for unresponsive while another controller may
+// reach them, but are once every controller has tried.
 func TestSilentWorkersOfPartitionedOwner(t *testing.T) {
 	l, a := newShardedLeader(t)
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
@@ -153,10 +157,10 @@
 	m.session.FailedProbes, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.RegisteredAt = sessions.UnreachableProbeThreshold, l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	owner, other := l.shards.channels["n1"], l.shards.channels["n2"]
 	later := l.controller.now.Add(l.controller.timing().UnresponsiveAfter() + time.Second)
-	silent := func(untried bool) bool {
+	silent := func(alternative bool) bool {
 		l.controller.now = later
 		owner.heardAt, other.heardAt, l.shards.ownerHeardSinceByShard[1] = later, later, later.Add(-time.Minute)
-		owner.partitioned, owner.alternatives = true, map[string]bool{m.Zone: untried}
+		owner.partitioned, owner.alternatives = true, map[string]bool{m.Zone: alternative}
 		return len(l.assessReachability().unresponsive) > 0
 	}
 	if silent(true) {
@@ -167,7 +171,8 @@
 	}
 }
 
-// A worker that comes back from the leader tries all controllers in turn.
+// A worker that was redirected to the leader and comes back is left to try all controllers in turn.
+// Workers aren't redirected to a leader that lost its own workers or that has sent no message lately.
 func TestWorkersThatDoNotReachTheLeader(t *testing.T) {
 	o := newTestShardOwner(t)
 	c, s := o.controller, &o.sharding.redirector
@@ -175,66 +180,66 @@
 	setElectionKeys(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
 	c.peers["n1"] = &peers.Status{HeardAt: c.now}
 	if got := s.target("vm-7"); got != "n1" {
-		t.Fatalf("sent to %q", got)
+		t.Fatalf("redirected to %q", got)
 	}
 	c.now = c.now.Add(sessions.LostHeartbeatDelay)
 	c.peers["n1"].HeardAt = c.now
 	if got := s.target("vm-7"); got != "" {
-		t.Errorf("sent to %q again", got)
+		t.Errorf("redirected to %q again", got)
 	}
 	if got := s.target("vm-8"); got != "n1" {
-		t.Errorf("another one is sent to %q", got)
+		t.Errorf("another worker is redirected to %q", got)
 	}
 	c.peers["n1"].WorkersUnreachable = true
 	if got := s.target("vm-9"); got != "" {
-		t.Errorf("sent to %q, which lost its workers", got)
+		t.Errorf("redirected to %q, which lost its workers", got)
 	}
 	c.peers["n1"].WorkersUnreachable, c.now = false, c.now.Add(leaderHeardWindow+time.Second)
 	if got := s.target("vm-9"); got != "" {
-		t.Errorf("sent to %q, which isn't heard", got)
+		t.Errorf("redirected to %q, which has sent no message lately", got)
 	}
 }
 
-// A proof that an attempt is gone is told again when its message was lost: the owner forgets the
-// attempt, so that no report of what it holds would tell of it.
+// A termination is sent again if its message was lost: the owner drops terminated attempts, so that
+// no snapshot would contain it.
 func TestLostTerminationIsResent(t *testing.T) {
 	o := newTestShardOwner(t)
 	f := o.feed
 	f.receive("n1", instructionsWithTask(o, 7))
 	o.attemptTerminated(o.machines["vm-1"].attemptList[0], "no longer reported")
-	gone := func() (count int, last uint64) {
+	sentTerminations := func() (count int, last uint64) {
 		f.flush()
 		for _, s := range o.controller.takeEffects().Unicasts {
-			line, err := shard.ParseMessage(s.Body)
+			message, err := shard.ParseMessage(s.Body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			count += len(line.Observations.Terminations)
-			last = max(last, line.Observations.Sequence)
+			count += len(message.Observations.Terminations)
+			last = max(last, message.Observations.Sequence)
 		}
 		return count, last
 	}
-	told, last := gone()
-	if told != 1 {
-		t.Fatalf("%d proofs told", told)
+	sent, last := sentTerminations()
+	if sent != 1 {
+		t.Fatalf("%d terminations sent", sent)
 	}
-	ask := func(ack uint64, again bool) {
+	acknowledge := func(ack uint64, requestSnapshot bool) {
 		o.controller.now = o.controller.now.Add(time.Second)
-		f.receive("n1", &shard.Instructions{Header: shard.Header{Epoch: f.Channel.Epoch(), Acknowledged: ack, SnapshotRequested: again}})
+		f.receive("n1", &shard.Instructions{Header: shard.Header{Epoch: f.Channel.Epoch(), Acknowledged: ack, SnapshotRequested: requestSnapshot}})
 		f.Channel.CheckTimeouts(o.controller.now)
 	}
-	ask(last-1, true)
-	told, last = gone()
-	if told != 1 {
-		t.Errorf("%d proofs in the account after a lost line", told)
+	acknowledge(last-1, true)
+	sent, last = sentTerminations()
+	if sent != 1 {
+		t.Errorf("%d terminations in the snapshot after a lost message", sent)
 	}
-	ask(last, true)
-	if told, _ := gone(); told != 0 {
-		t.Errorf("%d proofs told again after they arrived", told)
+	acknowledge(last, true)
+	if sent, _ := sentTerminations(); sent != 0 {
+		t.Errorf("%d terminations sent again after they were acknowledged", sent)
 	}
 }
 
-// An exit that an earlier leader let be forgotten, and that the worker still reports, is told
+// An exit that an earlier leader allowed to be forgotten, and that the worker still reports, is sent
 // to a leader that lists the attempt as running.
 func TestForgottenExitIsSentToNextLeader(t *testing.T) {
 	o := newTestShardOwner(t)
@@ -244,14 +249,14 @@
 	o.taskExitReported(m, m.attemptList[0], &exit)
 	o.applyForget(&shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1})
 	if !o.taskExitReported(m, nil, &exit) {
-		t.Fatal("the worker may not forget it")
+		t.Fatal("the worker may not forget the exit after the leader allowed it")
 	}
 	o.feed.flush()
 	o.controller.takeEffects()
 	o.feed.connect("n2", 10)
 	o.feed.receive("n2", instructionsWithTask(o, 7))
 	if len(m.attemptList) != 1 {
-		t.Fatal("the next leader's list was not taken")
+		t.Fatal("the next leader's machine list was not applied")
 	}
 	o.feed.flush()
 	o.controller.takeEffects()
@@ -263,10 +268,10 @@
 	}
 }
 
-// An owner that gives a shard away while somebody before it may still answer the shard's
-// workers says so, and the next owner waits for that.
+// An owner that hands over a shard while an earlier owner may still answer its workers records that,
+// so that the next owner waits for the earlier one's grace period.
 func TestHandOverWhileEarlierOwnerMayAnswer(t *testing.T) {
-	released := func(wait time.Duration) bool {
+	handedOverExclusively := func(wait time.Duration) bool {
 		o := newTestShardOwner(t)
 		o.shards[1].epoch.PredecessorUntil = o.controller.now.Add(wait)
 		putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
@@ -288,19 +293,19 @@
 				}
 			}
 		}
-		t.Fatal("nothing is released")
+		t.Fatal("no handover is written")
 		return false
 	}
-	if released(time.Second) {
+	if handedOverExclusively(time.Second) {
 		t.Error("released although one before may still answer")
 	}
-	if !released(0) {
+	if !handedOverExclusively(0) {
 		t.Error("the next owner has to wait for nobody")
 	}
 }
 
-// An owner pauses when a worker has seen a later token, and goes on with the others once the
-// table, read since, shows that nobody took the shard.
+// An owner pauses when a worker has seen a later fencing token, and resumes serving the other workers
+// once the table, read since then, shows no other owner.
 func TestOneWorkerWithNewerToken(t *testing.T) {
 	o := newTestShardOwner(t)
 	putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
@@ -315,17 +320,17 @@
 	}
 	o.applyTable() // the table is as old as before
 	if got := status("vm-2", 2, 7); got != 421 {
-		t.Errorf("the others get %d before the table is read", got)
+		t.Errorf("the other workers get %d before the table is read", got)
 	}
 	o.sharding.tableGeneration = o.sharding.watchGeneration
 	o.applyTable()
 	if got := status("vm-2", 3, 7); got != 200 {
-		t.Errorf("the others get %d although nobody took the shard", got)
+		t.Errorf("the other workers get %d although there is no other owner", got)
 	}
 	if got := status("vm-1", 4, 9); got != 421 {
 		t.Errorf("a worker with a later token gets %d", got)
 	}
 	if got := status("vm-2", 5, 7); got != 200 {
-		t.Errorf("the others get %d after its next report", got)
+		t.Errorf("the other workers get %d after another heartbeat with the later token", got)
 	}
 }
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -8,26 +8,27 @@
 	"brasskeel/internal/coordination/shard"
 )
 
-// ownerChannel is how the leader talks to one owner.
+// ownerChannel is the leader's side of the connection to one owner.
 type ownerChannel struct {
 	member shard.Member
 	shard.Outbox
-	pending             shard.Instructions  // that is being filled
-	pendingMachines     map[*machine]bool   // machines whose complete lists are to be told in it
-	announcedTerms      map[shard.ID]uint64 // shards whose machines were told, and under which term
-	heardAt             time.Time           // when it last told something
+	pending             shard.Instructions  // not yet sent
+	pendingMachines     map[*machine]bool   // machines to send with all their attempts
+	announcedTerms      map[shard.ID]uint64 // shards whose machines were queued for this owner, and the term of its ownership
+	heardAt             time.Time           // when the owner's last message was received
 	status              shard.Status
 	statusParts         shard.StatusParts
-	partitioned         bool                      // it doesn't reach most of its workers
-	alternatives        map[string]bool           // zones whose workers others may reach, of a partitioned owner
-	reachabilityTracker shard.ReachabilityTracker // by the state service
+	partitioned         bool                      // it lost contact with most of its workers
+	alternatives        map[string]bool           // of a partitioned owner: whether another controller may reach the workers of a zone
+	reachabilityTracker shard.ReachabilityTracker // according to its member record
 }
 
-// attemptChanged tells the owner of an attempt's machine what is wanted of it.
-func (sl *shardCoordinator) attemptChanged(a *attempt) {
-	owner := sl.channelToOwner(a.machine.shard)
+// attemptChanged notifies the owner of an attempt's machine that the attempt is to be started or
+// stopped.
+func (sc *shardCoordinator) attemptChanged(a *attempt) {
+	owner := sc.channelToOwner(a.machine.shard)
 	if owner == nil || owner.announcedTerms[a.machine.shard] == 0 || owner.pendingMachines[a.machine] {
-		return // all of it will be told with the machine
+		return // the attempt will be sent in the machine's entry
 	}
 	switch {
 	case a.stopRequested && (a.delivery.OwnerNotified || a.delivery.Inherited):
@@ -38,61 +39,62 @@
 	default:
 		return
 	}
-	sl.schedule(owner)
+	sc.schedule(owner)
 }
 
-// machineAdded tells the owner of a machine that is new to it.
-func (sl *shardCoordinator) machineAdded(m *machine) {
-	if owner := sl.channelToOwner(m.shard); owner != nil && owner.announcedTerms[m.shard] != 0 {
+// machineAdded notifies a shard's owner of a machine that was added to the shard.
+func (sc *shardCoordinator) machineAdded(m *machine) {
+	if owner := sc.channelToOwner(m.shard); owner != nil && owner.announcedTerms[m.shard] != 0 {
 		owner.pendingMachines[m] = true
-		sl.schedule(owner)
+		sc.schedule(owner)
 	}
 }
 
-// machineTerminated tells the owner of a machine that it is gone.
-func (sl *shardCoordinator) machineTerminated(m *machine) {
-	if owner := sl.channelToOwner(m.shard); owner != nil {
+// machineTerminated notifies a machine's owner that the machine is terminated.
+func (sc *shardCoordinator) machineTerminated(m *machine) {
+	if owner := sc.channelToOwner(m.shard); owner != nil {
 		delete(owner.pendingMachines, m)
 		owner.pending.TerminatedMachines = append(owner.pending.TerminatedMachines, m.Name)
-		sl.schedule(owner)
+		sc.schedule(owner)
 	}
 }
 
-func (sl *shardCoordinator) forgetExit(t shard.Task) {
-	m := sl.leader.machines[t.Machine]
+func (sc *shardCoordinator) forgetExit(t shard.Task) {
+	m := sc.leader.machines[t.Machine]
 	if m == nil {
 		return
 	}
-	if owner := sl.channelToOwner(m.shard); owner != nil {
+	if owner := sc.channelToOwner(m.shard); owner != nil {
 		owner.pending.Forgets = append(owner.pending.Forgets, t)
-		sl.schedule(owner)
+		sc.schedule(owner)
 	}
 }
 
-// schedule wants a message sent to an owner.
-func (sl *shardCoordinator) schedule(owner *ownerChannel) {
-	c := sl.leader.controller
+// schedule has a message sent to an owner at the end of the step, or once the minimum interval
+// between messages has passed.
+func (sc *shardCoordinator) schedule(owner *ownerChannel) {
+	c := sc.leader.controller
 	owner.Schedule(c.now, c.runAfter, func() {
-		if sl.leader.alive() && sl.channels[owner.member.Name] == owner {
-			sl.flush(owner)
+		if sc.leader.alive() && sc.channels[owner.member.Name] == owner {
+			sc.flush(owner)
 		}
 	})
 }
 
-// flush sends what there is to tell an owner, as far as messages may be on their way.
-func (sl *shardCoordinator) flush(owner *ownerChannel) {
-	if sl.leader.phase == phaseLoading {
+// flush sends what is pending for an owner, as far as the send window allows.
+func (sc *shardCoordinator) flush(owner *ownerChannel) {
+	if sc.leader.phase == phaseLoading {
 		return
 	}
 	if owner.Channel.SnapshotDue() {
-		sl.beginSnapshot(owner)
+		sc.beginSnapshot(owner)
 	}
 	owner.Flush(owner.hasPending, func() {
-		line, room := owner.pending.TakeFitting(messageBudget)
+		message, room := owner.pending.TakeFitting(messageBudget)
 		if owner.pending.Empty() && len(owner.pendingMachines) > 0 {
-			line.Machines = append(line.Machines, sl.nextMachines(owner, room)...)
+			message.Machines = append(message.Machines, sc.nextMachines(owner, room)...)
 		}
-		sl.sendMessage(owner, line)
+		sc.sendMessage(owner, message)
 	})
 }
 
@@ -100,41 +102,41 @@
 	return !owner.pending.Empty() || len(owner.pendingMachines) > 0
 }
 
-// beginSnapshot wants all machines told of that an owner serves.
-func (sl *shardCoordinator) beginSnapshot(owner *ownerChannel) {
+// beginSnapshot marks all machines of the shards that an owner serves to be sent.
+func (sc *shardCoordinator) beginSnapshot(owner *ownerChannel) {
 	owner.pending, owner.pendingMachines = shard.Instructions{}, map[*machine]bool{}
-	for _, m := range sl.leader.fleetList {
+	for _, m := range sc.leader.fleetList {
 		if owner.announcedTerms[m.shard] != 0 && m.inRecordedShard() {
 			owner.pendingMachines[m] = true
 		}
 	}
 }
 
-// nextMachines takes machines that an owner is to be told of, one at the least, as far as
-// there is room in a message.
-func (sl *shardCoordinator) nextMachines(owner *ownerChannel, room int) []shard.Machine {
+// nextMachines removes from the pending machines those whose entries fit in the room that is left
+// in a message, and returns the entries. An empty message holds at least one, whatever its size.
+func (sc *shardCoordinator) nextMachines(owner *ownerChannel, room int) []shard.Machine {
 	var list []shard.Machine
-	for _, m := range sl.leader.fleetList {
+	for _, m := range sc.leader.fleetList {
 		if !owner.pendingMachines[m] {
 			continue
 		}
-		size := sl.machineEntrySize(m)
+		size := sc.machineEntrySize(m)
 		if size > room && (len(list) > 0 || room < messageBudget) {
 			return list
 		}
 		room -= size
-		list = append(list, sl.machineEntry(m, owner.announcedTerms[m.shard]))
+		list = append(list, sc.machineEntry(m, owner.announcedTerms[m.shard]))
 		delete(owner.pendingMachines, m)
 		if len(owner.pendingMachines) == 0 {
 			return list
 		}
 	}
-	clear(owner.pendingMachines) // of machines that are gone
+	clear(owner.pendingMachines) // what is left are machines that were removed
 	return list
 }
 
-// machineEntrySize is about how long a machine is in a message.
-func (sl *shardCoordinator) machineEntrySize(m *machine) int {
+// machineEntrySize estimates the size of a machine's entry in a message.
+func (sc *shardCoordinator) machineEntrySize(m *machine) int {
 	entry := shard.Machine{Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone}
 	size := entry.Size()
 	for _, a := range m.attemptList {
@@ -143,17 +145,18 @@
 	return size
 }
 
-func (sl *shardCoordinator) sendMessage(owner *ownerChannel, line shard.Instructions) {
-	c := sl.leader.controller
-	content := owner.Channel.SnapshotDue() || !line.Empty()
-	line.Header = owner.NextHeader(c.now, content)
-	c.sendShardMessage(owner.member.Name, shard.Message{Instructions: &line})
+func (sc *shardCoordinator) sendMessage(owner *ownerChannel, message shard.Instructions) {
+	c := sc.leader.controller
+	content := owner.Channel.SnapshotDue() || !message.Empty()
+	message.Header = owner.NextHeader(c.now, content)
+	c.sendShardMessage(owner.member.Name, shard.Message{Instructions: &message})
 }
 
-// machineEntry is a machine with all attempts that may be on it.
-func (sl *shardCoordinator) machineEntry(m *machine, term uint64) shard.Machine {
+// machineEntry is a machine with all recorded attempts that may be on it. The owner counts as
+// notified of them.
+func (sc *shardCoordinator) machineEntry(m *machine, term uint64) shard.Machine {
 	k := shard.Machine{Shard: m.shard, Term: term, Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		RegisteredBefore: m.session.Registered || m.inherited && !sl.leader.booting(m)}
+		RegisteredBefore: m.session.Registered || m.inherited && !sc.leader.booting(m)}
 	for _, a := range m.sortedAttempts() {
 		if !a.recorded {
 			continue
@@ -164,7 +167,8 @@
 	return k
 }
 
-// sendShardMessage sends a message to a controller, or to the other role of this one.
+// sendShardMessage sends a message to another controller, or between the leader and the owner
+// on this one.
 func (c *Controller) sendShardMessage(to string, message shard.Message) {
 	message.From = c.cfg.Name
 	if to == c.cfg.Name {
@@ -179,8 +183,8 @@
 	c.effects.Unicasts = append(c.effects.Unicasts, Unicast{To: to, Body: raw})
 }
 
-// deliverLocalMessages hands the messages between this controller's own roles over, and those that
-// come of them.
+// deliverLocalMessages delivers the messages between the leader and the owner on this controller,
+// and those sent in reply.
 func (c *Controller) deliverLocalMessages() {
 	for len(c.localMessages) > 0 {
 		messages := c.localMessages
@@ -191,15 +195,15 @@
 	}
 }
 
-// receiveShardMessage takes a message of another controller's, or of another role of this one.
+// receiveShardMessage passes a message from this or another controller to the owner or the leader.
 func (c *Controller) receiveShardMessage(message *shard.Message) {
 	if in := message.Instructions; in != nil && c.sharding != nil && c.sharding.owner != nil {
 		c.sharding.owner.feed.receive(message.From, in)
 	}
-	if seen := message.Observations; seen != nil && c.leader != nil && c.leader.shards != nil {
-		c.leader.shards.receive(message.From, seen)
+	if observations := message.Observations; observations != nil && c.leader != nil && c.leader.shards != nil {
+		c.leader.shards.receive(message.From, observations)
 	}
 }
 
-// runAfter is after for those that never stop the timer.
+// runAfter is after without the timer, for callers that never stop it.
 func (c *Controller) runAfter(d time.Duration, f func()) { c.after(d, f) }
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -11,32 +11,32 @@
 	"brasskeel/internal/records"
 )
 
-// sharding is a controller's part in serving machines by shards: what the state service
-// tells of owners, this controller's own lease as a member, and what it owns by that.
+// sharding is a controller's state as a shard member: the owners and members as recorded in the
+// state service, this controller's lease as a member, and the shards that it owns under it.
 type sharding struct {
 	controller          *Controller
 	table               *shard.Table
 	tableLoaded         bool // the table was read and is watched
-	watchGeneration     int  // of the watch; an older one's news is dropped
-	tableGeneration     int  // generation whose read made the table
+	watchGeneration     int  // of the watch; events of an older one are dropped
+	tableGeneration     int  // the watch generation whose read built the table
 	draining            bool
 	joining             bool
-	memberWriteInFlight bool                      // the member's record is being written anew
-	reachability        *shard.ReachabilityReport // that its record shows
+	memberWriteInFlight bool                      // the member's record is being rewritten
+	reachability        *shard.ReachabilityReport // latest one written to its record
 	member              shard.Member              // zero without a lease
 	owner               *shardOwner               // nil without a lease
 	redirector          redirector
-	partitionedUntil    time.Time // until when workers are better not sent here
+	partitionedUntil    time.Time // until when other controllers shouldn't redirect workers here
 }
 
-// startSharding makes the controller one that may own shards.
+// startSharding lets the controller own shards. A draining one becomes a member, but is to own none.
 func (c *Controller) startSharding(draining bool) {
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), draining: draining, redirector: newRedirector(c)}
 	c.sharding.loadTable()
 	c.every(time.Second, c.sharding.sendStatus)
 }
 
-// loadTable reads who owns what, and watches it from there.
+// loadTable reads the records of owners and members, and watches them from that revision on.
 func (s *sharding) loadTable() {
 	s.watchGeneration++
 	generation := s.watchGeneration
@@ -89,7 +89,8 @@
 	}
 }
 
-// ownershipChanged acts on what is now known.
+// ownershipChanged applies the present table to this controller's membership, its owned shards, and
+// its leader if it leads.
 func (s *sharding) ownershipChanged() {
 	if !s.tableLoaded {
 		return
@@ -107,8 +108,8 @@
 	}
 }
 
-// join takes a lease as a member: its number tells this life of the controller from all
-// others.
+// join acquires a lease as a member. The lease's ID is the member's incarnation, which tells it
+// from earlier memberships of the same controller.
 func (s *sharding) join() {
 	if s.joining || !s.tableLoaded {
 		return
@@ -131,8 +132,8 @@
 	})
 }
 
-// writeFirstMemberRecord writes the member's record, on the version of whatever stands there: an
-// earlier life's write that comes late fails.
+// writeFirstMemberRecord writes the record of a new member, conditional on the version of the
+// record that it replaces, so that a delayed write of an earlier incarnation fails.
 func (s *sharding) writeFirstMemberRecord(r leadership.Lease) {
 	c := s.controller
 	member := shard.MemberRecord{Member: shard.Member{Name: c.cfg.Name, Incarnation: r.ID}, Zone: c.cfg.Zone, Draining: s.draining}
@@ -144,7 +145,7 @@
 		Ops:        []protocol.Op{{Put: key, Value: value, Lease: r.ID}},
 	}, func(result statestore.CommitResult) {
 		if result.Status != statestore.CommitApplied {
-			// Ending the lease also ends what the transaction may have written.
+			// Revoking the lease also removes the record if the transaction was applied after all.
 			c.store.RevokeLease(r.ID)
 			s.loadTable()
 			s.retryJoin()
@@ -160,14 +161,15 @@
 	})
 }
 
-// leave gives up all that the member owned, and what was kept in memory for it.
+// leave ends the membership and discards all state of the shards that it owned.
 func (s *sharding) leave(why string) {
 	s.controller.log.Warn("shard membership lost", "incarnation", s.member.Incarnation, "reason", why)
 	s.owner.ended = true
 	s.owner, s.member, s.reachability = nil, shard.Member{}, nil
 }
 
-// handleHeartbeat answers a worker, or tells it who does.
+// handleHeartbeat answers a worker's heartbeat, redirects it to the worker's owner or the leader,
+// or defers it until one of them is known.
 func (s *sharding) handleHeartbeat(id uint64, body []byte) {
 	c := s.controller
 	r, err := protocol.ParseHeartbeat(body)
@@ -189,7 +191,7 @@
 	c.deferHeartbeat(id, body)
 }
 
-// ownerName is who serves a shard, empty when nobody does.
+// ownerName is the name of a shard's live owner, empty without one.
 func (s *sharding) ownerName(id shard.ID) string {
 	owner, ok := s.table.Owner(id)
 	if !ok {
@@ -198,7 +200,7 @@
 	return owner.Name
 }
 
-// sendStatus tells the leader every second how this owner and its workers are.
+// sendStatus sends the status of this owner and its workers to the leader; it runs every second.
 func (s *sharding) sendStatus() {
 	if s.owner != nil {
 		s.updatePartitioned()
@@ -206,8 +208,8 @@
 	}
 }
 
-// writeReachability writes what this owner reaches into its member record, if it hears no leader and
-// the last report is old enough.
+// writeReachability writes this owner's reachability into its member record if it receives no
+// messages from a leader and the last report is older than shard.ReachabilityInterval.
 func (o *shardOwner) writeReachability() {
 	c, s := o.controller, o.sharding
 	if s.member.Name == "" || s.memberWriteInFlight || c.store.Unavailable() || c.now.Sub(o.feed.leaderHeardAt) <= ownerTimeout || c.now.Sub(o.reachabilityWrittenAt) < shard.ReachabilityInterval {
@@ -221,7 +223,8 @@
 	s.writeMemberRecord(o, func(bool) {})
 }
 
-// currentReachability counts the workers that this owner heard, and those that it lost.
+// currentReachability counts the workers that are registered with this owner, and those of them
+// that it lost contact with.
 func (o *shardOwner) currentReachability() shard.ReachabilityReport {
 	var reach shard.ReachabilityReport
 	for _, m := range o.fleetList {
@@ -236,28 +239,30 @@
 	return reach
 }
 
-// maxUnanswered is how long a worker's heartbeats may go unanswered before it counts as lost to
-// its owner, whether or not it answers calls: where links break and come back every few
-// seconds calls get through now and then, and heartbeats, which come rarely, don't.
+// maxUnanswered is how long a worker's heartbeats may go unanswered before its owner counts as
+// having lost contact with it, even if it answers calls: over links that fail and recover every
+// few seconds some calls get through, while the less frequent heartbeats don't.
 func (c *Controller) maxUnanswered() time.Duration { return c.cfg.WorkerLease / 3 }
 
-// partitionedHold is for how long after it lost most of its workers a controller tells the others
-// not to send workers to it: it doesn't see when they could reach it again.
+// partitionedHold is for how long after it lost contact with most of its workers a controller tells
+// the others not to redirect workers to it: it can't see when they could reach it again.
 const partitionedHold = 20 * time.Second
 
-// updatePartitioned notes whether this controller reaches its workers.
+// updatePartitioned extends the partitioned hold while this controller doesn't reach most of its
+// workers.
 func (s *sharding) updatePartitioned() {
 	if reach := s.owner.currentReachability(); shard.Partitioned(reach.Workers, reach.Unreachable) {
 		s.partitionedUntil = s.controller.now.Add(partitionedHold)
 	}
 }
 
-// WorkersUnreachable reports whether this controller lately lost most of its workers.
+// workersUnreachable reports whether this controller lost contact with most of its workers within
+// partitionedHold.
 func (c *Controller) workersUnreachable() bool {
 	return c.sharding != nil && c.now.Before(c.sharding.partitionedUntil)
 }
 
-// writeMemberRecord writes the member's record anew, bound to the same lease.
+// writeMemberRecord rewrites the member's record, bound to the same lease.
 func (s *sharding) writeMemberRecord(own *shardOwner, done func(applied bool)) {
 	c := s.controller
 	s.memberWriteInFlight = true
@@ -270,7 +275,7 @@
 	}, func(result statestore.CommitResult) {
 		s.memberWriteInFlight = false
 		if s.owner != own {
-			return // it left, and joins as another member
+			return // the membership ended meanwhile
 		}
 		if result.Status == statestore.CommitApplied {
 			s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: result.Revision})
@@ -282,7 +287,7 @@
 	})
 }
 
-// A shard's owner as the holder of its lease (leadership.Holder).
+// shardOwner implements leadership.Holder for the lease of its membership.
 
 // NeedsLease implements leadership.Holder.
 func (o *shardOwner) NeedsLease() bool { return o.sharding.owner == o }
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -8,109 +8,111 @@
 	"brasskeel/internal/protocol"
 )
 
-// receive takes a message of an owner's.
-func (sl *shardCoordinator) receive(from string, seen *shard.Observations) {
-	c := sl.leader.controller
-	owner := sl.channels[from]
-	if owner == nil || owner.member != seen.Epoch.Member || sl.leader.phase == phaseLoading {
+// receive applies a message of an owner.
+func (sc *shardCoordinator) receive(from string, observations *shard.Observations) {
+	c := sc.leader.controller
+	owner := sc.channels[from]
+	if owner == nil || owner.member != observations.Epoch.Member || sc.leader.phase == phaseLoading {
 		return
 	}
 	owner.heardAt = c.now
-	taken := owner.Channel.Receive(seen.Header)
-	sl.applyServedTerms(owner, seen.ServedTerms)
+	taken := owner.Channel.Receive(observations.Header)
+	sc.applyServedTerms(owner, observations.ServedTerms)
 	if taken {
-		sl.applyObservations(owner, seen)
+		sc.applyObservations(owner, observations)
 	}
 	if owner.Ready() {
-		sl.schedule(owner)
+		sc.schedule(owner)
 	}
 }
 
-// applyServedTerms notes which shards an owner serves, and tells of their machines.
-func (sl *shardCoordinator) applyServedTerms(owner *ownerChannel, grants map[shard.ID]uint64) {
+// applyServedTerms updates which shards an owner serves, and queues the machines of newly announced
+// ones to be sent to it.
+func (sc *shardCoordinator) applyServedTerms(owner *ownerChannel, grants map[shard.ID]uint64) {
 	for id := range owner.announcedTerms {
 		if grants[id] != owner.announcedTerms[id] {
 			delete(owner.announcedTerms, id)
 		}
 	}
 	for id, term := range grants {
-		ownership, ok := sl.sharding.table.Owner(id)
+		ownership, ok := sc.sharding.table.Owner(id)
 		if !ok || ownership.Member != owner.member || ownership.Term != term {
-			continue // it speaks of an earlier time, or ahead of our watch
+			continue // an earlier ownership, or one that the watch hasn't shown yet
 		}
-		if _, ok := sl.ownerHeardSinceByShard[id]; !ok {
-			sl.ownerHeardSinceByShard[id] = sl.leader.controller.now
+		if _, ok := sc.ownerHeardSinceByShard[id]; !ok {
+			sc.ownerHeardSinceByShard[id] = sc.leader.controller.now
 		}
 		if owner.announcedTerms[id] != 0 {
 			continue
 		}
-		// The silence that another owner told of isn't this one's.
-		sl.ownerHeardSinceByShard[id] = sl.leader.controller.now
+		// Silence that a previous owner reported doesn't count for this one.
+		sc.ownerHeardSinceByShard[id] = sc.leader.controller.now
 		owner.announcedTerms[id] = term
-		sl.reportMoveCompleted(sl.moves.Served(sl.leader.controller.now, id, owner.member.Name, sl.hasMachines))
-		for _, m := range sl.leader.fleetList {
+		sc.reportMoveCompleted(sc.moves.Served(sc.leader.controller.now, id, owner.member.Name, sc.hasMachines))
+		for _, m := range sc.leader.fleetList {
 			if m.shard == id && m.inRecordedShard() {
 				owner.pendingMachines[m] = true
 			}
 		}
-		sl.schedule(owner)
+		sc.schedule(owner)
 	}
 }
 
-// servedMachine gives a machine that an owner may speak of: one of a shard that it serves under the
-// grant that the state service shows. What an owner saw before is not taken later: its
-// successor may have started what it saw missing.
-func (sl *shardCoordinator) servedMachine(owner *ownerChannel, name string) *machine {
-	m := sl.leader.machines[name]
+// servedMachine gives a machine that an owner may report on: one of a shard that it serves under
+// the ownership recorded in the state service; nil for any other. Late observations of a previous
+// owner are dropped: its successor may have started what the previous one saw missing.
+func (sc *shardCoordinator) servedMachine(owner *ownerChannel, name string) *machine {
+	m := sc.leader.machines[name]
 	if m == nil || owner.announcedTerms[m.shard] == 0 {
 		return nil
 	}
-	ownership, ok := sl.sharding.table.Owner(m.shard)
+	ownership, ok := sc.sharding.table.Owner(m.shard)
 	if !ok || ownership.Member != owner.member || ownership.Term != owner.announcedTerms[m.shard] {
 		return nil
 	}
 	return m
 }
 
-// applyObservations takes what an owner saw.
-func (sl *shardCoordinator) applyObservations(owner *ownerChannel, seen *shard.Observations) {
-	l := sl.leader
-	for i := range seen.Workers {
-		if m := sl.servedMachine(owner, seen.Workers[i].Machine); m != nil {
-			sl.applyWorker(m, &seen.Workers[i])
+// applyObservations applies what an owner observed of its workers and their tasks.
+func (sc *shardCoordinator) applyObservations(owner *ownerChannel, observations *shard.Observations) {
+	l := sc.leader
+	for i := range observations.Workers {
+		if m := sc.servedMachine(owner, observations.Workers[i].Machine); m != nil {
+			sc.applyWorker(m, &observations.Workers[i])
 		}
 	}
-	for i := range seen.TaskStates {
-		s := &seen.TaskStates[i]
-		if a := sl.reportedAttempt(owner, &s.Task); a != nil {
+	for i := range observations.TaskStates {
+		s := &observations.TaskStates[i]
+		if a := sc.reportedAttempt(owner, &s.Task); a != nil {
 			a.delivery.Reported = true
 			l.taskStateReported(a, s.State)
 		}
 	}
-	for i := range seen.Exits {
-		sl.applyExit(owner, &seen.Exits[i])
+	for i := range observations.Exits {
+		sc.applyExit(owner, &observations.Exits[i])
 	}
-	for i := range seen.Terminations {
-		g := &seen.Terminations[i]
-		if a := sl.reportedAttempt(owner, &g.Task); a != nil {
+	for i := range observations.Terminations {
+		g := &observations.Terminations[i]
+		if a := sc.reportedAttempt(owner, &g.Task); a != nil {
 			l.detach(a, g.Reason)
 		}
 	}
-	for i := range seen.Orphans {
-		t := &seen.Orphans[i]
-		if m := sl.servedMachine(owner, t.Machine); m != nil && sl.reportedAttempt(owner, t) == nil {
+	for i := range observations.Orphans {
+		t := &observations.Orphans[i]
+		if m := sc.servedMachine(owner, t.Machine); m != nil && sc.reportedAttempt(owner, t) == nil {
 			owner.pending.Stops = append(owner.pending.Stops, shard.Stop{Task: *t})
-			sl.schedule(owner)
+			sc.schedule(owner)
 		}
 	}
-	if seen.Status != nil {
-		sl.applyStatus(owner, seen.Status)
+	if observations.Status != nil {
+		sc.applyStatus(owner, observations.Status)
 	}
 }
 
-// reportedAttempt is the attempt that an owner speaks of, if it is on that machine for all we know.
-func (sl *shardCoordinator) reportedAttempt(owner *ownerChannel, t *shard.Task) *attempt {
-	m := sl.servedMachine(owner, t.Machine)
+// reportedAttempt is the attempt that an owner reports on, nil if the leader doesn't have it on
+// that machine or the owner doesn't serve the machine.
+func (sc *shardCoordinator) reportedAttempt(owner *ownerChannel, t *shard.Task) *attempt {
+	m := sc.servedMachine(owner, t.Machine)
 	if m == nil {
 		return nil
 	}
@@ -120,8 +122,8 @@
 	return nil
 }
 
-func (sl *shardCoordinator) applyWorker(m *machine, w *shard.Worker) {
-	l, c := sl.leader, sl.leader.controller
+func (sc *shardCoordinator) applyWorker(m *machine, w *shard.Worker) {
+	l, c := sc.leader, sc.leader.controller
 	if m.Zone != w.Zone || m.Type != w.Type || m.Spot != w.Spot {
 		m.Zone, m.Type, m.Spot = w.Zone, w.Type, w.Spot
 		m.Spec = c.types[m.Type]
@@ -130,14 +132,14 @@
 		m.addr = w.Addr
 		l.addressChanged(m)
 	}
-	if w.Incarnation != 0 { // it was heard by this owner
-		sl.applySession(m, w)
+	if w.Incarnation != 0 { // the worker is registered with this owner
+		sc.applySession(m, w)
 	}
 }
 
-// applySession takes what an owner that heard a worker tells of its session.
-func (sl *shardCoordinator) applySession(m *machine, w *shard.Worker) {
-	l, c := sl.leader, sl.leader.controller
+// applySession applies what an owner reports of the session of a worker registered with it.
+func (sc *shardCoordinator) applySession(m *machine, w *shard.Worker) {
+	l, c := sc.leader, sc.leader.controller
 	if !m.session.Registered {
 		m.session.Registered, m.session.RegisteredAt = true, c.now
 		l.workerRegistered(m)
@@ -146,7 +148,7 @@
 		m.session.Incarnation = w.Incarnation
 		l.incarnationBegan(m)
 	}
-	sl.reportMoveCompleted(sl.moves.HeartbeatReceived(m.shard))
+	sc.reportMoveCompleted(sc.moves.HeartbeatReceived(m.shard))
 	m.session.LastSeen, m.session.LastAnswered = c.now, c.now
 	if w.Reached {
 		l.workerReached(m)
@@ -165,67 +167,68 @@
 	}
 }
 
-func (sl *shardCoordinator) applyExit(owner *ownerChannel, e *shard.Exit) {
-	m := sl.servedMachine(owner, e.Machine)
+func (sc *shardCoordinator) applyExit(owner *ownerChannel, e *shard.Exit) {
+	m := sc.servedMachine(owner, e.Machine)
 	if m == nil {
 		return
 	}
 	t := protocol.TaskStatus{Job: e.Job, TaskIndex: e.TaskIndex, Attempt: e.Attempt, State: protocol.Exited, Reason: e.Reason, Checkpointed: e.Checkpointed}
-	if sl.leader.taskExitReported(m, sl.reportedAttempt(owner, &e.Task), &t) {
-		sl.forgetExit(e.Task)
+	if sc.leader.taskExitReported(m, sc.reportedAttempt(owner, &e.Task), &t) {
+		sc.forgetExit(e.Task)
 		return
 	}
-	sl.leader.jobs[e.Job].task(e.TaskIndex).unacknowledgedExit = &e.Task // told once the result is recorded
+	sc.leader.jobs[e.Job].task(e.TaskIndex).unacknowledgedExit = &e.Task // acknowledged once the result is recorded
 }
 
-// applyStatus takes how an owner's workers are: those that it doesn't name are well.
-func (sl *shardCoordinator) applyStatus(owner *ownerChannel, s *shard.Status) {
+// applyStatus applies an owner's status. Workers that it doesn't list are healthy.
+func (sc *shardCoordinator) applyStatus(owner *ownerChannel, s *shard.Status) {
 	owner.status = *s
 	unhealthy, complete := owner.statusParts.Add(s)
 	if !complete {
-		return // who is well shows once all parts are there
+		return // which workers are healthy is known only once all parts have arrived
 	}
 	known, lost := 0, 0
-	for _, m := range sl.leader.fleetList {
-		if owner.announcedTerms[m.shard] == 0 || sl.servedMachine(owner, m.Name) == nil {
+	for _, m := range sc.leader.fleetList {
+		if owner.announcedTerms[m.shard] == 0 || sc.servedMachine(owner, m.Name) == nil {
 			continue
 		}
 		w := unhealthy[m.Name]
 		if m.session.Registered {
 			known++
-			if w != nil && sl.isUnreachable(w) {
+			if w != nil && sc.isUnreachable(w) {
 				lost++
 			}
 		}
 		if w != nil {
-			sl.workerUnhealthy(m, w)
+			sc.workerUnhealthy(m, w)
 		} else if m.session.Registered {
-			sl.workerHealthy(m)
+			sc.workerHealthy(m)
 		}
 	}
 	owner.partitioned = shard.Partitioned(known, lost)
-	sl.updateAlternatives(owner)
+	sc.updateAlternatives(owner)
 	if owner.partitioned {
-		sl.plan()
+		sc.plan()
 	}
 }
 
-// isUnreachable reports whether an owner doesn't reach a worker, or its heartbeats don't reach the owner.
-func (sl *shardCoordinator) isUnreachable(w *shard.UnhealthyWorker) bool {
-	return w.FailedProbes >= sessions.UnreachableProbeThreshold || millis(w.UnansweredMillis) > sl.leader.controller.maxUnanswered()
+// isUnreachable reports whether an owner lost contact with a worker: several probes in a row failed,
+// or the worker's heartbeats have gone unanswered for too long.
+func (sc *shardCoordinator) isUnreachable(w *shard.UnhealthyWorker) bool {
+	return w.FailedProbes >= sessions.UnreachableProbeThreshold || millis(w.UnansweredMillis) > sc.leader.controller.maxUnanswered()
 }
 
-func (sl *shardCoordinator) workerHealthy(m *machine) {
-	now := sl.leader.controller.now
+func (sc *shardCoordinator) workerHealthy(m *machine) {
+	now := sc.leader.controller.now
 	m.session.LastSeen, m.session.LastAnswered, m.session.FailedProbes = now, now, 0
 	if !m.session.LastReached.IsZero() {
-		sl.leader.workerReached(m)
+		sc.leader.workerReached(m)
 		m.session.LastReached = now
 	}
 }
 
-func (sl *shardCoordinator) workerUnhealthy(m *machine, w *shard.UnhealthyWorker) {
-	now := sl.leader.controller.now
+func (sc *shardCoordinator) workerUnhealthy(m *machine, w *shard.UnhealthyWorker) {
+	now := sc.leader.controller.now
 	m.session.FailedProbes = w.FailedProbes
 	if m.session.Registered {
 		m.session.LastSeen = now.Add(-millis(w.SilentMillis))
@@ -235,7 +238,7 @@
 		}
 	}
 	if w.FailedProbes > 0 {
-		sl.leader.probeFailed(m)
+		sc.leader.probeFailed(m)
 	}
 }
 
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -12,42 +12,43 @@
 	"brasskeel/internal/records"
 )
 
-// shardOwner serves the workers of shards for a leader that may be another controller. It
-// starts from the records: which shards are its own, and which machines are theirs. What
-// may run there it learns from the leader, and tells it in turn what the workers show.
+// shardOwner serves the workers of shards for a leader that may be another controller. Which
+// shards it owns and which machines belong to them it reads from the state service. The leader
+// tells it which attempts may run there, and it reports to the leader what the workers show.
 type shardOwner struct {
 	workerSessions
 	sharding              *sharding
 	shards                map[shard.ID]*ownedShard
-	movedAway             map[string]shard.ID // machines of shards that went to somebody else
+	movedAway             map[string]shard.ID // machines of shards that another member owns now
 	feed                  *changeFeed         // to the leader
 	loadingMachines       bool                // the machines' records are being read
-	reloadMachines        bool                // and are to be read once more: a shard was taken meanwhile
-	heartbeatsSinceStatus int                 // since the last status
-	reachabilityWrittenAt time.Time           // when its member record last showed its reach
-	reachabilitySequence  uint64              // times that it did
+	reloadMachines        bool                // they must be read again: a shard was acquired meanwhile
+	heartbeatsSinceStatus int                 // answered since the last status
+	reachabilityWrittenAt time.Time           // when reachability was last written to the member record
+	reachabilitySequence  uint64              // of the latest report written
 }
 
 // ownedShard is a shard that this owner serves.
 type ownedShard struct {
 	epoch             sessions.Epoch
-	moving            bool // nothing is answered or sent any more
-	handingOver       bool // the release is being written
-	superseded        bool // a worker has seen a later owner's token
-	recheckGeneration int  // generation of the table that tells whether there is one
+	moving            bool // to another member; workers are no longer answered or called
+	handingOver       bool // the handover is being written
+	superseded        bool // a worker has seen a later fencing token
+	recheckGeneration int  // table generation from which on the table shows whether there is a later owner
 }
 
-func (h *ownedShard) served() bool { return !h.moving && !h.superseded }
+func (owned *ownedShard) served() bool { return !owned.moving && !owned.superseded }
 
-// setMoving and setSuperseded pause the ownership epoch, or let it go on.
-func (h *ownedShard) setMoving(on bool) {
-	h.moving = on
-	h.epoch.Paused = !h.served()
+// setMoving records whether the shard is moving away, and pauses or resumes its ownership epoch.
+func (owned *ownedShard) setMoving(on bool) {
+	owned.moving = on
+	owned.epoch.Paused = !owned.served()
 }
 
-func (h *ownedShard) setSuperseded(on bool) {
-	h.superseded = on
-	h.epoch.Paused = !h.served()
+// setSuperseded records whether there may be a later owner, and pauses or resumes the epoch.
+func (owned *ownedShard) setSuperseded(on bool) {
+	owned.superseded = on
+	owned.epoch.Paused = !owned.served()
 }
 
 func newShardOwner(s *sharding, r leadership.Lease) *shardOwner {
@@ -59,12 +60,12 @@
 	return o
 }
 
-// applyTable takes and gives up shards as the table says.
+// applyTable acquires, drops and moves shards according to the table.
 func (o *shardOwner) applyTable() {
 	s := o.sharding
-	for id, h := range o.shards {
+	for id, owned := range o.shards {
 		r, _, ok := s.table.Record(id)
-		if !ok || r.Owner.Member != s.member || r.Owner.Term != h.epoch.Term {
+		if !ok || r.Owner.Member != s.member || r.Owner.Term != owned.epoch.Term {
 			o.dropShard(id)
 		}
 	}
@@ -83,19 +84,19 @@
 	}
 }
 
-// acquireShard begins to serve a shard.
+// acquireShard starts to serve a shard.
 func (o *shardOwner) acquireShard(id shard.ID, r shard.OwnerRecord) {
 	c := o.controller
 	t := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
 	if !r.HandedOver {
-		// Whoever owned it before may go on without the state service for its grace.
+		// The previous owner may go on without the state service for its grace period.
 		t.PredecessorUntil = c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))
 	}
 	o.shards[id] = &ownedShard{epoch: t}
 	c.log.Info("shard ownership acquired", "shard", id, "term", t.Term, "handed_over", r.HandedOver)
 }
 
-// dropShard forgets a shard that is somebody else's.
+// dropShard removes a shard that this member no longer owns, with its machines.
 func (o *shardOwner) dropShard(id shard.ID) {
 	delete(o.shards, id)
 	o.fleetList = slices.DeleteFunc(o.fleetList, func(m *machine) bool {
@@ -109,7 +110,7 @@
 	o.controller.log.Info("shard ownership ended", "shard", id)
 }
 
-// forgetMachine drops what is known of a machine that isn't served any more.
+// forgetMachine drops the state of a machine that is no longer served.
 func (o *shardOwner) forgetMachine(m *machine) {
 	m.removed, m.session.Epoch = true, nil
 	delete(o.machines, m.Name)
@@ -123,66 +124,67 @@
 	o.fleetList = slices.DeleteFunc(o.fleetList, func(k *machine) bool { return k == m })
 }
 
-// applyMove stops serving a shard that is to move, and goes on if it isn't any more.
-// What is known of its workers is kept until the state service says that it is another's:
-// resumed under the same token, it must know what it sent.
+// applyMove stops serving a shard that is to move, and resumes if the move was canceled.
+// The state of its workers is kept until the state service shows another owner: when service
+// resumes under the same token, the owner must know what it sent.
 func (o *shardOwner) applyMove(id shard.ID, r shard.OwnerRecord) {
-	h := o.shards[id]
-	if h.superseded && o.sharding.tableGeneration >= h.recheckGeneration {
-		// The table was read since: nobody took the shard. One worker alone has seen a later
-		// token, as of a machine that came into two shards' records; its shard went unserved
-		// for ever.
-		h.setSuperseded(false)
+	owned := o.shards[id]
+	if owned.superseded && o.sharding.tableGeneration >= owned.recheckGeneration {
+		// The table was read since and shows no other owner. A single worker may have seen a later
+		// token if its machine got into the records of two shards. Without this the shard would
+		// stay unserved forever.
+		owned.setSuperseded(false)
 	}
-	h.setMoving(r.Next != nil)
-	if !h.moving || h.handingOver {
+	owned.setMoving(r.Next != nil)
+	if !owned.moving || owned.handingOver {
 		return
 	}
-	o.feed.flush() // what was seen until now is still this owner's to tell
-	h.handingOver = true
+	o.feed.flush() // observations up to now are valid only while this member is the owner
+	owned.handingOver = true
 	o.handOverShard(id)
 }
 
-// handOverShard makes the next member the owner.
+// handOverShard makes the member that a shard moves to its owner.
 func (o *shardOwner) handOverShard(id shard.ID) {
 	s := o.sharding
-	h := o.shards[id]
-	if h == nil {
+	owned := o.shards[id]
+	if owned == nil {
 		return
 	}
-	// An owner that took over from one that did not release, and gives the shard away before
-	// that one's grace is over, can't say that nobody answers its workers: the next owner
-	// took their silence for a proof while the first of the three went on answering them.
-	change := s.table.HandOver(id, s.member, !o.controller.now.Before(h.epoch.PredecessorUntil))
+	// If the previous owner didn't hand over the shard and its grace period isn't over, it may
+	// still answer the workers. The record must say so: otherwise the next owner would take their
+	// silence as proof that their tasks ended while the previous owner renews their leases.
+	change := s.table.HandOver(id, s.member, !o.controller.now.Before(owned.epoch.PredecessorUntil))
 	if change == nil {
-		h.handingOver = false
+		owned.handingOver = false
 		return
 	}
 	o.controller.store.Commit(&change.Txn, func(r statestore.CommitResult) {
-		h := o.shards[id]
-		if !o.alive() || h == nil {
+		owned := o.shards[id]
+		if !o.alive() || owned == nil {
 			return
 		}
-		h.handingOver = false
+		owned.handingOver = false
 		if r.Status == statestore.CommitApplied {
 			s.table.Applied(change, r.Revision)
 			s.ownershipChanged()
 			return
 		}
-		// It may have been applied: what stands there decides, and is released again.
+		// It may have been applied: the table is read again, and the handover retried if needed.
 		s.loadTable()
 	})
 }
 
-// handleHeartbeat answers a report of a machine that this owner serves, and reports whether it did.
+// handleHeartbeat answers, redirects or defers a heartbeat from a machine of a shard that this owner
+// serves or served before, and reports whether it did.
 func (o *shardOwner) handleHeartbeat(id uint64, r *protocol.Heartbeat, body []byte) bool {
 	c := o.controller
 	m := o.machines[r.Machine]
 	if m == nil || m.session.Epoch == nil {
 		return o.redirectMoved(id, r)
 	}
-	h := o.shards[m.shard]
-	if h == nil || !h.served() {
+	owned := o.shards[m.shard]
+	if owned == nil || !owned.served() {
 		c.reply(id, 421, protocol.EncodeRedirect(o.nextOwner(m.shard)))
 		return true
 	}
@@ -204,7 +206,8 @@
 	return true
 }
 
-// redirectMoved names the owner of a machine that was served here lately.
+// redirectMoved redirects a heartbeat from a machine whose shard this owner served before to the
+// present owner, and reports whether there is one.
 func (o *shardOwner) redirectMoved(id uint64, r *protocol.Heartbeat) bool {
 	moved, ok := o.movedAway[r.Machine]
 	if !ok {
@@ -218,7 +221,8 @@
 	return true
 }
 
-// nextOwner is whom a shard moves to, by name.
+// nextOwner is the name of the controller that a shard moves to, empty if there is no move to
+// another one.
 func (o *shardOwner) nextOwner(id shard.ID) string {
 	if r, _, ok := o.sharding.table.Record(id); ok && r.Next != nil && r.Next.Name != o.controller.cfg.Name {
 		return r.Next.Name
@@ -226,8 +230,8 @@
 	return ""
 }
 
-// loadMachines reads the records of machines, for those of shards that were taken: they are
-// answered although no leader has told of them.
+// loadMachines reads the records of machines and adds those of owned shards, so that their workers
+// are answered before a leader has sent their entries.
 func (o *shardOwner) loadMachines() {
 	if o.loadingMachines {
 		o.reloadMachines = true
@@ -248,8 +252,8 @@
 
 func (o *shardOwner) loadMachineGroup(it protocol.KeyValue) {
 	id := shard.ID(records.ShardOfGroupKey(it.Key))
-	h := o.shards[id]
-	if h == nil {
+	owned := o.shards[id]
+	if owned == nil {
 		return
 	}
 	var r records.MachineGroup
@@ -259,17 +263,17 @@
 	}
 	for _, k := range r.Machines {
 		if o.machines[k.Name] == nil {
-			o.newMachine(shard.Machine{Shard: id, Name: k.Name, Addr: k.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, h)
+			o.newMachine(shard.Machine{Shard: id, Name: k.Name, Addr: k.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, owned)
 		}
 	}
 }
 
-// servedTerms are the shards that are served now, and their terms.
+// servedTerms are the shards that are served now, and the terms of their ownerships.
 func (o *shardOwner) servedTerms() map[shard.ID]uint64 {
 	grants := map[shard.ID]uint64{}
-	for id, h := range o.shards {
-		if h.served() {
-			grants[id] = h.epoch.Term
+	for id, owned := range o.shards {
+		if owned.served() {
+			grants[id] = owned.epoch.Term
 		}
 	}
 	return grants
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -13,8 +13,8 @@
 	"brasskeel/internal/protocol"
 )
 
-func (o *shardOwner) newMachine(k shard.Machine, h *ownedShard) *machine {
-	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, session: sessions.Session{Epoch: &h.epoch},
+func (o *shardOwner) newMachine(k shard.Machine, owned *ownedShard) *machine {
+	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, session: sessions.Session{Epoch: &owned.epoch},
 		attempts: map[taskKey]*attempt{}, reportedExits: map[taskKey]*reportedExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
 	o.machines[k.Name] = m
 	o.fleetList = append(o.fleetList, m)
@@ -22,12 +22,13 @@
 	return m
 }
 
-// silentFor is how long a worker has been silent, since its shard was taken at the most.
+// silentFor is how long a worker has been silent. Time before its shard was acquired doesn't count.
 func (o *shardOwner) silentFor(m *machine) time.Duration {
 	return o.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.session.Epoch.Since, o.detector.ResetAt()))
 }
 
-// detectSilentWorkers asks workers that fell silent, and proves what silence proves.
+// detectSilentWorkers probes silent workers, and terminates the attempts of those that have been
+// silent for so long that their leases have expired.
 func (o *shardOwner) detectSilentWorkers() {
 	if o.detector.Scan(o.controller.now) || o.controller.store.Unavailable() || !o.holdsLease() {
 		o.detector.Reset(o.controller.now) // workers that got no answer look for another controller
@@ -36,7 +37,7 @@
 	var ask []*machine
 	doubtful := map[string]bool{}
 	for _, m := range o.fleetList {
-		if h := o.shards[m.shard]; h == nil || !h.served() {
+		if owned := o.shards[m.shard]; owned == nil || !owned.served() {
 			continue
 		}
 		silent := o.silentFor(m)
@@ -54,8 +55,8 @@
 	o.probeBatch(ask)
 }
 
-// expectsHeartbeats reports whether a machine's worker should be up: it was heard here, or by the
-// leader, or ran tasks.
+// expectsHeartbeats reports whether a machine's worker should be running: it registered here or with
+// an earlier owner, or has attempts.
 func (o *shardOwner) expectsHeartbeats(m *machine) bool {
 	return m.session.Registered || m.registeredBefore || len(m.attemptList) > 0
 }
@@ -82,7 +83,7 @@
 	}
 }
 
-// probeFailed implements sessionListener: the status tells it.
+// probeFailed implements sessionListener: the next status reports it.
 func (o *shardOwner) probeFailed(*machine) {}
 
 // incarnationReset implements sessionListener.
@@ -99,17 +100,18 @@
 	}
 }
 
-// reportedExit is an exited task that the leader was told of.
+// reportedExit is an exited task that is reported to the leader.
 type reportedExit struct {
 	exit   shard.Exit
 	sentAt time.Time
 	forget bool // its result is recorded: the worker may forget it
 }
 
-// exitResendInterval is when the leader is told of an exit once more.
+// exitResendInterval is after how long an exit is sent to the leader again if the worker still
+// reports it.
 const exitResendInterval = 3 * time.Second
 
-// taskExitReported implements sessionListener. The exit is the proof that the attempt is gone; the
+// taskExitReported implements sessionListener. The exit proves that the attempt has ended; the
 // leader says when the worker may forget it.
 func (o *shardOwner) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool) {
 	key := taskKey{t.Job, t.TaskIndex}
@@ -120,8 +122,8 @@
 	}
 	if a != nil {
 		o.removeAttempt(a)
-		// It was listed by a leader that doesn't know of the exit, whatever an earlier one
-		// let be forgotten: untold, the attempt counted there for ever.
+		// A leader that lists the attempt doesn't know of the exit, even if an earlier leader let
+		// the worker forget it. If it weren't sent, the attempt would stay there forever.
 		k.forget, k.sentAt = false, time.Time{}
 	}
 	if !k.forget && o.controller.now.Sub(k.sentAt) > exitResendInterval {
@@ -138,8 +140,8 @@
 	o.feed.attemptTerminated(a, why)
 }
 
-// orphanReported implements sessionListener: only the leader knows whether a task that it didn't
-// tell of is to end.
+// orphanReported implements sessionListener. Only the leader knows whether a task without a known
+// attempt is to be stopped, unless its job has ended.
 func (o *shardOwner) orphanReported(m *machine, t *protocol.TaskStatus) (stop bool) {
 	key := taskKey{t.Job, t.TaskIndex}
 	if j := o.jobs[t.Job]; j != nil && j.finalState != 0 {
@@ -153,22 +155,22 @@
 	return false
 }
 
-// newerTokenSeen implements sessionListener: somebody took the shard after this owner, which will
-// see it in the table.
+// newerTokenSeen implements sessionListener. There may be a later owner of the shard: it isn't
+// served until the table, read again, shows whether there is.
 func (o *shardOwner) newerTokenSeen(m *machine) {
 	o.controller.log.Info("worker has a later fencing token", "machine", m.Name, "shard", m.shard)
-	if h := o.shards[m.shard]; h != nil && !h.superseded && !m.newerTokenSeen {
+	if owned := o.shards[m.shard]; owned != nil && !owned.superseded && !m.newerTokenSeen {
 		m.newerTokenSeen = true
-		h.setSuperseded(true)
+		owned.setSuperseded(true)
 		o.sharding.loadTable()
-		h.recheckGeneration = o.sharding.watchGeneration
+		owned.recheckGeneration = o.sharding.watchGeneration
 	}
 }
 
-// jobRecorded implements sessionListener: of a job, the owner needs no more than its name.
+// jobRecorded implements sessionListener: the owner needs only the job's ID.
 func (o *shardOwner) jobRecorded(id string, _ json.RawMessage, _ bool) { o.job(id) }
 
-// jobEnded implements sessionListener: its tasks are stopped without waiting for the leader.
+// jobEnded implements sessionListener: the job's tasks are stopped without waiting for the leader.
 func (o *shardOwner) jobEnded(j *job, s protocol.JobState) {
 	j.finalState = s
 	held := slices.Collect(maps.Keys(j.heldAttempts))
@@ -183,7 +185,7 @@
 // jobRemoved implements sessionListener.
 func (o *shardOwner) jobRemoved(id string) { delete(o.jobs, id) }
 
-// job gives a job by its name, known or not.
+// job gives the job with an ID, and adds it if it isn't known.
 func (o *shardOwner) job(id string) *job {
 	j := o.jobs[id]
 	if j == nil {
@@ -196,7 +198,8 @@
 	return j
 }
 
-// addAttempt takes an attempt that the leader told of.
+// addAttempt adds an attempt that the leader listed. An inherited one may have been started by an
+// earlier owner.
 func (o *shardOwner) addAttempt(m *machine, r shard.Start, inherited bool) {
 	a := &attempt{job: o.job(r.Job), taskIndex: r.TaskIndex, number: r.Attempt, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: inherited}, stateSince: o.controller.now}
 	o.track(a)
@@ -211,7 +214,7 @@
 	o.scheduleOrders(m)
 }
 
-// removeAttempt takes an attempt out of its machine.
+// removeAttempt removes an attempt from its machine and its job.
 func (o *shardOwner) removeAttempt(a *attempt) {
 	if a.stopRequested {
 		a.machine.stopRequestedCount--
@@ -220,7 +223,8 @@
 	o.untrack(a)
 }
 
-// stopAttempt wants an attempt ended.
+// stopAttempt requests that an attempt is stopped within a grace time; a shorter one replaces an
+// earlier request.
 func (o *shardOwner) stopAttempt(a *attempt, grace time.Duration) {
 	if a.stopRequested && a.stopGrace <= grace {
 		return
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -13,123 +13,124 @@
 	"brasskeel/internal/records"
 )
 
-// plan decides on owners, and writes one change at a time.
-func (sl *shardCoordinator) plan() {
-	l, c := sl.leader, sl.leader.controller
-	if sl.changeInFlight || !sl.sharding.tableLoaded || l.phase == phaseLoading || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
+// plan decides which shards get another owner, and commits one change at a time.
+func (sc *shardCoordinator) plan() {
+	l, c := sc.leader, sc.leader.controller
+	if sc.changeInFlight || !sc.sharding.tableLoaded || l.phase == phaseLoading || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
 		return
 	}
-	if change := sl.cancelMoveToEndedMember(); change != nil {
-		sl.commitChange(change)
+	if change := sc.cancelMoveToEndedMember(); change != nil {
+		sc.commitChange(change)
 		return
 	}
-	decisions := sl.planner.Plan(c.now, sl.plannerControllers(), sl.plannerShards())
+	decisions := sc.planner.Plan(c.now, sc.plannerControllers(), sc.plannerShards())
 	var vacant []shard.Assignment
 	for _, d := range decisions {
-		if d.Reason == shard.ReasonUnowned && len(vacant) < sl.maxAssignments() {
+		if d.Reason == shard.ReasonUnowned && len(vacant) < sc.maxAssignments() {
 			vacant = append(vacant, d.Assignment)
 		}
 	}
 	if len(vacant) > 0 {
-		sl.commitChange(sl.sharding.table.Assign(vacant, sl.leaderState()))
+		sc.commitChange(sc.sharding.table.Assign(vacant, sc.leaderState()))
 		return
 	}
 	for _, d := range decisions {
-		if change := sl.sharding.table.ProposeMove(d.ID, d.To, sl.leaderState()); change != nil {
+		if change := sc.sharding.table.ProposeMove(d.ID, d.To, sc.leaderState()); change != nil {
 			c.log.Info("shard move requested", "shard", d.ID, "to", d.To.Name, "reason", d.Reason.String())
-			sl.moves.Begin(c.now, sl.sharding.table, d)
-			sl.commitChange(change)
+			sc.moves.Begin(c.now, sc.sharding.table, d)
+			sc.commitChange(change)
 			return
 		}
 	}
 }
 
-// maxAssignments is how many shards one transaction assigns: each takes a change, as do the
-// terms and the mark that there are shards.
-func (sl *shardCoordinator) maxAssignments() int { return max(1, sl.leader.controller.cfg.TxnOps-2) }
+// maxAssignments is how many shards one transaction can assign. Each takes one operation; two more
+// are for the term and the record that sharding is in use.
+func (sc *shardCoordinator) maxAssignments() int { return max(1, sc.leader.controller.cfg.TxnOps-2) }
 
-func (sl *shardCoordinator) leaderState() shard.LeaderState {
-	e := sl.leader.controller.election
+func (sc *shardCoordinator) leaderState() shard.LeaderState {
+	e := sc.leader.controller.election
 	term, version := e.Term()
-	return shard.LeaderState{LeaderVersion: sl.leader.keyVersion, Term: term, TermVersion: version, ShardingRecorded: e.Sharded()}
+	return shard.LeaderState{LeaderVersion: sc.leader.keyVersion, Term: term, TermVersion: version, ShardingRecorded: e.Sharded()}
 }
 
-// cancelMoveToEndedMember takes an intent back whose member is gone.
-func (sl *shardCoordinator) cancelMoveToEndedMember() *shard.Change {
-	for _, id := range sl.sharding.table.IDs() {
-		r, _, ok := sl.sharding.table.Record(id)
-		if ok && r.Next != nil && !sl.sharding.table.Alive(r.Next.Member) && sl.sharding.table.Alive(r.Owner.Member) {
-			return sl.sharding.table.CancelMove(id, sl.leaderState())
+// cancelMoveToEndedMember gives a change that cancels a move whose target member has ended, nil if
+// there is none.
+func (sc *shardCoordinator) cancelMoveToEndedMember() *shard.Change {
+	for _, id := range sc.sharding.table.IDs() {
+		r, _, ok := sc.sharding.table.Record(id)
+		if ok && r.Next != nil && !sc.sharding.table.Alive(r.Next.Member) && sc.sharding.table.Alive(r.Owner.Member) {
+			return sc.sharding.table.CancelMove(id, sc.leaderState())
 		}
 	}
 	return nil
 }
 
-// commitChange carries a change of owners out.
-func (sl *shardCoordinator) commitChange(change *shard.Change) {
-	l, c := sl.leader, sl.leader.controller
+// commitChange commits a change of owners.
+func (sc *shardCoordinator) commitChange(change *shard.Change) {
+	l, c := sc.leader, sc.leader.controller
 	if len(change.Txn.Ops) == 0 {
 		return
 	}
-	sl.changeInFlight = true
+	sc.changeInFlight = true
 	l.writer.committer.Spend(len(change.Txn.Ops))
 	c.store.Commit(&change.Txn, func(r statestore.CommitResult) {
 		if !l.alive() {
 			return
 		}
 		if r.Status == statestore.CommitApplied {
-			sl.changeInFlight = false
-			sl.changeApplied(change, r.Revision)
+			sc.changeInFlight = false
+			sc.changeApplied(change, r.Revision)
 			return
 		}
 		if slices.Contains(r.Failed, records.KeyLeader) {
 			c.election.StepDown("the leader key has changed")
 			return
 		}
-		// It may have been applied, or may yet be: what stands there decides.
-		c.after(200*time.Millisecond, sl.reloadTermAndTable)
+		// It may have been applied, or may still be: the term and the table are read again.
+		c.after(200*time.Millisecond, sc.reloadTermAndTable)
 	})
 }
 
-func (sl *shardCoordinator) changeApplied(change *shard.Change, revision uint64) {
-	sl.leader.controller.election.TermRaised(change.Term, revision)
-	sl.sharding.table.Applied(change, revision)
-	sl.sharding.ownershipChanged()
+func (sc *shardCoordinator) changeApplied(change *shard.Change, revision uint64) {
+	sc.leader.controller.election.TermRaised(change.Term, revision)
+	sc.sharding.table.Applied(change, revision)
+	sc.sharding.ownershipChanged()
 }
 
-// reloadTermAndTable reads the terms and owners afresh before anything is changed again.
-func (sl *shardCoordinator) reloadTermAndTable() {
-	if !sl.leader.alive() {
+// reloadTermAndTable reads the term and the table again before the next change.
+func (sc *shardCoordinator) reloadTermAndTable() {
+	if !sc.leader.alive() {
 		return
 	}
-	sl.leader.controller.store.Get(records.KeyTerm, func(r statestore.ReadResult) {
-		if !sl.leader.alive() {
+	sc.leader.controller.store.Get(records.KeyTerm, func(r statestore.ReadResult) {
+		if !sc.leader.alive() {
 			return
 		}
 		if r.Status != statestore.Found {
-			sl.leader.controller.after(200*time.Millisecond, sl.reloadTermAndTable)
+			sc.leader.controller.after(200*time.Millisecond, sc.reloadTermAndTable)
 			return
 		}
-		sl.leader.controller.election.TermRead(r.Item)
-		sl.changeInFlight = false
-		sl.sharding.loadTable()
+		sc.leader.controller.election.TermRead(r.Item)
+		sc.changeInFlight = false
+		sc.sharding.loadTable()
 	})
 }
 
-// plannerControllers are the members as the planner sees them.
-func (sl *shardCoordinator) plannerControllers() []shard.Controller {
-	c := sl.leader.controller
+// plannerControllers are the members with what the planner needs to know of them.
+func (sc *shardCoordinator) plannerControllers() []shard.Controller {
+	c := sc.leader.controller
 	var list []shard.Controller
-	for _, m := range sl.sharding.table.Members() {
+	for _, m := range sc.sharding.table.Members() {
 		member := shard.Controller{Member: m.Member, Zone: m.Zone, Draining: m.Draining}
-		if owner := sl.channels[m.Name]; owner != nil && owner.member == m.Member {
+		if owner := sc.channels[m.Name]; owner != nil && owner.member == m.Member {
 			member.Load, member.SinceLastMessage, member.Reachability = owner.status.Load, c.now.Sub(owner.heardAt), owner.reachabilityAt(c.now)
 			if member.Reachability == shard.ReachabilityUnknown && owner.partitioned {
 				member.Reachability = shard.WorkersUnreachable
 			}
 			member.Healthy = member.Reachability != shard.WorkersUnreachable && member.SinceLastMessage <= ownerTimeout && member.Load.Lag <= overload.OverloadThreshold
 		}
-		if sl.retiring && m.Name != c.cfg.Name {
+		if sc.retiring && m.Name != c.cfg.Name {
 			member.Draining = true
 		}
 		list = append(list, member)
@@ -137,13 +138,14 @@
 	return list
 }
 
-// plannerShards are those that there are, and those that are to be, as the planner sees them.
-func (sl *shardCoordinator) plannerShards() []shard.Shard {
-	count := sl.shardCount
-	if sl.retiring {
+// plannerShards are the recorded and the configured shards with what the planner needs to know of
+// them.
+func (sc *shardCoordinator) plannerShards() []shard.Shard {
+	count := sc.shardCount
+	if sc.retiring {
 		count = 0
 	}
-	return sl.sharding.table.PlannerShards(count, sl.leader.machineShards, sl.previousOwnerEnded)
+	return sc.sharding.table.PlannerShards(count, sc.leader.machineShards, sc.previousOwnerEnded)
 }
 
 // machineShards gives the shard and the zone of each machine.
@@ -155,15 +157,15 @@
 	}
 }
 
-// previousOwnerEnded reports whether whoever owned a shard whose record can't be read has surely
-// stopped answering: an owner that reads such a record stops at once, and one that can't
-// read it is at the end of what it knows.
-func (sl *shardCoordinator) previousOwnerEnded(id shard.ID, version uint64) bool {
-	c := sl.leader.controller
-	return sl.unreadable.Age(c.now, id, version) > c.maxAnswerStaleness()+leadership.MaxClockDrift(c.cfg.CancelWithin)+deadlineMargin
+// previousOwnerEnded reports whether any owner of a shard whose record can't be parsed has certainly
+// stopped answering workers: an owner that reads such a record stops at once, and one without the
+// state service stops when its knowledge of cancellations is too old (maxAnswerStaleness).
+func (sc *shardCoordinator) previousOwnerEnded(id shard.ID, version uint64) bool {
+	c := sc.leader.controller
+	return sc.unreadable.Age(c.now, id, version) > c.maxAnswerStaleness()+leadership.MaxClockDrift(c.cfg.CancelWithin)+deadlineMargin
 }
 
-// shardForNewMachine is the shard that a new machine's record is to be in, 0 for none.
+// shardForNewMachine is the shard for a new machine, 0 without sharding.
 func (l *leader) shardForNewMachine(m *machine) shard.ID {
 	if l.shards == nil {
 		return 0
@@ -171,8 +173,8 @@
 	return shard.ForNewMachine(m.Zone, l.shards.shardCount, l.machineShards)
 }
 
-// assignUnshardedMachines moves machines whose record names no shard to records that do. Where both
-// stand, the one with a shard counts.
+// assignUnshardedMachines moves machines whose record has no shard in its key to records that have
+// one. Where both records exist, the one with a shard takes precedence.
 func (l *leader) assignUnshardedMachines() {
 	old := map[string]bool{}
 	for _, m := range l.fleetList {
@@ -189,8 +191,8 @@
 	}
 }
 
-func (sl *shardCoordinator) hasMachines(id shard.ID) bool {
-	for _, m := range sl.leader.fleetList {
+func (sc *shardCoordinator) hasMachines(id shard.ID) bool {
+	for _, m := range sc.leader.fleetList {
 		if m.shard == id {
 			return true
 		}
@@ -198,12 +200,12 @@
 	return false
 }
 
-// reportMoveCompleted tells operators of a move that is over, if one is.
-func (sl *shardCoordinator) reportMoveCompleted(move *shard.Move) {
+// reportMoveCompleted logs and traces a completed move; nil is none.
+func (sc *shardCoordinator) reportMoveCompleted(move *shard.Move) {
 	if move == nil {
 		return
 	}
-	c := sl.leader.controller
+	c := sc.leader.controller
 	c.log.Info("shard moved", "shard", move.ID, "from", move.From, "to", move.To, "reason", move.Reason.String(),
 		"handed_over", move.HandedOver.Sub(move.Proposed), "served", move.Served.Sub(move.Proposed), "first_heartbeat", c.now.Sub(move.Proposed))
 	c.effects.Spans = append(c.effects.Spans, Span{Name: "shard move", From: move.Proposed, Until: c.now,
