--- a/internal/coordination/shard/forms_test.go
+++ b/internal/coordination/shard/forms_test.go
@@ -11,20 +11,20 @@
 // Records and messages keep the encoding of earlier versions, with all fields set and with none.
 func TestEncodings(t *testing.T) {
 	member := Member{Name: "n1", Incarnation: 1<<64 - 1}
-	grant := Ownership{Member: member, Term: 41}
+	owner := Ownership{Member: member, Term: 41}
 	next := Ownership{Member: Member{Name: "n2", Incarnation: 6}, Term: 42}
 	task := Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 3, Attempt: 7}
-	run := Start{Task: task, FirstNotice: true, Stopping: true, GraceMillis: 10000}
+	start := Start{Task: task, FirstNotice: true, Stopping: true, GraceMillis: 10000}
 	header := Header{Epoch: ChannelEpoch{Term: 41, Member: member}, Sequence: 5, Acknowledged: 4, Snapshot: true, SnapshotRequested: true}
 	golden.Check(t, []golden.Form{
 		{File: "member_full.json", Value: &MemberRecord{Member: member, Zone: "a", Draining: true, Reachability: &ReachabilityReport{Sequence: 2, Workers: 30, Unreachable: 4}}},
 		{File: "member_least.json", Value: &MemberRecord{}},
 		{File: "member_reach_least.json", Value: &MemberRecord{Reachability: &ReachabilityReport{}}},
-		{File: "owner_full.json", Value: &OwnerRecord{Owner: grant, Next: &next, HandedOver: true, Generation: 9}},
+		{File: "owner_full.json", Value: &OwnerRecord{Owner: owner, Next: &next, HandedOver: true, Generation: 9}},
 		{File: "owner_least.json", Value: &OwnerRecord{}},
 		{File: "instructions_full.json", Value: &Instructions{Header: header,
-			Machines:           []Machine{{Shard: 12, Term: 41, Name: "vm-1", Addr: "10.0.0.1:1", Type: "small", Zone: "a", Spot: true, RegisteredBefore: true, Starts: []Start{run}}},
-			TerminatedMachines: []string{"vm-2"}, Starts: []Start{run}, Stops: []Stop{{Task: task, GraceMillis: 10000}}, Forgets: []Task{task}}},
+			Machines:           []Machine{{Shard: 12, Term: 41, Name: "vm-1", Addr: "10.0.0.1:1", Type: "small", Zone: "a", Spot: true, RegisteredBefore: true, Starts: []Start{start}}},
+			TerminatedMachines: []string{"vm-2"}, Starts: []Start{start}, Stops: []Stop{{Task: task, GraceMillis: 10000}}, Forgets: []Task{task}}},
 		{File: "instructions_least.json", Value: &Instructions{}},
 		{File: "instructions_least_entries.json", Value: &Instructions{Machines: []Machine{{}}, TerminatedMachines: []string{""}, Starts: []Start{{}}, Stops: []Stop{{}},
 			Forgets: []Task{{}}}},
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -117,10 +117,10 @@
 }
 
 // Assign assigns unowned shards to members: new shards, and those whose owner's lease has ended.
-// The change is conditional on the absence of that lease's member record, so that the previous
-// ownership has ended in the state service. Shards with a live owner are skipped. A shard whose
-// record can't be parsed is assigned too: the caller must have waited until any owner of it has
-// stopped serving.
+// The change is conditional on the member key of the previous owner being as the table has it:
+// absent, or of a later incarnation. So the previous ownership has certainly ended in the state
+// service. Shards with a live owner are skipped. A shard whose record can't be parsed is assigned
+// too: the caller must have waited until any owner of it has stopped serving.
 func (t *Table) Assign(list []Assignment, leader LeaderState) *Change {
 	c := newChange(leader)
 	owners := map[string]bool{}
@@ -154,8 +154,8 @@
 	}
 	c := newChange(leader)
 	r := current.value
-	grant := c.nextOwnership(to)
-	r.Next = &grant
+	next := c.nextOwnership(to)
+	r.Next = &next
 	c.put(id, current.version, r)
 	return c.recordTerm(leader)
 }
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -69,9 +69,9 @@
 	maxConcurrentMoves     = 2                // of shards with machines
 	rebalanceInterval      = 20 * time.Second // between moves for balance
 	moveCooldown           = 60 * time.Second // before a shard moves again for balance
-	reachFailureTTL        = 60 * time.Second // how long a member that lost a zone's workers is given no other shard of the zone
-	lastShardKeepTime      = 30 * time.Second // how long an unresponsive owner that reaches its workers keeps its last shard
-	maxTakeoverCPUShare    = 0.5              // processor share up to which a controller takes shards of an unresponsive owner
+	reachFailureTTL        = 60 * time.Second // before a member that lost a zone's workers is given another shard there
+	lastShardKeepTime      = 30 * time.Second // of the last shard by an unresponsive owner that reaches its workers
+	maxTakeoverCPUShare    = 0.5              // processor share up to which shards of an unresponsive owner are taken over
 	reasonHoldTime         = 15 * time.Second // how long a reason must hold before a served shard moves for it
 	unresponsiveAfter      = 6 * time.Second  // after how long without a message an owner's shards move
 	minCPUShareGap         = 0.25             // between the busiest and the idlest controller, to move for balance
@@ -85,7 +85,7 @@
 type Planner struct {
 	movedAt        map[ID]time.Time
 	rebalancedAt   time.Time            // last move for balance
-	pendingReasons map[ID]pendingReason // why a shard should move; at key 0 since when loads differ, with no reason
+	pendingReasons map[ID]pendingReason // why a shard should move; key 0: since when loads have differed
 	reachFailures  reachFailures
 }
 
@@ -252,7 +252,8 @@
 		return ReasonDraining
 	case c.Reachability == WorkersUnreachable:
 		return ReasonPartitioned
-	case c.SinceLastMessage > unresponsiveAfter || c.Reachability == WorkersReachable: // an owner writes its reachability only while it receives no messages from a leader
+	// An owner writes its reachability only while it receives no messages from a leader.
+	case c.SinceLastMessage > unresponsiveAfter || c.Reachability == WorkersReachable:
 		return ReasonUnresponsive
 	case s.Zone != "" && c.Zone != s.Zone:
 		return ReasonZone
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -178,7 +178,8 @@
 	if f.Channel != nil && f.Channel.Epoch() == epoch || f.Channel != nil && f.Channel.Epoch().Term > term {
 		return
 	}
-	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.UnacknowledgedTerminations{} // the leader's snapshot lists the attempts that it knows of
+	// Unacknowledged terminations are dropped: the leader's snapshot lists the attempts that it knows of.
+	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.UnacknowledgedTerminations{}
 	f.schedule()
 }
 
@@ -189,9 +190,9 @@
 	}
 	f.leaderHeardAt = f.owner.controller.now
 	f.connect(from, in.Epoch.Term)
-	taken := f.Channel.Receive(in.Header)
+	accepted := f.Channel.Receive(in.Header)
 	f.unacknowledged.Acknowledged(f.Channel.Acknowledged())
-	if !taken {
+	if !accepted {
 		return
 	}
 	if in.Snapshot {
@@ -233,13 +234,13 @@
 		m.addr = k.Addr
 	}
 	m.registeredBefore = m.registeredBefore || k.RegisteredBefore
-	runs := map[taskKey]*shard.Start{}
+	starts := map[taskKey]*shard.Start{}
 	for i := range k.Starts {
 		r := &k.Starts[i]
-		runs[taskKey{r.Job, r.TaskIndex}] = r
+		starts[taskKey{r.Job, r.TaskIndex}] = r
 	}
 	for _, a := range m.sortedAttempts() {
-		if r := runs[taskKey{a.job.ID, a.taskIndex}]; r == nil || r.Attempt != a.number {
+		if r := starts[taskKey{a.job.ID, a.taskIndex}]; r == nil || r.Attempt != a.number {
 			o.removeAttempt(a) // the leader knows that it was terminated
 		}
 	}
@@ -311,8 +312,8 @@
 	s := &shard.Status{Load: shard.Load{CPUShare: o.controller.processorLoad.share, Lag: o.controller.overload.TakePeak(), HeartbeatRate: float64(o.heartbeatsSinceStatus), Machines: len(o.fleetList)}}
 	o.heartbeatsSinceStatus = 0
 	for _, m := range o.fleetList {
-		if late, ok := o.unhealthy(m); ok {
-			s.Unhealthy = append(s.Unhealthy, late)
+		if worker, ok := o.unhealthy(m); ok {
+			s.Unhealthy = append(s.Unhealthy, worker)
 		}
 		o.sweepExits(m)
 	}
@@ -325,12 +326,12 @@
 // unhealthy gives the status entry of a worker that is silent, that doesn't answer probes, that
 // nothing sent was seen to reach, or whose heartbeats go unanswered.
 func (o *shardOwner) unhealthy(m *machine) (shard.UnhealthyWorker, bool) {
-	silent, unreached, unreported := o.silentFor(m), o.unreachedFor(m), o.unansweredFor(m)
-	if !o.expectsHeartbeats(m) || silent <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unreported <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
+	silent, unreached, unanswered := o.silentFor(m), o.unreachedFor(m), o.unansweredFor(m)
+	if !o.expectsHeartbeats(m) || silent <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unanswered <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
 		return shard.UnhealthyWorker{}, false
 	}
 	return shard.UnhealthyWorker{Machine: m.Name, SilentMillis: silent.Milliseconds(), UnreachedMillis: unreached.Milliseconds(),
-		UnansweredMillis: unreported.Milliseconds(), FailedProbes: m.session.FailedProbes}, true
+		UnansweredMillis: unanswered.Milliseconds(), FailedProbes: m.session.FailedProbes}, true
 }
 
 // sweepExits drops exits that workers were allowed to forget longer than exitRetention ago.
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -202,7 +202,7 @@
 	if c.now.Sub(l.reconciledAt) <= ownerTimeout {
 		return false
 	}
-	able := 0
+	reachableOwners := 0
 	for controller, owner := range sc.channels {
 		if controller == c.cfg.Name {
 			if owner.status.Load.Machines > 0 && !owner.partitioned {
@@ -215,10 +215,10 @@
 			return false
 		}
 		if reachability == shard.WorkersReachable {
-			able++
+			reachableOwners++
 		}
 	}
-	return able > 0 && c.resignDisconnected("no contact with workers or other shard owners")
+	return reachableOwners > 0 && c.resignDisconnected("no contact with workers or other shard owners")
 }
 
 // ownerUnresponsiveAfter is after how long without a message an owner counts as disconnected from the
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -157,16 +157,16 @@
 	m.session.FailedProbes, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.RegisteredAt = sessions.UnreachableProbeThreshold, l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	owner, other := l.shards.channels["n1"], l.shards.channels["n2"]
 	later := l.controller.now.Add(l.controller.timing().UnresponsiveAfter() + time.Second)
-	silent := func(alternative bool) bool {
+	unresponsive := func(alternative bool) bool {
 		l.controller.now = later
 		owner.heardAt, other.heardAt, l.shards.ownerHeardSinceByShard[1] = later, later, later.Add(-time.Minute)
 		owner.partitioned, owner.alternatives = true, map[string]bool{m.Zone: alternative}
 		return len(l.assessReachability().unresponsive) > 0
 	}
-	if silent(true) {
+	if unresponsive(true) {
 		t.Error("given up although another controller may reach it")
 	}
-	if !silent(false) {
+	if !unresponsive(false) {
 		t.Error("kept although every controller has tried")
 	}
 }
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -16,9 +16,9 @@
 		return
 	}
 	owner.heardAt = c.now
-	taken := owner.Channel.Receive(observations.Header)
+	accepted := owner.Channel.Receive(observations.Header)
 	sc.applyServedTerms(owner, observations.ServedTerms)
-	if taken {
+	if accepted {
 		sc.applyObservations(owner, observations)
 	}
 	if owner.Ready() {
@@ -28,13 +28,13 @@
 
 // applyServedTerms updates which shards an owner serves, and queues the machines of newly announced
 // ones to be sent to it.
-func (sc *shardCoordinator) applyServedTerms(owner *ownerChannel, grants map[shard.ID]uint64) {
+func (sc *shardCoordinator) applyServedTerms(owner *ownerChannel, servedTerms map[shard.ID]uint64) {
 	for id := range owner.announcedTerms {
-		if grants[id] != owner.announcedTerms[id] {
+		if servedTerms[id] != owner.announcedTerms[id] {
 			delete(owner.announcedTerms, id)
 		}
 	}
-	for id, term := range grants {
+	for id, term := range servedTerms {
 		ownership, ok := sc.sharding.table.Owner(id)
 		if !ok || ownership.Member != owner.member || ownership.Term != term {
 			continue // an earlier ownership, or one that the watch hasn't shown yet
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -270,11 +270,11 @@
 
 // servedTerms are the shards that are served now, and the terms of their ownerships.
 func (o *shardOwner) servedTerms() map[shard.ID]uint64 {
-	grants := map[shard.ID]uint64{}
+	terms := map[shard.ID]uint64{}
 	for id, owned := range o.shards {
 		if owned.served() {
-			grants[id] = owned.epoch.Term
+			terms[id] = owned.epoch.Term
 		}
 	}
-	return grants
+	return terms
 }
