--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -67,15 +67,15 @@
 func TestMove(t *testing.T) {
 	table := newTestTable(t, "a")
 	if table.HandOver(1, member("a"), true) != nil {
-		t.Error("released without an intent")
+		t.Error("handed over without a proposed move")
 	}
 	proposal := table.ProposeMove(1, member("b"), leader)
 	table.Applied(proposal, 40)
 	if table.ProposeMove(1, member("c"), leader) != nil {
-		t.Error("a second move of a shard that moves")
+		t.Error("a second move was proposed for a shard that is moving")
 	}
 	if table.HandOver(1, member("b"), true) != nil {
-		t.Error("released by somebody else")
+		t.Error("handed over by a member that isn't the owner")
 	}
 	handover := table.HandOver(1, member("a"), true)
 	if conditions := conditionVersions(handover); conditions[records.KeyOwner(1)] != 40 || len(conditions) != 1 {
@@ -98,10 +98,10 @@
 func TestUnreadableRecord(t *testing.T) {
 	table := newTestTable(t, "a")
 	if table.Put(records.KeyOwner(1), json.RawMessage(`{"owner":7}`), 50) == nil {
-		t.Error("it was read")
+		t.Error("an invalid record was accepted")
 	}
 	if _, ok := table.Owner(1); ok {
-		t.Error("it has an owner")
+		t.Error("a shard with an unreadable record has an owner")
 	}
 	if version, unreadable := table.Unreadable(1); !unreadable || version != 50 {
 		t.Errorf("version %d, unreadable %t", version, unreadable)
@@ -265,7 +265,7 @@
 			t.Fatalf("a message of %d bytes", size)
 		}
 		if len(message.Starts) > 0 && machines+len(message.Machines) < entries {
-			t.Error("starts before their machines")
+			t.Error("starts were sent before their machines")
 		}
 		machines, starts = machines+len(message.Machines), starts+len(message.Starts)
 		terminated += len(message.TerminatedMachines)
@@ -303,25 +303,25 @@
 	from, to := NewChannel(e), NewChannel(e)
 	first, lost, third := from.NextHeader(start, true), from.NextHeader(start, true), from.NextHeader(start, true)
 	if !to.Receive(first) || to.Receive(first) {
-		t.Error("the first line once")
+		t.Error("the first message must be accepted exactly once")
 	}
 	_ = lost
 	if to.Receive(third) {
-		t.Error("a line after a lost one was taken")
+		t.Error("a message after a lost one was accepted")
 	}
 	from.Receive(to.NextHeader(start, false))
 	from.CheckTimeouts(start.Add(time.Second))
 	if !from.SnapshotDue() || !to.Receive(from.NextHeader(start.Add(time.Second), true)) {
-		t.Error("no full account after a lost line")
+		t.Error("no snapshot after a lost message")
 	}
 	if to.Receive(Header{Epoch: ChannelEpoch{Term: 4, Member: member("a")}, Sequence: 1, Snapshot: true}) {
-		t.Error("a line of another epoch was taken")
+		t.Error("a message of another epoch was accepted")
 	}
 	for !from.WindowFull() {
 		from.NextHeader(start, true)
 	}
 	from.Receive(Header{Epoch: e, Acknowledged: from.sent})
 	if from.WindowFull() {
-		t.Error("full after all was acknowledged")
+		t.Error("the window is full although all messages are acknowledged")
 	}
 }
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -67,7 +67,7 @@
 	current.Terminations = outdated.Terminations
 	l.shards.receive("n2", current)
 	if l.jobsByAge[0].task(0).live != nil {
-		t.Error("the owner's word was not taken")
+		t.Error("a termination from the present owner was not applied")
 	}
 }
 
@@ -118,12 +118,12 @@
 	o := newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 5))
 	if m := o.machines["vm-1"]; m.attemptsKnown || len(m.attemptList) != 0 {
-		t.Error("the list of an earlier tenure was taken")
+		t.Error("a machine list of an earlier ownership epoch was applied")
 	}
 	o = newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 7))
 	if m := o.machines["vm-1"]; !m.attemptsKnown || len(m.attemptList) != 1 {
-		t.Error("the list was not taken")
+		t.Error("a machine list of the present ownership epoch was not applied")
 	}
 }
 
@@ -164,10 +164,10 @@
 		return len(l.assessReachability().unresponsive) > 0
 	}
 	if unresponsive(true) {
-		t.Error("given up although another controller may reach it")
+		t.Error("unresponsive although another controller may reach it")
 	}
 	if !unresponsive(false) {
-		t.Error("kept although every controller has tried")
+		t.Error("not unresponsive although every controller has tried to reach it")
 	}
 }
 
@@ -261,10 +261,10 @@
 	o.feed.flush()
 	o.controller.takeEffects()
 	if o.taskExitReported(m, m.attemptList[0], &exit) {
-		t.Error("the worker may forget it before the next leader knows")
+		t.Error("the worker may forget the exit before the next leader knows of it")
 	}
 	if len(o.feed.pending.Exits) != 1 {
-		t.Error("the next leader isn't told")
+		t.Error("the exit isn't sent to the next leader")
 	}
 }
 
@@ -297,10 +297,10 @@
 		return false
 	}
 	if handedOverExclusively(time.Second) {
-		t.Error("released although one before may still answer")
+		t.Error("handed over as exclusive although an earlier owner may still answer")
 	}
 	if !handedOverExclusively(0) {
-		t.Error("the next owner has to wait for nobody")
+		t.Error("not handed over as exclusive although no earlier owner may still answer")
 	}
 }
 
