--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -20,13 +20,13 @@
 	"brasskeel/internal/records"
 )
 
-// hottestShown is how many machines are listed unless asked otherwise.
-const hottestShown = 10
+// defaultTop is how many machines are listed unless asked otherwise.
+const defaultTop = 10
 
 func balanceCommand() *cobra.Command {
 	c := &cobra.Command{Use: "balance", Short: "Show how loaded machines are, by whom, and which teams surge", Args: cobra.NoArgs}
 	settings, operator := settingsFlags(c)
-	top := c.Flags().Int("top", hottestShown, "how many of the hottest machines to list")
+	top := c.Flags().Int("top", defaultTop, "how many of the hottest machines to list")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		s, _, err := loadSettings(*settings, *operator)
 		if err != nil {
@@ -53,7 +53,7 @@
 	jobs           map[string]*records.Job
 	demand         map[string]float64 // CPUs of unfinished tasks, by team
 	surges         records.Surges
-	moved          map[string]int // tasks that are on record as moved in the surge under way, by team
+	migrated       map[string]int // tasks that are on record as moved in the surge under way, by team
 	unreadableKeys []string       // keys that can't be read
 }
 
@@ -62,12 +62,12 @@
 	name, machineType, zone string
 	reservedByTeam          map[string]placement.Resources
 	reserved                placement.Resources
-	share                   float64 // of the resource that most is taken of
+	dominantShare           float64 // of the resource that most is taken of
 }
 
 func newFleetReport() *fleetReport {
 	return &fleetReport{types: map[string]*protocol.MachineType{}, machines: map[string]*machineLoad{},
-		jobs: map[string]*records.Job{}, demand: map[string]float64{}, moved: map[string]int{}}
+		jobs: map[string]*records.Job{}, demand: map[string]float64{}, migrated: map[string]int{}}
 }
 
 // readFleet reads the records. They are read one kind after the other while work goes on, so
@@ -78,8 +78,8 @@
 		prefix string
 		take   func(protocol.KeyValue) error
 	}{
-		{records.KeyMachineTypes, f.takeTypes}, {records.PrefixSurges, f.takeSurges}, {records.PrefixActive, f.takeJob},
-		{records.PrefixMachineGroups, f.takeMachines}, {records.PrefixTaskBlocks, f.takeChunk},
+		{records.KeyMachineTypes, f.addTypes}, {records.PrefixSurges, f.addSurges}, {records.PrefixActive, f.addJob},
+		{records.PrefixMachineGroups, f.addMachineGroup}, {records.PrefixTaskBlocks, f.addTaskBlock},
 	} {
 		err := readKeys(ctx, s, part.prefix, func(it protocol.KeyValue) {
 			if part.take(it) != nil {
@@ -98,12 +98,12 @@
 func (f *fleetReport) computeShares() {
 	for _, m := range f.machines {
 		if t := f.types[m.machineType]; t != nil {
-			m.share = balance.DominantShare(m.reserved, placement.Capacity(t))
+			m.dominantShare = balance.DominantShare(m.reserved, placement.Capacity(t))
 		}
 	}
 }
 
-func (f *fleetReport) takeTypes(it protocol.KeyValue) error {
+func (f *fleetReport) addTypes(it protocol.KeyValue) error {
 	var types []protocol.MachineType
 	err := json.Unmarshal(it.Value, &types)
 	for i := range types {
@@ -112,11 +112,11 @@
 	return err
 }
 
-func (f *fleetReport) takeSurges(it protocol.KeyValue) error {
+func (f *fleetReport) addSurges(it protocol.KeyValue) error {
 	return protocol.Decode(it.Value, &f.surges)
 }
 
-func (f *fleetReport) takeJob(it protocol.KeyValue) error {
+func (f *fleetReport) addJob(it protocol.KeyValue) error {
 	var r records.Job
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (f *fleetReport) takeMachines(it protocol.KeyValue) error {
+func (f *fleetReport) addMachineGroup(it protocol.KeyValue) error {
 	var r records.MachineGroup
 	if err := protocol.Decode(it.Value, &r); err != nil {
 		return err
@@ -139,7 +139,7 @@
 	return nil
 }
 
-func (f *fleetReport) takeChunk(it protocol.KeyValue) error {
+func (f *fleetReport) addTaskBlock(it protocol.KeyValue) error {
 	id, index, ok := records.ParseTaskBlockKey(it.Key)
 	job := f.jobs[id]
 	if !ok {
@@ -166,7 +166,7 @@
 		}
 		for _, on := range moved {
 			if on {
-				f.moved[spec.Team]++
+				f.migrated[spec.Team]++
 			}
 		}
 	}
@@ -182,26 +182,26 @@
 
 // show prints the fleet as a whole, surges, and the hottest machines.
 func (f *fleetReport) show(to io.Writer, top int) error {
-	out := &output{to: to}
+	out := &output{w: to}
 	list := slices.SortedFunc(maps.Values(f.machines), func(a, b *machineLoad) int {
-		return cmp.Or(cmp.Compare(b.share, a.share), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.dominantShare, a.dominantShare), cmp.Compare(a.name, b.name))
 	})
 	if len(list) == 0 {
 		out.printf("no machines on record\n")
 	} else {
 		sum := 0.0
 		for _, m := range list {
-			sum += m.share
+			sum += m.dominantShare
 		}
 		out.printf("%d machines: mean %.0f%%, 99%% of them below %.0f%%, hottest %.0f%%\n",
-			len(list), 100*sum/float64(len(list)), 100*list[len(list)/100].share, 100*list[0].share)
+			len(list), 100*sum/float64(len(list)), 100*list[len(list)/100].dominantShare, 100*list[0].dominantShare)
 	}
 	f.showSurges(out)
 	if len(list) > 0 && top > 0 {
 		out.table(func(rows *output) {
 			rows.printf("\nMACHINE\tTYPE\tZONE\tTAKEN\tBY\n")
 			for _, m := range list[:min(top, len(list))] {
-				rows.printf("%s\t%s\t%s\t%.0f%%\t%s\n", m.name, m.machineType, m.zone, 100*m.share, f.byTeam(m))
+				rows.printf("%s\t%s\t%s\t%.0f%%\t%s\n", m.name, m.machineType, m.zone, 100*m.dominantShare, f.teamShares(m))
 			}
 		})
 	}
@@ -220,13 +220,13 @@
 		rows.printf("\nSURGING TEAM\tSINCE\tUSUAL CPUS\tWANTED CPUS\tMOVED TASKS\n")
 		for _, team := range slices.Sorted(maps.Keys(f.surges)) {
 			r := f.surges[team]
-			rows.printf("%s\t%s\t%.0f\t%.0f\t%d\n", team, time.UnixMilli(int64(r.Number)).UTC().Format(time.DateTime), r.Level, f.demand[team], f.moved[team])
+			rows.printf("%s\t%s\t%.0f\t%.0f\t%d\n", team, time.UnixMilli(int64(r.Number)).UTC().Format(time.DateTime), r.UsualCPUs, f.demand[team], f.migrated[team])
 		}
 	})
 }
 
-// byTeam lists which part of a machine teams take, the largest first.
-func (f *fleetReport) byTeam(m *machineLoad) string {
+// teamShares lists which part of a machine teams take, the largest first.
+func (f *fleetReport) teamShares(m *machineLoad) string {
 	capacity := placement.Resources{}
 	if t := f.types[m.machineType]; t != nil {
 		capacity = placement.Capacity(t)
--- a/cmd/brasskeel/balance_test.go
+++ b/cmd/brasskeel/balance_test.go
@@ -10,7 +10,7 @@
 
 // What operators are shown of loads follows the records: who takes which part of a machine,
 // who surges, and what can't be read.
-func TestBalanceShown(t *testing.T) {
+func TestBalanceReport(t *testing.T) {
 	f := newFleetReport()
 	job := func(id, team string, tasks int, cpus float64) records.Job {
 		return records.Job{BlockSize: 96, Spec: &protocol.Job{ID: id, Team: team, Tasks: tasks, CPUs: cpus, MemoryGB: 1}}
@@ -24,16 +24,16 @@
 		value any
 		bad   bool
 	}{
-		{f.takeTypes, records.KeyMachineTypes, []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}, false},
-		{f.takeSurges, records.KeySurges, records.Surges{"red": {Number: 1764680000000, Level: 2}}, false},
-		{f.takeJob, records.KeyActive("run-1"), job("run-1", "red", 4, 2), false},
-		{f.takeJob, records.KeyActive("run-2"), job("run-2", "blue", 1, 1), false},
-		{f.takeMachines, records.KeyMachineGroup(0, 1, 1), records.MachineGroup{Type: "small", Zone: "a", Machines: []records.MachineEntry{{Name: "vm-1"}, {Name: "vm-2"}}}, false},
-		{f.takeChunk, records.KeyTaskBlock("run-1", 0), done, false},
-		{f.takeChunk, records.KeyTaskBlock("run-2", 0), records.TaskBlock{Tasks: []records.TaskEntry{{Attempt: 1, Machine: "vm-2"}}}, false},
-		{f.takeChunk, records.KeyTaskBlock("run-9", 0), records.TaskBlock{}, false}, // its job has just ended
-		{f.takeChunk, "c/odd", records.TaskBlock{}, true},
-		{f.takeMachines, "m/odd", "no record", true},
+		{f.addTypes, records.KeyMachineTypes, []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}, false},
+		{f.addSurges, records.KeySurges, records.Surges{"red": {Number: 1764680000000, UsualCPUs: 2}}, false},
+		{f.addJob, records.KeyActive("run-1"), job("run-1", "red", 4, 2), false},
+		{f.addJob, records.KeyActive("run-2"), job("run-2", "blue", 1, 1), false},
+		{f.addMachineGroup, records.KeyMachineGroup(0, 1, 1), records.MachineGroup{Type: "small", Zone: "a", Machines: []records.MachineEntry{{Name: "vm-1"}, {Name: "vm-2"}}}, false},
+		{f.addTaskBlock, records.KeyTaskBlock("run-1", 0), done, false},
+		{f.addTaskBlock, records.KeyTaskBlock("run-2", 0), records.TaskBlock{Tasks: []records.TaskEntry{{Attempt: 1, Machine: "vm-2"}}}, false},
+		{f.addTaskBlock, records.KeyTaskBlock("run-9", 0), records.TaskBlock{}, false}, // its job has just ended
+		{f.addTaskBlock, "c/odd", records.TaskBlock{}, true},
+		{f.addMachineGroup, "m/odd", "no record", true},
 	} {
 		if err := it.take(protocol.KeyValue{Key: it.key, Value: records.Encode(it.value)}); (err != nil) != it.bad {
 			t.Errorf("%s: %v", it.key, err)
--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -61,7 +61,7 @@
 
 	c := &controllerProcess{cfg: cfg, trace: trace, ready: make(chan struct{})}
 	c.core = coordination.New(cfg, op, log, rand.Uint64(), time.Now())
-	c.loop = transport.NewLoop(cfg.Listen, cfg.State, cfg.Sockets, c, log)
+	c.loop = transport.NewLoop(cfg.ListenAddr, cfg.StateAddr, cfg.MaxSockets, c, log)
 	var addrs []string
 	for _, p := range cfg.Peers {
 		addrs = append(addrs, p.Addr)
@@ -69,28 +69,28 @@
 	c.timer = time.AfterFunc(time.Hour, func() { c.loop.Post(c.tick) })
 	c.timer.Stop()
 	var err error
-	c.peers, err = transport.NewPeerStreams(cfg.PeerListen, cfg.Name, addrs, func(line []byte) {
+	c.peers, err = transport.NewPeerStreams(cfg.PeerListenAddr, cfg.Name, addrs, func(line []byte) {
 		<-c.ready
 		c.loop.Post(func() { c.apply(c.core.PeerMessage(time.Now(), line)) })
 	}, log)
 	if err != nil {
 		return err
 	}
-	if most, known := maxDescriptors(); known && most < uint64(cfg.Sockets+reservedDescriptors) {
-		log.Warn("too few file descriptors for the configured sockets", "descriptors", most, "sockets", cfg.Sockets)
+	if most, known := descriptorLimit(); known && most < uint64(cfg.MaxSockets+reservedDescriptors) {
+		log.Warn("too few file descriptors for the configured sockets", "descriptors", most, "sockets", cfg.MaxSockets)
 	}
-	log.Info("controller starting", "listen", cfg.Listen, "peer_listen", cfg.PeerListen, "zone", cfg.Zone)
+	log.Info("controller starting", "listen", cfg.ListenAddr, "peer_listen", cfg.PeerListenAddr, "zone", cfg.Zone)
 	c.drainOnTerminate(log)
 	if err := c.loop.Run(); err != nil {
 		return err
 	}
-	return errLoopEnded
+	return errLoopExited
 }
 
-// Times of a planned end. drainWithin bounds how long a controller goes on after it was asked
+// Times of a planned end. drainTimeout bounds how long a controller goes on after it was asked
 // to end; what it has not given up by then, others take over as after a crash.
 const (
-	drainWithin       = 20 * time.Second
+	drainTimeout      = 20 * time.Second
 	drainPollInterval = 100 * time.Millisecond
 )
 
@@ -102,7 +102,7 @@
 		<-signals
 		<-c.ready
 		c.loop.Post(func() { c.apply(c.core.Drain(time.Now())) })
-		for end := time.Now().Add(drainWithin); time.Now().Before(end); time.Sleep(drainPollInterval) {
+		for end := time.Now().Add(drainTimeout); time.Now().Before(end); time.Sleep(drainPollInterval) {
 			drained := make(chan bool, 1)
 			c.loop.Post(func() { drained <- c.core.Drained() })
 			if <-drained {
@@ -111,7 +111,7 @@
 				os.Exit(0)
 			}
 		}
-		log.Warn("drain timed out", "duration", drainWithin)
+		log.Warn("drain timed out", "duration", drainTimeout)
 		c.trace.close()
 		os.Exit(0)
 	}()
@@ -121,9 +121,9 @@
 // streams, the settings, and what the runtime and the event loop hold.
 const reservedDescriptors = 16
 
-// maxDescriptors is how many file descriptors the process may hold. The runtime has raised the
+// descriptorLimit is how many file descriptors the process may hold. The runtime has raised the
 // soft limit to the hard one by now.
-func maxDescriptors() (most uint64, known bool) {
+func descriptorLimit() (most uint64, known bool) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, false
@@ -131,8 +131,8 @@
 	return limit.Cur, true
 }
 
-// processorTime is how much processor time the process has used; 0 where that isn't told.
-func processorTime() time.Duration {
+// cpuTime is how much processor time the process has used; 0 where that isn't told.
+func cpuTime() time.Duration {
 	var use unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &use); err != nil {
 		return 0
@@ -166,9 +166,9 @@
 		addr := k.Addr
 		switch k.To {
 		case coordination.StateService:
-			addr = c.cfg.State
+			addr = c.cfg.StateAddr
 		case coordination.Cloud:
-			addr = c.cfg.Cloud
+			addr = c.cfg.CloudAddr
 		}
 		id := k.ID
 		c.loop.Call(addr, k.Method, k.Target, k.Body, k.Timeout, func(status int, body []byte, err error) {
@@ -184,10 +184,10 @@
 	}
 	c.trace.record(e.Spans)
 	if len(e.Broadcasts) > 0 { // once a second
-		c.core.ObserveProcessorTime(time.Now(), processorTime())
+		c.core.ObserveProcessorTime(time.Now(), cpuTime())
 		c.core.CountLostPeerMessages(c.peers.TakeDropped())
 		k := c.loop.TakeCounts()
-		c.core.CountSocketLimits(k.ClosedWhenCrowded, k.ClosedForRoom, k.CallsWithoutSocket)
+		c.core.CountSocketLimits(k.ClosedAfterResponse, k.ConnectionsShed, k.CallsWithoutSocket)
 	}
 	if next := c.core.NextTick(); !next.IsZero() && (c.timerAt.IsZero() || next.Before(c.timerAt)) {
 		c.timerAt = next
--- a/cmd/brasskeel/errors.go
+++ b/cmd/brasskeel/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// errLoopEnded says that the event loop returned, which it does in no good way.
-var errLoopEnded = errors.New("the event loop ended")
+// errLoopExited says that the event loop returned, which it does in no good way.
+var errLoopExited = errors.New("the event loop ended")
 
 // optionError is a flag or a variable of the environment with a value that isn't taken.
 type optionError struct{ name, reason string }
--- a/cmd/brasskeel/errors_test.go
+++ b/cmd/brasskeel/errors_test.go
@@ -6,7 +6,7 @@
 )
 
 // Operators read these texts: they stay as they are.
-func TestErrors(t *testing.T) {
+func TestErrorTexts(t *testing.T) {
 	_, levelErr := logLevel("loud")
 	balance := balanceCommand()
 	for _, test := range []struct {
@@ -18,7 +18,7 @@
 		{"status", &statusError{503}, "status 503"},
 		{"key", &keyError{"chunk", "c/odd"}, `no chunk's key: "c/odd"`},
 		{"flag", &optionError{"--top", "is -1, not 0 or more"}, "--top is -1, not 0 or more"},
-		{"loop", errLoopEnded, "the event loop ended"},
+		{"loop", errLoopExited, "the event loop ended"},
 	} {
 		if test.err == nil || test.err.Error() != test.want {
 			t.Errorf("%s: %v, want %s", test.name, test.err, test.want)
@@ -33,10 +33,10 @@
 	}
 }
 
-// failing takes so many bytes and then no more.
-type failing struct{ left int }
+// limitedWriter takes so many bytes and then no more.
+type limitedWriter struct{ left int }
 
-func (f *failing) Write(p []byte) (int, error) {
+func (f *limitedWriter) Write(p []byte) (int, error) {
 	if len(p) > f.left {
 		return 0, errors.New("full")
 	}
@@ -47,7 +47,7 @@
 // What can't be printed in full ends a command with an error.
 func TestOutputErrors(t *testing.T) {
 	for _, left := range []int{0, 3, 1000} {
-		out := &output{to: &failing{left}}
+		out := &output{w: &limitedWriter{left}}
 		out.printf("abc")
 		out.table(func(rows *output) { rows.printf("a\tb\n") })
 		out.printf("d")
--- a/cmd/brasskeel/shards.go
+++ b/cmd/brasskeel/shards.go
@@ -46,14 +46,14 @@
 
 // showShards prints who owns what, and the controllers that may own shards.
 func showShards(to io.Writer, table *shard.Table, unreadable []error) error {
-	out := &output{to: to}
+	out := &output{w: to}
 	if table.Empty() {
 		out.printf("no shards: the leader serves all machines\n")
 	} else {
 		out.table(func(rows *output) {
 			rows.printf("SHARD\tOWNER\tTERM\tMOVES TO\tOWNERS SO FAR\n")
 			for _, id := range table.IDs() {
-				rows.printf("%s\n", shardLine(table, id))
+				rows.printf("%s\n", formatShard(table, id))
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 	return out.err
 }
 
-func shardLine(table *shard.Table, id shard.ID) string {
+func formatShard(table *shard.Table, id shard.ID) string {
 	r, _, ok := table.Record(id)
 	if !ok {
 		return fmt.Sprintf("%d\tunreadable\t\t\t", id)
--- a/cmd/brasskeel/state.go
+++ b/cmd/brasskeel/state.go
@@ -22,7 +22,7 @@
 func readKeys(ctx context.Context, s *config.Settings, prefix string, take func(protocol.KeyValue)) error {
 	after := ""
 	for {
-		items, more, err := readPage(ctx, s.State, prefix, after)
+		items, more, err := readPage(ctx, s.StateAddr, prefix, after)
 		if err != nil {
 			return fmt.Errorf("the state service: %w", err)
 		}
--- a/cmd/brasskeel/trace_test.go
+++ b/cmd/brasskeel/trace_test.go
@@ -11,7 +11,7 @@
 )
 
 // A move is written with its parts, under one trace, with the times of the core.
-func TestTrace(t *testing.T) {
+func TestTracerWritesSpans(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trace.json")
 	tracer, err := newTracer(path)
 	if err != nil {
--- a/cmd/standin/cluster.go
+++ b/cmd/standin/cluster.go
@@ -15,16 +15,16 @@
 
 // Errors of a run.
 var (
-	errExternal = errors.New("--external takes name=NAME,type=TYPE,zone=ZONE,endpoint=ADDRESS")
-	errBroken   = errors.New("rules were broken")
+	errExternalSyntax = errors.New("--external takes name=NAME,type=TYPE,zone=ZONE,endpoint=ADDRESS")
+	errRulesBroken    = errors.New("rules were broken")
 )
 
-// capacity is the number of machines that can be rented of each type, ordinary ones and
+// capacityPerType is the number of machines that can be rented of each type, ordinary ones and
 // spot ones.
-const capacity = 50
+const capacityPerType = 50
 
-// startTime bounds how long controllers may take to be ready.
-const startTime = 20 * time.Second
+// startTimeout bounds how long controllers may take to be ready.
+const startTimeout = 20 * time.Second
 
 // clusterFlags shape the cluster of a command.
 type clusterFlags struct {
@@ -61,30 +61,30 @@
 	if err != nil {
 		return err
 	}
-	err = start(ctx, live)
+	err = startControllers(ctx, live)
 	if err == nil {
 		err = do(live)
 	}
 	live.Close()
 	if len(live.Violations()) > 0 { // each was logged
-		return errors.Join(err, errBroken)
+		return errors.Join(err, errRulesBroken)
 	}
 	return err
 }
 
-// start starts the controllers and waits until they are ready.
-func start(ctx context.Context, live *simulator.Loopback) error {
+// startControllers starts the controllers and waits until they are ready.
+func startControllers(ctx context.Context, live *simulator.Loopback) error {
 	if err := live.StartControllers(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	return live.AwaitReady(ctx)
 }
 
 func (f *clusterFlags) options() (simulator.LoopbackOptions, error) {
-	o := simulator.LoopbackOptions{Binary: f.binary, Operator: f.operator, Dir: f.dir,
-		Options: simulator.Options{Controllers: f.controllers, Machines: f.machines, Capacity: capacity, Log: os.Stderr}}
+	o := simulator.LoopbackOptions{Binary: f.binary, OperatorFile: f.operator, Dir: f.dir,
+		Options: simulator.Options{Controllers: f.controllers, Machines: f.machines, Capacity: capacityPerType, Log: os.Stderr}}
 	if f.controllers < 1 || f.machines < 0 {
 		return o, fmt.Errorf("%d controllers and %d machines are no cluster", f.controllers, f.machines)
 	}
@@ -93,7 +93,7 @@
 		if err != nil {
 			return o, err
 		}
-		o.External = append(o.External, m)
+		o.ExternalMachines = append(o.ExternalMachines, m)
 	}
 	return o, nil
 }
@@ -104,7 +104,7 @@
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(part, "=")
 		if fields[key] == nil || value == "" {
-			return m, fmt.Errorf("%w, not %q", errExternal, text)
+			return m, fmt.Errorf("%w, not %q", errExternalSyntax, text)
 		}
 		*fields[key] = value
 	}
--- a/cmd/standin/experiment.go
+++ b/cmd/standin/experiment.go
@@ -39,30 +39,30 @@
 		if err != nil {
 			return err
 		}
-		showOutcomes(cmd.OutOrStdout(), e, outcomes)
+		printOutcomes(cmd.OutOrStdout(), e, outcomes)
 		if err := writeReport(reportFile, e, outcomes); err != nil {
 			return err
 		}
 		if err := writePlot(plotFile, e, outcomes); err != nil {
 			return err
 		}
-		return brokenRules(outcomes)
+		return violationError(outcomes)
 	}
 	return c
 }
 
-// brokenRules is an error if any rule was broken.
-func brokenRules(outcomes []simulator.Outcome) error {
+// violationError is an error if any rule was broken.
+func violationError(outcomes []simulator.Outcome) error {
 	for _, o := range outcomes {
-		if len(o.Broken) > 0 {
-			return fmt.Errorf("%d rules broken with the setting %s, first: %s", len(o.Broken), o.Setting, o.Broken[0])
+		if len(o.Violations) > 0 {
+			return fmt.Errorf("%d rules broken with the setting %s, first: %s", len(o.Violations), o.Setting, o.Violations[0])
 		}
 	}
 	return nil
 }
 
-// showOutcomes prints a column for each setting. All figures are from simulated machines.
-func showOutcomes(out io.Writer, e *simulator.Experiment, outcomes []simulator.Outcome) {
+// printOutcomes prints a column for each setting. All figures are from simulated machines.
+func printOutcomes(out io.Writer, e *simulator.Experiment, outcomes []simulator.Outcome) {
 	fmt.Fprintf(out, "%s: %d simulated machines at the start, %d s, %d seeds\n", e.Name, e.Machines, e.Seconds, e.Seeds)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name string, value func(*simulator.Outcome) string) {
@@ -74,25 +74,25 @@
 	}
 	row("", func(o *simulator.Outcome) string { return o.Setting })
 	row("jobs done", func(o *simulator.Outcome) string { return fmt.Sprintf("%d of %d", o.Done, o.Jobs) })
-	row("hottest machine, mean over time", func(o *simulator.Outcome) string { return percent(mean(o.Hottest)) })
-	row("99% of machines below, mean over time", func(o *simulator.Outcome) string { return percent(mean(o.High)) })
-	row("all machines, mean", func(o *simulator.Outcome) string { return percent(mean(o.Mean)) })
-	row("machine time with a team above its ceiling", func(o *simulator.Outcome) string { return percent(o.Above) })
+	row("hottest machine, mean over time", func(o *simulator.Outcome) string { return formatPercent(mean(o.MaxLoad)) })
+	row("99% of machines below, mean over time", func(o *simulator.Outcome) string { return formatPercent(mean(o.P99Load)) })
+	row("all machines, mean", func(o *simulator.Outcome) string { return formatPercent(mean(o.MeanLoad)) })
+	row("machine time with a team above its ceiling", func(o *simulator.Outcome) string { return formatPercent(o.AboveCeilingShare) })
 	row("tasks moved", func(o *simulator.Outcome) string { return fmt.Sprint(o.Moves) })
 	row("moves per job", func(o *simulator.Outcome) string { return fmt.Sprintf("%.3f", o.MovesPerJob) })
-	row("wasted work, CPU seconds", func(o *simulator.Outcome) string { return fmt.Sprintf("%.0f", o.Wasted) })
-	row("placed on holders", func(o *simulator.Outcome) string { return percent(o.Held) })
+	row("wasted work, CPU seconds", func(o *simulator.Outcome) string { return fmt.Sprintf("%.0f", o.WastedCPUSeconds) })
+	row("placed on holders", func(o *simulator.Outcome) string { return formatPercent(o.ImageHitRate) })
 	row("fetched GB", func(o *simulator.Outcome) string { return fmt.Sprintf("%.0f", o.FetchedGB) })
-	row("changes in the state service", func(o *simulator.Outcome) string { return fmt.Sprint(o.Changes) })
+	row("changes in the state service", func(o *simulator.Outcome) string { return fmt.Sprint(o.StateWrites) })
 	for _, team := range slices.Sorted(maps.Keys(outcomes[0].Waits)) {
 		row("wait of "+team+", median and 99%", func(o *simulator.Outcome) string {
-			return fmt.Sprintf("%.2f s, %.2f s", o.Waits[team].Median, o.Waits[team].Most)
+			return fmt.Sprintf("%.2f s, %.2f s", o.Waits[team].Median, o.Waits[team].P99)
 		})
 	}
 	_ = w.Flush() // to a terminal, as all that is printed
 }
 
-func percent(part float64) string { return fmt.Sprintf("%.1f%%", 100*part) }
+func formatPercent(part float64) string { return fmt.Sprintf("%.1f%%", 100*part) }
 
 func mean(list []float64) float64 {
 	sum := 0.0
@@ -142,7 +142,7 @@
 			name   string
 			values []float64
 			dashes []vg.Length
-		}{{"99% below", o.High, nil}, {"mean", o.Mean, []vg.Length{vg.Points(4), vg.Points(3)}}} {
+		}{{"99% below", o.P99Load, nil}, {"mean", o.MeanLoad, []vg.Length{vg.Points(4), vg.Points(3)}}} {
 			points := make(plotter.XYs, len(s.values))
 			for k, v := range s.values {
 				points[k].X, points[k].Y = float64(k), v
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -19,10 +19,10 @@
 	"brasskeel/internal/simulator"
 )
 
-// commandWithin bounds all that a test waits for, and queryInterval is how often its user asks.
+// commandTimeout bounds all that a test waits for, and queryInterval is how often its user asks.
 const (
-	commandWithin = 40 * time.Second
-	pollEvery     = 200 * time.Millisecond
+	commandTimeout = 40 * time.Second
+	pollInterval   = 200 * time.Millisecond
 )
 
 // TestCommands runs the commands with real controllers.
@@ -31,18 +31,18 @@
 	if out, err := exec.Command("go", "build", "-o", binary, "brasskeel/cmd/brasskeel").CombinedOutput(); err != nil {
 		t.Fatalf("go build: %v\n%s", err, out)
 	}
-	for name, test := range map[string]func(context.Context, *testing.T, string){"up": up, "load": load} {
+	for name, test := range map[string]func(context.Context, *testing.T, string){"up": testUp, "load": testLoad} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ctx, cancel := context.WithTimeout(t.Context(), commandWithin)
+			ctx, cancel := context.WithTimeout(t.Context(), commandTimeout)
 			defer cancel()
 			test(ctx, t, binary)
 		})
 	}
 }
 
-// execute runs the command with arguments.
-func execute(ctx context.Context, out io.Writer, arguments ...string) error {
+// executeCommand runs the command with arguments.
+func executeCommand(ctx context.Context, out io.Writer, arguments ...string) error {
 	root := rootCommand()
 	root.SetArgs(arguments)
 	root.SetOut(out)
@@ -102,19 +102,19 @@
 	checkReport(t, report)
 	checkPlot(t, plot)
 	for content, names := range map[string]string{strings.Replace(settings, `"cpus": 1`, `"cpus": -1`, 1): "teams[0].cpus", "{": "experiment"} {
-		if err := execute(t.Context(), io.Discard, "experiment", file("bad.json", content)); err == nil || !strings.Contains(err.Error(), names) {
+		if err := executeCommand(t.Context(), io.Discard, "experiment", file("bad.json", content)); err == nil || !strings.Contains(err.Error(), names) {
 			t.Errorf("%s: %v", names, err)
 		}
 	}
-	if err := execute(t.Context(), io.Discard, "experiment", file("none.json", "")); err == nil {
+	if err := executeCommand(t.Context(), io.Discard, "experiment", file("none.json", "")); err == nil {
 		t.Error("a file that isn't there is taken")
 	}
 }
 
-// load expects all jobs of a small load to be done.
-func load(ctx context.Context, t *testing.T, binary string) {
+// testLoad expects all jobs of a small load to be done.
+func testLoad(ctx context.Context, t *testing.T, binary string) {
 	var out bytes.Buffer
-	if err := execute(ctx, &out, "load", "--binary", binary, "--jobs", "10", "--rate", "10", "--run", "500ms"); err != nil {
+	if err := executeCommand(ctx, &out, "load", "--binary", binary, "--jobs", "10", "--rate", "10", "--run", "500ms"); err != nil {
 		t.Error(err)
 	}
 	if !strings.HasPrefix(out.String(), "jobs      10, accepted 10, done 10\n") {
@@ -122,13 +122,13 @@
 	}
 }
 
-// up runs a job like a user does, at the address that the command prints.
-func up(ctx context.Context, t *testing.T, binary string) {
+// testUp runs a job like a user does, at the address that the command prints.
+func testUp(ctx context.Context, t *testing.T, binary string) {
 	out, in := io.Pipe()
 	running, interrupt := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
-		err := execute(running, in, "up", "--binary", binary, "--controllers", "2", "--machines", "2")
+		err := executeCommand(running, in, "up", "--binary", binary, "--controllers", "2", "--machines", "2")
 		_ = in.CloseWithError(err)
 		ended <- err
 	}()
@@ -144,45 +144,45 @@
 // runJob submits a job and asks for it until it is done. As users do, it asks again when
 // it is refused with 503.
 func runJob(ctx context.Context, out *io.PipeReader) error {
-	jobs, err := jobsAddress(out)
+	jobs, err := readJobsURL(out)
 	if err != nil {
 		return err
 	}
 	go func() { _, _ = io.Copy(io.Discard, out) }()
 	job := simulator.SampleJob("run-000001", 500*time.Millisecond)
-	if _, err := insist(ctx, "POST", jobs, protocol.EncodeJob(&job)); err != nil {
+	if _, err := sendWithRetry(ctx, "POST", jobs, protocol.EncodeJob(&job)); err != nil {
 		return err
 	}
 	for {
-		state, err := insist(ctx, "GET", jobs+"/"+job.ID, nil)
+		state, err := sendWithRetry(ctx, "GET", jobs+"/"+job.ID, nil)
 		if err != nil || state == protocol.Done {
 			return err
 		}
-		pause(ctx)
+		waitPollInterval(ctx)
 	}
 }
 
-// pause lasts until the user asks again.
-func pause(ctx context.Context) {
+// waitPollInterval lasts until the user asks again.
+func waitPollInterval(ctx context.Context) {
 	select {
-	case <-time.After(pollEvery):
+	case <-time.After(pollInterval):
 	case <-ctx.Done():
 	}
 }
 
-// insist sends a user's request until it isn't refused with 503.
-func insist(ctx context.Context, method, address string, body []byte) (protocol.JobState, error) {
+// sendWithRetry sends a user's request until it isn't refused with 503.
+func sendWithRetry(ctx context.Context, method, address string, body []byte) (protocol.JobState, error) {
 	for {
-		status, state, err := send(ctx, method, address, body)
+		status, state, err := sendRequest(ctx, method, address, body)
 		if err != nil || status != http.StatusServiceUnavailable {
 			return state, err
 		}
-		pause(ctx)
+		waitPollInterval(ctx)
 	}
 }
 
-// jobsAddress finds the first address that the command prints for jobs.
-func jobsAddress(out io.Reader) (string, error) {
+// readJobsURL finds the first address that the command prints for jobs.
+func readJobsURL(out io.Reader) (string, error) {
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		for word := range strings.FieldsSeq(lines.Text()) {
@@ -194,8 +194,8 @@
 	return "", errors.Join(lines.Err(), errors.New("no address is printed"))
 }
 
-// send sends a user's request and reads the state that the answer tells.
-func send(ctx context.Context, method, address string, body []byte) (int, protocol.JobState, error) {
+// sendRequest sends a user's request and reads the state that the answer tells.
+func sendRequest(ctx context.Context, method, address string, body []byte) (int, protocol.JobState, error) {
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
 		return 0, 0, err
@@ -220,7 +220,7 @@
 		t.Errorf("%+v, %v, want %+v", got, err, want)
 	}
 	for _, bad := range []string{"", "name", "name=", "name=a,size=3"} {
-		if _, err := parseExternal(bad); !errors.Is(err, errExternal) {
+		if _, err := parseExternal(bad); !errors.Is(err, errExternalSyntax) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
--- a/cmd/standin/up.go
+++ b/cmd/standin/up.go
@@ -18,7 +18,7 @@
 	flags.add(c)
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		return flags.run(cmd.Context(), func(live *simulator.Loopback) error {
-			describe(cmd.OutOrStdout(), live)
+			printInstructions(cmd.OutOrStdout(), live)
 			<-cmd.Context().Done()
 			return nil
 		})
@@ -26,18 +26,18 @@
 	return c
 }
 
-// sampleRun is how long the task of the job in the example runs.
-const sampleRun = 20 * time.Second
+// sampleTaskDuration is how long the task of the job in the example runs.
+const sampleTaskDuration = 20 * time.Second
 
-// describe tells where everything is, and how to submit, ask for and cancel a job.
-func describe(out io.Writer, live *simulator.Loopback) {
+// printInstructions tells where everything is, and how to submit, ask for and cancel a job.
+func printInstructions(out io.Writer, live *simulator.Loopback) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CONTROLLER\tUSERS AND WORKERS\tSTATE SERVICE\tCLOUD\tSETTINGS\tLOG")
 	for _, k := range live.Controllers() {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", k.Name(), k.PublicAddr(), k.StateAddr(), k.CloudAddr(), k.SettingsFile, k.LogFile)
 	}
 	_ = table.Flush() // to a terminal, as all that is printed
-	job := simulator.SampleJob("run-000001", sampleRun)
+	job := simulator.SampleJob("run-000001", sampleTaskDuration)
 	jobs := "http://" + live.Controllers()[0].PublicAddr() + protocol.PathJobs
 	fmt.Fprintf(out, "\nAny controller takes jobs, for example:\n\n")
 	fmt.Fprintf(out, "  curl -d '%s' %s\n", protocol.EncodeJob(&job), jobs)
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -17,9 +17,9 @@
 
 const root = ".."
 
-// pages are those that describe the code as it is. The others tell what was measured, found or
+// maintainedPages are those that describe the code as it is. The others tell what was measured, found or
 // changed at a time, in the words of that time.
-func pages() []string {
+func maintainedPages() []string {
 	list := []string{filepath.Join(root, "README.md"), filepath.Join(root, "DEVELOPERS.md")}
 	for _, name := range []string{"ARCHITECTURE", "BALANCE", "DESIGN", "GLOSSARY", "MEETINGS", "OPERATIONS", "SCALE", "SHARDS"} {
 		list = append(list, name+".md")
@@ -33,8 +33,8 @@
 	words map[string]bool // in its files but the pages
 }
 
-// optional are files that aren't always there.
-var optional = map[string]bool{"KNOWN-RED.txt": true}
+// optionalFiles are files that aren't always there.
+var optionalFiles = map[string]bool{"KNOWN-RED.txt": true}
 
 // skippedDirs hold no sources.
 var skippedDirs = map[string]bool{".git": true, "journal": true, "target": true}
@@ -81,8 +81,8 @@
 	return r
 }
 
-// has reports whether a file or folder is named by the end of its path.
-func (r *repository) has(path string) bool {
+// hasPath reports whether a file or folder is named by the end of its path.
+func (r *repository) hasPath(path string) bool {
 	path = strings.TrimSuffix(strings.TrimPrefix(path, "./"), "/")
 	for _, f := range r.files {
 		if f == path || strings.HasSuffix(f, "/"+path) {
@@ -93,21 +93,21 @@
 }
 
 var (
-	quoted     = regexp.MustCompile("`([^`\n]+)`")
-	sourceFile = regexp.MustCompile(`^[\w./-]+\.(go|toml|json|md|yml|txt)$`)
-	folder     = regexp.MustCompile(`^\.?[\w-]+(/[\w.-]+)+/?$`)
-	identifier = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*(\(\))?$`)
+	backquoted        = regexp.MustCompile("`([^`\n]+)`")
+	fileNamePattern   = regexp.MustCompile(`^[\w./-]+\.(go|toml|json|md|yml|txt)$`)
+	directoryPattern  = regexp.MustCompile(`^\.?[\w-]+(/[\w.-]+)+/?$`)
+	identifierPattern = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*(\(\))?$`)
 )
 
-// knows reports whether what a page puts in backquotes exists, if it is a file, a path or an
+// resolves reports whether what a page puts in backquotes exists, if it is a file, a path or an
 // identifier. Commands and other phrases are not looked for.
-func (r *repository) knows(name string) bool {
+func (r *repository) resolves(name string) bool {
 	switch {
-	case sourceFile.MatchString(name):
-		return optional[name] || r.has(name) || r.words[strings.TrimSuffix(name, filepath.Ext(name))]
+	case fileNamePattern.MatchString(name):
+		return optionalFiles[name] || r.hasPath(name) || r.words[strings.TrimSuffix(name, filepath.Ext(name))]
 	case strings.HasPrefix(name, "internal/") || strings.HasPrefix(name, "cmd/") || strings.HasPrefix(name, "docs/"):
-		return !folder.MatchString(name) || r.has(name)
-	case identifier.MatchString(name):
+		return !directoryPattern.MatchString(name) || r.hasPath(name)
+	case identifierPattern.MatchString(name):
 		for _, word := range wordPattern.FindAllString(name, -1) {
 			if !r.words[word] {
 				return false
@@ -117,17 +117,17 @@
 	return true
 }
 
-// TestPagesNameWhatExists looks for each file and identifier that a page puts in backquotes.
-func TestPagesNameWhatExists(t *testing.T) {
+// TestReferencesInPagesExist looks for each file and identifier that a page puts in backquotes.
+func TestReferencesInPagesExist(t *testing.T) {
 	r := readRepository(t)
-	for _, page := range pages() {
+	for _, page := range maintainedPages() {
 		raw, err := os.ReadFile(page)
 		if err != nil {
 			t.Error(err)
 			continue
 		}
-		for _, match := range quoted.FindAllStringSubmatch(string(raw), -1) {
-			if name := match[1]; !r.knows(name) {
+		for _, match := range backquoted.FindAllStringSubmatch(string(raw), -1) {
+			if name := match[1]; !r.resolves(name) {
 				t.Errorf("%s names %s, which is nowhere", page, name)
 			}
 		}
@@ -150,7 +150,7 @@
 				return err
 			}
 			ast.Inspect(f, func(n ast.Node) bool {
-				if message, ok := warning(n); ok {
+				if message, ok := warningMessage(n); ok {
 					found[message] = fset.Position(n.Pos()).String()
 				}
 				return true
@@ -164,8 +164,8 @@
 	return found
 }
 
-// warning is the message of a call that logs at level warn or error.
-func warning(n ast.Node) (message string, ok bool) {
+// warningMessage is the message of a call that logs at level warn or error.
+func warningMessage(n ast.Node) (message string, ok bool) {
 	call, isCall := n.(*ast.CallExpr)
 	if !isCall || len(call.Args) == 0 {
 		return "", false
@@ -182,9 +182,9 @@
 	return message, err == nil
 }
 
-// TestWarningsAreExplained holds docs/OPERATIONS.md to every line that is logged at level warn or
+// TestWarningsAreDocumented holds docs/OPERATIONS.md to every line that is logged at level warn or
 // error.
-func TestWarningsAreExplained(t *testing.T) {
+func TestWarningsAreDocumented(t *testing.T) {
 	raw, err := os.ReadFile("OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,17 +21,17 @@
 // Team has a guarantee and a limit. A team without a limit, as guests are, has
 // NoLimit for it.
 type Team struct {
-	Name             string
-	CPUs, GPUs       float64 // guaranteed
-	CPUsMax, GPUsMax float64 // never exceeded
+	Name                           string
+	GuaranteedCPUs, GuaranteedGPUs float64 // guaranteed
+	MaxCPUs, MaxGPUs               float64 // never exceeded
 }
 
 // NoLimit is the limit of a team that has none: more than any fleet holds, and
 // finite, so that it can be counted with.
 const NoLimit = 1e9
 
-// limit reads a maximum, of which 0 means none.
-func limit(most float64) float64 {
+// limitFromFile reads a maximum, of which 0 means none.
+func limitFromFile(most float64) float64 {
 	if most == 0 {
 		return NoLimit
 	}
@@ -41,62 +41,62 @@
 // Objective is a service-level objective that the platform states for a class of jobs. Which
 // of the amounts count depends on the kind.
 type Objective struct {
-	Kind   string
-	Class  string
-	Within time.Duration
-	After  time.Duration
-	Share  float64 // of the class's jobs, 0 to 1
-	Times  float64 // of the estimated runtime
+	Kind            string
+	Class           string
+	Within          time.Duration
+	After           time.Duration
+	Share           float64 // of the class's jobs, 0 to 1
+	RuntimeMultiple float64 // of the estimated runtime
 }
 
 // Settings is what the platform hands over at the start.
 type Settings struct {
-	Name       string // of this controller, unique among the peers
-	Zone       string
-	Listen     string // address with a port, for users and workers
-	PeerListen string // address with a port, for other controllers
-	Peers      []Peer
-	Cloud      string // address with a port
-	State      string // of the state service, address with a port
+	Name           string // of this controller, unique among the peers
+	Zone           string
+	ListenAddr     string // address with a port, for users and workers
+	PeerListenAddr string // address with a port, for other controllers
+	Peers          []Peer
+	CloudAddr      string // address with a port
+	StateAddr      string // of the state service, address with a port
 
 	Teams      []Team
 	Objectives []Objective
-	// TimeBound is how far the times of day of two machines may be apart.
-	TimeBound time.Duration
+	// MaxClockSkew is how far the times of day of two machines may be apart.
+	MaxClockSkew time.Duration
 
 	HeartbeatInterval time.Duration // between a worker's heartbeats
 	// WorkerLease is how long a worker's tasks go on after its last heartbeat that was answered.
 	WorkerLease time.Duration
-	// CancelWithin is within which time a cancelled job's tasks must have ended.
-	CancelWithin time.Duration
+	// CancelDeadline is within which time a cancelled job's tasks must have ended.
+	CancelDeadline time.Duration
 
 	StateRPS      float64 // requests a second to the state service
 	StateWriteRPS float64 // of them, changes of keys
-	ValueBytes    int     // largest value of a key
-	TxnOps        int     // most operations in a transaction
+	MaxValueBytes int     // largest value of a key
+	MaxTxnOps     int     // most operations in a transaction
 
-	CloudRPS float64       // requests a second to the cloud
-	ListLag  time.Duration // by which the cloud's list of machines may be old
+	CloudRPS   float64       // requests a second to the cloud
+	MaxListLag time.Duration // by which the cloud's list of machines may be old
 
 	CPUShare    float64 // of one core
 	MemoryBytes int64
-	Sockets     int // open at a time
+	MaxSockets  int // open at a time
 }
 
-type file struct {
-	Name       string     `toml:"host_name"`
-	Zone       string     `toml:"domain"`
-	Listen     string     `toml:"public_addr"`
-	PeerListen string     `toml:"back"`
-	Peers      []filePeer `toml:"seeds"`
+type settingsFile struct {
+	Name       string      `toml:"host_name"`
+	Zone       string      `toml:"domain"`
+	Listen     string      `toml:"public_addr"`
+	PeerListen string      `toml:"back"`
+	Peers      []peerEntry `toml:"seeds"`
 	Services   struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"endpoints"`
 	Params struct {
-		TimeBoundMS float64         `toml:"time_bound_ms"`
-		Teams       []fileTeam      `toml:"teams"`
-		Objectives  []fileObjective `toml:"objectives"`
+		TimeBoundMS float64          `toml:"time_bound_ms"`
+		Teams       []teamEntry      `toml:"teams"`
+		Objectives  []objectiveEntry `toml:"objectives"`
 		Workers     struct {
 			ReportS float64 `toml:"report_s"`
 			LeaseS  float64 `toml:"lease_s"`
@@ -120,13 +120,13 @@
 	} `toml:"facts"`
 }
 
-type filePeer struct {
+type peerEntry struct {
 	Name string `toml:"host_name"`
 	Zone string `toml:"domain"`
 	Addr string `toml:"endpoint"`
 }
 
-type fileTeam struct {
+type teamEntry struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
 	CPUsMax float64 `toml:"cpus_max"`
@@ -134,7 +134,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-type fileObjective struct {
+type objectiveEntry struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
 	WithinS float64 `toml:"within_s"`
@@ -152,12 +152,12 @@
 	minSockets = 32
 )
 
-// maxAmount is more than any setting may be, so that it can be counted with.
-const maxAmount = 1e9
+// maxSettingValue is more than any setting may be, so that it can be counted with.
+const maxSettingValue = 1e9
 
-// minCancelSlack is what a cancellation must have beyond a worker's lease, for a leader to
+// minCancelMargin is what a cancellation must have beyond a worker's lease, for a leader to
 // learn of it before it renews another one.
-const minCancelSlack = 3 * time.Second
+const minCancelMargin = 3 * time.Second
 
 // Load reads the platform's settings from a file and checks them. Its errors are those of
 // os.ReadFile and of Parse.
@@ -172,13 +172,13 @@
 // Parse reads and checks settings. Unknown fields are ignored. The error is a *SettingError,
 // or wraps the error of the TOML decoder.
 func Parse(raw []byte) (*Settings, error) {
-	var f file
+	var f settingsFile
 	if err := toml.NewDecoder(bytes.NewReader(raw)).Decode(&f); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s := &Settings{}
-	for _, read := range [...]func(*file, *Settings) error{(*file).readController, (*file).readPeers, (*file).readTeams,
-		(*file).checkAmounts, (*file).readWorkers} {
+	for _, read := range [...]func(*settingsFile, *Settings) error{(*settingsFile).readController, (*settingsFile).readPeers, (*settingsFile).readTeams,
+		(*settingsFile).checkAmounts, (*settingsFile).readWorkers} {
 		if err := read(&f, s); err != nil {
 			return nil, err
 		}
@@ -189,17 +189,17 @@
 }
 
 // readController reads what this controller is called, and where it and the services listen.
-func (f *file) readController(s *Settings) error {
-	s.Name, s.Zone, s.Listen, s.PeerListen = f.Name, f.Zone, f.Listen, f.PeerListen
-	s.Cloud, s.State = f.Services.Cloud, f.Services.State
+func (f *settingsFile) readController(s *Settings) error {
+	s.Name, s.Zone, s.ListenAddr, s.PeerListenAddr = f.Name, f.Zone, f.Listen, f.PeerListen
+	s.CloudAddr, s.StateAddr = f.Services.Cloud, f.Services.State
 	if s.Name == "" {
-		return missing("host_name")
+		return missingError("host_name")
 	}
 	if s.Zone == "" {
-		return missing("domain")
+		return missingError("domain")
 	}
 	for _, a := range [...]struct{ name, addr string }{
-		{"public_addr", s.Listen}, {"back", s.PeerListen}, {"endpoints.cloud", s.Cloud}, {"endpoints.state", s.State}} {
+		{"public_addr", s.ListenAddr}, {"back", s.PeerListenAddr}, {"endpoints.cloud", s.CloudAddr}, {"endpoints.state", s.StateAddr}} {
 		if err := checkAddr(a.name, a.addr); err != nil {
 			return err
 		}
@@ -207,7 +207,7 @@
 	return nil
 }
 
-func (f *file) readPeers(s *Settings) error {
+func (f *settingsFile) readPeers(s *Settings) error {
 	named := map[string]bool{s.Name: true}
 	for _, p := range f.Peers {
 		if p.Name == "" {
@@ -225,7 +225,7 @@
 	return nil
 }
 
-func (f *file) readTeams(s *Settings) error {
+func (f *settingsFile) readTeams(s *Settings) error {
 	named := map[string]bool{}
 	for _, t := range f.Params.Teams {
 		if t.Name == "" || named[t.Name] {
@@ -237,28 +237,28 @@
 				return teamError(t.Name, "has an impossible amount")
 			}
 		}
-		t.CPUsMax, t.GPUsMax = limit(t.CPUsMax), limit(t.GPUsMax)
+		t.CPUsMax, t.GPUsMax = limitFromFile(t.CPUsMax), limitFromFile(t.GPUsMax)
 		if t.CPUsMax < t.CPUs || t.GPUsMax < t.GPUs {
 			return teamError(t.Name, "has a maximum below its guarantee")
 		}
-		s.Teams = append(s.Teams, Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
+		s.Teams = append(s.Teams, Team{Name: t.Name, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax, GuaranteedGPUs: t.GPUs, MaxGPUs: t.GPUsMax})
 	}
 	if len(s.Teams) == 0 {
-		return missing("facts.teams")
+		return missingError("facts.teams")
 	}
 	return nil
 }
 
-func (f *file) readObjectives(s *Settings) {
+func (f *settingsFile) readObjectives(s *Settings) {
 	for _, o := range f.Params.Objectives {
-		s.Objectives = append(s.Objectives, Objective{Kind: o.Kind, Class: o.Class, Share: o.Share, Times: o.Times,
+		s.Objectives = append(s.Objectives, Objective{Kind: o.Kind, Class: o.Class, Share: o.Share, RuntimeMultiple: o.Times,
 			Within: seconds(o.WithinS), After: seconds(o.AfterS)})
 	}
 }
 
 // checkAmounts refuses amounts that are not positive, and those that a controller can't work
 // with.
-func (f *file) checkAmounts(*Settings) error {
+func (f *settingsFile) checkAmounts(*Settings) error {
 	workers, state, cloud, quota := &f.Params.Workers, &f.Params.State, &f.Params.Cloud, &f.Params.Quota
 	for _, v := range [...]struct {
 		name  string
@@ -269,7 +269,7 @@
 		{"state.txn_ops", float64(state.TxnOps)}, {"cloud.rps", cloud.RPS},
 		{"quota.cpu", quota.CPU}, {"quota.ram_mb", quota.RAMMB}, {"quota.sockets", float64(quota.Sockets)},
 	} {
-		if !(v.value > 0) || v.value > maxAmount {
+		if !(v.value > 0) || v.value > maxSettingValue {
 			return &SettingError{Name: "facts." + v.name, Reason: "must be above zero"}
 		}
 	}
@@ -290,29 +290,29 @@
 	return nil
 }
 
-func (f *file) readWorkers(s *Settings) error {
+func (f *settingsFile) readWorkers(s *Settings) error {
 	workers := &f.Params.Workers
-	s.HeartbeatInterval, s.WorkerLease, s.CancelWithin = seconds(workers.ReportS), seconds(workers.LeaseS), seconds(workers.CancelS)
-	if s.CancelWithin < s.WorkerLease+minCancelSlack {
+	s.HeartbeatInterval, s.WorkerLease, s.CancelDeadline = seconds(workers.ReportS), seconds(workers.LeaseS), seconds(workers.CancelS)
+	if s.CancelDeadline < s.WorkerLease+minCancelMargin {
 		// A worker that can't be reached ends its tasks with its lease and not before.
-		return &SettingError{Name: "facts.workers.cancel_s", Reason: fmt.Sprintf("must exceed lease_s by %s or more", minCancelSlack)}
+		return &SettingError{Name: "facts.workers.cancel_s", Reason: fmt.Sprintf("must exceed lease_s by %s or more", minCancelMargin)}
 	}
 	return nil
 }
 
 // readLimits reads the limits of the services and of this controller, which were checked.
-func (f *file) readLimits(s *Settings) {
+func (f *settingsFile) readLimits(s *Settings) {
 	state, cloud, quota := &f.Params.State, &f.Params.Cloud, &f.Params.Quota
-	s.TimeBound = seconds(f.Params.TimeBoundMS / 1000)
-	s.StateRPS, s.StateWriteRPS, s.TxnOps = state.RPS, state.WriteRPS, state.TxnOps
-	s.ValueBytes = int(state.ValueKB * 1024)
-	s.CloudRPS, s.ListLag = cloud.RPS, seconds(cloud.ListLagS)
-	s.CPUShare, s.MemoryBytes, s.Sockets = quota.CPU, int64(quota.RAMMB*(1<<20)), quota.Sockets
+	s.MaxClockSkew = seconds(f.Params.TimeBoundMS / 1000)
+	s.StateRPS, s.StateWriteRPS, s.MaxTxnOps = state.RPS, state.WriteRPS, state.TxnOps
+	s.MaxValueBytes = int(state.ValueKB * 1024)
+	s.CloudRPS, s.MaxListLag = cloud.RPS, seconds(cloud.ListLagS)
+	s.CPUShare, s.MemoryBytes, s.MaxSockets = quota.CPU, int64(quota.RAMMB*(1<<20)), quota.Sockets
 }
 
 func checkAddr(name, addr string) error {
 	if addr == "" {
-		return missing(name)
+		return missingError(name)
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		return &SettingError{Name: name + ":", Reason: fmt.Sprintf("%q is not an address with a port", addr), Err: err}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const good = `
+const validSettings = `
 host_name = "n0"
 domain = "a"
 public_addr = "10.0.0.1:8080"
@@ -50,24 +50,24 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Name != "n0" || s.WorkerLease != 28*time.Second || s.ValueBytes != 8192 || s.Peers[0].Zone != "b" ||
+	if s.Name != "n0" || s.WorkerLease != 28*time.Second || s.MaxValueBytes != 8192 || s.Peers[0].Zone != "b" ||
 		s.Objectives[0].Within != 3*time.Second || s.MemoryBytes != 98<<20 {
 		t.Errorf("got %+v", s)
 	}
-	if s.Teams[0].CPUsMax != 2 || s.Teams[0].GPUsMax != NoLimit {
+	if s.Teams[0].MaxCPUs != 2 || s.Teams[0].MaxGPUs != NoLimit {
 		t.Errorf("limits: got %+v", s.Teams)
 	}
-	guest, err := Parse([]byte(strings.Replace(good, "cpus = 1.0\ncpus_max = 2.0", "cpus = 0.0\ncpus_max = 0.0", 1)))
-	if err != nil || guest.Teams[0].CPUs != 0 || guest.Teams[0].CPUsMax != NoLimit {
+	guest, err := Parse([]byte(strings.Replace(validSettings, "cpus = 1.0\ncpus_max = 2.0", "cpus = 0.0\ncpus_max = 0.0", 1)))
+	if err != nil || guest.Teams[0].GuaranteedCPUs != 0 || guest.Teams[0].MaxCPUs != NoLimit {
 		t.Errorf("a team without guarantee and limit: %+v, %v", guest, err)
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejects(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`public_addr = "10.0.0.1:8080"`, ``, "public_addr is missing"},
 		{`public_addr = "10.0.0.1:8080"`, `public_addr = "here"`, "not an address"},
@@ -83,7 +83,7 @@
 		{`domain = "a"`, ``, "domain is missing"},
 		{`[facts.cloud]`, `[[facts.cloud]]`, "settings"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q for %q: error %v, want %q", c.to, c.from, err, c.want)
 		}
@@ -94,21 +94,21 @@
 func TestParseLargeFleet(t *testing.T) {
 	large := strings.NewReplacer("cpus = 1.0\ncpus_max = 2.0", "cpus = 800000.0\ncpus_max = 3200000.0", "rps = 120.0", "rps = 20000.0",
 		"write_rps = 40.0", "write_rps = 8000.0", "sockets = 900", "sockets = 200000", "ram_mb = 98.0", "ram_mb = 65536.0",
-		"txn_ops = 16", "txn_ops = 4096", "value_kb = 8.0", "value_kb = 1024.0", "rps = 2.0", "rps = 500.0").Replace(good)
+		"txn_ops = 16", "txn_ops = 4096", "value_kb = 8.0", "value_kb = 1024.0", "rps = 2.0", "rps = 500.0").Replace(validSettings)
 	s, err := Parse([]byte(large))
-	if err != nil || s.Sockets != 200000 || s.Teams[0].CPUsMax != 3.2e6 {
+	if err != nil || s.MaxSockets != 200000 || s.Teams[0].MaxCPUs != 3.2e6 {
 		t.Errorf("got %+v, %v", s, err)
 	}
 }
 
 // TestEncode writes settings and reads them again.
 func TestEncode(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Teams = append(s.Teams, Team{Name: "guest", CPUsMax: NoLimit, GPUsMax: NoLimit})
-	s.Objectives = append(s.Objectives, Objective{Kind: "finished", Class: "c", Within: time.Minute, After: time.Second, Share: 0.5, Times: 2})
+	s.Teams = append(s.Teams, Team{Name: "guest", MaxCPUs: NoLimit, MaxGPUs: NoLimit})
+	s.Objectives = append(s.Objectives, Objective{Kind: "finished", Class: "c", Within: time.Minute, After: time.Second, Share: 0.5, RuntimeMultiple: 2})
 	raw, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	if err := ParseOperator([]byte(`{"imageWeight": 2.5, "spot": false}`), &o); err != nil {
 		t.Fatal(err)
 	}
-	if o.ImageWeight != 2.5 || o.Spot || o.RoomWeight != DefaultOperator().RoomWeight {
+	if o.ImageCacheWeight != 2.5 || o.AllowSpot || o.FreeShareWeight != DefaultOperator().FreeShareWeight {
 		t.Errorf("got %+v", o)
 	}
 	for _, bad := range []string{`{"imageWeight": "1"}`, `{"nope": 1}`, `[]`, `{"idleSeconds": -1}`, `{`,
@@ -165,11 +165,11 @@
 	}
 	o := DefaultOperator()
 	if err := ParseOperator([]byte(`{"balance": {"ceilingShare": 0.25}}`), &o); err != nil || o.Balance == nil ||
-		*o.Balance != (Balance{CeilingShare: 0.25, FetchQueueSeconds: 20, TradeSeconds: 2, MoveMargin: 1.5}) {
+		*o.Balance != (Balance{CeilingShare: 0.25, MaxFetchBacklogSeconds: 20, LoadPenaltySeconds: 2, MigrationMargin: 1.5}) {
 		t.Errorf("%v, %+v", err, o.Balance)
 	}
 	deployed := defaultBalance
-	deployed.Moves = true
+	deployed.AllowMigrations = true
 	if o, err := LoadOperator("../../deploy/operator.balance.json"); err != nil || o.Balance == nil || *o.Balance != deployed {
 		t.Errorf("deploy/operator.balance.json: %v, %+v", err, o.Balance)
 	}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -19,7 +19,7 @@
 // Unwrap gives the parser's error.
 func (e *SettingError) Unwrap() error { return e.Err }
 
-func missing(name string) error { return &SettingError{Name: name, Reason: "is missing"} }
+func missingError(name string) error { return &SettingError{Name: name, Reason: "is missing"} }
 
 func teamError(team, reason string) error {
 	return &SettingError{Name: fmt.Sprintf("team %q", team), Reason: reason}
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -34,7 +34,7 @@
 		{`lease_s = 28.0`, `lease_s = 46.0`, "settings: facts.workers.cancel_s must exceed lease_s by 3s or more"},
 		{`[facts.cloud]`, `[[facts.cloud]]`, "settings: toml: cannot store an array table in a struct"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, test.from, test.to, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, test.from, test.to, 1)))
 		if err == nil || err.Error() != test.want {
 			t.Errorf("%q for %q: error %q, want %q", test.to, test.from, err, test.want)
 		}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,10 +14,10 @@
 
 // Operator holds what operators may set beyond the platform's settings.
 type Operator struct {
-	// ImageWeight and RoomWeight are the weights of the placement score: of
+	// ImageCacheWeight and FreeShareWeight are the weights of the placement score: of
 	// the cached share of the image, and of the machine's free share.
-	ImageWeight float64 `json:"imageWeight"`
-	RoomWeight  float64 `json:"roomWeight"`
+	ImageCacheWeight float64 `json:"imageWeight"`
+	FreeShareWeight  float64 `json:"roomWeight"`
 	// HeadroomShare is the free room kept beyond what runs, as a share of it.
 	HeadroomShare float64 `json:"headroomShare"`
 	// IdleSeconds is how long a machine that is not needed is kept after its last task ended,
@@ -26,8 +26,8 @@
 	// LeaderLeaseSeconds is the time of a leader's lease: for so long it stays leader after it
 	// last renewed it.
 	LeaderLeaseSeconds float64 `json:"leaderLeaseSeconds"`
-	// Spot allows renting spot machines for jobs that may use them.
-	Spot bool `json:"spot"`
+	// AllowSpot allows renting spot machines for jobs that may use them.
+	AllowSpot bool `json:"spot"`
 	// Sharding divides the machines among the controllers; nil: the leader serves all.
 	Sharding *Sharding `json:"sharding,omitempty"`
 	// Balance bounds what surging teams put on one machine; nil: it doesn't.
@@ -46,19 +46,19 @@
 type Balance struct {
 	// CeilingShare is the part of a machine that a surging team may take.
 	CeilingShare float64 `json:"ceilingShare"`
-	// FetchQueueSeconds is how many seconds of image fetching may queue on a machine.
-	FetchQueueSeconds float64 `json:"fetchQueueSeconds"`
-	// TradeSeconds is how many seconds of fetching it is worth to use a machine without
+	// MaxFetchBacklogSeconds is how many seconds of image fetching may queue on a machine.
+	MaxFetchBacklogSeconds float64 `json:"fetchQueueSeconds"`
+	// LoadPenaltySeconds is how many seconds of fetching it is worth to use a machine without
 	// work of the team rather than one that it fills up to the ceiling.
-	TradeSeconds float64 `json:"tradeSeconds"`
-	// Moves allows running work of surging teams to be moved off hot machines.
-	Moves bool `json:"moves"`
-	// MoveMargin is how many times its cost a move has to save.
-	MoveMargin float64 `json:"moveMargin"`
+	LoadPenaltySeconds float64 `json:"tradeSeconds"`
+	// AllowMigrations allows running work of surging teams to be moved off hot machines.
+	AllowMigrations bool `json:"moves"`
+	// MigrationMargin is how many times its cost a move has to save.
+	MigrationMargin float64 `json:"moveMargin"`
 }
 
 // defaultBalance leaves a surging team half of each machine.
-var defaultBalance = Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2, MoveMargin: 1.5}
+var defaultBalance = Balance{CeilingShare: 0.5, MaxFetchBacklogSeconds: 20, LoadPenaltySeconds: 2, MigrationMargin: 1.5}
 
 // UnmarshalJSON implements json.Unmarshaler: what is left out has its default.
 func (b *Balance) UnmarshalJSON(raw []byte) error {
@@ -71,11 +71,11 @@
 	return nil
 }
 
-// FetchQueue is FetchQueueSeconds as a duration.
-func (b *Balance) FetchQueue() time.Duration { return seconds(b.FetchQueueSeconds) }
+// MaxFetchBacklog is MaxFetchBacklogSeconds as a duration.
+func (b *Balance) MaxFetchBacklog() time.Duration { return seconds(b.MaxFetchBacklogSeconds) }
 
-// Trade is TradeSeconds as a duration.
-func (b *Balance) Trade() time.Duration { return seconds(b.TradeSeconds) }
+// LoadPenalty is LoadPenaltySeconds as a duration.
+func (b *Balance) LoadPenalty() time.Duration { return seconds(b.LoadPenaltySeconds) }
 
 // defaultShardsPerController lets a shard be moved without moving half of what an owner has.
 const defaultShardsPerController = 2
@@ -93,11 +93,11 @@
 
 // DefaultOperator is used where operators set nothing.
 func DefaultOperator() Operator {
-	return Operator{ImageWeight: 1, RoomWeight: 1, HeadroomShare: 0.2, IdleSeconds: 4, LeaderLeaseSeconds: 2, Spot: true}
+	return Operator{ImageCacheWeight: 1, FreeShareWeight: 1, HeadroomShare: 0.2, IdleSeconds: 4, LeaderLeaseSeconds: 2, AllowSpot: true}
 }
 
-// Idle is IdleSeconds as a duration.
-func (o *Operator) Idle() time.Duration { return seconds(o.IdleSeconds) }
+// IdleTimeout is IdleSeconds as a duration.
+func (o *Operator) IdleTimeout() time.Duration { return seconds(o.IdleSeconds) }
 
 // LeaderLease is LeaderLeaseSeconds as a duration.
 func (o *Operator) LeaderLease() time.Duration { return seconds(o.LeaderLeaseSeconds) }
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -54,7 +54,7 @@
 }
 
 func (a *admission) init(c *Controller) {
-	a.limits, a.maxPendingAnnouncements = &c.limits, c.maxUnannounced()
+	a.limits, a.maxPendingAnnouncements = &c.limits, c.maxPendingAnnouncements()
 	a.outcomes = map[string]jobOutcome{}
 	a.accepted = map[string]struct{}{}
 }
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -244,8 +244,8 @@
 	stopGrace     time.Duration // time to save its state once it is told to stop
 	stopSentAt    time.Time
 
-	listIndex     int    // index in its machine's attemptList
-	lastHeartbeat uint64 // heartbeatCount of the last message from its worker that listed it
+	listIndex        int    // index in its machine's attemptList
+	lastListedStatus uint64 // statusCount of the last message from its worker that listed it
 }
 
 type taskKey struct {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -86,7 +86,7 @@
 		return
 	}
 	if l.shards != nil {
-		l.shards.step()
+		l.shards.checkChannelsAndPlan()
 	}
 	l.logPendingReasons()
 	if c.now.Sub(scaler.machineTypesRequestedAt) > machineTypesInterval && scaler.callBudget.TryTake(c.now, 1) {
--- a/internal/coordination/autoscaler/offers.go
+++ b/internal/coordination/autoscaler/offers.go
@@ -42,7 +42,7 @@
 
 // tasksPerMachine is how many tasks of a job a machine of the offer holds.
 func (o Offer) tasksPerMachine(j *protocol.Job) float64 {
-	fit := float64(placement.MaxTaskReportBytes / protocol.TaskStatusBytes(j.ID))
+	fit := float64(placement.MaxTaskReportBytes / protocol.MaxTaskStatusBytes(j.ID))
 	if j.CPUs > 0 {
 		fit = min(fit, float64(int(o.Spec.CPUs/j.CPUs+protocol.Epsilon)))
 	}
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -187,11 +187,11 @@
 	if s.Observe(at(0), 500, 4); s.Number() != 0 {
 		t.Error("first observation starts a surge")
 	}
-	s.Restore(at(1), SurgeRecord{Number: 7, Level: 20})
+	s.Restore(at(1), SurgeRecord{Number: 7, UsualCPUs: 20})
 	if s.Observe(at(2), 500, 4); s.Number() != 7 {
 		t.Errorf("surge number %d, want 7", s.Number())
 	}
-	if r, active := s.Record(); !active || r.Number != 7 || r.Level != 20 {
+	if r, active := s.Record(); !active || r.Number != 7 || r.UsualCPUs != 20 {
 		t.Errorf("record %+v, active: %v", r, active)
 	}
 }
--- a/internal/coordination/balance/surge.go
+++ b/internal/coordination/balance/surge.go
@@ -7,17 +7,17 @@
 
 // Parameters of surge detection.
 const (
-	levelTimeConstant = time.Minute      // time constant of the moving average of a team's demand
-	surgeStartFactor  = 1.5              // a surge starts when demand exceeds this multiple of the level by more than one machine
-	surgeEndFactor    = 1.2              // demand is low at no more than this multiple of the level plus half a machine
-	surgeEndDelay     = 10 * time.Second // how long demand must stay low to end a surge
-	maxSurgeDuration  = 10 * time.Minute // after which a surge ends and the present demand becomes the level
+	usualCPUsTimeConstant = time.Minute      // time constant of the moving average of a team's demand
+	surgeStartFactor      = 1.5              // a surge starts when demand exceeds this multiple of the level by more than one machine
+	surgeEndFactor        = 1.2              // demand is low at no more than this multiple of the level plus half a machine
+	surgeEndDelay         = 10 * time.Second // how long demand must stay low to end a surge
+	maxSurgeDuration      = 10 * time.Minute // after which a surge ends and the present demand becomes the level
 )
 
 // SurgeRecord is the part of an active surge that is recorded.
 type SurgeRecord struct {
-	Number uint64 // start time in Unix milliseconds, increased if necessary to exceed all earlier numbers
-	Level  float64
+	Number    uint64 // start time in Unix milliseconds, increased if necessary to exceed all earlier numbers
+	UsualCPUs float64
 }
 
 // SurgeChange says whether an observation of a team's demand started or ended a surge.
@@ -34,7 +34,7 @@
 type Surge struct {
 	initialized bool
 	observedAt  time.Time
-	level       float64 // usual demand of the team, in CPUs
+	usualCPUs   float64 // usual demand of the team, in CPUs
 	number      uint64  // of the active surge; 0 if there is none
 	lastNumber  uint64  // highest number so far
 	startedAt   time.Time
@@ -43,12 +43,12 @@
 
 // Restore sets the active surge from its record.
 func (s *Surge) Restore(now time.Time, r SurgeRecord) {
-	*s = Surge{initialized: true, observedAt: now, level: r.Level, number: r.Number, lastNumber: r.Number, startedAt: now}
+	*s = Surge{initialized: true, observedAt: now, usualCPUs: r.UsualCPUs, number: r.Number, lastNumber: r.Number, startedAt: now}
 }
 
 // Record returns the record of the active surge; false if there is none.
 func (s *Surge) Record() (SurgeRecord, bool) {
-	return SurgeRecord{Number: s.number, Level: s.level}, s.number != 0
+	return SurgeRecord{Number: s.number, UsualCPUs: s.usualCPUs}, s.number != 0
 }
 
 // Number returns the number of the active surge; 0 if there is none.
@@ -59,7 +59,7 @@
 func (s *Surge) Observe(now time.Time, demand, machine float64) SurgeChange {
 	if !s.initialized {
 		// A new leader takes the first demand that it observes as the usual level.
-		*s = Surge{initialized: true, observedAt: now, level: demand, lastNumber: s.lastNumber}
+		*s = Surge{initialized: true, observedAt: now, usualCPUs: demand, lastNumber: s.lastNumber}
 		return Unchanged
 	}
 	elapsed := now.Sub(s.observedAt)
@@ -67,19 +67,19 @@
 	if s.number != 0 {
 		return s.observeSurge(now, demand, machine)
 	}
-	if demand > s.level*surgeStartFactor+machine {
+	if demand > s.usualCPUs*surgeStartFactor+machine {
 		s.number = max(s.lastNumber+1, uint64(now.UnixMilli()))
 		s.lastNumber, s.startedAt, s.lowSince = s.number, now, time.Time{}
 		return Started
 	}
-	s.level += (demand - s.level) * (1 - math.Exp(-elapsed.Seconds()/levelTimeConstant.Seconds()))
+	s.usualCPUs += (demand - s.usualCPUs) * (1 - math.Exp(-elapsed.Seconds()/usualCPUsTimeConstant.Seconds()))
 	return Unchanged
 }
 
 // observeSurge is Observe while a surge is active.
 func (s *Surge) observeSurge(now time.Time, demand, machine float64) SurgeChange {
 	switch {
-	case demand > s.level*surgeEndFactor+machine/2:
+	case demand > s.usualCPUs*surgeEndFactor+machine/2:
 		s.lowSince = time.Time{}
 	case s.lowSince.IsZero():
 		s.lowSince = now
@@ -90,7 +90,7 @@
 		return Unchanged
 	}
 	if expired {
-		s.level = demand
+		s.usualCPUs = demand
 	}
 	s.number = 0
 	return Ended
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -32,8 +32,8 @@
 // largeLeader returns a leader of an empty fleet with pending jobs.
 func largeLeader(machines, jobs int) (*Controller, *leader) {
 	c, l := newTestLeader(phaseActive)
-	c.teams["red"] = &config.Team{Name: "red", CPUs: 14000, CPUsMax: 1e6}
-	c.teams["blue"] = &config.Team{Name: "blue", CPUs: 3000, CPUsMax: 1e6}
+	c.teams["red"] = &config.Team{Name: "red", GuaranteedCPUs: 14000, MaxCPUs: 1e6}
+	c.teams["blue"] = &config.Team{Name: "blue", GuaranteedCPUs: 3000, MaxCPUs: 1e6}
 	l.teamUsage["blue"] = &usage{}
 	c.setMachineTypes([]protocol.MachineType{{Name: "small", CPUs: 16, MemoryGB: 128, CacheGB: 35, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
 		BootTime: 10 * time.Second, Zones: []string{"a"}}})
@@ -67,7 +67,7 @@
 func fillFleet(l *leader) {
 	for range 10 + len(l.fleetList)/25 {
 		l.runPlacementRound()
-		l.writer.unrecordedStarts, l.writer.urgentBlocks = 0, nil
+		l.writer.unrecordedPlacements, l.writer.urgentBlocks = 0, nil
 	}
 	markAllRunning(l)
 }
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -44,7 +44,7 @@
 
 // scoreWeights returns the score weights that the operator has set.
 func (l *leader) scoreWeights() placement.Weights {
-	return placement.Weights{Image: l.controller.operator.ImageWeight, Room: l.controller.operator.RoomWeight}
+	return placement.Weights{Image: l.controller.operator.ImageCacheWeight, Room: l.controller.operator.FreeShareWeight}
 }
 
 // findCandidates returns the machines that a job's tasks may be placed on now.
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -96,7 +96,7 @@
 	c.now = now
 	c.store.Start()
 	for _, t := range c.cfg.Teams {
-		c.log.Info("team configured", "team", t.Name, "quota", t.CPUs, "limited", t.CPUsMax < config.NoLimit, "limit", t.CPUsMax)
+		c.log.Info("team configured", "team", t.Name, "quota", t.GuaranteedCPUs, "limited", t.MaxCPUs < config.NoLimit, "limit", t.MaxCPUs)
 	}
 	c.election.Follow()
 	if sh := c.operator.Sharding; sh != nil {
@@ -104,7 +104,7 @@
 	}
 	c.loadMachineTypes()
 	c.every(time.Second, c.broadcastStatus)
-	c.every(time.Second, c.store.ProbeIfSilent)
+	c.every(time.Second, c.store.ProbeIfIdle)
 	c.every(time.Second, c.logAvailability)
 	return c.takeEffects()
 }
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -17,7 +17,7 @@
 // addInheritedAttempts adds ten machines of an earlier leader, each with a task, whose workers
 // have not contacted this leader yet.
 func addInheritedAttempts(c *Controller, l *leader) {
-	c.teams["red"].CPUsMax = 100
+	c.teams["red"].MaxCPUs = 100
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 	j := l.jobsByAge[0]
@@ -98,7 +98,7 @@
 			m := l.newMachine(fmt.Sprintf("vm-%d", i), "small", "a", false)
 			m.session.Registered, m.session.LastSeen = true, c.now
 		}
-		c.peers["n1"] = &peers.Status{HeardAt: c.now, StoreReachable: true, Disconnected: disconnected}
+		c.peers["n1"] = &peers.Status{LastReceivedAt: c.now, StoreReachable: true, Disconnected: disconnected}
 		l.preferMajorityZone()
 		if stays := c.leader == l; stays != disconnected {
 			t.Errorf("with the peer disconnected %t the leader stays: %t", disconnected, stays)
@@ -111,8 +111,8 @@
 func TestLeaderWithFailingCallsResignsEarly(t *testing.T) {
 	c, l := newTestLeader(phaseReconciling)
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	c.peers["n1"] = &peers.Status{HeardAt: c.now, StoreReachable: true}
-	c.teams["red"].CPUsMax = 100
+	c.peers["n1"] = &peers.Status{LastReceivedAt: c.now, StoreReachable: true}
+	c.teams["red"].MaxCPUs = 100
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 	j := l.jobsByAge[0]
@@ -126,7 +126,7 @@
 	c.takeEffects()
 	for c.leader == l && c.now.Sub(begin) < 15*time.Second {
 		c.now = c.now.Add(detectorInterval)
-		c.peers["n1"].HeardAt = c.now
+		c.peers["n1"].LastReceivedAt = c.now
 		l.detectFailures()
 		for _, call := range c.takeEffects().Calls {
 			if call.To == Worker {
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -98,8 +98,8 @@
 	return c.leader.phase == phaseActive && c.overload.OverloadedWithin(c.now, overloadLossWindow)
 }
 
-// PeersSilent implements leadership.Host.
-func (h electionHost) PeersSilent() bool {
+// PeersUnresponsive implements leadership.Host.
+func (h electionHost) PeersUnresponsive() bool {
 	c := h.controller
 	return len(c.cfg.Peers) > 0 && len(c.peers) > 0 && !c.peers.AnyFresh(c.now)
 }
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -89,7 +89,7 @@
 		}
 	}
 	if l.shards != nil {
-		contactSince, ok := l.shards.ownerHeardSince(m)
+		contactSince, ok := l.shards.ownerContactSince(m)
 		if !ok {
 			return l.controller.now, true // no owner is in contact
 		}
@@ -186,11 +186,11 @@
 
 // presumedDead reports whether a machine that has been silent for unseen should be released.
 func (l *leader) presumedDead(m *machine, unseen time.Duration) bool {
-	silence := sessions.Silence{Unseen: unseen, Unreached: l.unreachedFor(m), Unanswered: l.unansweredFor(m), FailedProbes: m.session.FailedProbes}
+	silence := sessions.ContactLoss{Unseen: unseen, Unreached: l.unreachedFor(m), Unanswered: l.unansweredFor(m), FailedProbes: m.session.FailedProbes}
 	if l.shards != nil {
 		// All of this is reported by the owner of the machine's shard. Without contact to an
 		// owner nothing is known, and earlier reports count only from when contact resumed.
-		since, inContact := l.shards.ownerHeardSince(m)
+		since, inContact := l.shards.ownerContactSince(m)
 		if !inContact {
 			return false
 		}
--- a/internal/coordination/forms_test.go
+++ b/internal/coordination/forms_test.go
@@ -10,7 +10,7 @@
 
 // Messages between controllers are encoded as earlier versions encoded them.
 func TestPeerMessageEncodings(t *testing.T) {
-	golden.Check(t, []golden.Form{
+	golden.Check(t, []golden.Case{
 		{File: "peer_full.json", Value: &peers.Message{Sender: "n1", StoreReachable: true, Disconnected: true, WorkersUnreachable: true, Term: 41,
 			Progress: map[string]peers.JobProgress{"run-000001": {3, 4}, "run-000002": {}}, Done: map[string]int{"run-000003": 5}, Cancelled: map[string]int{"run-000004": 6}}},
 		{File: "peer_least.json", Value: &peers.Message{}},
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -37,7 +37,7 @@
 	if p == nil {
 		return false
 	}
-	quiet := c.now.Sub(p.HeardAt)
+	quiet := c.now.Sub(p.LastReceivedAt)
 	return quiet > leaderSuspectAfter && quiet < leaderSuspectUntil
 }
 
@@ -127,9 +127,9 @@
 	redirectReturnWindow = 2 * sessions.LostHeartbeatDelay
 	// maxRememberedRedirects is the number of entries above which old redirects are dropped.
 	maxRememberedRedirects = 1024
-	// leaderHeardWindow is how recent the last message from the leader must be for workers to
+	// leaderContactWindow is how recent the last message from the leader must be for workers to
 	// be redirected to it, if it has sent any.
-	leaderHeardWindow = 3 * time.Second
+	leaderContactWindow = 3 * time.Second
 )
 
 func newRedirector(c *Controller) redirector {
@@ -141,7 +141,7 @@
 func (r *redirector) target(machine string) string {
 	c := r.controller
 	leader := c.election.OtherLeader()
-	if p := c.peers[leader]; p != nil && (p.WorkersUnreachable || c.now.Sub(p.HeardAt) > leaderHeardWindow) {
+	if p := c.peers[leader]; p != nil && (p.WorkersUnreachable || c.now.Sub(p.LastReceivedAt) > leaderContactWindow) {
 		return ""
 	}
 	if at, ok := r.redirectedAt[machine]; ok && c.now.Sub(at) < redirectReturnWindow {
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -108,7 +108,7 @@
 		s.listener.addressChanged(m)
 	}
 	if began {
-		s.listener.incarnationBegan(m)
+		s.listener.workerRestarted(m)
 	}
 }
 
@@ -138,7 +138,7 @@
 // returns the stops of orphaned tasks, which only a heartbeat response may carry, and the
 // orders to forget exited tasks, which may need a raised token first (forgetOrders).
 func (s *workerSessions) reconcileReportedTasks(m *machine, r *protocol.Heartbeat, heartbeat bool) (orphans, forgets []protocol.Order) {
-	s.heartbeatCount++
+	s.statusCount++
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		a := m.attempts[taskKey{t.Job, t.TaskIndex}]
@@ -146,7 +146,7 @@
 			a = nil
 		}
 		if a != nil {
-			a.lastHeartbeat = s.heartbeatCount
+			a.lastListedStatus = s.statusCount
 			a.delivery.Reported = true
 		}
 		switch {
@@ -179,7 +179,7 @@
 	}
 	var absent []*attempt
 	for _, a := range m.attemptList {
-		if a.lastHeartbeat != s.heartbeatCount {
+		if a.lastListedStatus != s.statusCount {
 			absent = append(absent, a)
 		}
 	}
@@ -233,7 +233,7 @@
 	}
 	var orders []protocol.Order
 	for _, a := range m.sortedAttempts() {
-		if a.lastHeartbeat != s.heartbeatCount || !a.stopRequested {
+		if a.lastListedStatus != s.statusCount || !a.stopRequested {
 			continue
 		}
 		if order, ok := s.stopOrder(a); ok {
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -27,9 +27,9 @@
 
 // inventoryInterval is how often the cloud's inventory is read.
 func (l *leader) inventoryInterval() time.Duration {
-	pages := 1 + len(l.fleetList)/protocol.MaxListed
+	pages := 1 + len(l.fleetList)/protocol.MachinesPageSize
 	calls := time.Duration(float64(pages*inventoryCallDivisor) / l.controller.cfg.CloudRPS * float64(time.Second))
-	return max(l.controller.cfg.ListLag/2, 3*time.Second, calls)
+	return max(l.controller.cfg.MaxListLag/2, 3*time.Second, calls)
 }
 
 // inventoryRead is one read of the cloud's inventory, page by page.
@@ -170,18 +170,20 @@
 	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.maxInventoryStaleness() {
 		return
 	}
-	if m.session.Registered && c.now.Sub(m.session.LastSeen) < 3*c.cfg.ListLag {
+	if m.session.Registered && c.now.Sub(m.session.LastSeen) < 3*c.cfg.MaxListLag {
 		return
 	}
 	if m.lifecycle.unlistedSince.IsZero() {
 		m.lifecycle.unlistedSince = c.now
-	} else if c.now.Sub(m.lifecycle.unlistedSince) > 2*c.cfg.ListLag+5*time.Second {
+	} else if c.now.Sub(m.lifecycle.unlistedSince) > 2*c.cfg.MaxListLag+5*time.Second {
 		l.release(m, "not in the inventory")
 	}
 }
 
 // maxInventoryStaleness is how long after a change all inventories show it.
-func (c *Controller) maxInventoryStaleness() time.Duration { return 3*c.cfg.ListLag + 10*time.Second }
+func (c *Controller) maxInventoryStaleness() time.Duration {
+	return 3*c.cfg.MaxListLag + 10*time.Second
+}
 
 // releaseUnknownFailed releases a failed machine that no record names, which removes it from the
 // inventory.
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -305,7 +305,7 @@
 
 // CampaignTTL returns the time to live of the lease that a campaign would request now.
 func (e *Election) CampaignTTL() time.Duration {
-	return e.ttl.TTL(e.clock.Now(), e.host.PeersSilent())
+	return e.ttl.TTL(e.clock.Now(), e.host.PeersUnresponsive())
 }
 
 // Role returns this controller's current role in the election.
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -30,11 +30,11 @@
 	txns     []*protocol.Txn
 	commits  []func(bool, uint64)
 
-	leaderTerms      []LeaderTerm
-	leadershipsEnded int
-	updates          int
-	overloaded       bool
-	peersSilent      bool
+	leaderTerms       []LeaderTerm
+	leadershipsEnded  int
+	updates           int
+	overloaded        bool
+	peersUnresponsive bool
 }
 
 type harnessTimer struct {
@@ -76,11 +76,11 @@
 	h.txns, h.commits = append(h.txns, t), append(h.commits, done)
 }
 
-func (h *harness) Elected(m LeaderTerm) { h.leaderTerms = append(h.leaderTerms, m) }
-func (h *harness) LeadershipEnded()     { h.leadershipsEnded++ }
-func (h *harness) LeaderUpdated()       { h.updates++ }
-func (h *harness) LostToOverload() bool { return h.overloaded }
-func (h *harness) PeersSilent() bool    { return h.peersSilent }
+func (h *harness) Elected(m LeaderTerm)    { h.leaderTerms = append(h.leaderTerms, m) }
+func (h *harness) LeadershipEnded()        { h.leadershipsEnded++ }
+func (h *harness) LeaderUpdated()          { h.updates++ }
+func (h *harness) LostToOverload() bool    { return h.overloaded }
+func (h *harness) PeersUnresponsive() bool { return h.peersUnresponsive }
 
 // advance moves the clock forward by d and runs the timers that become due.
 func (h *harness) advance(d time.Duration) {
--- a/internal/coordination/leadership/host.go
+++ b/internal/coordination/leadership/host.go
@@ -75,7 +75,7 @@
 	// LostToOverload reports whether the leadership that is being given up was most likely
 	// lost because the controller was too busy to renew its lease in time.
 	LostToOverload() bool
-	// PeersSilent reports whether messages of other controllers were received before, but
+	// PeersUnresponsive reports whether messages of other controllers were received before, but
 	// none recently.
-	PeersSilent() bool
+	PeersUnresponsive() bool
 }
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -31,7 +31,7 @@
 func (c *Controller) maxOpenRequests() int {
 	perCheck := c.maxConditions() / 2
 	perSecond := int(time.Second / c.statusCheckInterval())
-	return max(minOpenRequests, min(perCheck*perSecond, c.cfg.Sockets/2))
+	return max(minOpenRequests, min(perCheck*perSecond, c.cfg.MaxSockets/2))
 }
 
 // minOpenRequests is the minimum of maxOpenRequests, however slow the state service is.
@@ -39,27 +39,27 @@
 
 // maxDeferredHeartbeats bounds the heartbeats that wait until a leader is known, since each of
 // them occupies a socket.
-func (c *Controller) maxDeferredHeartbeats() int { return c.cfg.Sockets / 2 }
+func (c *Controller) maxDeferredHeartbeats() int { return c.cfg.MaxSockets / 2 }
 
-// maxUnrecordedStarts bounds the placements that wait to be recorded, so that one placement
+// maxUnrecordedPlacements bounds the placements that wait to be recorded, so that one placement
 // round does not delay other writes for long. It allows the block records of two full
-// transactions, but at least minUnrecordedStarts.
-func (w *recordWriter) maxUnrecordedStarts() int {
-	return max(minUnrecordedStarts, 2*w.leader.controller.cfg.TxnOps*w.tasksPerBlock)
+// transactions, but at least minUnrecordedPlacements.
+func (w *recordWriter) maxUnrecordedPlacements() int {
+	return max(minUnrecordedPlacements, 2*w.leader.controller.cfg.MaxTxnOps*w.tasksPerBlock)
 }
 
-// minUnrecordedStarts is the minimum of maxUnrecordedStarts.
-const minUnrecordedStarts = 2000
+// minUnrecordedPlacements is the minimum of maxUnrecordedPlacements.
+const minUnrecordedPlacements = 2000
 
-// maxUnannounced bounds the final states that wait to be broadcast to peers: as many as the
-// state service accepts writes in unannouncedSeconds.
-func (c *Controller) maxUnannounced() int {
-	return max(minUnannounced, int(unannouncedSeconds*c.cfg.StateWriteRPS))
+// maxPendingAnnouncements bounds the final states that wait to be broadcast to peers: as many as the
+// state service accepts writes in pendingAnnouncementSeconds.
+func (c *Controller) maxPendingAnnouncements() int {
+	return max(minPendingAnnouncements, int(pendingAnnouncementSeconds*c.cfg.StateWriteRPS))
 }
 
 const (
-	minUnannounced     = 5000
-	unannouncedSeconds = 20
+	minPendingAnnouncements    = 5000
+	pendingAnnouncementSeconds = 20
 )
 
 // logSampled logs an event that may occur for many objects at once. Package ratelog limits the
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -79,7 +79,7 @@
 func TestManyOutcomesAreBroadcast(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateWriteRPS = 1000
-	c.admission.maxPendingAnnouncements = c.maxUnannounced()
+	c.admission.maxPendingAnnouncements = c.maxPendingAnnouncements()
 	const jobs = 12_000
 	for i := range jobs {
 		c.admission.publishOutcome(fmt.Sprintf("run-%06d", i), protocol.Done, 1)
@@ -106,10 +106,10 @@
 		first++
 	}
 	var list []protocol.ListedMachine
-	for i := first; i < min(count, first+protocol.MaxListed); i++ {
+	for i := first; i < min(count, first+protocol.MachinesPageSize); i++ {
 		list = append(list, protocol.ListedMachine{Name: fmt.Sprintf("vm-%06d", i), Type: "small", Zone: "a", State: protocol.Up, Age: time.Hour})
 	}
-	return protocol.EncodeMachines(list, first+protocol.MaxListed < count)
+	return protocol.EncodeMachines(list, first+protocol.MachinesPageSize < count)
 }
 
 // readMachineList makes a leader read a list of count machines once, and returns the number of
@@ -150,7 +150,7 @@
 	last := l.newMachine(fmt.Sprintf("vm-%06d", count-1), "small", "a", false)
 	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
 	l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
-	if calls := readMachineList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MaxListed {
+	if calls := readMachineList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MachinesPageSize {
 		t.Fatalf("the list is not complete after %d calls", calls)
 	}
 	if len(l.machines) != count || !last.lifecycle.unlistedSince.IsZero() {
@@ -163,13 +163,13 @@
 // calls a second.
 func TestInventoryReadsLeaveCallBudget(t *testing.T) {
 	_, l := largeLeader(4000, 0)
-	l.controller.cfg.CloudRPS, l.controller.cfg.ListLag = 2, 12*time.Second
-	pages := float64(1 + 4000/protocol.MaxListed)
+	l.controller.cfg.CloudRPS, l.controller.cfg.MaxListLag = 2, 12*time.Second
+	pages := float64(1 + 4000/protocol.MachinesPageSize)
 	if share := pages / l.inventoryInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
 		t.Errorf("reading the list takes %.2f of the call budget", share)
 	}
 	_, small := largeLeader(250, 0)
-	small.controller.cfg.CloudRPS, small.controller.cfg.ListLag = 2, 12*time.Second
+	small.controller.cfg.CloudRPS, small.controller.cfg.MaxListLag = 2, 12*time.Second
 	if i := small.inventoryInterval(); i != 6*time.Second {
 		t.Errorf("a small fleet's list is read every %s", i)
 	}
@@ -290,14 +290,14 @@
 // second.
 func TestOpenRequestsFollowSettings(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
-	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 16, 15_000
+	c.cfg.StateRPS, c.cfg.MaxTxnOps, c.cfg.MaxSockets = 2000, 16, 15_000
 	for i := range 2000 {
 		c.Request(c.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
 	}
 	if c.limits.Total(limits.OpenRequests) != 0 || c.admission.openRequests != 2000 {
 		t.Errorf("%d requests are open, %d were refused", c.admission.openRequests, c.limits.Total(limits.OpenRequests))
 	}
-	c.cfg.StateRPS, c.cfg.Sockets = 120, 900
+	c.cfg.StateRPS, c.cfg.MaxSockets = 120, 900
 	if most := c.maxOpenRequests(); most < minOpenRequests || most > 450 {
 		t.Errorf("a small controller allows %d open requests", most)
 	}
@@ -307,7 +307,7 @@
 // a transaction.
 func TestStatusChecksFitTransactions(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
-	c.cfg.StateRPS, c.cfg.TxnOps, c.cfg.Sockets = 2000, 4096, 15_000
+	c.cfg.StateRPS, c.cfg.MaxTxnOps, c.cfg.MaxSockets = 2000, 4096, 15_000
 	for i := range 5000 {
 		c.admission.pendingQueries = append(c.admission.pendingQueries, statusQuery{uint64(i), fmt.Sprintf("run-%018d", i)})
 	}
@@ -323,7 +323,7 @@
 func TestManyDeferredHeartbeats(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.leader = nil
-	c.cfg.Sockets = 12_000
+	c.cfg.MaxSockets = 12_000
 	const heartbeats = 6000
 	for i := range heartbeats {
 		c.now = c.now.Add(100 * time.Microsecond)
@@ -410,7 +410,7 @@
 	}
 	first := provisioned()
 	boot(first, false)
-	if got := provisioned(); first == 0 || first > 100 || got > protocol.MaxProvision {
+	if got := provisioned(); first == 0 || first > 100 || got > protocol.MaxMachinesPerProvision {
 		t.Errorf("%d machines provisioned, and %d more before those had registered", first, got)
 	}
 	for _, m := range l.fleetList {
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -28,12 +28,12 @@
 	if call.To != StateService {
 		return 0, nil
 	}
-	path, query := protocol.Query(call.Target)
+	path, query := protocol.ParseQuery(call.Target)
 	switch {
 	case path == protocol.PathTransactions:
 		return s.compare(call.Body)
 	case path == protocol.PathKeys:
-		prefix, after, limit, _ := protocol.RangeQuery(query)
+		prefix, after, limit, _ := protocol.ParseRangeQuery(query)
 		s.readKeys = append(s.readKeys, prefix)
 		return s.list(prefix, after, limit)
 	case strings.HasPrefix(path, protocol.PathKeys+"/"):
--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -76,7 +76,7 @@
 // machinesPerGroup returns how many machines may share a record. With shards the groups are
 // smaller, so that all shards can have about the same number of machines.
 func (w *recordWriter) machinesPerGroup() int {
-	most := records.MachinesPerGroup(w.leader.controller.cfg.ValueBytes)
+	most := records.MachinesPerGroup(w.leader.controller.cfg.MaxValueBytes)
 	if w.leader.shards != nil {
 		return min(most, maxMachinesPerShardGroup)
 	}
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -22,8 +22,8 @@
 func newTestLeaderInZone(zone string, p recoveryPhase) (*Controller, *leader) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	cfg := &config.Settings{Name: "n0", Zone: zone, HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second,
-		CancelWithin: 40 * time.Second, CPUShare: 0.3, Sockets: 900, StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 4,
-		Teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}}
+		CancelDeadline: 40 * time.Second, CPUShare: 0.3, MaxSockets: 900, StateRPS: 200, StateWriteRPS: 80, MaxValueBytes: 8 << 10, MaxTxnOps: 12, CloudRPS: 4,
+		Teams: []config.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 16}}}
 	c := New(cfg, config.DefaultOperator(), slog.New(slog.DiscardHandler), 1, now)
 	c.setMachineTypes([]protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 3, FetchGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5,
 		BootTime: 10 * time.Second, Zones: []string{"a"}}})
@@ -81,7 +81,7 @@
 // machine that is being consolidated comes last.
 func TestBestMachine(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
-	c.operator.ImageWeight, c.operator.RoomWeight = 1, 1
+	c.operator.ImageCacheWeight, c.operator.FreeShareWeight = 1, 1
 	j := &job{Job: &protocol.Job{ID: "run-000001", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1},
 		attemptsByZone: map[string]int{}, imageID: l.imageID("a")}
 	var list []*machine
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -79,7 +79,7 @@
 func TestQuarantinedJobRunsTrials(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.teamUsage["red"] = &usage{}
-	c.teams["red"].CPUsMax = 100
+	c.teams["red"].MaxCPUs = 100
 	j := addTestJob(l, "run-000001", func(*protocol.Job) {})
 	for i := range 4 {
 		failTask(l, addTestMachine(l, fmt.Sprintf("vm-%d", i), true), j)
@@ -121,7 +121,7 @@
 // service is never done, so the failures of its long life must not add up to a quarantine.
 func TestServiceIsNotQuarantined(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
-	c.teams["red"].CPUsMax = 100
+	c.teams["red"].MaxCPUs = 100
 	l.teamUsage["red"] = &usage{}
 	for i := range 8 {
 		addTestMachine(l, fmt.Sprintf("vm-%d", i), true)
@@ -159,7 +159,7 @@
 func TestOverdueBoots(t *testing.T) {
 	count := func(lateBoots, completedBoots int, inherited bool) (*Controller, *leader) {
 		c, l := newTestLeader(phaseActive)
-		c.teams["red"].CPUsMax = 1000
+		c.teams["red"].MaxCPUs = 1000
 		l.loadedAt = c.now
 		for i := range lateBoots {
 			m := addTestMachine(l, fmt.Sprintf("vm-%d", i), false)
@@ -288,7 +288,7 @@
 // their job has waited for StarvingAfter.
 func TestOpportunisticPrice(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
-	c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
+	c.teams["guest"] = &config.Team{Name: "guest", MaxCPUs: config.NoLimit}
 	l.teamUsage["guest"] = &usage{}
 	guest := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Team = "guest" })
 	other := addTestJob(l, "run-000002", func(*protocol.Job) {})
@@ -330,8 +330,8 @@
 		leaves bool
 	}{{"guest", false, true}, {"guest", true, false}, {"red", false, false}} {
 		c, l := newTestLeader(phaseActive)
-		c.teams["red"].CPUsMax = 100
-		c.teams["guest"] = &config.Team{Name: "guest", CPUsMax: config.NoLimit}
+		c.teams["red"].MaxCPUs = 100
+		c.teams["guest"] = &config.Team{Name: "guest", MaxCPUs: config.NoLimit}
 		l.teamUsage["guest"], l.teamUsage["red"] = &usage{}, &usage{}
 		m := l.newMachine("vm-1", "small", "a", test.spot)
 		m.session.Registered, m.recorded, m.session.LastSeen, m.session.LastAnswered, m.session.LastReached, m.session.Incarnation, m.addr = true, true, c.now, c.now, c.now, 1, "x"
@@ -367,7 +367,7 @@
 	c, l := newTestLeader(phaseActive)
 	var out bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&out, nil))
-	c.teams["red"].CPUsMax = 4
+	c.teams["red"].MaxCPUs = 4
 	l.teamUsage["red"] = &usage{}
 	addTestJob(l, "run-000001", func(j *protocol.Job) { j.CPUs = 4 })
 	lines := func(want string) int { return strings.Count(out.String(), want) }
@@ -400,7 +400,7 @@
 // reserved for it once its job has waited for too long.
 func TestMachineIsReservedForStarvingJob(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
-	c.teams["red"].CPUsMax = 100
+	c.teams["red"].MaxCPUs = 100
 	l.teamUsage["red"] = &usage{}
 	m := addTestMachine(l, "vm-1", true)
 	first := addTestJob(l, "run-000001", func(j *protocol.Job) { j.Tasks, j.CPUs = 1, 3 })
@@ -424,7 +424,7 @@
 // through overload, it campaigns with a longer one.
 func TestOverloadedLeader(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
-	c.teams["red"].CPUsMax = 100
+	c.teams["red"].MaxCPUs = 100
 	l.teamUsage["red"] = &usage{}
 	for i := range 4 {
 		addTestMachine(l, fmt.Sprintf("vm-%d", i), true)
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -15,8 +15,8 @@
 func TestGracePeriodFitsLease(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.lease.TTL = 4 * c.operator.LeaderLease()
-	if sum := l.lease.TTL + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelWithin {
-		t.Errorf("leader lease, grace period and worker lease take %s of %s", sum, c.cfg.CancelWithin)
+	if sum := l.lease.TTL + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelDeadline {
+		t.Errorf("leader lease, grace period and worker lease take %s of %s", sum, c.cfg.CancelDeadline)
 	}
 }
 
--- a/internal/coordination/peers/peers_test.go
+++ b/internal/coordination/peers/peers_test.go
@@ -23,7 +23,7 @@
 		{"disconnected", Status{StoreReachable: true, Disconnected: true}, 0, true, false},
 		{"workers not reachable", Status{StoreReachable: true, WorkersUnreachable: true}, 0, true, true},
 	} {
-		test.status.HeardAt = start
+		test.status.LastReceivedAt = start
 		now := start.Add(test.age)
 		if fresh, eligible := test.status.Fresh(now), test.status.Eligible(now); fresh != test.fresh || eligible != test.eligible {
 			t.Errorf("%s: fresh %t, eligible %t", test.name, fresh, eligible)
@@ -38,11 +38,11 @@
 // Only peers with a recent status are counted, each once.
 func TestConnectivity(t *testing.T) {
 	table := Table{
-		"a": {HeardAt: start, StoreReachable: true},
-		"b": {HeardAt: start, StoreReachable: true, Disconnected: true},
-		"c": {HeardAt: start, Disconnected: true},
-		"d": {HeardAt: start},
-		"e": {HeardAt: start.Add(-statusTTL), StoreReachable: true, Disconnected: true},
+		"a": {LastReceivedAt: start, StoreReachable: true},
+		"b": {LastReceivedAt: start, StoreReachable: true, Disconnected: true},
+		"c": {LastReceivedAt: start, Disconnected: true},
+		"d": {LastReceivedAt: start},
+		"e": {LastReceivedAt: start.Add(-statusTTL), StoreReachable: true, Disconnected: true},
 	}
 	if eligible, disconnected := table.Connectivity(start); eligible != 1 || disconnected != 2 {
 		t.Errorf("%d eligible, %d disconnected", eligible, disconnected)
--- a/internal/coordination/peers/table.go
+++ b/internal/coordination/peers/table.go
@@ -13,7 +13,7 @@
 
 // Status is the latest status that a peer reported.
 type Status struct {
-	HeardAt            time.Time // when the latest message was received
+	LastReceivedAt     time.Time // when the latest message was received
 	StoreReachable     bool      // the state service serves the peer
 	Disconnected       bool      // the peer led recently and lost connectivity to too many machines
 	WorkersUnreachable bool      // the peer owns shards and recently lost most of their workers
@@ -29,11 +29,11 @@
 }
 
 // Fresh reports whether a message of the peer was received recently.
-func (s *Status) Fresh(now time.Time) bool { return now.Sub(s.HeardAt) < statusTTL }
+func (s *Status) Fresh(now time.Time) bool { return now.Sub(s.LastReceivedAt) < statusTTL }
 
 // Eligible reports whether leadership may be handed to the peer.
 func (s *Status) Eligible(now time.Time) bool {
-	return s.StoreReachable && !s.Disconnected && now.Sub(s.HeardAt) < eligibilityTTL
+	return s.StoreReachable && !s.Disconnected && now.Sub(s.LastReceivedAt) < eligibilityTTL
 }
 
 // Progress returns the progress that the peer, as the leader, recently reported of a job; ok is
@@ -47,7 +47,7 @@
 }
 
 func (s *Status) receive(m *Message, now time.Time) {
-	s.HeardAt, s.StoreReachable, s.Disconnected, s.WorkersUnreachable = now, m.StoreReachable, m.Disconnected, m.WorkersUnreachable
+	s.LastReceivedAt, s.StoreReachable, s.Disconnected, s.WorkersUnreachable = now, m.StoreReachable, m.Disconnected, m.WorkersUnreachable
 	if s.term != m.Term || s.progress == nil {
 		s.term, s.progress = m.Term, map[string]receivedProgress{}
 	}
--- a/internal/coordination/place_job.go
+++ b/internal/coordination/place_job.go
@@ -45,7 +45,7 @@
 	if team == nil || u == nil {
 		return false
 	}
-	return u.cpus+j.CPUs <= team.CPUsMax+protocol.Epsilon && u.gpus+j.GPUs <= team.GPUsMax+protocol.Epsilon
+	return u.cpus+j.CPUs <= team.MaxCPUs+protocol.Epsilon && u.gpus+j.GPUs <= team.MaxGPUs+protocol.Epsilon
 }
 
 // zoneAllowed reports whether the job's OneZone and Spread rules allow another task in a zone.
@@ -153,7 +153,7 @@
 // lets start.
 func (l *leader) capAtTeamLimit(j *job, tasks int) int {
 	if u, t := l.teamUsage[j.Team], l.controller.teams[j.Team]; j.CPUs > 0 && t != nil {
-		return min(tasks, int((t.CPUsMax-u.cpus)/j.CPUs+protocol.Epsilon))
+		return min(tasks, int((t.MaxCPUs-u.cpus)/j.CPUs+protocol.Epsilon))
 	}
 	return tasks
 }
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -110,7 +110,7 @@
 // which lists all of them. Part of each heartbeat is left for exited tasks that the worker has to
 // keep reporting.
 func (m *Machine) FitsInReport(j *protocol.Job) bool {
-	return m.ReportBytes+protocol.TaskStatusBytes(j.ID) <= MaxTaskReportBytes
+	return m.ReportBytes+protocol.MaxTaskStatusBytes(j.ID) <= MaxTaskReportBytes
 }
 
 // MaxTaskReportBytes is the size that the tasks placed on a machine may have in its worker's
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -103,7 +103,7 @@
 		return false
 	}
 	s := l.stoppingUsage[team]
-	return u.cpus-s.cpus > t.CPUs+protocol.Epsilon || u.gpus-s.gpus > t.GPUs+protocol.Epsilon
+	return u.cpus-s.cpus > t.GuaranteedCPUs+protocol.Epsilon || u.gpus-s.gpus > t.GuaranteedGPUs+protocol.Epsilon
 }
 
 // gpuCPUEquivalent is how many CPUs a GPU counts as when lost work is measured.
@@ -129,7 +129,7 @@
 		return
 	}
 	need := float64(j.pendingTasks()) * j.CPUs
-	need -= l.teamUsage[j.Team].headroom(l.controller.teams[j.Team].CPUsMax)
+	need -= l.teamUsage[j.Team].headroom(l.controller.teams[j.Team].MaxCPUs)
 	need -= l.stoppingUsage[j.Team].cpus
 	if need <= protocol.Epsilon {
 		return
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		j.quota = quotaExceeded
-		if s.cpus <= team.CPUs+protocol.Epsilon && s.gpus <= team.GPUs+protocol.Epsilon {
+		if s.cpus <= team.GuaranteedCPUs+protocol.Epsilon && s.gpus <= team.GuaranteedGPUs+protocol.Epsilon {
 			j.quota = quotaWithin
 		}
 	}
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -26,13 +26,13 @@
 	if b.surgeOf(j) == 0 || j.Priority == protocol.Critical || j.withinQuota() || j.Kind == protocol.Gang {
 		return nil
 	}
-	return &balance.CeilingPolicy{Settings: b.settings, Now: b.l.controller.now, Team: b.teams[j.Team].id, Task: j.placementTask()}
+	return &balance.CeilingPolicy{Settings: b.settings, Now: b.leader.controller.now, Team: b.teams[j.Team].id, Task: j.placementTask()}
 }
 
 // applyCeilingPolicy adjusts the rank of a candidate machine by a ceiling policy.
 func (b *rebalancer) applyCeilingPolicy(policy *balance.CeilingPolicy, m *machine, k *placement.Candidate) {
 	k.AboveCeiling = policy.Exceeds(&m.Machine, m.load)
-	k.Score -= policy.Penalty(&m.Machine, m.load, b.l.controller.operator.ImageWeight)
+	k.Score -= policy.Penalty(&m.Machine, m.load, b.leader.controller.operator.ImageCacheWeight)
 }
 
 // ceilingState is the state of a job with respect to the ceiling of its team's surge.
@@ -58,7 +58,7 @@
 // mayExceedCeiling reports whether a job's tasks may be placed above the ceiling: its wait is
 // over, or no machine below the ceiling will boot before that. The job's team must be in a surge.
 func (b *rebalancer) mayExceedCeiling(j *job) bool {
-	c, hold, surge := b.l.controller, &j.ceiling, b.surgeOf(j)
+	c, hold, surge := b.leader.controller, &j.ceiling, b.surgeOf(j)
 	if hold.surge != surge {
 		*hold = ceilingWait{surge: surge, state: ceilingWaiting, since: c.now}
 	}
@@ -69,7 +69,7 @@
 	if c.now.Before(until) && b.bootsInTime(j, until) {
 		if !hold.timerSet {
 			hold.timerSet = true
-			c.after(until.Sub(c.now)+time.Millisecond, b.l.requestPlacementIfLeading)
+			c.after(until.Sub(c.now)+time.Millisecond, b.leader.requestPlacementIfLeading)
 		}
 		return false
 	}
@@ -105,8 +105,8 @@
 	if j.HasDeadline {
 		shortest = min(shortest, max(0, j.Deadline-j.EstimatedRuntime))
 	}
-	for i := range b.l.controller.cfg.Objectives {
-		o := &b.l.controller.cfg.Objectives[i]
+	for i := range b.leader.controller.cfg.Objectives {
+		o := &b.leader.controller.cfg.Objectives[i]
 		if (o.Kind == "wait" || o.Kind == "finished") && o.Class == j.Class && o.Within > 0 {
 			shortest = min(shortest, o.Within)
 		}
@@ -117,7 +117,7 @@
 // bootsInTime reports whether a machine that is booting, and that a job may use, is expected to be
 // up by the given time.
 func (b *rebalancer) bootsInTime(j *job, until time.Time) bool {
-	l := b.l
+	l := b.leader
 	if b.expectedBoots == nil {
 		b.expectedBoots = l.expectedBootTimes()
 	}
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -57,7 +57,7 @@
 		return
 	}
 	for _, mg := range b.migrations.sortedActive() {
-		if !b.l.controller.now.Before(mg.deadline) || !b.l.acceptsTasks(mg.target) {
+		if !b.leader.controller.now.Before(mg.deadline) || !b.leader.acceptsTasks(mg.target) {
 			b.abandonMigration(mg, "target lost or deadline passed")
 		}
 	}
@@ -80,19 +80,19 @@
 // to reconnect to this leader, its lease is valid for at least half its TTL, the last placement
 // round served all jobs, and neither the leader nor the state service is overloaded.
 func (b *rebalancer) mayMigrate() bool {
-	l, c := b.l, b.l.controller
-	if l.controller.operator.Balance == nil || !l.controller.operator.Balance.Moves || l.phase != phaseActive || c.store.Unavailable() || l.autoscaler.demandIncomplete {
+	l, c := b.leader, b.leader.controller
+	if l.controller.operator.Balance == nil || !l.controller.operator.Balance.AllowMigrations || l.phase != phaseActive || c.store.Unavailable() || l.autoscaler.demandIncomplete {
 		return false
 	}
 	if c.now.Sub(l.reconciledAt) < c.timing().ReconnectTime() || l.lease.ValidUntil.Sub(c.now) < l.lease.TTL/2 {
 		return false
 	}
-	return !c.overload.ShouldDefer() && !c.overload.Persistent(c.now) && len(l.writer.urgentBlocks) <= c.cfg.TxnOps
+	return !c.overload.ShouldDefer() && !c.overload.Persistent(c.now) && len(l.writer.urgentBlocks) <= c.cfg.MaxTxnOps
 }
 
 // planMigrations plans worthwhile migrations and starts them.
 func (b *rebalancer) planMigrations() {
-	l, c := b.l, b.l.controller
+	l, c := b.leader, b.leader.controller
 	slots := max(minActiveMigrations, len(l.fleetList)/machinesPerMigration) - len(b.migrations.active) - len(b.migrations.stopped)
 	if slots <= 0 || !b.anySurge() {
 		return
@@ -101,7 +101,7 @@
 	if len(sources) == 0 {
 		return
 	}
-	params := balance.MigrationParams{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MoveMargin, MaxMigrations: slots,
+	params := balance.MigrationParams{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MigrationMargin, MaxMigrations: slots,
 		WriteDuration: time.Duration(float64(time.Second) / c.cfg.StateWriteRPS)}
 	moves := l.newPlanner().Rebalance(params, sources)
 	if len(moves) == 0 {
@@ -129,8 +129,8 @@
 // migrationSources returns the machines that accept tasks and have attempts that may be migrated.
 func (b *rebalancer) migrationSources() []balance.Source {
 	var list []balance.Source
-	for _, m := range b.l.fleetList {
-		if m.Spec == nil || !b.l.acceptsTasks(m) {
+	for _, m := range b.leader.fleetList {
+		if m.Spec == nil || !b.leader.acceptsTasks(m) {
 			continue
 		}
 		s := balance.Source{LoadedMachine: balance.LoadedMachine{Machine: &m.Machine, Load: m.load}}
@@ -162,9 +162,9 @@
 	w := balance.MigratableTask{Task: j.placementTask(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Checkpoints: j.CheckpointInterval > 0,
 		ZoneAllowed: j.zoneAllowed, Owner: a}
 	if w.Running {
-		w.RanFor = b.l.controller.now.Sub(a.stateSince)
+		w.RanFor = b.leader.controller.now.Sub(a.stateSince)
 	}
-	likely := time.Duration(float64(j.EstimatedRuntime) * b.l.corrections.Factor(j.Class) * m.load.Speed.Slowdown())
+	likely := time.Duration(float64(j.EstimatedRuntime) * b.leader.corrections.Factor(j.Class) * m.load.Speed.Slowdown())
 	w.Remaining = max(0, likely-w.RanFor) // an overdue task may end at any moment
 	return w
 }
@@ -172,7 +172,7 @@
 // startMigration reserves room for a task on its target and queues the record of its migration
 // mark.
 func (b *rebalancer) startMigration(a *attempt, to *machine) {
-	l := b.l
+	l := b.leader
 	t := a.job.task(a.taskIndex)
 	t.migratedInSurge = b.surgeOf(a.job)
 	mg := &migration{attempt: a, target: to, needs: placement.Needs(a.job.Job), deadline: l.controller.now.Add(l.controller.cfg.WorkerLease + a.job.CheckpointDuration + stopDuration)}
@@ -205,7 +205,7 @@
 	if b == nil || b.migrations.active[a] == nil || a.job.task(a.taskIndex).live != a {
 		return
 	}
-	b.l.stopAttempt(a, b.l.checkpointGrace(a))
+	b.leader.stopAttempt(a, b.leader.checkpointGrace(a))
 }
 
 // migrationStopped is called when an attempt is proven terminated. If it was being migrated, its
@@ -226,7 +226,7 @@
 	delete(b.migrations.active, mg.attempt)
 	mg.target.releaseIncoming(mg.needs)
 	b.migrations.abandoned++
-	b.l.controller.log.Debug("migration abandoned", "job", mg.attempt.job.ID, "task", mg.attempt.taskIndex, "to", mg.target.Name, "reason", reason)
+	b.leader.controller.log.Debug("migration abandoned", "job", mg.attempt.job.ID, "task", mg.attempt.taskIndex, "to", mg.target.Name, "reason", reason)
 }
 
 // completeMigrations starts the tasks whose old attempts are terminated on their targets. It runs
@@ -240,7 +240,7 @@
 	b.migrations.stopped = nil
 	for _, mg := range stopped {
 		mg.target.releaseIncoming(mg.needs)
-		if b.l.startOnTarget(mg) {
+		if b.leader.startOnTarget(mg) {
 			b.migrations.completed++
 		} else {
 			b.migrations.abandoned++
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -17,9 +17,9 @@
 func leaderWithMigration(t *testing.T) (l *leader, a *attempt, to *machine) {
 	t.Helper()
 	c, l, a := leaderWithBalancing(t)
-	c.operator.Balance.Moves, c.operator.Balance.MoveMargin = true, 1.5
+	c.operator.Balance.AllowMigrations, c.operator.Balance.MigrationMargin = true, 1.5
 	l.reconciledAt, l.lease = c.now.Add(-time.Minute), leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}
-	l.rebalancer.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, Level: 1})
+	l.rebalancer.teams["red"].surge.Restore(c.now, balance.SurgeRecord{Number: 7, UsualCPUs: 1})
 	to = l.newMachine("vm-2", "small", "a", false)
 	to.session.Registered, to.recorded, to.session.LastSeen, to.session.LastAnswered, to.session.LastReached = true, true, c.now, c.now, c.now
 	a.delivery.Reported = true
@@ -112,7 +112,7 @@
 		may    bool
 	}{
 		{name: "no obstacle", may: true},
-		{name: "migrations turned off", change: func(c *Controller, _ *leader) { c.operator.Balance.Moves = false }},
+		{name: "migrations turned off", change: func(c *Controller, _ *leader) { c.operator.Balance.AllowMigrations = false }},
 		{name: "state service unavailable", change: func(c *Controller, _ *leader) { failStateServiceCalls(c) }},
 		{name: "workers still reconnecting", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
 		{name: "leader still reconciling", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
@@ -125,7 +125,7 @@
 			c.overload.Observe(c.now, 0)
 		}},
 		{name: "last placement round ended early", change: func(_ *Controller, l *leader) { l.autoscaler.demandIncomplete = true }},
-		{name: "too many records waiting to be written", change: func(c *Controller, l *leader) { l.writer.urgentBlocks = make([]*taskBlock, c.cfg.TxnOps+1) }},
+		{name: "too many records waiting to be written", change: func(c *Controller, l *leader) { l.writer.urgentBlocks = make([]*taskBlock, c.cfg.MaxTxnOps+1) }},
 	} {
 		l, _, _ := leaderWithMigration(t)
 		if test.change != nil {
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -14,7 +14,7 @@
 // surges of teams up to date, and enforces the ceiling for surging teams. It is nil if the
 // operator hasn't turned load balancing on; its methods then do nothing.
 type rebalancer struct {
-	l             *leader
+	leader        *leader
 	settings      balance.Settings
 	teams         map[string]*teamSurge
 	classRunTimes map[classAndType]*balance.RunTimes
@@ -37,8 +37,8 @@
 	if o == nil {
 		return nil
 	}
-	settings := balance.Settings{CeilingShare: o.CeilingShare, MaxFetchBacklog: o.FetchQueue(), LoadPenalty: o.Trade()}
-	b := &rebalancer{l: l, settings: settings, teams: map[string]*teamSurge{}, classRunTimes: map[classAndType]*balance.RunTimes{}}
+	settings := balance.Settings{CeilingShare: o.CeilingShare, MaxFetchBacklog: o.MaxFetchBacklog(), LoadPenalty: o.LoadPenalty()}
+	b := &rebalancer{leader: l, settings: settings, teams: map[string]*teamSurge{}, classRunTimes: map[classAndType]*balance.RunTimes{}}
 	b.migrations.active = map[*attempt]*migration{}
 	for i := range l.controller.cfg.Teams {
 		b.teams[l.controller.cfg.Teams[i].Name] = &teamSurge{id: balance.Team(i)}
@@ -65,7 +65,7 @@
 	}
 	// It isn't known whether attempts of an earlier leader still wait for their image.
 	if !a.delivery.Inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.CachedGB(a.job.imageID) == 0 {
-		m.load.Fetches.Add(b.l.controller.now, a.job.imageID, a.job.ImageGB, m.Spec.FetchGBPerSecond)
+		m.load.Fetches.Add(b.leader.controller.now, a.job.imageID, a.job.ImageGB, m.Spec.FetchGBPerSecond)
 	}
 }
 
@@ -79,14 +79,14 @@
 		m.load.RemoveAttempt(t.id, placement.Needs(a.job.Job))
 	}
 	if a.state != protocol.Running && a.state != protocol.Checkpointing && m.Spec != nil {
-		m.load.Fetches.Cancel(b.l.controller.now, a.job.imageID, m.Spec.FetchGBPerSecond)
+		m.load.Fetches.Cancel(b.leader.controller.now, a.job.imageID, m.Spec.FetchGBPerSecond)
 	}
 }
 
 // attemptStartedRunning records that the fetch of an attempt's image is complete.
 func (b *rebalancer) attemptStartedRunning(a *attempt) {
 	if b != nil && a.machine.Spec != nil {
-		a.machine.load.Fetches.Complete(b.l.controller.now, a.job.imageID, a.machine.Spec.FetchGBPerSecond)
+		a.machine.load.Fetches.Complete(b.leader.controller.now, a.job.imageID, a.machine.Spec.FetchGBPerSecond)
 	}
 }
 
@@ -120,22 +120,22 @@
 	}
 	b.expectedBoots = nil
 	demand := map[string]float64{}
-	for _, j := range b.l.jobsByAge {
+	for _, j := range b.leader.jobsByAge {
 		if j.finalState == 0 {
 			demand[j.Team] += float64(j.Tasks-j.doneTasks) * j.CPUs
 		}
 	}
 	changed := false
 	machineCPUs := b.smallestMachineCPUs()
-	for i := range b.l.controller.cfg.Teams {
-		name := b.l.controller.cfg.Teams[i].Name
+	for i := range b.leader.controller.cfg.Teams {
+		name := b.leader.controller.cfg.Teams[i].Name
 		t := b.teams[name]
-		switch t.surge.Observe(b.l.controller.now.Round(0), demand[name], machineCPUs) {
+		switch t.surge.Observe(b.leader.controller.now.Round(0), demand[name], machineCPUs) {
 		case balance.Started:
-			b.l.controller.log.Info("surge started", "team", name, "surge", t.surge.Number(), "cpus", demand[name])
+			b.leader.controller.log.Info("surge started", "team", name, "surge", t.surge.Number(), "cpus", demand[name])
 			changed = true
 		case balance.Ended:
-			b.l.controller.log.Info("surge ended", "team", name, "cpus", demand[name])
+			b.leader.controller.log.Info("surge ended", "team", name, "cpus", demand[name])
 			changed = true
 		}
 	}
@@ -147,7 +147,7 @@
 // smallestMachineCPUs returns the number of CPUs of the smallest machine type.
 func (b *rebalancer) smallestMachineCPUs() float64 {
 	smallest := 0.0
-	for _, t := range b.l.controller.types {
+	for _, t := range b.leader.controller.types {
 		if smallest == 0 || t.CPUs < smallest {
 			smallest = t.CPUs
 		}
@@ -163,7 +163,7 @@
 			surges[name] = records.Surge(r)
 		}
 	}
-	b.l.writer.put(records.KeySurges, records.Encode(surges))
+	b.leader.writer.put(records.KeySurges, records.Encode(surges))
 }
 
 // restoreSurges restores the surges that an earlier leader recorded. Records that can't be decoded
@@ -172,13 +172,13 @@
 	for _, it := range items {
 		var surges records.Surges
 		if err := protocol.Decode(it.Value, &surges); err != nil {
-			b.l.controller.log.Error("surges record unreadable", "key", it.Key, "error", err)
+			b.leader.controller.log.Error("surges record unreadable", "key", it.Key, "error", err)
 			continue
 		}
 		for name, r := range surges {
 			if t := b.teams[name]; t != nil && r.Number > 0 {
-				t.surge.Restore(b.l.controller.now.Round(0), balance.SurgeRecord(r))
-				b.l.controller.log.Info("surge restored", "team", name, "surge", r.Number)
+				t.surge.Restore(b.leader.controller.now.Round(0), balance.SurgeRecord(r))
+				b.leader.controller.log.Info("surge restored", "team", name, "surge", r.Number)
 			}
 		}
 	}
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -15,7 +15,7 @@
 func leaderWithBalancing(t *testing.T) (*Controller, *leader, *attempt) {
 	t.Helper()
 	c, l := newTestLeader(phaseActive)
-	c.operator.Balance = &config.Balance{CeilingShare: 0.5, FetchQueueSeconds: 20, TradeSeconds: 2}
+	c.operator.Balance = &config.Balance{CeilingShare: 0.5, MaxFetchBacklogSeconds: 20, LoadPenaltySeconds: 2}
 	l.rebalancer = newRebalancer(l)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
 	m := l.machines["vm-1"]
@@ -72,7 +72,7 @@
 	if l.rebalancer.surgeOf(a.job) != 0 {
 		t.Error("surge restored from an unreadable record")
 	}
-	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, Level: 1}, "nobody": {Number: 6}})}})
+	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, UsualCPUs: 1}, "nobody": {Number: 6}})}})
 	if l.rebalancer.surgeOf(a.job) != 5 {
 		t.Error("recorded surge not restored")
 	}
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -21,19 +21,19 @@
 // of jobs first, then with machine groups, because no task starts on a machine before the machine
 // is recorded, and then with blocks of tasks.
 type recordWriter struct {
-	leader           *leader
-	committer        *statestore.Committer
-	urgentBlocks     []*taskBlock
-	lazyBlocks       []*taskBlock
-	doneJobs         []*job          // whose outcome "done" is to be recorded
-	newGroups        []*machineGroup // not yet written
-	changedGroups    []*machineGroup // to be rewritten once due
-	groupCount       uint64          // number of groups created by this leader
-	otherPuts        []protocol.Op
-	keysToDelete     []string
-	jobDeletions     []jobDeletion
-	unrecordedStarts int
-	tasksPerBlock    int // for new jobs
+	leader               *leader
+	committer            *statestore.Committer
+	urgentBlocks         []*taskBlock
+	lazyBlocks           []*taskBlock
+	doneJobs             []*job          // whose outcome "done" is to be recorded
+	newGroups            []*machineGroup // not yet written
+	changedGroups        []*machineGroup // to be rewritten once due
+	groupCount           uint64          // number of groups created by this leader
+	otherPuts            []protocol.Op
+	keysToDelete         []string
+	jobDeletions         []jobDeletion
+	unrecordedPlacements int
+	tasksPerBlock        int // for new jobs
 }
 
 // jobDeletion is a job that is dropped once its last key is deleted.
@@ -45,9 +45,9 @@
 func (w *recordWriter) init(l *leader) {
 	settings := l.controller.cfg
 	w.leader = l
-	w.tasksPerBlock = records.TasksPerBlock(settings.ValueBytes)
+	w.tasksPerBlock = records.TasksPerBlock(settings.MaxValueBytes)
 	w.committer = statestore.NewCommitter(l.controller.store, w, protocol.Condition{Key: records.KeyLeader, Version: l.keyVersion},
-		settings.TxnOps, settings.StateWriteRPS)
+		settings.MaxTxnOps, settings.StateWriteRPS)
 }
 
 // flush sends the next transaction, if there is something to write and the committer allows it.
@@ -64,11 +64,11 @@
 // transactions.
 func (w *recordWriter) saturated() bool {
 	settings := w.leader.controller.cfg
-	if w.unrecordedStarts >= w.maxUnrecordedStarts() {
+	if w.unrecordedPlacements >= w.maxUnrecordedPlacements() {
 		w.leader.controller.limits.Reached(limits.UnrecordedPlacements)
 		return true
 	}
-	return len(w.urgentBlocks) >= max(4*settings.TxnOps, int(settings.StateWriteRPS/2))
+	return len(w.urgentBlocks) >= max(4*settings.MaxTxnOps, int(settings.StateWriteRPS/2))
 }
 
 // markUrgent queues a block to be written as soon as possible.
@@ -89,7 +89,7 @@
 func (w *recordWriter) recordStart(a *attempt) {
 	block := a.job.block(a.taskIndex)
 	block.unrecorded = append(block.unrecorded, a)
-	w.unrecordedStarts++
+	w.unrecordedPlacements++
 	w.markUrgent(block)
 }
 
@@ -120,7 +120,7 @@
 // recordMachineTypes stores the machine types for controllers that can't reach the cloud.
 func (w *recordWriter) recordMachineTypes(types []protocol.MachineType) {
 	raw := records.Encode(types)
-	if len(raw) > w.leader.controller.cfg.ValueBytes {
+	if len(raw) > w.leader.controller.cfg.MaxValueBytes {
 		w.leader.controller.limits.Reached(limits.MachineTypesRecordSize)
 		return
 	}
@@ -246,7 +246,7 @@
 	block.record.MarkClean()
 	starts := block.unrecorded
 	block.unrecorded = nil
-	w.unrecordedStarts -= len(starts)
+	w.unrecordedPlacements -= len(starts)
 	keep := starts[:0]
 	for _, a := range starts {
 		switch {
@@ -266,7 +266,7 @@
 	for _, a := range write.starts {
 		if block.job.task(a.taskIndex).live == a {
 			block.unrecorded = append(block.unrecorded, a)
-			w.unrecordedStarts++
+			w.unrecordedPlacements++
 		}
 	}
 	block.migrating = append(block.migrating, write.migrating...)
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -16,7 +16,7 @@
 // before new machines had booted.
 func TestReleaseDeferredUntilReplicasFitElsewhere(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
-	c.teams["red"].CPUsMax = 100
+	c.teams["red"].MaxCPUs = 100
 	l.addJob(&records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: 96, Spec: &protocol.Job{ID: "run-000001", Class: "c",
 		Team: "red", Kind: protocol.Service, Priority: protocol.Critical, Tasks: 20, CPUs: 2, MemoryGB: 1, Image: "a", ImageGB: 1}})
 	add := func(i int) {
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/rights_test.go
@@ -38,14 +38,14 @@
 }
 
 // A leader that no longer receives job records stops answering heartbeats early enough that the
-// lease renewed by its last answer ends within CancelWithin after its latest knowledge of the
+// lease renewed by its last answer ends within CancelDeadline after its latest knowledge of the
 // jobs, whatever the settings and however long the leader's own lease is renewed.
 func TestLeaseRenewalsEndWithinCancelTime(t *testing.T) {
 	for _, test := range []struct{ lease, cancel time.Duration }{
 		{15 * time.Second, 40 * time.Second}, {28 * time.Second, 48 * time.Second}, {22 * time.Second, 47 * time.Second},
 		{60 * time.Second, 63 * time.Second}, {600 * time.Second, 700 * time.Second}} {
 		c, l := newTestLeader(phaseActive)
-		c.cfg.WorkerLease, c.cfg.CancelWithin = test.lease, test.cancel
+		c.cfg.WorkerLease, c.cfg.CancelDeadline = test.lease, test.cancel
 		l.jobsKnownAt = c.now
 		l.lease.ValidUntil = c.now.Add(time.Hour) // the lease is renewed, but no watch gets a response
 		known, last := l.jobsKnownAt, time.Time{}
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -71,7 +71,7 @@
 		return "unknown type"
 	case m.lifecycle.preemptionNoticed() && now.After(m.lifecycle.preemptionAt.Add(2*time.Second)):
 		return "preempted"
-	case m.Consolidating && m.incomingMigrations == 0 && now.Sub(m.provisionedAt) > minimumBilledTime && now.Sub(m.emptySince) > l.controller.operator.Idle():
+	case m.Consolidating && m.incomingMigrations == 0 && now.Sub(m.provisionedAt) > minimumBilledTime && now.Sub(m.emptySince) > l.controller.operator.IdleTimeout():
 		return "not needed"
 	}
 	return ""
@@ -227,7 +227,7 @@
 // pendingReleases returns machines whose release must be sent or retried.
 func (l *leader) pendingReleases() (list []*machine) {
 	for _, m := range l.fleetList {
-		if m.lifecycle.releasing() && l.controller.now.Sub(m.lifecycle.releaseSentAt) > releaseRetryInterval && len(list) < protocol.MaxTerminate {
+		if m.lifecycle.releasing() && l.controller.now.Sub(m.lifecycle.releaseSentAt) > releaseRetryInterval && len(list) < protocol.MaxMachinesPerTermination {
 			list = append(list, m)
 		}
 	}
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -61,7 +61,7 @@
 // scaleOutLimit is how many machines one scale-out may provision while others boot.
 func (l *leader) scaleOutLimit(booting int) int {
 	fleet := len(l.fleetList)
-	step := max(protocol.MaxProvision, fleet/scaleOutStepDivisor) - booting
+	step := max(protocol.MaxMachinesPerProvision, fleet/scaleOutStepDivisor) - booting
 	return max(0, min(maxPlannedMachines, max(l.forecastCapacity()-fleet, step)))
 }
 
@@ -93,7 +93,7 @@
 	quotas := map[string]*autoscaler.Quota{}
 	for name, t := range l.controller.teams {
 		u := l.teamUsage[name]
-		quotas[name] = &autoscaler.Quota{CPUs: t.CPUsMax - u.cpus, GPUs: t.GPUsMax - u.gpus}
+		quotas[name] = &autoscaler.Quota{CPUs: t.MaxCPUs - u.cpus, GPUs: t.MaxGPUs - u.gpus}
 	}
 	plan := autoscaler.NewPlan(l.offers(), l.bootingBins(), quotas)
 	for _, d := range l.autoscaler.unmetDemand {
@@ -141,11 +141,11 @@
 func (l *leader) requestPlannedMachines(plan *autoscaler.Plan) {
 	budget := l.autoscaler.callBudget
 	for _, request := range plan.Requests() {
-		for left := request.Count; left > 0; left -= protocol.MaxProvision {
+		for left := request.Count; left > 0; left -= protocol.MaxMachinesPerProvision {
 			if budget.Available(l.controller.now) < 1+reservedReleaseCalls || !budget.TryTake(l.controller.now, 1) {
 				return
 			}
-			l.requestMachines(request.Offer, min(left, protocol.MaxProvision))
+			l.requestMachines(request.Offer, min(left, protocol.MaxMachinesPerProvision))
 		}
 	}
 }
@@ -178,7 +178,7 @@
 
 // catalog returns the cloud's machine types, with spot machines only if operators allow them.
 func (l *leader) catalog() autoscaler.Catalog {
-	return autoscaler.Catalog{Types: l.controller.types, Spot: l.controller.operator.Spot}
+	return autoscaler.Catalog{Types: l.controller.types, Spot: l.controller.operator.AllowSpot}
 }
 
 // offers returns the offers that can be requested now, cheapest per CPU first.
@@ -192,7 +192,7 @@
 // only idle and cheap capacity, except for critical jobs.
 func (l *leader) overpriced(j *job, o autoscaler.Offer) bool {
 	t := l.controller.teams[j.Team]
-	if t == nil || t.CPUs > 0 || t.GPUs > 0 || j.Priority == protocol.Critical {
+	if t == nil || t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0 || j.Priority == protocol.Critical {
 		return false
 	}
 	return l.catalog().TooExpensive(j.Job, o)
@@ -233,7 +233,7 @@
 				scaler.unavailableUntil[key] = c.now.Add(noCapacityBackoff)
 			}
 			l.scheduleScaleOut()
-		case out.Answered && out.Status == 503 && protocol.NoCapacity(out.Body):
+		case out.Answered && out.Status == 503 && protocol.IsNoCapacity(out.Body):
 			if c.now.Sub(scaler.unavailableUntil[key]) > noCapacityBackoff { // log only the first of successive failures
 				c.log.Info("instance offer without capacity", "type", o.Spec.Name, "zone", o.Zone, "spot", o.Spot)
 			}
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -11,8 +11,8 @@
 // workerRegistered implements sessionListener.
 func (l *leader) workerRegistered(*machine) { l.requestPlacement() }
 
-// incarnationBegan implements sessionListener.
-func (l *leader) incarnationBegan(m *machine) {
+// workerRestarted implements sessionListener.
+func (l *leader) workerRestarted(m *machine) {
 	m.Images.Reset()
 	l.rebalancer.workerRestarted(m)
 }
@@ -99,7 +99,7 @@
 	switch t.Reason {
 	case protocol.ExitError:
 		l.attemptFailed(m, a)
-	case protocol.ExitNoRoom, protocol.ExitBusy, protocol.ExitUnknown:
+	case protocol.ExitNoCapacity, protocol.ExitAlreadyRunning, protocol.ExitUnknownTask:
 		l.controller.logSampled("task start refused", "machine", m.Name, "job", t.Job, "task", t.TaskIndex, "reason", t.Reason)
 		a.job.backoffUntil = l.controller.now.Add(refusedStartBackoff)
 		l.controller.after(refusedStartRetry, func() {
--- a/internal/coordination/sessions/detector.go
+++ b/internal/coordination/sessions/detector.go
@@ -76,8 +76,8 @@
 // a quarter.
 func (t Timing) longestInterval() time.Duration { return t.HeartbeatInterval * 5 / 4 }
 
-// Silence is how long a worker has been out of contact, by direction.
-type Silence struct {
+// ContactLoss is how long a worker has been out of contact, by direction.
+type ContactLoss struct {
 	Unseen       time.Duration // since its latest message arrived
 	Unreached    time.Duration // since the latest proof that something sent reached it: calls and heartbeat responses may be lost
 	Unanswered   time.Duration // since its latest answered heartbeat: heartbeats may be lost
@@ -85,7 +85,7 @@
 }
 
 // PresumedDead reports whether a machine should be treated as dead and released.
-func (t Timing) PresumedDead(s Silence) bool {
+func (t Timing) PresumedDead(s ContactLoss) bool {
 	return s.Unseen > t.UnresponsiveAfter() ||
 		s.Unseen > failedProbesReleaseAfter && s.FailedProbes >= UnansweringProbeThreshold ||
 		s.Unreached > t.unreachedReleaseAfter() && s.FailedProbes >= unreachedReleaseProbes ||
--- a/internal/coordination/sessions/sessions_test.go
+++ b/internal/coordination/sessions/sessions_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestTokensRiseAndNeverWrap(t *testing.T) {
+func TestTokensIncreaseAndNeverWrap(t *testing.T) {
 	s := servedSession(7)
 	if s.Token() != 7<<TokenBits || TermOf(s.Token()) != 7 {
 		t.Fatalf("the first token is %x", s.Token())
@@ -174,19 +174,19 @@
 	timing := Timing{HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second}
 	for _, test := range []struct {
 		name    string
-		silence Silence
+		silence ContactLoss
 		want    bool
 	}{
-		{"in contact", Silence{Unseen: 2 * time.Second}, false},
-		{"silent", Silence{Unseen: 5*time.Second + 1}, true},
-		{"silent for less", Silence{Unseen: 5 * time.Second, FailedProbes: 2}, false},
-		{"doesn't answer probes", Silence{Unseen: 4 * time.Second, FailedProbes: 3}, true},
-		{"doesn't answer probes, was seen", Silence{Unseen: 3 * time.Second, FailedProbes: 3}, false},
-		{"nothing reaches it", Silence{Unreached: 11 * time.Second, FailedProbes: 4}, true},
-		{"nothing reaches it, for less", Silence{Unreached: 10 * time.Second, FailedProbes: 4}, false},
-		{"nothing is proven to reach it, but it answers probes", Silence{Unreached: time.Minute}, false},
-		{"its heartbeats aren't answered", Silence{Unanswered: 31 * time.Second}, true},
-		{"its heartbeats aren't answered, for less", Silence{Unanswered: 30 * time.Second}, false},
+		{"in contact", ContactLoss{Unseen: 2 * time.Second}, false},
+		{"silent", ContactLoss{Unseen: 5*time.Second + 1}, true},
+		{"silent for less", ContactLoss{Unseen: 5 * time.Second, FailedProbes: 2}, false},
+		{"doesn't answer probes", ContactLoss{Unseen: 4 * time.Second, FailedProbes: 3}, true},
+		{"doesn't answer probes, was seen", ContactLoss{Unseen: 3 * time.Second, FailedProbes: 3}, false},
+		{"nothing reaches it", ContactLoss{Unreached: 11 * time.Second, FailedProbes: 4}, true},
+		{"nothing reaches it, for less", ContactLoss{Unreached: 10 * time.Second, FailedProbes: 4}, false},
+		{"nothing is proven to reach it, but it answers probes", ContactLoss{Unreached: time.Minute}, false},
+		{"its heartbeats aren't answered", ContactLoss{Unanswered: 31 * time.Second}, true},
+		{"its heartbeats aren't answered, for less", ContactLoss{Unanswered: 30 * time.Second}, false},
 	} {
 		if got := timing.PresumedDead(test.silence); got != test.want {
 			t.Errorf("%s: %t", test.name, got)
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestSilenceCountsFromReset(t *testing.T) {
+func TestUnseenTimeCountsFromReset(t *testing.T) {
 	var d Detector
 	s := servedSession(1)
 	s.RegisteredAt = start
--- a/internal/coordination/shard/forms_test.go
+++ b/internal/coordination/shard/forms_test.go
@@ -16,7 +16,7 @@
 	task := Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 3, Attempt: 7}
 	start := Start{Task: task, FirstNotice: true, Stopping: true, GraceMillis: 10000}
 	header := Header{Epoch: ChannelEpoch{Term: 41, Member: member}, Sequence: 5, Acknowledged: 4, Snapshot: true, SnapshotRequested: true}
-	golden.Check(t, []golden.Form{
+	golden.Check(t, []golden.Case{
 		{File: "member_full.json", Value: &MemberRecord{Member: member, Zone: "a", Draining: true, Reachability: &ReachabilityReport{Sequence: 2, Workers: 30, Unreachable: 4}}},
 		{File: "member_least.json", Value: &MemberRecord{}},
 		{File: "member_reach_least.json", Value: &MemberRecord{Reachability: &ReachabilityReport{}}},
@@ -34,7 +34,7 @@
 			TaskStates: []TaskState{{Task: task, State: protocol.Running}}, Exits: []Exit{{Task: task, Reason: protocol.ExitStopped, Checkpointed: true}},
 			Terminations: []Termination{{Task: task, Reason: "silent"}}, Orphans: []Task{task},
 			Status: &Status{Load: Load{CPUShare: 0.25, Lag: 3 * time.Millisecond, HeartbeatRate: 12.5, Machines: 30},
-				Unhealthy: []UnhealthyWorker{{Machine: "vm-1", SilentMillis: 1, UnreachedMillis: 2, UnansweredMillis: 3, FailedProbes: 4}}, Part: 1, More: true}}},
+				Unhealthy: []UnhealthyWorker{{Machine: "vm-1", UnseenMillis: 1, UnreachedMillis: 2, UnansweredMillis: 3, FailedProbes: 4}}, Part: 1, More: true}}},
 		{File: "observations_least.json", Value: &Observations{}},
 		{File: "observations_least_entries.json", Value: &Observations{ServedTerms: map[ID]uint64{}, Workers: []Worker{{}}, TaskStates: []TaskState{{}}, Exits: []Exit{{}},
 			Terminations: []Termination{{}}, Orphans: []Task{{}}, Status: &Status{Unhealthy: []UnhealthyWorker{{}}}}},
@@ -46,7 +46,7 @@
 	for _, number := range []struct{ got, want uint8 }{
 		{uint8(protocol.Fetching), 1}, {uint8(protocol.Running), 2}, {uint8(protocol.Checkpointing), 3}, {uint8(protocol.Exited), 4},
 		{uint8(protocol.ExitNone), 0}, {uint8(protocol.ExitDone), 1}, {uint8(protocol.ExitStopped), 2}, {uint8(protocol.ExitError), 3},
-		{uint8(protocol.ExitNoRoom), 4}, {uint8(protocol.ExitBusy), 5}, {uint8(protocol.ExitUnknown), 6}, {uint8(protocol.ExitGang), 7},
+		{uint8(protocol.ExitNoCapacity), 4}, {uint8(protocol.ExitAlreadyRunning), 5}, {uint8(protocol.ExitUnknownTask), 6}, {uint8(protocol.ExitGangFailed), 7},
 	} {
 		if number.got != number.want {
 			t.Errorf("number %d, want %d", number.got, number.want)
--- a/internal/coordination/shard/messages.go
+++ b/internal/coordination/shard/messages.go
@@ -87,7 +87,7 @@
 // UnhealthyWorker is a worker that is silent or that its owner doesn't reach.
 type UnhealthyWorker struct {
 	Machine          string `json:"m"`
-	SilentMillis     int64  `json:"s"`
+	UnseenMillis     int64  `json:"s"`
 	UnreachedMillis  int64  `json:"u"`
 	UnansweredMillis int64  `json:"r"`
 	FailedProbes     int    `json:"f"` // probes in a row without an answer
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -250,7 +250,7 @@
 		in.TerminatedMachines = append(in.TerminatedMachines, k.Machine)
 		observed.TaskStates = append(observed.TaskStates, TaskState{Task: k})
 		observed.Terminations = append(observed.Terminations, Termination{Task: k, Reason: "no longer reported"})
-		observed.Status.Unhealthy = append(observed.Status.Unhealthy, UnhealthyWorker{Machine: k.Machine, SilentMillis: 5000})
+		observed.Status.Unhealthy = append(observed.Status.Unhealthy, UnhealthyWorker{Machine: k.Machine, UnseenMillis: 5000})
 	}
 	return in, observed
 }
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -19,19 +19,19 @@
 // changeFeed exchanges messages between a shard owner and the leader: it sends the changes that
 // the owner observes, and applies the instructions that it receives.
 type changeFeed struct {
-	owner           *shardOwner
-	shard.Outbox    // to the leader; its Channel is nil while no leader is known
-	leader          string
-	pending         shard.Observations // not yet sent
-	changedWorkers  map[*machine]bool  // with an entry to send
-	snapshotWorkers map[*machine]bool  // of changedWorkers, those whose task states are sent as well
-	leaderHeardAt   time.Time          // when the last message of a leader was received
+	owner                *shardOwner
+	shard.Outbox         // to the leader; its Channel is nil while no leader is known
+	leader               string
+	pending              shard.Observations // not yet sent
+	changedWorkers       map[*machine]bool  // with an entry to send
+	snapshotWorkers      map[*machine]bool  // of changedWorkers, those whose task states are sent as well
+	leaderLastReceivedAt time.Time          // when the last message of a leader was received
 	// unacknowledged are the terminations that were sent and that the leader may not have received.
 	unacknowledged shard.UnacknowledgedTerminations
 }
 
 func newChangeFeed(o *shardOwner) *changeFeed {
-	return &changeFeed{owner: o, changedWorkers: map[*machine]bool{}, leaderHeardAt: o.controller.now}
+	return &changeFeed{owner: o, changedWorkers: map[*machine]bool{}, leaderLastReceivedAt: o.controller.now}
 }
 
 func (f *changeFeed) workerChanged(m *machine) { f.changedWorkers[m] = true; f.schedule() }
@@ -188,7 +188,7 @@
 	if in.Epoch.Member != f.owner.sharding.member {
 		return // addressed to an earlier incarnation of this controller
 	}
-	f.leaderHeardAt = f.owner.controller.now
+	f.leaderLastReceivedAt = f.owner.controller.now
 	f.connect(from, in.Epoch.Term)
 	accepted := f.Channel.Receive(in.Header)
 	f.unacknowledged.Acknowledged(f.Channel.Acknowledged())
@@ -326,11 +326,11 @@
 // unhealthy gives the status entry of a worker that is silent, that doesn't answer probes, that
 // nothing sent was seen to reach, or whose heartbeats go unanswered.
 func (o *shardOwner) unhealthy(m *machine) (shard.UnhealthyWorker, bool) {
-	silent, unreached, unanswered := o.silentFor(m), o.unreachedFor(m), o.unansweredFor(m)
+	silent, unreached, unanswered := o.unseenFor(m), o.unreachedFor(m), o.unansweredFor(m)
 	if !o.expectsHeartbeats(m) || silent <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unanswered <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
 		return shard.UnhealthyWorker{}, false
 	}
-	return shard.UnhealthyWorker{Machine: m.Name, SilentMillis: silent.Milliseconds(), UnreachedMillis: unreached.Milliseconds(),
+	return shard.UnhealthyWorker{Machine: m.Name, UnseenMillis: silent.Milliseconds(), UnreachedMillis: unreached.Milliseconds(),
 		UnansweredMillis: unanswered.Milliseconds(), FailedProbes: m.session.FailedProbes}, true
 }
 
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -12,16 +12,16 @@
 // shardCoordinator is the leader's side of sharding: it assigns shards to owners, sends the
 // owners instructions, and applies their observations.
 type shardCoordinator struct {
-	leader                 *leader
-	sharding               *sharding
-	shardCount             int  // configured number of shards
-	retiring               bool // sharding is being disabled: all shards move to the leader's own controller
-	planner                *shard.Planner
-	channels               map[string]*ownerChannel // by controller
-	ownerHeardSinceByShard map[shard.ID]time.Time   // since when a shard's owner has sent messages without a gap
-	moves                  *shard.Moves
-	changeInFlight         bool // a transaction that changes owners is being committed
-	unreadable             *shard.UnreadableRecords
+	leader                   *leader
+	sharding                 *sharding
+	shardCount               int  // configured number of shards
+	retiring                 bool // sharding is being disabled: all shards move to the leader's own controller
+	planner                  *shard.Planner
+	channels                 map[string]*ownerChannel // by controller
+	ownerContactSinceByShard map[shard.ID]time.Time   // since when a shard's owner has sent messages without a gap
+	moves                    *shard.Moves
+	changeInFlight           bool // a transaction that changes owners is being committed
+	unreadable               *shard.UnreadableRecords
 }
 
 // ownerTimeout is after how long without a message an owner's reports of its workers are no longer
@@ -34,7 +34,7 @@
 		count = sh.ShardsPerController * (1 + len(l.controller.cfg.Peers))
 	}
 	return &shardCoordinator{leader: l, sharding: s, shardCount: count, retiring: retiring, planner: shard.NewPlanner(), moves: shard.NewMoves(ownerTimeout),
-		channels: map[string]*ownerChannel{}, ownerHeardSinceByShard: map[shard.ID]time.Time{}, unreadable: shard.NewUnreadableRecords()}
+		channels: map[string]*ownerChannel{}, ownerContactSinceByShard: map[shard.ID]time.Time{}, unreadable: shard.NewUnreadableRecords()}
 }
 
 // ownershipChanged updates the channels and moves after a change of owners or members, and plans
@@ -45,7 +45,7 @@
 		owner := sc.channels[m.Name]
 		if owner == nil || owner.member != m.Member {
 			owner = &ownerChannel{member: m.Member, Outbox: shard.Outbox{Channel: shard.NewChannel(shard.ChannelEpoch{Term: sc.leader.term, Member: m.Member})},
-				pendingMachines: map[*machine]bool{}, announcedTerms: map[shard.ID]uint64{}, heardAt: c.now}
+				pendingMachines: map[*machine]bool{}, announcedTerms: map[shard.ID]uint64{}, lastReceivedAt: c.now}
 			sc.channels[m.Name] = owner
 			sc.schedule(owner)
 		}
@@ -58,7 +58,7 @@
 	}
 	for _, id := range sc.sharding.table.IDs() {
 		if sc.channelToOwner(id) == nil {
-			delete(sc.ownerHeardSinceByShard, id)
+			delete(sc.ownerContactSinceByShard, id)
 		}
 	}
 	sc.moves.Update(c.now, sc.sharding.table)
@@ -77,18 +77,18 @@
 	return nil
 }
 
-// ownerHeardSince is since when the owner of a machine's shard has sent messages without a gap. It
+// ownerContactSince is since when the owner of a machine's shard has sent messages without a gap. It
 // is false when the owner's reports can't be relied on: then the machine's silence proves nothing.
-func (sc *shardCoordinator) ownerHeardSince(m *machine) (time.Time, bool) {
-	since, ok := sc.ownerHeardSinceByShard[m.shard]
+func (sc *shardCoordinator) ownerContactSince(m *machine) (time.Time, bool) {
+	since, ok := sc.ownerContactSinceByShard[m.shard]
 	if ok && sc.hasAlternativeOwner(m) {
 		return time.Time{}, false
 	}
 	owner := sc.channelToOwner(m.shard)
 	// An owner that hasn't announced the shard yet has probed none of its workers: what is known of
 	// them comes from the previous owner, which may have lost contact with them.
-	if !ok || owner == nil || owner.announcedTerms[m.shard] == 0 || sc.leader.controller.now.Sub(owner.heardAt) > ownerTimeout {
-		delete(sc.ownerHeardSinceByShard, m.shard)
+	if !ok || owner == nil || owner.announcedTerms[m.shard] == 0 || sc.leader.controller.now.Sub(owner.lastReceivedAt) > ownerTimeout {
+		delete(sc.ownerContactSinceByShard, m.shard)
 		return time.Time{}, false
 	}
 	return since, true
@@ -119,15 +119,15 @@
 // that its timers fire too late.
 func (sc *shardCoordinator) ownerOverloaded() bool {
 	for _, owner := range sc.channels {
-		if owner.status.Load.Lag > overload.OverloadThreshold && sc.leader.controller.now.Sub(owner.heardAt) <= recentOverloadWindow {
+		if owner.status.Load.Lag > overload.OverloadThreshold && sc.leader.controller.now.Sub(owner.lastReceivedAt) <= recentOverloadWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// step runs periodically: it checks the channels for timeouts and plans.
-func (sc *shardCoordinator) step() {
+// checkChannelsAndPlan runs periodically: it checks the channels for timeouts and plans.
+func (sc *shardCoordinator) checkChannelsAndPlan() {
 	if !sc.sharding.tableLoaded || sc.leader.phase == phaseLoading {
 		return
 	}
@@ -154,7 +154,7 @@
 // reachabilityAt is whether an owner reaches its workers according to its member record. It is used
 // only for an owner whose messages don't arrive.
 func (owner *ownerChannel) reachabilityAt(now time.Time) shard.Reachability {
-	if now.Sub(owner.heardAt) <= ownerTimeout {
+	if now.Sub(owner.lastReceivedAt) <= ownerTimeout {
 		return shard.ReachabilityUnknown
 	}
 	return owner.reachabilityTracker.At(now)
@@ -191,7 +191,7 @@
 		return false
 	}
 	owner := l.shards.channelToOwner(m.shard)
-	return owner == nil || l.controller.now.Sub(owner.heardAt) > ownerTimeout
+	return owner == nil || l.controller.now.Sub(owner.lastReceivedAt) > ownerTimeout
 }
 
 // resignIfDisconnected lets another controller lead if this one receives messages from no other
@@ -211,7 +211,7 @@
 			continue
 		}
 		reachability := owner.reachabilityAt(c.now)
-		if reachability == shard.ReachabilityUnknown && c.now.Sub(owner.heardAt) <= ownerUnresponsiveAfter {
+		if reachability == shard.ReachabilityUnknown && c.now.Sub(owner.lastReceivedAt) <= ownerUnresponsiveAfter {
 			return false
 		}
 		if reachability == shard.WorkersReachable {
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_guards_test.go
@@ -73,7 +73,7 @@
 
 // While no messages arrive from a shard's owner, its workers don't count as silent: the leader waits
 // for the reports of the next owner.
-func TestOwnerTimeoutIsNotWorkerSilence(t *testing.T) {
+func TestOwnerTimeoutIsNotWorkerFailure(t *testing.T) {
 	l, a := newShardedLeader(t)
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
 	a.machine.session.LastSeen, a.machine.session.LastAnswered, a.machine.session.LastReached, a.machine.session.RegisteredAt = l.controller.now, l.controller.now, l.controller.now, l.controller.now
@@ -150,7 +150,7 @@
 
 // Silent workers of a partitioned owner aren't taken for unresponsive while another controller may
 // reach them, but are once every controller has tried.
-func TestSilentWorkersOfPartitionedOwner(t *testing.T) {
+func TestUnresponsiveWorkersOfPartitionedOwner(t *testing.T) {
 	l, a := newShardedLeader(t)
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
 	m := a.machine
@@ -159,7 +159,7 @@
 	later := l.controller.now.Add(l.controller.timing().UnresponsiveAfter() + time.Second)
 	unresponsive := func(alternative bool) bool {
 		l.controller.now = later
-		owner.heardAt, other.heardAt, l.shards.ownerHeardSinceByShard[1] = later, later, later.Add(-time.Minute)
+		owner.lastReceivedAt, other.lastReceivedAt, l.shards.ownerContactSinceByShard[1] = later, later, later.Add(-time.Minute)
 		owner.partitioned, owner.alternatives = true, map[string]bool{m.Zone: alternative}
 		return len(l.assessReachability().unresponsive) > 0
 	}
@@ -178,12 +178,12 @@
 	c, s := o.controller, &o.sharding.redirector
 	*s = newRedirector(c)
 	setElectionKeys(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
-	c.peers["n1"] = &peers.Status{HeardAt: c.now}
+	c.peers["n1"] = &peers.Status{LastReceivedAt: c.now}
 	if got := s.target("vm-7"); got != "n1" {
 		t.Fatalf("redirected to %q", got)
 	}
 	c.now = c.now.Add(sessions.LostHeartbeatDelay)
-	c.peers["n1"].HeardAt = c.now
+	c.peers["n1"].LastReceivedAt = c.now
 	if got := s.target("vm-7"); got != "" {
 		t.Errorf("redirected to %q again", got)
 	}
@@ -194,7 +194,7 @@
 	if got := s.target("vm-9"); got != "" {
 		t.Errorf("redirected to %q, which lost its workers", got)
 	}
-	c.peers["n1"].WorkersUnreachable, c.now = false, c.now.Add(leaderHeardWindow+time.Second)
+	c.peers["n1"].WorkersUnreachable, c.now = false, c.now.Add(leaderContactWindow+time.Second)
 	if got := s.target("vm-9"); got != "" {
 		t.Errorf("redirected to %q, which has sent no message lately", got)
 	}
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -15,7 +15,7 @@
 	pending             shard.Instructions  // not yet sent
 	pendingMachines     map[*machine]bool   // machines to send with all their attempts
 	announcedTerms      map[shard.ID]uint64 // shards whose machines were queued for this owner, and the term of its ownership
-	heardAt             time.Time           // when the owner's last message was received
+	lastReceivedAt      time.Time           // when the owner's last message was received
 	status              shard.Status
 	statusParts         shard.StatusParts
 	partitioned         bool                      // it lost contact with most of its workers
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -212,7 +212,7 @@
 // messages from a leader and the last report is older than shard.ReachabilityInterval.
 func (o *shardOwner) writeReachability() {
 	c, s := o.controller, o.sharding
-	if s.member.Name == "" || s.memberWriteInFlight || c.store.Unavailable() || c.now.Sub(o.feed.leaderHeardAt) <= ownerTimeout || c.now.Sub(o.reachabilityWrittenAt) < shard.ReachabilityInterval {
+	if s.member.Name == "" || s.memberWriteInFlight || c.store.Unavailable() || c.now.Sub(o.feed.leaderLastReceivedAt) <= ownerTimeout || c.now.Sub(o.reachabilityWrittenAt) < shard.ReachabilityInterval {
 		return
 	}
 	o.reachabilityWrittenAt = c.now
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -15,7 +15,7 @@
 	if owner == nil || owner.member != observations.Epoch.Member || sc.leader.phase == phaseLoading {
 		return
 	}
-	owner.heardAt = c.now
+	owner.lastReceivedAt = c.now
 	accepted := owner.Channel.Receive(observations.Header)
 	sc.applyServedTerms(owner, observations.ServedTerms)
 	if accepted {
@@ -39,14 +39,14 @@
 		if !ok || ownership.Member != owner.member || ownership.Term != term {
 			continue // an earlier ownership, or one that the watch hasn't shown yet
 		}
-		if _, ok := sc.ownerHeardSinceByShard[id]; !ok {
-			sc.ownerHeardSinceByShard[id] = sc.leader.controller.now
+		if _, ok := sc.ownerContactSinceByShard[id]; !ok {
+			sc.ownerContactSinceByShard[id] = sc.leader.controller.now
 		}
 		if owner.announcedTerms[id] != 0 {
 			continue
 		}
 		// Silence that a previous owner reported doesn't count for this one.
-		sc.ownerHeardSinceByShard[id] = sc.leader.controller.now
+		sc.ownerContactSinceByShard[id] = sc.leader.controller.now
 		owner.announcedTerms[id] = term
 		sc.reportMoveCompleted(sc.moves.Served(sc.leader.controller.now, id, owner.member.Name, sc.hasMachines))
 		for _, m := range sc.leader.fleetList {
@@ -146,7 +146,7 @@
 	}
 	if w.Incarnation != m.session.Incarnation {
 		m.session.Incarnation = w.Incarnation
-		l.incarnationBegan(m)
+		l.workerRestarted(m)
 	}
 	sc.reportMoveCompleted(sc.moves.HeartbeatReceived(m.shard))
 	m.session.LastSeen, m.session.LastAnswered = c.now, c.now
@@ -231,7 +231,7 @@
 	now := sc.leader.controller.now
 	m.session.FailedProbes = w.FailedProbes
 	if m.session.Registered {
-		m.session.LastSeen = now.Add(-millis(w.SilentMillis))
+		m.session.LastSeen = now.Add(-millis(w.UnseenMillis))
 		m.session.LastAnswered = now.Add(-millis(w.UnansweredMillis))
 		if !m.session.LastReached.IsZero() {
 			m.session.LastReached = now.Add(-millis(w.UnreachedMillis))
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -56,7 +56,7 @@
 	o.listener, o.probesNewWorkers = o, true
 	o.feed = newChangeFeed(o)
 	o.loadJobs(o.watchJobs)
-	o.every(detectorInterval, o.detectSilentWorkers)
+	o.every(detectorInterval, o.detectUnresponsiveWorkers)
 	return o
 }
 
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -22,14 +22,14 @@
 	return m
 }
 
-// silentFor is how long a worker has been silent. Time before its shard was acquired doesn't count.
-func (o *shardOwner) silentFor(m *machine) time.Duration {
+// unseenFor is how long a worker has been silent. Time before its shard was acquired doesn't count.
+func (o *shardOwner) unseenFor(m *machine) time.Duration {
 	return o.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.session.Epoch.Since, o.detector.ResetAt()))
 }
 
-// detectSilentWorkers probes silent workers, and terminates the attempts of those that have been
+// detectUnresponsiveWorkers probes silent workers, and terminates the attempts of those that have been
 // silent for so long that their leases have expired.
-func (o *shardOwner) detectSilentWorkers() {
+func (o *shardOwner) detectUnresponsiveWorkers() {
 	if o.detector.Scan(o.controller.now) || o.controller.store.Unavailable() || !o.holdsLease() {
 		o.detector.Reset(o.controller.now) // workers that got no answer look for another controller
 		return
@@ -40,7 +40,7 @@
 		if owned := o.shards[m.shard]; owned == nil || !owned.served() {
 			continue
 		}
-		silent := o.silentFor(m)
+		silent := o.unseenFor(m)
 		if m.session.FailedProbes > 0 {
 			doubtful[m.Zone] = true
 		}
@@ -64,8 +64,8 @@
 // workerRegistered implements sessionListener.
 func (o *shardOwner) workerRegistered(m *machine) { o.feed.workerChanged(m) }
 
-// incarnationBegan implements sessionListener.
-func (o *shardOwner) incarnationBegan(m *machine) { o.feed.workerChanged(m) }
+// workerRestarted implements sessionListener.
+func (o *shardOwner) workerRestarted(m *machine) { o.feed.workerChanged(m) }
 
 // addressChanged implements sessionListener.
 func (o *shardOwner) addressChanged(m *machine) { o.feed.workerChanged(m) }
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -46,7 +46,7 @@
 
 // maxAssignments is how many shards one transaction can assign. Each takes one operation; two more
 // are for the term and the record that sharding is in use.
-func (sc *shardCoordinator) maxAssignments() int { return max(1, sc.leader.controller.cfg.TxnOps-2) }
+func (sc *shardCoordinator) maxAssignments() int { return max(1, sc.leader.controller.cfg.MaxTxnOps-2) }
 
 func (sc *shardCoordinator) leaderState() shard.LeaderState {
 	e := sc.leader.controller.election
@@ -124,7 +124,7 @@
 	for _, m := range sc.sharding.table.Members() {
 		member := shard.Controller{Member: m.Member, Zone: m.Zone, Draining: m.Draining}
 		if owner := sc.channels[m.Name]; owner != nil && owner.member == m.Member {
-			member.Load, member.SinceLastMessage, member.Reachability = owner.status.Load, c.now.Sub(owner.heardAt), owner.reachabilityAt(c.now)
+			member.Load, member.SinceLastMessage, member.Reachability = owner.status.Load, c.now.Sub(owner.lastReceivedAt), owner.reachabilityAt(c.now)
 			if member.Reachability == shard.ReachabilityUnknown && owner.partitioned {
 				member.Reachability = shard.WorkersUnreachable
 			}
@@ -162,7 +162,7 @@
 // state service stops when its knowledge of cancellations is too old (maxAnswerStaleness).
 func (sc *shardCoordinator) previousOwnerEnded(id shard.ID, version uint64) bool {
 	c := sc.leader.controller
-	return sc.unreadable.Age(c.now, id, version) > c.maxAnswerStaleness()+leadership.MaxClockDrift(c.cfg.CancelWithin)+deadlineMargin
+	return sc.unreadable.Age(c.now, id, version) > c.maxAnswerStaleness()+leadership.MaxClockDrift(c.cfg.CancelDeadline)+deadlineMargin
 }
 
 // shardForNewMachine is the shard for a new machine, 0 without sharding.
--- a/internal/coordination/state_service.go
+++ b/internal/coordination/state_service.go
@@ -16,7 +16,7 @@
 }
 
 // maxConditions is the maximum number of conditions of one transaction.
-func (c *Controller) maxConditions() int { return statestore.MaxConditions(c.cfg.TxnOps) }
+func (c *Controller) maxConditions() int { return statestore.MaxConditions(c.cfg.MaxTxnOps) }
 
 // storeHost gives the client of the state service a controller's clock, timers and calls.
 type storeHost struct{ controller *Controller }
--- a/internal/coordination/statestore/client_test.go
+++ b/internal/coordination/statestore/client_test.go
@@ -246,14 +246,14 @@
 // A service that has been silent is probed once; while it fails, other probes are already sent.
 func TestProbeIfSilent(t *testing.T) {
 	h, c := newTestClient()
-	c.ProbeIfSilent()
+	c.ProbeIfIdle()
 	if len(h.sent) != 0 {
 		t.Error("asked although it has just answered")
 	}
 	h.run(2*time.Second, func() {})
-	c.ProbeIfSilent()
+	c.ProbeIfIdle()
 	h.answer(t, Response{})
-	c.ProbeIfSilent()
+	c.ProbeIfIdle()
 	if len(h.sent) != 0 {
 		t.Error("asked twice")
 	}
--- a/internal/coordination/statestore/health.go
+++ b/internal/coordination/statestore/health.go
@@ -5,7 +5,7 @@
 // Thresholds for judging the service's health.
 const (
 	probeInterval        = 300 * time.Millisecond  // time between probes while the service fails
-	probeAfterSilence    = 1500 * time.Millisecond // time without an answer after which the service is probed
+	probeAfterIdle       = 1500 * time.Millisecond // time without an answer after which the service is probed
 	unavailableAfter     = 1200 * time.Millisecond // failures count as an outage once they last longer than this
 	recoveryLogThreshold = time.Second             // a recovery is logged if the failures lasted longer than this
 	healthyWithin        = 5 * time.Second         // time after an answer in which the service counts as healthy
@@ -49,11 +49,11 @@
 	c.Get(c.probeKey, func(ReadResult) { c.host.After(probeInterval, c.probeUntilRecovered) })
 }
 
-// ProbeIfSilent probes the service if it hasn't answered for a while. A watch whose connection
+// ProbeIfIdle probes the service if it hasn't answered for a while. A watch whose connection
 // was cut shows no failure for many seconds, and a controller without other requests would still
 // report itself healthy.
-func (c *Client) ProbeIfSilent() {
-	if c.health.failingSince.IsZero() && c.host.Now().Sub(c.health.answeredAt) > probeAfterSilence {
+func (c *Client) ProbeIfIdle() {
+	if c.health.failingSince.IsZero() && c.host.Now().Sub(c.health.answeredAt) > probeAfterIdle {
 		c.Get(c.probeKey, func(ReadResult) {})
 	}
 }
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -38,8 +38,8 @@
 		c.rejectUnlessKnown(id, job, err)
 		return
 	}
-	record := records.Encode(records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: records.TasksPerBlock(c.cfg.ValueBytes), Spec: job})
-	if len(record) > c.cfg.ValueBytes {
+	record := records.Encode(records.Job{SubmittedAt: records.UnixMillis(c.now), BlockSize: records.TasksPerBlock(c.cfg.MaxValueBytes), Spec: job})
+	if len(record) > c.cfg.MaxValueBytes {
 		c.admission.openRequests--
 		c.reply(id, 400, protocol.EncodeError("the job's description is too long"))
 		return
@@ -103,7 +103,7 @@
 		return
 	}
 	a.submissionInFlight = true
-	group, t := a.nextSubmissions(c.cfg.TxnOps)
+	group, t := a.nextSubmissions(c.cfg.MaxTxnOps)
 	c.store.Commit(t, func(r statestore.CommitResult) {
 		a.submissionInFlight = false
 		var retries []*submission
@@ -188,7 +188,7 @@
 	if j.Kind != protocol.Batch {
 		concurrentTasks = float64(j.Tasks)
 	}
-	if concurrentTasks*j.CPUs > team.CPUsMax+protocol.Epsilon || concurrentTasks*j.GPUs > team.GPUsMax+protocol.Epsilon {
+	if concurrentTasks*j.CPUs > team.MaxCPUs+protocol.Epsilon || concurrentTasks*j.GPUs > team.MaxGPUs+protocol.Epsilon {
 		return errOverTeamLimit
 	}
 	return nil
--- a/internal/coordination/victim_search.go
+++ b/internal/coordination/victim_search.go
@@ -85,7 +85,7 @@
 
 // victimSelector implements preemption.Machines for one job.
 type victimSelector struct {
-	l          *leader
+	leader     *leader
 	job        *job
 	rules      victimRules
 	candidates []preemption.Candidate[*attempt] // buffer, reused by every call of Cost
@@ -95,7 +95,7 @@
 // victimSelectorFor returns the round's selector, set to a job and rules.
 func (l *leader) victimSelectorFor(j *job, rules victimRules) *victimSelector {
 	v := &l.round.victims
-	v.l, v.job, v.rules = l, j, rules
+	v.leader, v.job, v.rules = l, j, rules
 	return v
 }
 
@@ -106,7 +106,7 @@
 
 // Cost implements preemption.Machines.
 func (v *victimSelector) Cost(m *machine) (float64, bool) {
-	l, needs := v.l, placement.Needs(v.job.Job)
+	l, needs := v.leader, placement.Needs(v.job.Job)
 	l.round.examined++
 	v.victims = nil
 	free := placement.Capacity(m.Spec).Minus(m.Allocated).Plus(m.Terminating).Minus(m.Reserved).Minus(m.Incoming)
@@ -154,9 +154,9 @@
 func (v *victimSelector) matchesRules(a *attempt) bool {
 	switch v.rules {
 	case checkpointingVictims:
-		return a.state == protocol.Running && v.l.checkpointsInTime(a.job)
+		return a.state == protocol.Running && v.leader.checkpointsInTime(a.job)
 	case immediateVictims:
-		return v.l.checkpointGrace(a) <= 0
+		return v.leader.checkpointGrace(a) <= 0
 	}
 	return true
 }
@@ -164,7 +164,7 @@
 // Preempt implements preemption.Machines. It stops the victims that the last call of Cost chose
 // and reserves their room for the job.
 func (v *victimSelector) Preempt(m *machine) {
-	l, j := v.l, v.job
+	l, j := v.leader, v.job
 	for i := range v.victims {
 		victim := &v.victims[i]
 		a := victim.Attempt
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -29,7 +29,7 @@
 	lease       leadership.Lease
 
 	detector       sessions.Detector
-	heartbeatCount uint64     // statuses applied, call responses included; marks the attempts in the latest one
+	statusCount    uint64     // statuses applied, call responses included; marks the attempts in the latest one
 	ordersDue      []*machine // machines with orders to send at the end of the step
 	deferredStarts []*machine // machines whose starts wait for a recent read of the job records
 }
@@ -38,8 +38,8 @@
 type sessionListener interface {
 	// workerRegistered: the first status of a machine's worker was received in this epoch.
 	workerRegistered(m *machine)
-	// incarnationBegan: the worker began a new incarnation and lost all earlier tasks and images.
-	incarnationBegan(m *machine)
+	// workerRestarted: the worker began a new incarnation and lost all earlier tasks and images.
+	workerRestarted(m *machine)
 	// incarnationReset: the worker lost its state and restarted its incarnation numbers.
 	incarnationReset(m *machine)
 	// addressChanged: the worker's address has changed.
@@ -105,7 +105,7 @@
 // gracePeriodForLease is the grace period of an owner whose lease has the given TTL.
 func (c *Controller) gracePeriodForLease(lease time.Duration) time.Duration {
 	settings := c.cfg
-	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.MaxClockDrift(2*settings.WorkerLease)-lease-2*time.Second)
+	return max(0, settings.CancelDeadline-settings.WorkerLease-leadership.MaxClockDrift(2*settings.WorkerLease)-lease-2*time.Second)
 }
 
 // holdsLease reports whether this owner may still respond to workers: its lease or grace period
@@ -129,7 +129,7 @@
 // when the watch was requested, and a heartbeat that is read late from when it was sent.
 func (c *Controller) maxAnswerStaleness() time.Duration {
 	settings := c.cfg
-	return max(0, settings.CancelWithin-settings.WorkerLease-leadership.MaxClockDrift(settings.CancelWithin+settings.WorkerLease)-deadlineMargin)
+	return max(0, settings.CancelDeadline-settings.WorkerLease-leadership.MaxClockDrift(settings.CancelDeadline+settings.WorkerLease)-deadlineMargin)
 }
 
 // maxStartStaleness is how long an owner may send recorded starts after it last knew of every
@@ -211,13 +211,13 @@
 	m.attempts[taskKey{a.job.ID, a.taskIndex}] = a
 	a.listIndex = len(m.attemptList)
 	m.attemptList = append(m.attemptList, a)
-	m.ReportBytes += protocol.TaskStatusBytes(a.job.ID)
+	m.ReportBytes += protocol.MaxTaskStatusBytes(a.job.ID)
 }
 
 // untrack removes an attempt from its machine.
 func (s *workerSessions) untrack(a *attempt) {
 	m := a.machine
-	m.ReportBytes -= protocol.TaskStatusBytes(a.job.ID)
+	m.ReportBytes -= protocol.MaxTaskStatusBytes(a.job.ID)
 	delete(m.attempts, taskKey{a.job.ID, a.taskIndex})
 	last := m.attemptList[len(m.attemptList)-1]
 	m.attemptList[a.listIndex], last.listIndex = last, a.listIndex
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -14,20 +14,20 @@
 	"brasskeel/internal/protocol"
 )
 
-// Form is one form of a stored or sent value: the file in testdata that holds its bytes, and
+// Case is one form of a stored or sent value: the file in testdata that holds its bytes, and
 // a pointer to the same value.
-type Form struct {
+type Case struct {
 	File  string
 	Value any
 }
 
 // Check fails the test unless the file holds what the value encodes to, byte for byte, and
 // decodes to the value.
-func Check(t *testing.T, forms []Form) {
+func Check(t *testing.T, forms []Case) {
 	t.Helper()
 	for _, f := range forms {
 		t.Run(f.File, func(t *testing.T) {
-			want := read(t, f.File)
+			want := readFile(t, f.File)
 			encoded, err := json.Marshal(f.Value)
 			if err != nil {
 				t.Fatal(err)
@@ -35,21 +35,21 @@
 			if string(encoded) != string(want) {
 				t.Errorf("encodes to\n%s\nwant\n%s", encoded, want)
 			}
-			decodes(t, want, f.Value)
+			checkDecode(t, want, f.Value)
 		})
 	}
 }
 
-// CheckRead fails the test unless the file decodes to the value. It is for forms that are
+// CheckDecode fails the test unless the file decodes to the value. It is for forms that are
 // read and no longer written.
-func CheckRead(t *testing.T, forms []Form) {
+func CheckDecode(t *testing.T, forms []Case) {
 	t.Helper()
 	for _, f := range forms {
-		t.Run(f.File, func(t *testing.T) { decodes(t, read(t, f.File), f.Value) })
+		t.Run(f.File, func(t *testing.T) { checkDecode(t, readFile(t, f.File), f.Value) })
 	}
 }
 
-func read(t *testing.T, file string) []byte {
+func readFile(t *testing.T, file string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
@@ -58,8 +58,8 @@
 	return raw
 }
 
-// decodes checks both libraries that the program reads with.
-func decodes(t *testing.T, raw []byte, want any) {
+// checkDecode checks both libraries that the program reads with.
+func checkDecode(t *testing.T, raw []byte, want any) {
 	t.Helper()
 	for name, decode := range map[string]func([]byte, any) error{"protocol.Decode": protocol.Decode, "json.Unmarshal": json.Unmarshal} {
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -14,9 +14,9 @@
 
 // Limits of the cloud's calls.
 const (
-	MaxProvision = 50
-	MaxTerminate = 100
-	MaxListed    = 500
+	MaxMachinesPerProvision   = 50
+	MaxMachinesPerTermination = 100
+	MachinesPageSize          = 500
 )
 
 type wireMachineType struct {
@@ -108,7 +108,7 @@
 
 // MachinesTarget is the target of one page of the cloud's list.
 func MachinesTarget(after string) string {
-	t := fmt.Sprintf("%s?limit=%d", PathMachines, MaxListed)
+	t := fmt.Sprintf("%s?limit=%d", PathMachines, MachinesPageSize)
 	if after != "" {
 		t += "&after=" + escapeKey(after)
 	}
@@ -145,9 +145,9 @@
 	return list, *w.More, nil
 }
 
-// NoCapacity reports whether a refusal says that there are no machines, rather
+// IsNoCapacity reports whether a refusal says that there are no machines, rather
 // than that the cloud is in trouble.
-func NoCapacity(body []byte) bool {
+func IsNoCapacity(body []byte) bool {
 	var w struct {
 		Error string `json:"error"`
 	}
--- a/internal/protocol/decode_test.go
+++ b/internal/protocol/decode_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// decoded are the shapes that decode reads.
-var decoded = []func() any{
+// decodeTargets are the shapes that decode reads.
+var decodeTargets = []func() any{
 	func() any { return new(wireHeartbeat) },
 	func() any { return new(wireKeyValue) },
 	func() any { return new(wireEvents) },
 }
 
 func checkDecode(t *testing.T, body []byte) {
-	for _, shape := range decoded {
+	for _, shape := range decodeTargets {
 		want, got := shape(), shape()
 		wantErr, gotErr := json.Unmarshal(body, want), Decode(append([]byte(nil), body...), got)
 		if (wantErr == nil) != (gotErr == nil) {
@@ -44,17 +44,17 @@
 	f.Fuzz(checkDecode)
 }
 
-// TestDecodeNested has values nested as deeply as a body can hold.
-func TestDecodeNested(t *testing.T) {
-	for _, n := range []int{100, maxNesting - 2, maxNesting - 1, maxNesting, maxNesting + 1, 30000} {
+// TestDecodeDeeplyNested has values nested as deeply as a body can hold.
+func TestDecodeDeeplyNested(t *testing.T) {
+	for _, n := range []int{100, maxNestingDepth - 2, maxNestingDepth - 1, maxNestingDepth, maxNestingDepth + 1, 30000} {
 		checkDecode(t, []byte(`{"x":`+strings.Repeat("[", n)+strings.Repeat("]", n)+`}`))
 		checkDecode(t, []byte(strings.Repeat(`{"x":`, n)+"1"+strings.Repeat("}", n)))
 	}
 }
 
-// TestReportAllocations holds what reading a report costs: a leader reads one of each
+// TestHeartbeatAllocations holds what reading a report costs: a leader reads one of each
 // machine every few seconds, and the answers to its calls.
-func TestReportAllocations(t *testing.T) {
+func TestHeartbeatAllocations(t *testing.T) {
 	r := &Heartbeat{Machine: "vm-000123", Addr: "10.3.0.12:8080", Type: "small", Zone: "a", Incarnation: 1, Sequence: 123, FencingToken: 1 << 32}
 	for i := range 12 {
 		r.Tasks = append(r.Tasks, TaskStatus{Job: "run-000123", TaskIndex: i, Attempt: 1, State: Running})
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -16,8 +16,8 @@
 // FieldError is a field that is missing from a message or holds what it must not. Callers
 // find it with errors.As.
 type FieldError struct {
-	// Message is ErrInvalidResponse or ErrInvalidHeartbeat, nil for a submission.
-	Message error
+	// Sentinel is ErrInvalidResponse or ErrInvalidHeartbeat, nil for a submission.
+	Sentinel error
 	// Field is the field's name on the wire.
 	Field string
 	// Reason completes a sentence that begins with the field.
@@ -27,23 +27,23 @@
 // Error implements error. Users are told the field of their submission and the reason. For
 // other messages it is the text of the message alone, which operators search their logs for.
 func (e *FieldError) Error() string {
-	if e.Message != nil {
-		return e.Message.Error()
+	if e.Sentinel != nil {
+		return e.Sentinel.Error()
 	}
 	return e.Field + " " + e.Reason
 }
 
 // Unwrap gives the sentinel of the message, nil for a submission.
-func (e *FieldError) Unwrap() error { return e.Message }
+func (e *FieldError) Unwrap() error { return e.Sentinel }
 
 const reasonMissing = "is missing"
 
 func submissionError(field, reason string) error { return &FieldError{Field: field, Reason: reason} }
 
 func responseError(field, reason string) error {
-	return &FieldError{Message: ErrInvalidResponse, Field: field, Reason: reason}
+	return &FieldError{Sentinel: ErrInvalidResponse, Field: field, Reason: reason}
 }
 
 func heartbeatError(field, reason string) error {
-	return &FieldError{Message: ErrInvalidHeartbeat, Field: field, Reason: reason}
+	return &FieldError{Sentinel: ErrInvalidHeartbeat, Field: field, Reason: reason}
 }
--- a/internal/protocol/errors_test.go
+++ b/internal/protocol/errors_test.go
@@ -9,9 +9,9 @@
 // Users read what is wrong with a submission: the texts stay as they are.
 func TestSubmissionErrors(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
-		{submission, ``, "the body is not a JSON object"},
-		{submission, `[]`, "the body is not a JSON object"},
-		{submission, `{`, "bad JSON: unexpected end of JSON input"},
+		{validSubmission, ``, "the body is not a JSON object"},
+		{validSubmission, `[]`, "the body is not a JSON object"},
+		{validSubmission, `{`, "bad JSON: unexpected end of JSON input"},
 		{`"nameId":"run-000412"`, `"nameId":7`, "bad JSON: json: cannot unmarshal number into Go struct field wireJob.nameId of type string"},
 		{`"nameId":"run-000412",`, ``, "nameId is missing or not a name"},
 		{`"nameId":"run-000412"`, `"nameId":"job-000412"`, "nameId is not of the form run-000000"},
@@ -36,7 +36,7 @@
 		{`"harbour":null`, `"harbour":""`, "harbour is not a name"},
 		{`"tideS":900.0`, `"tideS":-1`, "tideS is not a duration"},
 	} {
-		_, err := ParseJob([]byte(strings.Replace(submission, test.from, test.to, 1)))
+		_, err := ParseJob([]byte(strings.Replace(validSubmission, test.from, test.to, 1)))
 		if err == nil || err.Error() != test.want {
 			t.Errorf("%.60s: error %q, want %q", test.to, err, test.want)
 		}
--- a/internal/protocol/model.go
+++ b/internal/protocol/model.go
@@ -104,10 +104,10 @@
 	ExitDone
 	ExitStopped
 	ExitError
-	ExitNoRoom
-	ExitBusy
-	ExitUnknown
-	ExitGang // the rest of its gang ended or didn't come
+	ExitNoCapacity
+	ExitAlreadyRunning
+	ExitUnknownTask
+	ExitGangFailed // the rest of its gang ended or didn't come
 )
 
 // TaskStatus is one task in a worker's report.
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-const submission = `{"nameId":"run-000412","berth":"train","crew":"vision","rig":"batch","precedence":"urgent","oars":16,
+const validSubmission = `{"nameId":"run-000412","berth":"train","crew":"vision","rig":"batch","precedence":"urgent","oars":16,
  "cpus":8.0,"gpus":1.0,"memGb":64.0,"hull":"img-07","pullGb":6.2,"hullForms":["g8"],"harbour":null,"oneZone":true,
  "apart":false,"driftwood":true,"passageS":240.0,"mooringS":30.0,"stowS":4.0,"tideS":900.0,"extra":[1]}`
 
 func TestParseJob(t *testing.T) {
-	j, err := ParseJob([]byte(submission))
+	j, err := ParseJob([]byte(validSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,11 +42,11 @@
 		{`"hullForms":["g8"]`, `"hullForms":"g8"`},
 		{`"tideS":900.0`, `"tideS":-1`},
 	} {
-		if _, err := ParseJob([]byte(strings.Replace(submission, c.from, c.to, 1))); err == nil {
+		if _, err := ParseJob([]byte(strings.Replace(validSubmission, c.from, c.to, 1))); err == nil {
 			t.Errorf("%s is taken", c.to)
 		}
 	}
-	if j, err := ParseJob([]byte(strings.Replace(submission, `"tideS":900.0,`, ``, 1))); err != nil || j.HasDeadline {
+	if j, err := ParseJob([]byte(strings.Replace(validSubmission, `"tideS":900.0,`, ``, 1))); err != nil || j.HasDeadline {
 		t.Errorf("without a deadline: %+v, %v", j, err)
 	}
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestReportRoundTrip(t *testing.T) {
+func TestHeartbeatRoundTrip(t *testing.T) {
 	r := &Heartbeat{Machine: "vm-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 1, Sequence: 88, FencingToken: 41,
 		HasPreemptionNotice: true, PreemptionNotice: 12 * time.Second, Tasks: []TaskStatus{
 			{Job: "run-000412", TaskIndex: 3, Attempt: 2, State: Running},
@@ -98,9 +98,9 @@
 	}
 }
 
-// FuzzParseReport checks that whatever is taken as a report says the same
+// FuzzParseHeartbeat checks that whatever is taken as a report says the same
 // when written and read again.
-func FuzzParseReport(f *testing.F) {
+func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"deck":"vm-1","endpoint":"x","watch":1,"logSeq":8,"helm":4,"recallS":3.5,"oars":[{"oar":"run-000412/3","launch":2,"bearing":"exited","wreckCause":"done"}]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r, err := ParseHeartbeat(in)
--- a/internal/protocol/simulator_codec.go
+++ b/internal/protocol/simulator_codec.go
@@ -178,8 +178,8 @@
 // EncodeCloudError makes the body of a refusal of the cloud.
 func EncodeCloudError(reason string) []byte { return Encode(map[string]string{"error": reason}) }
 
-// Query reads a target's path and parameters.
-func Query(target string) (path string, values url.Values) {
+// ParseQuery reads a target's path and parameters.
+func ParseQuery(target string) (path string, values url.Values) {
 	path, raw, _ := strings.Cut(target, "?")
 	values, err := url.ParseQuery(raw)
 	if err != nil {
@@ -188,8 +188,8 @@
 	return path, values
 }
 
-// RangeQuery reads the parameters of a read or watch of keys.
-func RangeQuery(v url.Values) (prefix, after string, limit int, wait time.Duration) {
+// ParseRangeQuery reads the parameters of a read or watch of keys.
+func ParseRangeQuery(v url.Values) (prefix, after string, limit int, wait time.Duration) {
 	limit, _ = strconv.Atoi(v.Get("limit"))
 	ms, _ := strconv.ParseInt(v.Get("blockMs"), 10, 64)
 	return v.Get("starts"), v.Get("after"), limit, time.Duration(ms) * time.Millisecond
--- a/internal/protocol/state_service.go
+++ b/internal/protocol/state_service.go
@@ -116,10 +116,10 @@
 
 // MaxConditions is how many conditions fit a transaction that has nothing else, each about
 // a key as long as a job's.
-const MaxConditions = (MaxBody - messageOverhead) / (len(`{"path":"","entry":18446744073709551615},`) + keyBytes)
+const MaxConditions = (MaxBody - maxMessageOverhead) / (len(`{"path":"","entry":18446744073709551615},`) + maxJobKeyBytes)
 
-// keyBytes is more than a key about a job takes.
-const keyBytes = 48
+// maxJobKeyBytes is more than a key about a job takes.
+const maxJobKeyBytes = 48
 
 // EncodeTxn is the body of a transaction.
 func EncodeTxn(t *Txn) []byte {
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -16,28 +16,28 @@
 // a worker or a user.
 const MaxBody = 64 << 10
 
-// messageOverhead is what a message to or from a worker takes beside its orders or tasks, with
+// maxMessageOverhead is what a message to or from a worker takes beside its orders or tasks, with
 // names as long as they may be.
-const messageOverhead = 1 << 10
+const maxMessageOverhead = 1 << 10
 
 // Lengths of the longest entries without the names in them.
 const (
-	taskEntryBytes  = len(`{"oar":"/99999","launch":18446744073709551615,"bearing":"fetching","wreckCause":"no_room","kept":true},`)
-	orderEntryBytes = len(`{"orderKind":"clear","oar":"/99999","launch":18446744073709551615,"slackS":1000000000.0},`)
+	maxTaskStatusOverhead = len(`{"oar":"/99999","launch":18446744073709551615,"bearing":"fetching","wreckCause":"no_room","kept":true},`)
+	maxOrderOverhead      = len(`{"orderKind":"clear","oar":"/99999","launch":18446744073709551615,"slackS":1000000000.0},`)
 )
 
-// TaskStatusBytes is what a task of the job takes in a worker's report at the most.
-func TaskStatusBytes(job string) int { return len(job) + taskEntryBytes }
+// MaxTaskStatusBytes is what a task of the job takes in a worker's report at the most.
+func MaxTaskStatusBytes(job string) int { return len(job) + maxTaskStatusOverhead }
 
 // OrderBudget is what is left of a message to a worker.
 type OrderBudget int
 
 // NewOrderBudget is the room for orders in one message.
-func NewOrderBudget() OrderBudget { return MaxBody - messageOverhead }
+func NewOrderBudget() OrderBudget { return MaxBody - maxMessageOverhead }
 
 // Reserve uses the room of an order about a task of the job, if there is as much.
 func (r *OrderBudget) Reserve(job string) bool {
-	size := OrderBudget(len(job) + orderEntryBytes)
+	size := OrderBudget(len(job) + maxOrderOverhead)
 	if *r < size {
 		return false
 	}
@@ -81,8 +81,8 @@
 var taskStateNames = map[string]TaskState{"fetching": Fetching, "gathering": Fetching, "running": Running, "saving": Checkpointing, "exited": Exited}
 
 var exitReasonNames = map[string]ExitReason{"done": ExitDone, "halted": ExitStopped, "error": ExitError,
-	"no_room": ExitNoRoom, "busy": ExitBusy, "unknown": ExitUnknown,
-	"peers": ExitGang, "alone": ExitGang}
+	"no_room": ExitNoCapacity, "busy": ExitAlreadyRunning, "unknown": ExitUnknownTask,
+	"peers": ExitGangFailed, "alone": ExitGangFailed}
 
 // ParseHeartbeat reads a worker's report, from a request or from a response. A
 // report that can't be understood in full is refused whole: a task left out
--- a/internal/records/forms_test.go
+++ b/internal/records/forms_test.go
@@ -12,7 +12,7 @@
 // as few as possible.
 func TestRecordEncodings(t *testing.T) {
 	sharded := true
-	golden.Check(t, []golden.Form{
+	golden.Check(t, []golden.Case{
 		{File: "leader_full.json", Value: &Leader{Node: "n1", Zone: "a", Term: 41, Incarnation: 1<<64 - 1}},
 		{File: "leader_least.json", Value: &Leader{}},
 		{File: "term.json", Value: &Term{Term: 41}},
@@ -34,14 +34,14 @@
 		{File: "machine_types_full.json", Value: &[]protocol.MachineType{{Name: "small", CPUs: 16, GPUs: 0.5, MemoryGB: 64, CacheGB: 200, FetchGBPerSecond: 1.25,
 			PricePerHour: 3, SpotPricePerHour: 1, BootTime: 45 * time.Second, Zones: []string{"a", "b"}}}},
 		{File: "machine_types_least.json", Value: &[]protocol.MachineType{{}}},
-		{File: "surges_full.json", Value: &Surges{"blue": {Number: 3, Level: 12.5}, "red": {Number: 1<<64 - 1, Level: 1}}},
+		{File: "surges_full.json", Value: &Surges{"blue": {Number: 3, UsualCPUs: 12.5}, "red": {Number: 1<<64 - 1, UsualCPUs: 1}}},
 		{File: "surges_least.json", Value: &Surges{}},
 	})
 }
 
 // Encodings that are no longer written are still read.
 func TestLegacyRecordEncodings(t *testing.T) {
-	golden.CheckRead(t, []golden.Form{
+	golden.CheckDecode(t, []golden.Case{
 		{File: "machine_old.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true, LegacyRentedAt: 1790000000123}},
 		{File: "task_block_unknown_field.json", Value: &TaskBlock{Done: "iQI"}},
 	})
--- a/internal/records/surges.go
+++ b/internal/records/surges.go
@@ -2,8 +2,8 @@
 
 // Surge is the record of a team's surge that is in progress.
 type Surge struct {
-	Number uint64  `json:"n"`     // never reused for the team
-	Level  float64 `json:"level"` // the team's usual demand in CPUs
+	Number    uint64  `json:"n"`     // never reused for the team
+	UsualCPUs float64 `json:"level"` // the team's usual demand in CPUs
 }
 
 // Surges holds the surges in progress, by team.
--- a/internal/simulator/ceiling_invariant.go
+++ b/internal/simulator/ceiling_invariant.go
@@ -13,40 +13,40 @@
 type ceilingInvariant struct {
 	team      string
 	share     float64
-	roomSince map[*agent]map[taskShape]time.Time // since when it could take such a task and stay below
+	roomSince map[*agent]map[resources]time.Time // since when it could take such a task and stay below
 }
 
-// taskShape is what a task takes.
-type taskShape struct{ cpus, mem float64 }
+// resources is what a task takes.
+type resources struct{ cpus, mem float64 }
 
-// ceilingInterval is how often it is looked where there is room.
-const ceilingInterval = 250 * time.Millisecond
+// ceilingSampleInterval is how often it is looked where there is room.
+const ceilingSampleInterval = 250 * time.Millisecond
 
-// maxTimeBelow is for how long there may be room below the ceiling while tasks go above: a
+// maxTimeWithRoomBelow is for how long there may be room below the ceiling while tasks go above: a
 // report's longest interval, and time for a round of placement and its record.
-func (c *Cluster) maxTimeBelow() time.Duration {
+func (c *Cluster) maxTimeWithRoomBelow() time.Duration {
 	return c.settings.HeartbeatInterval*5/4 + 3*time.Second
 }
 
-// CheckCeiling begins to check a team's ceiling; a share of 0 ends it.
-func (c *Cluster) CheckCeiling(team string, share float64) {
+// SetCeilingCheck begins to check a team's ceiling; a share of 0 ends it.
+func (c *Cluster) SetCeilingCheck(team string, share float64) {
 	if share <= 0 {
 		delete(c.ceilingInvariants, team)
 		return
 	}
-	k := &ceilingInvariant{team: team, share: share, roomSince: map[*agent]map[taskShape]time.Time{}}
+	k := &ceilingInvariant{team: team, share: share, roomSince: map[*agent]map[resources]time.Time{}}
 	c.ceilingInvariants[team] = k
-	c.watchRoomBelow(k)
+	c.monitorRoomBelowCeiling(k)
 }
 
-func (c *Cluster) watchRoomBelow(k *ceilingInvariant) {
+func (c *Cluster) monitorRoomBelowCeiling(k *ceilingInvariant) {
 	if c.ceilingInvariants[k.team] != k {
 		return
 	}
-	shapes := map[taskShape]bool{}
+	shapes := map[resources]bool{}
 	for _, j := range c.jobs {
-		if j.spec.Team == k.team && j.accepted && j.reported == 0 {
-			shapes[taskShape{j.spec.CPUs, j.spec.MemoryGB}] = true
+		if j.spec.Team == k.team && j.accepted && j.reportedState == 0 {
+			shapes[resources{j.spec.CPUs, j.spec.MemoryGB}] = true
 		}
 	}
 	for _, h := range c.cloud.machines {
@@ -57,43 +57,43 @@
 			k.observe(c, h.agent, s)
 		}
 	}
-	c.after(ceilingInterval, func() { c.watchRoomBelow(k) })
+	c.after(ceilingSampleInterval, func() { c.monitorRoomBelowCeiling(k) })
 }
 
 // observe notes whether a machine could take one more task and stay below the ceiling. One that
 // a controller may not reach, or not know of, counts as one that can't.
-func (k *ceilingInvariant) observe(c *Cluster, w *agent, s taskShape) {
+func (k *ceilingInvariant) observe(c *Cluster, w *agent, s resources) {
 	since := k.roomSince[w]
 	if since == nil {
-		since = map[taskShape]time.Time{}
+		since = map[resources]time.Time{}
 		k.roomSince[w] = since
 	}
-	taken, tasks := w.takenBy(k.team)
-	below := tasks == 0 || share(w, taken, s) <= k.share+protocol.Epsilon
+	taken, tasks := w.teamUsage(k.team)
+	below := tasks == 0 || machineShare(w, taken, s) <= k.share+protocol.Epsilon
 	switch {
-	case !c.undisturbed() || !w.takesWork() || !w.free().covers(s) || !below:
+	case !c.controlPlaneHealthy() || !w.schedulable() || !w.freeResources().covers(s) || !below:
 		delete(since, s)
 	case since[s].IsZero():
 		since[s] = c.now
 	}
 }
 
-// undisturbed reports whether there is a leader that reaches all it needs.
-func (c *Cluster) undisturbed() bool {
-	return len(c.links) == 0 && c.Leader() >= 0 && !c.state.outage && len(c.state.refused) == 0
+// controlPlaneHealthy reports whether there is a leader that reaches all it needs.
+func (c *Cluster) controlPlaneHealthy() bool {
+	return len(c.linkFaults) == 0 && c.Leader() >= 0 && !c.state.outage && len(c.state.refusedNodes) == 0
 }
 
-// takesWork reports whether a leader has reason to place tasks on the agent's machine.
-func (w *agent) takesWork() bool {
-	return !w.dead && !w.hung && !w.unheard && !w.failedTasks && w.preemptionAt.IsZero() &&
-		w.c.now.Sub(w.lastReply) <= w.c.settings.HeartbeatInterval*2
+// schedulable reports whether a leader has reason to place tasks on the agent's machine.
+func (w *agent) schedulable() bool {
+	return !w.dead && !w.hung && !w.heartbeatsLost && !w.hasFailedTask && w.preemptionAt.IsZero() &&
+		w.cluster.now.Sub(w.lastReply) <= w.cluster.settings.HeartbeatInterval*2
 }
 
-// free is what no task takes of a machine.
-func (w *agent) free() taskShape {
-	left := taskShape{w.spec.CPUs, w.spec.MemoryGB}
+// freeResources is what no task takes of a machine.
+func (w *agent) freeResources() resources {
+	left := resources{w.spec.CPUs, w.spec.MemoryGB}
 	for _, t := range w.tasks {
-		if j := w.c.jobs[t.job]; j != nil && t.state != protocol.Exited {
+		if j := w.cluster.jobs[t.job]; j != nil && t.state != protocol.Exited {
 			left.cpus -= j.spec.CPUs
 			left.mem -= j.spec.MemoryGB
 		}
@@ -102,14 +102,14 @@
 }
 
 // covers reports whether a task has room in what is free.
-func (free taskShape) covers(s taskShape) bool {
+func (free resources) covers(s resources) bool {
 	return s.cpus <= free.cpus+protocol.Epsilon && s.mem <= free.mem+protocol.Epsilon
 }
 
-// takenBy is what a team's tasks take of a machine.
-func (w *agent) takenBy(team string) (taken taskShape, tasks int) {
+// teamUsage is what a team's tasks take of a machine.
+func (w *agent) teamUsage(team string) (taken resources, tasks int) {
 	for _, t := range w.tasks {
-		if j := w.c.jobs[t.job]; j != nil && t.state != protocol.Exited && j.spec.Team == team {
+		if j := w.cluster.jobs[t.job]; j != nil && t.state != protocol.Exited && j.spec.Team == team {
 			taken.cpus += j.spec.CPUs
 			taken.mem += j.spec.MemoryGB
 			tasks++
@@ -118,8 +118,8 @@
 	return taken, tasks
 }
 
-// share is the part of a machine that a team's tasks would take with one more.
-func share(w *agent, taken, more taskShape) float64 {
+// machineShare is the part of a machine that a team's tasks would take with one more.
+func machineShare(w *agent, taken, more resources) float64 {
 	return max((taken.cpus+more.cpus)/w.spec.CPUs, (taken.mem+more.mem)/w.spec.MemoryGB)
 }
 
@@ -129,42 +129,42 @@
 	if k == nil || j.spec.Priority == protocol.Critical || j.spec.Kind == protocol.Gang || j.spec.OneZone || j.spec.Spread {
 		return
 	}
-	taken, tasks := w.takenBy(k.team)
-	if above := share(w, taken, taskShape{}); tasks < 2 || above <= k.share+protocol.Epsilon {
+	taken, tasks := w.teamUsage(k.team)
+	if above := machineShare(w, taken, resources{}); tasks < 2 || above <= k.share+protocol.Epsilon {
 		return
 	}
-	shape := taskShape{j.spec.CPUs, j.spec.MemoryGB}
+	shape := resources{j.spec.CPUs, j.spec.MemoryGB}
 	for o, since := range k.roomSince {
-		if at := since[shape]; !at.IsZero() && o != w && c.now.Sub(at) > c.maxTimeBelow() && o.machine.allowedFor(&j.spec) {
+		if at := since[shape]; !at.IsZero() && o != w && c.now.Sub(at) > c.maxTimeWithRoomBelow() && o.machine.allowedFor(&j.spec) {
 			// Starts of one round of placement arrive one after the other.
-			c.after(startsInFlight, func() { k.confirm(c, w, o, shape, at) })
+			c.after(maxStartSpread, func() { k.confirmViolation(c, w, o, shape, at) })
 			return
 		}
 	}
 }
 
-// startsInFlight is how long the starts of one round of placement are on their way at the
+// maxStartSpread is how long the starts of one round of placement are on their way at the
 // most.
-const startsInFlight = time.Second
+const maxStartSpread = time.Second
 
-// confirm breaks the rule if a machine still has the room that it had when a task went above the
+// confirmViolation breaks the rule if a machine still has the room that it had when a task went above the
 // ceiling of another.
-func (k *ceilingInvariant) confirm(c *Cluster, above, below *agent, shape taskShape, since time.Time) {
+func (k *ceilingInvariant) confirmViolation(c *Cluster, above, below *agent, shape resources, since time.Time) {
 	if c.ceilingInvariants[k.team] == k && k.roomSince[below][shape].Equal(since) {
-		c.violate("above_ceiling", "%s takes more than %g of %s, while %s had room for %s", k.team, k.share, above.name, below.name,
+		c.reportViolation("above_ceiling", "%s takes more than %g of %s, while %s had room for %s", k.team, k.share, above.name, below.name,
 			c.now.Sub(since).Round(time.Millisecond))
 	}
 }
 
-// Shares tells what part of the machines that are up a team's tasks take: the most, and the
+// TeamShares tells what part of the machines that are up a team's tasks take: the most, and the
 // mean.
-func (c *Cluster) Shares(team string) string {
+func (c *Cluster) TeamShares(team string) string {
 	var list []float64
 	sum := 0.0
 	for _, h := range c.cloud.machines {
 		if w := h.agent; w != nil && !w.dead {
-			taken, _ := w.takenBy(team)
-			s := share(w, taken, taskShape{})
+			taken, _ := w.teamUsage(team)
+			s := machineShare(w, taken, resources{})
 			list = append(list, s)
 			sum += s
 		}
