--- a/internal/simulator/chaos_faults_test.go
+++ b/internal/simulator/chaos_faults_test.go
@@ -14,31 +14,31 @@
 	(*chaosRun).controllerCrash,
 	(*chaosRun).stateOutage,
 	(*chaosRun).refusedController,
-	(*chaosRun).lateTransactionsShortly,
+	(*chaosRun).brieflyDelayedTransactions,
 	(*chaosRun).cloudOutage,
-	(*chaosRun).lateCloud,
+	(*chaosRun).delayedCloud,
 	(*chaosRun).hungMachines,
 	(*chaosRun).hungMachines,
 	(*chaosRun).failedMachines,
 	(*chaosRun).preemptionNotices,
 	(*chaosRun).cutMachines,
 	(*chaosRun).cutController,
-	(*chaosRun).failingMachines,
-	(*chaosRun).deafMachines,
+	(*chaosRun).machinesFailingTasks,
+	(*chaosRun).machinesWithoutInbound,
 	(*chaosRun).isolatedController,
 	(*chaosRun).quickRestarts,
 	(*chaosRun).shortHangs,
 	(*chaosRun).agentRestarts,
 	(*chaosRun).powerLoss,
 	(*chaosRun).frozenController,
-	(*chaosRun).oddBoots,
-	(*chaosRun).lateTransactions,
+	(*chaosRun).abnormalBoots,
+	(*chaosRun).delayedTransactions,
 	(*chaosRun).queryStorm,
 	(*chaosRun).manySmallJobs,
 	(*chaosRun).hugeArray,
 	(*chaosRun).lostReplies,
 	(*chaosRun).staleHeartbeats,
-	(*chaosRun).unheardMachines,
+	(*chaosRun).machinesWithoutOutbound,
 	(*chaosRun).refusedAndIsolated,
 	(*chaosRun).cancellations,
 	(*chaosRun).cancellationsAtTheEnd,
@@ -49,7 +49,7 @@
 	(*chaosRun).leaderChanges,
 	(*chaosRun).faultAtTrigger,
 	(*chaosRun).zoneCut,
-	(*chaosRun).allControllersAway,
+	(*chaosRun).allControllersDown,
 }
 
 // powerLoss: without power for up to more than a minute.
@@ -57,7 +57,7 @@
 	if n.core != nil {
 		n.crash()
 		n.poweredOff = true
-		r.later(75, func() {
+		r.afterRandomDelay(75, func() {
 			if n.core == nil {
 				n.start()
 			}
@@ -66,28 +66,32 @@
 }
 
 func (r *chaosRun) frozenController(n *controllerHost) {
-	if i := r.c.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
-		n = r.c.controllers[i]
+	if i := r.cluster.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
+		n = r.cluster.controllers[i]
 	}
 	n.freeze()
-	r.later(30, n.thaw)
+	r.afterRandomDelay(30, n.thaw)
 }
 
-// oddBoots: boots are slow, at once, or never.
-func (r *chaosRun) oddBoots(_ *controllerHost) {
-	r.c.cloud.bootFactor, r.c.cloud.deadShare = []float64{0.01, 1, 6}[r.rng.IntN(3)], []float64{0, 0.5}[r.rng.IntN(2)]
-	r.c.cloud.replyDelay = time.Duration(r.rng.IntN(3000)) * time.Millisecond
-	r.later(60, func() { r.c.cloud.bootFactor, r.c.cloud.deadShare, r.c.cloud.replyDelay = 0, 0, 0 })
+// abnormalBoots: boots are slow, at once, or never.
+func (r *chaosRun) abnormalBoots(_ *controllerHost) {
+	r.cluster.cloud.bootTimeFactor, r.cluster.cloud.bootFailureShare = []float64{0.01, 1, 6}[r.rng.IntN(3)], []float64{0, 0.5}[r.rng.IntN(2)]
+	r.cluster.cloud.replyDelay = time.Duration(r.rng.IntN(3000)) * time.Millisecond
+	r.afterRandomDelay(60, func() {
+		r.cluster.cloud.bootTimeFactor, r.cluster.cloud.bootFailureShare, r.cluster.cloud.replyDelay = 0, 0, 0
+	})
 }
 
-func (r *chaosRun) lateTransactions(_ *controllerHost) {
-	r.c.state.delayedBy, r.c.state.delayJitter, r.c.state.delayedShare = 2*time.Second, 10*time.Second, 0.05+r.rng.Float64()/3
-	r.later(20, func() { r.c.state.delayedBy, r.c.state.delayJitter, r.c.state.delayedShare = 0, 0, 0 })
+func (r *chaosRun) delayedTransactions(_ *controllerHost) {
+	r.cluster.state.commitDelay, r.cluster.state.commitDelayJitter, r.cluster.state.delayedCommitShare = 2*time.Second, 10*time.Second, 0.05+r.rng.Float64()/3
+	r.afterRandomDelay(20, func() {
+		r.cluster.state.commitDelay, r.cluster.state.commitDelayJitter, r.cluster.state.delayedCommitShare = 0, 0, 0
+	})
 }
 
 func (r *chaosRun) queryStorm(_ *controllerHost) {
-	if r.count > 0 {
-		r.c.QueryStorm(1000, 10*time.Second)
+	if r.submitted > 0 {
+		r.cluster.QueryStorm(1000, 10*time.Second)
 	}
 }
 
@@ -104,74 +108,74 @@
 	})
 }
 
-// deafMachines: reports arrive, nothing of ours does.
-func (r *chaosRun) deafMachines(_ *controllerHost) {
-	for _, h := range r.machines() {
+// machinesWithoutInbound: reports arrive, nothing of ours does.
+func (r *chaosRun) machinesWithoutInbound(_ *controllerHost) {
+	for _, h := range r.faultTargets() {
 		reset := r.rng.IntN(2) == 0
-		for _, p := range r.c.controllers {
+		for _, p := range r.cluster.controllers {
 			if reset {
-				r.c.ResetOneWay(p.name, h.name)
+				r.cluster.ResetOneWay(p.name, h.name)
 			} else {
-				r.c.CutOneWay(p.name, h.name, r.rng.IntN(2) == 0)
+				r.cluster.CutOneWay(p.name, h.name, r.rng.IntN(2) == 0)
 			}
 		}
-		r.later(40, r.c.Heal)
+		r.afterRandomDelay(40, r.cluster.Heal)
 	}
 }
 
 func (r *chaosRun) isolatedController(n *controllerHost) {
-	if i := r.c.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
-		n = r.c.controllers[i]
+	if i := r.cluster.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
+		n = r.cluster.controllers[i]
 	}
-	r.c.Isolate(n)
-	r.later(30, r.c.Heal)
+	r.cluster.Isolate(n)
+	r.afterRandomDelay(30, r.cluster.Heal)
 }
 
 // quickRestarts: back within a fraction of a second, perhaps twice in a row.
 func (r *chaosRun) quickRestarts(n *controllerHost) {
-	if i := r.c.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
-		n = r.c.controllers[i]
+	if i := r.cluster.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
+		n = r.cluster.controllers[i]
 	}
 	for range 1 + r.rng.IntN(2) {
 		if n.core != nil {
 			n.crash()
 		}
-		r.c.Advance(time.Duration(20+r.rng.IntN(400)) * time.Millisecond)
+		r.cluster.Advance(time.Duration(20+r.rng.IntN(400)) * time.Millisecond)
 		if n.core == nil {
 			n.start()
 		}
-		r.c.Advance(time.Duration(r.rng.IntN(300)) * time.Millisecond)
+		r.cluster.Advance(time.Duration(r.rng.IntN(300)) * time.Millisecond)
 	}
 }
 
 func (r *chaosRun) shortHangs(_ *controllerHost) {
-	list := slices.DeleteFunc(slices.Clone(r.machines()), func(h *machine) bool { return h.agent.hung })
+	list := slices.DeleteFunc(slices.Clone(r.faultTargets()), func(h *machine) bool { return h.agent.hung })
 	for _, h := range list {
-		h.agent.hang(true)
+		h.agent.setHung(true)
 	}
 	if len(list) > 0 {
-		r.c.Advance(time.Duration(50+r.rng.IntN(900)) * time.Millisecond)
+		r.cluster.Advance(time.Duration(50+r.rng.IntN(900)) * time.Millisecond)
 	}
 	for _, h := range list {
 		if !h.agent.dead {
-			h.agent.hang(false)
+			h.agent.setHung(false)
 		}
 	}
 }
 
 func (r *chaosRun) agentRestarts(_ *controllerHost) {
-	for _, h := range r.machines() {
+	for _, h := range r.faultTargets() {
 		h.agent.reboot()
 	}
 }
 
 func (r *chaosRun) controllerCrash(n *controllerHost) {
-	if i := r.c.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
-		n = r.c.controllers[i]
+	if i := r.cluster.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
+		n = r.cluster.controllers[i]
 	}
 	if n.core != nil {
 		n.crash()
-		r.later(6, func() {
+		r.afterRandomDelay(6, func() {
 			if n.core == nil {
 				n.start()
 			}
@@ -180,154 +184,154 @@
 }
 
 func (r *chaosRun) stateOutage(_ *controllerHost) {
-	r.c.state.setOutage(true)
-	r.later(30, func() { r.c.state.setOutage(false) })
+	r.cluster.state.setOutage(true)
+	r.afterRandomDelay(30, func() { r.cluster.state.setOutage(false) })
 }
 
 func (r *chaosRun) refusedController(n *controllerHost) {
-	r.c.state.refused[n.name] = true
-	r.later(25, func() { r.c.state.readmit(n.name) })
+	r.cluster.state.refusedNodes[n.name] = true
+	r.afterRandomDelay(25, func() { r.cluster.state.readmit(n.name) })
 }
 
-func (r *chaosRun) lateTransactionsShortly(_ *controllerHost) {
-	r.c.state.delayedBy = time.Duration(r.rng.IntN(4000)) * time.Millisecond
-	r.later(3, func() { r.c.state.delayedBy = 0 })
+func (r *chaosRun) brieflyDelayedTransactions(_ *controllerHost) {
+	r.cluster.state.commitDelay = time.Duration(r.rng.IntN(4000)) * time.Millisecond
+	r.afterRandomDelay(3, func() { r.cluster.state.commitDelay = 0 })
 }
 
 func (r *chaosRun) cloudOutage(_ *controllerHost) {
-	r.c.cloud.outage = true
-	r.later(30, func() { r.c.cloud.outage = false })
+	r.cluster.cloud.outage = true
+	r.afterRandomDelay(30, func() { r.cluster.cloud.outage = false })
 }
 
-func (r *chaosRun) lateCloud(_ *controllerHost) {
-	r.c.cloud.delayedBy = time.Duration(r.rng.IntN(9000)) * time.Millisecond
-	r.later(6, func() { r.c.cloud.delayedBy = 0 })
+func (r *chaosRun) delayedCloud(_ *controllerHost) {
+	r.cluster.cloud.requestDelay = time.Duration(r.rng.IntN(9000)) * time.Millisecond
+	r.afterRandomDelay(6, func() { r.cluster.cloud.requestDelay = 0 })
 }
 
 func (r *chaosRun) hungMachines(_ *controllerHost) {
-	for _, h := range r.machines() {
+	for _, h := range r.faultTargets() {
 		w := h.agent
 		if w.hung {
 			continue
 		}
-		w.hang(true)
-		r.later(25, func() {
+		w.setHung(true)
+		r.afterRandomDelay(25, func() {
 			if !w.dead {
-				w.hang(false)
+				w.setHung(false)
 			}
 		})
 	}
 }
 
 func (r *chaosRun) failedMachines(_ *controllerHost) {
-	for _, h := range r.machines() {
-		r.c.cloud.fail(h)
+	for _, h := range r.faultTargets() {
+		r.cluster.cloud.failMachine(h)
 	}
 }
 
 func (r *chaosRun) preemptionNotices(_ *controllerHost) {
-	for _, h := range r.machines() {
-		h.agent.preemptionAt = r.c.now.Add(10 * time.Second)
+	for _, h := range r.faultTargets() {
+		h.agent.preemptionAt = r.cluster.now.Add(10 * time.Second)
 		h.agent.statusChanged()
-		r.c.after(10*time.Second, func() { r.c.cloud.end(h) })
+		r.cluster.after(10*time.Second, func() { r.cluster.cloud.terminateMachine(h) })
 	}
 }
 
 func (r *chaosRun) cutMachines(n *controllerHost) {
-	for _, h := range r.machines() {
-		r.c.Cut(n.name, h.name, r.rng.IntN(2) == 0)
-		r.later(15, r.c.Heal)
+	for _, h := range r.faultTargets() {
+		r.cluster.Cut(n.name, h.name, r.rng.IntN(2) == 0)
+		r.afterRandomDelay(15, r.cluster.Heal)
 	}
 }
 
 func (r *chaosRun) cutController(n *controllerHost) {
-	p := r.c.controllers[r.rng.IntN(3)]
+	p := r.cluster.controllers[r.rng.IntN(3)]
 	if p != n {
-		r.c.Cut(n.name, p.name, r.rng.IntN(2) == 0)
+		r.cluster.Cut(n.name, p.name, r.rng.IntN(2) == 0)
 	}
-	for _, h := range r.c.cloud.machines {
+	for _, h := range r.cluster.cloud.machines {
 		if h.zone == n.zone && r.rng.IntN(2) == 0 {
-			r.c.Cut(n.name, h.name, true)
+			r.cluster.Cut(n.name, h.name, true)
 		}
 	}
-	r.later(20, r.c.Heal)
+	r.afterRandomDelay(20, r.cluster.Heal)
 }
 
-func (r *chaosRun) failingMachines(_ *controllerHost) {
-	for _, h := range r.machines() {
+func (r *chaosRun) machinesFailingTasks(_ *controllerHost) {
+	for _, h := range r.faultTargets() {
 		w := h.agent
-		w.failsTasks = true
-		r.later(20, func() { w.failsTasks = false })
+		w.failsAllTasks = true
+		r.afterRandomDelay(20, func() { w.failsAllTasks = false })
 	}
 }
 
 // lostReplies: the state service carries out, and its answer is lost.
 func (r *chaosRun) lostReplies(_ *controllerHost) {
-	r.c.state.lostReplyShare = 0.05 + r.rng.Float64()/2
-	r.later(20, func() { r.c.state.lostReplyShare = 0 })
+	r.cluster.state.lostReplyShare = 0.05 + r.rng.Float64()/2
+	r.afterRandomDelay(20, func() { r.cluster.state.lostReplyShare = 0 })
 }
 
 // staleHeartbeats: copies of reports reach the next leader as it begins.
 func (r *chaosRun) staleHeartbeats(_ *controllerHost) {
-	r.c.staleHeartbeatShare = r.rng.Float64()
-	r.later(60, func() { r.c.staleHeartbeatShare = 0 })
+	r.cluster.staleHeartbeatShare = r.rng.Float64()
+	r.afterRandomDelay(60, func() { r.cluster.staleHeartbeatShare = 0 })
 }
 
-// unheardMachines: the machines reach no controller.
-func (r *chaosRun) unheardMachines(_ *controllerHost) {
-	for _, h := range r.machines() {
-		h.agent.unheard = true
-		r.later(40, func() { h.agent.unheard = false })
+// machinesWithoutOutbound: the machines reach no controller.
+func (r *chaosRun) machinesWithoutOutbound(_ *controllerHost) {
+	for _, h := range r.faultTargets() {
+		h.agent.heartbeatsLost = true
+		r.afterRandomDelay(40, func() { h.agent.heartbeatsLost = false })
 	}
 }
 
 func (r *chaosRun) refusedAndIsolated(n *controllerHost) {
-	r.c.IsolateRefused(n)
-	r.later(30, func() { r.c.state.readmit(n.name); r.c.Heal() })
+	r.cluster.IsolateRefused(n)
+	r.afterRandomDelay(30, func() { r.cluster.state.readmit(n.name); r.cluster.Heal() })
 }
 
 func (r *chaosRun) cancellations(_ *controllerHost) {
-	r.c.CancelNow(1+r.rng.IntN(8), time.Duration(r.rng.IntN(2)*r.rng.IntN(25000))*time.Millisecond)
+	r.cluster.CancelRunningJobs(1+r.rng.IntN(8), time.Duration(r.rng.IntN(2)*r.rng.IntN(25000))*time.Millisecond)
 }
 
 func (r *chaosRun) cancellationsAtTheEnd(_ *controllerHost) {
-	r.c.cancelAtEndShare = r.rng.Float64()
-	r.later(25, func() { r.c.cancelAtEndShare = 0 })
+	r.cluster.cancelOnCompletionShare = r.rng.Float64()
+	r.afterRandomDelay(25, func() { r.cluster.cancelOnCompletionShare = 0 })
 }
 
 func (r *chaosRun) invalidRequests(_ *controllerHost) {
 	for i := range 6 {
-		r.c.after(time.Duration(i)*700*time.Millisecond, r.c.InvalidRequests)
+		r.cluster.after(time.Duration(i)*700*time.Millisecond, r.cluster.SendInvalidRequests)
 	}
 }
 
 func (r *chaosRun) queriesAfterChanges(_ *controllerHost) {
-	r.c.queriesAfterChange = true
-	r.later(25, func() { r.c.queriesAfterChange = false })
+	r.cluster.queriesAfterChange = true
+	r.afterRandomDelay(25, func() { r.cluster.queriesAfterChange = false })
 }
 
 func (r *chaosRun) slowState(_ *controllerHost) {
-	r.c.state.slow, r.c.state.slowShare = time.Duration(200+r.rng.IntN(4000))*time.Millisecond, 0.05+r.rng.Float64()/2
-	r.later(25, func() { r.c.state.slowShare = 0 })
+	r.cluster.state.maxRequestDelay, r.cluster.state.slowRequestShare = time.Duration(200+r.rng.IntN(4000))*time.Millisecond, 0.05+r.rng.Float64()/2
+	r.afterRandomDelay(25, func() { r.cluster.state.slowRequestShare = 0 })
 }
 
 // jobStreamWithCancellations: one-task jobs four a second, a quarter of them cancelled.
 func (r *chaosRun) jobStreamWithCancellations(_ *controllerHost) {
-	if r.count > 400 {
+	if r.submitted > 400 {
 		return
 	}
 	for i := range 80 {
-		r.c.after(time.Duration(i)*250*time.Millisecond, func() {
+		r.cluster.after(time.Duration(i)*250*time.Millisecond, func() {
 			r.submit(func(j *protocol.Job) { j.Kind, j.Tasks, j.Spread, j.CPUs = protocol.Batch, 1, false, 0.25 })
-			if id := fmt.Sprintf("run-%06d", r.count); r.rng.IntN(4) == 0 {
-				r.later(20, func() { r.c.retryCancel(id) })
+			if id := fmt.Sprintf("run-%06d", r.submitted); r.rng.IntN(4) == 0 {
+				r.afterRandomDelay(20, func() { r.cluster.retryCancel(id) })
 			}
 		})
 	}
 }
 
 func (r *chaosRun) leaderChanges(_ *controllerHost) {
-	r.c.ChangeLeaders(2+r.rng.IntN(4), time.Duration(3+r.rng.IntN(10))*time.Second, time.Duration(100+r.rng.IntN(5000))*time.Millisecond)
+	r.cluster.CrashLeaders(2+r.rng.IntN(4), time.Duration(3+r.rng.IntN(10))*time.Second, time.Duration(100+r.rng.IntN(5000))*time.Millisecond)
 }
 
 // faultAtTrigger: something happens to the leader right before or after a moment.
@@ -338,31 +342,31 @@
 		what = ""
 	}
 	k := r.rng.IntN(5)
-	r.c.onNext(moment, what, r.rng.IntN(2) == 0, func() {
-		i := r.c.Leader()
+	r.cluster.onNext(moment, what, r.rng.IntN(2) == 0, func() {
+		i := r.cluster.Leader()
 		if i < 0 {
 			return
 		}
-		n := r.c.controllers[i]
+		n := r.cluster.controllers[i]
 		switch k {
 		case 0:
 			n.crash()
-			r.later(6, func() {
+			r.afterRandomDelay(6, func() {
 				if n.core == nil {
 					n.start()
 				}
 			})
 		case 1:
 			n.freeze()
-			r.later(20, n.thaw)
+			r.afterRandomDelay(20, n.thaw)
 		case 2:
-			r.c.IsolateRefused(n)
-			r.later(20, func() { r.c.state.readmit(n.name); r.c.Heal() })
+			r.cluster.IsolateRefused(n)
+			r.afterRandomDelay(20, func() { r.cluster.state.readmit(n.name); r.cluster.Heal() })
 		case 3:
-			r.c.Isolate(n)
-			r.later(20, r.c.Heal)
+			r.cluster.Isolate(n)
+			r.afterRandomDelay(20, r.cluster.Heal)
 		case 4:
-			r.c.CancelNow(3, 0)
+			r.cluster.CancelRunningJobs(3, 0)
 		}
 	})
 }
@@ -372,31 +376,31 @@
 	zone := r.zones[r.rng.IntN(len(r.zones))]
 	hold := r.rng.IntN(2) == 0
 	var inside, outside []string
-	for _, p := range r.c.controllers {
+	for _, p := range r.cluster.controllers {
 		if p.zone == zone {
 			inside = append(inside, p.name)
 		} else {
 			outside = append(outside, p.name)
 		}
 	}
-	for _, h := range r.c.cloud.machines {
+	for _, h := range r.cluster.cloud.machines {
 		if h.zone == zone {
 			inside = append(inside, h.name)
 		}
 	}
 	for _, a := range inside {
 		for _, b := range append(outside, "state", "cloud", "users") {
-			r.c.Cut(a, b, hold)
+			r.cluster.Cut(a, b, hold)
 		}
 	}
-	r.later(40, r.c.Heal)
+	r.afterRandomDelay(40, r.cluster.Heal)
 }
 
-// allControllersAway: nobody is there for up to more than a lease.
-func (r *chaosRun) allControllersAway(_ *controllerHost) {
-	for _, p := range r.c.controllers {
+// allControllersDown: nobody is there for up to more than a lease.
+func (r *chaosRun) allControllersDown(_ *controllerHost) {
+	for _, p := range r.cluster.controllers {
 		p.crash()
-		r.later(40, func() {
+		r.afterRandomDelay(40, func() {
 			if p.core == nil {
 				p.start()
 			}
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -26,7 +26,7 @@
 	for seed := range days {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, chaosDay{seed: uint64(seed)})
+			runChaos(t, chaosOptions{seed: uint64(seed)})
 		})
 	}
 }
@@ -45,7 +45,7 @@
 	for seed := range days + fleets {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, chaosDay{seed: uint64(seed), fleet: seed >= days, shards: seed % 2, balance: true})
+			runChaos(t, chaosOptions{seed: uint64(seed), fleet: seed >= days, shards: seed % 2, balance: true})
 		})
 	}
 }
@@ -61,7 +61,7 @@
 	for seed := range days {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, chaosDay{seed: uint64(seed), fleet: true})
+			runChaos(t, chaosOptions{seed: uint64(seed), fleet: true})
 		})
 	}
 }
@@ -80,19 +80,19 @@
 	for seed := range days {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, chaosDay{seed: uint64(seed), shards: 1 + seed%3})
+			runChaos(t, chaosOptions{seed: uint64(seed), shards: 1 + seed%3})
 		})
 	}
 	for seed := range fleets {
 		t.Run(fmt.Sprint("fleet", seed), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, chaosDay{seed: uint64(seed), fleet: true, shards: 1 + seed%3})
+			runChaos(t, chaosOptions{seed: uint64(seed), fleet: true, shards: 1 + seed%3})
 		})
 	}
 }
 
-// chaosDay is what is to be drawn.
-type chaosDay struct {
+// chaosOptions is what is to be drawn.
+type chaosOptions struct {
 	seed    uint64
 	fleet   bool // a thousand machines
 	shards  int  // per controller
@@ -101,77 +101,77 @@
 
 // chaosRun is a drawn day while it is played.
 type chaosRun struct {
-	t        *testing.T
-	day      chaosDay
-	rng      *rand.Rand
-	c        *Cluster
-	zones    []string
-	scale    int      // of tasks and machines
-	badOf    int      // one job in so many fails everywhere
-	count    int      // of submitted jobs
-	accepted []string // ids
-	few      []int    // the kinds of fault that meet again and again; empty where all are drawn
+	t               *testing.T
+	options         chaosOptions
+	rng             *rand.Rand
+	cluster         *Cluster
+	zones           []string
+	scale           int      // of tasks and machines
+	failingJobOneIn int      // one job in so many fails everywhere
+	submitted       int      // of submitted jobs
+	accepted        []string // ids
+	recurringFaults []int    // the kinds of fault that meet again and again; empty where all are drawn
 }
 
-func chaos(t *testing.T, day chaosDay) {
+func runChaos(t *testing.T, day chaosOptions) {
 	r := newChaosRun(t, day)
 	for range 60 {
 		r.step()
 	}
 	r.heal()
-	for _, u := range r.c.Unanswered() {
+	for _, u := range r.cluster.Unanswered() {
 		t.Errorf("not answered once all is healed: %s", u)
 	}
-	r.cancelEndless()
-	r.c.BeginQuiescence()
-	r.c.Advance(10 * time.Minute)
-	r.check()
+	r.cancelEndlessJobs()
+	r.cluster.BeginQuiescence()
+	r.cluster.Advance(10 * time.Minute)
+	r.checkFinalState()
 }
 
-func newChaosRun(t *testing.T, day chaosDay) *chaosRun {
+func newChaosRun(t *testing.T, day chaosOptions) *chaosRun {
 	rng := rand.New(rand.NewPCG(day.seed, 99))
 	zones := [][]string{{"a"}, {"a", "b"}, {"a", "b", "c"}}[rng.IntN(3)]
-	o := Options{Seed: day.seed, Controllers: 3, Zones: zones, Machines: 3 + rng.IntN(4), Capacity: 3 + rng.IntN(8), Shards: day.shards}
+	o := Options{Seed: day.seed, Controllers: 3, Zones: zones, Machines: 3 + rng.IntN(4), Capacity: 3 + rng.IntN(8), ShardsPerController: day.shards}
 	if day.balance {
-		o.Balance, o.Headroom = chaosBalance(day.seed)
+		o.Balance, o.Headroom = chaosBalanceSettings(day.seed)
 	}
 	if os.Getenv("SCENARIO_LOG") != "" {
 		o.Log = os.Stderr
 	}
 	scale := 1
 	if day.fleet {
-		o.Fleet, o.Machines, o.Capacity, scale = true, 1000, 300, 100
+		o.LargeFleet, o.Machines, o.Capacity, scale = true, 1000, 300, 100
 	}
 	o.Digest = newDigest(t)
 	c := New(o)
 	c.duplicateCommands = rng.IntN(2) == 0
 	if rng.IntN(2) == 0 {
-		c.duplicateHeartbeats = time.Duration(2+rng.IntN(45)) * time.Second
+		c.duplicateHeartbeatDelay = time.Duration(2+rng.IntN(45)) * time.Second
 	}
-	r := &chaosRun{t: t, day: day, rng: rng, c: c, zones: zones, scale: scale, badOf: []int{15, 15, 3}[rng.IntN(3)]}
+	r := &chaosRun{t: t, options: day, rng: rng, cluster: c, zones: zones, scale: scale, failingJobOneIn: []int{15, 15, 3}[rng.IntN(3)]}
 	c.Advance(3 * time.Second)
 	// Half of the days are made of three kinds of fault that meet again and again.
 	if rng.IntN(2) == 0 {
 		kinds := len(chaosFaults)
-		r.few = []int{rng.IntN(kinds), rng.IntN(kinds), rng.IntN(kinds)}
+		r.recurringFaults = []int{rng.IntN(kinds), rng.IntN(kinds), rng.IntN(kinds)}
 	}
 	return r
 }
 
-// chaosBalance are the settings of a day with balance on.
-func chaosBalance(seed uint64) (b *config.Balance, headroom float64) {
-	b = &config.Balance{CeilingShare: []float64{0.25, 0.5, 0.75}[seed%3], FetchQueueSeconds: 2 + float64(seed%5), TradeSeconds: float64(seed % 4), MoveMargin: 1.5}
+// chaosBalanceSettings are the settings of a day with balance on.
+func chaosBalanceSettings(seed uint64) (b *config.Balance, headroom float64) {
+	b = &config.Balance{CeilingShare: []float64{0.25, 0.5, 0.75}[seed%3], MaxFetchBacklogSeconds: 2 + float64(seed%5), LoadPenaltySeconds: float64(seed % 4), MigrationMargin: 1.5}
 	if seed%4 < 3 {
-		b.Moves, b.TradeSeconds, headroom = true, 30, float64(seed%3)*2
+		b.AllowMigrations, b.LoadPenaltySeconds, headroom = true, 30, float64(seed%3)*2
 	}
 	return b, headroom
 }
 
 // submit submits a drawn job, after a change.
 func (r *chaosRun) submit(change func(*protocol.Job)) {
-	r.count++
+	r.submitted++
 	rng := r.rng
-	spec := protocol.Job{ID: fmt.Sprintf("run-%06d", r.count), Class: []string{"one", "two"}[rng.IntN(2)], Team: []string{"red", "blue", "guest"}[rng.IntN(3)],
+	spec := protocol.Job{ID: fmt.Sprintf("run-%06d", r.submitted), Class: []string{"one", "two"}[rng.IntN(2)], Team: []string{"red", "blue", "guest"}[rng.IntN(3)],
 		Kind: protocol.Batch, Priority: protocol.Priority(1 + rng.IntN(4)), Tasks: (1 + rng.IntN(9)) * r.scale, CPUs: float64(1 + rng.IntN(2)),
 		MemoryGB: 2, Image: fmt.Sprintf("img-%d", rng.IntN(4)), ImageGB: 0.5 + rng.Float64(), AllowSpot: rng.IntN(2) == 0,
 		Spread: rng.IntN(5) == 0 && len(r.zones) > 1, OneZone: rng.IntN(5) == 0}
@@ -185,17 +185,17 @@
 	}
 	change(&spec)
 	id := spec.ID
-	r.c.Submit(rng.IntN(3), spec, run, rng.IntN(r.badOf) == 0, func(status int, _ string) {
+	r.cluster.Submit(rng.IntN(3), spec, run, rng.IntN(r.failingJobOneIn) == 0, func(status int, _ string) {
 		if status == 200 || status == 201 {
 			r.accepted = append(r.accepted, id)
 		}
 	})
 }
 
-// machines are those that a fault befalls: one, or in a fleet up to a third.
-func (r *chaosRun) machines() []*machine {
+// faultTargets are those that a fault befalls: one, or in a fleet up to a third.
+func (r *chaosRun) faultTargets() []*machine {
 	var up []*machine
-	for _, h := range r.c.cloud.machines {
+	for _, h := range r.cluster.cloud.machines {
 		if h.agent != nil && !h.agent.dead {
 			up = append(up, h)
 		}
@@ -204,34 +204,34 @@
 		return nil
 	}
 	first, count := r.rng.IntN(len(up)), 1
-	if r.day.fleet {
+	if r.options.fleet {
 		count = 1 + r.rng.IntN(1+len(up)/3)
 	}
 	return up[first:min(first+count, len(up))]
 }
 
-// later runs f after half a second to that many seconds more.
-func (r *chaosRun) later(most int, f func()) {
-	r.c.after(time.Duration(500+r.rng.IntN(most*1000))*time.Millisecond, f)
+// afterRandomDelay runs f after half a second to that many seconds more.
+func (r *chaosRun) afterRandomDelay(most int, f func()) {
+	r.cluster.after(time.Duration(500+r.rng.IntN(most*1000))*time.Millisecond, f)
 }
 
-// fault lets one fault happen, among those that go on.
-func (r *chaosRun) fault() {
+// injectFault lets one fault happen, among those that go on.
+func (r *chaosRun) injectFault() {
 	kind := r.rng.IntN(len(chaosFaults))
-	if r.few != nil && r.rng.IntN(8) != 0 {
-		kind = r.few[r.rng.IntN(len(r.few))]
+	if r.recurringFaults != nil && r.rng.IntN(8) != 0 {
+		kind = r.recurringFaults[r.rng.IntN(len(r.recurringFaults))]
 	}
-	n := r.c.controllers[r.rng.IntN(3)]
-	if i := r.c.Leader(); i >= 0 && r.rng.IntN(3) == 0 {
-		n = r.c.controllers[i]
+	n := r.cluster.controllers[r.rng.IntN(3)]
+	if i := r.cluster.Leader(); i >= 0 && r.rng.IntN(3) == 0 {
+		n = r.cluster.controllers[i]
 	}
 	chaosFaults[kind](r, n)
 }
 
-// refusedAndUnreachable lets controllers refuse each other's connections, and the leader lose
+// resetPeerLinksAndCutWorkers lets controllers refuse each other's connections, and the leader lose
 // its workers: before, meanwhile, or right after.
-func (r *chaosRun) refusedAndUnreachable() {
-	c := r.c
+func (r *chaosRun) resetPeerLinksAndCutWorkers() {
+	c := r.cluster
 	for _, n := range c.controllers {
 		for _, p := range c.controllers {
 			if n != p {
@@ -239,8 +239,8 @@
 			}
 		}
 	}
-	r.later(30, c.Heal)
-	r.later(35, func() {
+	r.afterRandomDelay(30, c.Heal)
+	r.afterRandomDelay(35, func() {
 		i := c.Leader()
 		if i < 0 {
 			return
@@ -248,18 +248,18 @@
 		for _, h := range c.cloud.machines {
 			c.Cut(c.controllers[i].name, h.name, r.rng.IntN(2) == 0)
 		}
-		r.later(40, c.Heal)
+		r.afterRandomDelay(40, c.Heal)
 	})
 }
 
-// surge lets a team's work come several times as often for a while, and checks its ceiling
+// startSurge lets a team's work come several times as often for a while, and checks its ceiling
 // while the same leader goes on.
-func (r *chaosRun) surge() {
-	c := r.c
+func (r *chaosRun) startSurge() {
+	c := r.cluster
 	team := []string{"red", "blue"}[r.rng.IntN(2)]
 	most := 8.0
 	for _, j := range c.jobs {
-		if j.spec.Team == team && j.reported == 0 && !j.cancelRequested {
+		if j.spec.Team == team && j.reportedState == 0 && !j.cancelRequested {
 			most += j.spec.CPUs * float64(j.spec.Tasks-len(j.completed))
 		}
 	}
@@ -275,22 +275,22 @@
 	leader := c.Leader()
 	c.after(2*time.Second, func() {
 		if leader >= 0 && c.Leader() == leader {
-			c.CheckCeiling(team, c.operator.Balance.CeilingShare)
+			c.SetCeilingCheck(team, c.operator.Balance.CeilingShare)
 		}
 	})
-	c.after(8*time.Second, func() { c.CheckCeiling(team, 0) })
+	c.after(8*time.Second, func() { c.SetCeilingCheck(team, 0) })
 }
 
-// drain lets a controller be drained and replaced.
-func (r *chaosRun) drain() {
-	n := r.c.controllers[r.rng.IntN(len(r.c.controllers))]
+// drainAndReplace lets a controller be drained and replaced.
+func (r *chaosRun) drainAndReplace() {
+	n := r.cluster.controllers[r.rng.IntN(len(r.cluster.controllers))]
 	if n.core == nil {
 		return
 	}
-	n.whenFree(func() { n.apply(n.core.Drain(r.c.now)) })
-	r.later(20, func() {
+	n.runWhenIdle(func() { n.applyEffects(n.core.Drain(r.cluster.now)) })
+	r.afterRandomDelay(20, func() {
 		n.crash()
-		r.later(4, func() {
+		r.afterRandomDelay(4, func() {
 			if n.core == nil {
 				n.start()
 			}
@@ -300,15 +300,15 @@
 
 // step lets some seconds pass, with drawn requests of users and faults.
 func (r *chaosRun) step() {
-	rng, c := r.rng, r.c
-	if r.day.balance && r.count < 300 && rng.IntN(10) == 0 {
-		r.surge()
+	rng, c := r.rng, r.cluster
+	if r.options.balance && r.submitted < 300 && rng.IntN(10) == 0 {
+		r.startSurge()
 	}
-	if r.day.shards > 0 && rng.IntN(12) == 0 {
-		r.refusedAndUnreachable()
+	if r.options.shards > 0 && rng.IntN(12) == 0 {
+		r.resetPeerLinksAndCutWorkers()
 	}
-	if r.day.shards > 0 && rng.IntN(4) == 0 {
-		r.drain()
+	if r.options.shards > 0 && rng.IntN(4) == 0 {
+		r.drainAndReplace()
 	}
 	c.Advance(time.Duration(200+rng.IntN(5000)) * time.Millisecond)
 	for range rng.IntN(3) {
@@ -317,38 +317,38 @@
 	if len(r.accepted) > 0 && rng.IntN(4) == 0 {
 		c.CancelJob(rng.IntN(3), r.accepted[rng.IntN(len(r.accepted))], func(int, string) {})
 	}
-	if r.count > 0 {
-		c.Query(rng.IntN(3), fmt.Sprintf("run-%06d", 1+rng.IntN(r.count)), func(int, string) {})
+	if r.submitted > 0 {
+		c.Query(rng.IntN(3), fmt.Sprintf("run-%06d", 1+rng.IntN(r.submitted)), func(int, string) {})
 	}
-	r.faults([]int{1, 1, 1, 2, 2, 3}[rng.IntN(6)])
+	r.injectFaults([]int{1, 1, 1, 2, 2, 3}[rng.IntN(6)])
 }
 
-// faults lets some faults happen, one after the other or at once.
-func (r *chaosRun) faults(count int) {
+// injectFaults lets some faults happen, one after the other or at once.
+func (r *chaosRun) injectFaults(count int) {
 	for range count {
-		r.fault()
+		r.injectFault()
 		if r.rng.IntN(2) == 0 { // or in the same moment
-			r.c.Advance(time.Duration(r.rng.IntN(1200)) * time.Millisecond)
+			r.cluster.Advance(time.Duration(r.rng.IntN(1200)) * time.Millisecond)
 		}
-		if len(r.accepted) > 0 && r.few != nil && r.rng.IntN(3) == 0 {
-			r.c.retryCancel(r.accepted[r.rng.IntN(len(r.accepted))])
+		if len(r.accepted) > 0 && r.recurringFaults != nil && r.rng.IntN(3) == 0 {
+			r.cluster.retryCancel(r.accepted[r.rng.IntN(len(r.accepted))])
 		}
 	}
 }
 
 // heal ends all faults.
 func (r *chaosRun) heal() {
-	c := r.c
+	c := r.cluster
 	c.Advance(45 * time.Second)
 	c.Heal()
 	c.state.setOutage(false)
 	c.state.readmit()
-	c.state.delayedBy, c.state.delayedShare, c.cloud.delayedBy, c.cloud.outage, c.duplicateHeartbeats = 0, 0, 0, false, 0
-	c.cloud.bootFactor, c.cloud.deadShare, c.cloud.replyDelay = 0, 0, 0
-	c.state.lostReplyShare, c.state.slowShare, c.staleHeartbeatShare, c.cancelAtEndShare, c.queriesAfterChange, c.triggers = 0, 0, 0, 0, false, nil
+	c.state.commitDelay, c.state.delayedCommitShare, c.cloud.requestDelay, c.cloud.outage, c.duplicateHeartbeatDelay = 0, 0, 0, false, 0
+	c.cloud.bootTimeFactor, c.cloud.bootFailureShare, c.cloud.replyDelay = 0, 0, 0
+	c.state.lostReplyShare, c.state.slowRequestShare, c.staleHeartbeatShare, c.cancelOnCompletionShare, c.queriesAfterChange, c.triggers = 0, 0, 0, 0, false, nil
 	for _, h := range c.cloud.machines {
 		if h.agent != nil {
-			h.agent.unheard = false
+			h.agent.heartbeatsLost = false
 		}
 	}
 	for _, n := range c.controllers {
@@ -360,14 +360,14 @@
 	c.Advance(20 * time.Second)
 }
 
-// cancelEndless cancels what would not end by itself. A submission whose answer was lost may
+// cancelEndlessJobs cancels what would not end by itself. A submission whose answer was lost may
 // have been accepted all the same.
-func (r *chaosRun) cancelEndless() {
-	for i := range r.count {
+func (r *chaosRun) cancelEndlessJobs() {
+	for i := range r.submitted {
 		id := fmt.Sprintf("run-%06d", i+1)
-		r.c.Advance(50 * time.Millisecond) // within what the state service takes
-		if j := r.c.jobs[id]; j.spec.Kind == protocol.Service || j.alwaysFails {
-			r.c.CancelJob(0, id, func(status int, state string) {
+		r.cluster.Advance(50 * time.Millisecond) // within what the state service takes
+		if j := r.cluster.jobs[id]; j.spec.Kind == protocol.Service || j.alwaysFails {
+			r.cluster.CancelJob(0, id, func(status int, state string) {
 				if status != 200 && (status != 404 || j.accepted) {
 					r.t.Errorf("cancelling %s: %d %s", id, status, state)
 				}
@@ -376,15 +376,15 @@
 	}
 }
 
-// check checks what must hold in the end.
-func (r *chaosRun) check() {
-	t, c := r.t, r.c
+// checkFinalState checks what must hold in the end.
+func (r *chaosRun) checkFinalState() {
+	t, c := r.t, r.cluster
 	for _, s := range c.Starved() {
 		if !strings.Contains(s, "waited") { // in minutes of trouble any may wait
 			t.Error(s)
 		}
 	}
-	for _, f := range c.Forgotten() {
+	for _, f := range c.LongUnanswered() {
 		t.Log(f) // during the troubles it may be so
 	}
 	for _, id := range r.accepted {
@@ -406,7 +406,7 @@
 	for _, b := range c.Violations() {
 		t.Error(b)
 	}
-	if r.day.balance {
+	if r.options.balance {
 		t.Log(c.Migrations())
 	}
 }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -12,39 +12,39 @@
 
 // cloud simulates the cloud.
 type cloud struct {
-	c          *Cluster
-	types      []protocol.MachineType
-	capacity   int
-	machines   []*machine // in order of creation; returned ones too
-	requests   map[string][]string
-	external   bool // some machines are not simulated
-	outage     bool
-	refused    map[string]bool // nodes that alone get 503
-	delayedBy  time.Duration   // rentals and returns are carried out late, unanswered
-	neverBoots bool            // what is rented now never comes up
-	deadShare  float64         // share of what is rented now that never comes up
-	bootFactor float64         // of boot times; 0 for 1
-	replyDelay time.Duration   // rentals are carried out at once and answered this much later
+	cluster             *Cluster
+	types               []protocol.MachineType
+	capacity            int
+	machines            []*machine // in order of creation; returned ones too
+	requests            map[string][]string
+	hasExternalMachines bool // some machines are not simulated
+	outage              bool
+	refusedNodes        map[string]bool // nodes that alone get 503
+	requestDelay        time.Duration   // rentals and returns are carried out late, unanswered
+	neverBoots          bool            // what is rented now never comes up
+	bootFailureShare    float64         // share of what is rented now that never comes up
+	bootTimeFactor      float64         // of boot times; 0 for 1
+	replyDelay          time.Duration   // rentals are carried out at once and answered this much later
 }
 
 // machine is one machine of the cloud.
 type machine struct {
-	name, typ, zone string
-	addr            string // of its worker
-	spot            bool
-	external        bool // not simulated; its worker, if any, is a process elsewhere
-	rentedAt        time.Time
-	bootedAt        time.Time // zero until it is
-	failedAt        time.Time
-	returned        time.Time
-	agent           *agent
+	name, machineType, zone string
+	addr                    string // of its worker
+	spot                    bool
+	external                bool // not simulated; its worker, if any, is a process elsewhere
+	rentedAt                time.Time
+	bootedAt                time.Time // zero until it is
+	failedAt                time.Time
+	returnedAt              time.Time
+	agent                   *agent
 }
 
 func newCloud(c *Cluster, types []protocol.MachineType, capacity int) *cloud {
-	return &cloud{c: c, types: types, capacity: capacity, refused: map[string]bool{}, requests: map[string][]string{}}
+	return &cloud{cluster: c, types: types, capacity: capacity, refusedNodes: map[string]bool{}, requests: map[string][]string{}}
 }
 
-func (k *cloud) spec(name string) *protocol.MachineType {
+func (k *cloud) machineType(name string) *protocol.MachineType {
 	for i := range k.types {
 		if k.types[i].Name == name {
 			return &k.types[i]
@@ -56,18 +56,18 @@
 // machinePrefix begins the names of simulated machines.
 const machinePrefix = "vm-"
 
-// start creates a machine that is up after boot.
-func (k *cloud) start(typ, zone string, spot bool, boot time.Duration) *machine {
-	h := &machine{name: fmt.Sprintf("%s%06d", machinePrefix, len(k.machines)), typ: typ, zone: zone, spot: spot, rentedAt: k.c.now}
-	h.addr = k.c.address(h)
+// startMachine creates a machine that is up after boot.
+func (k *cloud) startMachine(typ, zone string, spot bool, boot time.Duration) *machine {
+	h := &machine{name: fmt.Sprintf("%s%06d", machinePrefix, len(k.machines)), machineType: typ, zone: zone, spot: spot, rentedAt: k.cluster.now}
+	h.addr = k.cluster.assignAddress(h)
 	k.machines = append(k.machines, h)
-	if k.neverBoots || k.deadShare > 0 && k.c.rng.Float64() < k.deadShare {
+	if k.neverBoots || k.bootFailureShare > 0 && k.cluster.rng.Float64() < k.bootFailureShare {
 		return h
 	}
-	k.c.after(boot, func() {
-		if h.returned.IsZero() {
-			h.bootedAt = k.c.now
-			h.agent = newAgent(k.c, h, k.spec(typ))
+	k.cluster.after(boot, func() {
+		if h.returnedAt.IsZero() {
+			h.bootedAt = k.cluster.now
+			h.agent = newAgent(k.cluster, h, k.machineType(typ))
 		}
 	})
 	return h
@@ -82,7 +82,7 @@
 
 // addExternal lists a machine that is not simulated.
 func (k *cloud) addExternal(m ExternalMachine) error {
-	spec := k.spec(m.Type)
+	spec := k.machineType(m.Type)
 	if spec == nil || !slices.Contains(spec.Zones, m.Zone) {
 		return fmt.Errorf("external machine %q: the cloud has no type %q in zone %q", m.Name, m.Type, m.Zone)
 	}
@@ -92,36 +92,36 @@
 	if _, err := netip.ParseAddrPort(m.Endpoint); err != nil {
 		return fmt.Errorf("external machine %q: %w", m.Name, err)
 	}
-	rented := k.c.now.Add(-2 * k.c.settings.ListLag) // so that no list lacks it
-	k.machines = append(k.machines, &machine{name: m.Name, typ: m.Type, zone: m.Zone, addr: m.Endpoint, external: true, rentedAt: rented, bootedAt: rented})
-	k.external = true
+	rented := k.cluster.now.Add(-2 * k.cluster.settings.MaxListLag) // so that no list lacks it
+	k.machines = append(k.machines, &machine{name: m.Name, machineType: m.Type, zone: m.Zone, addr: m.Endpoint, external: true, rentedAt: rented, bootedAt: rented})
+	k.hasExternalMachines = true
 	return nil
 }
 
-// end takes a machine and all that is on it.
-func (k *cloud) end(h *machine) {
-	if h.returned.IsZero() {
-		h.returned = k.c.now
+// terminateMachine takes a machine and all that is on it.
+func (k *cloud) terminateMachine(h *machine) {
+	if h.returnedAt.IsZero() {
+		h.returnedAt = k.cluster.now
 		if h.agent != nil {
-			h.agent.die()
+			h.agent.terminate()
 		}
 	}
 }
 
-// fail stops a machine on its own; lists notice after a while.
-func (k *cloud) fail(h *machine) {
-	if h.failedAt.IsZero() && h.returned.IsZero() {
-		h.failedAt = k.c.now
+// failMachine stops a machine on its own; lists notice after a while.
+func (k *cloud) failMachine(h *machine) {
+	if h.failedAt.IsZero() && h.returnedAt.IsZero() {
+		h.failedAt = k.cluster.now
 		if h.agent != nil {
-			h.agent.die()
+			h.agent.terminate()
 		}
 	}
 }
 
-func (k *cloud) count(typ, zone string, spot bool) int {
+func (k *cloud) countRunning(typ, zone string, spot bool) int {
 	n := 0
 	for _, h := range k.machines {
-		if !h.external && h.returned.IsZero() && h.failedAt.IsZero() && h.typ == typ && h.zone == zone && h.spot == spot {
+		if !h.external && h.returnedAt.IsZero() && h.failedAt.IsZero() && h.machineType == typ && h.zone == zone && h.spot == spot {
 			n++
 		}
 	}
@@ -129,16 +129,16 @@
 }
 
 func (k *cloud) serve(from, method, target string, body []byte, respond respondFunc) {
-	if k.outage || k.refused[from] {
+	if k.outage || k.refusedNodes[from] {
 		respond(503, protocol.EncodeCloudError("trouble"))
 		return
 	}
-	path, query := protocol.Query(target)
+	path, query := protocol.ParseQuery(target)
 	switch {
 	case path == protocol.PathMachineTypes:
 		respond(200, protocol.EncodeMachineTypes(k.types))
 	case path == protocol.PathTerminate:
-		k.release(body, respond)
+		k.terminate(body, respond)
 	case path == protocol.PathMachines && method == "POST":
 		k.provision(body, respond)
 	case path == protocol.PathMachines:
@@ -148,22 +148,22 @@
 	}
 }
 
-// release returns machines, or does so later without a reply.
-func (k *cloud) release(body []byte, respond respondFunc) {
+// terminate returns machines, or does so later without a reply.
+func (k *cloud) terminate(body []byte, respond respondFunc) {
 	names, err := protocol.ParseMachineNames(body)
-	if err != nil || len(names) > protocol.MaxTerminate {
+	if err != nil || len(names) > protocol.MaxMachinesPerTermination {
 		respond(400, nil)
 		return
 	}
 	end := func() {
 		for _, h := range k.machines {
 			if slices.Contains(names, h.name) {
-				k.end(h)
+				k.terminateMachine(h)
 			}
 		}
 	}
-	if k.delayedBy > 0 {
-		k.c.after(k.delayedBy, end)
+	if k.requestDelay > 0 {
+		k.cluster.after(k.requestDelay, end)
 		return
 	}
 	end()
@@ -173,12 +173,12 @@
 // provision rents machines, or does so later without a reply.
 func (k *cloud) provision(body []byte, respond respondFunc) {
 	r, err := protocol.ParseProvision(body)
-	if err != nil || r.Count < 1 || r.Count > protocol.MaxProvision || k.spec(r.Type) == nil {
+	if err != nil || r.Count < 1 || r.Count > protocol.MaxMachinesPerProvision || k.machineType(r.Type) == nil {
 		respond(400, nil)
 		return
 	}
-	if k.delayedBy > 0 {
-		k.c.after(k.delayedBy, func() { k.rent(r) })
+	if k.requestDelay > 0 {
+		k.cluster.after(k.requestDelay, func() { k.rent(r) })
 		return
 	}
 	names := k.rent(r)
@@ -186,24 +186,24 @@
 		respond(503, protocol.EncodeCloudError("no capacity"))
 		return
 	}
-	k.c.after(k.replyDelay, func() { respond(200, protocol.EncodeMachineNames(names)) })
+	k.cluster.after(k.replyDelay, func() { respond(200, protocol.EncodeMachineNames(names)) })
 }
 
 func (k *cloud) rent(r protocol.ProvisionRequest) []string {
 	if names, ok := k.requests[r.Request]; ok {
 		return names
 	}
-	n := min(r.Count, k.capacity-k.count(r.Type, r.Zone, r.Spot))
+	n := min(r.Count, k.capacity-k.countRunning(r.Type, r.Zone, r.Spot))
 	if n <= 0 {
 		return nil
 	}
 	var names []string
 	for range n {
-		boot := k.spec(r.Type).BootTime * time.Duration(60+k.c.rng.IntN(60)) / 100
-		if k.bootFactor > 0 {
-			boot = time.Duration(float64(boot) * k.bootFactor)
+		boot := k.machineType(r.Type).BootTime * time.Duration(60+k.cluster.rng.IntN(60)) / 100
+		if k.bootTimeFactor > 0 {
+			boot = time.Duration(float64(boot) * k.bootTimeFactor)
 		}
-		names = append(names, k.start(r.Type, r.Zone, r.Spot, boot).name)
+		names = append(names, k.startMachine(r.Type, r.Zone, r.Spot, boot).name)
 	}
 	k.requests[r.Request] = names
 	return names
@@ -211,14 +211,14 @@
 
 // list answers as of some time ago, at times longer than at others.
 func (k *cloud) list(after string, respond respondFunc) {
-	lag := k.c.settings.ListLag
-	at := k.c.now.Add(-time.Duration(k.c.rng.Int64N(int64(2 * lag))))
+	lag := k.cluster.settings.MaxListLag
+	at := k.cluster.now.Add(-time.Duration(k.cluster.rng.Int64N(int64(2 * lag))))
 	var list []protocol.ListedMachine
 	for _, h := range k.machines {
-		if h.name <= after || h.rentedAt.After(at) || !h.returned.IsZero() && !h.returned.After(at) {
+		if h.name <= after || h.rentedAt.After(at) || !h.returnedAt.IsZero() && !h.returnedAt.After(at) {
 			continue
 		}
-		m := protocol.ListedMachine{Name: h.name, Addr: h.addr, Type: h.typ, Zone: h.zone, Spot: h.spot,
+		m := protocol.ListedMachine{Name: h.name, Addr: h.addr, Type: h.machineType, Zone: h.zone, Spot: h.spot,
 			State: protocol.Booting, Age: at.Sub(h.rentedAt)}
 		if !h.bootedAt.IsZero() && !h.bootedAt.After(at) {
 			m.State = protocol.Up
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -23,74 +23,74 @@
 
 // Options shape a cluster.
 type Options struct {
-	Seed        uint64
-	Controllers int
-	Zones       []string // of the nodes in turn; machines can be had in each
-	Machines    int      // ordinary ones that run from the start, in zones in turn
-	Capacity    int      // machines that can be rented per type, zone and kind
-	Fleet       bool     // limits, budgets and intervals of a fleet of a thousand machines
-	Shards      int      // per controller; 0: the leader serves all machines
-	Balance     *config.Balance
-	Headroom    float64 // share of free room kept; 0 for the default
-	Limit       float64 // CPUs that each team may take; 0 for those of the settings above
-	// Cost is the processor time of each event on a node: what comes faster waits, and
+	Seed                uint64
+	Controllers         int
+	Zones               []string // of the nodes in turn; machines can be had in each
+	Machines            int      // ordinary ones that run from the start, in zones in turn
+	Capacity            int      // machines that can be rented per type, zone and kind
+	LargeFleet          bool     // limits, budgets and intervals of a fleet of a thousand machines
+	ShardsPerController int      // per controller; 0: the leader serves all machines
+	Balance             *config.Balance
+	Headroom            float64 // share of free room kept; 0 for the default
+	TeamCPULimit        float64 // CPUs that each team may take; 0 for those of the settings above
+	// EventCost is the processor time of each event on a node: what comes faster waits, and
 	// timers fire late, as on a small share of a processor.
-	Cost time.Duration
-	Log  io.Writer
+	EventCost time.Duration
+	Log       io.Writer
 	// Digest, if any, sums up all that controllers do.
 	Digest hash.Hash
 }
 
 // Cluster is a simulated deployment.
 type Cluster struct {
-	now    time.Time
-	begin  time.Time
-	events eventHeap
-	seq    uint64
-	rng    *rand.Rand
-	log    *slog.Logger
+	now          time.Time
+	startTime    time.Time
+	events       eventHeap
+	lastEventSeq uint64
+	rng          *rand.Rand
+	log          *slog.Logger
 
-	servedBy    map[uint64]string // who served workers under a term
-	answerGaps  *hdrhistogram.Histogram
-	settings    config.Settings
-	operator    config.Operator
-	streams     map[link]*stream // between controllers
-	controllers []*controllerHost
-	state       *stateService
-	cloud       *cloud
-	agents      map[string]*agent
-	jobs        map[string]*userJob
-	links       map[link]*linkFault
-	linkChanges int                   // so far
-	usedCPUs    map[string]float64    // CPUs, by team
-	cost        time.Duration         // of each event on a node
-	address     func(*machine) string // of a new machine's worker
-	violations  []string
+	servedByTerm   map[uint64]string // who served workers under a term
+	replyIntervals *hdrhistogram.Histogram
+	settings       config.Settings
+	operator       config.Operator
+	streams        map[link]*stream // between controllers
+	controllers    []*controllerHost
+	state          *stateService
+	cloud          *cloud
+	agents         map[string]*agent
+	jobs           map[string]*userJob
+	linkFaults     map[link]*linkFault
+	linkChanges    int                   // so far
+	usedCPUsByTeam map[string]float64    // CPUs, by team
+	eventCost      time.Duration         // of each event on a node
+	assignAddress  func(*machine) string // of a new machine's worker
+	violations     []string
 	// Jobs come from users outside of the stand-in, too.
 	externalUsers     bool
 	duplicateCommands bool // direct orders that were carried out arrive once more, later
 	// Reports arrive once more, after up to this long.
-	duplicateHeartbeats time.Duration
+	duplicateHeartbeatDelay time.Duration
 	// Copies of that share of the reports are kept and reach every controller as
 	// the next leader begins.
-	staleHeartbeatShare float64
-	staleHeartbeats     map[string][][]byte // by machine
-	cancelAtEndShare    float64             // of the jobs that end is cancelled at that moment
-	queriesAfterChange  bool                // users ask all nodes right after each change
-	slowLinks           time.Duration       // up to this much more every message takes
-	invalidRequests     int                 // odd requests sent, to name the next ones
-	triggers            []*trigger
-	quiescentSince      time.Time // since when there is no trouble; zero while there is
-	migrations          *migrationInvariant
-	placements          placements
-	wastedCPUSeconds    float64                      // seconds of CPUs that were worked and not kept
-	fetchedGB           float64                      // GB of images, by all workers
-	ceilingInvariants   map[string]*ceilingInvariant // of teams that are known to surge
-	digest              digest
+	staleHeartbeatShare     float64
+	staleHeartbeats         map[string][][]byte // by machine
+	cancelOnCompletionShare float64             // of the jobs that end is cancelled at that moment
+	queriesAfterChange      bool                // users ask all nodes right after each change
+	extraLinkDelay          time.Duration       // up to this much more every message takes
+	invalidRequestCount     int                 // odd requests sent, to name the next ones
+	triggers                []*trigger
+	quiescentSince          time.Time // since when there is no trouble; zero while there is
+	migrations              *migrationInvariant
+	placements              placements
+	wastedCPUSeconds        float64                      // seconds of CPUs that were worked and not kept
+	fetchedGB               float64                      // GB of images, by all workers
+	ceilingInvariants       map[string]*ceilingInvariant // of teams that are known to surge
+	digest                  digest
 }
 
 // Types is what the stand-in cloud rents.
-func types(zones []string) []protocol.MachineType {
+func machineTypes(zones []string) []protocol.MachineType {
 	return []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 10, FetchGBPerSecond: 1, PricePerHour: 0.25, SpotPricePerHour: 0.1, BootTime: 10 * time.Second, Zones: zones},
 		{Name: "large", CPUs: 16, MemoryGB: 128, CacheGB: 20, FetchGBPerSecond: 1, PricePerHour: 1.1, SpotPricePerHour: 0.5, BootTime: 20 * time.Second, Zones: zones},
@@ -112,16 +112,16 @@
 	if len(o.Zones) == 0 {
 		o.Zones = []string{"a"}
 	}
-	c := &Cluster{address: address,
-		now: begin, begin: begin, rng: rand.New(rand.NewPCG(o.Seed, 7)), agents: map[string]*agent{},
-		cost: o.Cost, jobs: map[string]*userJob{}, links: map[link]*linkFault{}, usedCPUs: map[string]float64{}, staleHeartbeats: map[string][][]byte{},
-		servedBy: map[uint64]string{}, answerGaps: newAnswerGaps(), streams: map[link]*stream{}, operator: operatorSettings(o),
-		digest: digest{o.Digest}, ceilingInvariants: map[string]*ceilingInvariant{}, migrations: newMigrationInvariant(), settings: settings(o)}
+	c := &Cluster{assignAddress: address,
+		now: begin, startTime: begin, rng: rand.New(rand.NewPCG(o.Seed, 7)), agents: map[string]*agent{},
+		eventCost: o.EventCost, jobs: map[string]*userJob{}, linkFaults: map[link]*linkFault{}, usedCPUsByTeam: map[string]float64{}, staleHeartbeats: map[string][][]byte{},
+		servedByTerm: map[uint64]string{}, replyIntervals: newDurationHistogram(), streams: map[link]*stream{}, operator: operatorSettings(o),
+		digest: digest{o.Digest}, ceilingInvariants: map[string]*ceilingInvariant{}, migrations: newMigrationInvariant(), settings: platformSettings(o)}
 	c.log = c.newLogger(o.Log)
 	c.state = newStateService(c)
-	c.cloud = newCloud(c, types(o.Zones), o.Capacity)
+	c.cloud = newCloud(c, machineTypes(o.Zones), o.Capacity)
 	for i := range o.Machines {
-		c.cloud.start("small", o.Zones[i%len(o.Zones)], false, 0)
+		c.cloud.startMachine("small", o.Zones[i%len(o.Zones)], false, 0)
 	}
 	for i := range o.Controllers {
 		c.controllers = append(c.controllers, &controllerHost{cluster: c, name: fmt.Sprintf("node-%d", i), zone: o.Zones[i%len(o.Zones)]})
@@ -137,7 +137,7 @@
 	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug,
 		ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.TimeKey {
-				return slog.String("t", c.now.Sub(c.begin).String())
+				return slog.String("t", c.now.Sub(c.startTime).String())
 			}
 			return a
 		}}))
@@ -146,7 +146,7 @@
 // operatorSettings are those of all controllers that start from the beginning.
 func operatorSettings(o Options) config.Operator {
 	operator := config.DefaultOperator()
-	operator.Sharding = sharding(o.Shards)
+	operator.Sharding = sharding(o.ShardsPerController)
 	operator.Balance = o.Balance
 	if o.Headroom > 0 {
 		operator.HeadroomShare = o.Headroom
@@ -154,33 +154,33 @@
 	return operator
 }
 
-// settings are those that the platform hands to each controller, but for its name, zone and
+// platformSettings are those that the platform hands to each controller, but for its name, zone and
 // peers.
-func settings(o Options) config.Settings {
+func platformSettings(o Options) config.Settings {
 	s := config.Settings{
 		Teams: []config.Team{
-			{Name: "red", CPUs: 16, CPUsMax: 64},
-			{Name: "blue", CPUs: 16, CPUsMax: 32},
-			{Name: "guest", CPUsMax: config.NoLimit, GPUsMax: config.NoLimit},
+			{Name: "red", GuaranteedCPUs: 16, MaxCPUs: 64},
+			{Name: "blue", GuaranteedCPUs: 16, MaxCPUs: 32},
+			{Name: "guest", MaxCPUs: config.NoLimit, MaxGPUs: config.NoLimit},
 		},
 		Objectives:        []config.Objective{{Kind: "guarantee", Within: 5 * time.Second, Share: 0.9}},
-		HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second, CancelWithin: 40 * time.Second,
-		StateRPS: 200, StateWriteRPS: 80, ValueBytes: 8 << 10, TxnOps: 12,
-		CloudRPS: 4, ListLag: 5 * time.Second,
-		CPUShare: 0.1, MemoryBytes: 98 << 20, Sockets: 900,
+		HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second, CancelDeadline: 40 * time.Second,
+		StateRPS: 200, StateWriteRPS: 80, MaxValueBytes: 8 << 10, MaxTxnOps: 12,
+		CloudRPS: 4, MaxListLag: 5 * time.Second,
+		CPUShare: 0.1, MemoryBytes: 98 << 20, MaxSockets: 900,
 	}
 	limited := s.Teams[:2]
-	if o.Fleet {
+	if o.LargeFleet {
 		for i := range limited {
-			limited[i].CPUs, limited[i].CPUsMax = 2000, 6000
+			limited[i].GuaranteedCPUs, limited[i].MaxCPUs = 2000, 6000
 		}
-		s.HeartbeatInterval, s.WorkerLease, s.CancelWithin = 4*time.Second, 28*time.Second, 48*time.Second
-		s.StateRPS, s.StateWriteRPS, s.TxnOps, s.ListLag = 400, 150, 16, 12*time.Second
-		s.CPUShare, s.MemoryBytes, s.Sockets = 0.3, 322<<20, 2900
+		s.HeartbeatInterval, s.WorkerLease, s.CancelDeadline = 4*time.Second, 28*time.Second, 48*time.Second
+		s.StateRPS, s.StateWriteRPS, s.MaxTxnOps, s.MaxListLag = 400, 150, 16, 12*time.Second
+		s.CPUShare, s.MemoryBytes, s.MaxSockets = 0.3, 322<<20, 2900
 	}
 	for i := range limited {
-		if o.Limit > 0 {
-			limited[i].CPUsMax = o.Limit
+		if o.TeamCPULimit > 0 {
+			limited[i].MaxCPUs = o.TeamCPULimit
 		}
 	}
 	return s
@@ -197,9 +197,9 @@
 	return -1
 }
 
-// violate notes a broken rule.
-func (c *Cluster) violate(rule, format string, args ...any) {
-	c.violations = append(c.violations, fmt.Sprintf("%s at %s: %s", rule, c.now.Sub(c.begin).Round(time.Millisecond), fmt.Sprintf(format, args...)))
+// reportViolation notes a broken rule.
+func (c *Cluster) reportViolation(rule, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%s at %s: %s", rule, c.now.Sub(c.startTime).Round(time.Millisecond), fmt.Sprintf(format, args...)))
 	c.log.Error("rule broken", "rule", rule, "what", fmt.Sprintf(format, args...))
 }
 
--- a/internal/simulator/controller_host.go
+++ b/internal/simulator/controller_host.go
@@ -10,25 +10,25 @@
 
 // controllerHost is one controller's host.
 type controllerHost struct {
-	cluster    *Cluster
-	name       string
-	zone       string
-	core       *coordination.Controller // nil while it is down, or runs as a process of its own
-	remote     process                  // nil when the core runs in this process
-	starts     uint64
-	wake       *event
-	wakeAt     time.Time
-	reqID      uint64
-	pending    map[uint64]func(status int, body []byte)
-	poweredOff bool      // without power: nothing on it even refuses a connection
-	frozen     bool      // its process does nothing for now
-	queued     []func()  // what came meanwhile
-	busyUntil  time.Time // until when it has events to work at
-	tickQueued bool      // a tick of the core is among them
+	cluster          *Cluster
+	name             string
+	zone             string
+	core             *coordination.Controller // nil while it is down, or runs as a process of its own
+	remote           remoteProcess            // nil when the core runs in this process
+	starts           uint64
+	tickEvent        *event
+	tickAt           time.Time
+	lastRequestID    uint64
+	pendingResponses map[uint64]func(status int, body []byte)
+	poweredOff       bool      // without power: nothing on it even refuses a connection
+	frozen           bool      // its process does nothing for now
+	queued           []func()  // what came meanwhile
+	busyUntil        time.Time // until when it has events to work at
+	tickQueued       bool      // a tick of the core is among them
 }
 
-// process is a controller that runs as a process of its own.
-type process interface {
+// remoteProcess is a controller that runs as a process of its own.
+type remoteProcess interface {
 	running() bool
 	// request sends the process a request. respond runs when the answer is there, with
 	// status 0 when none came in time.
@@ -53,21 +53,21 @@
 			s.Peers = append(s.Peers, config.Peer{Name: p.name, Zone: p.zone})
 		}
 	}
-	n.pending = map[uint64]func(int, []byte){}
+	n.pendingResponses = map[uint64]func(int, []byte){}
 	n.poweredOff = false
 	boot := uint64(slices.Index(c.controllers, n)+1)<<32 | n.starts
 	n.core = coordination.New(&s, c.operator, c.log.With("node", n.name), boot, c.now)
-	n.apply(n.core.Start(c.now))
+	n.applyEffects(n.core.Start(c.now))
 }
 
 // crash ends the node's process without a word.
 func (n *controllerHost) crash() {
 	n.core = nil
-	n.pending = nil
+	n.pendingResponses = nil
 	n.frozen, n.queued, n.tickQueued, n.busyUntil = false, nil, false, time.Time{}
-	if n.wake != nil {
-		n.wake.run = nil
-		n.wake = nil
+	if n.tickEvent != nil {
+		n.tickEvent.run = nil
+		n.tickEvent = nil
 	}
 }
 
@@ -81,18 +81,18 @@
 	if n.core == nil {
 		return
 	}
-	n.whenFree(func() {
-		n.reqID++
+	n.runWhenIdle(func() {
+		n.lastRequestID++
 		n.cluster.digest.request(n, method, target, body)
-		n.pending[n.reqID] = respond
-		n.apply(n.core.Request(n.cluster.now, n.reqID, method, target, body))
+		n.pendingResponses[n.lastRequestID] = respond
+		n.applyEffects(n.core.Request(n.cluster.now, n.lastRequestID, method, target, body))
 	})
 }
 
-// whenFree does f now, or when the process comes to it, if it is still the same.
-func (n *controllerHost) whenFree(f func()) {
+// runWhenIdle does f now, or when the process comes to it, if it is still the same.
+func (n *controllerHost) runWhenIdle(f func()) {
 	c, core := n.cluster, n.core
-	if c.cost == 0 {
+	if c.eventCost == 0 {
 		n.runUnlessFrozen(f)
 		return
 	}
@@ -104,7 +104,7 @@
 			n.runUnlessFrozen(f)
 		}
 	})
-	n.busyUntil = n.busyUntil.Add(c.cost)
+	n.busyUntil = n.busyUntil.Add(c.eventCost)
 }
 
 // runUnlessFrozen does f now, or when the process goes on.
@@ -135,43 +135,43 @@
 	}
 }
 
-// apply does what a step of the core asks for.
-func (n *controllerHost) apply(e coordination.Effects) {
+// applyEffects does what a step of the core asks for.
+func (n *controllerHost) applyEffects(e coordination.Effects) {
 	n.cluster.digest.effects(n, e)
 	for _, r := range e.Replies {
-		if respond := n.pending[r.ID]; respond != nil {
-			delete(n.pending, r.ID)
+		if respond := n.pendingResponses[r.ID]; respond != nil {
+			delete(n.pendingResponses, r.ID)
 			respond(r.Status, r.Body)
 		}
 	}
 	for _, call := range e.Calls {
-		n.call(call)
+		n.dispatchCall(call)
 	}
 	for _, p := range e.Broadcasts {
 		for _, peer := range n.cluster.controllers {
 			if peer != n {
-				n.sendLine(peer, p.Body)
+				n.sendPeerMessage(peer, p.Body)
 			}
 		}
 	}
 	for _, s := range e.Unicasts {
 		for _, peer := range n.cluster.controllers {
 			if peer.name == s.To {
-				n.sendLine(peer, s.Body)
+				n.sendPeerMessage(peer, s.Body)
 			}
 		}
 	}
 	n.scheduleTick()
 }
 
-// call sends a request of the core's and brings it the result, or the time-out.
-func (n *controllerHost) call(call coordination.Call) {
+// dispatchCall sends a request of the core's and brings it the result, or the time-out.
+func (n *controllerHost) dispatchCall(call coordination.Call) {
 	c, core := n.cluster, n.core
 	finished := false
 	finish := func(o coordination.Outcome) {
 		if !finished && n.core == core {
 			finished = true
-			n.whenFree(func() { n.apply(core.Result(c.now, call.ID, o)) })
+			n.runWhenIdle(func() { n.applyEffects(core.Result(c.now, call.ID, o)) })
 		}
 	}
 	c.after(call.Timeout, func() { finish(coordination.Outcome{}) })
@@ -200,7 +200,7 @@
 		return
 	}
 	sent := c.now
-	from := n.incarnation()
+	from := n.incarnationID()
 	serve := func(respond respondFunc) { w.serve(from, call.Method, call.Body, sent, respond) }
 	c.request(n.name, w.name, serve, done)
 	if c.duplicateCommands && call.Method == "POST" {
@@ -214,21 +214,21 @@
 		return
 	}
 	next := n.core.NextTick()
-	if n.tickQueued || next.IsZero() || n.wake != nil && n.wake.run != nil && !n.wakeAt.After(next) {
+	if n.tickQueued || next.IsZero() || n.tickEvent != nil && n.tickEvent.run != nil && !n.tickAt.After(next) {
 		return
 	}
-	if n.wake != nil {
-		n.wake.run = nil
+	if n.tickEvent != nil {
+		n.tickEvent.run = nil
 	}
 	core := n.core
-	n.wakeAt = next
-	n.wake = n.cluster.after(next.Sub(n.cluster.now), func() {
-		n.wake = nil
+	n.tickAt = next
+	n.tickEvent = n.cluster.after(next.Sub(n.cluster.now), func() {
+		n.tickEvent = nil
 		if n.core == core {
 			n.tickQueued = true
-			n.whenFree(func() {
+			n.runWhenIdle(func() {
 				n.tickQueued = false
-				n.apply(core.Tick(n.cluster.now))
+				n.applyEffects(core.Tick(n.cluster.now))
 			})
 		}
 	})
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -18,11 +18,11 @@
 	"brasskeel/internal/config"
 )
 
-// ErrRunning says that a controller that was to be started runs already.
-var ErrRunning = errors.New("the controller runs already")
+// ErrAlreadyRunning says that a controller that was to be started runs already.
+var ErrAlreadyRunning = errors.New("the controller runs already")
 
-// maxAnswerBody bounds what is read of a controller's answer.
-const maxAnswerBody = 1 << 20
+// maxResponseBody bounds what is read of a controller's answer.
+const maxResponseBody = 1 << 20
 
 // ControllerProcess is a controller that runs as a process of its own.
 type ControllerProcess struct {
@@ -32,12 +32,12 @@
 	loopback  *Loopback
 	binary    string // its program
 	settings  config.Settings
-	transport *http.Transport     // of those who ask it
-	current   atomic.Pointer[run] // the latest process, nil before the first
+	transport *http.Transport            // of those who ask it
+	current   atomic.Pointer[processRun] // the latest process, nil before the first
 }
 
-// run is one process of a controller.
-type run struct {
+// processRun is one process of a controller.
+type processRun struct {
 	command *exec.Cmd
 	killed  atomic.Bool
 	exited  chan struct{}
@@ -53,16 +53,16 @@
 	s := &k.settings
 	s.Name, s.Zone = n.name, n.zone
 	var err error
-	if s.Listen, err = l.reservePort(); err != nil {
+	if s.ListenAddr, err = l.reservePort(); err != nil {
 		return nil, err
 	}
-	if s.PeerListen, err = l.reservePort(); err != nil {
+	if s.PeerListenAddr, err = l.reservePort(); err != nil {
 		return nil, err
 	}
-	if s.State, err = l.serveState(n); err != nil {
+	if s.StateAddr, err = l.serveState(n); err != nil {
 		return nil, err
 	}
-	s.Cloud, err = l.serveCloud(n)
+	s.CloudAddr, err = l.serveCloud(n)
 	return k, err
 }
 
@@ -73,7 +73,7 @@
 		if peer == k {
 			continue
 		}
-		addr, err := k.loopback.forward(k.settings.Name, peer.settings.Name, peer.settings.PeerListen)
+		addr, err := k.loopback.newForwarder(k.settings.Name, peer.settings.Name, peer.settings.PeerListenAddr)
 		if err != nil {
 			return err
 		}
@@ -93,34 +93,34 @@
 func (k *ControllerProcess) Name() string { return k.settings.Name }
 
 // PublicAddr is where the controller serves users and workers.
-func (k *ControllerProcess) PublicAddr() string { return k.settings.Listen }
+func (k *ControllerProcess) PublicAddr() string { return k.settings.ListenAddr }
 
 // StateAddr is where the controller finds the state service.
-func (k *ControllerProcess) StateAddr() string { return k.settings.State }
+func (k *ControllerProcess) StateAddr() string { return k.settings.StateAddr }
 
 // CloudAddr is where the controller finds the cloud.
-func (k *ControllerProcess) CloudAddr() string { return k.settings.Cloud }
+func (k *ControllerProcess) CloudAddr() string { return k.settings.CloudAddr }
 
 // Start starts the controller's process.
 func (k *ControllerProcess) Start() error {
 	if k.running() {
-		return fmt.Errorf("%s: %w", k.Name(), ErrRunning)
+		return fmt.Errorf("%s: %w", k.Name(), ErrAlreadyRunning)
 	}
 	log, err := os.OpenFile(k.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	arguments := []string{"control", "--config", k.SettingsFile}
-	if k.loopback.options.Operator != "" {
-		arguments = append(arguments, "--operator", k.loopback.options.Operator)
+	if k.loopback.options.OperatorFile != "" {
+		arguments = append(arguments, "--operator", k.loopback.options.OperatorFile)
 	}
-	p := &run{command: exec.Command(k.binary, arguments...), exited: make(chan struct{})}
+	p := &processRun{command: exec.Command(k.binary, arguments...), exited: make(chan struct{})}
 	p.command.Stderr = log
 	// In a process group of its own, an interrupt from the terminal reaches only the
 	// stand-in; when that dies without a word, its controllers die, too.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
-	k.loopback.work.Go(func() {
+	k.loopback.goroutines.Go(func() {
 		defer func() { _ = log.Close() }() // the process has written to it, not we
 		k.supervise(p, started)
 	})
@@ -129,7 +129,7 @@
 
 // supervise starts a process and waits for its end, on one thread: it is this thread's end
 // that the system takes for the death of the parent.
-func (k *ControllerProcess) supervise(p *run, started chan<- error) {
+func (k *ControllerProcess) supervise(p *processRun, started chan<- error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	if err := p.command.Start(); err != nil {
@@ -142,7 +142,7 @@
 	close(p.exited)
 	k.loopback.Do(func(c *Cluster) {
 		if !p.killed.Load() {
-			c.violate("ended", "%s by itself: %v", k.Name(), err)
+			c.reportViolation("ended", "%s by itself: %v", k.Name(), err)
 		}
 	})
 }
@@ -184,11 +184,11 @@
 	return nil
 }
 
-// Stop lets the process stand still until Continue.
-func (k *ControllerProcess) Stop() error { return k.signal(syscall.SIGSTOP) }
+// Suspend lets the process stand still until Continue.
+func (k *ControllerProcess) Suspend() error { return k.signal(syscall.SIGSTOP) }
 
-// Continue lets it go on.
-func (k *ControllerProcess) Continue() error { return k.signal(syscall.SIGCONT) }
+// Resume lets it go on.
+func (k *ControllerProcess) Resume() error { return k.signal(syscall.SIGCONT) }
 
 func (k *ControllerProcess) signal(s syscall.Signal) error {
 	p := k.current.Load()
@@ -200,10 +200,10 @@
 
 // request implements process.
 func (k *ControllerProcess) request(method, target string, body []byte, timeout time.Duration, respond respondFunc) {
-	k.loopback.work.Go(func() {
+	k.loopback.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(k.loopback.ctx, timeout)
 		defer cancel()
-		status, body, err := k.exchange(ctx, method, target, body)
+		status, body, err := k.roundTrip(ctx, method, target, body)
 		if err != nil {
 			status, body = 0, nil
 		}
@@ -211,9 +211,9 @@
 	})
 }
 
-// exchange sends the process a request and reads its answer.
-func (k *ControllerProcess) exchange(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+k.settings.Listen+target, bytes.NewReader(body))
+// roundTrip sends the process a request and reads its answer.
+func (k *ControllerProcess) roundTrip(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+k.settings.ListenAddr+target, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -226,6 +226,6 @@
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBody))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBody))
 	return response.StatusCode, answer, err
 }
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -11,17 +11,17 @@
 // simulated times, so that two versions of the code can be compared. Logs don't count.
 type digest struct{ sum hash.Hash }
 
-// number and text add a value with its length, so that no two sequences look alike.
-func (d digest) number(v int64) {
+// writeInt and text add a value with its length, so that no two sequences look alike.
+func (d digest) writeInt(v int64) {
 	var raw [8]byte
 	binary.BigEndian.PutUint64(raw[:], uint64(v))
 	d.sum.Write(raw[:]) // never fails, by its contract
 }
 
-func (d digest) text(v string) { d.bytes([]byte(v)) }
+func (d digest) writeString(v string) { d.writeBytes([]byte(v)) }
 
-func (d digest) bytes(v []byte) {
-	d.number(int64(len(v)))
+func (d digest) writeBytes(v []byte) {
+	d.writeInt(int64(len(v)))
 	d.sum.Write(v)
 }
 
@@ -30,10 +30,10 @@
 	if d.sum == nil {
 		return
 	}
-	d.step(n, "request")
-	d.text(method)
-	d.text(target)
-	d.bytes(body)
+	d.writeHeader(n, "request")
+	d.writeString(method)
+	d.writeString(target)
+	d.writeBytes(body)
 }
 
 // effects adds what a step of a controller asks for.
@@ -42,36 +42,36 @@
 		return
 	}
 	for _, r := range e.Replies {
-		d.step(n, "reply")
-		d.number(int64(r.ID))
-		d.number(int64(r.Status))
-		d.number(int64(r.RetryAfter))
-		d.bytes(r.Body)
+		d.writeHeader(n, "reply")
+		d.writeInt(int64(r.ID))
+		d.writeInt(int64(r.Status))
+		d.writeInt(int64(r.RetryAfter))
+		d.writeBytes(r.Body)
 	}
 	for _, k := range e.Calls {
-		d.step(n, "call")
-		d.number(int64(k.ID))
-		d.number(int64(k.To))
-		d.text(k.Addr)
-		d.text(k.Method)
-		d.text(k.Target)
-		d.number(int64(k.Timeout))
-		d.bytes(k.Body)
+		d.writeHeader(n, "call")
+		d.writeInt(int64(k.ID))
+		d.writeInt(int64(k.To))
+		d.writeString(k.Addr)
+		d.writeString(k.Method)
+		d.writeString(k.Target)
+		d.writeInt(int64(k.Timeout))
+		d.writeBytes(k.Body)
 	}
 	for _, p := range e.Broadcasts {
-		d.step(n, "publish")
-		d.bytes(p.Body)
+		d.writeHeader(n, "publish")
+		d.writeBytes(p.Body)
 	}
 	for _, s := range e.Unicasts {
-		d.step(n, "send")
-		d.text(s.To)
-		d.bytes(s.Body)
+		d.writeHeader(n, "send")
+		d.writeString(s.To)
+		d.writeBytes(s.Body)
 	}
 }
 
-// step begins what a controller did at a time.
-func (d digest) step(n *controllerHost, what string) {
-	d.number(int64(n.cluster.now.Sub(n.cluster.begin)))
-	d.text(n.name)
-	d.text(what)
+// writeHeader begins what a controller did at a time.
+func (d digest) writeHeader(n *controllerHost, what string) {
+	d.writeInt(int64(n.cluster.now.Sub(n.cluster.startTime)))
+	d.writeString(n.name)
+	d.writeString(what)
 }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -50,8 +50,8 @@
 }
 
 func (c *Cluster) after(d time.Duration, run func()) *event {
-	c.seq++
-	e := &event{at: c.now.Add(max(d, 0)), seq: c.seq, run: run}
+	c.lastEventSeq++
+	e := &event{at: c.now.Add(max(d, 0)), seq: c.lastEventSeq, run: run}
 	heap.Push(&c.events, e)
 	return e
 }
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -32,25 +32,25 @@
 // ExperimentTeam is the work of a team: jobs come by a Poisson process, run times are
 // lognormal, and images are taken by their popularity.
 type ExperimentTeam struct {
-	Team          string  `json:"team"`
-	JobsPerSecond float64 `json:"jobsPerSecond"`
-	Tasks         int     `json:"tasks"` // on average; drawn for each job
-	CPUs          float64 `json:"cpus"`
-	RunSeconds    float64 `json:"runSeconds"` // median
-	RunSpread     float64 `json:"runSpread"`  // standard deviation of the logarithm
-	Estimate      float64 `json:"estimateSpread"`
-	SaveSeconds   float64 `json:"saveSeconds"` // 0: its tasks don't save
-	Images        int     `json:"images"`
-	ImageGB       float64 `json:"imageGb"`
-	Popularity    float64 `json:"popularity"` // exponent by which images are less used than the first
+	Team              string  `json:"team"`
+	JobsPerSecond     float64 `json:"jobsPerSecond"`
+	Tasks             int     `json:"tasks"` // on average; drawn for each job
+	CPUs              float64 `json:"cpus"`
+	RunSeconds        float64 `json:"runSeconds"` // median
+	RunSpread         float64 `json:"runSpread"`  // standard deviation of the logarithm
+	EstimateSpread    float64 `json:"estimateSpread"`
+	CheckpointSeconds float64 `json:"saveSeconds"` // 0: its tasks don't save
+	Images            int     `json:"images"`
+	ImageGB           float64 `json:"imageGb"`
+	Popularity        float64 `json:"popularity"` // exponent by which images are less used than the first
 }
 
 // Surge is a time in which a team's jobs come several times as often.
 type Surge struct {
-	Team  string  `json:"team"`
-	From  float64 `json:"from"`
-	Until float64 `json:"until"`
-	Times float64 `json:"times"`
+	Team   string  `json:"team"`
+	From   float64 `json:"from"`
+	Until  float64 `json:"until"`
+	Factor float64 `json:"times"`
 }
 
 // ParseExperiment reads an experiment's file. An error names the field that is wrong.
@@ -98,8 +98,8 @@
 			return fmt.Errorf("surges[%d].team %q has no work", i, s.Team)
 		case s.From < 0 || !(s.Until > s.From) || s.Until > float64(e.Seconds):
 			return fmt.Errorf("surges[%d].until must be after from, and within seconds", i)
-		case !(s.Times > 0) || s.Times > 1000:
-			return fmt.Errorf("surges[%d].times is %g, not above 0 to 1000", i, s.Times)
+		case !(s.Factor > 0) || s.Factor > 1000:
+			return fmt.Errorf("surges[%d].times is %g, not above 0 to 1000", i, s.Factor)
 		}
 	}
 	_, err := e.balance()
@@ -116,8 +116,8 @@
 		least, most float64
 	}{
 		{"jobsPerSecond", t.JobsPerSecond, 1e-6, 1000}, {"tasks", float64(t.Tasks), 1, protocol.MaxTasks}, {"cpus", t.CPUs, 1e-3, 16},
-		{"runSeconds", t.RunSeconds, 0.1, 86_400}, {"runSpread", t.RunSpread, 0, 3}, {"estimateSpread", t.Estimate, 0, 3},
-		{"saveSeconds", t.SaveSeconds, 0, 3600}, {"images", float64(t.Images), 1, 100_000}, {"imageGb", t.ImageGB, 0, 10}, {"popularity", t.Popularity, 0, 10},
+		{"runSeconds", t.RunSeconds, 0.1, 86_400}, {"runSpread", t.RunSpread, 0, 3}, {"estimateSpread", t.EstimateSpread, 0, 3},
+		{"saveSeconds", t.CheckpointSeconds, 0, 3600}, {"images", float64(t.Images), 1, 100_000}, {"imageGb", t.ImageGB, 0, 10}, {"popularity", t.Popularity, 0, 10},
 	} {
 		if !(f.value >= f.least) || f.value > f.most {
 			return fmt.Errorf("%s is %g, not %g to %g", f.name, f.value, f.least, f.most)
@@ -144,68 +144,68 @@
 // Outcome is what came of an experiment with a setting, over all seeds.
 type Outcome struct {
 	Setting string `json:"setting"`
-	// Hottest and High are the load of the hottest machine, and of that below which 99% of
+	// MaxLoad and High are the load of the hottest machine, and of that below which 99% of
 	// them are, at each second, as a part of the machine and as means over the seeds.
-	Hottest []float64 `json:"hottest"`
-	High    []float64 `json:"high"`
-	Mean    []float64 `json:"mean"`
-	// Above is the part of all machines' time in which a team that surges takes more of a
+	MaxLoad  []float64 `json:"hottest"`
+	P99Load  []float64 `json:"high"`
+	MeanLoad []float64 `json:"mean"`
+	// AboveCeilingShare is the part of all machines' time in which a team that surges takes more of a
 	// machine than the ceiling.
-	Above float64 `json:"teamAboveCeiling"`
+	AboveCeilingShare float64 `json:"teamAboveCeiling"`
 
-	Jobs        int                  `json:"jobs"`
-	Done        int                  `json:"done"`
-	Moves       int                  `json:"moves"`
-	MovesPerJob float64              `json:"movesPerJob"`
-	Wasted      float64              `json:"wastedCpuSeconds"` // work that was done and not kept
-	Held        float64              `json:"placedOnHolders"`  // part of the starts
-	FetchedGB   float64              `json:"fetchedGb"`
-	Changes     int                  `json:"changes"` // in the state service
-	Waits       map[string]WaitTimes `json:"waits"`   // by team, until a job's first task ran
-	Broken      []string             `json:"broken,omitempty"`
+	Jobs             int                  `json:"jobs"`
+	Done             int                  `json:"done"`
+	Moves            int                  `json:"moves"`
+	MovesPerJob      float64              `json:"movesPerJob"`
+	WastedCPUSeconds float64              `json:"wastedCpuSeconds"` // work that was done and not kept
+	ImageHitRate     float64              `json:"placedOnHolders"`  // part of the starts
+	FetchedGB        float64              `json:"fetchedGb"`
+	StateWrites      int                  `json:"changes"` // in the state service
+	Waits            map[string]WaitTimes `json:"waits"`   // by team, until a job's first task ran
+	Violations       []string             `json:"broken,omitempty"`
 }
 
 // WaitTimes are the seconds within which half and 99% of a team's jobs began.
 type WaitTimes struct {
 	Median float64 `json:"median"`
-	Most   float64 `json:"p99"`
+	P99    float64 `json:"p99"`
 }
 
 // placements counts starts, and those on machines that held the image.
-type placements struct{ all, onHolders int }
+type placements struct{ starts, imageHits int }
 
-func (p placements) held() float64 { return float64(p.onHolders) / float64(max(1, p.all)) }
+func (p placements) hitRate() float64 { return float64(p.imageHits) / float64(max(1, p.starts)) }
 
-// recordWasted counts the work of a task that leaves its machine before it is done, but for what
+// recordWastedWork counts the work of a task that leaves its machine before it is done, but for what
 // it has saved.
-func (c *Cluster) recordWasted(t *attempt) {
+func (c *Cluster) recordWastedWork(t *attempt) {
 	j := c.jobs[t.job]
 	switch {
-	case j.completed[t.index] || j.spec.Kind != protocol.Batch:
-	case t.saved:
+	case j.completed[t.taskIndex] || j.spec.Kind != protocol.Batch:
+	case t.checkpointed:
 		c.wastedCPUSeconds += j.spec.CheckpointDuration.Seconds() * j.spec.CPUs
 	default:
 		c.wastedCPUSeconds += c.now.Sub(t.startedAt).Seconds() * j.spec.CPUs
 	}
 }
 
-// loads are the parts of the machines that are up that tasks take: of the hottest one, of that
+// machineLoads are the parts of the machines that are up that tasks take: of the hottest one, of that
 // below which 99% of them are, and of all on average.
-func (c *Cluster) loads() (hottest, high, mean float64) {
+func (c *Cluster) machineLoads() (hottest, high, mean float64) {
 	var list []float64
 	for _, h := range c.cloud.machines {
 		w := h.agent
 		if w == nil || w.dead {
 			continue
 		}
-		var taken taskShape
+		var taken resources
 		for _, t := range w.tasks {
 			if j := c.jobs[t.job]; j != nil && t.state != protocol.Exited {
 				taken.cpus += j.spec.CPUs
 				taken.mem += j.spec.MemoryGB
 			}
 		}
-		part := share(w, taken, taskShape{})
+		part := machineShare(w, taken, resources{})
 		list = append(list, part)
 		mean += part
 	}
@@ -216,9 +216,9 @@
 	return list[len(list)-1], list[(len(list)-1)*99/100], mean / float64(len(list))
 }
 
-// timeAboveCeiling is the part of the machines that are up of which a team that surges some time takes
+// shareAboveCeiling is the part of the machines that are up of which a team that surges some time takes
 // more than the ceiling.
-func (c *Cluster) timeAboveCeiling(surges []Surge, ceiling float64) float64 {
+func (c *Cluster) shareAboveCeiling(surges []Surge, ceiling float64) float64 {
 	up, above := 0, 0
 	for _, h := range c.cloud.machines {
 		w := h.agent
@@ -227,8 +227,8 @@
 		}
 		up++
 		if slices.ContainsFunc(surges, func(s Surge) bool {
-			taken, tasks := w.takenBy(s.Team)
-			return tasks > 1 && share(w, taken, taskShape{}) > ceiling+protocol.Epsilon
+			taken, tasks := w.teamUsage(s.Team)
+			return tasks > 1 && machineShare(w, taken, resources{}) > ceiling+protocol.Epsilon
 		}) {
 			above++
 		}
@@ -247,13 +247,13 @@
 		name    string
 		balance *config.Balance
 	}{{"off", nil}, {"on", b}} {
-		o := Outcome{Setting: s.name, Waits: map[string]WaitTimes{}, Hottest: make([]float64, e.Seconds), High: make([]float64, e.Seconds), Mean: make([]float64, e.Seconds)}
+		o := Outcome{Setting: s.name, Waits: map[string]WaitTimes{}, MaxLoad: make([]float64, e.Seconds), P99Load: make([]float64, e.Seconds), MeanLoad: make([]float64, e.Seconds)}
 		waits := map[string]*hdrhistogram.Histogram{}
 		for seed := range e.Seeds {
 			if err := ctx.Err(); err != nil {
 				return nil, err
 			}
-			e.play(uint64(seed+1), s.balance, b.CeilingShare, &o, waits)
+			e.runSeed(uint64(seed+1), s.balance, b.CeilingShare, &o, waits)
 			progress(s.name, seed+1, e.Seeds)
 		}
 		e.average(&o, waits)
@@ -262,60 +262,60 @@
 	return outcomes, nil
 }
 
-// afterwards is how long jobs are followed once no more come.
-const afterwards = 2 * time.Minute
+// settleTime is how long jobs are followed once no more come.
+const settleTime = 2 * time.Minute
 
-// play plays one seed and adds what came of it.
-func (e *Experiment) play(seed uint64, b *config.Balance, ceiling float64, o *Outcome, waits map[string]*hdrhistogram.Histogram) {
-	c := New(Options{Seed: seed, Controllers: 3, Machines: e.Machines, Capacity: e.Machines, Fleet: true, Balance: b})
+// runSeed plays one seed and adds what came of it.
+func (e *Experiment) runSeed(seed uint64, b *config.Balance, ceiling float64, o *Outcome, waits map[string]*hdrhistogram.Histogram) {
+	c := New(Options{Seed: seed, Controllers: 3, Machines: e.Machines, Capacity: e.Machines, LargeFleet: true, Balance: b})
 	c.Advance(6 * time.Second)
-	e.submit(c, rand.New(rand.NewPCG(seed, 17)))
+	e.scheduleJobs(c, rand.New(rand.NewPCG(seed, 17)))
 	c.state.writes, c.fetchedGB = 0, 0
 	above := 0.0
 	for second := range e.Seconds {
 		c.Advance(time.Second)
-		above += c.timeAboveCeiling(e.Surges, ceiling)
-		hottest, high, mean := c.loads()
-		o.Hottest[second] += hottest
-		o.High[second] += high
-		o.Mean[second] += mean
+		above += c.shareAboveCeiling(e.Surges, ceiling)
+		hottest, high, mean := c.machineLoads()
+		o.MaxLoad[second] += hottest
+		o.P99Load[second] += high
+		o.MeanLoad[second] += mean
 	}
-	c.Advance(afterwards)
+	c.Advance(settleTime)
 	for _, j := range c.jobs {
 		o.Jobs++
 		if len(j.completed) == j.spec.Tasks {
 			o.Done++
 		}
-		if j.firstStart.IsZero() {
+		if j.firstStartAt.IsZero() {
 			continue
 		}
 		h := waits[j.spec.Team]
 		if h == nil {
-			h = newAnswerGaps()
+			h = newDurationHistogram()
 			waits[j.spec.Team] = h
 		}
-		_ = h.RecordValue(min(j.firstStart.Sub(j.submitted).Milliseconds(), 600_000)) // within its range
+		_ = h.RecordValue(min(j.firstStartAt.Sub(j.submittedAt).Milliseconds(), 600_000)) // within its range
 	}
-	o.Above += above / float64(e.Seconds)
+	o.AboveCeilingShare += above / float64(e.Seconds)
 	o.Moves += len(c.migrations.moves)
-	o.Wasted += c.wastedCPUSeconds
-	o.Held += c.placements.held()
+	o.WastedCPUSeconds += c.wastedCPUSeconds
+	o.ImageHitRate += c.placements.hitRate()
 	o.FetchedGB += c.fetchedGB
-	o.Changes += c.state.writes
-	o.Broken = append(o.Broken, c.Violations()...)
+	o.StateWrites += c.state.writes
+	o.Violations = append(o.Violations, c.Violations()...)
 }
 
-// submit plans the jobs of all teams, as drawn.
-func (e *Experiment) submit(c *Cluster, rng *rand.Rand) {
+// scheduleJobs plans the jobs of all teams, as drawn.
+func (e *Experiment) scheduleJobs(c *Cluster, rng *rand.Rand) {
 	number := 0
 	for i := range e.Teams {
 		t := &e.Teams[i]
 		gaps := distuv.Exponential{Rate: t.JobsPerSecond, Src: rng}
 		tasks := distuv.Poisson{Lambda: float64(t.Tasks - 1), Src: rng}
 		runs := distuv.LogNormal{Sigma: t.RunSpread, Src: rng}
-		wrong := distuv.LogNormal{Sigma: t.Estimate, Src: rng}
-		images := distuv.NewCategorical(popularity(t.Images, t.Popularity), rng)
-		for at := gaps.Rand() / e.times(t.Team, 0); at < float64(e.Seconds); at += gaps.Rand() / e.times(t.Team, at) {
+		wrong := distuv.LogNormal{Sigma: t.EstimateSpread, Src: rng}
+		images := distuv.NewCategorical(popularityWeights(t.Images, t.Popularity), rng)
+		for at := gaps.Rand() / e.surgeFactor(t.Team, 0); at < float64(e.Seconds); at += gaps.Rand() / e.surgeFactor(t.Team, at) {
 			number++
 			run := time.Duration(t.RunSeconds * runs.Rand() * float64(time.Second))
 			spec := protocol.Job{ID: fmt.Sprintf("run-%06d", number), Class: t.Team, Team: t.Team, Kind: protocol.Batch, Priority: protocol.Standard,
@@ -324,8 +324,8 @@
 			if t.Tasks > 1 {
 				spec.Tasks += int(tasks.Rand())
 			}
-			if t.SaveSeconds > 0 {
-				spec.CheckpointInterval, spec.CheckpointDuration = 5*time.Second, time.Duration(t.SaveSeconds*float64(time.Second))
+			if t.CheckpointSeconds > 0 {
+				spec.CheckpointInterval, spec.CheckpointDuration = 5*time.Second, time.Duration(t.CheckpointSeconds*float64(time.Second))
 			}
 			c.after(time.Duration(at*float64(time.Second)), func() {
 				c.retryUntilAnswered(func(node int, done func(int, string)) { c.Submit(node, spec, run, false, done) })
@@ -334,19 +334,19 @@
 	}
 }
 
-// times is how many times as often a team's jobs come at a time.
-func (e *Experiment) times(team string, at float64) float64 {
+// surgeFactor is how many times as often a team's jobs come at a time.
+func (e *Experiment) surgeFactor(team string, at float64) float64 {
 	times := 1.0
 	for _, s := range e.Surges {
 		if s.Team == team && at >= s.From && at < s.Until {
-			times *= s.Times
+			times *= s.Factor
 		}
 	}
 	return times
 }
 
-// popularity is how often images are used, the first one most.
-func popularity(images int, exponent float64) []float64 {
+// popularityWeights is how often images are used, the first one most.
+func popularityWeights(images int, exponent float64) []float64 {
 	weights := make([]float64, images)
 	for i := range weights {
 		weights[i] = math.Pow(float64(i+1), -exponent)
@@ -357,19 +357,19 @@
 // average turns sums over the seeds into means.
 func (e *Experiment) average(o *Outcome, waits map[string]*hdrhistogram.Histogram) {
 	seeds := float64(e.Seeds)
-	for i := range o.Hottest {
-		o.Hottest[i] /= seeds
-		o.High[i] /= seeds
-		o.Mean[i] /= seeds
+	for i := range o.MaxLoad {
+		o.MaxLoad[i] /= seeds
+		o.P99Load[i] /= seeds
+		o.MeanLoad[i] /= seeds
 	}
-	o.Above /= seeds
-	o.Wasted /= seeds
-	o.Held /= seeds
+	o.AboveCeilingShare /= seeds
+	o.WastedCPUSeconds /= seeds
+	o.ImageHitRate /= seeds
 	o.FetchedGB /= seeds
-	o.Changes /= e.Seeds
+	o.StateWrites /= e.Seeds
 	o.MovesPerJob = float64(o.Moves) / float64(max(1, o.Jobs))
 	for team, h := range waits {
 		at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		o.Waits[team] = WaitTimes{Median: at(50), Most: at(99)}
+		o.Waits[team] = WaitTimes{Median: at(50), P99: at(99)}
 	}
 }
--- a/internal/simulator/experiment_test.go
+++ b/internal/simulator/experiment_test.go
@@ -46,7 +46,7 @@
 
 // plausible reports whether what an outcome counts can be so.
 func plausible(o *Outcome) bool {
-	return len(o.Hottest) == 20 && o.Mean[15] > 0 && o.Hottest[15] >= o.Mean[15] && o.Held > 0 && o.FetchedGB > 0 && o.Waits["guest"].Most > 0
+	return len(o.MaxLoad) == 20 && o.MeanLoad[15] > 0 && o.MaxLoad[15] >= o.MeanLoad[15] && o.ImageHitRate > 0 && o.FetchedGB > 0 && o.Waits["guest"].P99 > 0
 }
 
 // An experiment gives the same outcome every time, breaks no rule, and counts what it should.
@@ -68,12 +68,12 @@
 		t.Errorf("another outcome, or progress told %d times", told)
 	}
 	for _, o := range outcomes {
-		if len(o.Broken) > 0 || o.Jobs == 0 || o.Done != o.Jobs || !plausible(&o) {
+		if len(o.Violations) > 0 || o.Jobs == 0 || o.Done != o.Jobs || !plausible(&o) {
 			t.Errorf("%+v", o)
 		}
 	}
-	if off, on := outcomes[0], outcomes[1]; off.Moves != 0 || on.Above >= off.Above {
-		t.Errorf("moves %d off; above the ceiling %.3f off and %.3f on", off.Moves, off.Above, on.Above)
+	if off, on := outcomes[0], outcomes[1]; off.Moves != 0 || on.AboveCeilingShare >= off.AboveCeilingShare {
+		t.Errorf("moves %d off; above the ceiling %.3f off and %.3f on", off.Moves, off.AboveCeilingShare, on.AboveCeilingShare)
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -33,8 +33,8 @@
 	c.retryUntilAnswered(func(node int, done func(int, string)) { c.CancelJob(node, id, done) })
 }
 
-// jobsWhere are the jobs that a condition holds for, in order.
-func (c *Cluster) jobsWhere(holds func(*userJob) bool) []string {
+// jobsMatching are the jobs that a condition holds for, in order.
+func (c *Cluster) jobsMatching(holds func(*userJob) bool) []string {
 	var list []string
 	for id, j := range c.jobs {
 		if holds(j) {
@@ -45,19 +45,19 @@
 	return list
 }
 
-// longToGo is how long a task has to run on for its job to count as one with long to go.
-const longToGo = 10 * time.Second
+// minRemainingRunTime is how long a task has to run on for its job to count as one with long to go.
+const minRemainingRunTime = 10 * time.Second
 
-// CancelNow lets users cancel jobs that run and have long to go, within a fifth of a
+// CancelRunningJobs lets users cancel jobs that run and have long to go, within a fifth of a
 // second. Up to eight of their machines hang meanwhile; 0 for none.
-func (c *Cluster) CancelNow(count int, hang time.Duration) {
-	ids := c.jobsWhere(func(j *userJob) bool {
+func (c *Cluster) CancelRunningJobs(count int, hang time.Duration) {
+	ids := c.jobsMatching(func(j *userJob) bool {
 		if !j.accepted || j.cancelRequested {
 			return false
 		}
 		for task, on := range j.runningOn {
 			for w := range on {
-				if t := w.task(j, task); t != nil && (j.spec.Kind == protocol.Service || j.run-j.progress[task]-c.now.Sub(t.startedAt) > longToGo) {
+				if t := w.runningAttempt(j, task); t != nil && (j.spec.Kind == protocol.Service || j.runTime-j.progress[task]-c.now.Sub(t.startedAt) > minRemainingRunTime) {
 					return true
 				}
 			}
@@ -69,24 +69,24 @@
 	var hung []*agent
 	for _, id := range ids {
 		c.after(time.Duration(c.rng.Int64N(int64(200*time.Millisecond))), func() { c.retryCancel(id) })
-		for _, w := range c.machinesOf(id) {
+		for _, w := range c.agentsRunning(id) {
 			if hang > 0 && len(hung) < 8 && !w.hung {
 				hung = append(hung, w)
-				w.hang(true)
+				w.setHung(true)
 			}
 		}
 	}
 	c.after(hang, func() {
 		for _, w := range hung {
 			if !w.dead {
-				w.hang(false)
+				w.setHung(false)
 			}
 		}
 	})
 }
 
-// machinesOf are those that a job's tasks are on, in order.
-func (c *Cluster) machinesOf(id string) []*agent {
+// agentsRunning are those that a job's tasks are on, in order.
+func (c *Cluster) agentsRunning(id string) []*agent {
 	var list []*agent
 	for _, on := range c.jobs[id].runningOn {
 		for w := range on {
@@ -108,7 +108,7 @@
 // last task completes, or right before or after the final state is written.
 func (c *Cluster) jobCompleted(j *userJob) {
 	c.withTriggers(onJobDone, []string{j.spec.ID}, func() {})
-	if c.cancelAtEndShare > 0 && c.rng.Float64() < c.cancelAtEndShare {
+	if c.cancelOnCompletionShare > 0 && c.rng.Float64() < c.cancelOnCompletionShare {
 		cancel := func() { c.retryCancel(j.spec.ID) }
 		switch c.rng.IntN(3) {
 		case 0:
@@ -141,28 +141,28 @@
 // Resubmit sends a known job once more.
 func (c *Cluster) Resubmit(node int, id string) {
 	j := c.jobs[id]
-	c.Submit(node, j.spec, j.run, j.alwaysFails, func(int, string) {})
+	c.Submit(node, j.spec, j.runTime, j.alwaysFails, func(int, string) {})
 }
 
-// InvalidRequests sends one each of what users send by mistake or once too often: a
+// SendInvalidRequests sends one each of what users send by mistake or once too often: a
 // repeated submission of an unfinished job, cancellations of one that is done and of
 // an unknown one, jobs that can never run, and one that lacks a field.
-func (c *Cluster) InvalidRequests() {
+func (c *Cluster) SendInvalidRequests() {
 	node := func() int { return c.rng.IntN(len(c.controllers)) }
 	pick := func(ids []string, f func(id string)) {
 		if len(ids) > 0 {
 			f(ids[c.rng.IntN(len(ids))])
 		}
 	}
-	pick(c.jobsWhere(func(j *userJob) bool { return j.accepted && j.reported == 0 }), func(id string) { c.Resubmit(node(), id) })
-	pick(c.jobsWhere(func(j *userJob) bool { return j.reported == protocol.Done }), func(id string) {
+	pick(c.jobsMatching(func(j *userJob) bool { return j.accepted && j.reportedState == 0 }), func(id string) { c.Resubmit(node(), id) })
+	pick(c.jobsMatching(func(j *userJob) bool { return j.reportedState == protocol.Done }), func(id string) {
 		c.CancelJob(node(), id, func(int, string) {})
 	})
-	c.invalidRequests++
-	c.CancelJob(node(), fmt.Sprintf("run-%06d", 990000+c.invalidRequests), func(int, string) {})
+	c.invalidRequestCount++
+	c.CancelJob(node(), fmt.Sprintf("run-%06d", 990000+c.invalidRequestCount), func(int, string) {})
 	odd := func(change func(*protocol.Job)) protocol.Job {
-		c.invalidRequests++
-		j := protocol.Job{ID: fmt.Sprintf("run-%06d", 900000+c.invalidRequests), Class: "one", Team: "blue", Kind: protocol.Batch,
+		c.invalidRequestCount++
+		j := protocol.Job{ID: fmt.Sprintf("run-%06d", 900000+c.invalidRequestCount), Class: "one", Team: "blue", Kind: protocol.Batch,
 			Priority: protocol.Critical, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 1, EstimatedRuntime: time.Second}
 		change(&j)
 		return j
@@ -199,13 +199,13 @@
 		switch status {
 		case 400, 429, 503, 504, 0:
 		default:
-			c.violate("accepted_invalid", "a job without %s gets %d", missing, status)
+			c.reportViolation("accepted_invalid", "a job without %s gets %d", missing, status)
 		}
 	})
 }
 
-// canRun reports whether a job can ever run here, as the submission rules have it.
-func (c *Cluster) canRun(j *protocol.Job) bool {
+// isValidJob reports whether a job can ever run here, as the submission rules have it.
+func (c *Cluster) isValidJob(j *protocol.Job) bool {
 	fits := slices.ContainsFunc(c.cloud.types, func(t protocol.MachineType) bool { return j.AllowsType(t.Name) && t.Fits(j) })
 	at := 1.0
 	if j.Kind == protocol.Service {
@@ -213,7 +213,7 @@
 	}
 	for _, team := range c.settings.Teams {
 		if team.Name == j.Team {
-			return fits && at*j.CPUs <= team.CPUsMax+protocol.Epsilon && at*j.GPUs <= team.GPUsMax+protocol.Epsilon
+			return fits && at*j.CPUs <= team.MaxCPUs+protocol.Epsilon && at*j.GPUs <= team.MaxGPUs+protocol.Epsilon
 		}
 	}
 	return false
@@ -252,9 +252,9 @@
 	clear(c.staleHeartbeats)
 }
 
-// ChangeLeaders lets the leader crash some times, one after the other; each is back
+// CrashLeaders lets the leader crash some times, one after the other; each is back
 // after a while.
-func (c *Cluster) ChangeLeaders(count int, every, down time.Duration) {
+func (c *Cluster) CrashLeaders(count int, every, down time.Duration) {
 	for i := range count {
 		c.after(time.Duration(i)*every, func() {
 			if k := c.Leader(); k >= 0 {
--- a/internal/simulator/forwarder.go
+++ b/internal/simulator/forwarder.go
@@ -18,12 +18,12 @@
 
 // linkState is how a link is now.
 func (c *Cluster) linkState(from, to string) linkState {
-	switch k := c.links[link{from, to}]; {
+	switch k := c.linkFaults[link{from, to}]; {
 	case k == nil:
 		return linkOpen
-	case k.reset:
+	case k.resetConnections:
 		return linkReset
-	case k.hold:
+	case k.holdMessages:
 		return linkHeld
 	}
 	return linkLost
@@ -38,16 +38,16 @@
 	listener net.Listener
 }
 
-// forward gives a host an address that leads to another host's address. It is called with
+// newForwarder gives a host an address that leads to another host's address. It is called with
 // the lock held.
-func (l *Loopback) forward(from, to, target string) (string, error) {
+func (l *Loopback) newForwarder(from, to, target string) (string, error) {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return "", err
 	}
 	f := &forwarder{l, from, to, target, listener}
 	l.closers = append(l.closers, listener.Close)
-	l.work.Go(f.run)
+	l.goroutines.Go(f.run)
 	return listener.Addr().String(), nil
 }
 
@@ -57,73 +57,73 @@
 		if err != nil {
 			return // closed
 		}
-		f.loopback.work.Go(func() { f.carry(near) })
+		f.loopback.goroutines.Go(func() { f.handle(near) })
 	}
 }
 
-// forwardDial is how long a forwarder tries to reach its target.
-const forwardDial = 2 * time.Second
+// forwardDialTimeout is how long a forwarder tries to reach its target.
+const forwardDialTimeout = 2 * time.Second
 
-// carry forwards one connection until it ends.
-func (f *forwarder) carry(near net.Conn) {
+// handle forwards one connection until it ends.
+func (f *forwarder) handle(near net.Conn) {
 	defer near.Close()
 	c := &forwardedConn{forwarder: f, ended: make(chan struct{})}
-	if !c.begins() {
-		c.watch(near)
+	if !c.established() {
+		c.awaitEnd(near)
 		return
 	}
-	dialer := net.Dialer{Timeout: forwardDial}
+	dialer := net.Dialer{Timeout: forwardDialTimeout}
 	far, err := dialer.DialContext(f.loopback.ctx, "tcp", f.target)
 	if err != nil {
 		reset(near)
 		return
 	}
 	defer far.Close()
-	f.loopback.work.Go(func() { c.pump(f.from, f.to, near, far) })
-	f.loopback.work.Go(func() { c.pump(f.to, f.from, far, near) })
-	c.watch(near, far)
+	f.loopback.goroutines.Go(func() { c.copyBytes(f.from, f.to, near, far) })
+	f.loopback.goroutines.Go(func() { c.copyBytes(f.to, f.from, far, near) })
+	c.awaitEnd(near, far)
 }
 
 // forwardedConn is one connection that a forwarder carries.
 type forwardedConn struct {
 	*forwarder
-	lossy  bool // some of its bytes are lost; guarded by the stand-in's lock
-	ended  chan struct{}
-	ending sync.Once
+	lossy   bool // some of its bytes are lost; guarded by the stand-in's lock
+	ended   chan struct{}
+	endOnce sync.Once
 }
 
-func (c *forwardedConn) end() { c.ending.Do(func() { close(c.ended) }) }
+func (c *forwardedConn) end() { c.endOnce.Do(func() { close(c.ended) }) }
 
-// begins reports whether the connection comes about. One that is made during a cut leads
+// established reports whether the connection comes about. One that is made during a cut leads
 // nowhere; its sender has given it up by the time the cut is over.
-func (c *forwardedConn) begins() bool {
+func (c *forwardedConn) established() bool {
 	c.loopback.mu.Lock()
 	defer c.loopback.mu.Unlock()
-	c.lossy = !c.open()
+	c.lossy = !c.linksOpen()
 	return !c.lossy
 }
 
-// open reports whether there is no cut between the hosts. It is called with the lock held.
-func (c *forwardedConn) open() bool {
-	return c.is(linkOpen, c.from, c.to) && c.is(linkOpen, c.to, c.from)
+// linksOpen reports whether there is no cut between the hosts. It is called with the lock held.
+func (c *forwardedConn) linksOpen() bool {
+	return c.linkInState(linkOpen, c.from, c.to) && c.linkInState(linkOpen, c.to, c.from)
 }
 
-// resets reports whether connections fail between the hosts. It is called with the lock
+// linksReset reports whether connections fail between the hosts. It is called with the lock
 // held.
-func (c *forwardedConn) resets() bool {
-	return c.is(linkReset, c.from, c.to) || c.is(linkReset, c.to, c.from)
+func (c *forwardedConn) linksReset() bool {
+	return c.linkInState(linkReset, c.from, c.to) || c.linkInState(linkReset, c.to, c.from)
 }
 
-func (c *forwardedConn) is(s linkState, from, to string) bool {
+func (c *forwardedConn) linkInState(s linkState, from, to string) bool {
 	return c.loopback.cluster.linkState(from, to) == s
 }
 
-// watch returns when the connection is over: because a side has ended it, because of a
+// awaitEnd returns when the connection is over: because a side has ended it, because of a
 // reset, or because a cut is over that has cost some of its bytes.
-func (c *forwardedConn) watch(conns ...net.Conn) {
+func (c *forwardedConn) awaitEnd(conns ...net.Conn) {
 	for {
 		c.loopback.mu.Lock()
-		over, changed := c.resets() || c.lossy && c.open(), c.loopback.linksChanged
+		over, changed := c.linksReset() || c.lossy && c.linksOpen(), c.loopback.linksChanged
 		c.loopback.mu.Unlock()
 		if over {
 			for _, conn := range conns {
@@ -149,14 +149,14 @@
 	_ = c.Close()
 }
 
-// pump carries the bytes of one direction. Once some are lost all are, and the end of the
+// copyBytes carries the bytes of one direction. Once some are lost all are, and the end of the
 // connection with them.
-func (c *forwardedConn) pump(from, to string, source, sink net.Conn) {
+func (c *forwardedConn) copyBytes(from, to string, source, sink net.Conn) {
 	buffer := make([]byte, 32<<10)
 	lost := false
 	for {
 		count, readErr := source.Read(buffer)
-		lost = lost || !c.pass(from, to)
+		lost = lost || !c.awaitDelivery(from, to)
 		if lost && readErr != nil {
 			return
 		}
@@ -170,8 +170,8 @@
 	}
 }
 
-// pass waits while bytes are held, and reports whether they arrive.
-func (c *forwardedConn) pass(from, to string) bool {
+// awaitDelivery waits while bytes are held, and reports whether they arrive.
+func (c *forwardedConn) awaitDelivery(from, to string) bool {
 	for {
 		c.loopback.mu.Lock()
 		state, changed := c.loopback.cluster.linkState(from, to), c.loopback.linksChanged
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -9,9 +9,9 @@
 	"brasskeel/internal/records"
 )
 
-// breaking starts a cluster with an accepted job of four tasks, lets f bring trouble
+// expectViolations starts a cluster with an accepted job of four tasks, lets f bring trouble
 // about, and expects just the named rules to be broken.
-func breaking(t *testing.T, f func(c *Cluster, j *userJob), rules ...string) {
+func expectViolations(t *testing.T, f func(c *Cluster, j *userJob), rules ...string) {
 	t.Helper()
 	c := New(Options{Seed: 1, Controllers: 3, Machines: 2})
 	c.Advance(3 * time.Second)
@@ -66,32 +66,32 @@
 		c.BeginQuiescence()
 	}, []string{"two_shards"}},
 	{"contradicting final states", func(c *Cluster, j *userJob) { // a final state that another node contradicts, asked at the same time
-		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
-		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Done))
+		c.checkReportedState(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		c.checkReportedState(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Done))
 	}, []string{"went_back", "not_done"}},
 	{"older answer", func(c *Cluster, j *userJob) { // an older answer
 		j.cancelRequested = true
-		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
-		c.checkReported(j, j.reported, protocol.EncodeJobState(j.spec.ID, protocol.Queued))
+		c.checkReportedState(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		c.checkReportedState(j, j.reportedState, protocol.EncodeJobState(j.spec.ID, protocol.Queued))
 	}, []string{"went_back"}},
 	{"start after a cancellation", func(c *Cluster, j *userJob) { // an order that is sent, and a task that goes on, after a cancellation
 		j.cancelRequested = true
-		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		c.checkReportedState(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
 		w := c.agents["vm-000000"]
-		w.hang(true)
+		w.setHung(true)
 		w.startAttempt(protocol.Order{Job: j.spec.ID, TaskIndex: 3, Attempt: 9}, c.now.Add(2*time.Second))
 		w.startAttempt(protocol.Order{Job: j.spec.ID, TaskIndex: 3, Attempt: 10}, c.now.Add(4*time.Second))
 	}, []string{"started_cancelled"}},
 	{"task goes on after a cancellation", func(c *Cluster, j *userJob) { // a hung machine that never loses its lease
 		c.Advance(2 * time.Second)
 		j.cancelRequested = true
-		c.checkReported(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
+		c.checkReportedState(j, 0, protocol.EncodeJobState(j.spec.ID, protocol.Cancelled))
 		for _, n := range c.controllers {
 			n.freeze()
 		}
 		for range 45 {
 			for _, w := range c.agents {
-				w.leaseFrom = c.now
+				w.leaseStart = c.now
 				w.armLease()
 			}
 			c.Advance(time.Second)
@@ -113,7 +113,7 @@
 // TestInvariants sees to it that broken rules are noticed.
 func TestInvariants(t *testing.T) {
 	for _, test := range invariantTests {
-		t.Run(test.name, func(t *testing.T) { breaking(t, test.act, test.rules...) })
+		t.Run(test.name, func(t *testing.T) { expectViolations(t, test.act, test.rules...) })
 	}
 }
 
--- a/internal/simulator/load.go
+++ b/internal/simulator/load.go
@@ -11,9 +11,9 @@
 
 // Load is a stream of jobs of one task each.
 type Load struct {
-	Jobs int
-	Rate float64       // jobs per second
-	Run  time.Duration // of a task
+	Jobs    int
+	Rate    float64       // jobs per second
+	RunTime time.Duration // of a task
 }
 
 // LoadSummary tells what came of a load. Times count from the first attempt to submit a
@@ -34,22 +34,22 @@
 	return Quantiles{P50: times[(len(times)-1)*50/100], P99: times[(len(times)-1)*99/100]}
 }
 
-// firstLoadJob is the number of a load's first job: far from those that people choose.
-const firstLoadJob = 700_001
+// firstLoadJobNumber is the number of a load's first job: far from those that people choose.
+const firstLoadJobNumber = 700_001
 
 // loadQueryInterval is how often the users of a load ask for their jobs.
 const loadQueryInterval = time.Second
 
-// Load submits jobs at any controllers and waits until all are done, or ctx ends.
-func (l *Loopback) Load(ctx context.Context, load Load) (LoadSummary, error) {
+// RunLoad submits jobs at any controllers and waits until all are done, or ctx ends.
+func (l *Loopback) RunLoad(ctx context.Context, load Load) (LoadSummary, error) {
 	accepted := map[string]time.Duration{}
 	l.Do(func(c *Cluster) {
 		for i := range load.Jobs {
-			c.after(time.Duration(float64(i)/load.Rate*float64(time.Second)), func() { c.submitLoad(i, load.Run, accepted) })
+			c.after(time.Duration(float64(i)/load.Rate*float64(time.Second)), func() { c.submitLoadJob(i, load.RunTime, accepted) })
 		}
 	})
 	done := func(c *Cluster) int {
-		return len(c.jobsWhere(func(j *userJob) bool { return accepted[j.spec.ID] != 0 && j.reported == protocol.Done }))
+		return len(c.jobsMatching(func(j *userJob) bool { return accepted[j.spec.ID] != 0 && j.reportedState == protocol.Done }))
 	}
 	err := l.Await(ctx, "all jobs to be done", func(c *Cluster) bool { return done(c) == load.Jobs })
 	summary := LoadSummary{Jobs: load.Jobs, Accepted: len(accepted)}
@@ -58,8 +58,8 @@
 		var submit, start []time.Duration
 		for id, after := range accepted {
 			submit = append(submit, after)
-			if j := c.jobs[id]; !j.firstStart.IsZero() {
-				start = append(start, j.firstStart.Sub(j.submitted))
+			if j := c.jobs[id]; !j.firstStartAt.IsZero() {
+				start = append(start, j.firstStartAt.Sub(j.submittedAt))
 			}
 		}
 		summary.Submit, summary.Start = quantiles(submit), quantiles(start)
@@ -67,9 +67,9 @@
 	return summary, err
 }
 
-// submitLoad submits one job of a load and follows it once it is accepted.
-func (c *Cluster) submitLoad(number int, run time.Duration, accepted map[string]time.Duration) {
-	spec := SampleJob(fmt.Sprintf("run-%06d", firstLoadJob+number), run)
+// submitLoadJob submits one job of a load and follows it once it is accepted.
+func (c *Cluster) submitLoadJob(number int, run time.Duration, accepted map[string]time.Duration) {
+	spec := SampleJob(fmt.Sprintf("run-%06d", firstLoadJobNumber+number), run)
 	begin := c.now
 	c.retryUntilAnswered(func(node int, done func(int, string)) {
 		c.Submit(node, spec, run, false, func(status int, state string) {
--- a/internal/simulator/loopback.go
+++ b/internal/simulator/loopback.go
@@ -16,10 +16,10 @@
 // LoopbackOptions shape a live stand-in.
 type LoopbackOptions struct {
 	Options
-	Binary   string // the controllers' program
-	Operator string // file with the operators' settings; empty for the defaults
-	Dir      string // where the controllers' settings and logs are written
-	External []ExternalMachine
+	Binary           string // the controllers' program
+	OperatorFile     string // file with the operators' settings; empty for the defaults
+	Dir              string // where the controllers' settings and logs are written
+	ExternalMachines []ExternalMachine
 }
 
 // Loopback serves a cluster in real time: its state service, cloud and workers answer HTTP
@@ -29,37 +29,37 @@
 	options     LoopbackOptions
 	controllers []*ControllerProcess
 
-	ctx  context.Context // ends with the stand-in
-	end  context.CancelFunc
-	work sync.WaitGroup // goroutines that end with it
-
-	mu           sync.Mutex // guards the cluster and all below
-	cluster      *Cluster
-	closed       bool
-	closers      []func() error
-	failures     []error
-	waiters      []*waiter
-	wakeAt       time.Time     // when the clock looks for events next
-	clockReset   chan struct{} // tells the clock of an event before that
-	linkChanges  int           // of the cluster's links that were told
-	linksChanged chan struct{} // closed at the next one
+	ctx        context.Context // ends with the stand-in
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup // goroutines that end with it
+
+	mu              sync.Mutex // guards the cluster and all below
+	cluster         *Cluster
+	closed          bool
+	closers         []func() error
+	failures        []error
+	waiters         []*waiter
+	nextWake        time.Time     // when the clock looks for events next
+	clockWake       chan struct{} // tells the clock of an event before that
+	seenLinkChanges int           // of the cluster's links that were told
+	linksChanged    chan struct{} // closed at the next one
 }
 
 // waiter waits for a condition.
 type waiter struct {
-	holds func(*Cluster) bool
-	met   chan struct{}
+	condition func(*Cluster) bool
+	done      chan struct{}
 }
 
 // NewLoopback starts the services. Controllers are started one by one; Close ends everything.
 func NewLoopback(o LoopbackOptions) (*Loopback, error) {
-	l := &Loopback{options: o, clockReset: make(chan struct{}, 1), linksChanged: make(chan struct{})}
-	l.ctx, l.end = context.WithCancel(context.Background())
+	l := &Loopback{options: o, clockWake: make(chan struct{}, 1), linksChanged: make(chan struct{})}
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	if err := l.build(); err != nil {
 		l.Close()
 		return nil, err
 	}
-	l.work.Go(l.runClock)
+	l.goroutines.Go(l.runClock)
 	return l, nil
 }
 
@@ -69,7 +69,7 @@
 	defer l.mu.Unlock()
 	l.cluster = newCluster(l.options.Options, time.Now(), l.serveWorker)
 	l.cluster.externalUsers = true
-	for _, m := range l.options.External {
+	for _, m := range l.options.ExternalMachines {
 		if err := l.cluster.cloud.addExternal(m); err != nil {
 			return err
 		}
@@ -117,8 +117,8 @@
 		_ = closer()
 	}
 	l.mu.Unlock()
-	l.end()
-	l.work.Wait()
+	l.cancel()
+	l.goroutines.Wait()
 }
 
 // Do does something with the cluster, at the time it is and with the lock held: f must not
@@ -131,34 +131,34 @@
 	}
 	l.cluster.advanceTo(time.Now())
 	f(l.cluster)
-	l.wakeWaiters()
+	l.notifyWaiters()
 }
 
-// wakeWaiters tells those whom a step of the cluster concerns.
-func (l *Loopback) wakeWaiters() {
+// notifyWaiters tells those whom a step of the cluster concerns.
+func (l *Loopback) notifyWaiters() {
 	c := l.cluster
-	if len(c.events) > 0 && c.events[0].at.Before(l.wakeAt) {
+	if len(c.events) > 0 && c.events[0].at.Before(l.nextWake) {
 		select {
-		case l.clockReset <- struct{}{}:
+		case l.clockWake <- struct{}{}:
 		default:
 		}
 	}
-	if l.linkChanges != c.linkChanges {
-		l.linkChanges = c.linkChanges
+	if l.seenLinkChanges != c.linkChanges {
+		l.seenLinkChanges = c.linkChanges
 		close(l.linksChanged)
 		l.linksChanged = make(chan struct{})
 	}
 	l.waiters = slices.DeleteFunc(l.waiters, func(w *waiter) bool {
-		if !w.holds(c) {
+		if !w.condition(c) {
 			return false
 		}
-		close(w.met)
+		close(w.done)
 		return true
 	})
 }
 
-// idleWake is how long the clock sleeps when nothing is planned.
-const idleWake = time.Minute
+// maxClockSleep is how long the clock sleeps when nothing is planned.
+const maxClockSleep = time.Minute
 
 // runClock lets what is planned happen when its time has come.
 func (l *Loopback) runClock() {
@@ -168,15 +168,15 @@
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-l.clockReset:
+		case <-l.clockWake:
 		case <-timer.C:
 		}
 		l.Do(func(c *Cluster) {
-			l.wakeAt = c.now.Add(idleWake)
+			l.nextWake = c.now.Add(maxClockSleep)
 			if len(c.events) > 0 {
-				l.wakeAt = c.events[0].at
+				l.nextWake = c.events[0].at
 			}
-			timer.Reset(time.Until(l.wakeAt))
+			timer.Reset(time.Until(l.nextWake))
 		})
 	}
 }
@@ -184,10 +184,10 @@
 // Await returns once a condition holds, or with an error when ctx ends before. The
 // condition is looked at after every step of the cluster.
 func (l *Loopback) Await(ctx context.Context, what string, holds func(*Cluster) bool) error {
-	w := &waiter{holds: holds, met: make(chan struct{})}
+	w := &waiter{condition: holds, done: make(chan struct{})}
 	l.Do(func(*Cluster) { l.waiters = append(l.waiters, w) })
 	select {
-	case <-w.met:
+	case <-w.done:
 		return nil
 	case <-ctx.Done():
 		l.Do(func(*Cluster) { l.waiters = slices.DeleteFunc(l.waiters, func(x *waiter) bool { return x == w }) })
@@ -208,8 +208,8 @@
 	return l.Await(ctx, "controllers that are ready", func(c *Cluster) bool { return c.Leader() >= 0 && healthy == len(c.controllers) })
 }
 
-// healthEvery is how often a controller is asked that is not known to be healthy.
-const healthEvery = 200 * time.Millisecond
+// healthCheckInterval is how often a controller is asked that is not known to be healthy.
+const healthCheckInterval = 200 * time.Millisecond
 
 // awaitHealth asks a node until its health check succeeds.
 func (c *Cluster) awaitHealth(node int, done func()) {
@@ -218,7 +218,7 @@
 			done()
 			return
 		}
-		c.after(healthEvery, func() { c.awaitHealth(node, done) })
+		c.after(healthCheckInterval, func() { c.awaitHealth(node, done) })
 	})
 }
 
@@ -242,7 +242,7 @@
 	}
 	server := &http.Server{Handler: handler}
 	l.closers = append(l.closers, server.Close)
-	l.work.Go(func() { _ = server.Serve(listener) })
+	l.goroutines.Go(func() { _ = server.Serve(listener) })
 	return listener.Addr().String(), nil
 }
 
--- a/internal/simulator/loopback_services.go
+++ b/internal/simulator/loopback_services.go
@@ -6,47 +6,47 @@
 	"strconv"
 )
 
-// controllers stands for every controller on links to machines: a worker's address is the
+// anyController stands for every controller on links to machines: a worker's address is the
 // same for all of them, so it can't be told which of them asks.
-const controllers = "controllers"
+const anyController = "controllers"
 
 // maxRequestBody is the longest body that the protocol allows in a request.
 const maxRequestBody = 64 << 10
 
-// service answers one request, later, once, or never. It is called with the lock held.
-type service func(method, target string, body []byte, respond respondFunc)
+// serviceFunc answers one request, later, once, or never. It is called with the lock held.
+type serviceFunc func(method, target string, body []byte, respond respondFunc)
 
-// answer is what came of a request; status 0 says that its connection fails.
-type answer struct {
+// response is what came of a request; status 0 says that its connection fails.
+type response struct {
 	status int
 	body   []byte
 }
 
 // handler lets a service on one host answer those that another host sends over HTTP. A
 // request that gets no answer stays open until its sender gives it up.
-func (l *Loopback) handler(from, to string, serve service) http.Handler {
+func (l *Loopback) handler(from, to string, serve serviceFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
 		if err != nil {
-			write(w, answer{status: http.StatusBadRequest})
+			writeResponse(w, response{status: http.StatusBadRequest})
 			return
 		}
-		answers := make(chan answer, 1)
+		answers := make(chan response, 1)
 		l.Do(func(c *Cluster) {
 			c.request(from, to,
 				func(respond respondFunc) { serve(r.Method, r.RequestURI, body, respond) },
-				func(status int, body []byte) { answers <- answer{status, body} })
+				func(status int, body []byte) { answers <- response{status, body} })
 		})
 		select {
 		case a := <-answers:
-			write(w, a)
+			writeResponse(w, a)
 		case <-r.Context().Done():
 		}
 	})
 }
 
-// write sends an answer, or ends the connection.
-func write(w http.ResponseWriter, a answer) {
+// writeResponse sends an answer, or ends the connection.
+func writeResponse(w http.ResponseWriter, a response) {
 	if a.status == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -73,7 +73,7 @@
 // serveWorker gives a machine an address. Nobody answers there before its worker is up,
 // nor after it is gone.
 func (l *Loopback) serveWorker(h *machine) string {
-	addr, err := l.listen(l.handler(controllers, h.name, func(method, _ string, body []byte, respond respondFunc) {
+	addr, err := l.listen(l.handler(anyController, h.name, func(method, _ string, body []byte, respond respondFunc) {
 		if h.agent != nil {
 			h.agent.serve("", method, body, l.cluster.now, respond)
 		}
--- a/internal/simulator/loopback_services_test.go
+++ b/internal/simulator/loopback_services_test.go
@@ -17,8 +17,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// newServices starts a live stand-in whose controllers don't run.
-func newServices(t *testing.T, o LoopbackOptions) *Loopback {
+// newLoopbackServices starts a live stand-in whose controllers don't run.
+func newLoopbackServices(t *testing.T, o LoopbackOptions) *Loopback {
 	t.Helper()
 	o.Dir, o.Controllers = t.TempDir(), 2
 	l, err := NewLoopback(o)
@@ -44,13 +44,13 @@
 
 // Times that tests of services give an answer: one that must come, and one that must not.
 const (
-	answerWithin = 10 * time.Second
-	noAnswer     = 200 * time.Millisecond
+	answerTimeout = 10 * time.Second
+	noAnswerWait  = 200 * time.Millisecond
 )
 
 func wantStatus(t *testing.T, addr, target string, want int) []byte {
 	t.Helper()
-	status, body, err := get(addr, target, answerWithin)
+	status, body, err := get(addr, target, answerTimeout)
 	if err != nil || status != want {
 		t.Errorf("GET %s: %d, %v, want %d", target, status, err, want)
 	}
@@ -60,7 +60,7 @@
 // TestLoopbackLinks refuses, cuts, holds and resets the links of one node to the services,
 // while another is served.
 func TestLoopbackLinks(t *testing.T) {
-	l := newServices(t, LoopbackOptions{})
+	l := newLoopbackServices(t, LoopbackOptions{})
 	one, other := l.Controllers()[0], l.Controllers()[1]
 	missing := protocol.KeyTarget("a/b")
 	served := func(k *ControllerProcess) {
@@ -71,18 +71,18 @@
 	served(one)
 	served(other)
 
-	l.Do(func(c *Cluster) { c.state.refused[one.Name()], c.cloud.refused[one.Name()] = true, true })
+	l.Do(func(c *Cluster) { c.state.refusedNodes[one.Name()], c.cloud.refusedNodes[one.Name()] = true, true })
 	wantStatus(t, one.StateAddr(), missing, 503)
 	wantStatus(t, one.CloudAddr(), protocol.PathMachineTypes, 503)
 	served(other)
 	l.Do(func(c *Cluster) {
 		c.state.readmit()
-		clear(c.cloud.refused)
+		clear(c.cloud.refusedNodes)
 	})
 	served(one)
 
 	l.Do(func(c *Cluster) { c.Cut(one.Name(), stateHost, false) })
-	if _, _, err := get(one.StateAddr(), missing, noAnswer); !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, context.DeadlineExceeded) {
+	if _, _, err := get(one.StateAddr(), missing, noAnswerWait); !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a node that is cut off gets %v", err)
 	}
 	served(other)
@@ -90,7 +90,7 @@
 	served(one)
 
 	l.Do(func(c *Cluster) { c.ResetOneWay(one.Name(), cloudHost) })
-	if _, _, err := get(one.CloudAddr(), protocol.PathMachineTypes, answerWithin); !errors.Is(err, io.EOF) {
+	if _, _, err := get(one.CloudAddr(), protocol.PathMachineTypes, answerTimeout); !errors.Is(err, io.EOF) {
 		t.Errorf("a connection that is reset ends with %v", err)
 	}
 	served(other)
@@ -101,11 +101,11 @@
 // TestLoopbackHeldLinks holds a transaction: it is applied when the cut is over, though its sender
 // has given it up.
 func TestLoopbackHeldLinks(t *testing.T) {
-	l := newServices(t, LoopbackOptions{})
+	l := newLoopbackServices(t, LoopbackOptions{})
 	k := l.Controllers()[0]
 	l.Do(func(c *Cluster) { c.Cut(k.Name(), stateHost, true) })
 	txn := protocol.EncodeTxn(&protocol.Txn{Ops: []protocol.Op{{Put: "a/b", Value: []byte("1")}}})
-	client := &http.Client{Timeout: noAnswer}
+	client := &http.Client{Timeout: noAnswerWait}
 	if _, err := client.Post("http://"+k.StateAddr()+protocol.PathTransactions, "application/json", strings.NewReader(string(txn))); err == nil {
 		t.Error("a transaction that is held is answered")
 	}
@@ -115,12 +115,12 @@
 		}
 		c.Heal()
 	})
-	awaitLive(t, l, "the transaction", func(c *Cluster) bool { return len(c.state.keys) == 1 })
+	awaitCondition(t, l, "the transaction", func(c *Cluster) bool { return len(c.state.keys) == 1 })
 }
 
-func awaitLive(t *testing.T, l *Loopback, what string, holds func(*Cluster) bool) {
+func awaitCondition(t *testing.T, l *Loopback, what string, holds func(*Cluster) bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(t.Context(), answerTimeout)
 	defer cancel()
 	if err := l.Await(ctx, what, holds); err != nil {
 		t.Error(err)
@@ -129,14 +129,14 @@
 
 // TestLoopbackWatch leaves a watch open until there is news.
 func TestLoopbackWatch(t *testing.T) {
-	l := newServices(t, LoopbackOptions{})
+	l := newLoopbackServices(t, LoopbackOptions{})
 	k := l.Controllers()[0]
 	news := make(chan []byte, 1)
 	go func() {
-		_, body, _ := get(k.StateAddr(), protocol.WatchTarget("a/", 0, time.Minute), answerWithin)
+		_, body, _ := get(k.StateAddr(), protocol.WatchTarget("a/", 0, time.Minute), answerTimeout)
 		news <- body
 	}()
-	awaitLive(t, l, "the watch to be open", func(c *Cluster) bool { return len(c.state.watches) == 1 })
+	awaitCondition(t, l, "the watch to be open", func(c *Cluster) bool { return len(c.state.watches) == 1 })
 	l.Do(func(c *Cluster) {
 		c.state.commit(&protocol.Txn{Ops: []protocol.Op{{Put: "a/b", Value: []byte("1")}}}, ignoreResponse)
 	})
@@ -149,9 +149,9 @@
 // external ones are listed with the address that was given.
 func TestLoopbackMachines(t *testing.T) {
 	external := ExternalMachine{Name: "home-1", Type: "large", Zone: "a", Endpoint: "127.0.0.1:9000"}
-	l := newServices(t, LoopbackOptions{Options: Options{Machines: 1}, External: []ExternalMachine{external}})
+	l := newLoopbackServices(t, LoopbackOptions{Options: Options{Machines: 1}, ExternalMachines: []ExternalMachine{external}})
 	var simulated string
-	awaitLive(t, l, "the machine", func(c *Cluster) bool {
+	awaitCondition(t, l, "the machine", func(c *Cluster) bool {
 		for name, w := range c.agents {
 			simulated = name
 			return !w.machine.bootedAt.IsZero()
@@ -182,7 +182,7 @@
 		m := external
 		m.Name = "home-2"
 		bad(&m)
-		if l, err := NewLoopback(LoopbackOptions{Dir: t.TempDir(), Options: Options{Controllers: 1}, External: []ExternalMachine{m}}); err == nil {
+		if l, err := NewLoopback(LoopbackOptions{Dir: t.TempDir(), Options: Options{Controllers: 1}, ExternalMachines: []ExternalMachine{m}}); err == nil {
 			l.Close()
 			t.Errorf("%+v is taken", m)
 		}
@@ -199,26 +199,26 @@
 		}
 		return path
 	}
-	l := newServices(t, LoopbackOptions{Binary: program("false")})
+	l := newLoopbackServices(t, LoopbackOptions{Binary: program("false")})
 	if err := l.Controllers()[0].Start(); err != nil {
 		t.Fatal(err)
 	}
-	awaitLive(t, l, "the end", func(c *Cluster) bool {
+	awaitCondition(t, l, "the end", func(c *Cluster) bool {
 		return len(c.Violations()) == 1 && strings.HasPrefix(c.Violations()[0], "ended")
 	})
-	if l := newServices(t, LoopbackOptions{Binary: "./none"}); l.StartControllers() == nil {
+	if l := newLoopbackServices(t, LoopbackOptions{Binary: "./none"}); l.StartControllers() == nil {
 		t.Error("a program that is missing is started")
 	}
 }
 
-// pair is a connection by way of a forwarder, seen from both of its ends.
-type pair struct {
-	t         *testing.T
-	near, far net.Conn
+// connPair is a connection by way of a forwarder, seen from both of its ends.
+type connPair struct {
+	t              *testing.T
+	client, server net.Conn
 }
 
-// connect makes a connection from the first controller to the second.
-func connect(t *testing.T, l *Loopback, back net.Listener) *pair {
+// connectPair makes a connection from the first controller to the second.
+func connectPair(t *testing.T, l *Loopback, back net.Listener) *connPair {
 	t.Helper()
 	near, err := net.Dial("tcp", l.Controllers()[0].settings.Peers[0].Addr)
 	if err != nil {
@@ -229,37 +229,37 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { near.Close(); far.Close() })
-	return &pair{t, near, far}
+	return &connPair{t, near, far}
 }
 
-func (p *pair) write(c net.Conn, text string) {
+func (p *connPair) write(c net.Conn, text string) {
 	p.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		p.t.Error(err)
 	}
 }
 
-// arrives waits for bytes, and nothing sees to it that none come.
-func (p *pair) arrives(c net.Conn, want string) {
+// expectBytes waits for bytes, and nothing sees to it that none come.
+func (p *connPair) expectBytes(c net.Conn, want string) {
 	p.t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(answerWithin))
+	_ = c.SetReadDeadline(time.Now().Add(answerTimeout))
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != want {
 		p.t.Errorf("%q arrives, %v, want %q", got, err, want)
 	}
 }
 
-func (p *pair) nothing(c net.Conn) {
+func (p *connPair) expectNothing(c net.Conn) {
 	p.t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(noAnswer))
+	_ = c.SetReadDeadline(time.Now().Add(noAnswerWait))
 	if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		p.t.Errorf("%d bytes arrive, %v", n, err)
 	}
 }
 
-func (p *pair) over(c net.Conn) {
+func (p *connPair) expectClosed(c net.Conn) {
 	p.t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(answerWithin))
+	_ = c.SetReadDeadline(time.Now().Add(answerTimeout))
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		p.t.Errorf("the connection is not over: %d bytes, %v", n, err)
 	}
@@ -268,53 +268,53 @@
 // TestLoopbackForwarder cuts the links between two controllers in every way, each direction
 // by itself. The second one's port, which the stand-in keeps, is listened on meanwhile.
 func TestLoopbackForwarder(t *testing.T) {
-	l := newServices(t, LoopbackOptions{})
+	l := newLoopbackServices(t, LoopbackOptions{})
 	a, b := l.Controllers()[0], l.Controllers()[1]
-	back, err := net.Listen("tcp", b.settings.PeerListen)
+	back, err := net.Listen("tcp", b.settings.PeerListenAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { back.Close() })
 
-	p := connect(t, l, back)
-	p.write(p.near, "there")
-	p.arrives(p.far, "there")
-	p.write(p.far, "back")
-	p.arrives(p.near, "back")
+	p := connectPair(t, l, back)
+	p.write(p.client, "there")
+	p.expectBytes(p.server, "there")
+	p.write(p.server, "back")
+	p.expectBytes(p.client, "back")
 
 	// Held one way: bytes come late and in order, the other way goes on.
 	l.Do(func(c *Cluster) { c.CutOneWay(a.Name(), b.Name(), true) })
-	p.write(p.near, "one")
-	p.write(p.far, "other way")
-	p.arrives(p.near, "other way")
-	p.nothing(p.far)
-	p.write(p.near, "two")
+	p.write(p.client, "one")
+	p.write(p.server, "other way")
+	p.expectBytes(p.client, "other way")
+	p.expectNothing(p.server)
+	p.write(p.client, "two")
 	l.Do((*Cluster).Heal)
-	p.arrives(p.far, "onetwo")
+	p.expectBytes(p.server, "onetwo")
 
 	// Lost one way: nothing comes, and the connection is over once the cut is.
 	l.Do(func(c *Cluster) { c.CutOneWay(b.Name(), a.Name(), false) })
-	p.write(p.far, "lost")
-	p.write(p.near, "there")
-	p.arrives(p.far, "there")
-	p.nothing(p.near)
+	p.write(p.server, "lost")
+	p.write(p.client, "there")
+	p.expectBytes(p.server, "there")
+	p.expectNothing(p.client)
 	during := &forwardedConn{forwarder: &forwarder{loopback: l, from: a.Name(), to: b.Name()}, ended: make(chan struct{})}
-	if during.begins() {
+	if during.established() {
 		t.Error("a connection begins during a cut")
 	}
 	l.Do((*Cluster).Heal)
-	p.over(p.near)
-	p.over(p.far)
+	p.expectClosed(p.client)
+	p.expectClosed(p.server)
 	given, up := net.Pipe()
-	during.watch(given)
-	p.over(up)
+	during.awaitEnd(given)
+	p.expectClosed(up)
 
 	testForwarderReset(t, l, back)
 
 	// An end is passed on.
-	p = connect(t, l, back)
-	p.near.Close()
-	p.over(p.far)
+	p = connectPair(t, l, back)
+	p.client.Close()
+	p.expectClosed(p.server)
 }
 
 // testForwarderReset expects a connection whose link is reset to be over at once, and so a new
@@ -322,15 +322,15 @@
 func testForwarderReset(t *testing.T, l *Loopback, back net.Listener) {
 	t.Helper()
 	a, b := l.Controllers()[0], l.Controllers()[1]
-	p := connect(t, l, back)
+	p := connectPair(t, l, back)
 	l.Do(func(c *Cluster) { c.ResetOneWay(a.Name(), b.Name()) })
-	p.over(p.near)
-	p.over(p.far)
+	p.expectClosed(p.client)
+	p.expectClosed(p.server)
 	after, err := net.Dial("tcp", a.settings.Peers[0].Addr)
 	switch {
 	case err == nil:
 		defer after.Close()
-		p.over(after)
+		p.expectClosed(after)
 	case !errors.Is(err, syscall.ECONNRESET): // the reset may come before the dial returns
 		t.Fatal(err)
 	}
--- a/internal/simulator/loopback_versions_test.go
+++ b/internal/simulator/loopback_versions_test.go
@@ -26,14 +26,14 @@
 	for name, operator := range map[string]string{"one leader": "", "shards": "../../deploy/operator.shards.json", "balance": "../../deploy/operator.balance.json"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			mixedVersions(newLiveTest(t, binary, operator), binary, other)
+			mixedVersions(newLoopbackTest(t, binary, operator), binary, other)
 		})
 	}
 }
 
-func mixedVersions(t *liveTest, binary, other string) {
+func mixedVersions(t *loopbackTest, binary, other string) {
 	versions := []string{binary, binary, binary}
-	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= liveTasks })
+	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
 	for round := range 2 * len(versions) {
 		// Each controller in turn, first to the other version and then back.
 		index := round % len(versions)
@@ -49,18 +49,18 @@
 			t.Fatal(err)
 		}
 		job := fmt.Sprintf("run-%06d", 200+round)
-		t.Do(func(c *Cluster) { c.submitLive(job, protocol.Batch, liveTasks, surgeRun/5) })
-		t.await("a job to be done with another mix of versions", func(c *Cluster) bool { return c.reported(job) == protocol.Done })
-		t.awaitAnswered(index, job)
+		t.Do(func(c *Cluster) { c.submitAndPoll(job, protocol.Batch, tasksPerJob, surgeRun/5) })
+		t.await("a job to be done with another mix of versions", func(c *Cluster) bool { return c.reportedState(job) == protocol.Done })
+		t.awaitAnswerFor(index, job)
 	}
-	t.Do(func(c *Cluster) { c.submitBatch(earlyJobs, liveJobs) })
+	t.Do(func(c *Cluster) { c.submitBatch(jobsBeforeFault, batchJobCount) })
 	t.awaitAllDone()
 }
 
-// awaitAnswered waits until a node answers for a job.
-func (t *liveTest) awaitAnswered(node int, job string) {
+// awaitAnswerFor waits until a node answers for a job.
+func (t *loopbackTest) awaitAnswerFor(node int, job string) {
 	t.Helper()
 	answered := false
-	t.Do(func(c *Cluster) { c.askUntilKnown(node, job, func() { answered = true }) })
+	t.Do(func(c *Cluster) { c.queryUntilKnown(node, job, func() { answered = true }) })
 	t.await("the node to answer for a job", func(*Cluster) bool { return answered })
 }
--- a/internal/simulator/migration_invariant.go
+++ b/internal/simulator/migration_invariant.go
@@ -9,9 +9,9 @@
 
 // migrationInvariant follows, by the records alone, which tasks were moved in which surge.
 type migrationInvariant struct {
-	marked map[string]map[migratedTask]bool // by record: the marks that stand there now
-	moves  map[migratedTask]int             // times that a mark was set
-	stops  int                              // tasks that were told to stop while they fetched or ran
+	marksByRecord map[string]map[migratedTask]bool // by record: the marks that stand there now
+	moves         map[migratedTask]int             // times that a mark was set
+	stops         int                              // tasks that were told to stop while they fetched or ran
 }
 
 // migratedTask is a task that is on record as moved in a surge.
@@ -22,7 +22,7 @@
 }
 
 func newMigrationInvariant() *migrationInvariant {
-	return &migrationInvariant{marked: map[string]map[migratedTask]bool{}, moves: map[migratedTask]int{}}
+	return &migrationInvariant{marksByRecord: map[string]map[migratedTask]bool{}, moves: map[migratedTask]int{}}
 }
 
 // observe takes a change in the state service. A mark that is set once more says that a leader
@@ -37,13 +37,13 @@
 	if protocol.Decode(op.Value, &r) != nil {
 		return
 	}
-	size := records.TasksPerBlock(c.settings.ValueBytes)
+	size := records.TasksPerBlock(c.settings.MaxValueBytes)
 	moved, err := r.MigratedTasks(size)
 	if err != nil {
-		c.violate("unreadable_mark", "%s", op.Put)
+		c.reportViolation("unreadable_mark", "%s", op.Put)
 		return
 	}
-	before, now := k.marked[op.Put], map[migratedTask]bool{}
+	before, now := k.marksByRecord[op.Put], map[migratedTask]bool{}
 	for i, on := range moved {
 		if !on {
 			continue
@@ -54,10 +54,10 @@
 			continue
 		}
 		if k.moves[t]++; k.moves[t] > 1 {
-			c.violate("moved_twice", "%s/%d in surge %d", t.job, t.task, t.surge)
+			c.reportViolation("moved_twice", "%s/%d in surge %d", t.job, t.task, t.surge)
 		}
 	}
-	k.marked[op.Put] = now
+	k.marksByRecord[op.Put] = now
 }
 
 // Migrations tells how many tasks were moved, by the records, and how often tasks were stopped.
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -9,36 +9,36 @@
 const (
 	stateHost = "state"
 	cloudHost = "cloud"
-	users     = "users"
+	usersHost = "users"
 )
 
 // link is a direction between two hosts; cut is what happens on it.
 type link struct{ from, to string }
 
 type linkFault struct {
-	hold  bool // deliver when the cut ends
-	reset bool // connections fail at once
-	held  []func()
+	holdMessages     bool // deliver when the cut ends
+	resetConnections bool // connections fail at once
+	held             []func()
 }
 
-// delay is how long a message takes.
-func (c *Cluster) delay() time.Duration {
+// messageDelay is how long a message takes.
+func (c *Cluster) messageDelay() time.Duration {
 	d := time.Millisecond + time.Duration(c.rng.Int64N(int64(2*time.Millisecond)))
-	if c.slowLinks > 0 {
-		d += time.Duration(c.rng.Int64N(int64(c.slowLinks)))
+	if c.extraLinkDelay > 0 {
+		d += time.Duration(c.rng.Int64N(int64(c.extraLinkDelay)))
 	}
 	return d
 }
 
 // send delivers a message from one host to another unless the link is cut.
 func (c *Cluster) send(from, to string, deliver func()) {
-	if k := c.links[link{from, to}]; k != nil {
-		if k.hold {
+	if k := c.linkFaults[link{from, to}]; k != nil {
+		if k.holdMessages {
 			k.held = append(k.held, deliver)
 		}
 		return
 	}
-	c.after(c.delay(), deliver)
+	c.after(c.messageDelay(), deliver)
 }
 
 // Cut interrupts the network between two hosts, both ways. Held messages come
@@ -50,8 +50,8 @@
 
 // CutOneWay interrupts what one host sends to another.
 func (c *Cluster) CutOneWay(from, to string, hold bool) {
-	if l := (link{from, to}); c.links[l] == nil {
-		c.links[l] = &linkFault{hold: hold}
+	if l := (link{from, to}); c.linkFaults[l] == nil {
+		c.linkFaults[l] = &linkFault{holdMessages: hold}
 		c.linkChanges++
 	}
 }
@@ -59,14 +59,14 @@
 // ResetOneWay lets what one host sends to another end its connections.
 func (c *Cluster) ResetOneWay(from, to string) {
 	c.CutOneWay(from, to, false)
-	c.links[link{from, to}].reset = true
+	c.linkFaults[link{from, to}].resetConnections = true
 	c.linkChanges++
 }
 
 // linkResets reports whether connections fail on the way between two hosts.
 func (c *Cluster) linkResets(from, to string) bool {
-	k := c.links[link{from, to}]
-	return k != nil && k.reset
+	k := c.linkFaults[link{from, to}]
+	return k != nil && k.resetConnections
 }
 
 // Isolate cuts a node from the state service and the other nodes, not from
@@ -82,7 +82,7 @@
 
 // IsolateRefused is Isolate for a node that the state service answers, with a refusal.
 func (c *Cluster) IsolateRefused(n *controllerHost) {
-	c.state.refused[n.name] = true
+	c.state.refusedNodes[n.name] = true
 	for _, p := range c.controllers {
 		if p != n {
 			c.Cut(n.name, p.name, false)
@@ -102,7 +102,7 @@
 
 func (c *Cluster) heal(which func(link) bool) {
 	var list []link
-	for l := range c.links {
+	for l := range c.linkFaults {
 		if which(l) {
 			list = append(list, l)
 		}
@@ -120,12 +120,12 @@
 		return 1
 	})
 	for _, l := range list {
-		k := c.links[l]
-		delete(c.links, l)
+		k := c.linkFaults[l]
+		delete(c.linkFaults, l)
 		c.linkChanges++
 		var wait time.Duration
 		for _, f := range k.held {
-			wait = max(wait, c.delay()) // in the order in which they were sent
+			wait = max(wait, c.messageDelay()) // in the order in which they were sent
 			c.after(wait, f)
 		}
 	}
@@ -143,7 +143,7 @@
 // 0 when the connection fails.
 func (c *Cluster) request(from, to string, serve func(respond respondFunc), done respondFunc) {
 	if c.linkResets(from, to) {
-		c.after(c.delay(), func() { done(0, nil) })
+		c.after(c.messageDelay(), func() { done(0, nil) })
 		return
 	}
 	c.send(from, to, func() {
@@ -152,7 +152,7 @@
 			if !answered {
 				answered = true
 				if c.linkResets(to, from) {
-					c.after(c.delay(), func() { done(0, nil) })
+					c.after(c.messageDelay(), func() { done(0, nil) })
 					return
 				}
 				c.send(to, from, func() { done(status, body) })
--- a/internal/simulator/ownership.go
+++ b/internal/simulator/ownership.go
@@ -35,9 +35,9 @@
 	return &config.Sharding{ShardsPerController: perController}
 }
 
-// incarnation names a node's process, and not another one of the same node; nothing where that
+// incarnationID names a node's process, and not another one of the same node; nothing where that
 // can't be told, as of processes of their own.
-func (n *controllerHost) incarnation() string {
+func (n *controllerHost) incarnationID() string {
 	if n.remote != nil {
 		return ""
 	}
@@ -51,17 +51,17 @@
 		return
 	}
 	term := token >> termBits
-	if by := c.servedBy[term]; by != "" && by != from {
-		c.violate("two_owners", "workers follow %s and %s under term %d", by, from, term)
+	if by := c.servedByTerm[term]; by != "" && by != from {
+		c.reportViolation("two_owners", "workers follow %s and %s under term %d", by, from, term)
 	}
-	c.servedBy[term] = from
+	c.servedByTerm[term] = from
 }
 
 // checkShardOwners checks, once troubles are over, that every machine is in one shard on record at
 // the most and that every worker is served.
 func (c *Cluster) checkShardOwners() {
 	in := map[string]int{}
-	for _, it := range c.state.under(records.PrefixMachineGroups) {
+	for _, it := range c.state.withPrefix(records.PrefixMachineGroups) {
 		id := records.ShardOfGroupKey(it.Key)
 		var r records.MachineGroup
 		if id == 0 || protocol.Decode(it.Value, &r) != nil {
@@ -69,7 +69,7 @@
 		}
 		for _, m := range r.Machines {
 			if other, there := in[m.Name]; there && other != id {
-				c.violate("two_shards", "%s is in shards %d and %d", m.Name, other, id)
+				c.reportViolation("two_shards", "%s is in shards %d and %d", m.Name, other, id)
 			}
 			in[m.Name] = id
 		}
@@ -79,27 +79,27 @@
 	}
 	for _, h := range c.cloud.machines {
 		w := h.agent
-		if w == nil || w.dead || w.hung || w.unheard || c.now.Sub(h.bootedAt) < recoveryTime {
+		if w == nil || w.dead || w.hung || w.heartbeatsLost || c.now.Sub(h.bootedAt) < recoveryTime {
 			continue
 		}
-		if unserved := c.now.Sub(latest(w.lastReply, c.quiescentSince)); unserved > c.maxTimeUnserved() {
-			c.violate("unserved", "%s got no answer for %s", w.name, unserved.Round(time.Millisecond))
+		if unserved := c.now.Sub(laterOf(w.lastReply, c.quiescentSince)); unserved > c.maxTimeUnserved() {
+			c.reportViolation("unserved", "%s got no answer for %s", w.name, unserved.Round(time.Millisecond))
 			w.lastReply = c.now
 		}
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// OwnersByShards lists who owns how many shards, as the state service has it, and which move.
-func (c *Cluster) OwnersByShards() []string {
+// ShardCounts lists who owns how many shards, as the state service has it, and which move.
+func (c *Cluster) ShardCounts() []string {
 	owned, moving := map[string]int{}, 0
-	for _, it := range c.state.under(records.PrefixOwners) {
+	for _, it := range c.state.withPrefix(records.PrefixOwners) {
 		var r shard.OwnerRecord
 		if protocol.Decode(it.Value, &r) != nil {
 			continue
@@ -123,7 +123,7 @@
 // Members lists the controllers that may own shards, as the state service has it.
 func (c *Cluster) Members() []string {
 	var list []string
-	for _, it := range c.state.under(records.PrefixMembers) {
+	for _, it := range c.state.withPrefix(records.PrefixMembers) {
 		list = append(list, strings.TrimPrefix(it.Key, records.PrefixMembers))
 	}
 	return list
@@ -132,7 +132,7 @@
 // ShardOwners lists the shards and who owns them, as the state service has it.
 func (c *Cluster) ShardOwners() []string {
 	var list []string
-	for _, it := range c.state.under(records.PrefixOwners) {
+	for _, it := range c.state.withPrefix(records.PrefixOwners) {
 		var r shard.OwnerRecord
 		if protocol.Decode(it.Value, &r) == nil {
 			list = append(list, fmt.Sprintf("%s %s", strings.TrimPrefix(it.Key, records.PrefixOwners), r.Owner.Name))
@@ -143,16 +143,16 @@
 
 // Times between two answers to a worker are kept from a millisecond to ten minutes, to a
 // hundredth.
-func newAnswerGaps() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000, 2) }
+func newDurationHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000, 2) }
 
-func (c *Cluster) recordAnswerGap(d time.Duration) {
-	_ = c.answerGaps.RecordValue(min(d.Milliseconds(), 600_000)) // within its range
+func (c *Cluster) recordReplyInterval(d time.Duration) {
+	_ = c.replyIntervals.RecordValue(min(d.Milliseconds(), 600_000)) // within its range
 }
 
-// AnswerGaps tells the distribution of times between two answers to a worker.
-func (c *Cluster) AnswerGaps() string {
+// ReplyIntervals tells the distribution of times between two answers to a worker.
+func (c *Cluster) ReplyIntervals() string {
 	at := func(q float64) string {
-		return (time.Duration(c.answerGaps.ValueAtQuantile(q)) * time.Millisecond).String()
+		return (time.Duration(c.replyIntervals.ValueAtQuantile(q)) * time.Millisecond).String()
 	}
 	return strings.Join([]string{"median " + at(50), "99% " + at(99), "most " + at(100)}, ", ")
 }
--- a/internal/simulator/quiescence.go
+++ b/internal/simulator/quiescence.go
@@ -7,9 +7,9 @@
 	"brasskeel/internal/protocol"
 )
 
-// maxWaitBesideRoom is how long a job may wait while a machine that fits has room and its
+// maxWaitDespiteCapacity is how long a job may wait while a machine that fits has room and its
 // team is under its limit, once the troubles are over.
-const maxWaitBesideRoom = 90 * time.Second
+const maxWaitDespiteCapacity = 90 * time.Second
 
 // queryInterval is how often users ask for a job in a calm.
 const queryInterval = 10 * time.Second
@@ -22,7 +22,7 @@
 	}
 	c.quiescentSince = c.now
 	for _, j := range c.jobs {
-		j.unansweredSince, j.waitsBesideRoomSince = time.Time{}, time.Time{}
+		j.unansweredSince, j.waitsDespiteCapacitySince = time.Time{}, time.Time{}
 	}
 	c.checkQuiescent()
 }
@@ -34,22 +34,22 @@
 	if c.quiescentSince.IsZero() {
 		return
 	}
-	unfinished := c.jobsWhere(func(j *userJob) bool { return j.accepted && j.reported == 0 })
+	unfinished := c.jobsMatching(func(j *userJob) bool { return j.accepted && j.reportedState == 0 })
 	p := c.currentAllocation()
 	for _, id := range unfinished {
 		j := c.jobs[id]
-		if c.now.Sub(j.lastQuery) >= queryInterval {
-			j.lastQuery = c.now
+		if c.now.Sub(j.lastQueryAt) >= queryInterval {
+			j.lastQueryAt = c.now
 			c.Query(c.rng.IntN(len(c.controllers)), id, func(int, string) {})
 		}
 		switch {
-		case j.cancelRequested || j.alwaysFails || j.failures > 0 || !c.waitsBesideRoom(j, p):
-			j.waitsBesideRoomSince = time.Time{}
-		case j.waitsBesideRoomSince.IsZero() || j.firstStart.After(j.waitsBesideRoomSince):
-			j.waitsBesideRoomSince = c.now
-		case c.now.Sub(j.waitsBesideRoomSince) > maxWaitBesideRoom:
-			c.violate("left_waiting", "%s waited for %s beside room", id, c.now.Sub(j.waitsBesideRoomSince).Round(time.Second))
-			j.waitsBesideRoomSince = c.now
+		case j.cancelRequested || j.alwaysFails || j.failures > 0 || !c.waitsDespiteCapacity(j, p):
+			j.waitsDespiteCapacitySince = time.Time{}
+		case j.waitsDespiteCapacitySince.IsZero() || j.firstStartAt.After(j.waitsDespiteCapacitySince):
+			j.waitsDespiteCapacitySince = c.now
+		case c.now.Sub(j.waitsDespiteCapacitySince) > maxWaitDespiteCapacity:
+			c.reportViolation("left_waiting", "%s waited for %s beside room", id, c.now.Sub(j.waitsDespiteCapacitySince).Round(time.Second))
+			j.waitsDespiteCapacitySince = c.now
 		}
 	}
 	c.checkShardOwners()
@@ -61,11 +61,11 @@
 type allocation struct {
 	cpusByTeam  map[string]float64        // CPUs, by team
 	tasksByZone map[string]map[string]int // tasks, by job and zone
-	free        []freeRoom
+	free        []freeCapacity
 }
 
-// freeRoom is what a machine that should take tasks has left.
-type freeRoom struct {
+// freeCapacity is what a machine that should take tasks has left.
+type freeCapacity struct {
 	agent     *agent
 	cpus, mem float64
 }
@@ -77,7 +77,7 @@
 		if w == nil || w.dead {
 			continue
 		}
-		r := freeRoom{w, w.spec.CPUs, w.spec.MemoryGB}
+		r := freeCapacity{w, w.spec.CPUs, w.spec.MemoryGB}
 		for _, t := range w.tasks {
 			j := c.jobs[t.job]
 			if j == nil || t.state == protocol.Exited {
@@ -92,22 +92,22 @@
 			r.mem -= j.spec.MemoryGB
 		}
 		// One that is just up may be meant for other work, or not be heard of yet.
-		if r.cpus > 0 && !w.hung && !w.unheard && !w.failedTasks && w.preemptionAt.IsZero() && c.now.Sub(h.bootedAt) >= maxWaitBesideRoom/3 {
+		if r.cpus > 0 && !w.hung && !w.heartbeatsLost && !w.hasFailedTask && w.preemptionAt.IsZero() && c.now.Sub(h.bootedAt) >= maxWaitDespiteCapacity/3 {
 			p.free = append(p.free, r)
 		}
 	}
 	return p
 }
 
-// waitsBesideRoom reports whether a job has a task that is nowhere while a machine has
+// waitsDespiteCapacity reports whether a job has a task that is nowhere while a machine has
 // room for it.
-func (c *Cluster) waitsBesideRoom(j *userJob, p *allocation) bool {
-	if c.cloud.external {
+func (c *Cluster) waitsDespiteCapacity(j *userJob, p *allocation) bool {
+	if c.cloud.hasExternalMachines {
 		return false // its tasks may run where they aren't seen
 	}
 	s := &j.spec
 	for _, team := range c.settings.Teams {
-		if team.Name == s.Team && p.cpusByTeam[s.Team]+s.CPUs > team.CPUsMax+protocol.Epsilon {
+		if team.Name == s.Team && p.cpusByTeam[s.Team]+s.CPUs > team.MaxCPUs+protocol.Epsilon {
 			return false
 		}
 	}
@@ -118,19 +118,19 @@
 	if placed+len(j.completed) >= s.Tasks {
 		return false
 	}
-	return slices.ContainsFunc(p.free, func(r freeRoom) bool {
+	return slices.ContainsFunc(p.free, func(r freeCapacity) bool {
 		return r.agent.machine.allowedFor(s) && zoneAllowed(s, zones, r.agent.machine.zone) && r.fits(s)
 	})
 }
 
 // fits reports whether one of a job's tasks has room.
-func (r freeRoom) fits(s *protocol.Job) bool {
+func (r freeCapacity) fits(s *protocol.Job) bool {
 	return s.CPUs <= r.cpus+protocol.Epsilon && s.MemoryGB <= r.mem+protocol.Epsilon
 }
 
 // allowedFor reports whether a job may use a machine, as far as its type, zone and price go.
 func (h *machine) allowedFor(s *protocol.Job) bool {
-	return s.AllowsType(h.typ) && (s.Zone == "" || s.Zone == h.zone) && (s.AllowSpot || !h.spot)
+	return s.AllowsType(h.machineType) && (s.Zone == "" || s.Zone == h.zone) && (s.AllowSpot || !h.spot)
 }
 
 // zoneAllowed reports whether a job with these tasks per zone may have one more in a zone.
--- a/internal/simulator/scenario_show_test.go
+++ b/internal/simulator/scenario_show_test.go
@@ -10,86 +10,86 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// runHeard: what came of the commands that ran in moments since the last time.
-func (r *runner) runHeard(_ *testing.T, _ *datadriven.TestData) string {
+// runTriggerOutput: what came of the commands that ran in moments since the last time.
+func (r *scenarioRunner) runTriggerOutput(_ *testing.T, _ *datadriven.TestData) string {
 	out := strings.Join(r.triggerOutput, "\n")
 	r.triggerOutput = nil
 	return out
 }
 
 // runDrained: drained NODE: whether it neither leads nor serves workers.
-func (r *runner) runDrained(t *testing.T, d *datadriven.TestData) string {
-	return fmt.Sprint(r.c.controllers[r.node(t, d, first(t, d))].core.Drained())
+func (r *scenarioRunner) runDrained(t *testing.T, d *datadriven.TestData) string {
+	return fmt.Sprint(r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))].core.Drained())
 }
 
-// runMoved: how many tasks of all jobs are on record as moved, and how often tasks were stopped.
-func (r *runner) runMoved(_ *testing.T, _ *datadriven.TestData) string {
-	return r.c.Migrations()
+// runMigrations: how many tasks of all jobs are on record as moved, and how often tasks were stopped.
+func (r *scenarioRunner) runMigrations(_ *testing.T, _ *datadriven.TestData) string {
+	return r.cluster.Migrations()
 }
 
-func (r *runner) runShares(t *testing.T, d *datadriven.TestData) string {
-	return r.c.Shares(first(t, d))
+func (r *scenarioRunner) runShares(t *testing.T, d *datadriven.TestData) string {
+	return r.cluster.TeamShares(firstArg(t, d))
 }
 
-func (r *runner) runShards(_ *testing.T, _ *datadriven.TestData) string {
-	return strings.Join(r.c.ShardOwners(), "\n")
+func (r *scenarioRunner) runShards(_ *testing.T, _ *datadriven.TestData) string {
+	return strings.Join(r.cluster.ShardOwners(), "\n")
 }
 
-func (r *runner) runOwners(_ *testing.T, _ *datadriven.TestData) string {
-	return strings.Join(r.c.OwnersByShards(), "\n")
+func (r *scenarioRunner) runOwnersByShards(_ *testing.T, _ *datadriven.TestData) string {
+	return strings.Join(r.cluster.ShardCounts(), "\n")
 }
 
-// runGaps: gaps [reset]: the longest times between two answers to a worker.
-func (r *runner) runGaps(_ *testing.T, d *datadriven.TestData) string {
+// runAnswerGaps: gaps [reset]: the longest times between two answers to a worker.
+func (r *scenarioRunner) runAnswerGaps(_ *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) > 0 && d.CmdArgs[0].Key == "reset" {
-		r.c.answerGaps.Reset()
+		r.cluster.replyIntervals.Reset()
 		return ""
 	}
-	return r.c.AnswerGaps()
+	return r.cluster.ReplyIntervals()
 }
 
-func (r *runner) runForgotten(_ *testing.T, _ *datadriven.TestData) string {
-	return strings.Join(r.c.Forgotten(), "\n")
+func (r *scenarioRunner) runForgotten(_ *testing.T, _ *datadriven.TestData) string {
+	return strings.Join(r.cluster.LongUnanswered(), "\n")
 }
 
-func (r *runner) runStarved(_ *testing.T, _ *datadriven.TestData) string {
-	return strings.Join(r.c.Starved(), "\n")
+func (r *scenarioRunner) runStarved(_ *testing.T, _ *datadriven.TestData) string {
+	return strings.Join(r.cluster.Starved(), "\n")
 }
 
-func (r *runner) runUnanswered(_ *testing.T, _ *datadriven.TestData) string {
-	return strings.Join(r.c.Unanswered(), "\n")
+func (r *scenarioRunner) runUnanswered(_ *testing.T, _ *datadriven.TestData) string {
+	return strings.Join(r.cluster.Unanswered(), "\n")
 }
 
-func (r *runner) runLeads(_ *testing.T, _ *datadriven.TestData) string {
-	if r.c.Leader() < 0 {
+func (r *scenarioRunner) runHasLeader(_ *testing.T, _ *datadriven.TestData) string {
+	if r.cluster.Leader() < 0 {
 		return "nobody"
 	}
 	return "one"
 }
 
-func (r *runner) runShow(_ *testing.T, _ *datadriven.TestData) string {
-	return r.show()
+func (r *scenarioRunner) runShow(_ *testing.T, _ *datadriven.TestData) string {
+	return r.listRunningTasks()
 }
 
 // runShowCount: how many jobs there are, by what their users know and what runs.
-func (r *runner) runShowCount(_ *testing.T, _ *datadriven.TestData) string {
-	return r.showCount()
+func (r *scenarioRunner) runShowCount(_ *testing.T, _ *datadriven.TestData) string {
+	return r.countJobs()
 }
 
-func (r *runner) runFleet(_ *testing.T, _ *datadriven.TestData) string {
-	return r.fleet()
+func (r *scenarioRunner) runMachineCount(_ *testing.T, _ *datadriven.TestData) string {
+	return r.countMachines()
 }
 
-// show lists what runs where, by type, zone and kind of machine.
-func (r *runner) show() string {
+// listRunningTasks lists what runs where, by type, zone and kind of machine.
+func (r *scenarioRunner) listRunningTasks() string {
 	var b bytes.Buffer
 	var ids []string
-	for id := range r.c.jobs {
+	for id := range r.cluster.jobs {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		j := r.c.jobs[id]
+		j := r.cluster.jobs[id]
 		where := map[string]int{}
 		for task := range j.runningOn {
 			for w := range j.runningOn[task] {
@@ -97,7 +97,7 @@
 				if w.machine.spot {
 					kind = " spot"
 				}
-				where[w.machine.typ+" "+w.machine.zone+kind]++
+				where[w.machine.machineType+" "+w.machine.zone+kind]++
 			}
 		}
 		var places []string
@@ -110,14 +110,14 @@
 	return b.String()
 }
 
-// showCount counts jobs by what their users were told, and tasks that run.
-func (r *runner) showCount() string {
+// countJobs counts jobs by what their users were told, and tasks that run.
+func (r *scenarioRunner) countJobs() string {
 	told, tasks := map[string]int{}, 0
-	for _, j := range r.c.jobs {
+	for _, j := range r.cluster.jobs {
 		tasks += len(j.runningOn)
 		switch {
-		case j.reported != 0:
-			told[j.reported.String()]++
+		case j.reportedState != 0:
+			told[j.reportedState.String()]++
 		case j.accepted:
 			told["unfinished"]++
 		default:
@@ -132,12 +132,12 @@
 	return fmt.Sprintf("%s; %d tasks run", strings.Join(list, ", "), tasks)
 }
 
-// fleet counts the machines that are paid for.
-func (r *runner) fleet() string {
+// countMachines counts the machines that are paid for.
+func (r *scenarioRunner) countMachines() string {
 	count := map[string]int{}
-	for _, h := range r.c.cloud.machines {
-		if h.returned.IsZero() && h.failedAt.IsZero() {
-			kind := h.typ + " " + h.zone
+	for _, h := range r.cluster.cloud.machines {
+		if h.returnedAt.IsZero() && h.failedAt.IsZero() {
+			kind := h.machineType + " " + h.zone
 			if h.spot {
 				kind += " spot"
 			}
@@ -152,14 +152,14 @@
 	return strings.Join(list, "\n")
 }
 
-// jobStarts tells how often tasks of a job started.
-func (r *runner) jobStarts(t *testing.T, d *datadriven.TestData) string {
-	j := r.c.jobs[first(t, d)]
+// runJobStarts tells how often tasks of a job started.
+func (r *scenarioRunner) runJobStarts(t *testing.T, d *datadriven.TestData) string {
+	j := r.cluster.jobs[firstArg(t, d)]
 	if j == nil {
 		d.Fatalf(t, "no such job")
 	}
 	if j.failures > 0 {
-		return fmt.Sprintf("starts=%d completed=%d failures=%d", j.starts, len(j.completed), j.failures)
+		return fmt.Sprintf("starts=%d completed=%d failures=%d", j.startCount, len(j.completed), j.failures)
 	}
-	return fmt.Sprintf("starts=%d completed=%d", j.starts, len(j.completed))
+	return fmt.Sprintf("starts=%d completed=%d", j.startCount, len(j.completed))
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -15,30 +15,30 @@
 
 // stateService simulates the state service.
 type stateService struct {
-	c        *Cluster
-	revision uint64
-	keys     map[string]protocol.KeyValue
-	history  []change
-	leases   map[uint64]*lease
-	lastID   uint64
-	watches  []*watch
-	outage   bool
-	refused  map[string]bool // nodes that alone get 503
-	// Transactions are applied this much late, and up to delayJitter later, and unanswered:
-	// all of them, or delayedShare.
-	delayedBy, delayJitter time.Duration
-	delayedShare           float64
-	lostReplyShare         float64       // of transactions is applied at once, and its answer lost
-	slow                   time.Duration // up to this long a share of the requests takes
-	slowShare              float64
-	slowWatches            time.Duration // watches are answered this much later
+	cluster      *Cluster
+	revision     uint64
+	keys         map[string]protocol.KeyValue
+	history      []historyEntry
+	leases       map[uint64]*lease
+	lastLeaseID  uint64
+	watches      []*watch
+	outage       bool
+	refusedNodes map[string]bool // nodes that alone get 503
+	// Transactions are applied this much late, and up to commitDelayJitter later, and unanswered:
+	// all of them, or delayedCommitShare.
+	commitDelay, commitDelayJitter time.Duration
+	delayedCommitShare             float64
+	lostReplyShare                 float64       // of transactions is applied at once, and its answer lost
+	maxRequestDelay                time.Duration // up to this long a share of the requests takes
+	slowRequestShare               float64
+	watchDelay                     time.Duration // watches are answered this much later
 
 	requestBucket, writeBucket *ratelimit.TokenBucket // what the settings allow a second
 	writes, rateLimited        int                    // changes made, and requests refused for their number
 }
 
-// under lists the items whose keys have a prefix, in order.
-func (s *stateService) under(prefix string) []protocol.KeyValue {
+// withPrefix lists the items whose keys have a prefix, in order.
+func (s *stateService) withPrefix(prefix string) []protocol.KeyValue {
 	var list []protocol.KeyValue
 	for key, it := range s.keys {
 		if strings.HasPrefix(key, prefix) {
@@ -49,7 +49,7 @@
 	return list
 }
 
-type change struct {
+type historyEntry struct {
 	revision uint64
 	event    protocol.Event
 }
@@ -62,16 +62,16 @@
 }
 
 type watch struct {
-	from    string // the node that waits
-	prefix  string
-	after   uint64
-	respond respondFunc
-	closed  bool
+	from          string // the node that waits
+	prefix        string
+	afterRevision uint64
+	respond       respondFunc
+	closed        bool
 }
 
 func newStateService(c *Cluster) *stateService {
 	rps, changes := c.settings.StateRPS, c.settings.StateWriteRPS
-	return &stateService{c: c, keys: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, refused: map[string]bool{},
+	return &stateService{cluster: c, keys: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, refusedNodes: map[string]bool{},
 		requestBucket: ratelimit.NewTokenBucket(rps, rps, c.now), writeBucket: ratelimit.NewTokenBucket(changes, changes, c.now)}
 }
 
@@ -89,7 +89,7 @@
 func (s *stateService) setOutage(on bool) {
 	s.outage = on
 	for _, id := range s.leaseIDs() {
-		s.extend(s.leases[id])
+		s.extendLease(s.leases[id])
 	}
 	if !on {
 		s.notify()
@@ -99,10 +99,10 @@
 // readmit serves a node again that was refused alone, or all of them.
 func (s *stateService) readmit(nodes ...string) {
 	for _, name := range nodes {
-		delete(s.refused, name)
+		delete(s.refusedNodes, name)
 	}
 	if len(nodes) == 0 {
-		clear(s.refused)
+		clear(s.refusedNodes)
 	}
 	s.notify()
 }
@@ -116,18 +116,18 @@
 	return ids
 }
 
-func (s *stateService) extend(l *lease) {
+func (s *stateService) extendLease(l *lease) {
 	if l.expiry != nil {
 		l.expiry.run = nil
 	}
-	l.expiry = s.c.after(l.ttl, func() {
+	l.expiry = s.cluster.after(l.ttl, func() {
 		if !s.outage {
-			s.end(l)
+			s.endLease(l)
 		}
 	})
 }
 
-func (s *stateService) end(l *lease) {
+func (s *stateService) endLease(l *lease) {
 	if s.leases[l.id] == nil {
 		return
 	}
@@ -157,7 +157,7 @@
 		delete(l.keys, key)
 	}
 	delete(s.keys, key)
-	s.history = append(s.history, change{s.revision, protocol.Event{Key: key, Deleted: true, Version: s.revision}})
+	s.history = append(s.history, historyEntry{s.revision, protocol.Event{Key: key, Deleted: true, Version: s.revision}})
 }
 
 func (s *stateService) put(op protocol.Op) {
@@ -170,11 +170,11 @@
 	if l := s.leases[op.Lease]; l != nil {
 		l.keys[op.Put] = true
 	}
-	if s.c.externalUsers {
-		s.c.learnFromRecord(op)
+	if s.cluster.externalUsers {
+		s.cluster.learnFromRecord(op)
 	}
-	s.c.migrations.observe(s.c, op)
-	s.history = append(s.history, change{s.revision, protocol.Event{Key: op.Put, Value: op.Value, Version: s.revision}})
+	s.cluster.migrations.observe(s.cluster, op)
+	s.history = append(s.history, historyEntry{s.revision, protocol.Event{Key: op.Put, Value: op.Value, Version: s.revision}})
 }
 
 // notify answers the watches that have events.
@@ -189,7 +189,7 @@
 			continue
 		}
 		// An open watch of a node that is refused waits, as all do in an outage.
-		if len(s.eventsFor(w)) > 0 && !s.refused[w.from] {
+		if len(s.eventsFor(w)) > 0 && !s.refusedNodes[w.from] {
 			ready = append(ready, w)
 		} else {
 			keep = append(keep, w)
@@ -204,7 +204,7 @@
 
 func (s *stateService) eventsFor(w *watch) []protocol.Event {
 	var list []protocol.Event
-	i, _ := slices.BinarySearchFunc(s.history, w.after+1, func(c change, r uint64) int { return int(int64(c.revision) - int64(r)) })
+	i, _ := slices.BinarySearchFunc(s.history, w.afterRevision+1, func(c historyEntry, r uint64) int { return int(int64(c.revision) - int64(r)) })
 	for _, c := range s.history[i:] {
 		if strings.HasPrefix(c.event.Key, w.prefix) {
 			list = append(list, c.event)
@@ -214,29 +214,29 @@
 }
 
 func (s *stateService) serve(from, method, target string, body []byte, respond respondFunc) {
-	if s.slowShare > 0 && s.c.rng.Float64() < s.slowShare {
-		wait := time.Duration(s.c.rng.Int64N(int64(s.slow)))
-		if s.c.rng.IntN(2) == 0 { // it is carried out late, or at once and answered late
-			s.c.after(wait, func() { s.handle(from, method, target, body, respond) })
+	if s.slowRequestShare > 0 && s.cluster.rng.Float64() < s.slowRequestShare {
+		wait := time.Duration(s.cluster.rng.Int64N(int64(s.maxRequestDelay)))
+		if s.cluster.rng.IntN(2) == 0 { // it is carried out late, or at once and answered late
+			s.cluster.after(wait, func() { s.handle(from, method, target, body, respond) })
 			return
 		}
 		answer := respond
-		respond = func(status int, body []byte) { s.c.after(wait, func() { answer(status, body) }) }
+		respond = func(status int, body []byte) { s.cluster.after(wait, func() { answer(status, body) }) }
 	}
 	s.handle(from, method, target, body, respond)
 }
 
 func (s *stateService) handle(from, method, target string, body []byte, respond respondFunc) {
-	if s.outage || s.refused[from] {
+	if s.outage || s.refusedNodes[from] {
 		respond(503, nil)
 		return
 	}
-	if !s.requestBucket.TryTake(s.c.now, 1) {
+	if !s.requestBucket.TryTake(s.cluster.now, 1) {
 		s.rateLimited++
 		respond(429, nil)
 		return
 	}
-	path, query := protocol.Query(target)
+	path, query := protocol.ParseQuery(target)
 	switch {
 	case path == protocol.PathTransactions:
 		s.transaction(body, respond)
@@ -263,11 +263,11 @@
 // transaction applies a compare-and-swap at once, or late, or without a reply.
 func (s *stateService) transaction(body []byte, respond respondFunc) {
 	t, err := protocol.ParseTxn(body)
-	if err != nil || len(t.Ops) > s.c.settings.TxnOps || len(t.Conditions) > 4*s.c.settings.TxnOps {
+	if err != nil || len(t.Ops) > s.cluster.settings.MaxTxnOps || len(t.Conditions) > 4*s.cluster.settings.MaxTxnOps {
 		respond(400, nil)
 		return
 	}
-	if !s.writeBucket.TryTake(s.c.now, float64(len(t.Ops))) {
+	if !s.writeBucket.TryTake(s.cluster.now, float64(len(t.Ops))) {
 		s.rateLimited++
 		respond(429, nil)
 		return
@@ -277,16 +277,16 @@
 		s.commit(t, respond)
 		return
 	}
-	if s.delayedBy > 0 && (s.delayedShare == 0 || s.c.rng.Float64() < s.delayedShare) {
-		delay := s.delayedBy
-		if s.delayJitter > 0 {
-			delay += time.Duration(s.c.rng.Int64N(int64(s.delayJitter)))
+	if s.commitDelay > 0 && (s.delayedCommitShare == 0 || s.cluster.rng.Float64() < s.delayedCommitShare) {
+		delay := s.commitDelay
+		if s.commitDelayJitter > 0 {
+			delay += time.Duration(s.cluster.rng.Int64N(int64(s.commitDelayJitter)))
 		}
-		s.c.after(delay, func() { s.commit(t, ignoreResponse) })
+		s.cluster.after(delay, func() { s.commit(t, ignoreResponse) })
 		return
 	}
-	if s.lostReplyShare > 0 && s.c.rng.Float64() < s.lostReplyShare {
-		s.c.withTriggers(onLostReply, nil, func() { s.commit(t, ignoreResponse) })
+	if s.lostReplyShare > 0 && s.cluster.rng.Float64() < s.lostReplyShare {
+		s.cluster.withTriggers(onLostReply, nil, func() { s.commit(t, ignoreResponse) })
 		return
 	}
 	s.commit(t, respond)
@@ -294,7 +294,7 @@
 
 // list answers with the items under a prefix, in order.
 func (s *stateService) list(query url.Values, respond respondFunc) {
-	prefix, after, limit, _ := protocol.RangeQuery(query)
+	prefix, after, limit, _ := protocol.ParseRangeQuery(query)
 	var names []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -312,20 +312,20 @@
 
 // watch answers with the events after a revision, or waits for them.
 func (s *stateService) watch(from string, query url.Values, respond respondFunc) {
-	if late := s.slowWatches; late > 0 {
+	if late := s.watchDelay; late > 0 {
 		answer := respond
-		respond = func(status int, body []byte) { s.c.after(late, func() { answer(status, body) }) }
+		respond = func(status int, body []byte) { s.cluster.after(late, func() { answer(status, body) }) }
 	}
-	prefix, after, _, wait := protocol.RangeQuery(query)
+	prefix, after, _, wait := protocol.ParseRangeQuery(query)
 	since, _ := strconv.ParseUint(after, 10, 64)
-	w := &watch{from: from, prefix: prefix, after: since, respond: respond}
+	w := &watch{from: from, prefix: prefix, afterRevision: since, respond: respond}
 	if events := s.eventsFor(w); len(events) > 0 {
 		respond(200, protocol.EncodeEvents(events, s.revision))
 		return
 	}
 	s.watches = append(s.watches, w)
-	s.c.after(wait, func() {
-		if !w.closed && !s.outage && !s.refused[w.from] {
+	s.cluster.after(wait, func() {
+		if !w.closed && !s.outage && !s.refusedNodes[w.from] {
 			w.closed = true
 			respond(200, protocol.EncodeEvents(nil, s.revision))
 		}
@@ -339,10 +339,10 @@
 		respond(400, nil)
 		return
 	}
-	s.lastID++
-	l := &lease{id: s.lastID, ttl: ttl, keys: map[string]bool{}}
+	s.lastLeaseID++
+	l := &lease{id: s.lastLeaseID, ttl: ttl, keys: map[string]bool{}}
 	s.leases[l.id] = l
-	s.extend(l)
+	s.extendLease(l)
 	respond(200, protocol.EncodeLease(l.id))
 }
 
@@ -355,24 +355,24 @@
 	case l == nil:
 		respond(404, nil)
 	case renew:
-		s.extend(l)
+		s.extendLease(l)
 		respond(200, protocol.EncodeLease(id))
 	case method == "DELETE":
-		s.end(l)
+		s.endLease(l)
 		respond(200, nil)
 	default:
 		respond(400, nil)
 	}
 }
 
-// check says with which status a transaction is refused; 0 when it isn't.
-func (s *stateService) check(t *protocol.Txn) (status int, body []byte) {
+// validate says with which status a transaction is refused; 0 when it isn't.
+func (s *stateService) validate(t *protocol.Txn) (status int, body []byte) {
 	for _, op := range t.Ops {
 		if op.Put != "" && op.Lease != 0 && s.leases[op.Lease] == nil {
 			return 400, nil
 		}
-		if len(op.Value) > s.c.settings.ValueBytes {
-			s.c.violate("limit", "a value of %d bytes for %s", len(op.Value), op.Put)
+		if len(op.Value) > s.cluster.settings.MaxValueBytes {
+			s.cluster.reportViolation("limit", "a value of %d bytes for %s", len(op.Value), op.Put)
 			return 400, nil
 		}
 	}
@@ -390,7 +390,7 @@
 
 // commit applies a transaction if its conditions hold.
 func (s *stateService) commit(t *protocol.Txn, respond respondFunc) {
-	if status, body := s.check(t); status != 0 {
+	if status, body := s.validate(t); status != 0 {
 		respond(status, body)
 		return
 	}
@@ -400,17 +400,17 @@
 		written = append(written, op.Put+op.Delete)
 		elects = elects || op.Put == records.KeyLeader
 	}
-	s.c.fireTriggers(onWrite, written, true)
+	s.cluster.fireTriggers(onWrite, written, true)
 	if elects {
-		s.c.fireTriggers(onLeader, nil, true)
+		s.cluster.fireTriggers(onLeader, nil, true)
 	}
 	s.apply(t.Ops)
 	respond(200, protocol.EncodeRevision(s.revision))
 	s.notify()
-	s.c.fireTriggers(onWrite, written, false)
+	s.cluster.fireTriggers(onWrite, written, false)
 	if elects {
-		s.c.fireTriggers(onLeader, nil, false)
-		s.c.deliverStaleHeartbeats()
+		s.cluster.fireTriggers(onLeader, nil, false)
+		s.cluster.deliverStaleHeartbeats()
 	}
 }
 
--- a/internal/simulator/triggers.go
+++ b/internal/simulator/triggers.go
@@ -27,7 +27,7 @@
 	target string
 	before bool
 	skip   int // such moments that it lets go by first
-	run    func()
+	action func()
 }
 
 // onNext does something once, right before or after a moment.
@@ -69,6 +69,6 @@
 		return hit
 	})
 	for _, h := range due {
-		h.run()
+		h.action()
 	}
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -13,32 +13,32 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	spec        protocol.Job
-	run         time.Duration // of a task
-	alwaysFails bool          // fails everywhere
-	completed   map[int]bool
-	progress    map[int]time.Duration
-	runningOn   map[int]map[*agent]bool // machines each task is on
-	zones       map[string]int          // their number by zone
-	starts      int
+	spec          protocol.Job
+	runTime       time.Duration // of a task
+	alwaysFails   bool          // fails everywhere
+	completed     map[int]bool
+	progress      map[int]time.Duration
+	runningOn     map[int]map[*agent]bool // machines each task is on
+	runningByZone map[string]int          // their number by zone
+	startCount    int
 
-	submitted            time.Time
-	firstStart           time.Time // when its first task ran
-	accepted             bool
-	lastQuery            time.Time // last, in a calm
-	waitsBesideRoomSince time.Time // since when it waits beside room, in a calm
-	cancelRequested      bool      // a cancellation was asked for
-	cancelled            time.Time
-	reported             protocol.JobState // a final state told
-	failures             int
+	submittedAt               time.Time
+	firstStartAt              time.Time // when its first task ran
+	accepted                  bool
+	lastQueryAt               time.Time // last, in a calm
+	waitsDespiteCapacitySince time.Time // since when it waits beside room, in a calm
+	cancelRequested           bool      // a cancellation was asked for
+	cancelledAt               time.Time
+	reportedState             protocol.JobState // a final state told
+	failures                  int
 
 	unansweredSince   time.Time     // since when questions about it got no answer; zero: answered last
 	longestUnanswered time.Duration // that this lasted
 }
 
 func (c *Cluster) newJob(spec protocol.Job, run time.Duration, bad bool) *userJob {
-	j := &userJob{spec: spec, run: run, alwaysFails: bad, completed: map[int]bool{}, progress: map[int]time.Duration{},
-		runningOn: map[int]map[*agent]bool{}, zones: map[string]int{}, submitted: c.now}
+	j := &userJob{spec: spec, runTime: run, alwaysFails: bad, completed: map[int]bool{}, progress: map[int]time.Duration{},
+		runningOn: map[int]map[*agent]bool{}, runningByZone: map[string]int{}, submittedAt: c.now}
 	c.jobs[spec.ID] = j
 	return j
 }
@@ -63,38 +63,38 @@
 	if j == nil {
 		j = c.newJob(spec, run, bad)
 	}
-	told, known := c.reported(spec.ID), j.accepted
+	told, known := c.reportedState(spec.ID), j.accepted
 	c.userRequest(node, "POST", protocol.PathJobs, protocol.EncodeJob(&spec), func(status int, body []byte) {
 		switch status {
 		case 200, 201:
-			if !c.canRun(&spec) {
-				c.violate("accepted_invalid", "%s can never run and gets %d", spec.ID, status)
+			if !c.isValidJob(&spec) {
+				c.reportViolation("accepted_invalid", "%s can never run and gets %d", spec.ID, status)
 			}
 			if known && status == 201 {
-				c.violate("went_back", "%s is new once more", spec.ID)
+				c.reportViolation("went_back", "%s is new once more", spec.ID)
 			}
 			first := !j.accepted
 			j.accepted = true
-			c.checkReported(j, told, body)
+			c.checkReportedState(j, told, body)
 			if first {
 				c.queryAfterChange(j)
 			}
 		case 400, 422:
 			switch {
 			case j.accepted:
-				c.violate("forgotten", "%s is submitted again and gets %d", spec.ID, status)
-			case spec.Tasks <= protocol.MaxTasks && c.canRun(&spec):
-				c.violate("refused", "%s can run and gets %d", spec.ID, status)
+				c.reportViolation("forgotten", "%s is submitted again and gets %d", spec.ID, status)
+			case spec.Tasks <= protocol.MaxTasks && c.isValidJob(&spec):
+				c.reportViolation("refused", "%s can run and gets %d", spec.ID, status)
 			}
 		}
-		done(status, stateOf(body))
+		done(status, jobStateIn(body))
 	})
 }
 
 // Query asks a node for a job.
 func (c *Cluster) Query(node int, id string, done func(status int, text string)) {
 	// What was promised while the request was on its way doesn't bind its answer.
-	known, told := c.jobs[id] != nil && c.jobs[id].accepted, c.reported(id)
+	known, told := c.jobs[id] != nil && c.jobs[id].accepted, c.reportedState(id)
 	c.userRequest(node, "GET", protocol.PathJobs+"/"+id, nil, func(status int, body []byte) {
 		j := c.jobs[id]
 		if j != nil && j.accepted && !j.cancelRequested {
@@ -102,12 +102,12 @@
 			c.checkAnswered(j)
 		}
 		if status == 200 {
-			if j == nil || !c.canRun(&j.spec) {
-				c.violate("invented", "%s was never submitted, or can't run", id)
+			if j == nil || !c.isValidJob(&j.spec) {
+				c.reportViolation("invented", "%s was never submitted, or can't run", id)
 			} else {
 				// The answer to its submission may have been lost: this one binds, too.
 				j.accepted = true
-				c.checkReported(j, told, body)
+				c.checkReportedState(j, told, body)
 			}
 			job, err := protocol.ParseJobStatus(body)
 			if err == nil {
@@ -116,7 +116,7 @@
 			}
 		}
 		if status == 404 && known {
-			c.violate("forgotten", "%s gets 404", id)
+			c.reportViolation("forgotten", "%s gets 404", id)
 		}
 		done(status, "")
 	})
@@ -124,7 +124,7 @@
 
 // QueryUntilDone lets a job's user ask for it at intervals, any node, until a final state is told.
 func (c *Cluster) QueryUntilDone(id string, every time.Duration) {
-	if c.reported(id) != 0 {
+	if c.reportedState(id) != 0 {
 		return
 	}
 	c.Query(c.rng.IntN(len(c.controllers)), id, func(int, string) {})
@@ -147,7 +147,7 @@
 // with all troubles over.
 func (c *Cluster) checkAnswered(j *userJob) {
 	if !c.quiescentSince.IsZero() && !j.unansweredSince.IsZero() && c.now.Sub(j.unansweredSince) > maxTimeUnanswered {
-		c.violate("forgotten", "%s got no answer for %s", j.spec.ID, c.now.Sub(j.unansweredSince).Round(time.Second))
+		c.reportViolation("forgotten", "%s got no answer for %s", j.spec.ID, c.now.Sub(j.unansweredSince).Round(time.Second))
 	}
 }
 
@@ -171,8 +171,8 @@
 // maxTimeUnanswered is how long questions about a job may go without an answer.
 const maxTimeUnanswered = 75 * time.Second
 
-// Forgotten lists the jobs that were longer without one.
-func (c *Cluster) Forgotten() []string {
+// LongUnanswered lists the jobs that were longer without one.
+func (c *Cluster) LongUnanswered() []string {
 	var list []string
 	for id, j := range c.jobs {
 		if j.longestUnanswered > maxTimeUnanswered {
@@ -186,28 +186,28 @@
 // CancelJob asks a node to cancel a job.
 func (c *Cluster) CancelJob(node int, id string, done func(status int, state string)) {
 	j := c.jobs[id]
-	known, told := j != nil && j.accepted, c.reported(id)
+	known, told := j != nil && j.accepted, c.reportedState(id)
 	if j != nil && told != protocol.Done { // one that is done can't be cancelled any more
 		j.cancelRequested = true
 	}
 	c.userRequest(node, "POST", protocol.PathJobs+"/"+id+"/cancel", nil, func(status int, body []byte) {
 		switch {
 		case status == 200 && j == nil:
-			c.violate("invented", "%s was never submitted", id)
+			c.reportViolation("invented", "%s was never submitted", id)
 		case status == 200:
 			j.accepted = true
-			c.checkReported(j, told, body)
+			c.checkReportedState(j, told, body)
 			if job, err := protocol.ParseJobStatus(body); err != nil || !job.State.Final() {
-				c.violate("went_back", "%s is cancelled and called %s", id, job.State)
+				c.reportViolation("went_back", "%s is cancelled and called %s", id, job.State)
 			}
 		case status == 404 && known:
-			c.violate("forgotten", "%s gets 404 for its cancellation", id)
+			c.reportViolation("forgotten", "%s gets 404 for its cancellation", id)
 		}
-		done(status, stateOf(body))
+		done(status, jobStateIn(body))
 	})
 }
 
-func stateOf(body []byte) string {
+func jobStateIn(body []byte) string {
 	if job, err := protocol.ParseJobStatus(body); err == nil {
 		return job.State.String()
 	}
@@ -228,50 +228,50 @@
 		}
 	}
 	c.after(userTimeout, func() { finish(0, nil) })
-	c.request(users, n.name, func(respond respondFunc) { n.request(method, target, body, userTimeout, respond) }, finish)
+	c.request(usersHost, n.name, func(respond respondFunc) { n.request(method, target, body, userTimeout, respond) }, finish)
 }
 
-// reported is the final state that a job's user was told, 0 for none.
-func (c *Cluster) reported(id string) protocol.JobState {
+// reportedState is the final state that a job's user was told, 0 for none.
+func (c *Cluster) reportedState(id string) protocol.JobState {
 	if j := c.jobs[id]; j != nil {
-		return j.reported
+		return j.reportedState
 	}
 	return 0
 }
 
-// checkReported checks what a user is told of a job against what was told before the
+// checkReportedState checks what a user is told of a job against what was told before the
 // request was sent, and what is true.
-func (c *Cluster) checkReported(j *userJob, told protocol.JobState, body []byte) {
+func (c *Cluster) checkReportedState(j *userJob, told protocol.JobState, body []byte) {
 	answer, err := protocol.ParseJobStatus(body)
 	if err != nil {
 		return
 	}
 	s := answer.State
 	if told != 0 && s != told {
-		c.violate("went_back", "%s was %s and is %s", j.spec.ID, told, s)
+		c.reportViolation("went_back", "%s was %s and is %s", j.spec.ID, told, s)
 	}
-	if s == protocol.Done && len(j.completed) < j.spec.Tasks && !c.cloud.external {
-		c.violate("not_done", "%s: %d of %d tasks", j.spec.ID, len(j.completed), j.spec.Tasks)
+	if s == protocol.Done && len(j.completed) < j.spec.Tasks && !c.cloud.hasExternalMachines {
+		c.reportViolation("not_done", "%s: %d of %d tasks", j.spec.ID, len(j.completed), j.spec.Tasks)
 	}
 	if s == protocol.Cancelled && !j.cancelRequested {
-		c.violate("went_back", "%s is cancelled without its user's word", j.spec.ID)
+		c.reportViolation("went_back", "%s is cancelled without its user's word", j.spec.ID)
 	}
 	if s.Final() {
-		c.checkFinal(j, s)
+		c.checkFinalState(j, s)
 	}
-	if s == protocol.Cancelled && j.cancelled.IsZero() {
-		j.cancelled = c.now
-		c.after(c.settings.CancelWithin, func() { c.checkCancelled(j) })
+	if s == protocol.Cancelled && j.cancelledAt.IsZero() {
+		j.cancelledAt = c.now
+		c.after(c.settings.CancelDeadline, func() { c.checkCancelled(j) })
 	}
 }
 
-// checkFinal checks that a final state is the only one that a job's user was ever told.
-func (c *Cluster) checkFinal(j *userJob, s protocol.JobState) {
-	if j.reported != 0 && j.reported != s {
-		c.violate("went_back", "%s is %s and %s", j.spec.ID, j.reported, s)
+// checkFinalState checks that a final state is the only one that a job's user was ever told.
+func (c *Cluster) checkFinalState(j *userJob, s protocol.JobState) {
+	if j.reportedState != 0 && j.reportedState != s {
+		c.reportViolation("went_back", "%s is %s and %s", j.spec.ID, j.reportedState, s)
 	}
-	first := j.reported == 0
-	j.reported = s
+	first := j.reportedState == 0
+	j.reportedState = s
 	if first {
 		c.queryAfterChange(j)
 	}
@@ -281,7 +281,7 @@
 func (c *Cluster) checkCancelled(j *userJob) {
 	for task, on := range j.runningOn {
 		for w := range on {
-			c.violate("ran_cancelled", "%s/%d is still on %s", j.spec.ID, task, w.name)
+			c.reportViolation("ran_cancelled", "%s/%d is still on %s", j.spec.ID, task, w.name)
 		}
 	}
 }
@@ -311,7 +311,7 @@
 		})
 		began := func(jobs []*userJob) (n int) {
 			for _, j := range jobs {
-				if !j.firstStart.IsZero() {
+				if !j.firstStartAt.IsZero() {
 					n++
 				}
 			}
@@ -328,9 +328,9 @@
 			list = append(list, fmt.Sprintf("%s: %d of the %d largest jobs began", name, n, len(largest)))
 		}
 		for _, j := range largest {
-			wait := c.now.Sub(j.submitted)
-			if !j.firstStart.IsZero() {
-				wait = j.firstStart.Sub(j.submitted)
+			wait := c.now.Sub(j.submittedAt)
+			if !j.firstStartAt.IsZero() {
+				wait = j.firstStartAt.Sub(j.submittedAt)
 			}
 			if wait > maxTimeToFirstStart {
 				list = append(list, fmt.Sprintf("%s: %s with %d tasks waited %s", name, j.spec.ID, j.spec.Tasks, wait.Round(time.Second)))
@@ -371,57 +371,57 @@
 
 // taskStarted checks the rules for a task that starts on a machine.
 func (c *Cluster) taskStarted(w *agent, t *attempt, j *userJob) {
-	if j.runningOn[t.index] == nil {
-		j.runningOn[t.index] = map[*agent]bool{}
+	if j.runningOn[t.taskIndex] == nil {
+		j.runningOn[t.taskIndex] = map[*agent]bool{}
 	}
-	for other := range j.runningOn[t.index] {
-		c.violate("ran_twice", "%s starts on %s while on %s", t, w.name, other.name)
+	for other := range j.runningOn[t.taskIndex] {
+		c.reportViolation("ran_twice", "%s starts on %s while on %s", t, w.name, other.name)
 	}
-	j.runningOn[t.index][w] = true
-	j.starts++
-	if j.firstStart.IsZero() {
-		j.firstStart = c.now
+	j.runningOn[t.taskIndex][w] = true
+	j.startCount++
+	if j.firstStartAt.IsZero() {
+		j.firstStartAt = c.now
 	}
-	if !j.cancelled.IsZero() && c.now.Sub(j.cancelled) > c.settings.CancelWithin {
-		c.violate("ran_cancelled", "%s starts on %s", t, w.name)
+	if !j.cancelledAt.IsZero() && c.now.Sub(j.cancelledAt) > c.settings.CancelDeadline {
+		c.reportViolation("ran_cancelled", "%s starts on %s", t, w.name)
 	}
-	j.zones[w.machine.zone]++
-	c.checkPlace(w, t, j)
+	j.runningByZone[w.machine.zone]++
+	c.checkPlacement(w, t, j)
 	s := &j.spec
-	c.usedCPUs[s.Team] += s.CPUs
-	used := c.usedCPUs[s.Team]
+	c.usedCPUsByTeam[s.Team] += s.CPUs
+	used := c.usedCPUsByTeam[s.Team]
 	for _, team := range c.settings.Teams {
-		if team.Name == s.Team && used > team.CPUsMax+protocol.Epsilon {
-			c.violate("quota", "team %s uses %g CPUs", s.Team, used)
+		if team.Name == s.Team && used > team.MaxCPUs+protocol.Epsilon {
+			c.reportViolation("quota", "team %s uses %g CPUs", s.Team, used)
 		}
 	}
 }
 
-// checkPlace checks that a job's rules allow the machine that one of its tasks starts on.
-func (c *Cluster) checkPlace(w *agent, t *attempt, j *userJob) {
-	s, zones := &j.spec, j.zones
+// checkPlacement checks that a job's rules allow the machine that one of its tasks starts on.
+func (c *Cluster) checkPlacement(w *agent, t *attempt, j *userJob) {
+	s, zones := &j.spec, j.runningByZone
 	switch {
 	case !w.machine.allowedFor(s):
-		c.violate("wrong_place", "%s on %s", t, w.name)
+		c.reportViolation("wrong_place", "%s on %s", t, w.name)
 	case s.OneZone && len(zones) > 1:
-		c.violate("wrong_place", "%s on %s: the job is in %d zones", t, w.name, len(zones))
+		c.reportViolation("wrong_place", "%s on %s: the job is in %d zones", t, w.name, len(zones))
 	case s.Spread && zones[w.machine.zone] > (s.Tasks+1)/2:
-		c.violate("wrong_place", "%s on %s: %d of %d tasks in zone %s", t, w.name, zones[w.machine.zone], s.Tasks, w.machine.zone)
+		c.reportViolation("wrong_place", "%s on %s: %d of %d tasks in zone %s", t, w.name, zones[w.machine.zone], s.Tasks, w.machine.zone)
 	}
 }
 
 func (c *Cluster) taskEnded(w *agent, t *attempt) {
 	j := c.jobs[t.job]
-	on := j.runningOn[t.index]
+	on := j.runningOn[t.taskIndex]
 	if !on[w] {
 		return
 	}
 	delete(on, w)
 	if len(on) == 0 {
-		delete(j.runningOn, t.index)
+		delete(j.runningOn, t.taskIndex)
 	}
-	c.usedCPUs[j.spec.Team] -= j.spec.CPUs
-	if j.zones[w.machine.zone]--; j.zones[w.machine.zone] == 0 {
-		delete(j.zones, w.machine.zone)
+	c.usedCPUsByTeam[j.spec.Team] -= j.spec.CPUs
+	if j.runningByZone[w.machine.zone]--; j.runningByZone[w.machine.zone] == 0 {
+		delete(j.runningByZone, w.machine.zone)
 	}
 }
--- a/internal/transport/accepted.go
+++ b/internal/transport/accepted.go
@@ -32,11 +32,11 @@
 	s := &acceptedConn{conn: c}
 	c.SetContext(s)
 	s.element = l.accepted.PushBack(s)
-	if l.crowded() {
-		l.crowdedUntil = time.Now().Add(crowdedHold)
+	if l.underPressure() {
+		l.pressureUntil = time.Now().Add(pressureDuration)
 	}
-	if l.openSockets() > l.socketShare(maxOpenPercent) && (l.outboundSockets() <= l.socketShare(keptOutboundPercent) || !l.closeLongestIdle()) {
-		l.closeLongestSilent()
+	if l.openSockets() > l.socketShare(maxOpenPercent) && (l.outboundSockets() <= l.socketShare(minOutboundPercent) || !l.closeLongestIdle()) {
+		l.shedLeastRecentlyActive()
 	}
 }
 
@@ -97,8 +97,8 @@
 	}
 	delete(l.pending, id)
 	s.requestID = 0
-	if !s.closeAfterReply && !last && l.crowded() {
-		l.counts.ClosedWhenCrowded++
+	if !s.closeAfterReply && !last && l.underPressure() {
+		l.counts.ClosedAfterResponse++
 		last = true
 	}
 	s.closeAfterReply = s.closeAfterReply || last
--- a/internal/transport/calls.go
+++ b/internal/transport/calls.go
@@ -62,31 +62,31 @@
 		queue = l.stateQueue
 	}
 	c.element = queue.PushBack(c)
-	l.dialNext()
+	l.dialQueued()
 }
 
-// dialNext dials for the calls that wait, the state service's first. Without
+// dialQueued dials for the calls that wait, the state service's first. Without
 // that, silent machines, whose dials hang, would hold up what every answer to
 // users depends on. It looks at no call that can't be dialled for: thousands may wait.
-func (l *Loop) dialNext() {
-	for l.stateQueue.Len() > 0 && (l.outboundSockets() < l.socketShare(maxOutboundPercent+extraStatePercent) || l.mayDial()) {
-		l.dialFirst(l.stateQueue)
+func (l *Loop) dialQueued() {
+	for l.stateQueue.Len() > 0 && (l.outboundSockets() < l.socketShare(maxOutboundPercent+stateServiceExtraPercent) || l.canDial()) {
+		l.dialFront(l.stateQueue)
 	}
-	for l.queue.Len() > 0 && l.mayDial() {
-		l.dialFirst(l.queue)
+	for l.queue.Len() > 0 && l.canDial() {
+		l.dialFront(l.queue)
 	}
 }
 
-func (l *Loop) dialFirst(queue *list.List) {
+func (l *Loop) dialFront(queue *list.List) {
 	c := queue.Front().Value.(*call)
-	l.leaveQueue(c)
+	l.dequeue(c)
 	l.dialing++
 	c.dialing = true
 	go l.dial(c)
 }
 
-// leaveQueue takes a call out of those that wait for a socket.
-func (l *Loop) leaveQueue(c *call) {
+// dequeue takes a call out of those that wait for a socket.
+func (l *Loop) dequeue(c *call) {
 	if c.element == nil {
 		return
 	}
@@ -121,14 +121,14 @@
 func (l *Loop) dial(c *call) {
 	wait := min(dialTimeout, time.Until(c.deadline))
 	if wait <= 0 {
-		l.Post(func() { l.dialing--; l.finish(c, 0, nil, ErrNotSent); l.dialNext() })
+		l.Post(func() { l.dialing--; l.finish(c, 0, nil, ErrNotSent); l.dialQueued() })
 		return
 	}
 	// Keep-alive would take four system calls; calls have limits of their own.
 	dialer := net.Dialer{Timeout: wait, KeepAlive: -1}
 	conn, err := dialer.Dial("tcp", c.addr)
 	if err != nil {
-		l.Post(func() { l.dialing--; l.finish(c, 0, nil, ErrNotSent); l.dialNext() })
+		l.Post(func() { l.dialing--; l.finish(c, 0, nil, ErrNotSent); l.dialQueued() })
 		return
 	}
 	l.Post(func() {
@@ -176,14 +176,14 @@
 	if m.close || o.conn.InboundBuffered() > 0 {
 		action = gnet.Close
 	} else {
-		l.release(o)
+		l.markIdle(o)
 	}
 	l.finish(c, m.status, body, nil)
 	return action
 }
 
-// release makes a connection available for the next call.
-func (l *Loop) release(o *outboundConn) {
+// markIdle makes a connection available for the next call.
+func (l *Loop) markIdle(o *outboundConn) {
 	o.lastUsed = time.Now()
 	l.idleByAddr[o.addr] = append(l.idleByAddr[o.addr], o)
 	o.element = l.idle.PushBack(o)
@@ -205,7 +205,7 @@
 		return
 	}
 	if !c.dialing {
-		l.leaveQueue(c)
+		l.dequeue(c)
 		l.counts.CallsWithoutSocket++
 		l.finish(c, 0, nil, ErrNoSocket)
 		return
@@ -223,30 +223,30 @@
 	done(status, body, err)
 }
 
-// dialed takes a connection of ours that came about, and sends the call that it was dialled for.
-func (l *Loop) dialed(o *outboundConn, c gnet.Conn) {
+// onDialed takes a connection of ours that came about, and sends the call that it was dialled for.
+func (l *Loop) onDialed(o *outboundConn, c gnet.Conn) {
 	o.conn = c
 	l.outbound++
 	if o.call != nil && o.call.done == nil { // gave up while dialling
 		o.call = nil
 	}
 	if o.call == nil {
-		l.release(o)
+		l.markIdle(o)
 		return
 	}
 	l.send(o, o.call)
 }
 
-// outboundClosed ends the call of a connection of ours that was closed.
-func (l *Loop) outboundClosed(o *outboundConn) {
+// onOutboundClosed ends the call of a connection of ours that was closed.
+func (l *Loop) onOutboundClosed(o *outboundConn) {
 	o.closed = true
 	l.outbound--
 	if o.closing {
-		l.closing--
+		l.outboundClosing--
 	}
 	if o.call == nil {
 		l.removeIdle(o)
-		l.dialNext()
+		l.dialQueued()
 		return
 	}
 	// A body without a length ends with the connection. Without the bytes there is no
@@ -258,5 +258,5 @@
 	} else {
 		l.finish(o.call, 0, nil, ErrClosed)
 	}
-	l.dialNext()
+	l.dialQueued()
 }
--- a/internal/transport/http1.go
+++ b/internal/transport/http1.go
@@ -86,7 +86,7 @@
 		return 0, err
 	}
 	m.method, m.target = string(line.method), string(line.target)
-	m.close = h.close || (line.oldVersion && !h.keepAlive)
+	m.close = h.close || (line.http10 && !h.keepAlive)
 	m.expectContinue = h.expectContinue
 	used, err := parseBody(rest, n, &h, maxRequestBody, m)
 	if err != nil {
@@ -98,7 +98,7 @@
 // requestLine is the first line of a request; its parts alias the input.
 type requestLine struct {
 	method, target []byte
-	oldVersion     bool // HTTP/1.0, whose connections end unless asked otherwise
+	http10         bool // HTTP/1.0, whose connections end unless asked otherwise
 }
 
 func parseRequestLine(line []byte) (requestLine, error) {
--- a/internal/transport/http1_framing.go
+++ b/internal/transport/http1_framing.go
@@ -43,17 +43,17 @@
 		}
 	}
 	switch name := line[:colon]; {
-	case foldEqual(name, "content-length"):
+	case equalFoldASCII(name, "content-length"):
 		return h.parseContentLength(value)
-	case foldEqual(name, "transfer-encoding"):
-		if h.chunked || !foldEqual(value, "chunked") {
+	case equalFoldASCII(name, "transfer-encoding"):
+		if h.chunked || !equalFoldASCII(value, "chunked") {
 			return ErrMalformed
 		}
 		h.chunked = true
-	case foldEqual(name, "connection"):
+	case equalFoldASCII(name, "connection"):
 		h.parseConnection(value)
-	case foldEqual(name, "expect"):
-		h.expectContinue = foldEqual(value, "100-continue")
+	case equalFoldASCII(name, "expect"):
+		h.expectContinue = equalFoldASCII(value, "100-continue")
 	}
 	return nil
 }
@@ -70,9 +70,9 @@
 func (h *headers) parseConnection(value []byte) {
 	for _, option := range bytes.Split(value, []byte{','}) {
 		option = bytes.Trim(option, " \t")
-		if foldEqual(option, "close") {
+		if equalFoldASCII(option, "close") {
 			h.close = true
-		} else if foldEqual(option, "keep-alive") {
+		} else if equalFoldASCII(option, "keep-alive") {
 			h.keepAlive = true
 		}
 	}
@@ -201,7 +201,7 @@
 	return len(b) > 0
 }
 
-func foldEqual(b []byte, lower string) bool {
+func equalFoldASCII(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
 	}
--- a/internal/transport/http1_write.go
+++ b/internal/transport/http1_write.go
@@ -21,7 +21,7 @@
 	return append(dst, body...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request",
 	422: "Unprocessable Content", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
@@ -33,7 +33,7 @@
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reasons[status]...)
+	dst = append(dst, reasonPhrases[status]...)
 	dst = append(dst, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
 	if retryAfter > 0 {
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -14,11 +14,11 @@
 
 // Time and number limits of connections.
 const (
-	dialTimeout        = 2 * time.Second
-	requestTimeout     = 10 * time.Second // from the first byte of a request to its last
-	maxIdle            = 45 * time.Second // an unused outgoing connection is closed after it
-	minConcurrentDials = 48
-	sweepInterval      = time.Second
+	dialTimeout         = 2 * time.Second
+	requestReadTimeout  = 10 * time.Second // from the first byte of a request to its last
+	outboundIdleTimeout = 45 * time.Second // an unused outgoing connection is closed after it
+	minConcurrentDials  = 48
+	sweepInterval       = time.Second
 )
 
 // Handler receives what arrives. All its methods run on the event loop.
@@ -41,21 +41,21 @@
 	startMutex sync.Mutex
 	eventLoop  gnet.EventLoop
 
-	maxSockets  int
-	nextID      uint64
-	accepted    *list.List // of *served, the one that was heard longest ago first
-	pending     map[uint64]*acceptedConn
-	writeBuffer []byte
-	idleByAddr  map[string][]*outboundConn
-	idle        *list.List // the same, the one unused for longest first
-	outbound    int
-	closing     int // of them, those that were told to close
-	dialing     int
+	maxSockets      int
+	nextID          uint64
+	accepted        *list.List // of *served, the one that was heard longest ago first
+	pending         map[uint64]*acceptedConn
+	writeBuffer     []byte
+	idleByAddr      map[string][]*outboundConn
+	idle            *list.List // the same, the one unused for longest first
+	outbound        int
+	outboundClosing int // of them, those that were told to close
+	dialing         int
 
 	// Calls that wait for a socket, in order: those of the state service, and all others.
 	stateQueue, queue *list.List
 	counts            SocketCounts
-	crowdedUntil      time.Time
+	pressureUntil     time.Time
 }
 
 // NewLoop prepares a loop that will listen on addr. store is the state service:
@@ -85,12 +85,12 @@
 // OnBoot implements gnet.EventHandler.
 func (l *Loop) OnBoot(eng gnet.Engine) gnet.Action {
 	l.engine = eng
-	go l.dialFirstConnection()
+	go l.bootstrapEventLoop()
 	return gnet.None
 }
 
-// dialFirstConnection makes a first connection so that the loop becomes known.
-func (l *Loop) dialFirstConnection() {
+// bootstrapEventLoop makes a first connection so that the loop becomes known.
+func (l *Loop) bootstrapEventLoop() {
 	for {
 		c, err := net.DialTimeout("tcp", l.stateAddr, dialTimeout)
 		if err == nil {
@@ -130,7 +130,7 @@
 		l.handler.Ready()
 	}
 	if o, ok := c.Context().(*outboundConn); ok {
-		l.dialed(o, c)
+		l.onDialed(o, c)
 	} else {
 		l.accept(c)
 	}
@@ -146,7 +146,7 @@
 			delete(l.pending, s.requestID)
 		}
 	case *outboundConn:
-		l.outboundClosed(s)
+		l.onOutboundClosed(s)
 	}
 	return gnet.None
 }
