--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -50,10 +50,10 @@
 	return e, addr
 })
 
-// hello answers every request.
-func hello(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }
+// serveHello answers every request.
+func serveHello(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }
 
-func talk(t *testing.T, addr, send string) string {
+func exchange(t *testing.T, addr, send string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -82,7 +82,7 @@
 		{"POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", "413"},
 		{"POST / HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
 	} {
-		if got := talk(t, addr, c.send); !strings.HasPrefix(got, c.want) {
+		if got := exchange(t, addr, c.send); !strings.HasPrefix(got, c.want) {
 			t.Errorf("%.40q: got %q, want %q", c.send, got, c.want)
 		}
 	}
@@ -125,17 +125,17 @@
 	}
 }
 
-// TestMoreHostsThanSockets calls more hosts than the loop may hold connections
+// TestIdleOutboundClosedForNewHosts calls more hosts than the loop may hold connections
 // to. The unused ones give way: without that, calls to whoever came later
 // waited in vain, and a controller took live machines for dead.
-func TestMoreHostsThanSockets(t *testing.T) {
+func TestIdleOutboundClosedForNewHosts(t *testing.T) {
 	e, _ := startLoop()
 	for i := range 2 * e.loop.maxSockets * maxOutboundPercent / 100 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := &http.Server{Handler: http.HandlerFunc(hello)}
+		server := &http.Server{Handler: http.HandlerFunc(serveHello)}
 		go func() { _ = server.Serve(ln) }()
 		t.Cleanup(func() { _ = server.Close() })
 		out := make(chan error, 1)
@@ -148,8 +148,8 @@
 	}
 }
 
-// callOften makes that many calls at once and waits until all are answered.
-func callOften(t *testing.T, e *echo, addr string, calls int) {
+// callConcurrently makes that many calls at once and waits until all are answered.
+func callConcurrently(t *testing.T, e *echo, addr string, calls int) {
 	t.Helper()
 	out := make(chan error, calls)
 	e.loop.Post(func() {
@@ -164,20 +164,20 @@
 	}
 }
 
-// TestWorkersBeforeUnusedCalls connects more clients than a fixed share for accepted
+// TestIdleOutboundClosedForAccepted connects more clients than a fixed share for accepted
 // connections left room for, after calls of ours have taken theirs. What is unused of
 // ours gives way, every client keeps its connection, and the limit holds: a fleet that
 // reconnects at once after all controllers were restarted is more than half of it.
-func TestWorkersBeforeUnusedCalls(t *testing.T) {
+func TestIdleOutboundClosedForAccepted(t *testing.T) {
 	e, addr := startLoop()
 	idle, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(hello)}
+	server := &http.Server{Handler: http.HandlerFunc(serveHello)}
 	go func() { _ = server.Serve(idle) }()
 	t.Cleanup(func() { _ = server.Close() })
-	callOften(t, e, idle.Addr().String(), 20)
+	callConcurrently(t, e, idle.Addr().String(), 20)
 	clients := make([]net.Conn, e.loop.maxSockets*3/4)
 	for round := range 2 {
 		for i := range clients {
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestPeers checks that what one controller publishes reaches the other over
+// TestPeerStreams checks that what one controller publishes reaches the other over
 // an HTTP/2 stream, also what it said before the other came.
-func TestPeers(t *testing.T) {
+func TestPeerStreams(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	addr := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/peer_streams.go
+++ b/internal/transport/peer_streams.go
@@ -20,7 +20,7 @@
 	peerReadTimeout    = 10 * time.Second
 	peerQueueLength    = 16
 	maxPeerConns       = 16
-	acceptRetry        = 100 * time.Millisecond
+	acceptRetryDelay   = 100 * time.Millisecond
 )
 
 // MaxPeerLine is the length of the longest line that a stream takes.
@@ -37,20 +37,20 @@
 	receive func(line []byte)
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	streams map[*stream]struct{}
-	last    []byte
-	dropped int
+	mu          sync.Mutex
+	subscribers map[*subscriber]struct{}
+	last        []byte
+	dropped     int
 }
 
-// stream is what a peer reads. Its name is as the peer gave it.
-type stream struct {
+// subscriber is what a peer reads. Its name is as the peer gave it.
+type subscriber struct {
 	name  string
 	lines chan []byte
 }
 
 // offer puts a line on a stream, and reports whether there was room.
-func (s *stream) offer(line []byte) bool {
+func (s *subscriber) offer(line []byte) bool {
 	select {
 	case s.lines <- line:
 		return true
@@ -62,14 +62,14 @@
 // NewPeerStreams serves events on listen and receives those of the peers, handing
 // each to receive, from goroutines of its own. name tells the peers whose stream it is.
 func NewPeerStreams(listen, name string, peers []string, receive func(line []byte), log *slog.Logger) (*PeerStreams, error) {
-	p := &PeerStreams{name: name, receive: receive, log: log, streams: map[*stream]struct{}{}}
+	p := &PeerStreams{name: name, receive: receive, log: log, subscribers: map[*subscriber]struct{}{}}
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
 	go p.serve(ln)
 	for _, addr := range peers {
-		go p.follow(addr)
+		go p.subscribe(addr)
 	}
 	return p, nil
 }
@@ -80,7 +80,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.last = line
-	for s := range p.streams {
+	for s := range p.subscribers {
 		if !s.offer(line) {
 			p.dropped++
 		}
@@ -91,7 +91,7 @@
 func (p *PeerStreams) Send(name string, line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for s := range p.streams {
+	for s := range p.subscribers {
 		if s.name == name && !s.offer(line) {
 			p.dropped++
 		}
@@ -110,7 +110,7 @@
 func (p *PeerStreams) serve(ln net.Listener) {
 	server := &http.Server{
 		Handler:     http.HandlerFunc(p.serveStream),
-		Protocols:   plainHTTP2(),
+		Protocols:   cleartextHTTP2(),
 		IdleTimeout: time.Minute,
 		HTTP2:       &http.HTTP2Config{MaxConcurrentStreams: 4, SendPingTimeout: 15 * time.Second},
 		ErrorLog:    slog.NewLogLogger(p.log.Handler(), slog.LevelDebug),
@@ -119,8 +119,8 @@
 	p.log.Error("peer listener failed", "error", err)
 }
 
-// plainHTTP2 is HTTP/2 without encryption and nothing else.
-func plainHTTP2() *http.Protocols {
+// cleartextHTTP2 is HTTP/2 without encryption and nothing else.
+func cleartextHTTP2() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetUnencryptedHTTP2(true)
 	return p
@@ -139,7 +139,7 @@
 		c, err := l.Listener.Accept()
 		switch {
 		case err != nil:
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 		case l.open.Add(1) > l.maxOpen:
 			l.open.Add(-1)
 			_ = c.Close() // nothing was read from it
@@ -168,16 +168,16 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	s := &stream{name: r.URL.Query().Get(peerNameParam), lines: make(chan []byte, peerQueueLength)}
+	s := &subscriber{name: r.URL.Query().Get(peerNameParam), lines: make(chan []byte, peerQueueLength)}
 	p.mu.Lock()
 	if p.last != nil {
 		s.lines <- p.last
 	}
-	p.streams[s] = struct{}{}
+	p.subscribers[s] = struct{}{}
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.streams, s)
+		delete(p.subscribers, s)
 		p.mu.Unlock()
 	}()
 	for {
@@ -193,9 +193,9 @@
 	}
 }
 
-func (p *PeerStreams) follow(addr string) {
+func (p *PeerStreams) subscribe(addr string) {
 	transport := &http.Transport{
-		Protocols:         plainHTTP2(),
+		Protocols:         cleartextHTTP2(),
 		DialContext:       (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		HTTP2:             &http.HTTP2Config{SendPingTimeout: 5 * time.Second, PingTimeout: 5 * time.Second},
 		ForceAttemptHTTP2: true,
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -10,27 +10,27 @@
 // give way to workers and users that come, since a fleet that reconnects at once
 // takes more than any fixed share of it.
 const (
-	maxOpenPercent      = 88 // those that are closing take some more for a moment
-	maxOutboundPercent  = 40 // of ours at the most
-	keptOutboundPercent = 12 // that don't give way to accepted ones
-	extraStatePercent   = 4  // more of ours, for the state service alone
-	maxDialingPercent   = 10 // at a time: those of machines that are gone hang
+	maxOpenPercent           = 88 // those that are closing take some more for a moment
+	maxOutboundPercent       = 40 // of ours at the most
+	minOutboundPercent       = 12 // that don't give way to accepted ones
+	stateServiceExtraPercent = 4  // more of ours, for the state service alone
+	maxDialingPercent        = 10 // at a time: those of machines that are gone hang
 	// Beyond this share of all sockets an answer ends its connection, where connections
 	// had to be shed lately.
-	crowdedPercent = 72
+	highWatermarkPercent = 72
 )
 
-// crowdedHold is for how long after a connection was shed, or came while sockets were few,
+// pressureDuration is for how long after a connection was shed, or came while sockets were few,
 // answers end their connections. There may be many more workers than sockets: one whose
 // idle connection is closed under its next report takes that for a failure and goes to
 // another controller a second later, while one that is told to close dials again.
-const crowdedHold = 10 * time.Second
+const pressureDuration = 10 * time.Second
 
 // SocketCounts are how often bounds of the sockets were reached.
 type SocketCounts struct {
-	ClosedWhenCrowded  int // answers that ended their connection for want of sockets
-	ClosedForRoom      int // accepted connections that were closed to make room
-	CallsWithoutSocket int // calls that were given up while they waited for a socket
+	ClosedAfterResponse int // answers that ended their connection for want of sockets
+	ConnectionsShed     int // accepted connections that were closed to make room
+	CallsWithoutSocket  int // calls that were given up while they waited for a socket
 }
 
 // TakeCounts tells how often bounds were reached since it was last asked. It runs on the loop.
@@ -44,16 +44,20 @@
 
 // outboundSockets is the number of connections of ours, those that are being dialled included,
 // and open the number of all connections.
-func (l *Loop) outboundSockets() int { return l.outbound - l.closing + l.dialing }
+func (l *Loop) outboundSockets() int { return l.outbound - l.outboundClosing + l.dialing }
 
 func (l *Loop) openSockets() int { return l.outboundSockets() + l.accepted.Len() }
 
-// nearLimit reports whether few sockets are left.
-func (l *Loop) nearLimit() bool { return l.openSockets() > l.socketShare(crowdedPercent) }
+// aboveHighWatermark reports whether few sockets are left.
+func (l *Loop) aboveHighWatermark() bool {
+	return l.openSockets() > l.socketShare(highWatermarkPercent)
+}
 
-// crowded reports whether there are more clients than sockets, so that an answer is to end
+// underPressure reports whether there are more clients than sockets, so that an answer is to end
 // its connection.
-func (l *Loop) crowded() bool { return l.nearLimit() && time.Now().Before(l.crowdedUntil) }
+func (l *Loop) underPressure() bool {
+	return l.aboveHighWatermark() && time.Now().Before(l.pressureUntil)
+}
 
 // closeLongestIdle closes the connection of ours that has been unused for longest.
 func (l *Loop) closeLongestIdle() bool {
@@ -64,37 +68,37 @@
 	o := e.Value.(*outboundConn)
 	l.removeIdle(o)
 	o.closing = true
-	l.closing++
+	l.outboundClosing++
 	_ = o.conn.Close()
 	return true
 }
 
-// closeLongestSilent closes the accepted connection that was heard longest ago, so that silent
+// shedLeastRecentlyActive closes the accepted connection that was heard longest ago, so that silent
 // clients can't lock out the others. Those that wait for an answer are kept.
-func (l *Loop) closeLongestSilent() {
+func (l *Loop) shedLeastRecentlyActive() {
 	for e := l.accepted.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*acceptedConn)
 		if s.requestID != 0 {
 			continue
 		}
-		l.counts.ClosedForRoom++
-		l.crowdedUntil = time.Now().Add(crowdedHold)
+		l.counts.ConnectionsShed++
+		l.pressureUntil = time.Now().Add(pressureDuration)
 		l.removeAccepted(s)
 		_ = s.conn.Close()
 		return
 	}
 }
 
-// mayDial reports whether one more dial may begin now.
-func (l *Loop) mayDial() bool {
-	return l.dialing < max(minConcurrentDials, l.socketShare(maxDialingPercent)) && l.makeRoom()
+// canDial reports whether one more dial may begin now.
+func (l *Loop) canDial() bool {
+	return l.dialing < max(minConcurrentDials, l.socketShare(maxDialingPercent)) && l.ensureOutboundCapacity()
 }
 
-// makeRoom reports whether one more connection of ours may be opened, and makes
+// ensureOutboundCapacity reports whether one more connection of ours may be opened, and makes
 // room by closing the one that has been unused for longest. With more machines
 // than sockets, those that had an order a while ago would otherwise keep all
 // others from being reached, and those would be taken for dead.
-func (l *Loop) makeRoom() bool {
+func (l *Loop) ensureOutboundCapacity() bool {
 	full := func() bool {
 		return l.outboundSockets() >= l.socketShare(maxOutboundPercent) || l.openSockets() >= l.socketShare(maxOpenPercent)
 	}
@@ -106,13 +110,13 @@
 	now := time.Now()
 	for e := l.accepted.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*acceptedConn)
-		if !s.requestBegan.IsZero() && now.Sub(s.requestBegan) > requestTimeout {
+		if !s.requestBegan.IsZero() && now.Sub(s.requestBegan) > requestReadTimeout {
 			l.writeBuffer = appendResponse(l.writeBuffer[:0], 408, 0, []byte(`{"error":"request took too long"}`), true)
 			_, _ = s.conn.Write(l.writeBuffer)
 			_ = s.conn.Close()
 		}
 	}
-	for e := l.idle.Front(); e != nil && now.Sub(e.Value.(*outboundConn).lastUsed) > maxIdle; e = l.idle.Front() {
+	for e := l.idle.Front(); e != nil && now.Sub(e.Value.(*outboundConn).lastUsed) > outboundIdleTimeout; e = l.idle.Front() {
 		l.closeLongestIdle()
 	}
 	l.After(sweepInterval, l.closeExpired)
