--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// Paths of the cloud's interface.
+// Paths of the cloud API.
 const (
 	PathMachineTypes = "/flavors"
 	PathMachines     = "/hosts"
 	PathTerminate    = "/hosts/release"
 )
 
-// Limits of the cloud's calls.
+// Limits that the cloud sets on one call.
 const (
 	MaxMachinesPerProvision   = 50
 	MaxMachinesPerTermination = 100
@@ -42,7 +42,7 @@
 	Age   float64 `json:"ageS"`
 }
 
-// ParseMachineTypes reads the cloud's machine types.
+// ParseMachineTypes parses the cloud's list of machine types.
 func ParseMachineTypes(body []byte) ([]MachineType, error) {
 	var w struct {
 		Types []wireMachineType `json:"hullForms"`
@@ -64,25 +64,26 @@
 	return types, nil
 }
 
-// validate refuses types that nothing could be placed on or counted with.
+// validate rejects types that no task could be placed on, and amounts that would corrupt
+// capacity or cost calculations.
 func (w *wireMachineType) validate() error {
 	switch {
 	case w.Name == "":
 		return responseError("label", reasonMissing)
 	case w.CPUs <= 0 || w.MemoryGB < 0 || w.GPUs < 0 || w.Price < 0:
-		return responseError("hullForms", "has an impossible amount")
+		return responseError("hullForms", "has cpus of 0 or less, or a negative memGb, gpus or rate")
 	case w.BootTime < 0 || w.BootTime > maxSeconds:
 		return responseError("readyS", "is not a duration")
 	}
 	return nil
 }
 
-// EncodeProvision asks for machines.
+// EncodeProvision encodes the request that provisions machines.
 func EncodeProvision(request, typ, zone string, spot bool, count int) []byte {
 	return Encode(ProvisionRequest{request, typ, zone, spot, count})
 }
 
-// ParseMachineNames reads the names of the machines that were rented.
+// ParseMachineNames parses the names of the machines that were provisioned.
 func ParseMachineNames(body []byte) ([]string, error) {
 	var w struct {
 		Names []string `json:"decks"`
@@ -101,12 +102,13 @@
 	return w.Names, nil
 }
 
-// EncodeTerminate names machines to return.
+// EncodeTerminate encodes the request that terminates the named machines.
 func EncodeTerminate(names []string) []byte {
 	return EncodeMachineNames(names)
 }
 
-// MachinesTarget is the target of one page of the cloud's list.
+// MachinesTarget returns the request target of one page of the cloud's machine list: the
+// machines after the one named, or the first page if after is empty.
 func MachinesTarget(after string) string {
 	t := fmt.Sprintf("%s?limit=%d", PathMachines, MachinesPageSize)
 	if after != "" {
@@ -117,7 +119,8 @@
 
 var machineStateNames = map[string]MachineState{"starting": Booting, "running": Up, "failed": Failed}
 
-// ParseMachines reads one page of the cloud's list.
+// ParseMachines parses one page of the cloud's machine list; more reports whether another
+// page follows.
 func ParseMachines(body []byte) (list []ListedMachine, more bool, err error) {
 	var w struct {
 		Machines []wireMachine `json:"decks"`
@@ -145,8 +148,8 @@
 	return list, *w.More, nil
 }
 
-// IsNoCapacity reports whether a refusal says that there are no machines, rather
-// than that the cloud is in trouble.
+// IsNoCapacity reports whether the body of an error response says that the cloud has no
+// machines left of the requested kind, rather than that the call failed.
 func IsNoCapacity(body []byte) bool {
 	var w struct {
 		Error string `json:"error"`
--- a/internal/protocol/decode.go
+++ b/internal/protocol/decode.go
@@ -7,13 +7,13 @@
 	fast "github.com/segmentio/encoding/json"
 )
 
-// maxNestingDepth is how deeply encoding/json takes values to be nested.
+// maxNestingDepth is the nesting depth that encoding/json accepts.
 const maxNestingDepth = 10000
 
-// Decode reads what comes often: reports, answers of the state service, records. It takes
-// and refuses what encoding/json does (FuzzDecode), in a third of the time. The library
-// follows nested values with its stack, however deep, so what might be nested too
-// deeply goes to encoding/json, which refuses it.
+// Decode unmarshals JSON on the hot paths: heartbeats, responses of the state service, stored
+// records. It accepts and rejects the same input as encoding/json (checked by FuzzDecode) in a
+// third of the time. The library recurses into nested values without a depth limit, so input
+// that may be nested too deeply goes to encoding/json, which rejects it.
 func Decode(body []byte, v any) error {
 	if bytes.Count(body, []byte{'['})+bytes.Count(body, []byte{'{'}) > maxNestingDepth {
 		return json.Unmarshal(body, v)
--- a/internal/protocol/decode_test.go
+++ b/internal/protocol/decode_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// decodeTargets are the shapes that decode reads.
+// decodeTargets make empty values of the types that Decode is used with.
 var decodeTargets = []func() any{
 	func() any { return new(wireHeartbeat) },
 	func() any { return new(wireKeyValue) },
@@ -15,19 +15,20 @@
 }
 
 func checkDecode(t *testing.T, body []byte) {
-	for _, shape := range decodeTargets {
-		want, got := shape(), shape()
+	for _, newTarget := range decodeTargets {
+		want, got := newTarget(), newTarget()
 		wantErr, gotErr := json.Unmarshal(body, want), Decode(append([]byte(nil), body...), got)
 		if (wantErr == nil) != (gotErr == nil) {
-			t.Fatalf("%.200q into %T: encoding/json says %v, decode %v", body, want, wantErr, gotErr)
+			t.Fatalf("%.200q into %T: encoding/json returned error %v, Decode %v", body, want, wantErr, gotErr)
 		}
 		if wantErr == nil && !reflect.DeepEqual(want, got) {
-			t.Fatalf("%.200q: encoding/json reads %+v, decode %+v", body, want, got)
+			t.Fatalf("%.200q: encoding/json decoded %+v, Decode %+v", body, want, got)
 		}
 	}
 }
 
-// FuzzDecode holds decode to what encoding/json takes, reads and refuses.
+// FuzzDecode checks that Decode accepts the same input as encoding/json and yields the same
+// values.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`{"deck":"a","watch":1,"logSeq":2,"oars":[{"oar":"x/1","launch":1,"bearing":"running","kept":true}]}`,
@@ -44,7 +45,8 @@
 	f.Fuzz(checkDecode)
 }
 
-// TestDecodeDeeplyNested has values nested as deeply as a body can hold.
+// TestDecodeDeeplyNested compares the decoders on nesting around encoding/json's limit and far
+// beyond it.
 func TestDecodeDeeplyNested(t *testing.T) {
 	for _, n := range []int{100, maxNestingDepth - 2, maxNestingDepth - 1, maxNestingDepth, maxNestingDepth + 1, 30000} {
 		checkDecode(t, []byte(`{"x":`+strings.Repeat("[", n)+strings.Repeat("]", n)+`}`))
@@ -52,20 +54,20 @@
 	}
 }
 
-// TestHeartbeatAllocations holds what reading a report costs: a leader reads one of each
-// machine every few seconds, and the answers to its calls.
+// TestHeartbeatAllocations bounds the allocations of parsing a heartbeat: a leader parses one
+// per machine every few seconds, and the responses to its own calls to workers.
 func TestHeartbeatAllocations(t *testing.T) {
-	r := &Heartbeat{Machine: "vm-000123", Addr: "10.3.0.12:8080", Type: "small", Zone: "a", Incarnation: 1, Sequence: 123, FencingToken: 1 << 32}
+	h := &Heartbeat{Machine: "vm-000123", Addr: "10.3.0.12:8080", Type: "small", Zone: "a", Incarnation: 1, Sequence: 123, FencingToken: 1 << 32}
 	for i := range 12 {
-		r.Tasks = append(r.Tasks, TaskStatus{Job: "run-000123", TaskIndex: i, Attempt: 1, State: Running})
+		h.Tasks = append(h.Tasks, TaskStatus{Job: "run-000123", TaskIndex: i, Attempt: 1, State: Running})
 	}
-	body := EncodeHeartbeat(r)
+	body := EncodeHeartbeat(h)
 	allocs := testing.AllocsPerRun(100, func() {
 		if _, err := ParseHeartbeat(body); err != nil {
 			t.Fatal(err)
 		}
 	})
-	if most := 34.0; allocs > most {
-		t.Errorf("a report of 12 tasks takes %v allocations, more than %v", allocs, most)
+	if limit := 34.0; allocs > limit {
+		t.Errorf("parsing a heartbeat of 12 tasks takes %v allocations, want at most %v", allocs, limit)
 	}
 }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,14 +1,14 @@
-// Package protocol is the codec of the interfaces that users, workers, the cloud and the state
-// service share with controllers: HTTP paths, JSON bodies and their limits.
+// Package protocol encodes and decodes the messages that controllers exchange with users,
+// workers, the cloud and the state service: HTTP paths, JSON bodies and their limits.
 //
-// It owns the mapping from the vocabulary of the wire to the field's terms. The wire's words
-// occur in this package alone; what it exports is named as the rest of the program names it
-// (docs/GLOSSARY.md lists both). Parse functions check a body in full and refuse it as a whole:
-// a FieldError names the field and the reason, sentinels tell kinds of messages apart, and
-// errors of encoding/json come through. Encode functions write the forms that are on the wire
-// today, byte for byte. Durations are decimal seconds on the wire, and milliseconds where the
-// field's name ends in Ms; sizes are GB, prices are per hour.
+// It maps the names used on the wire to the scheduling terms used in the code. Wire names occur
+// only in this package; its exported identifiers follow the rest of the program
+// (docs/GLOSSARY.md lists both). Parse functions validate a body in full and accept or reject it
+// as a whole: a FieldError names the field and the reason, sentinel errors tell the kinds of
+// messages apart, and errors of encoding/json are passed through. The output of the Encode
+// functions must stay the same byte for byte. Durations are decimal seconds on the wire, and
+// milliseconds where the field's name ends in Ms; sizes are in GB, prices per hour.
 //
-// The package must never do I/O, read a clock, keep state between calls, or decide anything:
-// a message that is well formed may still be late, repeated or from a machine that is unknown.
+// The package must never do I/O, read a clock, keep state between calls, or make scheduling
+// decisions: a well-formed message may still be late, a duplicate or from an unknown machine.
 package protocol
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -2,38 +2,39 @@
 
 import "errors"
 
-// What a message can be refused for as a whole. A FieldError about a response or a heartbeat
-// wraps the sentinel of its message, so that errors.Is tells them apart.
+// Sentinel errors of rejected messages. A FieldError about a response or a heartbeat wraps the
+// sentinel of that kind of message, for errors.Is.
 var (
 	// ErrNotObject says that a submission's body is not a JSON object.
 	ErrNotObject = errors.New("the body is not a JSON object")
-	// ErrInvalidResponse says that a service answered with JSON that it may not answer with.
-	ErrInvalidResponse = errors.New("an answer that makes no sense")
-	// ErrInvalidHeartbeat says that a body is JSON but not a worker's heartbeat.
+	// ErrInvalidResponse says that a response of a service is JSON but lacks a required field or
+	// holds an invalid value.
+	ErrInvalidResponse = errors.New("invalid response")
+	// ErrInvalidHeartbeat says that a body is JSON but not a valid heartbeat of a worker.
 	ErrInvalidHeartbeat = errors.New("not a worker's report")
 )
 
-// FieldError is a field that is missing from a message or holds what it must not. Callers
+// FieldError reports a field of a message that is missing or holds an invalid value. Callers
 // find it with errors.As.
 type FieldError struct {
-	// Sentinel is ErrInvalidResponse or ErrInvalidHeartbeat, nil for a submission.
+	// Sentinel is ErrInvalidResponse or ErrInvalidHeartbeat; nil for a job submission.
 	Sentinel error
 	// Field is the field's name on the wire.
 	Field string
-	// Reason completes a sentence that begins with the field.
+	// Reason says what is wrong with the field; Field and Reason read as one sentence.
 	Reason string
 }
 
-// Error implements error. Users are told the field of their submission and the reason. For
-// other messages it is the text of the message alone, which operators search their logs for.
+// Error implements error. For a submission the text is sent to the user: the field and the
+// reason. For other messages it begins with the sentinel's text.
 func (e *FieldError) Error() string {
 	if e.Sentinel != nil {
-		return e.Sentinel.Error()
+		return e.Sentinel.Error() + ": " + e.Field + " " + e.Reason
 	}
 	return e.Field + " " + e.Reason
 }
 
-// Unwrap gives the sentinel of the message, nil for a submission.
+// Unwrap returns the sentinel; nil for a submission.
 func (e *FieldError) Unwrap() error { return e.Sentinel }
 
 const reasonMissing = "is missing"
--- a/internal/protocol/errors_test.go
+++ b/internal/protocol/errors_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Users read what is wrong with a submission: the texts stay as they are.
+// TestSubmissionErrors fixes the texts of the errors that users receive for an invalid
+// submission: clients may match them.
 func TestSubmissionErrors(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{validSubmission, ``, "the body is not a JSON object"},
@@ -41,40 +42,44 @@
 			t.Errorf("%.60s: error %q, want %q", test.to, err, test.want)
 		}
 		var field *FieldError
-		ofField := !errors.Is(err, ErrNotObject) && !strings.HasPrefix(test.want, "bad JSON")
-		if errors.As(err, &field) != ofField || ofField && field.Error() != test.want {
-			t.Errorf("%.60s: %T, naming %+v", test.to, err, field)
+		wantField := !errors.Is(err, ErrNotObject) && !strings.HasPrefix(test.want, "bad JSON")
+		if errors.As(err, &field) != wantField || wantField && field.Error() != test.want {
+			t.Errorf("%.60s: error of type %T, with FieldError %+v", test.to, err, field)
 		}
 	}
 }
 
-// Operators read these texts in the output of commands and in logs.
+// TestResponseErrors checks the errors about responses and heartbeats: each names the field and
+// the reason, and wraps the sentinel of its kind of message.
 func TestResponseErrors(t *testing.T) {
-	const impossible = "an answer that makes no sense"
+	const invalidResponse, invalidHeartbeat = "invalid response", "not a worker's report"
 	for _, test := range []struct {
-		name string
-		err  error
-		want string
+		name   string
+		err    error
+		prefix string
+		detail string
 	}{
-		{"types", errorOf(ParseMachineTypes([]byte(`{"hullForms":[]}`))), impossible},
-		{"type", errorOf(ParseMachineTypes([]byte(`{"hullForms":[{"label":"a"}]}`))), impossible},
-		{"names", errorOf(ParseMachineNames([]byte(`{}`))), impossible},
-		{"key", errorOf(ParseKeyValue([]byte(`{"path":"a"}`))), impossible},
-		{"revision", errorOf(ParseRevision([]byte(`{}`))), impossible},
-		{"failed", errorOf(ParseFailedConditions([]byte(`{"failed":[]}`))), impossible},
-		{"lease", errorOf(ParseLease([]byte(`{}`))), impossible},
-		{"heartbeat", errorOf(ParseHeartbeat([]byte(`{}`))), "not a worker's report"},
-		{"notice", errorOf(ParseHeartbeat([]byte(`{"deck":"m","watch":1,"logSeq":1,"recallS":1e10}`))), "not a worker's report"},
+		{"types", errorOf(ParseMachineTypes([]byte(`{"hullForms":[]}`))), invalidResponse, "hullForms is missing"},
+		{"type", errorOf(ParseMachineTypes([]byte(`{"hullForms":[{"label":"a"}]}`))), invalidResponse,
+			"hullForms has cpus of 0 or less, or a negative memGb, gpus or rate"},
+		{"names", errorOf(ParseMachineNames([]byte(`{}`))), invalidResponse, "decks is missing"},
+		{"key", errorOf(ParseKeyValue([]byte(`{"path":"a"}`))), invalidResponse, "entry is missing"},
+		{"revision", errorOf(ParseRevision([]byte(`{}`))), invalidResponse, "logbook is missing"},
+		{"failed", errorOf(ParseFailedConditions([]byte(`{"failed":[]}`))), invalidResponse, "failed names no condition"},
+		{"lease", errorOf(ParseLease([]byte(`{}`))), invalidResponse, "warrant is missing"},
+		{"heartbeat", errorOf(ParseHeartbeat([]byte(`{}`))), invalidHeartbeat, "deck is missing or not a name"},
+		{"notice", errorOf(ParseHeartbeat([]byte(`{"deck":"m","watch":1,"logSeq":1,"recallS":1e10}`))), invalidHeartbeat,
+			"recallS is not a duration"},
 	} {
-		if test.err == nil || test.err.Error() != test.want {
-			t.Errorf("%s: error %v, want %q", test.name, test.err, test.want)
+		if want := test.prefix + ": " + test.detail; test.err == nil || test.err.Error() != want {
+			t.Errorf("%s: error %v, want %q", test.name, test.err, want)
 		}
 		var field *FieldError
 		if !errors.As(test.err, &field) || field.Field == "" || field.Reason == "" {
-			t.Errorf("%s: %v names no field", test.name, test.err)
+			t.Errorf("%s: error %v names no field", test.name, test.err)
 		}
-		if errors.Is(test.err, ErrInvalidHeartbeat) != (test.want != impossible) || errors.Is(test.err, ErrInvalidResponse) != (test.want == impossible) {
-			t.Errorf("%s: %v is of the wrong message", test.name, test.err)
+		if errors.Is(test.err, ErrInvalidHeartbeat) != (test.prefix == invalidHeartbeat) || errors.Is(test.err, ErrInvalidResponse) != (test.prefix == invalidResponse) {
+			t.Errorf("%s: error %v wraps the wrong sentinel", test.name, test.err)
 		}
 	}
 }
--- a/internal/protocol/model.go
+++ b/internal/protocol/model.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Kind says how a job's tasks end.
+// Kind is a kind of job: how its tasks run and when they end.
 type Kind uint8
 
 // Kinds of jobs.
 const (
 	Batch   Kind = iota + 1 // independent tasks, each runs to completion
 	Service                 // replicas run until the job is cancelled
-	Gang                    // tasks that run to completion, all of them at once
+	Gang                    // tasks that run to completion and must all run at the same time
 )
 
-// Priority orders jobs; a larger one goes first.
+// Priority orders jobs: those with a larger value are scheduled first.
 type Priority uint8
 
 // Priorities of jobs.
@@ -23,7 +23,7 @@
 	Critical
 )
 
-// Job is an accepted job as its user described it.
+// Job is the specification of an accepted job, as its user submitted it.
 type Job struct {
 	ID           string   `json:"id"`
 	Class        string   `json:"class"`
@@ -39,17 +39,17 @@
 	MachineTypes []string `json:"types,omitempty"` // allowed machine types; any when empty
 	Zone         string   `json:"zone,omitempty"`  // the only allowed zone; any when empty
 	OneZone      bool     `json:"oneZone,omitempty"`
-	Spread       bool     `json:"spread,omitempty"` // at most half of the tasks in a zone
+	Spread       bool     `json:"spread,omitempty"` // at most half of the tasks in any one zone
 	AllowSpot    bool     `json:"spot,omitempty"`   // may use spot machines
 
 	EstimatedRuntime   time.Duration `json:"est,omitempty"`
-	CheckpointInterval time.Duration `json:"ckpt,omitempty"` // 0: the task never saves
+	CheckpointInterval time.Duration `json:"ckpt,omitempty"` // 0: the task takes no checkpoints
 	CheckpointDuration time.Duration `json:"save,omitempty"`
 	Deadline           time.Duration `json:"deadline,omitempty"`
 	HasDeadline        bool          `json:"hasDeadline,omitempty"`
 }
 
-// AllowsType reports whether the job may run on machines of the type.
+// AllowsType reports whether the job may run on machines of the named type.
 func (j *Job) AllowsType(name string) bool {
 	if len(j.MachineTypes) == 0 {
 		return true
@@ -62,13 +62,13 @@
 	return false
 }
 
-// MachineType describes what the cloud rents.
+// MachineType is a type of machine that the cloud offers.
 type MachineType struct {
 	Name             string        `json:"name"`
 	CPUs             float64       `json:"cpus"`
 	GPUs             float64       `json:"gpus,omitempty"`
 	MemoryGB         float64       `json:"mem"`
-	CacheGB          float64       `json:"cache"`
+	CacheGB          float64       `json:"cache"` // for images
 	FetchGBPerSecond float64       `json:"fetch"` // GB per second
 	PricePerHour     float64       `json:"price"` // per hour
 	SpotPricePerHour float64       `json:"spot"`
@@ -81,10 +81,11 @@
 	return j.CPUs <= t.CPUs+Epsilon && j.GPUs <= t.GPUs+Epsilon && j.MemoryGB <= t.MemoryGB+Epsilon
 }
 
-// Epsilon absorbs what adding and subtracting decimal amounts leaves behind.
+// Epsilon is the tolerance in comparisons of resource amounts: it absorbs the rounding errors
+// of repeated additions and subtractions.
 const Epsilon = 1e-9
 
-// TaskState is a task's state as its worker reports it.
+// TaskState is the state of a task as its worker reports it.
 type TaskState uint8
 
 // States of reported tasks.
@@ -95,7 +96,7 @@
 	Exited
 )
 
-// ExitReason tells why a reported task has ended.
+// ExitReason is the reason that a worker reports for the end of a task.
 type ExitReason uint8
 
 // Reasons of exited tasks.
@@ -104,13 +105,13 @@
 	ExitDone
 	ExitStopped
 	ExitError
-	ExitNoCapacity
-	ExitAlreadyRunning
-	ExitUnknownTask
-	ExitGangFailed // the rest of its gang ended or didn't come
+	ExitNoCapacity     // the machine's free resources don't suffice
+	ExitAlreadyRunning // the machine runs another attempt of the task
+	ExitUnknownTask    // the worker knows no such task
+	ExitGangFailed     // another task of its gang ended or did not start
 )
 
-// TaskStatus is one task in a worker's report.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Job          string
 	TaskIndex    int
@@ -120,7 +121,7 @@
 	Checkpointed bool
 }
 
-// Heartbeat is what a worker tells of its machine.
+// Heartbeat is a worker's report of its machine and the tasks on it.
 type Heartbeat struct {
 	Machine             string
 	Addr                string
@@ -130,30 +131,30 @@
 	Sequence            uint64
 	FencingToken        uint64
 	HasPreemptionNotice bool
-	PreemptionNotice    time.Duration // until the cloud takes the machine
+	PreemptionNotice    time.Duration // until the cloud reclaims the machine
 	Tasks               []TaskStatus
 }
 
-// OrderKind is what a worker is told to do.
+// OrderKind is the action that an order asks for.
 type OrderKind uint8
 
 // Kinds of orders.
 const (
 	Start OrderKind = iota + 1
 	Stop
-	Forget
+	Forget // no longer report the exited attempt
 )
 
-// Order is one command to a worker.
+// Order is one command to a worker about an attempt of a task.
 type Order struct {
 	Kind      OrderKind
 	Job       string
 	TaskIndex int
 	Attempt   uint64
-	Grace     time.Duration // of a stop
+	Grace     time.Duration // that a stopped task has for a checkpoint
 }
 
-// MachineState is a machine's state as the cloud lists it.
+// MachineState is the state of a machine in the cloud's list.
 type MachineState uint8
 
 // States of listed machines.
@@ -163,7 +164,7 @@
 	Failed
 )
 
-// ListedMachine is one machine of the cloud's list.
+// ListedMachine is one entry of the cloud's machine list.
 type ListedMachine struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
@@ -171,7 +172,7 @@
 	Age                    time.Duration
 }
 
-// JobState is what users are told of a job.
+// JobState is the state of a job in responses to users.
 type JobState uint8
 
 // States of jobs.
@@ -182,5 +183,5 @@
 	Cancelled
 )
 
-// Final reports whether the state can't change any more.
+// Final reports whether the state is terminal.
 func (s JobState) Final() bool { return s == Done || s == Cancelled }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("got %+v", j)
 	}
 	if again, err := ParseJob(EncodeJob(j)); err != nil || !reflect.DeepEqual(again, j) {
-		t.Errorf("written and read again: %+v, %v", again, err)
+		t.Errorf("round trip: got %+v, %v", again, err)
 	}
 	for _, c := range []struct{ from, to string }{
 		{`"nameId":"run-000412"`, `"nameId":"job-000412"`},
@@ -43,11 +43,11 @@
 		{`"tideS":900.0`, `"tideS":-1`},
 	} {
 		if _, err := ParseJob([]byte(strings.Replace(validSubmission, c.from, c.to, 1))); err == nil {
-			t.Errorf("%s is taken", c.to)
+			t.Errorf("a job with %s is accepted", c.to)
 		}
 	}
 	if j, err := ParseJob([]byte(strings.Replace(validSubmission, `"tideS":900.0,`, ``, 1))); err != nil || j.HasDeadline {
-		t.Errorf("without a deadline: %+v, %v", j, err)
+		t.Errorf("a job without a deadline: got %+v, %v", j, err)
 	}
 }
 
@@ -62,7 +62,7 @@
 		{"/v2/runs/a/b", RouteNone, ""}, {"/up?x=1", RouteHealth, ""}, {"/v1/report", RouteHeartbeat, ""}, {"/", RouteNone, ""},
 	} {
 		if route, id := ParseTarget(c.target); route != c.route || id != c.id {
-			t.Errorf("%s: route %d, id %q", c.target, route, id)
+			t.Errorf("%s: got route %d and id %q", c.target, route, id)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		`{"deck":"m","watch":1,"logSeq":1,"oars":[{"oar":"run-000001","launch":1,"bearing":"running"}]}`,
 		`{"deck":"m","watch":1,"logSeq":1,"oars":[{"oar":"run-000001/0","launch":1,"bearing":"flying"}]}`} {
 		if _, err := ParseHeartbeat([]byte(bad)); err == nil {
-			t.Errorf("%s is taken", bad)
+			t.Errorf("heartbeat %s is accepted", bad)
 		}
 	}
 }
@@ -89,17 +89,17 @@
 	orders := []Order{{Kind: Start, Job: "run-000001", TaskIndex: 4, Attempt: 2},
 		{Kind: Stop, Job: "run-000002", TaskIndex: 1, Attempt: 1, Grace: 10 * time.Second},
 		{Kind: Forget, Job: "run-000003", TaskIndex: 0, Attempt: 9}}
-	token, session, got, err := ParseOrders(EncodeDirectOrders(7<<16|3, 2, orders))
-	if err != nil || *token != 7<<16|3 || *session != 2 || !reflect.DeepEqual(got, orders) {
+	token, incarnation, got, err := ParseOrders(EncodeDirectOrders(7<<16|3, 2, orders))
+	if err != nil || *token != 7<<16|3 || *incarnation != 2 || !reflect.DeepEqual(got, orders) {
 		t.Errorf("got %v, %v", got, err)
 	}
-	if token, session, _, err = ParseOrders(EncodeHeartbeatResponse(5, nil)); err != nil || *token != 5 || session != nil {
-		t.Errorf("an answer without orders: %v", err)
+	if token, incarnation, _, err = ParseOrders(EncodeHeartbeatResponse(5, nil)); err != nil || *token != 5 || incarnation != nil {
+		t.Errorf("a heartbeat response without orders: %v", err)
 	}
 }
 
-// FuzzParseHeartbeat checks that whatever is taken as a report says the same
-// when written and read again.
+// FuzzParseHeartbeat checks that a heartbeat that was accepted survives encoding and parsing
+// again.
 func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"deck":"vm-1","endpoint":"x","watch":1,"logSeq":8,"helm":4,"recallS":3.5,"oars":[{"oar":"run-000412/3","launch":2,"bearing":"exited","wreckCause":"done"}]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -109,7 +109,7 @@
 		}
 		again, err := ParseHeartbeat(EncodeHeartbeat(r))
 		if err != nil || again.Machine != r.Machine || len(again.Tasks) != len(r.Tasks) || again.Sequence != r.Sequence {
-			t.Fatalf("read again: %+v, %v", again, err)
+			t.Fatalf("round trip: got %+v, %v", again, err)
 		}
 	})
 }
--- a/internal/protocol/simulator_codec.go
+++ b/internal/protocol/simulator_codec.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// This file holds the codec of the other side of each interface: what workers, the cloud, the
-// state service and users send and read. The simulator and tests use it.
+// This file encodes and decodes for the other end of each connection: what users, workers, the
+// cloud and the state service send and receive. The simulator and tests use it.
 
+// wireName returns the wire name of a value; of several, the first in alphabetical order.
 func wireName[T comparable](names map[string]T, v T) string {
 	best := ""
 	for name, x := range names {
@@ -22,7 +23,7 @@
 	return best
 }
 
-// EncodeJob makes the body of a submission.
+// EncodeJob encodes a job submission.
 func EncodeJob(j *Job) []byte {
 	kind, priority := wireName(kindNames, j.Kind), wireName(priorityNames, j.Priority)
 	tasks := int64(j.Tasks)
@@ -40,7 +41,7 @@
 	return Encode(w)
 }
 
-// Encode marshals a value that can't fail to be one.
+// Encode marshals a value whose type can't cause an error; it panics on one.
 func Encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -49,14 +50,14 @@
 	return raw
 }
 
-// JobStatus is what a user is told of a job.
+// JobStatus is the status of a job in a response to its user.
 type JobStatus struct {
 	ID            string
 	State         JobState
-	Done, Running int // tasks; 0 in the answer to a submission, which doesn't tell
+	Done, Running int // numbers of tasks; 0 in the response to a submission, which has none
 }
 
-// ParseJobStatus reads what a user is told of a job.
+// ParseJobStatus parses the status of a job.
 func ParseJobStatus(body []byte) (JobStatus, error) {
 	var w struct {
 		ID      string `json:"nameId"`
@@ -79,10 +80,10 @@
 	return status, nil
 }
 
-// String is the state as users read it.
+// String returns the state's name on the wire.
 func (s JobState) String() string { return jobStateNames[s] }
 
-// EncodeHeartbeat makes a worker's report.
+// EncodeHeartbeat encodes a worker's heartbeat.
 func EncodeHeartbeat(r *Heartbeat) []byte {
 	w := wireHeartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
 		Incarnation: &r.Incarnation, Sequence: &r.Sequence, FencingToken: r.FencingToken, Tasks: []wireTask{}}
@@ -100,13 +101,13 @@
 	return Encode(w)
 }
 
-// ParseOrders reads the orders a worker is given; a token or session that is
-// not there comes back as nil.
-func ParseOrders(body []byte) (token, session *uint64, orders []Order, err error) {
+// ParseOrders parses the orders in a message to a worker. The fencing token or the incarnation
+// is nil if the message has none.
+func ParseOrders(body []byte) (token, incarnation *uint64, orders []Order, err error) {
 	var w struct {
-		Token   *uint64 `json:"helm"`
-		Session *uint64 `json:"watch"`
-		Orders  []struct {
+		Token       *uint64 `json:"helm"`
+		Incarnation *uint64 `json:"watch"`
+		Orders      []struct {
 			Kind    string  `json:"orderKind"`
 			Task    string  `json:"oar"`
 			Attempt uint64  `json:"launch"`
@@ -120,14 +121,14 @@
 		job, index, ok := splitTask(o.Task)
 		kind := map[string]OrderKind{"run": Start, "stop": Stop, "clear": Forget}[o.Kind]
 		if !ok || kind == 0 {
-			return nil, nil, nil, responseError("orders", "holds something that is not an order")
+			return nil, nil, nil, responseError("orders", "holds an invalid order")
 		}
 		orders = append(orders, Order{Kind: kind, Job: job, TaskIndex: index, Attempt: o.Attempt, Grace: Seconds(o.Grace)})
 	}
-	return w.Token, w.Session, orders, nil
+	return w.Token, w.Incarnation, orders, nil
 }
 
-// ParseRedirect reads whom a 421 names.
+// ParseRedirect parses the body of a 421 response: the leader's name, or none.
 func ParseRedirect(body []byte) string {
 	var w struct {
 		Leader string `json:"flagship"`
@@ -138,7 +139,7 @@
 	return w.Leader
 }
 
-// EncodeMachineTypes makes the cloud's list of machine types.
+// EncodeMachineTypes encodes the cloud's list of machine types.
 func EncodeMachineTypes(types []MachineType) []byte {
 	list := []wireMachineType{}
 	for _, t := range types {
@@ -147,7 +148,7 @@
 	return Encode(map[string]any{"hullForms": list})
 }
 
-// ProvisionRequest is what a rental asks for.
+// ProvisionRequest is a request to the cloud to provision machines.
 type ProvisionRequest struct {
 	Request string `json:"charter"`
 	Type    string `json:"hullForm"`
@@ -156,16 +157,16 @@
 	Count   int    `json:"howMany"`
 }
 
-// ParseProvision reads a rental request.
+// ParseProvision parses a request to provision machines.
 func ParseProvision(body []byte) (r ProvisionRequest, err error) {
 	err = json.Unmarshal(body, &r)
 	return r, err
 }
 
-// EncodeMachineNames makes the answer to a rental.
+// EncodeMachineNames encodes the response to a request to provision machines.
 func EncodeMachineNames(names []string) []byte { return Encode(map[string]any{"decks": names}) }
 
-// EncodeMachines makes one page of the cloud's list.
+// EncodeMachines encodes one page of the cloud's machine list.
 func EncodeMachines(list []ListedMachine, more bool) []byte {
 	out := []wireMachine{}
 	for _, m := range list {
@@ -175,10 +176,10 @@
 	return Encode(map[string]any{"decks": out, "more": more})
 }
 
-// EncodeCloudError makes the body of a refusal of the cloud.
+// EncodeCloudError encodes the body of an error response of the cloud.
 func EncodeCloudError(reason string) []byte { return Encode(map[string]string{"error": reason}) }
 
-// ParseQuery reads a target's path and parameters.
+// ParseQuery splits a request target into its path and query parameters.
 func ParseQuery(target string) (path string, values url.Values) {
 	path, raw, _ := strings.Cut(target, "?")
 	values, err := url.ParseQuery(raw)
@@ -188,14 +189,14 @@
 	return path, values
 }
 
-// ParseRangeQuery reads the parameters of a read or watch of keys.
+// ParseRangeQuery returns the parameters of a range read or a watch.
 func ParseRangeQuery(v url.Values) (prefix, after string, limit int, wait time.Duration) {
 	limit, _ = strconv.Atoi(v.Get("limit"))
 	ms, _ := strconv.ParseInt(v.Get("blockMs"), 10, 64)
 	return v.Get("starts"), v.Get("after"), limit, time.Duration(ms) * time.Millisecond
 }
 
-// ParseTxn reads a transaction.
+// ParseTxn parses a transaction.
 func ParseTxn(body []byte) (*Txn, error) {
 	var t Txn
 	d := json.NewDecoder(bytes.NewReader(body))
@@ -205,33 +206,33 @@
 	return &t, nil
 }
 
-// EncodeKeyValue makes the answer to a read of one key.
-func EncodeKeyValue(it KeyValue) []byte {
-	return Encode(wireKeyValue(it))
+// EncodeKeyValue encodes the response to a read of one key.
+func EncodeKeyValue(kv KeyValue) []byte {
+	return Encode(wireKeyValue(kv))
 }
 
-// EncodeRange makes the answer to a read of keys.
+// EncodeRange encodes the response to a range read.
 func EncodeRange(items []KeyValue, more bool, revision uint64) []byte {
 	list := []wireKeyValue{}
-	for _, it := range items {
-		list = append(list, wireKeyValue(it))
+	for _, kv := range items {
+		list = append(list, wireKeyValue(kv))
 	}
 	return Encode(map[string]any{"entries": list, "more": more, "logbook": revision})
 }
 
-// EncodeRevision makes the answer to an applied transaction, and the body of a
-// key that isn't there.
+// EncodeRevision encodes the response to an applied transaction, and the body of the response
+// to a read of a key that doesn't exist.
 func EncodeRevision(revision uint64) []byte { return Encode(map[string]uint64{"logbook": revision}) }
 
-// EncodeFailedConditions makes the answer to a transaction whose conditions don't hold.
+// EncodeFailedConditions encodes the response to a transaction whose conditions don't hold.
 func EncodeFailedConditions(keys []string, revision uint64) []byte {
 	return Encode(map[string]any{"failed": keys, "logbook": revision})
 }
 
-// EncodeLease makes the answer to a new lease.
+// EncodeLease encodes the response to a request for a lease.
 func EncodeLease(lease uint64) []byte { return Encode(map[string]uint64{"warrant": lease}) }
 
-// ParseLeaseRequest reads the lifetime asked for a lease.
+// ParseLeaseRequest parses the time to live of a requested lease.
 func ParseLeaseRequest(body []byte) (time.Duration, error) {
 	var w struct {
 		TTL int64 `json:"ttlMs"`
@@ -240,7 +241,7 @@
 	return time.Duration(w.TTL) * time.Millisecond, err
 }
 
-// EncodeEvents makes the answer to a watch.
+// EncodeEvents encodes the response to a watch.
 func EncodeEvents(events []Event, revision uint64) []byte {
 	type wire struct {
 		Put     string          `json:"write,omitempty"`
--- a/internal/protocol/state_service.go
+++ b/internal/protocol/state_service.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Paths of the state service's interface.
+// Paths of the state service's API.
 const (
 	PathKeys         = "/keys"
 	PathTransactions = "/multi"
@@ -16,7 +16,8 @@
 	PathWatch        = "/changes"
 )
 
-// KeyValue is one key of the state service with its value.
+// KeyValue is a key of the state service with its value, its version and the lease it is
+// attached to, if any.
 type KeyValue struct {
 	Key     string
 	Value   json.RawMessage
@@ -24,13 +25,13 @@
 	Lease   uint64
 }
 
-// Condition is a key's expected version; 0 expects it to be absent.
+// Condition is the expected version of a key; 0 expects the key to be absent.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"entry"`
 }
 
-// Op writes or deletes one key.
+// Op is an operation of a transaction: it writes or deletes one key.
 type Op struct {
 	Put    string          `json:"write,omitempty"`
 	Delete string          `json:"remove,omitempty"`
@@ -38,13 +39,13 @@
 	Lease  uint64          `json:"warrant,omitempty"`
 }
 
-// Txn is one transaction.
+// Txn is a transaction: its operations are applied if all its conditions hold.
 type Txn struct {
 	Conditions []Condition `json:"when"`
 	Ops        []Op        `json:"then"`
 }
 
-// Event is one change that a watch tells of.
+// Event is one change of a key that a watch reports.
 type Event struct {
 	Key     string
 	Deleted bool
@@ -69,10 +70,10 @@
 	return KeyValue(*w), nil
 }
 
-// KeyTarget is the target that reads one key.
+// KeyTarget returns the request target of a read of one key.
 func KeyTarget(key string) string { return PathKeys + "/" + key }
 
-// ParseKeyValue reads one key's value.
+// ParseKeyValue parses the response to a read of one key.
 func ParseKeyValue(body []byte) (KeyValue, error) {
 	var w wireKeyValue
 	if err := Decode(body, &w); err != nil {
@@ -81,7 +82,8 @@
 	return w.keyValue()
 }
 
-// RangeTarget is the target that reads one page of the keys with a prefix.
+// RangeTarget returns the request target of one page of the keys with a prefix: those after the
+// key named, or the first page if after is empty.
 func RangeTarget(prefix, after string, limit int) string {
 	t := PathKeys + "?starts=" + escapeKey(prefix) + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
@@ -90,7 +92,7 @@
 	return t
 }
 
-// ParseRange reads one page of keys and the revision it shows.
+// ParseRange parses one page of keys and the revision at which it was read.
 func ParseRange(body []byte) (items []KeyValue, more bool, revision uint64, err error) {
 	var w struct {
 		Items    []wireKeyValue `json:"entries"`
@@ -105,23 +107,23 @@
 	}
 	items = make([]KeyValue, 0, len(w.Items))
 	for i := range w.Items {
-		it, err := w.Items[i].keyValue()
+		kv, err := w.Items[i].keyValue()
 		if err != nil {
 			return nil, false, 0, err
 		}
-		items = append(items, it)
+		items = append(items, kv)
 	}
 	return items, *w.More, *w.Revision, nil
 }
 
-// MaxConditions is how many conditions fit a transaction that has nothing else, each about
-// a key as long as a job's.
+// MaxConditions is how many conditions fit in a transaction without operations, with keys of
+// maxJobKeyBytes.
 const MaxConditions = (MaxBody - maxMessageOverhead) / (len(`{"path":"","entry":18446744073709551615},`) + maxJobKeyBytes)
 
-// maxJobKeyBytes is more than a key about a job takes.
+// maxJobKeyBytes is more than the length of any key of a job's records.
 const maxJobKeyBytes = 48
 
-// EncodeTxn is the body of a transaction.
+// EncodeTxn encodes a transaction. Its lists are never null on the wire.
 func EncodeTxn(t *Txn) []byte {
 	if t.Conditions == nil {
 		t.Conditions = []Condition{}
@@ -133,7 +135,7 @@
 	return b
 }
 
-// ParseRevision reads the revision of a transaction that was applied.
+// ParseRevision parses the response to a transaction that was applied: its revision.
 func ParseRevision(body []byte) (uint64, error) {
 	var w struct {
 		Revision *uint64 `json:"logbook"`
@@ -147,7 +149,8 @@
 	return *w.Revision, nil
 }
 
-// ParseFailedConditions reads which conditions kept a transaction from being applied.
+// ParseFailedConditions parses the response to a transaction that was not applied: the keys
+// whose conditions did not hold.
 func ParseFailedConditions(body []byte) ([]string, error) {
 	var w struct {
 		Failed []string `json:"failed"`
@@ -161,12 +164,12 @@
 	return w.Failed, nil
 }
 
-// EncodeLeaseRequest asks for a lease.
+// EncodeLeaseRequest encodes a request for a lease.
 func EncodeLeaseRequest(ttl time.Duration) []byte {
 	return []byte(`{"ttlMs":` + strconv.FormatInt(ttl.Milliseconds(), 10) + `}`)
 }
 
-// ParseLease reads the id of a new lease.
+// ParseLease parses the ID of a new lease.
 func ParseLease(body []byte) (uint64, error) {
 	var w struct {
 		Lease uint64 `json:"warrant"`
@@ -180,13 +183,14 @@
 	return w.Lease, nil
 }
 
-// LeaseTarget is the target of a lease; RenewLeaseTarget renews it.
+// LeaseTarget returns the request target of a lease.
 func LeaseTarget(lease uint64) string { return PathLeases + "/" + strconv.FormatUint(lease, 10) }
 
-// RenewLeaseTarget is the target that renews a lease.
+// RenewLeaseTarget returns the request target that renews a lease.
 func RenewLeaseTarget(lease uint64) string { return LeaseTarget(lease) + "/touch" }
 
-// WatchTarget is the target of a watch on a prefix.
+// WatchTarget returns the request target of a watch on a prefix: changes after a revision, for
+// which the state service waits at most the given time.
 func WatchTarget(prefix string, after uint64, wait time.Duration) string {
 	return PathWatch + "?starts=" + escapeKey(prefix) + "&after=" + strconv.FormatUint(after, 10) +
 		"&blockMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
@@ -202,7 +206,7 @@
 	} `json:"news"`
 }
 
-// ParseEvents reads what a watch tells.
+// ParseEvents parses the response to a watch: the changes and the revision reached.
 func ParseEvents(body []byte) ([]Event, uint64, error) {
 	var w wireEvents
 	if err := Decode(body, &w); err != nil {
@@ -225,7 +229,7 @@
 	return events, *w.Revision, nil
 }
 
-// escapeKey makes a key safe in a query and leaves its slashes as they are.
+// escapeKey escapes a key for use in a query; slashes stay unescaped.
 func escapeKey(key string) string {
 	return strings.ReplaceAll(url.QueryEscape(key), "%2F", "/")
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -13,8 +13,8 @@
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
 
-// Longest names and durations taken from users. Names end up in records whose
-// size is limited, durations in time.Duration.
+// Limits of names, lists, durations and amounts in messages. Names are stored in records of
+// limited size, and durations must not overflow time.Duration.
 const (
 	maxNameBytes    = 200
 	maxMachineTypes = 64
@@ -24,7 +24,7 @@
 
 const jobIDPrefix = "run-"
 
-// ValidJobID reports whether id has the form of a job id.
+// ValidJobID reports whether id has the form of a job ID.
 func ValidJobID(id string) bool {
 	if !strings.HasPrefix(id, jobIDPrefix) {
 		return false
@@ -41,17 +41,17 @@
 	return true
 }
 
-// Paths of the users' interface.
+// Paths of the controllers' API for users and workers.
 const (
 	PathJobs      = "/v2/runs"
 	PathHealth    = "/up"
 	PathHeartbeat = "/v1/report"
 )
 
-// Route is what a request target asks for.
+// Route is the operation that a request target addresses.
 type Route uint8
 
-// Routes of the controllers' interface.
+// Routes of the controllers' API.
 const (
 	RouteNone Route = iota
 	RouteJobs
@@ -61,7 +61,7 @@
 	RouteHeartbeat
 )
 
-// ParseTarget finds the route of a request target and the job id in it.
+// ParseTarget returns the route of a request target and the job ID in it.
 func ParseTarget(target string) (Route, string) {
 	if i := strings.IndexByte(target, '?'); i >= 0 {
 		target = target[:i]
@@ -116,8 +116,8 @@
 	Deadline           *float64 `json:"tideS"`
 }
 
-// ParseJob reads a submission. The error is ErrNotObject, a *FieldError that names the first
-// field that is wrong, or wraps the error of encoding/json. Its text is shown to the user.
+// ParseJob parses a job submission. The error is ErrNotObject, a *FieldError that names the
+// first invalid field, or wraps the error of encoding/json. Its text is sent to the user.
 func ParseJob(body []byte) (*Job, error) {
 	body = bytes.TrimSpace(body)
 	if len(body) == 0 || body[0] != '{' {
@@ -215,7 +215,7 @@
 
 func (w *wireJob) readMachineTypes(j *Job) error {
 	if w.MachineTypes == nil {
-		return nil // any type will do
+		return nil // any type is allowed
 	}
 	if len(w.MachineTypes) == 0 || len(w.MachineTypes) > maxMachineTypes {
 		return submissionError("hullForms", "names no type or too many")
@@ -231,7 +231,7 @@
 
 func (w *wireJob) readZone(j *Job) error {
 	if w.Zone == nil {
-		return nil // any zone will do
+		return nil // any zone is allowed
 	}
 	if !validName(*w.Zone) {
 		return submissionError("harbour", "is not a name")
@@ -251,21 +251,22 @@
 	return nil
 }
 
-// validName reports whether a name may stand in a record, whose size is limited.
+// validName reports whether a name is not empty and short enough for a record, whose size is
+// limited.
 func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
-// validAmount reports whether an amount or a number of seconds can be counted with.
+// validAmount reports whether an amount or a number of seconds is a number from 0 to maxAmount.
 func validAmount(v float64) bool { return v >= 0 && v <= maxAmount && !math.IsNaN(v) }
 
-// Seconds turns the wire's decimal seconds into a duration.
+// Seconds converts decimal seconds, as used on the wire, to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// EncodeJobState is the body that tells a user of a job.
+// EncodeJobState encodes the response to a submission or a cancellation.
 func EncodeJobState(id string, state JobState) []byte {
 	return []byte(`{"nameId":` + strconv.Quote(id) + `,"bearing":"` + jobStateNames[state] + `"}`)
 }
 
-// EncodeJobStatus is the body that answers a poll.
+// EncodeJobStatus encodes the response to a status query.
 func EncodeJobStatus(id string, state JobState, done, running int) []byte {
 	b := make([]byte, 0, 96)
 	b = append(b, `{"nameId":`...)
@@ -279,7 +280,7 @@
 	return append(b, '}')
 }
 
-// EncodeError is the body of every refusal.
+// EncodeError encodes the body of an error response.
 func EncodeError(reason string) []byte {
 	b, _ := json.Marshal(map[string]string{"error": reason})
 	return b
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -6,49 +6,52 @@
 	"time"
 )
 
-// Paths of the workers' interface.
+// Paths of the workers' API.
 const (
 	PathOrders       = "/commands"
 	PathWorkerStatus = "/show"
 )
 
-// MaxBody is the size of the largest request body, and of the longest line in a response to
-// a worker or a user.
+// MaxBody is the largest size of a request body, and of a line in a response to a worker or a
+// user.
 const MaxBody = 64 << 10
 
-// maxMessageOverhead is what a message to or from a worker takes beside its orders or tasks, with
-// names as long as they may be.
+// maxMessageOverhead is the largest size of a message to or from a worker without its orders or
+// tasks.
 const maxMessageOverhead = 1 << 10
 
-// Lengths of the longest entries without the names in them.
+// Largest sizes of the entry of a task and of an order, without the job's ID.
 const (
 	maxTaskStatusOverhead = len(`{"oar":"/99999","launch":18446744073709551615,"bearing":"fetching","wreckCause":"no_room","kept":true},`)
 	maxOrderOverhead      = len(`{"orderKind":"clear","oar":"/99999","launch":18446744073709551615,"slackS":1000000000.0},`)
 )
 
-// MaxTaskStatusBytes is what a task of the job takes in a worker's report at the most.
+// MaxTaskStatusBytes returns the largest size of the status of one of the job's tasks in a
+// heartbeat.
 func MaxTaskStatusBytes(job string) int { return len(job) + maxTaskStatusOverhead }
 
-// OrderBudget is what is left of a message to a worker.
+// OrderBudget is the number of bytes left for orders in a message to a worker.
 type OrderBudget int
 
-// NewOrderBudget is the room for orders in one message.
+// NewOrderBudget returns the budget of an empty message.
 func NewOrderBudget() OrderBudget { return MaxBody - maxMessageOverhead }
 
-// Reserve uses the room of an order about a task of the job, if there is as much.
-func (r *OrderBudget) Reserve(job string) bool {
+// Reserve takes the largest size of an order about one of the job's tasks from the budget. It
+// reports false, and takes nothing, if the budget is too small.
+func (b *OrderBudget) Reserve(job string) bool {
 	size := OrderBudget(len(job) + maxOrderOverhead)
-	if *r < size {
+	if *b < size {
 		return false
 	}
-	*r -= size
+	*b -= size
 	return true
 }
 
-// Fit shortens a list of orders to what there is room for, and reports whether it had to.
-func (r *OrderBudget) Fit(orders []Order) (fit []Order, cut bool) {
+// Fit returns the leading orders that fit in the budget and takes their sizes from it. cut
+// reports whether any orders were left out.
+func (b *OrderBudget) Fit(orders []Order) (fit []Order, cut bool) {
 	for i := range orders {
-		if !r.Reserve(orders[i].Job) {
+		if !b.Reserve(orders[i].Job) {
 			return orders[:i], true
 		}
 	}
@@ -76,17 +79,17 @@
 	Checkpointed bool   `json:"kept"`
 }
 
-// A gang's task that has its image waits for the others ("gathering"); until
-// it runs it is taken for one that still fetches.
+// A task of a gang that has fetched its image and waits for the rest of the gang is reported as
+// "gathering". It is treated as fetching until it runs.
 var taskStateNames = map[string]TaskState{"fetching": Fetching, "gathering": Fetching, "running": Running, "saving": Checkpointing, "exited": Exited}
 
 var exitReasonNames = map[string]ExitReason{"done": ExitDone, "halted": ExitStopped, "error": ExitError,
 	"no_room": ExitNoCapacity, "busy": ExitAlreadyRunning, "unknown": ExitUnknownTask,
 	"peers": ExitGangFailed, "alone": ExitGangFailed}
 
-// ParseHeartbeat reads a worker's report, from a request or from a response. A
-// report that can't be understood in full is refused whole: a task left out
-// of it would be taken for gone.
+// ParseHeartbeat parses a worker's heartbeat, sent as a request or as a response to a
+// controller's call. A heartbeat with any invalid part is rejected as a whole: a task skipped
+// here would be considered gone.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var w wireHeartbeat
 	if err := Decode(body, &w); err != nil {
@@ -95,32 +98,32 @@
 	if err := w.validate(); err != nil {
 		return nil, err
 	}
-	r := &Heartbeat{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+	h := &Heartbeat{Machine: w.Machine, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
 		Incarnation: *w.Incarnation, Sequence: *w.Sequence, FencingToken: w.FencingToken}
 	if w.PreemptionNotice != nil {
 		if !validAmount(max(*w.PreemptionNotice, 0)) {
 			return nil, heartbeatError("recallS", "is not a duration")
 		}
-		r.HasPreemptionNotice, r.PreemptionNotice = true, Seconds(max(*w.PreemptionNotice, 0))
+		h.HasPreemptionNotice, h.PreemptionNotice = true, Seconds(max(*w.PreemptionNotice, 0))
 	}
 	if len(w.Tasks) > 0 {
-		r.Tasks = make([]TaskStatus, 0, len(w.Tasks))
+		h.Tasks = make([]TaskStatus, 0, len(w.Tasks))
 	}
 	for i := range w.Tasks {
 		t := &w.Tasks[i]
 		job, index, ok := splitTask(t.Task)
 		state := taskStateNames[t.State]
 		if !ok || state == 0 {
-			return nil, heartbeatError("oars", "holds a task without a name or state")
+			return nil, heartbeatError("oars", "holds a task with an invalid name or state")
 		}
-		r.Tasks = append(r.Tasks, TaskStatus{Job: job, TaskIndex: index, Attempt: t.Attempt, State: state,
+		h.Tasks = append(h.Tasks, TaskStatus{Job: job, TaskIndex: index, Attempt: t.Attempt, State: state,
 			Reason: exitReasonNames[t.Reason], Checkpointed: t.Checkpointed})
 	}
-	return r, nil
+	return h, nil
 }
 
-// What a heartbeat without its sender lacks. Made once: workers that are not themselves may
-// answer every probe so.
+// Errors about heartbeats that don't identify their sender. They are allocated once: a faulty
+// worker may answer every probe with such a heartbeat.
 var (
 	errNoMachine     = heartbeatError("deck", "is missing or not a name")
 	errNoIncarnation = heartbeatError("watch", reasonMissing)
@@ -139,6 +142,7 @@
 	return nil
 }
 
+// splitTask splits the wire name of a task, job/index.
 func splitTask(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
 	if i <= 0 || len(name) > maxNameBytes {
@@ -175,7 +179,7 @@
 	return append(b, ']')
 }
 
-// EncodeHeartbeatResponse is the body of a 200 to a report.
+// EncodeHeartbeatResponse encodes the body of a 200 response to a heartbeat.
 func EncodeHeartbeatResponse(token uint64, orders []Order) []byte {
 	b := make([]byte, 0, 48+96*len(orders))
 	b = append(b, `{"helm":`...)
@@ -185,7 +189,7 @@
 	return append(b, '}')
 }
 
-// EncodeRedirect is the body of a 421: the leader's name, or none.
+// EncodeRedirect encodes the body of a 421 response: the leader's name, or none.
 func EncodeRedirect(leader string) []byte {
 	if leader == "" {
 		return []byte(`{}`)
@@ -193,13 +197,14 @@
 	return []byte(`{"flagship":` + strconv.Quote(leader) + `}`)
 }
 
-// EncodeDirectOrders is the body of a POST to a worker.
-func EncodeDirectOrders(token, session uint64, orders []Order) []byte {
+// EncodeDirectOrders encodes a request that sends orders to a worker: they are for one
+// incarnation of it.
+func EncodeDirectOrders(token, incarnation uint64, orders []Order) []byte {
 	b := make([]byte, 0, 64+96*len(orders))
 	b = append(b, `{"helm":`...)
 	b = strconv.AppendUint(b, token, 10)
 	b = append(b, `,"watch":`...)
-	b = strconv.AppendUint(b, session, 10)
+	b = strconv.AppendUint(b, incarnation, 10)
 	b = append(b, ',')
 	b = appendOrders(b, orders)
 	return append(b, '}')
