--- a/internal/transport/accepted.go
+++ b/internal/transport/accepted.go
@@ -8,18 +8,18 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// acceptedConn is one accepted connection.
+// acceptedConn is a connection that a client opened.
 type acceptedConn struct {
 	conn            gnet.Conn
-	requestID       uint64 // being answered; 0 when none
-	closeAfterReply bool   // close after the answer
-	requestBegan    time.Time
-	element         *list.Element // in the loop's list; nil once it is closed for want of sockets
-	// continued is set once 100 Continue went out for the request being read.
+	requestID       uint64 // of the request being handled; 0: none
+	closeAfterReply bool
+	requestBegan    time.Time     // when the first byte of an incomplete request arrived
+	element         *list.Element // in Loop.accepted; nil once the connection was shed or closed
+	// continued is set once 100 Continue was sent for the request being read.
 	continued bool
 }
 
-// removeAccepted takes an accepted connection out of those that count.
+// removeAccepted removes an accepted connection from the list of open ones.
 func (l *Loop) removeAccepted(s *acceptedConn) {
 	if s.element != nil {
 		l.accepted.Remove(s.element)
@@ -27,7 +27,9 @@
 	}
 }
 
-// accept takes a connection that a client opened, and closes another one if they are too many.
+// accept registers a connection that a client opened. Above the limit of open sockets it closes
+// another connection: an idle outbound one while more than minOutboundPercent are open, otherwise
+// an accepted one.
 func (l *Loop) accept(c gnet.Conn) {
 	s := &acceptedConn{conn: c}
 	c.SetContext(s)
@@ -45,7 +47,8 @@
 	if s.element != nil {
 		l.accepted.MoveToBack(s.element)
 	}
-	// Requests are not pipelined; whatever comes early waits, bounded.
+	// Pipelined requests are not handled in parallel: later ones stay in the input buffer, up
+	// to a limit.
 	if s.requestID != 0 {
 		if s.conn.InboundBuffered() > maxRequestBody+maxHead {
 			return gnet.Close
@@ -88,8 +91,8 @@
 	return gnet.None
 }
 
-// Reply answers a request, and ends its connection if last is set. A reply to a
-// connection that is gone is dropped.
+// Reply sends the response to a request, and closes its connection after it if last is set. It
+// does nothing if the connection is already closed.
 func (l *Loop) Reply(id uint64, status, retryAfter int, body []byte, last bool) {
 	s := l.pending[id]
 	if s == nil {
@@ -105,7 +108,7 @@
 	l.writeBuffer = appendResponse(l.writeBuffer[:0], status, retryAfter, body, s.closeAfterReply)
 	_, _ = s.conn.Write(l.writeBuffer)
 	if s.closeAfterReply {
-		// Post so that gnet is out of this connection's callback by then.
+		// The close is posted because gnet may still be in a callback of this connection.
 		l.Post(func() { _ = s.conn.Close() })
 		return
 	}
--- a/internal/transport/calls.go
+++ b/internal/transport/calls.go
@@ -11,18 +11,18 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// Errors a call can end with instead of a response. All of them leave open
-// whether the request was carried out, except ErrNotSent.
+// Errors that a call can end with instead of a response. After ErrTimeout and ErrClosed the
+// request may have been executed or not; after ErrNotSent it was not.
 var (
-	ErrTimeout = errors.New("transport: no response in time")
-	ErrClosed  = errors.New("transport: connection closed before the response")
-	ErrNotSent = errors.New("transport: the request was not sent")
-	// ErrNoSocket says that the call ended while it waited for a socket: nobody was
-	// asked, so it tells nothing of the other side.
-	ErrNoSocket = fmt.Errorf("%w: no socket was free", ErrNotSent)
+	ErrTimeout = errors.New("transport: no response within the call's timeout")
+	ErrClosed  = errors.New("transport: connection closed before a valid response")
+	ErrNotSent = errors.New("transport: request not sent")
+	// ErrNoSocket says that the call timed out while it was queued for a socket. No connection
+	// was attempted, so it says nothing about the called host.
+	ErrNoSocket = fmt.Errorf("%w: no socket became free within the call's timeout", ErrNotSent)
 )
 
-// outboundConn is one connection of ours to a service.
+// outboundConn is a connection that this process opened.
 type outboundConn struct {
 	conn     gnet.Conn
 	addr     string
@@ -30,8 +30,8 @@
 	lastUsed time.Time
 	closed   bool
 
-	element *list.Element // while it waits for a call
-	closing bool
+	element *list.Element // in Loop.idle; nil while it serves a call
+	closing bool          // closed as idle, and not yet reported closed by gnet
 }
 
 type call struct {
@@ -40,13 +40,12 @@
 	deadline             time.Time
 	timer                *time.Timer
 	conn                 *outboundConn
-	element              *list.Element // while it waits for a socket
+	element              *list.Element // in its queue; nil once it left the queue
 	dialing              bool
-	done                 func(status int, body []byte, err error)
+	done                 func(status int, body []byte, err error) // nil once it was called
 }
 
-// Call sends one request and runs done with the outcome, exactly once, on the
-// loop.
+// Call sends one request and calls done with the outcome exactly once, on the event loop.
 func (l *Loop) Call(addr, method, target string, body []byte, timeout time.Duration, done func(status int, body []byte, err error)) {
 	c := &call{addr: addr, method: method, target: target, body: body, deadline: time.Now().Add(timeout), done: done}
 	c.timer = l.After(timeout, func() { l.expire(c) })
@@ -65,9 +64,10 @@
 	l.dialQueued()
 }
 
-// dialQueued dials for the calls that wait, the state service's first. Without
-// that, silent machines, whose dials hang, would hold up what every answer to
-// users depends on. It looks at no call that can't be dialled for: thousands may wait.
+// dialQueued dials for queued calls, first for those to the state service: every response to
+// users depends on them, and dials to unreachable machines, which hang until they time out,
+// must not delay them. It stops at the first call that can't be dialed for, since thousands may
+// be queued.
 func (l *Loop) dialQueued() {
 	for l.stateQueue.Len() > 0 && (l.outboundSockets() < l.socketShare(maxOutboundPercent+stateServiceExtraPercent) || l.canDial()) {
 		l.dialFront(l.stateQueue)
@@ -85,7 +85,7 @@
 	go l.dial(c)
 }
 
-// dequeue takes a call out of those that wait for a socket.
+// dequeue removes a call from the queue for a socket.
 func (l *Loop) dequeue(c *call) {
 	if c.element == nil {
 		return
@@ -98,7 +98,7 @@
 	c.element = nil
 }
 
-// removeIdle takes a connection out of those that wait for a call.
+// removeIdle removes a connection from the idle ones.
 func (l *Loop) removeIdle(o *outboundConn) {
 	if o.element != nil {
 		l.idle.Remove(o.element)
@@ -118,14 +118,16 @@
 	}
 }
 
+// dial opens a connection for a call. It runs on a goroutine of its own.
 func (l *Loop) dial(c *call) {
-	wait := min(dialTimeout, time.Until(c.deadline))
-	if wait <= 0 {
+	timeout := min(dialTimeout, time.Until(c.deadline))
+	if timeout <= 0 {
 		l.Post(func() { l.dialing--; l.finish(c, 0, nil, ErrNotSent); l.dialQueued() })
 		return
 	}
-	// Keep-alive would take four system calls; calls have limits of their own.
-	dialer := net.Dialer{Timeout: wait, KeepAlive: -1}
+	// Enabling TCP keep-alive would take four system calls per connection, and is not needed:
+	// every call has a timeout.
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	conn, err := dialer.Dial("tcp", c.addr)
 	if err != nil {
 		l.Post(func() { l.dialing--; l.finish(c, 0, nil, ErrNotSent); l.dialQueued() })
@@ -136,7 +138,7 @@
 		o := &outboundConn{addr: c.addr, call: c, lastUsed: time.Now()}
 		c.conn = o
 		if _, err := l.eventLoop.Enroll(gnet.NewContext(context.Background(), o), conn); err != nil {
-			_ = conn.Close() // nothing was sent on it
+			_ = conn.Close() // nothing was sent, so the error does not matter
 			l.finish(c, 0, nil, ErrNotSent)
 		}
 	})
@@ -155,7 +157,7 @@
 	if err != nil {
 		return gnet.Close
 	}
-	if o.call == nil { // nothing was asked
+	if o.call == nil { // data without a request
 		return gnet.Close
 	}
 	var m message
@@ -182,20 +184,21 @@
 	return action
 }
 
-// markIdle makes a connection available for the next call.
+// markIdle makes a connection available for further calls.
 func (l *Loop) markIdle(o *outboundConn) {
 	o.lastUsed = time.Now()
 	l.idleByAddr[o.addr] = append(l.idleByAddr[o.addr], o)
 	o.element = l.idle.PushBack(o)
 }
 
+// expire ends a call whose timeout has passed.
 func (l *Loop) expire(c *call) {
 	if c.done == nil {
 		return
 	}
 	if c.conn != nil && c.conn.conn != nil {
-		// The peer may still carry the request out; the connection is of no
-		// more use either way.
+		// The other side may still execute the request. The connection can't be reused: the
+		// late response would be taken for that of the next call.
 		o := c.conn
 		o.call = nil
 		l.finish(c, 0, nil, ErrTimeout)
@@ -223,11 +226,11 @@
 	done(status, body, err)
 }
 
-// onDialed takes a connection of ours that came about, and sends the call that it was dialled for.
+// onDialed registers a new outbound connection and sends the request that it was dialed for.
 func (l *Loop) onDialed(o *outboundConn, c gnet.Conn) {
 	o.conn = c
 	l.outbound++
-	if o.call != nil && o.call.done == nil { // gave up while dialling
+	if o.call != nil && o.call.done == nil { // the call timed out during the dial
 		o.call = nil
 	}
 	if o.call == nil {
@@ -237,7 +240,8 @@
 	l.send(o, o.call)
 }
 
-// onOutboundClosed ends the call of a connection of ours that was closed.
+// onOutboundClosed handles the close of an outbound connection: it ends the connection's call,
+// if any, and dials for queued calls.
 func (l *Loop) onOutboundClosed(o *outboundConn) {
 	o.closed = true
 	l.outbound--
@@ -249,8 +253,8 @@
 		l.dialQueued()
 		return
 	}
-	// A body without a length ends with the connection. Without the bytes there is no
-	// response either, so that the error of reading them adds nothing.
+	// The close of the connection ends a body without a length. An error of Peek is not
+	// checked: without bytes, parsing fails anyway.
 	buf, _ := o.conn.Peek(-1)
 	var m message
 	if _, err := parseResponse(buf, true, &m); err == nil {
--- a/internal/transport/gnet_logger.go
+++ b/internal/transport/gnet_logger.go
@@ -5,8 +5,9 @@
 	"log/slog"
 )
 
-// gnetLogger writes gnet's own messages to our log, as values of lines with fixed messages.
-// What it tells of single connections is of no interest above debug: peers come and go.
+// gnetLogger writes gnet's messages to the process's log, as attributes of log lines with fixed
+// messages. Its information and warnings are about single connections, which clients open and
+// close all the time; they are logged at debug level.
 type gnetLogger struct{ log *slog.Logger }
 
 func (g gnetLogger) Debugf(format string, args ...any) { g.debug(format, args) }
--- a/internal/transport/http1.go
+++ b/internal/transport/http1.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Limits of what a peer may send before the connection is given up.
+// Limits on a message; the connection is closed when one is exceeded.
 const (
 	maxHead         = 16 << 10
 	maxRequestBody  = 64 << 10
@@ -14,23 +14,24 @@
 	maxHeaders      = 64
 )
 
-// Parse errors of the HTTP/1.1 codec. StatusOf gives the status a server answers them with.
-// They carry no field or position: whoever sends such messages gets one error on each, so that
-// none may cost an allocation.
+// Parse errors of the HTTP/1.1 codec. StatusOf maps them to the status of the response. They
+// carry no field or position, so that a client that keeps sending malformed messages causes no
+// allocations.
 var (
-	// errIncomplete says that more input is needed.
+	// errIncomplete means that more input is needed.
 	errIncomplete = errors.New("http1: message is incomplete")
-	// ErrMalformed is a message that breaks the grammar of RFC 9112.
+	// ErrMalformed means that the message violates the grammar of RFC 9112.
 	ErrMalformed = errors.New("http1: malformed message")
-	// ErrHeadTooLarge is a start line and headers above 16 KiB, or more than 64 headers.
+	// ErrHeadTooLarge means that the start line and headers exceed 16 KiB, or that there are
+	// more than 64 headers.
 	ErrHeadTooLarge = errors.New("http1: head too large")
-	// ErrBodyTooLarge is a body above 64 KiB of a request or 32 MiB of a response.
+	// ErrBodyTooLarge means that the body exceeds 64 KiB in a request or 32 MiB in a response.
 	ErrBodyTooLarge = errors.New("http1: body too large")
-	// ErrVersion is a request of another version than 1.0 and 1.1.
+	// ErrVersion means that the HTTP version of a request is neither 1.0 nor 1.1.
 	ErrVersion = errors.New("http1: unsupported version")
 )
 
-// StatusOf maps a parse error to the status that tells the sender about it.
+// StatusOf maps a parse error to the status of the response to the sender.
 func StatusOf(err error) int {
 	switch {
 	case errors.Is(err, ErrHeadTooLarge):
@@ -48,11 +49,11 @@
 	method, target string // of a request
 	status         int    // of a response
 	body           []byte // aliases the input unless the body was chunked
-	close          bool   // the sender ends the connection after it
+	close          bool   // the connection can't be used for another message
 	expectContinue bool
 }
 
-// headers holds what the header section says about framing.
+// headers holds the header fields about framing and the connection.
 type headers struct {
 	length         int64
 	hasLength      bool
@@ -62,11 +63,10 @@
 	expectContinue bool
 }
 
-// parseRequest reads one request from the front of buf. It returns the number
-// of bytes used, errIncomplete while more input is needed, or a parse error
-// after which the connection can't be kept.
+// parseRequest parses one request at the start of buf and returns its length. The error is
+// errIncomplete if more input is needed; after any other error the connection must be closed.
 func parseRequest(buf []byte, m *message) (int, error) {
-	// A client may send an empty line ahead of a request (RFC 9112, 2.2).
+	// A client may send empty lines ahead of a request (RFC 9112, section 2.2).
 	skipped := 0
 	for skipped < 4 && bytes.HasPrefix(buf[skipped:], []byte("\r\n")) {
 		skipped += 2
@@ -95,10 +95,10 @@
 	return skipped + used, nil
 }
 
-// requestLine is the first line of a request; its parts alias the input.
+// requestLine is the first line of a request. Its fields alias the input.
 type requestLine struct {
 	method, target []byte
-	http10         bool // HTTP/1.0, whose connections end unless asked otherwise
+	http10         bool // HTTP/1.0, where connections close by default
 }
 
 func parseRequestLine(line []byte) (requestLine, error) {
@@ -128,8 +128,8 @@
 	return requestLine{}, ErrMalformed
 }
 
-// parseResponse reads one response from the front of buf; eof says that the
-// sender has closed, which ends a body without a length.
+// parseResponse parses one response at the start of buf and returns its length. eof says that
+// the sender has closed the connection, which ends a body without a length.
 func parseResponse(buf []byte, eof bool, m *message) (int, error) {
 	start := 0
 	for {
@@ -146,7 +146,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if status < 200 { // an interim response; the real one follows
+		if status < 200 { // an interim response; the final one follows
 			start = n
 			continue
 		}
@@ -166,7 +166,7 @@
 	}
 }
 
-// parseStatusLine reads the status of a response's first line.
+// parseStatusLine returns the status in the first line of a response.
 func parseStatusLine(line []byte) (int, error) {
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
 		return 0, ErrMalformed
@@ -181,8 +181,8 @@
 	return status, nil
 }
 
-// nextLine returns the line that begins at from, without its end, and where
-// the next one begins.
+// nextLine returns the line that begins at from, without its CRLF, and the start of the next
+// line.
 func nextLine(buf []byte, from int) ([]byte, int, error) {
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
--- a/internal/transport/http1_framing.go
+++ b/internal/transport/http1_framing.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// parseHeaders reads headers up to the empty line that ends them, and returns where the body
-// begins.
+// parseHeaders parses the headers up to the empty line that ends them, and returns the start of
+// the body.
 func parseHeaders(buf []byte, from int, h *headers) (int, error) {
 	for count := 0; ; count++ {
 		line, next, err := nextLine(buf, from)
@@ -15,7 +15,7 @@
 		}
 		from = next
 		if len(line) == 0 {
-			// Both framings at once is how requests are smuggled past a proxy.
+			// Content-Length together with Transfer-Encoding allows request smuggling.
 			if h.chunked && h.hasLength {
 				return 0, ErrMalformed
 			}
@@ -30,7 +30,7 @@
 	}
 }
 
-// parseField reads one header, of which only those about framing count.
+// parseField checks one header field and evaluates those about framing and the connection.
 func (h *headers) parseField(line []byte) error {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isToken(line[:colon]) {
@@ -107,7 +107,7 @@
 	return end, nil
 }
 
-// maxChunkLine bounds the line that gives a chunk's size.
+// maxChunkLine limits the length of a chunk's size line.
 const maxChunkLine = 256
 
 func parseChunks(buf []byte, from, limit int, m *message) (int, error) {
@@ -142,7 +142,7 @@
 	return end, nil
 }
 
-// parseChunkSize reads the line ahead of a chunk, and returns where the chunk begins.
+// parseChunkSize parses a chunk's size line, and returns the size and the start of the data.
 func parseChunkSize(buf []byte, from int) (size, start int, err error) {
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
@@ -169,7 +169,7 @@
 	return int(n), from + i + 1, nil
 }
 
-// skipTrailer reads past the trailer fields after the last chunk, which nothing here uses.
+// skipTrailer skips the trailer fields after the last chunk and returns the end of the message.
 func skipTrailer(buf []byte, from int) (end int, err error) {
 	for count := 0; ; count++ {
 		i := bytes.IndexByte(buf[from:], '\n')
@@ -201,6 +201,7 @@
 	return len(b) > 0
 }
 
+// equalFoldASCII reports whether b equals lower, which is in lower case, without regard to case.
 func equalFoldASCII(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
--- a/internal/transport/http1_test.go
+++ b/internal/transport/http1_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// requestTest is a request, and what is read of it.
+// requestTest is an input with the expected result of parseRequest.
 type requestTest struct {
 	name, in string
 	err      error
@@ -64,7 +64,7 @@
 				return
 			}
 			if string(m.body) != c.body || c.in[n:] != c.rest || m.close != c.close {
-				t.Errorf("body %q, rest %q, close %t", m.body, c.in[n:], m.close)
+				t.Errorf("got body %q, rest %q, close %t", m.body, c.in[n:], m.close)
 			}
 		})
 	}
@@ -95,15 +95,14 @@
 				t.Fatalf("error %v, want %v", err, c.err)
 			}
 			if err == nil && (m.status != c.status || string(m.body) != c.body) {
-				t.Errorf("status %d, body %q", m.status, m.body)
+				t.Errorf("got status %d, body %q", m.status, m.body)
 			}
 		})
 	}
 }
 
-// FuzzParseRequest checks that no input makes the parser read past its end,
-// that what is taken as a whole request is also one when more follows, and
-// that every prefix of it is incomplete rather than wrong.
+// FuzzParseRequest checks that the parser never reads past the end of its input, that a request
+// parses alike when more data follows, and that no prefix of a request parses as a whole one.
 func FuzzParseRequest(f *testing.F) {
 	for _, seed := range []string{
 		"GET /up HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -123,22 +122,23 @@
 			return
 		}
 		if n <= 0 || n > len(in) || len(m.body) > maxRequestBody {
-			t.Fatalf("used %d of %d, body of %d", n, len(in), len(m.body))
+			t.Fatalf("parsed %d of %d bytes, with a body of %d", n, len(in), len(m.body))
 		}
 		var again message
 		if k, err := parseRequest(append(append([]byte(nil), in[:n]...), "GET /"...), &again); err != nil || k != n || !bytes.Equal(again.body, m.body) {
-			t.Fatalf("with more behind it: used %d of %d, %v", k, n, err)
+			t.Fatalf("with data after the request: parsed %d bytes instead of %d, error %v", k, n, err)
 		}
 		for _, cut := range []int{n - 1, n / 2, n / 3} {
 			var part message
 			if _, err := parseRequest(in[:cut], &part); err == nil && cut > 0 {
-				t.Fatalf("the first %d of %d bytes are taken for a whole request", cut, n)
+				t.Fatalf("the first %d of %d bytes parse as a whole request", cut, n)
 			}
 		}
 	})
 }
 
-// FuzzParseResponse checks the same of responses.
+// FuzzParseResponse checks that the parser never reads past the end of its input, and returns
+// only final responses.
 func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), false)
@@ -147,7 +147,7 @@
 		var m message
 		n, err := parseResponse(in, eof, &m)
 		if err == nil && (n <= 0 || n > len(in) || m.status < 200) {
-			t.Fatalf("used %d of %d, status %d", n, len(in), m.status)
+			t.Fatalf("parsed %d of %d bytes, status %d", n, len(in), m.status)
 		}
 	})
 }
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -12,29 +12,29 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// Time and number limits of connections.
+// Timeouts and limits of connections.
 const (
 	dialTimeout         = 2 * time.Second
 	requestReadTimeout  = 10 * time.Second // from the first byte of a request to its last
-	outboundIdleTimeout = 45 * time.Second // an unused outgoing connection is closed after it
+	outboundIdleTimeout = 45 * time.Second // an unused outbound connection is closed after it
 	minConcurrentDials  = 48
 	sweepInterval       = time.Second
 )
 
-// Handler receives what arrives. All its methods run on the event loop.
+// Handler handles the requests that a Loop receives. Its methods run on the event loop.
 type Handler interface {
-	// Ready runs once, before anything else.
+	// Ready runs once, before any other method and callback.
 	Ready()
-	// Request must be answered by one call of Loop.Reply with its id.
+	// Request must be answered by one call of Loop.Reply with the same id.
 	Request(id uint64, method, target string, body []byte)
 }
 
-// Loop is the process's only event loop: it accepts, calls out, and runs
-// whatever else is posted to it, so that the state behind Handler needs no lock.
+// Loop is the process's only event loop: it accepts connections, makes calls and runs posted
+// functions, so that the state behind Handler needs no lock.
 type Loop struct {
 	gnet.BuiltinEventEngine
 	addr       string
-	stateAddr  string // its calls wait for no other's
+	stateAddr  string // calls to the state service have a queue of their own
 	handler    Handler
 	log        *slog.Logger
 	engine     gnet.Engine
@@ -43,38 +43,37 @@
 
 	maxSockets      int
 	nextID          uint64
-	accepted        *list.List // of *served, the one that was heard longest ago first
-	pending         map[uint64]*acceptedConn
+	accepted        *list.List               // of *acceptedConn, least recently active first
+	pending         map[uint64]*acceptedConn // by ID of the request being handled
 	writeBuffer     []byte
 	idleByAddr      map[string][]*outboundConn
-	idle            *list.List // the same, the one unused for longest first
+	idle            *list.List // the connections of idleByAddr, least recently used first
 	outbound        int
-	outboundClosing int // of them, those that were told to close
+	outboundClosing int // outbound connections that are being closed
 	dialing         int
 
-	// Calls that wait for a socket, in order: those of the state service, and all others.
+	// Calls queued for a socket in order of arrival: to the state service, and to all others.
 	stateQueue, queue *list.List
 	counts            SocketCounts
 	pressureUntil     time.Time
 }
 
-// NewLoop prepares a loop that will listen on addr. store is the state service:
-// it is dialled at the start, since the loop can take work only once it has had a
-// connection, and calls of it don't queue behind others. At most maxSockets sockets
-// are open at a time.
-func NewLoop(addr, store string, maxConns int, handler Handler, log *slog.Logger) *Loop {
+// NewLoop returns a loop that will listen on addr and keep at most maxSockets sockets open.
+// stateAddr is the address of the state service. Run dials it first, since the loop can run
+// posted functions only after it has had a connection; calls to it don't queue behind others.
+func NewLoop(addr, stateAddr string, maxSockets int, handler Handler, log *slog.Logger) *Loop {
 	return &Loop{
-		addr: addr, stateAddr: store, handler: handler, log: log, maxSockets: maxConns,
+		addr: addr, stateAddr: stateAddr, handler: handler, log: log, maxSockets: maxSockets,
 		accepted: list.New(), pending: map[uint64]*acceptedConn{}, idleByAddr: map[string][]*outboundConn{},
 		idle: list.New(), stateQueue: list.New(), queue: list.New(),
 	}
 }
 
-// Run serves until the engine fails.
+// Run serves until gnet's engine stops.
 func (l *Loop) Run() error {
 	return gnet.Run(l, "tcp://"+l.addr,
 		gnet.WithNumEventLoop(1),
-		gnet.WithReusePort(true), // with it gnet accepts on the same loop, without a second thread
+		gnet.WithReusePort(true), // makes gnet accept on the event loop instead of a second thread
 		gnet.WithReadBufferCap(64<<10),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithLogLevel(logging.WarnLevel),
@@ -89,7 +88,8 @@
 	return gnet.None
 }
 
-// bootstrapEventLoop makes a first connection so that the loop becomes known.
+// bootstrapEventLoop opens the first connection: gnet hands out its event loop, which Post
+// needs, only with a connection.
 func (l *Loop) bootstrapEventLoop() {
 	for {
 		c, err := net.DialTimeout("tcp", l.stateAddr, dialTimeout)
@@ -98,7 +98,7 @@
 			if _, err = l.engine.Register(gnet.NewContext(gnet.NewNetConnContext(context.Background(), c), o)); err == nil {
 				return
 			}
-			_ = c.Close() // nothing was sent on it
+			_ = c.Close() // nothing was sent, so the error does not matter
 		}
 		time.Sleep(200 * time.Millisecond)
 		l.startMutex.Lock()
@@ -110,12 +110,12 @@
 	}
 }
 
-// Post runs f on the loop; it may be called from any goroutine once Ready ran.
+// Post runs f on the event loop. It may be called from any goroutine once Ready has run.
 func (l *Loop) Post(f func()) {
 	_ = l.eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error { f(); return nil }))
 }
 
-// After runs f on the loop when d has passed.
+// After runs f on the event loop after d.
 func (l *Loop) After(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() { l.Post(f) })
 }
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -29,7 +29,8 @@
 	e.loop.Reply(id, 200, 0, fmt.Appendf(nil, "%s %s %s", method, target, body), target == "/last")
 }
 
-// startLoop runs the one loop the tests share: gnet has no quick way to stop.
+// startLoop starts the loop that all tests share, since gnet has no quick way to stop. It
+// returns its handler and address.
 var startLoop = sync.OnceValues(func() (*echo, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,9 +51,11 @@
 	return e, addr
 })
 
-// serveHello answers every request.
+// serveHello answers every request with a short body.
 func serveHello(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }
 
+// exchange sends bytes on a connection of its own and returns the status and body of the
+// response.
 func exchange(t *testing.T, addr, send string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -110,24 +113,24 @@
 		}
 	}
 	if r := call(addr, "/hold", 50*time.Millisecond); !errors.Is(r.err, ErrTimeout) {
-		t.Errorf("an unanswered call: got %+v", r)
+		t.Errorf("a call without a response: got %+v, want ErrTimeout", r)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := ln.Addr().String()
+	unusedAddr := ln.Addr().String()
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if r := call(nobody, "/", 5*time.Second); !errors.Is(r.err, ErrNotSent) {
-		t.Errorf("a refused connection: got %+v", r)
+	if r := call(unusedAddr, "/", 5*time.Second); !errors.Is(r.err, ErrNotSent) {
+		t.Errorf("a call to a refused connection: got %+v, want ErrNotSent", r)
 	}
 }
 
-// TestIdleOutboundClosedForNewHosts calls more hosts than the loop may hold connections
-// to. The unused ones give way: without that, calls to whoever came later
-// waited in vain, and a controller took live machines for dead.
+// TestIdleOutboundClosedForNewHosts calls more hosts than the loop may keep connections to. Idle
+// connections must be closed for new ones: otherwise calls to further hosts time out in the
+// queue, and a controller declares reachable machines dead.
 func TestIdleOutboundClosedForNewHosts(t *testing.T) {
 	e, _ := startLoop()
 	for i := range 2 * e.loop.maxSockets * maxOutboundPercent / 100 {
@@ -148,7 +151,7 @@
 	}
 }
 
-// callConcurrently makes that many calls at once and waits until all are answered.
+// callConcurrently makes a number of calls at the same time and waits for all responses.
 func callConcurrently(t *testing.T, e *echo, addr string, calls int) {
 	t.Helper()
 	out := make(chan error, calls)
@@ -164,10 +167,11 @@
 	}
 }
 
-// TestIdleOutboundClosedForAccepted connects more clients than a fixed share for accepted
-// connections left room for, after calls of ours have taken theirs. What is unused of
-// ours gives way, every client keeps its connection, and the limit holds: a fleet that
-// reconnects at once after all controllers were restarted is more than half of it.
+// TestIdleOutboundClosedForAccepted makes concurrent calls, which leave idle outbound
+// connections, and then connects clients to three quarters of the sockets. Idle outbound
+// connections must be closed for them, every client must keep its connection, and the limit must
+// hold. A fixed share for accepted connections would be too small: after a restart of all
+// controllers the whole fleet reconnects at once and takes more than half of the sockets.
 func TestIdleOutboundClosedForAccepted(t *testing.T) {
 	e, addr := startLoop()
 	idle, err := net.Listen("tcp", "127.0.0.1:0")
@@ -203,16 +207,17 @@
 	got := make(chan count, 1)
 	e.loop.Post(func() { got <- count{e.loop.accepted.Len(), e.loop.outbound} })
 	if c := <-got; c.accepted < len(clients) || c.accepted+c.outgoing > e.loop.maxSockets {
-		t.Errorf("%d accepted and %d of ours with a limit of %d", c.accepted, c.outgoing, e.loop.maxSockets)
+		t.Errorf("%d accepted and %d outbound connections, with a limit of %d sockets", c.accepted, c.outgoing, e.loop.maxSockets)
 	}
-	// Connections and calls are no threads: 2,000 are the most that a process may have.
+	// Connections and calls must not take a thread each: a process may have at most 2,000.
 	if tasks, err := os.ReadDir("/proc/self/task"); err == nil && len(tasks) > 100 {
-		t.Errorf("%d threads", len(tasks))
+		t.Errorf("%d threads, want at most 100", len(tasks))
 	}
 }
 
-// TestPeerStreams checks that what one controller publishes reaches the other over
-// an HTTP/2 stream, also what it said before the other came.
+// TestPeerStreams checks that a line that one controller publishes reaches the other over an
+// HTTP/2 stream, also one published before the other connected, and that Send reaches only the
+// named peer.
 func TestPeerStreams(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	addr := func() string {
@@ -234,16 +239,16 @@
 		t.Fatal(err)
 	}
 	if line := <-got; line != "one" {
-		t.Errorf("got %q", line)
+		t.Errorf("line published before the peer connected: got %q", line)
 	}
 	first.Publish([]byte("two"))
 	if line := <-got; line != "two" {
-		t.Errorf("got %q", line)
+		t.Errorf("published line: got %q", line)
 	}
-	// What is for another peer doesn't come.
+	// The line to another peer must not arrive.
 	first.Send("three", []byte("for three"))
 	first.Send("two", []byte("for two"))
 	if line := <-got; line != "for two" {
-		t.Errorf("got %q", line)
+		t.Errorf("line to this peer: got %q", line)
 	}
 }
--- a/internal/transport/peer_streams.go
+++ b/internal/transport/peer_streams.go
@@ -23,15 +23,15 @@
 	acceptRetryDelay   = 100 * time.Millisecond
 )
 
-// MaxPeerLine is the length of the longest line that a stream takes.
+// MaxPeerLine is the largest length of a line on a stream.
 const MaxPeerLine = 64 << 10
 
-// peerNameParam is the field of a request for a stream that names who asks.
+// peerNameParam is the query parameter with the name of the controller that requests a stream.
 const peerNameParam = "node"
 
-// PeerStreams keeps one HTTP/2 stream to each other controller, on which that
-// controller tells its events, a line each. They are hints: a lost one is
-// made up for by the next.
+// PeerStreams exchanges lines with the other controllers: it reads an HTTP/2 stream from each of
+// them, and serves one to each that connects. Lines are hints: the next one makes up for a lost
+// one.
 type PeerStreams struct {
 	name    string
 	receive func(line []byte)
@@ -39,17 +39,17 @@
 
 	mu          sync.Mutex
 	subscribers map[*subscriber]struct{}
-	last        []byte
-	dropped     int
+	last        []byte // the line published last, sent first on a new stream
+	dropped     int    // lines since the last TakeDropped
 }
 
-// subscriber is what a peer reads. Its name is as the peer gave it.
+// subscriber is a peer that reads a stream from this process, under the name that it gave.
 type subscriber struct {
 	name  string
 	lines chan []byte
 }
 
-// offer puts a line on a stream, and reports whether there was room.
+// offer queues a line unless the queue is full, and reports whether it did.
 func (s *subscriber) offer(line []byte) bool {
 	select {
 	case s.lines <- line:
@@ -59,8 +59,9 @@
 	}
 }
 
-// NewPeerStreams serves events on listen and receives those of the peers, handing
-// each to receive, from goroutines of its own. name tells the peers whose stream it is.
+// NewPeerStreams serves streams on listen and reads those of the peers at the given addresses.
+// It calls receive with each line from goroutines of its own. name is this controller's name,
+// under which it subscribes to the peers' streams.
 func NewPeerStreams(listen, name string, peers []string, receive func(line []byte), log *slog.Logger) (*PeerStreams, error) {
 	p := &PeerStreams{name: name, receive: receive, log: log, subscribers: map[*subscriber]struct{}{}}
 	ln, err := net.Listen("tcp", listen)
@@ -74,8 +75,7 @@
 	return p, nil
 }
 
-// Publish tells every peer that listens. A peer that can't keep up misses
-// events.
+// Publish sends a line to every connected peer, except those whose queue is full.
 func (p *PeerStreams) Publish(line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// Send tells one peer, if it listens. A peer that can't keep up misses the line.
+// Send sends a line to one peer, if it is connected and its queue is not full.
 func (p *PeerStreams) Send(name string, line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// TakeDropped tells how many lines peers missed since it was last asked.
+// TakeDropped returns the number of lines dropped for full queues since the previous call.
 func (p *PeerStreams) TakeDropped() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,21 +119,21 @@
 	p.log.Error("peer listener failed", "error", err)
 }
 
-// cleartextHTTP2 is HTTP/2 without encryption and nothing else.
+// cleartextHTTP2 enables only HTTP/2 without TLS.
 func cleartextHTTP2() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetUnencryptedHTTP2(true)
 	return p
 }
 
-// limitedListener closes connections beyond a number at once.
+// limitedListener immediately closes connections beyond a limit of open ones.
 type limitedListener struct {
 	net.Listener
 	maxOpen int32
 	open    atomic.Int32
 }
 
-// Accept implements net.Listener. Errors of accepting, such as a lack of sockets, pass.
+// Accept implements net.Listener. It retries after errors, such as a lack of file descriptors.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -142,13 +142,14 @@
 			time.Sleep(acceptRetryDelay)
 		case l.open.Add(1) > l.maxOpen:
 			l.open.Add(-1)
-			_ = c.Close() // nothing was read from it
+			_ = c.Close() // nothing was read, so the error does not matter
 		default:
 			return &limitedConn{Conn: c, listener: l}, nil
 		}
 	}
 }
 
+// limitedConn is a connection that counts towards the listener's limit until it is closed.
 type limitedConn struct {
 	net.Conn
 	listener *limitedListener
@@ -163,6 +164,7 @@
 	return c.Conn.Close()
 }
 
+// serveStream sends queued lines to a peer until it disconnects.
 func (p *PeerStreams) serveStream(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != peerPath || r.Method != http.MethodGet {
 		http.Error(w, "no such stream", http.StatusNotFound)
@@ -193,6 +195,7 @@
 	}
 }
 
+// subscribe reads the stream of one peer, and reconnects whenever it ends.
 func (p *PeerStreams) subscribe(addr string) {
 	transport := &http.Transport{
 		Protocols:         cleartextHTTP2(),
@@ -212,7 +215,8 @@
 func (p *PeerStreams) readStream(t *http.Transport, addr string) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	// A peer tells something every second; one that doesn't is dialled anew.
+	// A peer sends a line every second. After peerReadTimeout without one the connection is
+	// considered broken.
 	watchdog := time.AfterFunc(peerReadTimeout, cancel)
 	defer watchdog.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+peerPath+"?"+url.Values{peerNameParam: {p.name}}.Encode(), nil)
@@ -223,9 +227,9 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // all that counts was read
+	defer func() { _ = resp.Body.Close() }() // only reads, so the error does not matter
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, 4096), MaxPeerLine+1) // and its end
+	lines.Buffer(make([]byte, 0, 4096), MaxPeerLine+1) // with the line feed
 	for lines.Scan() {
 		watchdog.Reset(peerReadTimeout)
 		p.receive(append([]byte(nil), lines.Bytes()...))
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -4,62 +4,66 @@
 	"time"
 )
 
-// Shares of the sockets, in percent. Every worker holds one accepted connection
-// and, while it has work, one of ours. What is left is for the controllers' own
-// streams. Within all of them need decides: connections of ours that wait for a call
-// give way to workers and users that come, since a fleet that reconnects at once
-// takes more than any fixed share of it.
+// Shares of the socket limit in percent. A worker takes one accepted connection and, while it
+// has tasks, one outbound connection. The remaining sockets are for the streams between
+// controllers. Accepted and outbound connections share the sockets by demand: idle outbound
+// connections are closed for new clients, since a whole fleet that reconnects at once needs more
+// sockets than any fixed share for accepted connections.
 const (
-	maxOpenPercent           = 88 // those that are closing take some more for a moment
-	maxOutboundPercent       = 40 // of ours at the most
-	minOutboundPercent       = 12 // that don't give way to accepted ones
-	stateServiceExtraPercent = 4  // more of ours, for the state service alone
-	maxDialingPercent        = 10 // at a time: those of machines that are gone hang
-	// Beyond this share of all sockets an answer ends its connection, where connections
-	// had to be shed lately.
+	maxOpenPercent           = 88 // of all connections; those being closed briefly take more
+	maxOutboundPercent       = 40 // of outbound connections
+	minOutboundPercent       = 12 // of outbound connections that are not closed for accepted ones
+	stateServiceExtraPercent = 4  // on top of maxOutboundPercent, for calls to the state service
+	maxDialingPercent        = 10 // of concurrent dials: those to machines that are gone hang
+	// Above this share of open connections, responses close theirs if connections had to be
+	// shed lately.
 	highWatermarkPercent = 72
 )
 
-// pressureDuration is for how long after a connection was shed, or came while sockets were few,
-// answers end their connections. There may be many more workers than sockets: one whose
-// idle connection is closed under its next report takes that for a failure and goes to
-// another controller a second later, while one that is told to close dials again.
+// pressureDuration is how long responses close their connections after a connection was shed, or
+// after one was accepted under pressure. There may be many more workers than sockets. A worker
+// whose idle connection is closed just as it sends a heartbeat treats that as a failure, and
+// goes to another controller a second later; one that is told to close its connection reconnects
+// to this controller.
 const pressureDuration = 10 * time.Second
 
-// SocketCounts are how often bounds of the sockets were reached.
+// SocketCounts says how often the limits of sockets took effect.
 type SocketCounts struct {
-	ClosedAfterResponse int // answers that ended their connection for want of sockets
-	ConnectionsShed     int // accepted connections that were closed to make room
-	CallsWithoutSocket  int // calls that were given up while they waited for a socket
+	ClosedAfterResponse int // responses that closed their connection for lack of sockets
+	ConnectionsShed     int // accepted connections closed to free a socket
+	CallsWithoutSocket  int // calls that timed out while queued for a socket
 }
 
-// TakeCounts tells how often bounds were reached since it was last asked. It runs on the loop.
+// TakeCounts returns the counts since the previous call. It must run on the event loop.
 func (l *Loop) TakeCounts() SocketCounts {
 	c := l.counts
 	l.counts = SocketCounts{}
 	return c
 }
 
+// socketShare returns a percentage of the socket limit.
 func (l *Loop) socketShare(percent int) int { return l.maxSockets * percent / 100 }
 
-// outboundSockets is the number of connections of ours, those that are being dialled included,
-// and open the number of all connections.
+// outboundSockets returns the number of outbound connections, including those being dialed and
+// without those being closed.
 func (l *Loop) outboundSockets() int { return l.outbound - l.outboundClosing + l.dialing }
 
+// openSockets returns the number of outbound and accepted connections.
 func (l *Loop) openSockets() int { return l.outboundSockets() + l.accepted.Len() }
 
-// aboveHighWatermark reports whether few sockets are left.
+// aboveHighWatermark reports whether more than highWatermarkPercent of the sockets are open.
 func (l *Loop) aboveHighWatermark() bool {
 	return l.openSockets() > l.socketShare(highWatermarkPercent)
 }
 
-// underPressure reports whether there are more clients than sockets, so that an answer is to end
-// its connection.
+// underPressure reports whether clients compete for too few sockets, so that responses should
+// close their connections.
 func (l *Loop) underPressure() bool {
 	return l.aboveHighWatermark() && time.Now().Before(l.pressureUntil)
 }
 
-// closeLongestIdle closes the connection of ours that has been unused for longest.
+// closeLongestIdle closes the outbound connection that has been idle for longest, and reports
+// whether there was one.
 func (l *Loop) closeLongestIdle() bool {
 	e := l.idle.Front()
 	if e == nil {
@@ -73,8 +77,8 @@
 	return true
 }
 
-// shedLeastRecentlyActive closes the accepted connection that was heard longest ago, so that silent
-// clients can't lock out the others. Those that wait for an answer are kept.
+// shedLeastRecentlyActive closes the accepted connection that received nothing for longest, so
+// that inactive clients can't lock out others. Connections with a request being handled are kept.
 func (l *Loop) shedLeastRecentlyActive() {
 	for e := l.accepted.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*acceptedConn)
@@ -89,15 +93,15 @@
 	}
 }
 
-// canDial reports whether one more dial may begin now.
+// canDial reports whether another dial may start. It may close an idle connection for it.
 func (l *Loop) canDial() bool {
 	return l.dialing < max(minConcurrentDials, l.socketShare(maxDialingPercent)) && l.ensureOutboundCapacity()
 }
 
-// ensureOutboundCapacity reports whether one more connection of ours may be opened, and makes
-// room by closing the one that has been unused for longest. With more machines
-// than sockets, those that had an order a while ago would otherwise keep all
-// others from being reached, and those would be taken for dead.
+// ensureOutboundCapacity reports whether another outbound connection may be opened. At a limit
+// it closes the one that has been idle for longest. With more machines than sockets, idle
+// connections to some machines would otherwise make all others unreachable, and the controller
+// would declare them dead.
 func (l *Loop) ensureOutboundCapacity() bool {
 	full := func() bool {
 		return l.outboundSockets() >= l.socketShare(maxOutboundPercent) || l.openSockets() >= l.socketShare(maxOpenPercent)
@@ -105,7 +109,9 @@
 	return !full() || l.closeLongestIdle() && !full()
 }
 
-// closeExpired ends half-sent requests and unused outgoing connections.
+// closeExpired closes connections whose request did not arrive in full within
+// requestReadTimeout, and outbound connections idle for longer than outboundIdleTimeout. It runs
+// every sweepInterval.
 func (l *Loop) closeExpired() {
 	now := time.Now()
 	for e := l.accepted.Front(); e != nil; e = e.Next() {
