--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares values that are stored or sent with bytes that an earlier version
-// wrote. Tests of the packages that define such values use it: a field that is renamed,
-// reordered or given another type would otherwise be noticed only by a controller of another
-// version. It is never part of the program.
+// Package golden compares the encoding of stored and sent values with golden files: bytes that
+// an earlier version wrote. Tests of the packages that define such values use it. Without it, a
+// renamed, reordered or retyped field would fail only when controllers of different versions
+// exchange data. The package is for tests only.
 package golden
 
 import (
@@ -14,38 +14,37 @@
 	"brasskeel/internal/protocol"
 )
 
-// Case is one form of a stored or sent value: the file in testdata that holds its bytes, and
-// a pointer to the same value.
+// Case is a golden file in testdata and a pointer to the value that it encodes.
 type Case struct {
 	File  string
 	Value any
 }
 
-// Check fails the test unless the file holds what the value encodes to, byte for byte, and
+// Check fails the test unless every value encodes to exactly the bytes of its file, and the file
 // decodes to the value.
-func Check(t *testing.T, forms []Case) {
+func Check(t *testing.T, cases []Case) {
 	t.Helper()
-	for _, f := range forms {
-		t.Run(f.File, func(t *testing.T) {
-			want := readFile(t, f.File)
-			encoded, err := json.Marshal(f.Value)
+	for _, c := range cases {
+		t.Run(c.File, func(t *testing.T) {
+			want := readFile(t, c.File)
+			encoded, err := json.Marshal(c.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if string(encoded) != string(want) {
-				t.Errorf("encodes to\n%s\nwant\n%s", encoded, want)
+				t.Errorf("json.Marshal: got\n%s\nwant\n%s", encoded, want)
 			}
-			checkDecode(t, want, f.Value)
+			checkDecode(t, want, c.Value)
 		})
 	}
 }
 
-// CheckDecode fails the test unless the file decodes to the value. It is for forms that are
-// read and no longer written.
-func CheckDecode(t *testing.T, forms []Case) {
+// CheckDecode fails the test unless every file decodes to its value. It is for encodings that
+// earlier versions wrote and this one only reads.
+func CheckDecode(t *testing.T, cases []Case) {
 	t.Helper()
-	for _, f := range forms {
-		t.Run(f.File, func(t *testing.T) { checkDecode(t, readFile(t, f.File), f.Value) })
+	for _, c := range cases {
+		t.Run(c.File, func(t *testing.T) { checkDecode(t, readFile(t, c.File), c.Value) })
 	}
 }
 
@@ -58,7 +57,7 @@
 	return raw
 }
 
-// checkDecode checks both libraries that the program reads with.
+// checkDecode checks both decoders that the program uses.
 func checkDecode(t *testing.T, raw []byte, want any) {
 	t.Helper()
 	for name, decode := range map[string]func([]byte, any) error{"protocol.Decode": protocol.Decode, "json.Unmarshal": json.Unmarshal} {
@@ -68,7 +67,7 @@
 			continue
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s reads\n%+v\nwant\n%+v", name, got, want)
+			t.Errorf("%s: got\n%+v\nwant\n%+v", name, got, want)
 		}
 	}
 }
