--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,74 +15,78 @@
 type Peer struct {
 	Name string
 	Zone string
-	Addr string // address with a port, where it serves its peers
+	Addr string // IP address and port on which it serves its peers
 }
 
-// Team has a guarantee and a limit. A team without a limit, as guests are, has
-// NoLimit for it.
+// Team is a team with the resources that it is guaranteed and those that it may take at most.
+// The limits of a team without any, such as guests, are NoLimit.
 type Team struct {
 	Name                           string
-	GuaranteedCPUs, GuaranteedGPUs float64 // guaranteed
-	MaxCPUs, MaxGPUs               float64 // never exceeded
+	GuaranteedCPUs, GuaranteedGPUs float64
+	MaxCPUs, MaxGPUs               float64
 }
 
-// NoLimit is the limit of a team that has none: more than any fleet holds, and
-// finite, so that it can be counted with.
+// NoLimit is the limit of a team that has none. It is more than any fleet holds, and finite so
+// that arithmetic on it stays well defined.
 const NoLimit = 1e9
 
-// limitFromFile reads a maximum, of which 0 means none.
-func limitFromFile(most float64) float64 {
-	if most == 0 {
+// limitFromFile converts a limit from the settings file, where 0 means none.
+func limitFromFile(limit float64) float64 {
+	if limit == 0 {
 		return NoLimit
 	}
-	return most
+	return limit
 }
 
-// Objective is a service-level objective that the platform states for a class of jobs. Which
-// of the amounts count depends on the kind.
+// Objective is a service-level objective of the platform for a class of jobs. Which of the
+// fields apply depends on the kind.
 type Objective struct {
 	Kind            string
 	Class           string
 	Within          time.Duration
 	After           time.Duration
-	Share           float64 // of the class's jobs, 0 to 1
+	Share           float64 // of the class's jobs that must meet the objective, 0 to 1
 	RuntimeMultiple float64 // of the estimated runtime
 }
 
-// Settings is what the platform hands over at the start.
+// Settings are the settings that the platform gives a controller. Addresses are an IP address
+// and a port.
 type Settings struct {
 	Name           string // of this controller, unique among the peers
 	Zone           string
-	ListenAddr     string // address with a port, for users and workers
-	PeerListenAddr string // address with a port, for other controllers
+	ListenAddr     string // for users and workers
+	PeerListenAddr string // for other controllers
 	Peers          []Peer
-	CloudAddr      string // address with a port
-	StateAddr      string // of the state service, address with a port
+	CloudAddr      string
+	StateAddr      string // of the state service
 
 	Teams      []Team
 	Objectives []Objective
-	// MaxClockSkew is how far the times of day of two machines may be apart.
+	// MaxClockSkew is the largest difference between the clocks of two machines.
 	MaxClockSkew time.Duration
 
-	HeartbeatInterval time.Duration // between a worker's heartbeats
-	// WorkerLease is how long a worker's tasks go on after its last heartbeat that was answered.
+	HeartbeatInterval time.Duration // between the heartbeats of a worker
+	// WorkerLease is how long a worker runs its tasks after the last heartbeat that was answered.
 	WorkerLease time.Duration
-	// CancelDeadline is within which time a cancelled job's tasks must have ended.
+	// CancelDeadline is the time after a cancellation by which all tasks of the job must have
+	// ended.
 	CancelDeadline time.Duration
 
-	StateRPS      float64 // requests a second to the state service
-	StateWriteRPS float64 // of them, changes of keys
-	MaxValueBytes int     // largest value of a key
-	MaxTxnOps     int     // most operations in a transaction
+	StateRPS      float64 // limit of requests per second to the state service
+	StateWriteRPS float64 // limit of writes among them
+	MaxValueBytes int     // of a key in the state service
+	MaxTxnOps     int     // operations in one transaction
 
-	CloudRPS   float64       // requests a second to the cloud
-	MaxListLag time.Duration // by which the cloud's list of machines may be old
+	CloudRPS   float64       // limit of requests per second to the cloud
+	MaxListLag time.Duration // by which the cloud's list of machines may be out of date
 
 	CPUShare    float64 // of one core
 	MemoryBytes int64
-	MaxSockets  int // open at a time
+	MaxSockets  int // open at the same time
 }
 
+// settingsFile is the platform's settings file.
+
 type settingsFile struct {
 	Name       string      `toml:"host_name"`
 	Zone       string      `toml:"domain"`
@@ -143,33 +147,38 @@
 	Times   float64 `toml:"times"`
 }
 
-// The least that a controller can work with: an election writes two keys in one transaction,
-// a record of a job or of four tasks takes some hundred bytes, and beside the state service,
-// the cloud and two peers there must be sockets for some workers and users.
+// Minimum limits that a controller can operate with: an election writes two keys in one
+// transaction, a record of a job or of four tasks takes a few hundred bytes, and sockets are
+// needed for some workers and users besides the state service, the cloud and two peers.
 const (
 	minTxnOps  = 2
 	minValueKB = 1
 	minSockets = 32
 )
 
-// maxSettingValue is more than any setting may be, so that it can be counted with.
+// maxSettingValue is the largest value of a numeric setting. It keeps conversions and sums of
+// settings from overflowing.
 const maxSettingValue = 1e9
 
-// minCancelMargin is what a cancellation must have beyond a worker's lease, for a leader to
-// learn of it before it renews another one.
+// minCancelMargin is how much longer than a worker's lease the cancel deadline must be: a leader
+// needs the time to learn of a cancellation before it renews another lease.
 const minCancelMargin = 3 * time.Second
 
-// Load reads the platform's settings from a file and checks them. Its errors are those of
-// os.ReadFile and of Parse.
+// Load reads the platform's settings from a file and validates them. Its errors are those of
+// os.ReadFile, and those of Parse with the path.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(raw)
+	s, err := Parse(raw)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return s, nil
 }
 
-// Parse reads and checks settings. Unknown fields are ignored. The error is a *SettingError,
+// Parse parses and validates settings. Unknown fields are ignored. The error is a *SettingError,
 // or wraps the error of the TOML decoder.
 func Parse(raw []byte) (*Settings, error) {
 	var f settingsFile
@@ -188,7 +197,8 @@
 	return s, nil
 }
 
-// readController reads what this controller is called, and where it and the services listen.
+// readController reads this controller's name and zone, and the addresses of the controller and
+// the services.
 func (f *settingsFile) readController(s *Settings) error {
 	s.Name, s.Zone, s.ListenAddr, s.PeerListenAddr = f.Name, f.Zone, f.Listen, f.PeerListen
 	s.CloudAddr, s.StateAddr = f.Services.Cloud, f.Services.State
@@ -211,10 +221,10 @@
 	named := map[string]bool{s.Name: true}
 	for _, p := range f.Peers {
 		if p.Name == "" {
-			return &SettingError{Name: "a seed", Reason: "has no host_name"}
+			return &SettingError{Name: "an entry of seeds", Reason: "has no host_name"}
 		}
 		if named[p.Name] {
-			return &SettingError{Name: fmt.Sprintf("host %q", p.Name), Reason: "is named twice"}
+			return &SettingError{Name: fmt.Sprintf("host_name %q", p.Name), Reason: "is used more than once"}
 		}
 		named[p.Name] = true
 		if err := checkAddr("endpoint of seed "+p.Name, p.Addr); err != nil {
@@ -229,17 +239,18 @@
 	named := map[string]bool{}
 	for _, t := range f.Params.Teams {
 		if t.Name == "" || named[t.Name] {
-			return teamError(t.Name, "has no name of its own")
+			return teamError(t.Name, "has an empty name or that of another team")
 		}
 		named[t.Name] = true
 		for _, v := range [...]float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
 			if !(v >= 0) || math.IsInf(v, 0) {
-				return teamError(t.Name, "has an impossible amount")
+				return teamError(t.Name, fmt.Sprintf("has an amount of %g, must be 0 or more and finite", v))
 			}
 		}
 		t.CPUsMax, t.GPUsMax = limitFromFile(t.CPUsMax), limitFromFile(t.GPUsMax)
 		if t.CPUsMax < t.CPUs || t.GPUsMax < t.GPUs {
-			return teamError(t.Name, "has a maximum below its guarantee")
+			return teamError(t.Name, fmt.Sprintf("has a maximum below its guarantee: cpus %g, cpus_max %g, gpus %g, gpus_max %g",
+				t.CPUs, limitToFile(t.CPUsMax), t.GPUs, limitToFile(t.GPUsMax)))
 		}
 		s.Teams = append(s.Teams, Team{Name: t.Name, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax, GuaranteedGPUs: t.GPUs, MaxGPUs: t.GPUsMax})
 	}
@@ -256,8 +267,8 @@
 	}
 }
 
-// checkAmounts refuses amounts that are not positive, and those that a controller can't work
-// with.
+// checkAmounts rejects limits and durations that are not positive, too large, or below what a
+// controller can operate with.
 func (f *settingsFile) checkAmounts(*Settings) error {
 	workers, state, cloud, quota := &f.Params.Workers, &f.Params.State, &f.Params.Cloud, &f.Params.Quota
 	for _, v := range [...]struct {
@@ -270,22 +281,23 @@
 		{"quota.cpu", quota.CPU}, {"quota.ram_mb", quota.RAMMB}, {"quota.sockets", float64(quota.Sockets)},
 	} {
 		if !(v.value > 0) || v.value > maxSettingValue {
-			return &SettingError{Name: "facts." + v.name, Reason: "must be above zero"}
+			return &SettingError{Name: "facts." + v.name, Reason: fmt.Sprintf("is %g, must be above 0 and at most %g", v.value, float64(maxSettingValue))}
 		}
 	}
 	for _, v := range [...]struct {
-		name         string
-		value, least float64
+		name       string
+		value, min float64
 	}{
 		{"state.txn_ops", float64(state.TxnOps), minTxnOps}, {"state.value_kb", state.ValueKB, minValueKB},
 		{"quota.sockets", float64(quota.Sockets), minSockets},
 	} {
-		if v.value < v.least {
-			return &SettingError{Name: "facts." + v.name, Reason: fmt.Sprintf("must be %g or more", v.least)}
+		if v.value < v.min {
+			return &SettingError{Name: "facts." + v.name, Reason: fmt.Sprintf("is %g, must be %g or more", v.value, v.min)}
 		}
 	}
 	if !(cloud.ListLagS >= 0) || !(f.Params.TimeBoundMS >= 0) {
-		return &SettingError{Name: "facts.cloud.list_lag_s and facts.time_bound_ms", Reason: "must not be negative"}
+		return &SettingError{Name: "facts.cloud.list_lag_s and facts.time_bound_ms",
+			Reason: fmt.Sprintf("are %g and %g, must be 0 or more", cloud.ListLagS, f.Params.TimeBoundMS)}
 	}
 	return nil
 }
@@ -294,13 +306,14 @@
 	workers := &f.Params.Workers
 	s.HeartbeatInterval, s.WorkerLease, s.CancelDeadline = seconds(workers.ReportS), seconds(workers.LeaseS), seconds(workers.CancelS)
 	if s.CancelDeadline < s.WorkerLease+minCancelMargin {
-		// A worker that can't be reached ends its tasks with its lease and not before.
-		return &SettingError{Name: "facts.workers.cancel_s", Reason: fmt.Sprintf("must exceed lease_s by %s or more", minCancelMargin)}
+		// An unreachable worker runs its tasks until its lease expires.
+		return &SettingError{Name: "facts.workers.cancel_s",
+			Reason: fmt.Sprintf("is %g, must exceed lease_s, which is %g, by %s or more", workers.CancelS, workers.LeaseS, minCancelMargin)}
 	}
 	return nil
 }
 
-// readLimits reads the limits of the services and of this controller, which were checked.
+// readLimits reads the limits of the services and of this controller, already validated.
 func (f *settingsFile) readLimits(s *Settings) {
 	state, cloud, quota := &f.Params.State, &f.Params.Cloud, &f.Params.Quota
 	s.MaxClockSkew = seconds(f.Params.TimeBoundMS / 1000)
@@ -315,7 +328,7 @@
 		return missingError(name)
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return &SettingError{Name: name + ":", Reason: fmt.Sprintf("%q is not an address with a port", addr), Err: err}
+		return &SettingError{Name: name + ":", Reason: fmt.Sprintf("%q is not an IP address with a port", addr), Err: err}
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -59,27 +59,27 @@
 		t.Errorf("got %+v", s)
 	}
 	if s.Teams[0].MaxCPUs != 2 || s.Teams[0].MaxGPUs != NoLimit {
-		t.Errorf("limits: got %+v", s.Teams)
+		t.Errorf("limits of the team: got %+v", s.Teams)
 	}
 	guest, err := Parse([]byte(strings.Replace(validSettings, "cpus = 1.0\ncpus_max = 2.0", "cpus = 0.0\ncpus_max = 0.0", 1)))
 	if err != nil || guest.Teams[0].GuaranteedCPUs != 0 || guest.Teams[0].MaxCPUs != NoLimit {
-		t.Errorf("a team without guarantee and limit: %+v, %v", guest, err)
+		t.Errorf("a team without guarantee and limit: got %+v, %v", guest, err)
 	}
 }
 
 func TestParseRejects(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`public_addr = "10.0.0.1:8080"`, ``, "public_addr is missing"},
-		{`public_addr = "10.0.0.1:8080"`, `public_addr = "here"`, "not an address"},
-		{`host_name = "n1"`, `host_name = "n0"`, "named twice"},
-		{`lease_s = 28.0`, `lease_s = 0.0`, "lease_s must be above zero"},
-		{`lease_s = 28.0`, `lease_s = 46.0`, "cancel_s must exceed lease_s by 3s"},
-		{`lease_s = 28.0`, `lease_s = nan`, "lease_s must be above zero"},
+		{`public_addr = "10.0.0.1:8080"`, `public_addr = "here"`, "not an IP address"},
+		{`host_name = "n1"`, `host_name = "n0"`, "used more than once"},
+		{`lease_s = 28.0`, `lease_s = 0.0`, "lease_s is 0, must be above 0"},
+		{`lease_s = 28.0`, `lease_s = 46.0`, "cancel_s is 48, must exceed lease_s, which is 46, by 3s"},
+		{`lease_s = 28.0`, `lease_s = nan`, "lease_s is NaN, must be above 0"},
 		{`cpus_max = 2.0`, `cpus_max = 0.5`, "maximum below its guarantee"},
-		{`txn_ops = 16`, ``, "txn_ops must be above zero"},
-		{`txn_ops = 16`, `txn_ops = 1`, "txn_ops must be 2 or more"},
-		{`value_kb = 8.0`, `value_kb = 0.5`, "value_kb must be 1 or more"},
-		{`sockets = 900`, `sockets = 10`, "sockets must be 32 or more"},
+		{`txn_ops = 16`, ``, "txn_ops is 0, must be above 0"},
+		{`txn_ops = 16`, `txn_ops = 1`, "txn_ops is 1, must be 2 or more"},
+		{`value_kb = 8.0`, `value_kb = 0.5`, "value_kb is 0.5, must be 1 or more"},
+		{`sockets = 900`, `sockets = 10`, "sockets is 10, must be 32 or more"},
 		{`domain = "a"`, ``, "domain is missing"},
 		{`[facts.cloud]`, `[[facts.cloud]]`, "settings"},
 	} {
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestParseLargeFleet takes settings of controllers for tens of thousands of machines.
+// TestParseLargeFleet checks that settings for a fleet of tens of thousands of machines are
+// accepted.
 func TestParseLargeFleet(t *testing.T) {
 	large := strings.NewReplacer("cpus = 1.0\ncpus_max = 2.0", "cpus = 800000.0\ncpus_max = 3200000.0", "rps = 120.0", "rps = 20000.0",
 		"write_rps = 40.0", "write_rps = 8000.0", "sockets = 900", "sockets = 200000", "ram_mb = 98.0", "ram_mb = 65536.0",
@@ -101,7 +102,7 @@
 	}
 }
 
-// TestEncode writes settings and reads them again.
+// TestEncode checks that settings survive encoding and parsing.
 func TestEncode(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
 	if err != nil {
@@ -115,7 +116,7 @@
 	}
 	got, err := Parse(raw)
 	if err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("written and read: %+v, %v, want %+v", got, err, s)
+		t.Errorf("round trip: got %+v, %v, want %+v", got, err, s)
 	}
 }
 
@@ -133,17 +134,18 @@
 		`{"sharding": {"shardsPerController": 1.5}}`, `{"sharding": {"nope": 1}}`, `{"sharding": {"drain": "yes"}}`,
 		`{"spot": 1}`, `{"headroomShare": [1]}`} {
 		if err := ParseOperator([]byte(bad), &o); err == nil {
-			t.Errorf("%s is taken", bad)
+			t.Errorf("operator settings %s are accepted", bad)
 		}
 	}
 	example, err := LoadOperator("../../deploy/operator.example.json")
 	if err != nil || example != DefaultOperator() {
-		t.Errorf("the example differs from the defaults: %+v, %v", example, err)
+		t.Errorf("deploy/operator.example.json differs from the defaults: %+v, %v", example, err)
 	}
 }
 
-// A wrong setting of the balance ends with a line that names it; what is left out has its
-// default, and the file in deploy/ is good.
+// TestBalanceSettings checks that an invalid balance setting causes an error of one line that
+// names it, that omitted settings have their defaults, and that deploy/operator.balance.json
+// holds the defaults with migrations enabled.
 func TestBalanceSettings(t *testing.T) {
 	for raw, names := range map[string]string{
 		`{"balance": {"ceilingShare": 0}}`:                "ceilingShare",
@@ -160,20 +162,20 @@
 		o := DefaultOperator()
 		err := ParseOperator([]byte(raw), &o)
 		if err == nil || !strings.Contains(err.Error(), names) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", raw, err)
+			t.Errorf("%s: got error %v, want one line that names the setting", raw, err)
 		}
 	}
 	o := DefaultOperator()
 	if err := ParseOperator([]byte(`{"balance": {"ceilingShare": 0.25}}`), &o); err != nil || o.Balance == nil ||
 		*o.Balance != (Balance{CeilingShare: 0.25, MaxFetchBacklogSeconds: 20, LoadPenaltySeconds: 2, MigrationMargin: 1.5}) {
-		t.Errorf("%v, %+v", err, o.Balance)
+		t.Errorf("balance with a ceilingShare alone: error %v, got %+v", err, o.Balance)
 	}
 	deployed := defaultBalance
 	deployed.AllowMigrations = true
 	if o, err := LoadOperator("../../deploy/operator.balance.json"); err != nil || o.Balance == nil || *o.Balance != deployed {
-		t.Errorf("deploy/operator.balance.json: %v, %+v", err, o.Balance)
+		t.Errorf("deploy/operator.balance.json: error %v, got %+v", err, o.Balance)
 	}
 	if o := DefaultOperator(); o.Balance != nil {
-		t.Error("balance is on by default")
+		t.Error("balance is enabled by default")
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// SettingError is a platform setting that is missing or that a controller can't work with.
-// Callers find it with errors.As.
+// SettingError reports a platform setting that is missing or has an invalid value. Callers find
+// it with errors.As.
 type SettingError struct {
-	// Name is the setting's path in the file, or what it is a setting of.
+	// Name is the setting's path in the file, or the entry that it belongs to.
 	Name string
-	// Reason completes a sentence that begins with the name.
+	// Reason says what is wrong; Name and Reason read as one sentence.
 	Reason string
-	// Err is the error of the parser that refused the value, if one did.
+	// Err is the error of the parser that rejected the value, if any.
 	Err error
 }
 
 // Error implements error.
 func (e *SettingError) Error() string { return "settings: " + e.Name + " " + e.Reason }
 
-// Unwrap gives the parser's error.
+// Unwrap returns the parser's error.
 func (e *SettingError) Unwrap() error { return e.Err }
 
 func missingError(name string) error { return &SettingError{Name: name, Reason: "is missing"} }
@@ -25,12 +25,12 @@
 	return &SettingError{Name: fmt.Sprintf("team %q", team), Reason: reason}
 }
 
-// OperatorError is what is wrong with the operators' settings: Err is the error of the JSON
-// decoder, or that of the schema, which names the setting.
+// OperatorError reports invalid operators' settings. Err is the error of the JSON decoder, or
+// that of the schema validation, which names the setting.
 type OperatorError struct{ Err error }
 
 // Error implements error.
 func (e *OperatorError) Error() string { return "operator settings: " + e.Err.Error() }
 
-// Unwrap gives the decoder's or the schema's error.
+// Unwrap returns the error of the decoder or the schema validation.
 func (e *OperatorError) Unwrap() error { return e.Err }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -3,6 +3,7 @@
 import (
 	_ "embed"
 	"encoding/json"
+	"fmt"
 	"os"
 	"time"
 
@@ -12,55 +13,56 @@
 //go:embed operator.schema.json
 var operatorSchema []byte
 
-// Operator holds what operators may set beyond the platform's settings.
+// Operator holds the settings that operators may set in addition to the platform's.
 type Operator struct {
-	// ImageCacheWeight and FreeShareWeight are the weights of the placement score: of
-	// the cached share of the image, and of the machine's free share.
+	// ImageCacheWeight and FreeShareWeight are the weights in the placement score of the cached
+	// share of a task's image and of the machine's free share.
 	ImageCacheWeight float64 `json:"imageWeight"`
 	FreeShareWeight  float64 `json:"roomWeight"`
-	// HeadroomShare is the free room kept beyond what runs, as a share of it.
+	// HeadroomShare is the free capacity to keep, as a share of the capacity in use.
 	HeadroomShare float64 `json:"headroomShare"`
 	// IdleSeconds is how long a machine that is not needed is kept after its last task ended,
-	// before it is scaled in.
+	// before it is terminated.
 	IdleSeconds float64 `json:"idleSeconds"`
-	// LeaderLeaseSeconds is the time of a leader's lease: for so long it stays leader after it
-	// last renewed it.
+	// LeaderLeaseSeconds is the duration of the leader's lease: how long it stays leader after
+	// the last renewal.
 	LeaderLeaseSeconds float64 `json:"leaderLeaseSeconds"`
 	// AllowSpot allows renting spot machines for jobs that may use them.
 	AllowSpot bool `json:"spot"`
-	// Sharding divides the machines among the controllers; nil: the leader serves all.
+	// Sharding divides the machines among the controllers; nil: the leader serves all of them.
 	Sharding *Sharding `json:"sharding,omitempty"`
-	// Balance bounds what surging teams put on one machine; nil: it doesn't.
+	// Balance limits the load that surging teams put on one machine; nil: there is no limit.
 	Balance *Balance `json:"balance,omitempty"`
 }
 
-// Sharding says how machines are divided among the controllers.
+// Sharding configures how machines are divided among the controllers.
 type Sharding struct {
 	// ShardsPerController times the number of controllers is the number of shards.
 	ShardsPerController int `json:"shardsPerController"`
-	// Drain says that this controller is to own no shard.
+	// Drain makes this controller hand over its shards and own none.
 	Drain bool `json:"drain"`
 }
 
-// Balance says how the work of teams that surge is spread.
+// Balance configures how the tasks of surging teams are spread over machines.
 type Balance struct {
-	// CeilingShare is the part of a machine that a surging team may take.
+	// CeilingShare is the share of a machine that the tasks of a surging team may take.
 	CeilingShare float64 `json:"ceilingShare"`
 	// MaxFetchBacklogSeconds is how many seconds of image fetching may queue on a machine.
 	MaxFetchBacklogSeconds float64 `json:"fetchQueueSeconds"`
-	// LoadPenaltySeconds is how many seconds of fetching it is worth to use a machine without
-	// work of the team rather than one that it fills up to the ceiling.
+	// LoadPenaltySeconds is how many seconds of image fetching are accepted to place a task on a
+	// machine without tasks of the team, rather than on one that the team fills up to the
+	// ceiling.
 	LoadPenaltySeconds float64 `json:"tradeSeconds"`
-	// AllowMigrations allows running work of surging teams to be moved off hot machines.
+	// AllowMigrations allows migrating running tasks of surging teams off overloaded machines.
 	AllowMigrations bool `json:"moves"`
-	// MigrationMargin is how many times its cost a move has to save.
+	// MigrationMargin is the smallest ratio of the time that a migration saves to its cost.
 	MigrationMargin float64 `json:"moveMargin"`
 }
 
-// defaultBalance leaves a surging team half of each machine.
+// defaultBalance limits a surging team to half of each machine.
 var defaultBalance = Balance{CeilingShare: 0.5, MaxFetchBacklogSeconds: 20, LoadPenaltySeconds: 2, MigrationMargin: 1.5}
 
-// UnmarshalJSON implements json.Unmarshaler: what is left out has its default.
+// UnmarshalJSON implements json.Unmarshaler. Omitted fields have their defaults.
 func (b *Balance) UnmarshalJSON(raw []byte) error {
 	type plain Balance
 	p := plain(defaultBalance)
@@ -71,16 +73,17 @@
 	return nil
 }
 
-// MaxFetchBacklog is MaxFetchBacklogSeconds as a duration.
+// MaxFetchBacklog returns MaxFetchBacklogSeconds as a duration.
 func (b *Balance) MaxFetchBacklog() time.Duration { return seconds(b.MaxFetchBacklogSeconds) }
 
-// LoadPenalty is LoadPenaltySeconds as a duration.
+// LoadPenalty returns LoadPenaltySeconds as a duration.
 func (b *Balance) LoadPenalty() time.Duration { return seconds(b.LoadPenaltySeconds) }
 
-// defaultShardsPerController lets a shard be moved without moving half of what an owner has.
+// defaultShardsPerController is more than 1 so that load can be moved between controllers in
+// parts of what one of them serves.
 const defaultShardsPerController = 2
 
-// UnmarshalJSON implements json.Unmarshaler: what is left out has its default.
+// UnmarshalJSON implements json.Unmarshaler. Omitted fields have their defaults.
 func (s *Sharding) UnmarshalJSON(raw []byte) error {
 	type plain Sharding
 	p := plain{ShardsPerController: defaultShardsPerController}
@@ -91,19 +94,19 @@
 	return nil
 }
 
-// DefaultOperator is used where operators set nothing.
+// DefaultOperator returns the defaults of the operators' settings.
 func DefaultOperator() Operator {
 	return Operator{ImageCacheWeight: 1, FreeShareWeight: 1, HeadroomShare: 0.2, IdleSeconds: 4, LeaderLeaseSeconds: 2, AllowSpot: true}
 }
 
-// IdleTimeout is IdleSeconds as a duration.
+// IdleTimeout returns IdleSeconds as a duration.
 func (o *Operator) IdleTimeout() time.Duration { return seconds(o.IdleSeconds) }
 
-// LeaderLease is LeaderLeaseSeconds as a duration.
+// LeaderLease returns LeaderLeaseSeconds as a duration.
 func (o *Operator) LeaderLease() time.Duration { return seconds(o.LeaderLeaseSeconds) }
 
-// LoadOperator reads the operators' settings from a file; an empty path gives the defaults. Its
-// errors are those of os.ReadFile and of ParseOperator.
+// LoadOperator reads the operators' settings from a file. With an empty path it returns the
+// defaults. Its errors are those of os.ReadFile, and those of ParseOperator with the path.
 func LoadOperator(path string) (Operator, error) {
 	o := DefaultOperator()
 	if path == "" {
@@ -113,11 +116,14 @@
 	if err != nil {
 		return o, err
 	}
-	return o, ParseOperator(raw, &o)
+	if err := ParseOperator(raw, &o); err != nil {
+		return o, fmt.Errorf("%s: %w", path, err)
+	}
+	return o, nil
 }
 
-// ParseOperator checks raw against the schema and sets what it names in o. What is wrong with
-// raw comes as an *OperatorError.
+// ParseOperator validates raw against the schema and overwrites the settings in o that raw
+// contains. If raw is invalid, the error is an *OperatorError.
 func ParseOperator(raw []byte, o *Operator) error {
 	var schema jsonschema.Schema
 	if err := json.Unmarshal(operatorSchema, &schema); err != nil {
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -2,8 +2,8 @@
 
 import "github.com/pelletier/go-toml/v2"
 
-// Encode writes settings in the form that Parse reads. A maximum of 0 can't be written:
-// in that form 0 stands for no limit.
+// Encode returns the settings in the format that Parse reads. A limit of 0 can't be represented:
+// in the file, 0 means no limit.
 func (s *Settings) Encode() ([]byte, error) {
 	var f settingsFile
 	f.Name, f.Zone, f.Listen, f.PeerListen = s.Name, s.Zone, s.ListenAddr, s.PeerListenAddr
@@ -29,10 +29,10 @@
 	return toml.Marshal(f)
 }
 
-// limitToFile is the inverse of limit.
-func limitToFile(most float64) float64 {
-	if most == NoLimit {
+// limitToFile is the inverse of limitFromFile: it returns 0 for NoLimit.
+func limitToFile(limit float64) float64 {
+	if limit == NoLimit {
 		return 0
 	}
-	return most
+	return limit
 }
