--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -20,20 +20,20 @@
 	"brasskeel/internal/records"
 )
 
-// defaultTop is how many machines are listed unless asked otherwise.
+// defaultTop is how many machines are listed without --top.
 const defaultTop = 10
 
 func balanceCommand() *cobra.Command {
 	c := &cobra.Command{Use: "balance", Short: "Show how loaded machines are, by whom, and which teams surge", Args: cobra.NoArgs}
 	settings, operator := settingsFlags(c)
-	top := c.Flags().Int("top", defaultTop, "how many of the hottest machines to list")
+	top := c.Flags().Int("top", defaultTop, "how many of the most loaded machines to list")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		s, _, err := loadSettings(*settings, *operator)
 		if err != nil {
 			return err
 		}
 		if *top < 0 {
-			return &optionError{"--top", fmt.Sprintf("is %d, not 0 or more", *top)}
+			return &optionError{"--top", fmt.Sprintf("is %d, must be 0 or more", *top)}
 		}
 		ctx, cancel := context.WithTimeout(cmd.Context(), stateTimeout)
 		defer cancel()
@@ -46,23 +46,23 @@
 	return c
 }
 
-// fleetReport is what the records tell of machines and of what runs there.
+// fleetReport is the load of the machines as recorded in the state service.
 type fleetReport struct {
 	types          map[string]*protocol.MachineType
 	machines       map[string]*machineLoad
 	jobs           map[string]*records.Job
 	demand         map[string]float64 // CPUs of unfinished tasks, by team
 	surges         records.Surges
-	migrated       map[string]int // tasks that are on record as moved in the surge under way, by team
-	unreadableKeys []string       // keys that can't be read
+	migrated       map[string]int // tasks recorded as migrated in the current surge, by team
+	unreadableKeys []string       // keys of records that can't be decoded
 }
 
-// machineLoad is one machine, and what its attempts reserve by team.
+// machineLoad is a machine with the resources that attempts on it reserve.
 type machineLoad struct {
 	name, machineType, zone string
 	reservedByTeam          map[string]placement.Resources
 	reserved                placement.Resources
-	dominantShare           float64 // of the resource that most is taken of
+	dominantShare           float64 // the largest share of any resource that is reserved
 }
 
 func newFleetReport() *fleetReport {
@@ -70,20 +70,20 @@
 		jobs: map[string]*records.Job{}, demand: map[string]float64{}, migrated: map[string]int{}}
 }
 
-// readFleet reads the records. They are read one kind after the other while work goes on, so
-// that single tasks may be counted twice or not at all.
+// readFleet reads the records. The kinds of records are read one after the other while
+// controllers change them, so that a few tasks may be counted twice or not at all.
 func readFleet(ctx context.Context, s *config.Settings) (*fleetReport, error) {
 	f := newFleetReport()
 	for _, part := range []struct {
 		prefix string
-		take   func(protocol.KeyValue) error
+		add    func(protocol.KeyValue) error
 	}{
 		{records.KeyMachineTypes, f.addTypes}, {records.PrefixSurges, f.addSurges}, {records.PrefixActive, f.addJob},
 		{records.PrefixMachineGroups, f.addMachineGroup}, {records.PrefixTaskBlocks, f.addTaskBlock},
 	} {
-		err := readKeys(ctx, s, part.prefix, func(it protocol.KeyValue) {
-			if part.take(it) != nil {
-				f.unreadableKeys = append(f.unreadableKeys, it.Key)
+		err := readKeys(ctx, s, part.prefix, func(kv protocol.KeyValue) {
+			if part.add(kv) != nil {
+				f.unreadableKeys = append(f.unreadableKeys, kv.Key)
 			}
 		})
 		if err != nil {
@@ -94,7 +94,7 @@
 	return f, nil
 }
 
-// computeShares sets what part of each machine is taken.
+// computeShares sets the dominant share of each machine whose type is known.
 func (f *fleetReport) computeShares() {
 	for _, m := range f.machines {
 		if t := f.types[m.machineType]; t != nil {
@@ -103,22 +103,22 @@
 	}
 }
 
-func (f *fleetReport) addTypes(it protocol.KeyValue) error {
+func (f *fleetReport) addTypes(kv protocol.KeyValue) error {
 	var types []protocol.MachineType
-	err := json.Unmarshal(it.Value, &types)
+	err := json.Unmarshal(kv.Value, &types)
 	for i := range types {
 		f.types[types[i].Name] = &types[i]
 	}
 	return err
 }
 
-func (f *fleetReport) addSurges(it protocol.KeyValue) error {
-	return protocol.Decode(it.Value, &f.surges)
+func (f *fleetReport) addSurges(kv protocol.KeyValue) error {
+	return protocol.Decode(kv.Value, &f.surges)
 }
 
-func (f *fleetReport) addJob(it protocol.KeyValue) error {
+func (f *fleetReport) addJob(kv protocol.KeyValue) error {
 	var r records.Job
-	if err := protocol.Decode(it.Value, &r); err != nil {
+	if err := protocol.Decode(kv.Value, &r); err != nil {
 		return err
 	}
 	if r.Spec != nil && r.BlockSize > 0 {
@@ -128,9 +128,9 @@
 	return nil
 }
 
-func (f *fleetReport) addMachineGroup(it protocol.KeyValue) error {
+func (f *fleetReport) addMachineGroup(kv protocol.KeyValue) error {
 	var r records.MachineGroup
-	if err := protocol.Decode(it.Value, &r); err != nil {
+	if err := protocol.Decode(kv.Value, &r); err != nil {
 		return err
 	}
 	for _, m := range r.Machines {
@@ -139,20 +139,20 @@
 	return nil
 }
 
-func (f *fleetReport) addTaskBlock(it protocol.KeyValue) error {
-	id, index, ok := records.ParseTaskBlockKey(it.Key)
+func (f *fleetReport) addTaskBlock(kv protocol.KeyValue) error {
+	id, index, ok := records.ParseTaskBlockKey(kv.Key)
 	job := f.jobs[id]
 	if !ok {
-		return &keyError{"chunk", it.Key}
+		return &keyError{"task block", kv.Key}
 	}
 	var r records.TaskBlock
-	if err := protocol.Decode(it.Value, &r); err != nil || job == nil {
-		return err // without a job: it has just ended
+	if err := protocol.Decode(kv.Value, &r); err != nil || job == nil {
+		return err // a job that is not listed as active has just ended
 	}
 	spec := job.Spec
 	done, err := r.DoneTasks(job.BlockSize)
 	if err != nil {
-		return fmt.Errorf("chunk %d: %w", index, err)
+		return fmt.Errorf("task block %d: %w", index, err)
 	}
 	for _, d := range done {
 		if d {
@@ -160,12 +160,12 @@
 		}
 	}
 	if r.Surge != 0 && r.Surge == f.surges[spec.Team].Number {
-		moved, err := r.MigratedTasks(job.BlockSize)
+		migrated, err := r.MigratedTasks(job.BlockSize)
 		if err != nil {
-			return fmt.Errorf("chunk %d: %w", index, err)
+			return fmt.Errorf("task block %d: %w", index, err)
 		}
-		for _, on := range moved {
-			if on {
+		for _, m := range migrated {
+			if m {
 				f.migrated[spec.Team]++
 			}
 		}
@@ -180,9 +180,9 @@
 	return nil
 }
 
-// show prints the fleet as a whole, surges, and the hottest machines.
-func (f *fleetReport) show(to io.Writer, top int) error {
-	out := &output{w: to}
+// show prints a summary of the fleet, the surges, and the most loaded machines.
+func (f *fleetReport) show(w io.Writer, top int) error {
+	out := &output{w: w}
 	list := slices.SortedFunc(maps.Values(f.machines), func(a, b *machineLoad) int {
 		return cmp.Or(cmp.Compare(b.dominantShare, a.dominantShare), cmp.Compare(a.name, b.name))
 	})
@@ -225,7 +225,7 @@
 	})
 }
 
-// teamShares lists which part of a machine teams take, the largest first.
+// teamShares returns the share of a machine that each team takes, the largest first.
 func (f *fleetReport) teamShares(m *machineLoad) string {
 	capacity := placement.Resources{}
 	if t := f.types[m.machineType]; t != nil {
--- a/cmd/brasskeel/balance_test.go
+++ b/cmd/brasskeel/balance_test.go
@@ -8,8 +8,8 @@
 	"brasskeel/internal/records"
 )
 
-// What operators are shown of loads follows the records: who takes which part of a machine,
-// who surges, and what can't be read.
+// TestBalanceReport checks the report of machine loads that is computed from records: the share
+// of a machine that each team takes, surges, and errors for records that can't be read.
 func TestBalanceReport(t *testing.T) {
 	f := newFleetReport()
 	job := func(id, team string, tasks int, cpus float64) records.Job {
@@ -19,7 +19,7 @@
 	done.SetDone([]bool{true, false, false, false})
 	done.SetMigrated(1764680000000, []bool{true, false, true, false})
 	for _, it := range []struct {
-		take  func(protocol.KeyValue) error
+		add   func(protocol.KeyValue) error
 		key   string
 		value any
 		bad   bool
@@ -35,8 +35,8 @@
 		{f.addTaskBlock, "c/odd", records.TaskBlock{}, true},
 		{f.addMachineGroup, "m/odd", "no record", true},
 	} {
-		if err := it.take(protocol.KeyValue{Key: it.key, Value: records.Encode(it.value)}); (err != nil) != it.bad {
-			t.Errorf("%s: %v", it.key, err)
+		if err := it.add(protocol.KeyValue{Key: it.key, Value: records.Encode(it.value)}); (err != nil) != it.bad {
+			t.Errorf("%s: got error %v", it.key, err)
 		}
 	}
 	f.computeShares()
@@ -46,10 +46,10 @@
 	}
 	for _, want := range []string{"2 machines: mean 62%", "hottest 75%", "red", "2025-12-02", "2           6            2", "vm-2", "red 50%, blue 25%"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q isn't shown:\n%s", want, out.String())
+			t.Errorf("the report lacks %q:\n%s", want, out.String())
 		}
 	}
 	if strings.Contains(out.String(), "vm-1") {
-		t.Errorf("more machines than asked for:\n%s", out.String())
+		t.Errorf("the report lists more machines than requested:\n%s", out.String())
 	}
 }
--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -19,7 +19,8 @@
 	"brasskeel/internal/transport"
 )
 
-// A peer's stream takes every line that the core makes: this doesn't compile otherwise.
+// Every message that the core sends to peers must fit in a line of a peer stream. This constant
+// doesn't compile otherwise.
 const _ = uint(transport.MaxPeerLine - peers.MaxMessage)
 
 func logLevel(name string) (slog.Level, error) {
@@ -31,31 +32,32 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	}
-	return 0, &optionError{"LOG_LEVEL", fmt.Sprintf("is %q, not error, info or debug", name)}
+	return 0, &optionError{"LOG_LEVEL", fmt.Sprintf("is %q, must be error, info or debug", name)}
 }
 
-// controllerProcess ties the core to the network: what happens goes in as steps, and
-// what the steps ask for is done.
+// controllerProcess connects the core to the network: it passes requests, results of calls, peer
+// messages and timer ticks to the core, and carries out the effects that the core returns.
 type controllerProcess struct {
 	cfg     *config.Settings
 	core    *coordination.Controller
 	loop    *transport.Loop
 	peers   *transport.PeerStreams
 	timer   *time.Timer
-	timerAt time.Time
+	timerAt time.Time     // when timer fires; zero: not set
 	trace   *tracer       // nil: spans are dropped
 	ready   chan struct{} // closed once the core has started
 }
 
 func runController(cfg *config.Settings, op config.Operator, trace *tracer, level slog.Level) error {
-	// The program's share is a fraction of one core: more threads would only
-	// take turns. Half of the memory is left for the runtime and the sockets.
+	// The process may use only a fraction of one core, so more threads would not run in
+	// parallel. The Go heap gets 60% of the memory; the rest is for sockets and other memory
+	// outside the limit.
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(cfg.MemoryBytes * 6 / 10)
 	debug.SetGCPercent(200)
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("controller", cfg.Name)
 
-	// Libraries that use the standard logger are heard at debug level.
+	// Output of libraries that use the standard logger is logged at debug level.
 	slog.SetDefault(log)
 	slog.SetLogLoggerLevel(slog.LevelDebug)
 
@@ -74,27 +76,27 @@
 		c.loop.Post(func() { c.apply(c.core.PeerMessage(time.Now(), line)) })
 	}, log)
 	if err != nil {
-		return err
+		return fmt.Errorf("listen for peers on %s: %w", cfg.PeerListenAddr, err)
 	}
-	if most, known := descriptorLimit(); known && most < uint64(cfg.MaxSockets+reservedDescriptors) {
-		log.Warn("too few file descriptors for the configured sockets", "descriptors", most, "sockets", cfg.MaxSockets)
+	if limit, known := descriptorLimit(); known && limit < uint64(cfg.MaxSockets+reservedDescriptors) {
+		log.Warn("too few file descriptors for the configured sockets", "descriptors", limit, "sockets", cfg.MaxSockets)
 	}
 	log.Info("controller starting", "listen", cfg.ListenAddr, "peer_listen", cfg.PeerListenAddr, "zone", cfg.Zone)
 	c.drainOnTerminate(log)
 	if err := c.loop.Run(); err != nil {
-		return err
+		return fmt.Errorf("event loop on %s: %w", cfg.ListenAddr, err)
 	}
 	return errLoopExited
 }
 
-// Times of a planned end. drainTimeout bounds how long a controller goes on after it was asked
-// to end; what it has not given up by then, others take over as after a crash.
+// Times of a graceful shutdown. drainTimeout limits how long a controller keeps running after
+// the signal; what it has not handed over by then, other controllers take over as after a crash.
 const (
 	drainTimeout      = 20 * time.Second
 	drainPollInterval = 100 * time.Millisecond
 )
 
-// drainOnTerminate lets a termination signal drain the controller before the process ends.
+// drainOnTerminate makes SIGTERM drain the controller and then end the process.
 func (c *controllerProcess) drainOnTerminate(log *slog.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, unix.SIGTERM)
@@ -117,27 +119,27 @@
 	}()
 }
 
-// reservedDescriptors is how many file descriptors the process needs beside sockets: its standard
-// streams, the settings, and what the runtime and the event loop hold.
+// reservedDescriptors is how many file descriptors the process needs besides sockets: for the
+// standard streams, the settings files, the runtime and the event loop.
 const reservedDescriptors = 16
 
-// descriptorLimit is how many file descriptors the process may hold. The runtime has raised the
-// soft limit to the hard one by now.
-func descriptorLimit() (most uint64, known bool) {
-	var limit unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
+// descriptorLimit returns the number of file descriptors that the process may open. The Go
+// runtime raises the soft limit to the hard one at startup.
+func descriptorLimit() (limit uint64, known bool) {
+	var rlimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &rlimit); err != nil {
 		return 0, false
 	}
-	return limit.Cur, true
+	return rlimit.Cur, true
 }
 
-// cpuTime is how much processor time the process has used; 0 where that isn't told.
+// cpuTime returns the CPU time that the process has used; 0 if it can't be read.
 func cpuTime() time.Duration {
-	var use unix.Rusage
-	if err := unix.Getrusage(unix.RUSAGE_SELF, &use); err != nil {
+	var usage unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
 // Ready implements transport.Handler.
@@ -156,6 +158,7 @@
 	c.apply(c.core.Tick(time.Now()))
 }
 
+// apply carries out the effects that the core returned.
 func (c *controllerProcess) apply(e coordination.Effects) {
 	for i := range e.Replies {
 		r := &e.Replies[i]
--- a/cmd/brasskeel/errors.go
+++ b/cmd/brasskeel/errors.go
@@ -5,23 +5,25 @@
 	"fmt"
 )
 
-// errLoopExited says that the event loop returned, which it does in no good way.
-var errLoopExited = errors.New("the event loop ended")
+// errLoopExited says that the event loop returned without an error. It should never return.
+var errLoopExited = errors.New("event loop exited without an error")
 
-// optionError is a flag or a variable of the environment with a value that isn't taken.
+// optionError reports a flag or an environment variable with an invalid value.
 type optionError struct{ name, reason string }
 
 // Error implements error.
 func (e *optionError) Error() string { return e.name + " " + e.reason }
 
-// statusError is an answer of the state service with another status than 200.
+// statusError reports a response of the state service with a status other than 200.
 type statusError struct{ status int }
 
 // Error implements error.
-func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e *statusError) Error() string {
+	return fmt.Sprintf("response with status %d, want 200", e.status)
+}
 
-// keyError is a key of the state service that has not the form of its kind.
+// keyError reports a key of the state service that is not valid for its kind of record.
 type keyError struct{ kind, key string }
 
 // Error implements error.
-func (e *keyError) Error() string { return fmt.Sprintf("no %s's key: %q", e.kind, e.key) }
+func (e *keyError) Error() string { return fmt.Sprintf("invalid key of a %s: %q", e.kind, e.key) }
--- a/cmd/brasskeel/errors_test.go
+++ b/cmd/brasskeel/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Operators read these texts: they stay as they are.
+// TestErrorTexts fixes the texts of errors that operators get from commands.
 func TestErrorTexts(t *testing.T) {
 	_, levelErr := logLevel("loud")
 	balance := balanceCommand()
@@ -14,11 +14,11 @@
 		err  error
 		want string
 	}{
-		{"log level", levelErr, `LOG_LEVEL is "loud", not error, info or debug`},
-		{"status", &statusError{503}, "status 503"},
-		{"key", &keyError{"chunk", "c/odd"}, `no chunk's key: "c/odd"`},
-		{"flag", &optionError{"--top", "is -1, not 0 or more"}, "--top is -1, not 0 or more"},
-		{"loop", errLoopExited, "the event loop ended"},
+		{"log level", levelErr, `LOG_LEVEL is "loud", must be error, info or debug`},
+		{"status", &statusError{503}, "response with status 503, want 200"},
+		{"key", &keyError{"task block", "c/odd"}, `invalid key of a task block: "c/odd"`},
+		{"flag", &optionError{"--top", "is -1, must be 0 or more"}, "--top is -1, must be 0 or more"},
+		{"loop", errLoopExited, "event loop exited without an error"},
 	} {
 		if test.err == nil || test.err.Error() != test.want {
 			t.Errorf("%s: %v, want %s", test.name, test.err, test.want)
@@ -26,14 +26,14 @@
 	}
 	var option *optionError
 	if !errors.As(levelErr, &option) || option.name != "LOG_LEVEL" {
-		t.Errorf("%T names no option", levelErr)
+		t.Errorf("log level: error of type %T, want an optionError that names LOG_LEVEL", levelErr)
 	}
 	if balance.Flags().Lookup("top") == nil {
-		t.Error("the flag isn't there")
+		t.Error("the balance command has no flag --top")
 	}
 }
 
-// limitedWriter takes so many bytes and then no more.
+// limitedWriter fails a write that exceeds the bytes left.
 type limitedWriter struct{ left int }
 
 func (f *limitedWriter) Write(p []byte) (int, error) {
@@ -44,7 +44,8 @@
 	return len(p), nil
 }
 
-// What can't be printed in full ends a command with an error.
+// TestOutputErrors checks that output keeps the error of a failed write, whether from printf or
+// from table.
 func TestOutputErrors(t *testing.T) {
 	for _, left := range []int{0, 3, 1000} {
 		out := &output{w: &limitedWriter{left}}
@@ -52,7 +53,7 @@
 		out.table(func(rows *output) { rows.printf("a\tb\n") })
 		out.printf("d")
 		if (out.err == nil) != (left == 1000) {
-			t.Errorf("room for %d: %v", left, out.err)
+			t.Errorf("a writer that accepts %d bytes: error %v", left, out.err)
 		}
 	}
 }
--- a/cmd/brasskeel/main.go
+++ b/cmd/brasskeel/main.go
@@ -1,5 +1,5 @@
-// Brasskeel is a cluster scheduler: controllers that place the tasks of jobs
-// on rented machines.
+// Brasskeel is a cluster scheduler. Its controllers place the tasks of jobs on machines rented
+// from a cloud.
 package main
 
 import (
@@ -11,7 +11,6 @@
 	"brasskeel/internal/config"
 )
 
-// version is the program's version.
 const version = "0.1.0"
 
 func main() {
@@ -28,10 +27,10 @@
 	}
 }
 
-// settingsFlags adds the flags that name the settings files.
+// settingsFlags adds the flags for the paths of the settings files.
 func settingsFlags(c *cobra.Command) (settings, operator *string) {
-	settings = c.Flags().String("config", "", "the platform's settings (TOML)")
-	operator = c.Flags().String("operator", "", "the operators' settings (JSON)")
+	settings = c.Flags().String("config", "", "the platform's settings file (TOML)")
+	operator = c.Flags().String("operator", "", "the operators' settings file (JSON); without it all have their defaults")
 	if err := c.MarkFlagRequired("config"); err != nil {
 		panic(err)
 	}
@@ -50,7 +49,7 @@
 func controlCommand() *cobra.Command {
 	c := &cobra.Command{Use: "control", Short: "Run a controller", Args: cobra.NoArgs}
 	settings, operator := settingsFlags(c)
-	traceFile := c.Flags().String("trace", "", "a file that moves of shards are traced to, or - for standard error")
+	traceFile := c.Flags().String("trace", "", "the file to append traces of shard moves to, or - for standard error")
 	c.RunE = func(*cobra.Command, []string) error {
 		level, err := logLevel(os.Getenv("LOG_LEVEL"))
 		if err != nil {
--- a/cmd/brasskeel/output.go
+++ b/cmd/brasskeel/output.go
@@ -6,29 +6,29 @@
 	"text/tabwriter"
 )
 
-// output prints for an operator and keeps the first error, so that what can't be printed in
-// full ends the command with it.
+// output prints a command's output and keeps the first write error, with which the command
+// fails.
 type output struct {
 	w   io.Writer
 	err error
 }
 
-// printf prints unless printing failed before.
+// printf formats and writes, unless an earlier write failed.
 func (o *output) printf(format string, args ...any) {
 	if o.err == nil {
 		_, o.err = fmt.Fprintf(o.w, format, args...)
 	}
 }
 
-// table prints rows of cells that end with tabs in aligned columns.
+// table prints rows in aligned columns. In a row, each cell but the last ends with a tab.
 func (o *output) table(rows func(table *output)) {
 	if o.err != nil {
 		return
 	}
-	w := tabwriter.NewWriter(o.w, 0, 0, 2, ' ', 0)
-	table := &output{w: w}
+	columns := tabwriter.NewWriter(o.w, 0, 0, 2, ' ', 0)
+	table := &output{w: columns}
 	rows(table)
 	if o.err = table.err; o.err == nil {
-		o.err = w.Flush()
+		o.err = columns.Flush()
 	}
 }
--- a/cmd/brasskeel/shards.go
+++ b/cmd/brasskeel/shards.go
@@ -32,21 +32,22 @@
 	return c
 }
 
-// readShards reads the records of shards from the state service, and what is wrong with those
-// that can't be read.
+// readShards reads the shard records from the state service. It returns those that can be
+// decoded, and an error for each other.
 func readShards(ctx context.Context, s *config.Settings) (table *shard.Table, unreadable []error, err error) {
 	table = shard.NewTable()
-	err = readKeys(ctx, s, records.PrefixShards, func(it protocol.KeyValue) {
-		if err := table.Put(it.Key, it.Value, it.Version); err != nil {
+	err = readKeys(ctx, s, records.PrefixShards, func(kv protocol.KeyValue) {
+		if err := table.Put(kv.Key, kv.Value, kv.Version); err != nil {
 			unreadable = append(unreadable, err)
 		}
 	})
 	return table, unreadable, err
 }
 
-// showShards prints who owns what, and the controllers that may own shards.
-func showShards(to io.Writer, table *shard.Table, unreadable []error) error {
-	out := &output{w: to}
+// showShards prints the owner of each shard, the controllers that may own shards, and the
+// errors about unreadable records.
+func showShards(w io.Writer, table *shard.Table, unreadable []error) error {
+	out := &output{w: w}
 	if table.Empty() {
 		out.printf("no shards: the leader serves all machines\n")
 	} else {
@@ -73,6 +74,7 @@
 	return out.err
 }
 
+// formatShard returns the table row of a shard.
 func formatShard(table *shard.Table, id shard.ID) string {
 	r, _, ok := table.Record(id)
 	if !ok {
--- a/cmd/brasskeel/state.go
+++ b/cmd/brasskeel/state.go
@@ -11,23 +11,24 @@
 	"brasskeel/internal/protocol"
 )
 
-// Bounds of reading the state service for an operator.
+// Limits of a command that reads from the state service.
 const (
 	stateTimeout  = 10 * time.Second
 	statePageKeys = 500
-	maxPageBytes  = 1 << 20 // of a page; the state service answers with half of it
+	maxPageBytes  = 1 << 20 // the state service's responses are at most half of it
 )
 
-// readKeys reads all keys with a prefix from the state service, page by page.
+// readKeys reads all keys with a prefix from the state service, page by page, and calls take
+// with each.
 func readKeys(ctx context.Context, s *config.Settings, prefix string, take func(protocol.KeyValue)) error {
 	after := ""
 	for {
 		items, more, err := readPage(ctx, s.StateAddr, prefix, after)
 		if err != nil {
-			return fmt.Errorf("the state service: %w", err)
+			return fmt.Errorf("read keys with prefix %q from the state service at %s: %w", prefix, s.StateAddr, err)
 		}
-		for _, it := range items {
-			take(it)
+		for _, kv := range items {
+			take(kv)
 		}
 		if !more || len(items) == 0 {
 			return nil
@@ -45,7 +46,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	defer func() { _ = response.Body.Close() }() // all that counts was read
+	defer func() { _ = response.Body.Close() }() // only reads, so the error does not matter
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return nil, false, err
--- a/cmd/brasskeel/trace.go
+++ b/cmd/brasskeel/trace.go
@@ -13,16 +13,16 @@
 	"brasskeel/internal/coordination"
 )
 
-// tracer writes the core's spans as OpenTelemetry has them, a JSON value each.
+// tracer writes the core's spans with the OpenTelemetry SDK, as one JSON value each.
 type tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
 }
 
-// traceToStderr is the file name that stands for standard error.
+// traceToStderr is the path that stands for standard error.
 const traceToStderr = "-"
 
-// newTracer appends to a file; nil without one.
+// newTracer returns a tracer that appends to a file, or nil if path is empty.
 func newTracer(path string) (*tracer, error) {
 	var out io.Writer = os.Stderr
 	switch path {
@@ -44,7 +44,8 @@
 	return &tracer{provider, provider.Tracer("brasskeel")}, nil
 }
 
-// record writes spans, soon and on another goroutine.
+// record queues spans; they are written in batches on another goroutine. It does nothing on a
+// nil tracer.
 func (t *tracer) record(spans []coordination.Span) {
 	if t == nil {
 		return
@@ -54,6 +55,7 @@
 	}
 }
 
+// span records a span with its parts as child spans.
 func (t *tracer) span(ctx context.Context, s *coordination.Span) {
 	var attributes []attribute.KeyValue
 	for _, a := range s.Attributes {
@@ -66,7 +68,7 @@
 	span.End(trace.WithTimestamp(s.Until))
 }
 
-// close writes what waits.
+// close writes the queued spans.
 func (t *tracer) close() {
 	if t != nil {
 		_ = t.provider.Shutdown(context.Background())
--- a/cmd/brasskeel/trace_test.go
+++ b/cmd/brasskeel/trace_test.go
@@ -10,7 +10,8 @@
 	"brasskeel/internal/coordination"
 )
 
-// A move is written with its parts, under one trace, with the times of the core.
+// TestTracerWritesSpans checks that a span is written with its attributes, its parts and the
+// times that the core gave.
 func TestTracerWritesSpans(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trace.json")
 	tracer, err := newTracer(path)
@@ -29,13 +30,13 @@
 	text := string(raw)
 	for _, want := range []string{`"Name":"shard move"`, `"Name":"release"`, `"n1"`, "2026-09-21T12:00:03Z"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%s is not in %s", want, text)
+			t.Errorf("the trace lacks %s: %s", want, text)
 		}
 	}
 	if tracer, err := newTracer(""); tracer != nil || err != nil {
-		t.Errorf("without a file: %v, %v", tracer, err)
+		t.Errorf("an empty path: got tracer %v, error %v; want neither", tracer, err)
 	}
 	if _, err := newTracer(filepath.Join(t.TempDir(), "no", "such")); err == nil {
-		t.Error("a file that can't be opened is taken")
+		t.Error("a path that can't be opened causes no error")
 	}
 }
