--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -24,7 +24,7 @@
 const defaultTop = 10
 
 func balanceCommand() *cobra.Command {
-	c := &cobra.Command{Use: "balance", Short: "Show how loaded machines are, by whom, and which teams surge", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "balance", Short: "Show the load of machines by team, and which teams surge", Args: cobra.NoArgs}
 	settings, operator := settingsFlags(c)
 	top := c.Flags().Int("top", defaultTop, "how many of the most loaded machines to list")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -50,8 +50,8 @@
 
 func runController(cfg *config.Settings, op config.Operator, trace *tracer, level slog.Level) error {
 	// The process may use only a fraction of one core, so more threads would not run in
-	// parallel. The Go heap gets 60% of the memory; the rest is for sockets and other memory
-	// outside the limit.
+	// parallel. The Go runtime's soft limit is 60% of the memory; the rest is for sockets and
+	// for what the limit does not count.
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(cfg.MemoryBytes * 6 / 10)
 	debug.SetGCPercent(200)
--- a/cmd/brasskeel/main.go
+++ b/cmd/brasskeel/main.go
@@ -30,7 +30,7 @@
 // settingsFlags adds the flags for the paths of the settings files.
 func settingsFlags(c *cobra.Command) (settings, operator *string) {
 	settings = c.Flags().String("config", "", "the platform's settings file (TOML)")
-	operator = c.Flags().String("operator", "", "the operators' settings file (JSON); without it all have their defaults")
+	operator = c.Flags().String("operator", "", "the operators' settings file (JSON); default settings without it")
 	if err := c.MarkFlagRequired("config"); err != nil {
 		panic(err)
 	}
--- a/internal/protocol/decode_test.go
+++ b/internal/protocol/decode_test.go
@@ -14,6 +14,7 @@
 	func() any { return new(wireEvents) },
 }
 
+// checkDecode decodes a body into each target with both decoders and compares the results.
 func checkDecode(t *testing.T, body []byte) {
 	for _, newTarget := range decodeTargets {
 		want, got := newTarget(), newTarget()
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -203,11 +203,11 @@
 			}
 		}
 	}
-	type count struct{ accepted, outgoing int }
+	type count struct{ accepted, outbound int }
 	got := make(chan count, 1)
 	e.loop.Post(func() { got <- count{e.loop.accepted.Len(), e.loop.outbound} })
-	if c := <-got; c.accepted < len(clients) || c.accepted+c.outgoing > e.loop.maxSockets {
-		t.Errorf("%d accepted and %d outbound connections, with a limit of %d sockets", c.accepted, c.outgoing, e.loop.maxSockets)
+	if c := <-got; c.accepted < len(clients) || c.accepted+c.outbound > e.loop.maxSockets {
+		t.Errorf("%d accepted and %d outbound connections, with a limit of %d sockets", c.accepted, c.outbound, e.loop.maxSockets)
 	}
 	// Connections and calls must not take a thread each: a process may have at most 2,000.
 	if tasks, err := os.ReadDir("/proc/self/task"); err == nil && len(tasks) > 100 {
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -14,9 +14,9 @@
 	maxOutboundPercent       = 40 // of outbound connections
 	minOutboundPercent       = 12 // of outbound connections that are not closed for accepted ones
 	stateServiceExtraPercent = 4  // on top of maxOutboundPercent, for calls to the state service
-	maxDialingPercent        = 10 // of concurrent dials: those to machines that are gone hang
+	maxDialingPercent        = 10 // of concurrent dials: those to unreachable machines hang
 	// Above this share of open connections, responses close theirs if connections had to be
-	// shed lately.
+	// shed recently.
 	highWatermarkPercent = 72
 )
 
