--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -8,7 +8,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// agent is the agent of one machine, as PROTOCOL describes it.
+// agent simulates the worker agent of one machine. It sends heartbeats to the controllers,
+// runs task attempts, and discards its tasks when its lease expires.
 type agent struct {
 	cluster        *Cluster
 	name           string
@@ -16,10 +17,10 @@
 	spec           *protocol.MachineType
 	dead           bool
 	hung           bool
-	queued         []func() // what arrived while it hung
+	queued         []func() // work deferred until the hang ends
 	failsAllTasks  bool
-	hasFailedTask  bool // once; the controllers may leave it alone for that
-	heartbeatsLost bool // its reports reach no controller; it answers direct commands
+	hasFailedTask  bool // controllers may have quarantined the machine for it
+	heartbeatsLost bool // heartbeats reach no controller, but direct commands are answered
 	incarnation    uint64
 	seq            uint64
 	fencingToken   uint64
@@ -27,27 +28,27 @@
 	tasks          []*attempt
 	images         []string
 
-	target            int
+	target            int // index of the controller that gets the next heartbeat
 	heartbeatInFlight bool
-	heartbeatSeq      uint64 // of the report in flight; older answers are dropped
+	heartbeatSeq      uint64 // sequence number of the last heartbeat sent
 	lastSent          time.Time
-	leaseStart        time.Time // when the last answered report was sent
-	// lastReply is when that answer came.
-	lastReply     time.Time
-	nextHeartbeat *event
-	lease         *event
-	changed       bool
+	leaseStart        time.Time // send time of the last accepted heartbeat
+	lastReply         time.Time // arrival of the reply to that heartbeat
+	nextHeartbeat     *event
+	lease             *event // lease expiry
+	changed           bool   // the status changed after the last heartbeat
 }
 
+// attempt is one execution of a task on an agent's machine.
 type attempt struct {
 	job          string
 	taskIndex    int
 	number       uint64
 	state        protocol.TaskState
 	exitReason   protocol.ExitReason
-	checkpointed bool
+	checkpointed bool // a checkpoint was written before it stopped
 	startedAt    time.Time
-	timer        *event
+	timer        *event // end of the current state
 }
 
 func newAgent(c *Cluster, h *machine, spec *protocol.MachineType) *agent {
@@ -58,10 +59,10 @@
 	return w
 }
 
-// terminate ends the worker and its tasks.
+// terminate ends the agent and its tasks.
 func (w *agent) terminate() {
 	w.dead = true
-	w.cluster.recordReplyInterval(w.cluster.now.Sub(w.lastReply)) // that it ended with
+	w.cluster.recordReplyInterval(w.cluster.now.Sub(w.lastReply)) // the last, incomplete interval counts too
 	for _, t := range w.tasks {
 		w.endExecution(t)
 	}
@@ -69,14 +70,15 @@
 	delete(w.cluster.agents, w.name)
 }
 
-// reboot ends the worker's tasks at once and starts a new session, as after its
-// lease, under what it knew of numbers and tokens.
+// reboot ends the agent's tasks and starts a new incarnation, as an expired lease does. Sequence
+// numbers and the fencing token are kept.
 func (w *agent) reboot() {
 	w.leaseStart = w.cluster.now.Add(-w.cluster.settings.WorkerLease)
 	w.checkLease()
 }
 
-// runUnlessHung does f now, or when the machine goes on.
+// runUnlessHung runs f now, or once the machine no longer hangs. f is dropped if the agent is
+// dead.
 func (w *agent) runUnlessHung(f func()) {
 	if w.dead {
 		return
@@ -88,6 +90,7 @@
 	f()
 }
 
+// setHung makes the machine hang, or ends the hang and runs the deferred work.
 func (w *agent) setHung(on bool) {
 	w.hung = on
 	if on {
@@ -101,17 +104,18 @@
 	}
 }
 
+// armLease schedules the expiry of the lease.
 func (w *agent) armLease() {
 	if w.lease != nil {
 		w.lease.run = nil
 	}
 	d := w.leaseStart.Add(w.cluster.settings.WorkerLease).Sub(w.cluster.now)
-	// A machine may go on from a hang only within its lease, so the lease ends
-	// its tasks while it hangs, too.
+	// The lease also expires during a hang, so that no task survives a hang that outlasts
+	// the lease.
 	w.lease = w.cluster.after(d, w.checkLease)
 }
 
-// checkLease ends the session when its lease has expired.
+// checkLease ends all tasks and starts a new incarnation if the lease has expired.
 func (w *agent) checkLease() {
 	if w.dead || w.cluster.now.Before(w.leaseStart.Add(w.cluster.settings.WorkerLease)) {
 		return
@@ -126,6 +130,8 @@
 	w.statusChanged()
 }
 
+// statusChanged schedules a heartbeat for the changed status, at least 500 ms after the previous
+// heartbeat.
 func (w *agent) statusChanged() {
 	w.changed = true
 	if !w.heartbeatInFlight {
@@ -140,6 +146,7 @@
 	w.nextHeartbeat = w.cluster.after(d, func() { w.runUnlessHung(w.heartbeat) })
 }
 
+// status returns a heartbeat with the next sequence number.
 func (w *agent) status() *protocol.Heartbeat {
 	w.seq++
 	r := &protocol.Heartbeat{Machine: w.name, Addr: w.machine.addr, Type: w.machine.machineType, Zone: w.machine.zone, Spot: w.machine.spot,
@@ -153,9 +160,10 @@
 	return r
 }
 
-// heartbeatTimeout is how long a worker waits for the answer to a report.
+// heartbeatTimeout is how long an agent waits for the reply to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
+// heartbeat sends a heartbeat to the target controller unless one is in flight.
 func (w *agent) heartbeat() {
 	c := w.cluster
 	if w.heartbeatInFlight {
@@ -168,40 +176,41 @@
 	w.heartbeatSeq, w.lastSent = status.Sequence, h.sentAt
 	c.after(heartbeatTimeout, func() { w.runUnlessHung(func() { h.finish(h.tryNextController) }) })
 	if h.to.remote == nil && h.to.core == nil && !h.to.poweredOff {
-		// The host refuses the connection.
+		// The host is up but no controller listens: it refuses the connection.
 		c.after(connectionRefusedDelay, func() { w.runUnlessHung(func() { h.finish(h.tryNextController) }) })
 		return
 	}
 	if w.heartbeatsLost {
-		return // nobody takes its connections
+		return // the connection is never accepted
 	}
 	h.responder = h.to.incarnationID()
 	c.keepStaleHeartbeat(w, h.body)
 	if c.duplicateHeartbeatDelay > 0 {
-		late := time.Second + time.Duration(c.rng.Int64N(int64(c.duplicateHeartbeatDelay)))
-		c.after(late, func() { c.send(w.name, h.to.name, func() { h.deliver(ignoreResponse) }) })
+		delay := time.Second + time.Duration(c.rng.Int64N(int64(c.duplicateHeartbeatDelay)))
+		c.after(delay, func() { c.send(w.name, h.to.name, func() { h.deliver(ignoreResponse) }) })
 	}
 	c.request(w.name, h.to.name, h.deliver, func(status int, body []byte) {
 		w.runUnlessHung(func() { h.finish(func() { h.handleReply(status, body) }) })
 	})
 }
 
-// connectionRefusedDelay is how long a host without a controller takes to refuse a connection.
+// connectionRefusedDelay is how long a host without a running controller takes to refuse a
+// connection.
 const connectionRefusedDelay = 2 * time.Millisecond
 
-// heartbeat is one report of an agent's that is on its way.
+// heartbeat is a heartbeat request in flight.
 type heartbeat struct {
 	agent       *agent
 	to          *controllerHost
 	body        []byte
 	incarnation uint64
 	sentAt      time.Time
-	responder   string    // the process that answers
-	repliedAt   time.Time // when it sent its reply
+	responder   string    // incarnation ID of the controller that replies
+	repliedAt   time.Time // when the controller sent its reply
 	finished    bool
 }
 
-// finish runs f unless the heartbeat has been replied to, or given up, before.
+// finish runs f unless the heartbeat was already answered or has timed out.
 func (h *heartbeat) finish(f func()) {
 	if !h.finished && !h.agent.dead {
 		h.finished = true
@@ -210,13 +219,14 @@
 	}
 }
 
-// tryNextController lets the agent turn to the next controller.
+// tryNextController makes the agent send its next heartbeat to the next controller, one second
+// from now.
 func (h *heartbeat) tryNextController() {
 	h.agent.target++
 	h.agent.scheduleHeartbeat(time.Second)
 }
 
-// deliver brings the heartbeat to the controller.
+// deliver passes the heartbeat to the controller and the controller's reply to respond.
 func (h *heartbeat) deliver(respond respondFunc) {
 	c := h.agent.cluster
 	h.responder = h.to.incarnationID()
@@ -228,7 +238,7 @@
 	})
 }
 
-// handleReply does what the controller's reply asks for.
+// handleReply handles the controller's reply: accepted, redirected or failed.
 func (h *heartbeat) handleReply(status int, body []byte) {
 	switch status {
 	case 200:
@@ -241,7 +251,8 @@
 	}
 }
 
-// followRedirect lets the agent turn to the controller that it was sent to.
+// followRedirect makes the agent send its next heartbeat to the named controller. If that one is
+// unknown or the one that redirected, it tries the next controller.
 func (h *heartbeat) followRedirect(name string) {
 	w, c := h.agent, h.agent.cluster
 	for i, peer := range c.controllers {
@@ -254,7 +265,8 @@
 	h.tryNextController()
 }
 
-// scheduleNextHeartbeat plans the next report.
+// scheduleNextHeartbeat schedules the heartbeat after an accepted one: soon if the status has
+// changed, otherwise after 3/4 to 5/4 of the heartbeat interval.
 func (w *agent) scheduleNextHeartbeat() {
 	if w.changed {
 		w.statusChanged()
@@ -264,10 +276,12 @@
 	w.scheduleHeartbeat(d*3/4 + time.Duration(w.cluster.rng.Int64N(int64(d/2))))
 }
 
-// acceptReply takes the answer to a report that was sent and replied to at these times.
-func (w *agent) acceptReply(from string, session uint64, sent, replied time.Time, body []byte) {
+// acceptReply renews the lease and executes the orders of a reply. It ignores replies that are
+// malformed, have an old fencing token, or belong to an earlier incarnation. sent and replied are
+// the times at which the heartbeat and the reply were sent.
+func (w *agent) acceptReply(from string, incarnation uint64, sent, replied time.Time, body []byte) {
 	token, _, orders, err := protocol.ParseOrders(body)
-	if err != nil || token == nil || *token < w.fencingToken || session != w.incarnation {
+	if err != nil || token == nil || *token < w.fencingToken || incarnation != w.incarnation {
 		return
 	}
 	if *token > w.fencingToken {
@@ -282,19 +296,20 @@
 	w.execute(orders, replied)
 }
 
-// serve answers a controller's request that was sent at a time.
+// serve answers a controller's direct request: a status query (GET) or orders. sent is when the
+// controller sent it.
 func (w *agent) serve(from, method string, body []byte, sent time.Time, respond respondFunc) {
 	w.runUnlessHung(func() {
 		if method == "GET" {
 			respond(200, protocol.EncodeHeartbeat(w.status()))
 			return
 		}
-		token, session, orders, err := protocol.ParseOrders(body)
-		if err != nil || token == nil || session == nil {
+		token, incarnation, orders, err := protocol.ParseOrders(body)
+		if err != nil || token == nil || incarnation == nil {
 			respond(400, nil)
 			return
 		}
-		if *token < w.fencingToken || *session != w.incarnation {
+		if *token < w.fencingToken || *incarnation != w.incarnation {
 			respond(409, protocol.EncodeHeartbeat(w.status()))
 			return
 		}
@@ -308,7 +323,7 @@
 	})
 }
 
-// runningAttempt is the attempt at a job's task that runs here, if any.
+// runningAttempt returns the attempt of a task that is in state Running on this machine, or nil.
 func (w *agent) runningAttempt(j *userJob, index int) *attempt {
 	for _, t := range w.tasks {
 		if t.job == j.spec.ID && t.taskIndex == index && t.state == protocol.Running {
@@ -318,6 +333,7 @@
 	return nil
 }
 
+// findAttempt returns the attempt that an order names, or nil.
 func (w *agent) findAttempt(o protocol.Order) *attempt {
 	for _, t := range w.tasks {
 		if t.job == o.Job && t.taskIndex == o.TaskIndex && t.number == o.Attempt {
@@ -327,7 +343,7 @@
 	return nil
 }
 
-// execute follows orders that a controller sent at a time.
+// execute carries out orders that a controller sent at the given time.
 func (w *agent) execute(orders []protocol.Order, sent time.Time) {
 	for _, o := range orders {
 		t := w.findAttempt(o)
@@ -348,10 +364,12 @@
 	}
 }
 
-// maxStartAfterCancel is how long after a confirmed cancellation a start of the job's
-// tasks may still be sent by a controller that hasn't heard of it.
+// maxStartAfterCancel is how long after the user was told of a cancellation a controller that has
+// not learned of it yet may still send orders to start the job's tasks.
 const maxStartAfterCancel = 3 * time.Second
 
+// startAttempt creates an attempt and starts fetching its image, or refuses the start. It checks
+// that no task of a cancelled job is started.
 func (w *agent) startAttempt(o protocol.Order, sent time.Time) {
 	c := w.cluster
 	t := &attempt{job: o.Job, taskIndex: o.TaskIndex, number: o.Attempt, state: protocol.Fetching}
@@ -362,7 +380,7 @@
 		return
 	}
 	if !j.cancelledAt.IsZero() && sent.Sub(j.cancelledAt) > maxStartAfterCancel {
-		c.reportViolation("started_cancelled", "%s on %s, sent %s after its user was told", t, w.name, sent.Sub(j.cancelledAt).Round(time.Millisecond))
+		c.reportViolation("started_cancelled", "%s starts on %s by an order sent %s after the user was told of the cancellation", t, w.name, sent.Sub(j.cancelledAt).Round(time.Millisecond))
 	}
 	cpus, mem := j.spec.CPUs, j.spec.MemoryGB
 	for _, x := range w.tasks {
@@ -391,9 +409,11 @@
 	w.statusChanged()
 }
 
+// startTask runs an attempt whose image has been fetched. A task that already completed elsewhere
+// exits at once.
 func (w *agent) startTask(t *attempt, j *userJob) {
 	if t.state != protocol.Fetching || !slices.Contains(w.tasks, t) {
-		return // killed while the machine hung
+		return // stopped while the machine hung
 	}
 	if !slices.Contains(w.images, j.spec.Image) {
 		w.images = append(w.images, j.spec.Image)
@@ -428,6 +448,8 @@
 	}
 }
 
+// stopAttempt stops an attempt. If the job writes checkpoints and the grace period is long enough,
+// a running attempt writes one first.
 func (w *agent) stopAttempt(t *attempt, grace time.Duration) {
 	j := w.cluster.jobs[t.job]
 	if t.state == protocol.Fetching || t.state == protocol.Running {
@@ -454,13 +476,14 @@
 	}
 }
 
-func (w *agent) exitAttempt(t *attempt, why protocol.ExitReason) {
+// exitAttempt ends an attempt for the given reason.
+func (w *agent) exitAttempt(t *attempt, reason protocol.ExitReason) {
 	w.endExecution(t)
-	t.state, t.exitReason = protocol.Exited, why
+	t.state, t.exitReason = protocol.Exited, reason
 	w.statusChanged()
 }
 
-// endExecution ends a task's presence.
+// endExecution cancels an attempt's timer and records that it no longer runs.
 func (w *agent) endExecution(t *attempt) {
 	if t.timer != nil {
 		t.timer.run = nil
--- a/internal/simulator/ceiling_invariant.go
+++ b/internal/simulator/ceiling_invariant.go
@@ -8,27 +8,30 @@
 	"brasskeel/internal/protocol"
 )
 
-// ceilingInvariant checks that a team that is known to surge takes no more than a part of a
-// machine while another one, with room for the task, has stayed below for long.
+// ceilingInvariant checks the ceiling of a surging team: its tasks may exceed the given share of a
+// machine only if no other machine has had room for the task below the ceiling for
+// maxTimeWithRoomBelow.
 type ceilingInvariant struct {
 	team      string
 	share     float64
-	roomSince map[*agent]map[resources]time.Time // since when it could take such a task and stay below
+	roomSince map[*agent]map[resources]time.Time // since when the machine has had room for such a task below the ceiling
 }
 
-// resources is what a task takes.
+// resources is an amount of CPUs and memory (GB).
 type resources struct{ cpus, mem float64 }
 
-// ceilingSampleInterval is how often it is looked where there is room.
+// ceilingSampleInterval is how often machines are checked for room below the ceiling.
 const ceilingSampleInterval = 250 * time.Millisecond
 
-// maxTimeWithRoomBelow is for how long there may be room below the ceiling while tasks go above: a
-// report's longest interval, and time for a round of placement and its record.
+// maxTimeWithRoomBelow is how long a machine may have room below the ceiling while tasks are started
+// above it elsewhere: the longest heartbeat interval, plus time for a placement round and for
+// writing its record.
 func (c *Cluster) maxTimeWithRoomBelow() time.Duration {
 	return c.settings.HeartbeatInterval*5/4 + 3*time.Second
 }
 
-// SetCeilingCheck begins to check a team's ceiling; a share of 0 ends it.
+// SetCeilingCheck starts checking that a team's tasks stay below the given share of each machine. A
+// share of 0 stops the check.
 func (c *Cluster) SetCeilingCheck(team string, share float64) {
 	if share <= 0 {
 		delete(c.ceilingInvariants, team)
@@ -39,6 +42,8 @@
 	c.monitorRoomBelowCeiling(k)
 }
 
+// monitorRoomBelowCeiling updates, at every ceilingSampleInterval, which machines have room below
+// the ceiling for the team's unfinished jobs.
 func (c *Cluster) monitorRoomBelowCeiling(k *ceilingInvariant) {
 	if c.ceilingInvariants[k.team] != k {
 		return
@@ -60,8 +65,8 @@
 	c.after(ceilingSampleInterval, func() { c.monitorRoomBelowCeiling(k) })
 }
 
-// observe notes whether a machine could take one more task and stay below the ceiling. One that
-// a controller may not reach, or not know of, counts as one that can't.
+// observe records whether a machine could take one more task and stay below the ceiling. A machine
+// that controllers may not reach, or not know of, counts as having no room.
 func (k *ceilingInvariant) observe(c *Cluster, w *agent, s resources) {
 	since := k.roomSince[w]
 	if since == nil {
@@ -78,18 +83,20 @@
 	}
 }
 
-// controlPlaneHealthy reports whether there is a leader that reaches all it needs.
+// controlPlaneHealthy reports whether there is a leader, no link has a fault, and the state service
+// is up and refuses no node.
 func (c *Cluster) controlPlaneHealthy() bool {
 	return len(c.linkFaults) == 0 && c.Leader() >= 0 && !c.state.outage && len(c.state.refusedNodes) == 0
 }
 
-// schedulable reports whether a leader has reason to place tasks on the agent's machine.
+// schedulable reports whether a leader should consider the machine for placement: the agent is up
+// and heard from, none of its tasks failed, and it has no preemption notice.
 func (w *agent) schedulable() bool {
 	return !w.dead && !w.hung && !w.heartbeatsLost && !w.hasFailedTask && w.preemptionAt.IsZero() &&
 		w.cluster.now.Sub(w.lastReply) <= w.cluster.settings.HeartbeatInterval*2
 }
 
-// freeResources is what no task takes of a machine.
+// freeResources returns the resources that no task uses.
 func (w *agent) freeResources() resources {
 	left := resources{w.spec.CPUs, w.spec.MemoryGB}
 	for _, t := range w.tasks {
@@ -101,12 +108,12 @@
 	return left
 }
 
-// covers reports whether a task has room in what is free.
+// covers reports whether a task of size s fits into the free resources.
 func (free resources) covers(s resources) bool {
 	return s.cpus <= free.cpus+protocol.Epsilon && s.mem <= free.mem+protocol.Epsilon
 }
 
-// teamUsage is what a team's tasks take of a machine.
+// teamUsage returns the resources that a team's tasks use on the machine, and their number.
 func (w *agent) teamUsage(team string) (taken resources, tasks int) {
 	for _, t := range w.tasks {
 		if j := w.cluster.jobs[t.job]; j != nil && t.state != protocol.Exited && j.spec.Team == team {
@@ -118,12 +125,15 @@
 	return taken, tasks
 }
 
-// machineShare is the part of a machine that a team's tasks would take with one more.
+// machineShare returns the share of a machine that taken and more use together, of CPUs or memory,
+// whichever is larger.
 func machineShare(w *agent, taken, more resources) float64 {
 	return max((taken.cpus+more.cpus)/w.spec.CPUs, (taken.mem+more.mem)/w.spec.MemoryGB)
 }
 
-// checkCeiling checks a task that was just started on a machine, and is in its list.
+// checkCeiling checks a task that has just been added to the agent's tasks. The ceiling does not
+// apply to critical jobs, gangs, and jobs with zone constraints, nor to the team's only task on a
+// machine.
 func (c *Cluster) checkCeiling(w *agent, j *userJob) {
 	k := c.ceilingInvariants[j.spec.Team]
 	if k == nil || j.spec.Priority == protocol.Critical || j.spec.Kind == protocol.Gang || j.spec.OneZone || j.spec.Spread {
@@ -136,28 +146,27 @@
 	shape := resources{j.spec.CPUs, j.spec.MemoryGB}
 	for o, since := range k.roomSince {
 		if at := since[shape]; !at.IsZero() && o != w && c.now.Sub(at) > c.maxTimeWithRoomBelow() && o.machine.allowedFor(&j.spec) {
-			// Starts of one round of placement arrive one after the other.
+			// The starts of one placement round arrive one by one: the room may be taken by
+			// another of them.
 			c.after(maxStartSpread, func() { k.confirmViolation(c, w, o, shape, at) })
 			return
 		}
 	}
 }
 
-// maxStartSpread is how long the starts of one round of placement are on their way at the
-// most.
+// maxStartSpread is the longest time between the arrivals of the starts of one placement round.
 const maxStartSpread = time.Second
 
-// confirmViolation breaks the rule if a machine still has the room that it had when a task went above the
-// ceiling of another.
+// confirmViolation reports a violation if the machine below the ceiling still has the room that it
+// had when the task was started on the machine above.
 func (k *ceilingInvariant) confirmViolation(c *Cluster, above, below *agent, shape resources, since time.Time) {
 	if c.ceilingInvariants[k.team] == k && k.roomSince[below][shape].Equal(since) {
-		c.reportViolation("above_ceiling", "%s takes more than %g of %s, while %s had room for %s", k.team, k.share, above.name, below.name,
+		c.reportViolation("above_ceiling", "team %s uses more than %g of %s although %s has had room below the ceiling for %s", k.team, k.share, above.name, below.name,
 			c.now.Sub(since).Round(time.Millisecond))
 	}
 }
 
-// TeamShares tells what part of the machines that are up a team's tasks take: the most, and the
-// mean.
+// TeamShares describes the share of each running machine that a team's tasks use: maximum and mean.
 func (c *Cluster) TeamShares(team string) string {
 	var list []float64
 	sum := 0.0
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -10,31 +10,31 @@
 	"brasskeel/internal/protocol"
 )
 
-// cloud simulates the cloud.
+// cloud simulates the cloud's API and its machines.
 type cloud struct {
 	cluster             *Cluster
 	types               []protocol.MachineType
-	capacity            int
-	machines            []*machine // in order of creation; returned ones too
-	requests            map[string][]string
-	hasExternalMachines bool // some machines are not simulated
-	outage              bool
-	refusedNodes        map[string]bool // nodes that alone get 503
-	requestDelay        time.Duration   // rentals and returns are carried out late, unanswered
-	neverBoots          bool            // what is rented now never comes up
-	bootFailureShare    float64         // share of what is rented now that never comes up
-	bootTimeFactor      float64         // of boot times; 0 for 1
-	replyDelay          time.Duration   // rentals are carried out at once and answered this much later
+	capacity            int                 // machines per type, zone, and on-demand or spot
+	machines            []*machine          // in order of creation, including terminated ones
+	requests            map[string][]string // names of the machines provisioned by each request ID
+	hasExternalMachines bool                // some machines are not simulated
+	outage              bool                // all requests get status 503
+	refusedNodes        map[string]bool     // nodes whose requests get status 503
+	requestDelay        time.Duration       // if not 0, provision and terminate requests are carried out this much later and never answered
+	neverBoots          bool                // newly provisioned machines never boot
+	bootFailureShare    float64             // share of newly provisioned machines that never boot
+	bootTimeFactor      float64             // multiplies boot times; 0 means 1
+	replyDelay          time.Duration       // provision requests are carried out at once and answered this much later
 }
 
 // machine is one machine of the cloud.
 type machine struct {
 	name, machineType, zone string
-	addr                    string // of its worker
+	addr                    string // address of its worker
 	spot                    bool
-	external                bool // not simulated; its worker, if any, is a process elsewhere
+	external                bool // not simulated; its worker, if any, is a separate process
 	rentedAt                time.Time
-	bootedAt                time.Time // zero until it is
+	bootedAt                time.Time // zero until it has booted
 	failedAt                time.Time
 	returnedAt              time.Time
 	agent                   *agent
@@ -56,7 +56,8 @@
 // machinePrefix begins the names of simulated machines.
 const machinePrefix = "vm-"
 
-// startMachine creates a machine that is up after boot.
+// startMachine creates a machine that is up after the given boot time, or never if boot failures
+// are simulated.
 func (k *cloud) startMachine(typ, zone string, spot bool, boot time.Duration) *machine {
 	h := &machine{name: fmt.Sprintf("%s%06d", machinePrefix, len(k.machines)), machineType: typ, zone: zone, spot: spot, rentedAt: k.cluster.now}
 	h.addr = k.cluster.assignAddress(h)
@@ -73,32 +74,32 @@
 	return h
 }
 
-// ExternalMachine is a machine that is not simulated: the cloud lists it as running, and
-// its worker is a process that the stand-in knows nothing of.
+// ExternalMachine is a machine that is not simulated. The cloud lists it as running; its worker is
+// a process that the simulator does not manage.
 type ExternalMachine struct {
 	Name, Type, Zone string
-	Endpoint         string // where its worker takes commands
+	Endpoint         string // host:port where its worker accepts commands
 }
 
 // addExternal lists a machine that is not simulated.
 func (k *cloud) addExternal(m ExternalMachine) error {
 	spec := k.machineType(m.Type)
 	if spec == nil || !slices.Contains(spec.Zones, m.Zone) {
-		return fmt.Errorf("external machine %q: the cloud has no type %q in zone %q", m.Name, m.Type, m.Zone)
+		return fmt.Errorf("external machine %q: no machine type %q in zone %q", m.Name, m.Type, m.Zone)
 	}
 	if m.Name == "" || strings.HasPrefix(m.Name, machinePrefix) || slices.ContainsFunc(k.machines, func(h *machine) bool { return h.name == m.Name }) {
-		return fmt.Errorf("external machine %q: the name is empty, taken, or begins with %s", m.Name, machinePrefix)
+		return fmt.Errorf("external machine %q: the name is empty, in use, or begins with %q", m.Name, machinePrefix)
 	}
 	if _, err := netip.ParseAddrPort(m.Endpoint); err != nil {
 		return fmt.Errorf("external machine %q: %w", m.Name, err)
 	}
-	rented := k.cluster.now.Add(-2 * k.cluster.settings.MaxListLag) // so that no list lacks it
+	rented := k.cluster.now.Add(-2 * k.cluster.settings.MaxListLag) // so that even the oldest list contains it
 	k.machines = append(k.machines, &machine{name: m.Name, machineType: m.Type, zone: m.Zone, addr: m.Endpoint, external: true, rentedAt: rented, bootedAt: rented})
 	k.hasExternalMachines = true
 	return nil
 }
 
-// terminateMachine takes a machine and all that is on it.
+// terminateMachine terminates a machine and its agent.
 func (k *cloud) terminateMachine(h *machine) {
 	if h.returnedAt.IsZero() {
 		h.returnedAt = k.cluster.now
@@ -108,7 +109,8 @@
 	}
 }
 
-// failMachine stops a machine on its own; lists notice after a while.
+// failMachine makes a machine fail. Lists report the failure no earlier than 30 seconds
+// later.
 func (k *cloud) failMachine(h *machine) {
 	if h.failedAt.IsZero() && h.returnedAt.IsZero() {
 		h.failedAt = k.cluster.now
@@ -118,6 +120,7 @@
 	}
 }
 
+// countRunning counts simulated machines that are neither terminated nor failed.
 func (k *cloud) countRunning(typ, zone string, spot bool) int {
 	n := 0
 	for _, h := range k.machines {
@@ -148,7 +151,8 @@
 	}
 }
 
-// terminate returns machines, or does so later without a reply.
+// terminate terminates the machines that a request names. With requestDelay set, it does so later
+// and never replies.
 func (k *cloud) terminate(body []byte, respond respondFunc) {
 	names, err := protocol.ParseMachineNames(body)
 	if err != nil || len(names) > protocol.MaxMachinesPerTermination {
@@ -170,7 +174,7 @@
 	respond(200, []byte("{}"))
 }
 
-// provision rents machines, or does so later without a reply.
+// provision provisions machines. With requestDelay set, it does so later and never replies.
 func (k *cloud) provision(body []byte, respond respondFunc) {
 	r, err := protocol.ParseProvision(body)
 	if err != nil || r.Count < 1 || r.Count > protocol.MaxMachinesPerProvision || k.machineType(r.Type) == nil {
@@ -189,6 +193,8 @@
 	k.cluster.after(k.replyDelay, func() { respond(200, protocol.EncodeMachineNames(names)) })
 }
 
+// rent provisions up to the requested number of machines, as capacity permits, and returns their
+// names. A repeated request gets the names of the first one; nil means no capacity.
 func (k *cloud) rent(r protocol.ProvisionRequest) []string {
 	if names, ok := k.requests[r.Request]; ok {
 		return names
@@ -209,7 +215,7 @@
 	return names
 }
 
-// list answers as of some time ago, at times longer than at others.
+// list replies with the machines as they were at a random time up to twice MaxListLag ago.
 func (k *cloud) list(after string, respond respondFunc) {
 	lag := k.cluster.settings.MaxListLag
 	at := k.cluster.now.Add(-time.Duration(k.cluster.rng.Int64N(int64(2 * lag))))
@@ -218,15 +224,15 @@
 		if h.name <= after || h.rentedAt.After(at) || !h.returnedAt.IsZero() && !h.returnedAt.After(at) {
 			continue
 		}
-		m := protocol.ListedMachine{Name: h.name, Addr: h.addr, Type: h.machineType, Zone: h.zone, Spot: h.spot,
+		listed := protocol.ListedMachine{Name: h.name, Addr: h.addr, Type: h.machineType, Zone: h.zone, Spot: h.spot,
 			State: protocol.Booting, Age: at.Sub(h.rentedAt)}
 		if !h.bootedAt.IsZero() && !h.bootedAt.After(at) {
-			m.State = protocol.Up
+			listed.State = protocol.Up
 		}
 		if !h.failedAt.IsZero() && !h.failedAt.Add(30*time.Second).After(at) {
-			m.State = protocol.Failed
+			listed.State = protocol.Failed
 		}
-		list = append(list, m)
+		list = append(list, listed)
 	}
 	slices.SortStableFunc(list, func(a, b protocol.ListedMachine) int { return strings.Compare(a.Name, b.Name) })
 	respond(200, protocol.EncodeMachines(list, false))
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -1,10 +1,10 @@
-// Package simulator is a deterministic stand-in for everything a controller
-// deals with: the state service, the cloud, workers, users and the network
-// between them, on a simulated clock. It checks the protocol's rules at every
-// step, so that each test of it tests them too.
+// Package simulator is a deterministic simulation of everything a controller interacts with: the
+// state service, the cloud, workers, users and the network between them, on a simulated clock. It
+// checks the protocol's invariants at every step, so that every test that runs a cluster checks
+// them too.
 //
-// Loopback serves the same cluster over HTTP on the loopback interface, in real time, to
-// controllers that are processes.
+// [Loopback] serves the same cluster in real time over HTTP on the loopback interface, for
+// controllers that run as separate processes.
 package simulator
 
 import (
@@ -21,23 +21,23 @@
 	"brasskeel/internal/protocol"
 )
 
-// Options shape a cluster.
+// Options configures a cluster.
 type Options struct {
 	Seed                uint64
 	Controllers         int
-	Zones               []string // of the nodes in turn; machines can be had in each
-	Machines            int      // ordinary ones that run from the start, in zones in turn
-	Capacity            int      // machines that can be rented per type, zone and kind
-	LargeFleet          bool     // limits, budgets and intervals of a fleet of a thousand machines
-	ShardsPerController int      // per controller; 0: the leader serves all machines
-	Balance             *config.Balance
-	Headroom            float64 // share of free room kept; 0 for the default
-	TeamCPULimit        float64 // CPUs that each team may take; 0 for those of the settings above
-	// EventCost is the processor time of each event on a node: what comes faster waits, and
-	// timers fire late, as on a small share of a processor.
+	Zones               []string        // assigned to controllers round-robin; every zone offers machines
+	Machines            int             // on-demand machines that run from the start, assigned to zones round-robin
+	Capacity            int             // machines that can be provisioned per type, zone, and on-demand or spot
+	LargeFleet          bool            // use limits, budgets and intervals of a fleet of a thousand machines
+	ShardsPerController int             // 0: no shards, the leader serves all machines
+	Balance             *config.Balance // nil: no balancing
+	Headroom            float64         // share of the fleet kept free; 0 means the default
+	TeamCPULimit        float64         // CPU limit of each team that has one; 0 means the default
+	// EventCost is the processor time that a controller spends on each event. Events that
+	// arrive faster wait and timers fire late, as on a small share of a processor.
 	EventCost time.Duration
 	Log       io.Writer
-	// Digest, if any, sums up all that controllers do.
+	// Digest, if not nil, hashes everything that controllers do.
 	Digest hash.Hash
 }
 
@@ -50,46 +50,47 @@
 	rng          *rand.Rand
 	log          *slog.Logger
 
-	servedByTerm   map[uint64]string // who served workers under a term
-	replyIntervals *hdrhistogram.Histogram
+	servedByTerm   map[uint64]string       // incarnation ID of the controller that served workers, by term
+	replyIntervals *hdrhistogram.Histogram // times between two replies to an agent
 	settings       config.Settings
 	operator       config.Operator
 	streams        map[link]*stream // between controllers
 	controllers    []*controllerHost
 	state          *stateService
 	cloud          *cloud
-	agents         map[string]*agent
+	agents         map[string]*agent // by machine name
 	jobs           map[string]*userJob
 	linkFaults     map[link]*linkFault
-	linkChanges    int                   // so far
-	usedCPUsByTeam map[string]float64    // CPUs, by team
-	eventCost      time.Duration         // of each event on a node
-	assignAddress  func(*machine) string // of a new machine's worker
+	linkChanges    int                   // number of changes to linkFaults
+	usedCPUsByTeam map[string]float64    // CPUs of running tasks
+	eventCost      time.Duration         // see Options.EventCost
+	assignAddress  func(*machine) string // returns the worker address of a new machine
 	violations     []string
-	// Jobs come from users outside of the stand-in, too.
+	// externalUsers says that users outside of the simulator submit jobs, too.
 	externalUsers     bool
-	duplicateCommands bool // direct orders that were carried out arrive once more, later
-	// Reports arrive once more, after up to this long.
+	duplicateCommands bool // direct commands that were delivered are delivered again after duplicateDelay
+	// If duplicateHeartbeatDelay is not 0, heartbeats are delivered again, one second plus up
+	// to this delay later.
 	duplicateHeartbeatDelay time.Duration
-	// Copies of that share of the reports are kept and reach every controller as
-	// the next leader begins.
+	// staleHeartbeatShare is the share of heartbeats of which copies are kept. They are
+	// delivered to every controller when the next leader is elected.
 	staleHeartbeatShare     float64
-	staleHeartbeats         map[string][][]byte // by machine
-	cancelOnCompletionShare float64             // of the jobs that end is cancelled at that moment
-	queriesAfterChange      bool                // users ask all nodes right after each change
-	extraLinkDelay          time.Duration       // up to this much more every message takes
-	invalidRequestCount     int                 // odd requests sent, to name the next ones
+	staleHeartbeats         map[string][][]byte // kept copies, by machine
+	cancelOnCompletionShare float64             // share of jobs that are cancelled at the moment they complete
+	queriesAfterChange      bool                // users query all controllers right after each change of a job
+	extraLinkDelay          time.Duration       // upper bound of the additional delay of each message
+	invalidRequestCount     int                 // invalid requests sent; numbers their job IDs
 	triggers                []*trigger
-	quiescentSince          time.Time // since when there is no trouble; zero while there is
+	quiescentSince          time.Time // when faults were last declared over; zero while there may be faults
 	migrations              *migrationInvariant
 	placements              placements
-	wastedCPUSeconds        float64                      // seconds of CPUs that were worked and not kept
-	fetchedGB               float64                      // GB of images, by all workers
-	ceilingInvariants       map[string]*ceilingInvariant // of teams that are known to surge
+	wastedCPUSeconds        float64                      // CPU seconds of work whose result was lost
+	fetchedGB               float64                      // GB of images fetched by all agents
+	ceilingInvariants       map[string]*ceilingInvariant // by team, for teams whose ceiling is checked
 	digest                  digest
 }
 
-// Types is what the stand-in cloud rents.
+// machineTypes returns the machine types that the simulated cloud offers.
 func machineTypes(zones []string) []protocol.MachineType {
 	return []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 10, FetchGBPerSecond: 1, PricePerHour: 0.25, SpotPricePerHour: 0.1, BootTime: 10 * time.Second, Zones: zones},
@@ -97,7 +98,7 @@
 	}
 }
 
-// New starts a cluster on a simulated clock, with every controller's core in this process.
+// New starts a cluster on a simulated clock, with the core of every controller in this process.
 func New(o Options) *Cluster {
 	c := newCluster(o, time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC), func(h *machine) string { return h.name })
 	for _, n := range c.controllers {
@@ -106,8 +107,8 @@
 	return c
 }
 
-// newCluster makes a cluster whose controllers don't run yet. address gives each new
-// machine its worker's address.
+// newCluster makes a cluster whose controllers are not started yet. address returns the worker
+// address of a new machine.
 func newCluster(o Options, begin time.Time, address func(*machine) string) *Cluster {
 	if len(o.Zones) == 0 {
 		o.Zones = []string{"a"}
@@ -129,7 +130,8 @@
 	return c
 }
 
-// newLogger writes to out, if there is one, with the simulated time since the beginning.
+// newLogger returns a logger that writes to out, or discards if out is nil. Its timestamps are the
+// simulated time since the start of the cluster.
 func (c *Cluster) newLogger(out io.Writer) *slog.Logger {
 	if out == nil {
 		out = io.Discard
@@ -143,7 +145,7 @@
 		}}))
 }
 
-// operatorSettings are those of all controllers that start from the beginning.
+// operatorSettings returns the operators' settings with which controllers start.
 func operatorSettings(o Options) config.Operator {
 	operator := config.DefaultOperator()
 	operator.Sharding = sharding(o.ShardsPerController)
@@ -154,7 +156,7 @@
 	return operator
 }
 
-// platformSettings are those that the platform hands to each controller, but for its name, zone and
+// platformSettings returns the platform's settings for every controller, without name, zone and
 // peers.
 func platformSettings(o Options) config.Settings {
 	s := config.Settings{
@@ -186,7 +188,7 @@
 	return s
 }
 
-// Leader is the index of the node that leads, -1 when none does.
+// Leader returns the index of the controller that leads, or -1 if none does.
 func (c *Cluster) Leader() int {
 	name := c.state.leader()
 	for i, n := range c.controllers {
@@ -197,11 +199,12 @@
 	return -1
 }
 
-// reportViolation notes a broken rule.
+// reportViolation records and logs the violation of an invariant. rule is the name of the
+// invariant.
 func (c *Cluster) reportViolation(rule, format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("%s at %s: %s", rule, c.now.Sub(c.startTime).Round(time.Millisecond), fmt.Sprintf(format, args...)))
 	c.log.Error("rule broken", "rule", rule, "what", fmt.Sprintf(format, args...))
 }
 
-// Violations lists the rules broken so far.
+// Violations returns the violations of invariants so far.
 func (c *Cluster) Violations() []string { return c.violations }
--- a/internal/simulator/controller_host.go
+++ b/internal/simulator/controller_host.go
@@ -8,34 +8,34 @@
 	"brasskeel/internal/coordination"
 )
 
-// controllerHost is one controller's host.
+// controllerHost is the host of one controller.
 type controllerHost struct {
 	cluster          *Cluster
 	name             string
 	zone             string
-	core             *coordination.Controller // nil while it is down, or runs as a process of its own
-	remote           remoteProcess            // nil when the core runs in this process
-	starts           uint64
+	core             *coordination.Controller // nil while it is down, or if it runs as a separate process
+	remote           remoteProcess            // nil if the core runs in this process
+	starts           uint64                   // number of starts of the core
 	tickEvent        *event
-	tickAt           time.Time
+	tickAt           time.Time // when tickEvent fires
 	lastRequestID    uint64
-	pendingResponses map[uint64]func(status int, body []byte)
-	poweredOff       bool      // without power: nothing on it even refuses a connection
-	frozen           bool      // its process does nothing for now
-	queued           []func()  // what came meanwhile
-	busyUntil        time.Time // until when it has events to work at
-	tickQueued       bool      // a tick of the core is among them
+	pendingResponses map[uint64]func(status int, body []byte) // by request ID
+	poweredOff       bool                                     // the host has no power and does not even refuse connections
+	frozen           bool                                     // the process is suspended
+	queued           []func()                                 // events that arrived while it was frozen
+	busyUntil        time.Time                                // when it will have handled the events received so far
+	tickQueued       bool                                     // a tick is waiting to be handled
 }
 
-// remoteProcess is a controller that runs as a process of its own.
+// remoteProcess is a controller that runs as a separate process.
 type remoteProcess interface {
 	running() bool
-	// request sends the process a request. respond runs when the answer is there, with
-	// status 0 when none came in time.
+	// request sends a request to the process and passes the response to respond, or status 0
+	// if there is none within the timeout.
 	request(method, target string, body []byte, timeout time.Duration, respond respondFunc)
 }
 
-// up reports whether the node's process runs.
+// up reports whether the controller is running.
 func (n *controllerHost) up() bool {
 	if n.remote != nil {
 		return n.remote.running()
@@ -43,6 +43,7 @@
 	return n.core != nil
 }
 
+// start starts the controller's core in this process.
 func (n *controllerHost) start() {
 	c := n.cluster
 	n.starts++
@@ -60,7 +61,7 @@
 	n.applyEffects(n.core.Start(c.now))
 }
 
-// crash ends the node's process without a word.
+// crash ends the controller without a shutdown.
 func (n *controllerHost) crash() {
 	n.core = nil
 	n.pendingResponses = nil
@@ -71,8 +72,8 @@
 	}
 }
 
-// request brings a request to the node; a node that is down answers nothing,
-// as does one whose connection is cut. The sender waits for as long as timeout.
+// request passes a request to the controller and its reply to respond. If the controller is down,
+// respond is never called. timeout is how long the sender waits for a reply.
 func (n *controllerHost) request(method, target string, body []byte, timeout time.Duration, respond respondFunc) {
 	if n.remote != nil {
 		n.remote.request(method, target, body, timeout, respond)
@@ -89,7 +90,8 @@
 	})
 }
 
-// runWhenIdle does f now, or when the process comes to it, if it is still the same.
+// runWhenIdle runs f as soon as the controller has handled the events before it, unless it has
+// crashed or restarted by then. It takes eventCost of the controller's time.
 func (n *controllerHost) runWhenIdle(f func()) {
 	c, core := n.cluster, n.core
 	if c.eventCost == 0 {
@@ -107,7 +109,7 @@
 	n.busyUntil = n.busyUntil.Add(c.eventCost)
 }
 
-// runUnlessFrozen does f now, or when the process goes on.
+// runUnlessFrozen runs f now, or on thaw if the controller is frozen.
 func (n *controllerHost) runUnlessFrozen(f func()) {
 	if n.frozen {
 		core := n.core
@@ -121,9 +123,10 @@
 	f()
 }
 
-// freeze stops the process, thaw lets it go on with all that has come meanwhile.
+// freeze suspends the controller; events that arrive are queued until thaw.
 func (n *controllerHost) freeze() { n.frozen = true }
 
+// thaw resumes the controller and handles the queued events.
 func (n *controllerHost) thaw() {
 	n.frozen = false
 	queued := n.queued
@@ -135,7 +138,7 @@
 	}
 }
 
-// applyEffects does what a step of the core asks for.
+// applyEffects carries out the effects of one step of the core and schedules its next tick.
 func (n *controllerHost) applyEffects(e coordination.Effects) {
 	n.cluster.digest.effects(n, e)
 	for _, r := range e.Replies {
@@ -164,7 +167,7 @@
 	n.scheduleTick()
 }
 
-// dispatchCall sends a request of the core's and brings it the result, or the time-out.
+// dispatchCall sends a call of the core and passes it the outcome, which is empty on timeout.
 func (n *controllerHost) dispatchCall(call coordination.Call) {
 	c, core := n.cluster, n.core
 	finished := false
@@ -188,11 +191,11 @@
 	}
 }
 
-// duplicateDelay is how much later the copy of a command arrives.
+// duplicateDelay is the delay of a duplicate command.
 const duplicateDelay = 30 * time.Second
 
-// callAgent sends a command to a machine's agent, and a copy of it later where commands are
-// to be duplicated.
+// callAgent sends a request to a machine's agent, and a duplicate later if it is a command and
+// commands are to be duplicated.
 func (n *controllerHost) callAgent(call coordination.Call, done respondFunc) {
 	c := n.cluster
 	w := c.agents[call.Addr]
@@ -208,7 +211,8 @@
 	}
 }
 
-// scheduleTick plans the core's next tick.
+// scheduleTick schedules the core's next tick unless one is queued, or scheduled for an earlier or
+// the same time.
 func (n *controllerHost) scheduleTick() {
 	if n.core == nil {
 		return
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -18,33 +18,33 @@
 	"brasskeel/internal/config"
 )
 
-// ErrAlreadyRunning says that a controller that was to be started runs already.
-var ErrAlreadyRunning = errors.New("the controller runs already")
+// ErrAlreadyRunning is returned when a controller that is already running is to be started.
+var ErrAlreadyRunning = errors.New("controller is already running")
 
-// maxResponseBody bounds what is read of a controller's answer.
+// maxResponseBody limits how much of a controller's response body is read.
 const maxResponseBody = 1 << 20
 
-// ControllerProcess is a controller that runs as a process of its own.
+// ControllerProcess is a controller that runs as a separate process.
 type ControllerProcess struct {
-	SettingsFile string // its settings
-	LogFile      string // what its processes wrote to standard error
+	SettingsFile string
+	LogFile      string // standard error of its processes
 
 	loopback  *Loopback
-	binary    string // its program
+	binary    string // path of the controller program
 	settings  config.Settings
-	transport *http.Transport            // of those who ask it
-	current   atomic.Pointer[processRun] // the latest process, nil before the first
+	transport *http.Transport            // for requests to the controller
+	current   atomic.Pointer[processRun] // the latest process; nil before the first start
 }
 
-// processRun is one process of a controller.
+// processRun is one run of a controller's process.
 type processRun struct {
 	command *exec.Cmd
-	killed  atomic.Bool
+	killed  atomic.Bool // its end was requested
 	exited  chan struct{}
 }
 
-// newControllerProcess prepares a controller: its ports, its addresses of the services, and its
-// connections to the other controllers. It is called with the lock held.
+// newControllerProcess prepares a controller: it reserves its ports and serves the state service
+// and the cloud for it. It is called with the lock held.
 func newControllerProcess(l *Loopback, n *controllerHost) (*ControllerProcess, error) {
 	k := &ControllerProcess{loopback: l, binary: l.options.Binary, settings: l.cluster.settings,
 		SettingsFile: filepath.Join(l.options.Dir, n.name+".toml"),
@@ -66,8 +66,8 @@
 	return k, err
 }
 
-// writeSettings writes the settings file, once all controllers have their ports. It is
-// called with the lock held.
+// writeSettings starts the forwarders to the other controllers and writes the settings file. All
+// controllers must have their ports already. It is called with the lock held.
 func (k *ControllerProcess) writeSettings() error {
 	for _, peer := range k.loopback.controllers {
 		if peer == k {
@@ -86,19 +86,19 @@
 	return os.WriteFile(k.SettingsFile, raw, 0o644)
 }
 
-// SetBinary lets the controller run another program from its next start on.
+// SetBinary sets the program that the controller runs from its next start on.
 func (k *ControllerProcess) SetBinary(path string) { k.binary = path }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (k *ControllerProcess) Name() string { return k.settings.Name }
 
-// PublicAddr is where the controller serves users and workers.
+// PublicAddr returns the address where the controller serves users and workers.
 func (k *ControllerProcess) PublicAddr() string { return k.settings.ListenAddr }
 
-// StateAddr is where the controller finds the state service.
+// StateAddr returns the address of the state service for this controller.
 func (k *ControllerProcess) StateAddr() string { return k.settings.StateAddr }
 
-// CloudAddr is where the controller finds the cloud.
+// CloudAddr returns the address of the cloud for this controller.
 func (k *ControllerProcess) CloudAddr() string { return k.settings.CloudAddr }
 
 // Start starts the controller's process.
@@ -116,19 +116,19 @@
 	}
 	p := &processRun{command: exec.Command(k.binary, arguments...), exited: make(chan struct{})}
 	p.command.Stderr = log
-	// In a process group of its own, an interrupt from the terminal reaches only the
-	// stand-in; when that dies without a word, its controllers die, too.
+	// The separate process group keeps an interrupt from the terminal from reaching the
+	// controller. If the simulator's process is killed, the system kills the controller.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
 	k.loopback.goroutines.Go(func() {
-		defer func() { _ = log.Close() }() // the process has written to it, not we
+		defer func() { _ = log.Close() }() // only the controller's process writes to it
 		k.supervise(p, started)
 	})
 	return <-started
 }
 
-// supervise starts a process and waits for its end, on one thread: it is this thread's end
-// that the system takes for the death of the parent.
+// supervise starts a process and waits for its end. It stays locked to one thread because the
+// system sends the parent-death signal (Pdeathsig) when the thread that started the process ends.
 func (k *ControllerProcess) supervise(p *processRun, started chan<- error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -142,7 +142,7 @@
 	close(p.exited)
 	k.loopback.Do(func(c *Cluster) {
 		if !p.killed.Load() {
-			c.reportViolation("ended", "%s by itself: %v", k.Name(), err)
+			c.reportViolation("ended", "process of %s exited unexpectedly: %v", k.Name(), err)
 		}
 	})
 }
@@ -161,7 +161,7 @@
 	}
 }
 
-// Kill ends the process without a word, if there is one.
+// Kill kills the process, if there is one, and waits until it has exited.
 func (k *ControllerProcess) Kill() {
 	if p := k.current.Load(); p != nil {
 		p.killed.Store(true)
@@ -170,7 +170,7 @@
 	}
 }
 
-// Terminate asks the process to hand over what it has and end, and waits until it has ended.
+// Terminate asks the process to drain and exit (SIGTERM), and waits until it has exited.
 func (k *ControllerProcess) Terminate() error {
 	p := k.current.Load()
 	if p == nil {
@@ -184,10 +184,10 @@
 	return nil
 }
 
-// Suspend lets the process stand still until Continue.
+// Suspend suspends the process (SIGSTOP) until Resume.
 func (k *ControllerProcess) Suspend() error { return k.signal(syscall.SIGSTOP) }
 
-// Resume lets it go on.
+// Resume resumes the suspended process.
 func (k *ControllerProcess) Resume() error { return k.signal(syscall.SIGCONT) }
 
 func (k *ControllerProcess) signal(s syscall.Signal) error {
@@ -211,7 +211,7 @@
 	})
 }
 
-// roundTrip sends the process a request and reads its answer.
+// roundTrip sends a request to the process and reads its response.
 func (k *ControllerProcess) roundTrip(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+k.settings.ListenAddr+target, bytes.NewReader(body))
 	if err != nil {
@@ -220,7 +220,7 @@
 	if len(body) > 0 {
 		r.Header.Set("Content-Type", "application/json")
 	}
-	// Not a client, which would follow redirects.
+	// An http.Client would follow redirects.
 	response, err := k.transport.RoundTrip(r)
 	if err != nil {
 		return 0, nil, err
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -7,19 +7,21 @@
 	"brasskeel/internal/coordination"
 )
 
-// digest sums up all that controllers are asked, answer, call and tell each other, with the
-// simulated times, so that two versions of the code can be compared. Logs don't count.
+// digest hashes all requests to controllers and all effects of their steps, with the simulated
+// times, so that the behaviour of two versions of the code can be compared. Logs are not included.
 type digest struct{ sum hash.Hash }
 
-// writeInt and text add a value with its length, so that no two sequences look alike.
+// writeInt adds a number in a fixed size.
 func (d digest) writeInt(v int64) {
 	var raw [8]byte
 	binary.BigEndian.PutUint64(raw[:], uint64(v))
-	d.sum.Write(raw[:]) // never fails, by its contract
+	d.sum.Write(raw[:]) // a hash.Hash never returns an error
 }
 
 func (d digest) writeString(v string) { d.writeBytes([]byte(v)) }
 
+// writeBytes adds a value preceded by its length, so that different sequences of values never give
+// the same input to the hash.
 func (d digest) writeBytes(v []byte) {
 	d.writeInt(int64(len(v)))
 	d.sum.Write(v)
@@ -36,7 +38,7 @@
 	d.writeBytes(body)
 }
 
-// effects adds what a step of a controller asks for.
+// effects adds the effects of one step of a controller.
 func (d digest) effects(n *controllerHost, e coordination.Effects) {
 	if d.sum == nil {
 		return
@@ -69,7 +71,7 @@
 	}
 }
 
-// writeHeader begins what a controller did at a time.
+// writeHeader adds the time, the controller and the kind of an entry.
 func (d digest) writeHeader(n *controllerHost, what string) {
 	d.writeInt(int64(n.cluster.now.Sub(n.cluster.startTime)))
 	d.writeString(n.name)
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function to run at a simulated time.
 type event struct {
 	at  time.Time
-	seq uint64
-	run func()
+	seq uint64 // orders events of the same time
+	run func() // nil if the event was cancelled
 }
 
 type eventHeap []*event
@@ -34,10 +34,10 @@
 	return e
 }
 
-// Advance lets time pass.
+// Advance advances the simulated clock by d and runs the events that are due.
 func (c *Cluster) Advance(d time.Duration) { c.advanceTo(c.now.Add(d)) }
 
-// advanceTo lets everything happen that is planned up to a time.
+// advanceTo advances the simulated clock to end and runs the events that are due.
 func (c *Cluster) advanceTo(end time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		e := heap.Pop(&c.events).(*event)
@@ -49,6 +49,7 @@
 	c.now = end
 }
 
+// after schedules run to be called after a delay.
 func (c *Cluster) after(d time.Duration, run func()) *event {
 	c.lastEventSeq++
 	e := &event{at: c.now.Add(max(d, 0)), seq: c.lastEventSeq, run: run}
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -18,42 +18,42 @@
 	"brasskeel/internal/protocol"
 )
 
-// Experiment is load that is drawn and played in simulated time, with and without balance.
+// Experiment is a random load that is run in simulated time, without and with balancing.
 type Experiment struct {
 	Name     string           `json:"name"`
-	Machines int              `json:"machines"` // at the start; as many more can be rented
+	Machines int              `json:"machines"` // at the start; also the capacity per machine type, zone, and on-demand or spot
 	Seconds  int              `json:"seconds"`
 	Seeds    int              `json:"seeds"`
 	Teams    []ExperimentTeam `json:"teams"`
 	Surges   []Surge          `json:"surges"`
-	Balance  json.RawMessage  `json:"balance"` // as operators set it
+	Balance  json.RawMessage  `json:"balance"` // the operators' setting to compare with none
 }
 
-// ExperimentTeam is the work of a team: jobs come by a Poisson process, run times are
-// lognormal, and images are taken by their popularity.
+// ExperimentTeam is the load of one team: jobs arrive in a Poisson process, run times have a
+// lognormal distribution, and images are drawn by popularity.
 type ExperimentTeam struct {
 	Team              string  `json:"team"`
 	JobsPerSecond     float64 `json:"jobsPerSecond"`
-	Tasks             int     `json:"tasks"` // on average; drawn for each job
+	Tasks             int     `json:"tasks"` // mean per job
 	CPUs              float64 `json:"cpus"`
-	RunSeconds        float64 `json:"runSeconds"` // median
-	RunSpread         float64 `json:"runSpread"`  // standard deviation of the logarithm
-	EstimateSpread    float64 `json:"estimateSpread"`
-	CheckpointSeconds float64 `json:"saveSeconds"` // 0: its tasks don't save
+	RunSeconds        float64 `json:"runSeconds"`     // median
+	RunSpread         float64 `json:"runSpread"`      // standard deviation of the logarithm
+	EstimateSpread    float64 `json:"estimateSpread"` // of the estimate relative to the run time, like RunSpread
+	CheckpointSeconds float64 `json:"saveSeconds"`    // duration of a checkpoint; 0: tasks write none
 	Images            int     `json:"images"`
 	ImageGB           float64 `json:"imageGb"`
-	Popularity        float64 `json:"popularity"` // exponent by which images are less used than the first
+	Popularity        float64 `json:"popularity"` // exponent: image number n is used in proportion to n^-Popularity
 }
 
-// Surge is a time in which a team's jobs come several times as often.
+// Surge is a period in which a team's jobs arrive Factor times as often.
 type Surge struct {
 	Team   string  `json:"team"`
-	From   float64 `json:"from"`
-	Until  float64 `json:"until"`
+	From   float64 `json:"from"`  // seconds after the start
+	Until  float64 `json:"until"` // seconds after the start
 	Factor float64 `json:"times"`
 }
 
-// ParseExperiment reads an experiment's file. An error names the field that is wrong.
+// ParseExperiment parses an experiment file. An error names the invalid field.
 func ParseExperiment(raw []byte) (*Experiment, error) {
 	e := &Experiment{}
 	d := json.NewDecoder(bytes.NewReader(raw))
@@ -62,7 +62,7 @@
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return nil, fmt.Errorf("experiment: more than one value")
+		return nil, fmt.Errorf("experiment: more than one JSON value")
 	}
 	if err := e.check(); err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
@@ -79,7 +79,7 @@
 		value, most int
 	}{{"machines", e.Machines, 10_000}, {"seconds", e.Seconds, 86_400}, {"seeds", e.Seeds, 1000}} {
 		if f.value < 1 || f.value > f.most {
-			return fmt.Errorf("%s is %d, not 1 to %d", f.name, f.value, f.most)
+			return fmt.Errorf("%s is %d, must be 1 to %d", f.name, f.value, f.most)
 		}
 	}
 	if len(e.Teams) == 0 {
@@ -95,11 +95,11 @@
 	for i, s := range e.Surges {
 		switch {
 		case !known[s.Team]:
-			return fmt.Errorf("surges[%d].team %q has no work", i, s.Team)
+			return fmt.Errorf("surges[%d].team %q is not one of the teams", i, s.Team)
 		case s.From < 0 || !(s.Until > s.From) || s.Until > float64(e.Seconds):
 			return fmt.Errorf("surges[%d].until must be after from, and within seconds", i)
 		case !(s.Factor > 0) || s.Factor > 1000:
-			return fmt.Errorf("surges[%d].times is %g, not above 0 to 1000", i, s.Factor)
+			return fmt.Errorf("surges[%d].times is %g, must be above 0 and at most 1000", i, s.Factor)
 		}
 	}
 	_, err := e.balance()
@@ -108,7 +108,7 @@
 
 func (t *ExperimentTeam) check() error {
 	if !slices.Contains([]string{"red", "blue", "guest"}, t.Team) {
-		return fmt.Errorf("team is %q, not red, blue or guest", t.Team)
+		return fmt.Errorf("team is %q, must be red, blue or guest", t.Team)
 	}
 	for _, f := range []struct {
 		name        string
@@ -120,13 +120,13 @@
 		{"saveSeconds", t.CheckpointSeconds, 0, 3600}, {"images", float64(t.Images), 1, 100_000}, {"imageGb", t.ImageGB, 0, 10}, {"popularity", t.Popularity, 0, 10},
 	} {
 		if !(f.value >= f.least) || f.value > f.most {
-			return fmt.Errorf("%s is %g, not %g to %g", f.name, f.value, f.least, f.most)
+			return fmt.Errorf("%s is %g, must be %g to %g", f.name, f.value, f.least, f.most)
 		}
 	}
 	return nil
 }
 
-// balance is the setting that the experiment tries.
+// balance returns the balance setting of the experiment.
 func (e *Experiment) balance() (*config.Balance, error) {
 	if len(e.Balance) == 0 {
 		return nil, fmt.Errorf("balance is missing")
@@ -141,43 +141,43 @@
 	return o.Balance, nil
 }
 
-// Outcome is what came of an experiment with a setting, over all seeds.
+// Outcome is the result of an experiment with one setting, over all seeds.
 type Outcome struct {
 	Setting string `json:"setting"`
-	// MaxLoad and High are the load of the hottest machine, and of that below which 99% of
-	// them are, at each second, as a part of the machine and as means over the seeds.
+	// MaxLoad, P99Load and MeanLoad are the maximum, 99th percentile and mean of the machines'
+	// loads in each second, averaged over the seeds. A load is the used share of a machine.
 	MaxLoad  []float64 `json:"hottest"`
 	P99Load  []float64 `json:"high"`
 	MeanLoad []float64 `json:"mean"`
-	// AboveCeilingShare is the part of all machines' time in which a team that surges takes more of a
-	// machine than the ceiling.
+	// AboveCeilingShare is the share of all machines' time in which a team that surges uses
+	// more of a machine than the ceiling.
 	AboveCeilingShare float64 `json:"teamAboveCeiling"`
 
 	Jobs             int                  `json:"jobs"`
 	Done             int                  `json:"done"`
 	Moves            int                  `json:"moves"`
 	MovesPerJob      float64              `json:"movesPerJob"`
-	WastedCPUSeconds float64              `json:"wastedCpuSeconds"` // work that was done and not kept
-	ImageHitRate     float64              `json:"placedOnHolders"`  // part of the starts
+	WastedCPUSeconds float64              `json:"wastedCpuSeconds"` // CPU time of work whose result was lost
+	ImageHitRate     float64              `json:"placedOnHolders"`  // share of starts on machines that had the image
 	FetchedGB        float64              `json:"fetchedGb"`
-	StateWrites      int                  `json:"changes"` // in the state service
-	Waits            map[string]WaitTimes `json:"waits"`   // by team, until a job's first task ran
+	StateWrites      int                  `json:"changes"` // changes sent to the state service
+	Waits            map[string]WaitTimes `json:"waits"`   // from submission to the first start of a task, by team
 	Violations       []string             `json:"broken,omitempty"`
 }
 
-// WaitTimes are the seconds within which half and 99% of a team's jobs began.
+// WaitTimes are quantiles of the time until a team's jobs started, in seconds.
 type WaitTimes struct {
 	Median float64 `json:"median"`
 	P99    float64 `json:"p99"`
 }
 
-// placements counts starts, and those on machines that held the image.
+// placements counts starts of tasks, and those on machines that had the image.
 type placements struct{ starts, imageHits int }
 
 func (p placements) hitRate() float64 { return float64(p.imageHits) / float64(max(1, p.starts)) }
 
-// recordWastedWork counts the work of a task that leaves its machine before it is done, but for what
-// it has saved.
+// recordWastedWork adds the work that is lost when a batch task ends before it is complete. If it
+// was checkpointed, only the time for writing the checkpoint counts.
 func (c *Cluster) recordWastedWork(t *attempt) {
 	j := c.jobs[t.job]
 	switch {
@@ -189,9 +189,9 @@
 	}
 }
 
-// machineLoads are the parts of the machines that are up that tasks take: of the hottest one, of that
-// below which 99% of them are, and of all on average.
-func (c *Cluster) machineLoads() (hottest, high, mean float64) {
+// machineLoads returns the maximum, 99th percentile and mean of the used shares of all running
+// machines.
+func (c *Cluster) machineLoads() (highest, p99, mean float64) {
 	var list []float64
 	for _, h := range c.cloud.machines {
 		w := h.agent
@@ -205,9 +205,9 @@
 				taken.mem += j.spec.MemoryGB
 			}
 		}
-		part := machineShare(w, taken, resources{})
-		list = append(list, part)
-		mean += part
+		load := machineShare(w, taken, resources{})
+		list = append(list, load)
+		mean += load
 	}
 	if len(list) == 0 {
 		return 0, 0, 0
@@ -216,8 +216,8 @@
 	return list[len(list)-1], list[(len(list)-1)*99/100], mean / float64(len(list))
 }
 
-// shareAboveCeiling is the part of the machines that are up of which a team that surges some time takes
-// more than the ceiling.
+// shareAboveCeiling returns the share of running machines of which a team that surges at any time
+// uses more than the ceiling, with more than one task.
 func (c *Cluster) shareAboveCeiling(surges []Surge, ceiling float64) float64 {
 	up, above := 0, 0
 	for _, h := range c.cloud.machines {
@@ -236,7 +236,7 @@
 	return float64(above) / float64(max(1, up))
 }
 
-// Run plays the experiment without and with its setting. progress is told after each seed.
+// Run runs the experiment without and with its balance setting. It calls progress after each seed.
 func (e *Experiment) Run(ctx context.Context, progress func(setting string, seed, seeds int)) ([]Outcome, error) {
 	b, err := e.balance()
 	if err != nil {
@@ -262,10 +262,10 @@
 	return outcomes, nil
 }
 
-// settleTime is how long jobs are followed once no more come.
+// settleTime is how long the simulation continues after the last arrival of jobs.
 const settleTime = 2 * time.Minute
 
-// runSeed plays one seed and adds what came of it.
+// runSeed runs the experiment with one seed and adds its results to o and waits.
 func (e *Experiment) runSeed(seed uint64, b *config.Balance, ceiling float64, o *Outcome, waits map[string]*hdrhistogram.Histogram) {
 	c := New(Options{Seed: seed, Controllers: 3, Machines: e.Machines, Capacity: e.Machines, LargeFleet: true, Balance: b})
 	c.Advance(6 * time.Second)
@@ -275,9 +275,9 @@
 	for second := range e.Seconds {
 		c.Advance(time.Second)
 		above += c.shareAboveCeiling(e.Surges, ceiling)
-		hottest, high, mean := c.machineLoads()
-		o.MaxLoad[second] += hottest
-		o.P99Load[second] += high
+		highest, p99, mean := c.machineLoads()
+		o.MaxLoad[second] += highest
+		o.P99Load[second] += p99
 		o.MeanLoad[second] += mean
 	}
 	c.Advance(settleTime)
@@ -294,7 +294,7 @@
 			h = newDurationHistogram()
 			waits[j.spec.Team] = h
 		}
-		_ = h.RecordValue(min(j.firstStartAt.Sub(j.submittedAt).Milliseconds(), 600_000)) // within its range
+		_ = h.RecordValue(min(j.firstStartAt.Sub(j.submittedAt).Milliseconds(), 600_000)) // never fails: the value is within the histogram's range
 	}
 	o.AboveCeilingShare += above / float64(e.Seconds)
 	o.Moves += len(c.migrations.moves)
@@ -305,22 +305,22 @@
 	o.Violations = append(o.Violations, c.Violations()...)
 }
 
-// scheduleJobs plans the jobs of all teams, as drawn.
+// scheduleJobs draws the jobs of all teams and schedules their submission.
 func (e *Experiment) scheduleJobs(c *Cluster, rng *rand.Rand) {
 	number := 0
 	for i := range e.Teams {
 		t := &e.Teams[i]
 		gaps := distuv.Exponential{Rate: t.JobsPerSecond, Src: rng}
 		tasks := distuv.Poisson{Lambda: float64(t.Tasks - 1), Src: rng}
-		runs := distuv.LogNormal{Sigma: t.RunSpread, Src: rng}
-		wrong := distuv.LogNormal{Sigma: t.EstimateSpread, Src: rng}
+		runTimes := distuv.LogNormal{Sigma: t.RunSpread, Src: rng}
+		estimateErrors := distuv.LogNormal{Sigma: t.EstimateSpread, Src: rng}
 		images := distuv.NewCategorical(popularityWeights(t.Images, t.Popularity), rng)
 		for at := gaps.Rand() / e.surgeFactor(t.Team, 0); at < float64(e.Seconds); at += gaps.Rand() / e.surgeFactor(t.Team, at) {
 			number++
-			run := time.Duration(t.RunSeconds * runs.Rand() * float64(time.Second))
+			run := time.Duration(t.RunSeconds * runTimes.Rand() * float64(time.Second))
 			spec := protocol.Job{ID: fmt.Sprintf("run-%06d", number), Class: t.Team, Team: t.Team, Kind: protocol.Batch, Priority: protocol.Standard,
 				Tasks: 1, CPUs: t.CPUs, MemoryGB: 1, Image: fmt.Sprintf("img-%s-%d", t.Team, int(images.Rand())), ImageGB: t.ImageGB,
-				EstimatedRuntime: time.Duration(float64(run) * wrong.Rand())}
+				EstimatedRuntime: time.Duration(float64(run) * estimateErrors.Rand())}
 			if t.Tasks > 1 {
 				spec.Tasks += int(tasks.Rand())
 			}
@@ -334,18 +334,18 @@
 	}
 }
 
-// surgeFactor is how many times as often a team's jobs come at a time.
+// surgeFactor returns the factor by which a team's jobs arrive more often at the given second.
 func (e *Experiment) surgeFactor(team string, at float64) float64 {
-	times := 1.0
+	factor := 1.0
 	for _, s := range e.Surges {
 		if s.Team == team && at >= s.From && at < s.Until {
-			times *= s.Factor
+			factor *= s.Factor
 		}
 	}
-	return times
+	return factor
 }
 
-// popularityWeights is how often images are used, the first one most.
+// popularityWeights returns the relative frequencies with which images are used, highest first.
 func popularityWeights(images int, exponent float64) []float64 {
 	weights := make([]float64, images)
 	for i := range weights {
@@ -354,7 +354,7 @@
 	return weights
 }
 
-// average turns sums over the seeds into means.
+// average turns sums over the seeds into means, and computes the moves per job and wait times.
 func (e *Experiment) average(o *Outcome, waits map[string]*hdrhistogram.Histogram) {
 	seeds := float64(e.Seeds)
 	for i := range o.MaxLoad {
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -10,8 +10,8 @@
 	"brasskeel/internal/records"
 )
 
-// retryUntilAnswered repeats a request of a user's every second, at any node, until it is
-// answered for good or a minute is over.
+// retryUntilAnswered sends a user's request to random controllers, every second, until the reply is
+// final or a minute has passed.
 func (c *Cluster) retryUntilAnswered(send func(node int, done func(status int, state string))) {
 	end := c.now.Add(time.Minute)
 	var try func()
@@ -29,15 +29,16 @@
 	try()
 }
 
+// retryCancel cancels a job, with retries.
 func (c *Cluster) retryCancel(id string) {
 	c.retryUntilAnswered(func(node int, done func(int, string)) { c.CancelJob(node, id, done) })
 }
 
-// jobsMatching are the jobs that a condition holds for, in order.
-func (c *Cluster) jobsMatching(holds func(*userJob) bool) []string {
+// jobsMatching returns the IDs of the jobs for which the condition holds, sorted.
+func (c *Cluster) jobsMatching(condition func(*userJob) bool) []string {
 	var list []string
 	for id, j := range c.jobs {
-		if holds(j) {
+		if condition(j) {
 			list = append(list, id)
 		}
 	}
@@ -45,11 +46,13 @@
 	return list
 }
 
-// minRemainingRunTime is how long a task has to run on for its job to count as one with long to go.
+// minRemainingRunTime is the remaining run time that a task must exceed for CancelRunningJobs to
+// choose its job.
 const minRemainingRunTime = 10 * time.Second
 
-// CancelRunningJobs lets users cancel jobs that run and have long to go, within a fifth of a
-// second. Up to eight of their machines hang meanwhile; 0 for none.
+// CancelRunningJobs cancels up to count random running jobs, within 200 ms. Only services and jobs
+// with a task that will run longer than minRemainingRunTime are chosen. If hang is not 0, up to
+// eight of their machines hang for that time.
 func (c *Cluster) CancelRunningJobs(count int, hang time.Duration) {
 	ids := c.jobsMatching(func(j *userJob) bool {
 		if !j.accepted || j.cancelRequested {
@@ -85,7 +88,7 @@
 	})
 }
 
-// agentsRunning are those that a job's tasks are on, in order.
+// agentsRunning returns the agents that run tasks of a job, sorted by name.
 func (c *Cluster) agentsRunning(id string) []*agent {
 	var list []*agent
 	for _, on := range c.jobs[id].runningOn {
@@ -104,8 +107,8 @@
 	return list
 }
 
-// jobCompleted lets a share of the jobs that end be cancelled at that very moment: as the
-// last task completes, or right before or after the final state is written.
+// jobCompleted is called when the last task of a job completes. It cancels a share of the jobs
+// (cancelOnCompletionShare) now, or right before or after their final state is written.
 func (c *Cluster) jobCompleted(j *userJob) {
 	c.withTriggers(onJobDone, []string{j.spec.ID}, func() {})
 	if c.cancelOnCompletionShare > 0 && c.rng.Float64() < c.cancelOnCompletionShare {
@@ -122,8 +125,8 @@
 	c.queryAfterChange(j)
 }
 
-// queryAfterChange lets users ask all nodes about a job within milliseconds, and submit it
-// again.
+// queryAfterChange makes users query all controllers for a job within 8 ms, and submit it again,
+// if queriesAfterChange is set.
 func (c *Cluster) queryAfterChange(j *userJob) {
 	if !c.queriesAfterChange {
 		return
@@ -138,15 +141,15 @@
 	c.after(time.Duration(c.rng.Int64N(int64(8*time.Millisecond))), func() { c.Resubmit(c.rng.IntN(len(c.controllers)), j.spec.ID) })
 }
 
-// Resubmit sends a known job once more.
+// Resubmit submits a known job again.
 func (c *Cluster) Resubmit(node int, id string) {
 	j := c.jobs[id]
 	c.Submit(node, j.spec, j.runTime, j.alwaysFails, func(int, string) {})
 }
 
-// SendInvalidRequests sends one each of what users send by mistake or once too often: a
-// repeated submission of an unfinished job, cancellations of one that is done and of
-// an unknown one, jobs that can never run, and one that lacks a field.
+// SendInvalidRequests sends one of each kind of redundant or invalid user request: a repeated
+// submission of an unfinished job, cancellations of a job that is done and of an unknown job, jobs
+// that can never run, and a job that lacks a field.
 func (c *Cluster) SendInvalidRequests() {
 	node := func() int { return c.rng.IntN(len(c.controllers)) }
 	pick := func(ids []string, f func(id string)) {
@@ -160,7 +163,7 @@
 	})
 	c.invalidRequestCount++
 	c.CancelJob(node(), fmt.Sprintf("run-%06d", 990000+c.invalidRequestCount), func(int, string) {})
-	odd := func(change func(*protocol.Job)) protocol.Job {
+	invalidJob := func(change func(*protocol.Job)) protocol.Job {
 		c.invalidRequestCount++
 		j := protocol.Job{ID: fmt.Sprintf("run-%06d", 900000+c.invalidRequestCount), Class: "one", Team: "blue", Kind: protocol.Batch,
 			Priority: protocol.Critical, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 1, EstimatedRuntime: time.Second}
@@ -174,13 +177,13 @@
 		func(j *protocol.Job) { j.Team = "nobody" },
 		func(j *protocol.Job) { j.Kind, j.Tasks = protocol.Service, 10000 },
 	} {
-		c.Submit(node(), odd(change), time.Second, false, ignore)
+		c.Submit(node(), invalidJob(change), time.Second, false, ignore)
 	}
-	c.submitWithoutField(node(), odd(func(*protocol.Job) {}), c.rng.IntN(1000))
+	c.submitWithoutField(node(), invalidJob(func(*protocol.Job) {}), c.rng.IntN(1000))
 }
 
-// submitWithoutField sends a job that lacks one of its fields; none of those that
-// EncodeJob names may be missing.
+// submitWithoutField submits a job that lacks one of its fields and checks that it is not accepted.
+// All fields that EncodeJob writes are required, except those that are null.
 func (c *Cluster) submitWithoutField(node int, spec protocol.Job, which int) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(protocol.EncodeJob(&spec), &fields); err != nil {
@@ -199,38 +202,40 @@
 		switch status {
 		case 400, 429, 503, 504, 0:
 		default:
-			c.reportViolation("accepted_invalid", "a job without %s gets %d", missing, status)
+			c.reportViolation("accepted_invalid", "job without field %s got status %d", missing, status)
 		}
 	})
 }
 
-// isValidJob reports whether a job can ever run here, as the submission rules have it.
+// isValidJob reports whether a job can ever run: one of its tasks fits an allowed machine type, and
+// the job fits its team's limits (a service with all its tasks at once).
 func (c *Cluster) isValidJob(j *protocol.Job) bool {
 	fits := slices.ContainsFunc(c.cloud.types, func(t protocol.MachineType) bool { return j.AllowsType(t.Name) && t.Fits(j) })
-	at := 1.0
+	tasks := 1.0
 	if j.Kind == protocol.Service {
-		at = float64(j.Tasks)
+		tasks = float64(j.Tasks)
 	}
 	for _, team := range c.settings.Teams {
 		if team.Name == j.Team {
-			return fits && at*j.CPUs <= team.MaxCPUs+protocol.Epsilon && at*j.GPUs <= team.MaxGPUs+protocol.Epsilon
+			return fits && tasks*j.CPUs <= team.MaxCPUs+protocol.Epsilon && tasks*j.GPUs <= team.MaxGPUs+protocol.Epsilon
 		}
 	}
 	return false
 }
 
-// maxStaleHeartbeats bounds the copies of each machine's reports: the oldest are kept, as they
-// are the furthest from what is true.
+// maxStaleHeartbeats limits the kept copies of each machine's heartbeats. The oldest are kept, since
+// they differ most from the current state.
 const maxStaleHeartbeats = 3
 
+// keepStaleHeartbeat keeps a copy of a share of the heartbeats (staleHeartbeatShare).
 func (c *Cluster) keepStaleHeartbeat(w *agent, body []byte) {
 	if c.staleHeartbeatShare > 0 && len(c.staleHeartbeats[w.name]) < maxStaleHeartbeats && c.rng.Float64() < c.staleHeartbeatShare {
 		c.staleHeartbeats[w.name] = append(c.staleHeartbeats[w.name], body)
 	}
 }
 
-// deliverStaleHeartbeats sends what was kept to every controller as a leader begins, and once more
-// when it has heard newer reports.
+// deliverStaleHeartbeats sends the kept heartbeats to every controller when a leader is elected, and
+// again within 3 seconds, when it may have received newer ones.
 func (c *Cluster) deliverStaleHeartbeats() {
 	var names []string
 	for name := range c.staleHeartbeats {
@@ -240,7 +245,7 @@
 	for _, name := range names {
 		for _, body := range c.staleHeartbeats[name] {
 			for _, n := range c.controllers {
-				// The new leader learns of its election within the first of these times.
+				// The new leader learns of its election within the first of these delays.
 				for _, within := range []time.Duration{6 * time.Millisecond, 3 * time.Second} {
 					c.after(time.Duration(c.rng.Int64N(int64(within))), func() {
 						c.send(name, n.name, func() { n.request("POST", protocol.PathHeartbeat, body, heartbeatTimeout, ignoreResponse) })
@@ -252,8 +257,8 @@
 	clear(c.staleHeartbeats)
 }
 
-// CrashLeaders lets the leader crash some times, one after the other; each is back
-// after a while.
+// CrashLeaders crashes the current leader count times, at intervals of every. Each crashed
+// controller restarts after the time down.
 func (c *Cluster) CrashLeaders(count int, every, down time.Duration) {
 	for i := range count {
 		c.after(time.Duration(i)*every, func() {
--- a/internal/simulator/forwarder.go
+++ b/internal/simulator/forwarder.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// linkState says what becomes of the bytes that one host sends to another.
+// linkState is what happens to the bytes that one host sends to another.
 type linkState uint8
 
 const (
 	linkOpen  linkState = iota
-	linkHeld            // they arrive once the cut is over
-	linkLost            // they never arrive
-	linkReset           // they end their connection
+	linkHeld            // bytes are delivered once the cut ends
+	linkLost            // bytes are lost
+	linkReset           // bytes reset their connection
 )
 
-// linkState is how a link is now.
+// linkState returns the current state of a link.
 func (c *Cluster) linkState(from, to string) linkState {
 	switch k := c.linkFaults[link{from, to}]; {
 	case k == nil:
@@ -29,17 +29,17 @@
 	return linkLost
 }
 
-// forwarder carries the connections that one controller makes to another, through the
-// cuts between their hosts.
+// forwarder forwards the connections that one controller makes to another, and applies the link
+// faults between their hosts to them.
 type forwarder struct {
 	loopback *Loopback
-	from, to string // hosts; connections are made by the first
-	target   string // address at the second
+	from, to string // hosts; from makes the connections
+	target   string // address on host to
 	listener net.Listener
 }
 
-// newForwarder gives a host an address that leads to another host's address. It is called with
-// the lock held.
+// newForwarder starts a forwarder to an address of host to and returns the address where it accepts
+// the connections of host from. It is called with the lock held.
 func (l *Loopback) newForwarder(from, to, target string) (string, error) {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
@@ -61,10 +61,10 @@
 	}
 }
 
-// forwardDialTimeout is how long a forwarder tries to reach its target.
+// forwardDialTimeout limits how long a forwarder tries to connect to its target.
 const forwardDialTimeout = 2 * time.Second
 
-// handle forwards one connection until it ends.
+// handle forwards one accepted connection until it ends.
 func (f *forwarder) handle(near net.Conn) {
 	defer near.Close()
 	c := &forwardedConn{forwarder: f, ended: make(chan struct{})}
@@ -84,18 +84,18 @@
 	c.awaitEnd(near, far)
 }
 
-// forwardedConn is one connection that a forwarder carries.
+// forwardedConn is one forwarded connection.
 type forwardedConn struct {
 	*forwarder
-	lossy   bool // some of its bytes are lost; guarded by the stand-in's lock
-	ended   chan struct{}
+	lossy   bool          // some of its bytes were lost; guarded by Loopback.mu
+	ended   chan struct{} // closed when a side ends the connection
 	endOnce sync.Once
 }
 
 func (c *forwardedConn) end() { c.endOnce.Do(func() { close(c.ended) }) }
 
-// established reports whether the connection comes about. One that is made during a cut leads
-// nowhere; its sender has given it up by the time the cut is over.
+// established reports whether the connection can be established. One that is made during a cut is
+// never forwarded, since its sender has given it up by the time the cut ends.
 func (c *forwardedConn) established() bool {
 	c.loopback.mu.Lock()
 	defer c.loopback.mu.Unlock()
@@ -103,12 +103,13 @@
 	return !c.lossy
 }
 
-// linksOpen reports whether there is no cut between the hosts. It is called with the lock held.
+// linksOpen reports whether the links between the hosts are open both ways. It is called with the
+// lock held.
 func (c *forwardedConn) linksOpen() bool {
 	return c.linkInState(linkOpen, c.from, c.to) && c.linkInState(linkOpen, c.to, c.from)
 }
 
-// linksReset reports whether connections fail between the hosts. It is called with the lock
+// linksReset reports whether connections between the hosts are reset. It is called with the lock
 // held.
 func (c *forwardedConn) linksReset() bool {
 	return c.linkInState(linkReset, c.from, c.to) || c.linkInState(linkReset, c.to, c.from)
@@ -118,8 +119,8 @@
 	return c.loopback.cluster.linkState(from, to) == s
 }
 
-// awaitEnd returns when the connection is over: because a side has ended it, because of a
-// reset, or because a cut is over that has cost some of its bytes.
+// awaitEnd returns when the connection is over: one side has ended it, the link is reset, or a cut
+// that lost some of its bytes has ended. In the last two cases it resets conns.
 func (c *forwardedConn) awaitEnd(conns ...net.Conn) {
 	for {
 		c.loopback.mu.Lock()
@@ -141,7 +142,7 @@
 	}
 }
 
-// reset closes a connection without the usual farewell.
+// reset closes a TCP connection with a reset (RST) instead of a FIN.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -149,8 +150,8 @@
 	_ = c.Close()
 }
 
-// copyBytes carries the bytes of one direction. Once some are lost all are, and the end of the
-// connection with them.
+// copyBytes forwards the bytes of one direction. After the first lost byte everything is lost,
+// including the end of the connection.
 func (c *forwardedConn) copyBytes(from, to string, source, sink net.Conn) {
 	buffer := make([]byte, 32<<10)
 	lost := false
@@ -170,7 +171,7 @@
 	}
 }
 
-// awaitDelivery waits while bytes are held, and reports whether they arrive.
+// awaitDelivery waits while the link holds bytes, and reports whether they are delivered.
 func (c *forwardedConn) awaitDelivery(from, to string) bool {
 	for {
 		c.loopback.mu.Lock()
--- a/internal/simulator/load.go
+++ b/internal/simulator/load.go
@@ -13,17 +13,17 @@
 type Load struct {
 	Jobs    int
 	Rate    float64       // jobs per second
-	RunTime time.Duration // of a task
+	RunTime time.Duration // of each task
 }
 
-// LoadSummary tells what came of a load. Times count from the first attempt to submit a
-// job, until it was accepted and until its task started.
+// LoadSummary is the result of a load. Submit and Start are the times from the first attempt to
+// submit a job until it was accepted and until its task started.
 type LoadSummary struct {
 	Jobs, Accepted, Done int
 	Submit, Start        Quantiles
 }
 
-// Quantiles are the times within which half and 99% of what was measured lie.
+// Quantiles are the median and 99th percentile of measured times.
 type Quantiles struct{ P50, P99 time.Duration }
 
 func quantiles(times []time.Duration) (q Quantiles) {
@@ -34,13 +34,14 @@
 	return Quantiles{P50: times[(len(times)-1)*50/100], P99: times[(len(times)-1)*99/100]}
 }
 
-// firstLoadJobNumber is the number of a load's first job: far from those that people choose.
+// firstLoadJobNumber is the number of a load's first job, chosen to avoid collisions with job IDs
+// that people choose.
 const firstLoadJobNumber = 700_001
 
-// loadQueryInterval is how often the users of a load ask for their jobs.
+// loadQueryInterval is how often the users of a load query their jobs.
 const loadQueryInterval = time.Second
 
-// RunLoad submits jobs at any controllers and waits until all are done, or ctx ends.
+// RunLoad submits jobs to random controllers and waits until all are done or ctx ends.
 func (l *Loopback) RunLoad(ctx context.Context, load Load) (LoadSummary, error) {
 	accepted := map[string]time.Duration{}
 	l.Do(func(c *Cluster) {
@@ -67,7 +68,7 @@
 	return summary, err
 }
 
-// submitLoadJob submits one job of a load and follows it once it is accepted.
+// submitLoadJob submits one job of a load and queries it until it is done.
 func (c *Cluster) submitLoadJob(number int, run time.Duration, accepted map[string]time.Duration) {
 	spec := SampleJob(fmt.Sprintf("run-%06d", firstLoadJobNumber+number), run)
 	begin := c.now
@@ -82,7 +83,7 @@
 	})
 }
 
-// SampleJob is a small batch job of one task, of a team that every stand-in has.
+// SampleJob returns a small batch job of one task, of a team that every simulated cluster has.
 func SampleJob(id string, run time.Duration) protocol.Job {
 	return protocol.Job{ID: id, Class: "sample", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 1,
 		CPUs: 1, MemoryGB: 1, Image: "img-sample", ImageGB: 0.2, EstimatedRuntime: run}
--- a/internal/simulator/loopback.go
+++ b/internal/simulator/loopback.go
@@ -13,45 +13,46 @@
 	"brasskeel/internal/protocol"
 )
 
-// LoopbackOptions shape a live stand-in.
+// LoopbackOptions configures a [Loopback].
 type LoopbackOptions struct {
 	Options
-	Binary           string // the controllers' program
+	Binary           string // path of the controller program
 	OperatorFile     string // file with the operators' settings; empty for the defaults
-	Dir              string // where the controllers' settings and logs are written
+	Dir              string // directory for the controllers' settings and logs
 	ExternalMachines []ExternalMachine
 }
 
-// Loopback serves a cluster in real time: its state service, cloud and workers answer HTTP
-// requests on the loopback interface, and its controllers are processes. The cluster is
-// the simulated one; a clock and a lock are all that is added to it.
+// Loopback serves a cluster in real time: its state service, cloud and workers answer HTTP requests
+// on the loopback interface, and its controllers are separate processes. The cluster is the same as
+// in simulated time; a real-time clock drives its events and a lock guards it.
 type Loopback struct {
 	options     LoopbackOptions
 	controllers []*ControllerProcess
 
-	ctx        context.Context // ends with the stand-in
+	ctx        context.Context // ends on Close
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // goroutines that end with it
+	goroutines sync.WaitGroup // all goroutines that end on Close
 
-	mu              sync.Mutex // guards the cluster and all below
+	mu              sync.Mutex // guards the cluster and all fields below
 	cluster         *Cluster
 	closed          bool
 	closers         []func() error
 	failures        []error
 	waiters         []*waiter
-	nextWake        time.Time     // when the clock looks for events next
-	clockWake       chan struct{} // tells the clock of an event before that
-	seenLinkChanges int           // of the cluster's links that were told
-	linksChanged    chan struct{} // closed at the next one
+	nextWake        time.Time     // when runClock runs events next
+	clockWake       chan struct{} // signals runClock that an event is due before nextWake
+	seenLinkChanges int           // Cluster.linkChanges when linksChanged was last closed
+	linksChanged    chan struct{} // closed at the next change of links
 }
 
 // waiter waits for a condition.
 type waiter struct {
 	condition func(*Cluster) bool
-	done      chan struct{}
+	done      chan struct{} // closed when the condition holds
 }
 
-// NewLoopback starts the services. Controllers are started one by one; Close ends everything.
+// NewLoopback starts the services. The controllers must be started separately. Close ends
+// everything.
 func NewLoopback(o LoopbackOptions) (*Loopback, error) {
 	l := &Loopback{options: o, clockWake: make(chan struct{}, 1), linksChanged: make(chan struct{})}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
@@ -63,7 +64,7 @@
 	return l, nil
 }
 
-// build makes the cluster, its servers and its controllers.
+// build creates the cluster, its servers and its controllers.
 func (l *Loopback) build() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,10 +91,10 @@
 	return errors.Join(l.failures...)
 }
 
-// Controllers are the controllers, in the order of the cluster's nodes.
+// Controllers returns the controllers by index: node-0 is the first.
 func (l *Loopback) Controllers() []*ControllerProcess { return l.controllers }
 
-// StartControllers starts those that don't run.
+// StartControllers starts the controllers that are not running.
 func (l *Loopback) StartControllers() error {
 	for _, k := range l.controllers {
 		if k.running() {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// Close ends the controllers and the services.
+// Close kills the controllers and stops the services.
 func (l *Loopback) Close() {
 	for _, k := range l.controllers {
 		k.Kill()
@@ -121,8 +122,8 @@
 	l.goroutines.Wait()
 }
 
-// Do does something with the cluster, at the time it is and with the lock held: f must not
-// wait for the stand-in, nor let time pass by Advance.
+// Do advances the cluster to the current time and calls f with the lock held, unless l is closed. f
+// must not call methods of l that take the lock or wait, nor advance the cluster's clock.
 func (l *Loopback) Do(f func(*Cluster)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +135,8 @@
 	l.notifyWaiters()
 }
 
-// notifyWaiters tells those whom a step of the cluster concerns.
+// notifyWaiters wakes the clock, the forwarders and the callers of Await as needed after a step of
+// the cluster. It is called with the lock held.
 func (l *Loopback) notifyWaiters() {
 	c := l.cluster
 	if len(c.events) > 0 && c.events[0].at.Before(l.nextWake) {
@@ -157,10 +159,10 @@
 	})
 }
 
-// maxClockSleep is how long the clock sleeps when nothing is planned.
+// maxClockSleep is how long the clock sleeps when no event is scheduled.
 const maxClockSleep = time.Minute
 
-// runClock lets what is planned happen when its time has come.
+// runClock runs the cluster's events when they are due.
 func (l *Loopback) runClock() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -181,10 +183,10 @@
 	}
 }
 
-// Await returns once a condition holds, or with an error when ctx ends before. The
-// condition is looked at after every step of the cluster.
-func (l *Loopback) Await(ctx context.Context, what string, holds func(*Cluster) bool) error {
-	w := &waiter{condition: holds, done: make(chan struct{})}
+// Await returns once a condition holds, or an error if ctx ends before. The condition is checked
+// after every step of the cluster. what describes it in errors.
+func (l *Loopback) Await(ctx context.Context, what string, condition func(*Cluster) bool) error {
+	w := &waiter{condition: condition, done: make(chan struct{})}
 	l.Do(func(*Cluster) { l.waiters = append(l.waiters, w) })
 	select {
 	case <-w.done:
@@ -197,7 +199,7 @@
 	}
 }
 
-// AwaitReady returns once a controller leads and all answer their health checks.
+// AwaitReady returns once there is a leader and the health check of every controller has succeeded.
 func (l *Loopback) AwaitReady(ctx context.Context) error {
 	healthy := 0
 	l.Do(func(c *Cluster) {
@@ -205,13 +207,13 @@
 			c.awaitHealth(node, func() { healthy++ })
 		}
 	})
-	return l.Await(ctx, "controllers that are ready", func(c *Cluster) bool { return c.Leader() >= 0 && healthy == len(c.controllers) })
+	return l.Await(ctx, "a leader and healthy controllers", func(c *Cluster) bool { return c.Leader() >= 0 && healthy == len(c.controllers) })
 }
 
-// healthCheckInterval is how often a controller is asked that is not known to be healthy.
+// healthCheckInterval is the time between a failed health check and the next.
 const healthCheckInterval = 200 * time.Millisecond
 
-// awaitHealth asks a node until its health check succeeds.
+// awaitHealth repeats a controller's health check until it succeeds and then calls done.
 func (c *Cluster) awaitHealth(node int, done func()) {
 	c.userRequest(node, "GET", protocol.PathHealth, nil, func(status int, _ []byte) {
 		if status == http.StatusOK {
@@ -222,7 +224,7 @@
 	})
 }
 
-// Violations lists the rules broken so far, and what else went wrong.
+// Violations returns the violations of invariants so far, and other failures.
 func (l *Loopback) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -233,8 +235,8 @@
 	return list
 }
 
-// listen serves HTTP at a new address of the loopback interface. It is called with the
-// lock held.
+// listen serves HTTP on a free port of the loopback interface and returns its address. It is called
+// with the lock held.
 func (l *Loopback) listen(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
@@ -246,5 +248,5 @@
 	return listener.Addr().String(), nil
 }
 
-// anyPort lets the system choose a port of the loopback interface.
+// anyPort is the listen address for a free port of the loopback interface.
 const anyPort = "127.0.0.1:0"
--- a/internal/simulator/loopback_services.go
+++ b/internal/simulator/loopback_services.go
@@ -6,24 +6,25 @@
 	"strconv"
 )
 
-// anyController stands for every controller on links to machines: a worker's address is the
-// same for all of them, so it can't be told which of them asks.
+// anyController is the host name of all controllers on links to machines: a worker has one address
+// for all of them, so the sender of a request is not known.
 const anyController = "controllers"
 
-// maxRequestBody is the longest body that the protocol allows in a request.
+// maxRequestBody is the largest request body that the protocol allows.
 const maxRequestBody = 64 << 10
 
-// serviceFunc answers one request, later, once, or never. It is called with the lock held.
+// serviceFunc handles one request. It may call respond at once, later or never. It is called with
+// the lock held.
 type serviceFunc func(method, target string, body []byte, respond respondFunc)
 
-// response is what came of a request; status 0 says that its connection fails.
+// response is the response to a request; status 0 means that the connection fails.
 type response struct {
 	status int
 	body   []byte
 }
 
-// handler lets a service on one host answer those that another host sends over HTTP. A
-// request that gets no answer stays open until its sender gives it up.
+// handler returns an HTTP handler that passes requests of host from to a service on host to. A
+// request that is not answered stays open until its sender gives up.
 func (l *Loopback) handler(from, to string, serve serviceFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
@@ -31,21 +32,21 @@
 			writeResponse(w, response{status: http.StatusBadRequest})
 			return
 		}
-		answers := make(chan response, 1)
+		responses := make(chan response, 1)
 		l.Do(func(c *Cluster) {
 			c.request(from, to,
 				func(respond respondFunc) { serve(r.Method, r.RequestURI, body, respond) },
-				func(status int, body []byte) { answers <- response{status, body} })
+				func(status int, body []byte) { responses <- response{status, body} })
 		})
 		select {
-		case a := <-answers:
+		case a := <-responses:
 			writeResponse(w, a)
 		case <-r.Context().Done():
 		}
 	})
 }
 
-// writeResponse sends an answer, or ends the connection.
+// writeResponse sends a response, or aborts the connection if the status is 0.
 func writeResponse(w http.ResponseWriter, a response) {
 	if a.status == 0 {
 		panic(http.ErrAbortHandler)
@@ -56,22 +57,22 @@
 	_, _ = w.Write(a.body)
 }
 
-// serveState gives a node its own address of the state service.
+// serveState starts a server of the state service for one controller and returns its address.
 func (l *Loopback) serveState(n *controllerHost) (string, error) {
 	return l.listen(l.handler(n.name, stateHost, func(method, target string, body []byte, respond respondFunc) {
 		l.cluster.state.serve(n.name, method, target, body, respond)
 	}))
 }
 
-// serveCloud gives a node its own address of the cloud.
+// serveCloud starts a server of the cloud for one controller and returns its address.
 func (l *Loopback) serveCloud(n *controllerHost) (string, error) {
 	return l.listen(l.handler(n.name, cloudHost, func(method, target string, body []byte, respond respondFunc) {
 		l.cluster.cloud.serve(n.name, method, target, body, respond)
 	}))
 }
 
-// serveWorker gives a machine an address. Nobody answers there before its worker is up,
-// nor after it is gone.
+// serveWorker starts a server for a machine's worker and returns its address. Requests are not
+// answered before the worker is up or after it has ended.
 func (l *Loopback) serveWorker(h *machine) string {
 	addr, err := l.listen(l.handler(anyController, h.name, func(method, _ string, body []byte, respond respondFunc) {
 		if h.agent != nil {
--- a/internal/simulator/migration_invariant.go
+++ b/internal/simulator/migration_invariant.go
@@ -7,14 +7,15 @@
 	"brasskeel/internal/records"
 )
 
-// migrationInvariant follows, by the records alone, which tasks were moved in which surge.
+// migrationInvariant checks that no task is moved twice in one surge. It reads only the migration
+// marks in the records of the state service.
 type migrationInvariant struct {
-	marksByRecord map[string]map[migratedTask]bool // by record: the marks that stand there now
-	moves         map[migratedTask]int             // times that a mark was set
-	stops         int                              // tasks that were told to stop while they fetched or ran
+	marksByRecord map[string]map[migratedTask]bool // marks currently set, by record key
+	moves         map[migratedTask]int             // how often each mark was set
+	stops         int                              // stop orders for tasks that were fetching or running
 }
 
-// migratedTask is a task that is on record as moved in a surge.
+// migratedTask identifies a task that is recorded as moved in a surge.
 type migratedTask struct {
 	job   string
 	task  int
@@ -25,8 +26,8 @@
 	return &migrationInvariant{marksByRecord: map[string]map[migratedTask]bool{}, moves: map[migratedTask]int{}}
 }
 
-// observe takes a change in the state service. A mark that is set once more says that a leader
-// moved a task which another one had moved in the same surge.
+// observe checks a write to the state service. If a mark is set a second time, a leader has moved a
+// task that was already moved in the same surge.
 func (k *migrationInvariant) observe(c *Cluster, op protocol.Op) {
 	job, chunk, ok := records.ParseTaskBlockKey(op.Put)
 	j := c.jobs[job]
@@ -40,7 +41,7 @@
 	size := records.TasksPerBlock(c.settings.MaxValueBytes)
 	moved, err := r.MigratedTasks(size)
 	if err != nil {
-		c.reportViolation("unreadable_mark", "%s", op.Put)
+		c.reportViolation("unreadable_mark", "migration marks of record %s cannot be decoded", op.Put)
 		return
 	}
 	before, now := k.marksByRecord[op.Put], map[migratedTask]bool{}
@@ -54,13 +55,14 @@
 			continue
 		}
 		if k.moves[t]++; k.moves[t] > 1 {
-			c.reportViolation("moved_twice", "%s/%d in surge %d", t.job, t.task, t.surge)
+			c.reportViolation("moved_twice", "task %s/%d moved again in surge %d", t.job, t.task, t.surge)
 		}
 	}
 	k.marksByRecord[op.Put] = now
 }
 
-// Migrations tells how many tasks were moved, by the records, and how often tasks were stopped.
+// Migrations describes how many tasks were moved according to the records, and how often tasks were
+// stopped.
 func (c *Cluster) Migrations() string {
 	return fmt.Sprintf("moved=%d stops=%d", len(c.migrations.moves), c.migrations.stops)
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Names of hosts on links, besides those of nodes and machines.
+// Names of hosts on links, besides those of controllers and machines.
 const (
 	stateHost = "state"
 	cloudHost = "cloud"
 	usersHost = "users"
 )
 
-// link is a direction between two hosts; cut is what happens on it.
+// link is one direction between two hosts.
 type link struct{ from, to string }
 
+// linkFault is a fault of a link. Messages are lost unless holdMessages is set.
 type linkFault struct {
-	holdMessages     bool // deliver when the cut ends
-	resetConnections bool // connections fail at once
-	held             []func()
+	holdMessages     bool     // hold messages and deliver them when the fault ends
+	resetConnections bool     // connections fail at once
+	held             []func() // deliveries of held messages
 }
 
-// messageDelay is how long a message takes.
+// messageDelay returns a random network delay for a message.
 func (c *Cluster) messageDelay() time.Duration {
 	d := time.Millisecond + time.Duration(c.rng.Int64N(int64(2*time.Millisecond)))
 	if c.extraLinkDelay > 0 {
@@ -30,7 +31,8 @@
 	return d
 }
 
-// send delivers a message from one host to another unless the link is cut.
+// send delivers a message from one host to another after a network delay. On a faulty link it is
+// held or lost.
 func (c *Cluster) send(from, to string, deliver func()) {
 	if k := c.linkFaults[link{from, to}]; k != nil {
 		if k.holdMessages {
@@ -41,14 +43,14 @@
 	c.after(c.messageDelay(), deliver)
 }
 
-// Cut interrupts the network between two hosts, both ways. Held messages come
-// late, others never.
+// Cut interrupts the network between two hosts in both directions. With hold, messages are delivered
+// when the cut ends; otherwise they are lost.
 func (c *Cluster) Cut(a, b string, hold bool) {
 	c.CutOneWay(a, b, hold)
 	c.CutOneWay(b, a, hold)
 }
 
-// CutOneWay interrupts what one host sends to another.
+// CutOneWay interrupts the link from one host to another, unless it has a fault already.
 func (c *Cluster) CutOneWay(from, to string, hold bool) {
 	if l := (link{from, to}); c.linkFaults[l] == nil {
 		c.linkFaults[l] = &linkFault{holdMessages: hold}
@@ -56,20 +58,20 @@
 	}
 }
 
-// ResetOneWay lets what one host sends to another end its connections.
+// ResetOneWay makes connections fail when one host sends to another.
 func (c *Cluster) ResetOneWay(from, to string) {
 	c.CutOneWay(from, to, false)
 	c.linkFaults[link{from, to}].resetConnections = true
 	c.linkChanges++
 }
 
-// linkResets reports whether connections fail on the way between two hosts.
+// linkResets reports whether connections fail on the link between two hosts.
 func (c *Cluster) linkResets(from, to string) bool {
 	k := c.linkFaults[link{from, to}]
 	return k != nil && k.resetConnections
 }
 
-// Isolate cuts a node from the state service and the other nodes, not from
+// Isolate cuts a controller off from the state service and the other controllers, but not from
 // workers and users.
 func (c *Cluster) Isolate(n *controllerHost) {
 	c.Cut(n.name, stateHost, false)
@@ -80,7 +82,8 @@
 	}
 }
 
-// IsolateRefused is Isolate for a node that the state service answers, with a refusal.
+// IsolateRefused is like Isolate, except that the state service refuses the controller's requests
+// instead of being unreachable.
 func (c *Cluster) IsolateRefused(n *controllerHost) {
 	c.state.refusedNodes[n.name] = true
 	for _, p := range c.controllers {
@@ -90,16 +93,17 @@
 	}
 }
 
-// Heal ends every cut; what was held arrives in order.
+// Heal ends all link faults. Held messages are delivered in order.
 func (c *Cluster) Heal() {
 	c.heal(func(link) bool { return true })
 }
 
-// HealBetween ends the cuts between two hosts.
+// HealBetween ends the link faults between two hosts.
 func (c *Cluster) HealBetween(a, b string) {
 	c.heal(func(l link) bool { return l == link{a, b} || l == link{b, a} })
 }
 
+// heal ends the link faults that which selects, in the order of the links.
 func (c *Cluster) heal(which func(link) bool) {
 	var list []link
 	for l := range c.linkFaults {
@@ -123,24 +127,24 @@
 		k := c.linkFaults[l]
 		delete(c.linkFaults, l)
 		c.linkChanges++
-		var wait time.Duration
+		var delay time.Duration
 		for _, f := range k.held {
-			wait = max(wait, c.messageDelay()) // in the order in which they were sent
-			c.after(wait, f)
+			delay = max(delay, c.messageDelay()) // never decreases, which keeps the sending order
+			c.after(delay, f)
 		}
 	}
 }
 
-// respondFunc takes the response to a request; status 0 says that its connection failed, or
-// that none came in time.
+// respondFunc receives the response to a request. Status 0 means that the connection failed or that
+// there was no response in time.
 type respondFunc = func(status int, body []byte)
 
-// ignoreResponse is for whoever doesn't wait for one.
+// ignoreResponse is a respondFunc that does nothing.
 func ignoreResponse(int, []byte) {}
 
-// request carries a request to a server and its response back. The server may
-// answer later, once, or never; done runs when the response arrives, with status
-// 0 when the connection fails.
+// request carries a request to a server and its response back. The server may respond at once, later
+// or never; only its first response counts. done is called when the response arrives, or with
+// status 0 if the connection fails.
 func (c *Cluster) request(from, to string, serve func(respond respondFunc), done respondFunc) {
 	if c.linkResets(from, to) {
 		c.after(c.messageDelay(), func() { done(0, nil) })
--- a/internal/simulator/ownership.go
+++ b/internal/simulator/ownership.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	recoveryTime = 30 * time.Second // after the last trouble
-	termBits     = 16               // of a token, below the term that it was drawn under
+	recoveryTime = 30 * time.Second // time to recover after the last fault
+	termBits     = 16               // number of bits below the term in a fencing token
 )
 
-// maxTimeUnserved is how long a worker that can be reached may go without an answer once all
-// troubles have been over for recoveryTime.
+// maxTimeUnserved is how long a reachable worker may go without a reply to its heartbeats once all
+// faults have been over for recoveryTime.
 func (c *Cluster) maxTimeUnserved() time.Duration { return c.settings.WorkerLease / 2 }
 
-// setShards says into how many shards for each controller machines are divided by controllers
-// that start from now on; 0 for none.
+// setShards sets the shards per controller for controllers that start from now on. 0 disables
+// sharding.
 func (c *Cluster) setShards(perController int) { c.operator.Sharding = sharding(perController) }
 
-// sharding is the operators' setting for that many shards per controller, nil for none.
+// sharding returns the operators' setting for the given number of shards per controller, nil for 0.
 func sharding(perController int) *config.Sharding {
 	if perController == 0 {
 		return nil
@@ -35,8 +35,8 @@
 	return &config.Sharding{ShardsPerController: perController}
 }
 
-// incarnationID names a node's process, and not another one of the same node; nothing where that
-// can't be told, as of processes of their own.
+// incarnationID identifies the running process of a controller, as distinct from earlier ones. It is
+// empty for controllers that run as separate processes.
 func (n *controllerHost) incarnationID() string {
 	if n.remote != nil {
 		return ""
@@ -44,23 +44,24 @@
 	return fmt.Sprintf("%s#%d", n.name, n.starts)
 }
 
-// checkFencingToken notes that a worker followed a controller under a token. A term belongs to one life
-// of one controller: orders of two under one token could not be told apart.
+// checkFencingToken checks, when a worker accepts a controller's fencing token, that its term belongs
+// to one incarnation of one controller only. Orders of two controllers with the same token could
+// not be told apart. from is the incarnation ID.
 func (c *Cluster) checkFencingToken(token uint64, from string) {
 	if from == "" {
 		return
 	}
 	term := token >> termBits
-	if by := c.servedByTerm[term]; by != "" && by != from {
-		c.reportViolation("two_owners", "workers follow %s and %s under term %d", by, from, term)
+	if other := c.servedByTerm[term]; other != "" && other != from {
+		c.reportViolation("two_owners", "workers accept orders of %s and %s under term %d", other, from, term)
 	}
 	c.servedByTerm[term] = from
 }
 
-// checkShardOwners checks, once troubles are over, that every machine is in one shard on record at
-// the most and that every worker is served.
+// checkShardOwners checks that the records assign every machine to at most one shard and, once
+// faults have been over for recoveryTime, that every reachable worker gets replies.
 func (c *Cluster) checkShardOwners() {
-	in := map[string]int{}
+	shardOf := map[string]int{}
 	for _, it := range c.state.withPrefix(records.PrefixMachineGroups) {
 		id := records.ShardOfGroupKey(it.Key)
 		var r records.MachineGroup
@@ -68,10 +69,10 @@
 			continue
 		}
 		for _, m := range r.Machines {
-			if other, there := in[m.Name]; there && other != id {
+			if other, assigned := shardOf[m.Name]; assigned && other != id {
 				c.reportViolation("two_shards", "%s is in shards %d and %d", m.Name, other, id)
 			}
-			in[m.Name] = id
+			shardOf[m.Name] = id
 		}
 	}
 	if c.now.Sub(c.quiescentSince) < recoveryTime {
@@ -83,7 +84,7 @@
 			continue
 		}
 		if unserved := c.now.Sub(laterOf(w.lastReply, c.quiescentSince)); unserved > c.maxTimeUnserved() {
-			c.reportViolation("unserved", "%s got no answer for %s", w.name, unserved.Round(time.Millisecond))
+			c.reportViolation("unserved", "%s got no reply to its heartbeats for %s", w.name, unserved.Round(time.Millisecond))
 			w.lastReply = c.now
 		}
 	}
@@ -96,7 +97,8 @@
 	return b
 }
 
-// ShardCounts lists who owns how many shards, as the state service has it, and which move.
+// ShardCounts lists how many shards each controller owns according to the state service, and how
+// many are being moved.
 func (c *Cluster) ShardCounts() []string {
 	owned, moving := map[string]int{}, 0
 	for _, it := range c.state.withPrefix(records.PrefixOwners) {
@@ -120,7 +122,8 @@
 	return list
 }
 
-// Members lists the controllers that may own shards, as the state service has it.
+// Members lists the controllers that are members, and so may own shards, according to the state
+// service.
 func (c *Cluster) Members() []string {
 	var list []string
 	for _, it := range c.state.withPrefix(records.PrefixMembers) {
@@ -129,7 +132,7 @@
 	return list
 }
 
-// ShardOwners lists the shards and who owns them, as the state service has it.
+// ShardOwners lists the shards and their owners according to the state service.
 func (c *Cluster) ShardOwners() []string {
 	var list []string
 	for _, it := range c.state.withPrefix(records.PrefixOwners) {
@@ -141,15 +144,16 @@
 	return list
 }
 
-// Times between two answers to a worker are kept from a millisecond to ten minutes, to a
-// hundredth.
+// newDurationHistogram returns a histogram of durations from 1 ms to 10 minutes, with two
+// significant digits.
 func newDurationHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000, 2) }
 
+// recordReplyInterval records the time between two replies to an agent.
 func (c *Cluster) recordReplyInterval(d time.Duration) {
-	_ = c.replyIntervals.RecordValue(min(d.Milliseconds(), 600_000)) // within its range
+	_ = c.replyIntervals.RecordValue(min(d.Milliseconds(), 600_000)) // never fails: the value is within the histogram's range
 }
 
-// ReplyIntervals tells the distribution of times between two answers to a worker.
+// ReplyIntervals describes the distribution of the times between two replies to an agent.
 func (c *Cluster) ReplyIntervals() string {
 	at := func(q float64) string {
 		return (time.Duration(c.replyIntervals.ValueAtQuantile(q)) * time.Millisecond).String()
--- a/internal/simulator/ports.go
+++ b/internal/simulator/ports.go
@@ -7,11 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// reservePort finds a free port of the loopback interface for a process to listen on, and
-// keeps others from it until the stand-in ends, also while the process is down. A socket
-// that is bound there and doesn't listen does so: it lets a listener in that is meant to
-// be there, as both share addresses, but the system gives the port to nobody else. It is
-// called with the lock held.
+// reservePort reserves a free port of the loopback interface for a process to listen on, until l is
+// closed, also while the process is down. To reserve it, a socket is bound to the port but does not
+// listen. SO_REUSEADDR and SO_REUSEPORT allow the process to bind the same port, but the system
+// does not choose it as a free port for anyone else. It is called with the lock held.
 func (l *Loopback) reservePort() (string, error) {
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/simulator/quiescence.go
+++ b/internal/simulator/quiescence.go
@@ -7,15 +7,15 @@
 	"brasskeel/internal/protocol"
 )
 
-// maxWaitDespiteCapacity is how long a job may wait while a machine that fits has room and its
-// team is under its limit, once the troubles are over.
+// maxWaitDespiteCapacity is how long a job may wait while a suitable machine has room and its team is
+// below its limit, once faults are over.
 const maxWaitDespiteCapacity = 90 * time.Second
 
-// queryInterval is how often users ask for a job in a calm.
+// queryInterval is how often users query each unfinished job once faults are over.
 const queryInterval = 10 * time.Second
 
-// BeginQuiescence says that all troubles are over: from now on users ask for every unfinished
-// job, none may go without an answer for long, and none may wait beside room.
+// BeginQuiescence declares that all faults are over. From now on users query every unfinished job,
+// and it is checked that these queries are answered and that no job waits despite free capacity.
 func (c *Cluster) BeginQuiescence() {
 	if !c.quiescentSince.IsZero() {
 		return
@@ -27,9 +27,11 @@
 	c.checkQuiescent()
 }
 
-// EndQuiescence ends what Calm began.
+// EndQuiescence ends the checks that BeginQuiescence started.
 func (c *Cluster) EndQuiescence() { c.quiescentSince = time.Time{} }
 
+// checkQuiescent queries jobs and checks the invariants that hold once faults are over. It runs every
+// two seconds until EndQuiescence.
 func (c *Cluster) checkQuiescent() {
 	if c.quiescentSince.IsZero() {
 		return
@@ -48,7 +50,7 @@
 		case j.waitsDespiteCapacitySince.IsZero() || j.firstStartAt.After(j.waitsDespiteCapacitySince):
 			j.waitsDespiteCapacitySince = c.now
 		case c.now.Sub(j.waitsDespiteCapacitySince) > maxWaitDespiteCapacity:
-			c.reportViolation("left_waiting", "%s waited for %s beside room", id, c.now.Sub(j.waitsDespiteCapacitySince).Round(time.Second))
+			c.reportViolation("left_waiting", "%s waited for %s while a machine had room", id, c.now.Sub(j.waitsDespiteCapacitySince).Round(time.Second))
 			j.waitsDespiteCapacitySince = c.now
 		}
 	}
@@ -56,20 +58,21 @@
 	c.after(2*time.Second, c.checkQuiescent)
 }
 
-// allocation is what is placed where at a moment, tasks that wait for their image
-// included.
+// allocation is a snapshot of the placed tasks, including those that are fetching their image, and
+// of the free capacity.
 type allocation struct {
-	cpusByTeam  map[string]float64        // CPUs, by team
-	tasksByZone map[string]map[string]int // tasks, by job and zone
+	cpusByTeam  map[string]float64
+	tasksByZone map[string]map[string]int // number of tasks, by job and zone
 	free        []freeCapacity
 }
 
-// freeCapacity is what a machine that should take tasks has left.
+// freeCapacity is the unused CPUs and memory of a machine that is available for placement.
 type freeCapacity struct {
 	agent     *agent
 	cpus, mem float64
 }
 
+// currentAllocation returns the current allocation.
 func (c *Cluster) currentAllocation() *allocation {
 	p := &allocation{cpusByTeam: map[string]float64{}, tasksByZone: map[string]map[string]int{}}
 	for _, h := range c.cloud.machines {
@@ -91,7 +94,8 @@
 			r.cpus -= j.spec.CPUs
 			r.mem -= j.spec.MemoryGB
 		}
-		// One that is just up may be meant for other work, or not be heard of yet.
+		// A machine that has just booted may be intended for other jobs, or not be known to the
+		// leader yet.
 		if r.cpus > 0 && !w.hung && !w.heartbeatsLost && !w.hasFailedTask && w.preemptionAt.IsZero() && c.now.Sub(h.bootedAt) >= maxWaitDespiteCapacity/3 {
 			p.free = append(p.free, r)
 		}
@@ -99,11 +103,11 @@
 	return p
 }
 
-// waitsDespiteCapacity reports whether a job has a task that is nowhere while a machine has
-// room for it.
+// waitsDespiteCapacity reports whether a job has a task that is not placed although a machine has
+// room for it and the team is below its limit.
 func (c *Cluster) waitsDespiteCapacity(j *userJob, p *allocation) bool {
 	if c.cloud.hasExternalMachines {
-		return false // its tasks may run where they aren't seen
+		return false // its tasks may run on external machines, which are not observed
 	}
 	s := &j.spec
 	for _, team := range c.settings.Teams {
@@ -123,17 +127,19 @@
 	})
 }
 
-// fits reports whether one of a job's tasks has room.
+// fits reports whether a task of the job fits into the free capacity.
 func (r freeCapacity) fits(s *protocol.Job) bool {
 	return s.CPUs <= r.cpus+protocol.Epsilon && s.MemoryGB <= r.mem+protocol.Epsilon
 }
 
-// allowedFor reports whether a job may use a machine, as far as its type, zone and price go.
+// allowedFor reports whether a job may use the machine, judging by its type, its zone, and whether it
+// is a spot machine.
 func (h *machine) allowedFor(s *protocol.Job) bool {
 	return s.AllowsType(h.machineType) && (s.Zone == "" || s.Zone == h.zone) && (s.AllowSpot || !h.spot)
 }
 
-// zoneAllowed reports whether a job with these tasks per zone may have one more in a zone.
+// zoneAllowed reports whether the job's zone constraints allow one more task in the zone. tasks is
+// the number of its tasks in each zone.
 func zoneAllowed(s *protocol.Job, tasks map[string]int, zone string) bool {
 	if s.OneZone && len(tasks) > 0 && tasks[zone] == 0 {
 		return false
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -13,31 +13,33 @@
 	"brasskeel/internal/records"
 )
 
-// stateService simulates the state service.
+// stateService simulates the state service: a key-value store with transactions, leases and watches.
 type stateService struct {
 	cluster      *Cluster
 	revision     uint64
 	keys         map[string]protocol.KeyValue
-	history      []historyEntry
+	history      []historyEntry // all changes, in order
 	leases       map[uint64]*lease
 	lastLeaseID  uint64
 	watches      []*watch
-	outage       bool
-	refusedNodes map[string]bool // nodes that alone get 503
-	// Transactions are applied this much late, and up to commitDelayJitter later, and unanswered:
-	// all of them, or delayedCommitShare.
+	outage       bool            // all requests get status 503
+	refusedNodes map[string]bool // nodes whose requests get status 503
+	// If commitDelay is not 0, transactions are applied this much later, plus up to
+	// commitDelayJitter, and never answered: a share of them, or all if delayedCommitShare is 0.
 	commitDelay, commitDelayJitter time.Duration
 	delayedCommitShare             float64
-	lostReplyShare                 float64       // of transactions is applied at once, and its answer lost
-	maxRequestDelay                time.Duration // up to this long a share of the requests takes
-	slowRequestShare               float64
-	watchDelay                     time.Duration // watches are answered this much later
+	lostReplyShare                 float64       // share of transactions that are applied at once and never answered
+	maxRequestDelay                time.Duration // upper bound of the delay of slow requests
+	slowRequestShare               float64       // share of requests that are slow
+	watchDelay                     time.Duration // replies to watches are delayed this much
 
-	requestBucket, writeBucket *ratelimit.TokenBucket // what the settings allow a second
-	writes, rateLimited        int                    // changes made, and requests refused for their number
+	requestBucket, writeBucket *ratelimit.TokenBucket // enforce the limits of requests and changes per second
+	// writes counts the changes in all transactions that were not rate-limited, rateLimited the
+	// requests that got status 429.
+	writes, rateLimited int
 }
 
-// withPrefix lists the items whose keys have a prefix, in order.
+// withPrefix returns the items whose keys have the prefix, sorted by key.
 func (s *stateService) withPrefix(prefix string) []protocol.KeyValue {
 	var list []protocol.KeyValue
 	for key, it := range s.keys {
@@ -49,11 +51,13 @@
 	return list
 }
 
+// historyEntry is one change of a key.
 type historyEntry struct {
 	revision uint64
 	event    protocol.Event
 }
 
+// lease is a lease with its expiry and the keys attached to it.
 type lease struct {
 	id     uint64
 	ttl    time.Duration
@@ -61,8 +65,9 @@
 	keys   map[string]bool
 }
 
+// watch is a watch request that has not been answered yet.
 type watch struct {
-	from          string // the node that waits
+	from          string // the waiting node
 	prefix        string
 	afterRevision uint64
 	respond       respondFunc
@@ -70,11 +75,12 @@
 }
 
 func newStateService(c *Cluster) *stateService {
-	rps, changes := c.settings.StateRPS, c.settings.StateWriteRPS
+	rps, writeRPS := c.settings.StateRPS, c.settings.StateWriteRPS
 	return &stateService{cluster: c, keys: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, refusedNodes: map[string]bool{},
-		requestBucket: ratelimit.NewTokenBucket(rps, rps, c.now), writeBucket: ratelimit.NewTokenBucket(changes, changes, c.now)}
+		requestBucket: ratelimit.NewTokenBucket(rps, rps, c.now), writeBucket: ratelimit.NewTokenBucket(writeRPS, writeRPS, c.now)}
 }
 
+// leader returns the name of the node that the leader record names, or "".
 func (s *stateService) leader() string {
 	it, ok := s.keys[records.KeyLeader]
 	if !ok {
@@ -85,7 +91,8 @@
 	return l.Node
 }
 
-// setOutage begins or ends an outage. Afterwards every lease has its full time.
+// setOutage begins or ends an outage. Leases do not expire during an outage and have their full TTL
+// after it.
 func (s *stateService) setOutage(on bool) {
 	s.outage = on
 	for _, id := range s.leaseIDs() {
@@ -96,7 +103,7 @@
 	}
 }
 
-// readmit serves a node again that was refused alone, or all of them.
+// readmit stops refusing requests of the given nodes, or of all nodes if none is given.
 func (s *stateService) readmit(nodes ...string) {
 	for _, name := range nodes {
 		delete(s.refusedNodes, name)
@@ -107,6 +114,7 @@
 	s.notify()
 }
 
+// leaseIDs returns the IDs of all leases, sorted.
 func (s *stateService) leaseIDs() []uint64 {
 	var ids []uint64
 	for id := range s.leases {
@@ -116,6 +124,7 @@
 	return ids
 }
 
+// extendLease restarts the TTL of a lease.
 func (s *stateService) extendLease(l *lease) {
 	if l.expiry != nil {
 		l.expiry.run = nil
@@ -127,6 +136,7 @@
 	})
 }
 
+// endLease removes a lease and deletes the keys attached to it, under one new revision.
 func (s *stateService) endLease(l *lease) {
 	if s.leases[l.id] == nil {
 		return
@@ -148,6 +158,7 @@
 	s.notify()
 }
 
+// remove deletes a key under the current revision.
 func (s *stateService) remove(key string) {
 	it, ok := s.keys[key]
 	if !ok {
@@ -160,6 +171,7 @@
 	s.history = append(s.history, historyEntry{s.revision, protocol.Event{Key: key, Deleted: true, Version: s.revision}})
 }
 
+// put writes a key under the current revision.
 func (s *stateService) put(op protocol.Op) {
 	if old, ok := s.keys[op.Put]; ok {
 		if l := s.leases[old.Lease]; l != nil {
@@ -177,7 +189,7 @@
 	s.history = append(s.history, historyEntry{s.revision, protocol.Event{Key: op.Put, Value: op.Value, Version: s.revision}})
 }
 
-// notify answers the watches that have events.
+// notify answers the open watches that have events.
 func (s *stateService) notify() {
 	if s.outage {
 		return
@@ -188,7 +200,8 @@
 		if w.closed {
 			continue
 		}
-		// An open watch of a node that is refused waits, as all do in an outage.
+		// Open watches of a refused node wait until it is readmitted, as all watches wait
+		// during an outage.
 		if len(s.eventsFor(w)) > 0 && !s.refusedNodes[w.from] {
 			ready = append(ready, w)
 		} else {
@@ -202,6 +215,7 @@
 	}
 }
 
+// eventsFor returns the events that a watch is to receive.
 func (s *stateService) eventsFor(w *watch) []protocol.Event {
 	var list []protocol.Event
 	i, _ := slices.BinarySearchFunc(s.history, w.afterRevision+1, func(c historyEntry, r uint64) int { return int(int64(c.revision) - int64(r)) })
@@ -213,10 +227,11 @@
 	return list
 }
 
+// serve handles a request of a node, and delays a share of the requests (slowRequestShare).
 func (s *stateService) serve(from, method, target string, body []byte, respond respondFunc) {
 	if s.slowRequestShare > 0 && s.cluster.rng.Float64() < s.slowRequestShare {
 		wait := time.Duration(s.cluster.rng.Int64N(int64(s.maxRequestDelay)))
-		if s.cluster.rng.IntN(2) == 0 { // it is carried out late, or at once and answered late
+		if s.cluster.rng.IntN(2) == 0 { // half are carried out late, half are only answered late
 			s.cluster.after(wait, func() { s.handle(from, method, target, body, respond) })
 			return
 		}
@@ -226,6 +241,8 @@
 	s.handle(from, method, target, body, respond)
 }
 
+// handle handles a request, unless there is an outage, the node is refused, or the rate limit is
+// exceeded.
 func (s *stateService) handle(from, method, target string, body []byte, respond respondFunc) {
 	if s.outage || s.refusedNodes[from] {
 		respond(503, nil)
@@ -260,7 +277,8 @@
 	}
 }
 
-// transaction applies a compare-and-swap at once, or late, or without a reply.
+// transaction applies a transaction. Depending on the simulated faults it does so later, or without
+// replying.
 func (s *stateService) transaction(body []byte, respond respondFunc) {
 	t, err := protocol.ParseTxn(body)
 	if err != nil || len(t.Ops) > s.cluster.settings.MaxTxnOps || len(t.Conditions) > 4*s.cluster.settings.MaxTxnOps {
@@ -292,7 +310,7 @@
 	s.commit(t, respond)
 }
 
-// list answers with the items under a prefix, in order.
+// list replies with the items under a prefix, sorted by key, up to the limit.
 func (s *stateService) list(query url.Values, respond respondFunc) {
 	prefix, after, limit, _ := protocol.ParseRangeQuery(query)
 	var names []string
@@ -310,11 +328,11 @@
 	respond(200, protocol.EncodeRange(items, more, s.revision))
 }
 
-// watch answers with the events after a revision, or waits for them.
+// watch replies with the events after a revision, or waits for them.
 func (s *stateService) watch(from string, query url.Values, respond respondFunc) {
-	if late := s.watchDelay; late > 0 {
+	if delay := s.watchDelay; delay > 0 {
 		answer := respond
-		respond = func(status int, body []byte) { s.cluster.after(late, func() { answer(status, body) }) }
+		respond = func(status int, body []byte) { s.cluster.after(delay, func() { answer(status, body) }) }
 	}
 	prefix, after, _, wait := protocol.ParseRangeQuery(query)
 	since, _ := strconv.ParseUint(after, 10, 64)
@@ -332,7 +350,7 @@
 	})
 }
 
-// grantLease makes a lease.
+// grantLease creates a lease with the requested TTL.
 func (s *stateService) grantLease(body []byte, respond respondFunc) {
 	ttl, err := protocol.ParseLeaseRequest(body)
 	if err != nil {
@@ -346,7 +364,7 @@
 	respond(200, protocol.EncodeLease(l.id))
 }
 
-// changeLease renews or ends the lease that the rest of a path names.
+// changeLease renews or revokes a lease. rest is the path of the request after the path of leases.
 func (s *stateService) changeLease(method, rest string, respond respondFunc) {
 	rest, renew := strings.CutSuffix(rest, "/touch")
 	id, _ := strconv.ParseUint(rest, 10, 64)
@@ -365,14 +383,15 @@
 	}
 }
 
-// validate says with which status a transaction is refused; 0 when it isn't.
+// validate returns the status and body with which a transaction is refused, or status 0 if it is
+// valid and its conditions hold.
 func (s *stateService) validate(t *protocol.Txn) (status int, body []byte) {
 	for _, op := range t.Ops {
 		if op.Put != "" && op.Lease != 0 && s.leases[op.Lease] == nil {
 			return 400, nil
 		}
 		if len(op.Value) > s.cluster.settings.MaxValueBytes {
-			s.cluster.reportViolation("limit", "a value of %d bytes for %s", len(op.Value), op.Put)
+			s.cluster.reportViolation("limit", "value of %d bytes for key %s exceeds the limit", len(op.Value), op.Put)
 			return 400, nil
 		}
 	}
@@ -388,33 +407,33 @@
 	return 0, nil
 }
 
-// commit applies a transaction if its conditions hold.
+// commit applies a transaction if it is valid and its conditions hold, and replies with the result.
 func (s *stateService) commit(t *protocol.Txn, respond respondFunc) {
 	if status, body := s.validate(t); status != 0 {
 		respond(status, body)
 		return
 	}
 	var written []string
-	elects := false
+	elected := false // the leader key is written
 	for _, op := range t.Ops {
 		written = append(written, op.Put+op.Delete)
-		elects = elects || op.Put == records.KeyLeader
+		elected = elected || op.Put == records.KeyLeader
 	}
 	s.cluster.fireTriggers(onWrite, written, true)
-	if elects {
+	if elected {
 		s.cluster.fireTriggers(onLeader, nil, true)
 	}
 	s.apply(t.Ops)
 	respond(200, protocol.EncodeRevision(s.revision))
 	s.notify()
 	s.cluster.fireTriggers(onWrite, written, false)
-	if elects {
+	if elected {
 		s.cluster.fireTriggers(onLeader, nil, false)
 		s.cluster.deliverStaleHeartbeats()
 	}
 }
 
-// apply carries out the changes of a transaction under one new revision.
+// apply applies the changes of a transaction under one new revision.
 func (s *stateService) apply(ops []protocol.Op) {
 	if len(ops) == 0 {
 		return
--- a/internal/simulator/stream.go
+++ b/internal/simulator/stream.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// maxStreamMessages is how many lines a stream between controllers keeps for a peer that reads
-// slowly; what comes beyond is lost.
+// maxStreamMessages is how many messages may be in flight on a stream between two controllers.
+// Messages beyond that are lost.
 const maxStreamMessages = 16
 
-// stream is what one controller tells another: lines arrive in the order in which they were
-// told, though some may be lost.
+// stream is the stream of messages from one controller to another. Messages arrive in the order in
+// which they were sent, but some may be lost.
 type stream struct {
-	lastArrival time.Time // when the last line arrives
-	inFlight    int       // on their way
+	lastArrival time.Time // when the latest message arrives
+	inFlight    int       // number of messages in flight
 }
 
-// sendPeerMessage puts a line on the stream to another controller.
+// sendPeerMessage sends a message on the stream to another controller.
 func (n *controllerHost) sendPeerMessage(o *controllerHost, body []byte) {
 	c, l := n.cluster, link{n.name, o.name}
 	s := c.streams[l]
@@ -27,7 +27,7 @@
 		}
 	}
 	if c.linkFaults[l] != nil {
-		c.send(n.name, o.name, deliver) // it is cut: held, or lost
+		c.send(n.name, o.name, deliver) // the link has a fault: the message is held or lost
 		return
 	}
 	at := c.now.Add(c.messageDelay())
--- a/internal/simulator/triggers.go
+++ b/internal/simulator/triggers.go
@@ -5,70 +5,74 @@
 	"strings"
 )
 
-// A moment is a point of time that a test can't name by the clock.
+// triggerPoint is a kind of moment in a simulation that a test cannot identify by the clock.
 type triggerPoint uint8
 
 const (
-	// A transaction that puts or removes a key with the prefix is applied.
+	// onWrite: a transaction that writes or deletes a key is applied. The target is a prefix of
+	// the key.
 	onWrite triggerPoint = iota + 1
-	// The state service drops the answer to a transaction that it has applied.
+	// onLostReply: a transaction is applied whose reply gets lost.
 	onLostReply
-	// The leader key is written; the node learns of it some milliseconds later.
+	// onLeader: the leader key is written; the new leader learns of it some milliseconds later.
 	onLeader
-	// A report arrives at the node of that name, or any; NODE/MACHINE: this machine's.
+	// onHeartbeat: a heartbeat arrives at a controller. The target is NODE or NODE/MACHINE.
 	onHeartbeat
-	// The last task of the job completes.
+	// onJobDone: the last task of a job completes. The target is the job's ID.
 	onJobDone
 )
 
-// trigger is something to be done once, right before or right after a moment.
+// trigger is an action to run once, right before or right after a trigger point.
 type trigger struct {
 	point  triggerPoint
-	target string
-	before bool
-	skip   int // such moments that it lets go by first
+	target string // empty: any
+	before bool   // run before the trigger point, not after it
+	skip   int    // matches to skip before the action runs
 	action func()
 }
 
-// onNext does something once, right before or after a moment.
-func (c *Cluster) onNext(m triggerPoint, what string, before bool, run func()) {
-	c.onNth(m, what, before, 0, run)
+// onNext runs an action once, right before or after the next match of a trigger point.
+func (c *Cluster) onNext(point triggerPoint, target string, before bool, action func()) {
+	c.onNth(point, target, before, 0, action)
 }
 
-// onNth is when for a later moment of the kind: it lets some pass first.
-func (c *Cluster) onNth(m triggerPoint, what string, before bool, passes int, run func()) {
-	c.triggers = append(c.triggers, &trigger{m, what, before, passes, run})
+// onNth is like onNext but skips some matches first.
+func (c *Cluster) onNth(point triggerPoint, target string, before bool, skip int, action func()) {
+	c.triggers = append(c.triggers, &trigger{point, target, before, skip, action})
 }
 
-// withTriggers lets a moment pass, with what is to be done before and after it.
-func (c *Cluster) withTriggers(m triggerPoint, names []string, pass func()) {
-	c.fireTriggers(m, names, true)
-	pass()
-	c.fireTriggers(m, names, false)
+// withTriggers calls f, which is what happens at a trigger point, between the actions of the triggers
+// before and after that point.
+func (c *Cluster) withTriggers(point triggerPoint, names []string, f func()) {
+	c.fireTriggers(point, names, true)
+	f()
+	c.fireTriggers(point, names, false)
 }
 
-func (c *Cluster) fireTriggers(m triggerPoint, names []string, before bool) {
+// fireTriggers runs and removes the triggers that match the trigger point. names are the targets to
+// which the point applies.
+func (c *Cluster) fireTriggers(point triggerPoint, names []string, before bool) {
 	if len(c.triggers) == 0 {
 		return
 	}
 	var due []*trigger
-	c.triggers = slices.DeleteFunc(c.triggers, func(h *trigger) bool {
-		hit := h.point == m && h.before == before && (h.target == "" || slices.ContainsFunc(names, func(name string) bool {
-			if m == onWrite {
-				return strings.HasPrefix(name, h.target)
+	c.triggers = slices.DeleteFunc(c.triggers, func(t *trigger) bool {
+		matches := t.point == point && t.before == before && (t.target == "" || slices.ContainsFunc(names, func(name string) bool {
+			if point == onWrite {
+				return strings.HasPrefix(name, t.target)
 			}
-			return name == h.target
+			return name == t.target
 		}))
-		if hit && h.skip > 0 {
-			h.skip--
+		if matches && t.skip > 0 {
+			t.skip--
 			return false
 		}
-		if hit {
-			due = append(due, h)
+		if matches {
+			due = append(due, t)
 		}
-		return hit
+		return matches
 	})
-	for _, h := range due {
-		h.action()
+	for _, t := range due {
+		t.action()
 	}
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -11,41 +11,42 @@
 	"brasskeel/internal/records"
 )
 
-// userJob is a job as its user knows it.
+// userJob is a job as its user knows it, with the real state of its tasks.
 type userJob struct {
 	spec          protocol.Job
-	runTime       time.Duration // of a task
-	alwaysFails   bool          // fails everywhere
-	completed     map[int]bool
-	progress      map[int]time.Duration
-	runningOn     map[int]map[*agent]bool // machines each task is on
-	runningByZone map[string]int          // their number by zone
+	runTime       time.Duration           // of each task
+	alwaysFails   bool                    // its tasks fail on every machine
+	completed     map[int]bool            // by task index
+	progress      map[int]time.Duration   // checkpointed run time, by task index
+	runningOn     map[int]map[*agent]bool // by task index
+	runningByZone map[string]int          // number of running tasks
 	startCount    int
 
 	submittedAt               time.Time
-	firstStartAt              time.Time // when its first task ran
+	firstStartAt              time.Time // when its first task started to run
 	accepted                  bool
-	lastQueryAt               time.Time // last, in a calm
-	waitsDespiteCapacitySince time.Time // since when it waits beside room, in a calm
-	cancelRequested           bool      // a cancellation was asked for
-	cancelledAt               time.Time
-	reportedState             protocol.JobState // a final state told
-	failures                  int
+	lastQueryAt               time.Time // last query by checkQuiescent
+	waitsDespiteCapacitySince time.Time // zero unless it waits despite free capacity, after faults
+	cancelRequested           bool
+	cancelledAt               time.Time         // when the user was told that it is cancelled
+	reportedState             protocol.JobState // final state that the user was told, 0 for none
+	failures                  int               // number of failed tasks
 
-	unansweredSince   time.Time     // since when questions about it got no answer; zero: answered last
-	longestUnanswered time.Duration // that this lasted
+	unansweredSince   time.Time     // first unanswered query after the last answered one; zero if the last was answered
+	longestUnanswered time.Duration // longest such period
 }
 
-func (c *Cluster) newJob(spec protocol.Job, run time.Duration, bad bool) *userJob {
-	j := &userJob{spec: spec, runTime: run, alwaysFails: bad, completed: map[int]bool{}, progress: map[int]time.Duration{},
+// newJob creates a job and adds it to the cluster.
+func (c *Cluster) newJob(spec protocol.Job, runTime time.Duration, alwaysFails bool) *userJob {
+	j := &userJob{spec: spec, runTime: runTime, alwaysFails: alwaysFails, completed: map[int]bool{}, progress: map[int]time.Duration{},
 		runningOn: map[int]map[*agent]bool{}, runningByZone: map[string]int{}, submittedAt: c.now}
 	c.jobs[spec.ID] = j
 	return j
 }
 
-// learnFromRecord learns from its record of a job that its user sent to a controller without
-// the stand-in's knowledge. The record stands for the description that users upload for
-// workers; a task takes as long as its user estimates.
+// learnFromRecord adds a job that an external user submitted, when a controller writes the record of
+// the job. The record replaces the description that users upload for workers; each task runs for
+// as long as its user estimates.
 func (c *Cluster) learnFromRecord(op protocol.Op) {
 	id, active := strings.CutPrefix(op.Put, records.PrefixActive)
 	if !active || c.jobs[id] != nil {
@@ -57,44 +58,45 @@
 	}
 }
 
-// Submit sends a job to a node; done gets the status and the state told.
-func (c *Cluster) Submit(node int, spec protocol.Job, run time.Duration, bad bool, done func(status int, state string)) {
+// Submit submits a job to a controller and checks the reply. done gets the status and the job's state.
+func (c *Cluster) Submit(node int, spec protocol.Job, runTime time.Duration, alwaysFails bool, done func(status int, state string)) {
 	j := c.jobs[spec.ID]
 	if j == nil {
-		j = c.newJob(spec, run, bad)
+		j = c.newJob(spec, runTime, alwaysFails)
 	}
-	told, known := c.reportedState(spec.ID), j.accepted
+	previous, known := c.reportedState(spec.ID), j.accepted
 	c.userRequest(node, "POST", protocol.PathJobs, protocol.EncodeJob(&spec), func(status int, body []byte) {
 		switch status {
 		case 200, 201:
 			if !c.isValidJob(&spec) {
-				c.reportViolation("accepted_invalid", "%s can never run and gets %d", spec.ID, status)
+				c.reportViolation("accepted_invalid", "%s can never run but its submission got status %d", spec.ID, status)
 			}
 			if known && status == 201 {
-				c.reportViolation("went_back", "%s is new once more", spec.ID)
+				c.reportViolation("went_back", "%s was accepted as a new job again", spec.ID)
 			}
 			first := !j.accepted
 			j.accepted = true
-			c.checkReportedState(j, told, body)
+			c.checkReportedState(j, previous, body)
 			if first {
 				c.queryAfterChange(j)
 			}
 		case 400, 422:
 			switch {
 			case j.accepted:
-				c.reportViolation("forgotten", "%s is submitted again and gets %d", spec.ID, status)
+				c.reportViolation("forgotten", "%s was accepted before but a repeated submission got status %d", spec.ID, status)
 			case spec.Tasks <= protocol.MaxTasks && c.isValidJob(&spec):
-				c.reportViolation("refused", "%s can run and gets %d", spec.ID, status)
+				c.reportViolation("refused", "%s can run but its submission got status %d", spec.ID, status)
 			}
 		}
 		done(status, jobStateIn(body))
 	})
 }
 
-// Query asks a node for a job.
+// Query queries a controller for a job and checks the reply. done gets the status and a summary of the
+// job's state.
 func (c *Cluster) Query(node int, id string, done func(status int, text string)) {
-	// What was promised while the request was on its way doesn't bind its answer.
-	known, told := c.jobs[id] != nil && c.jobs[id].accepted, c.reportedState(id)
+	// The reply is checked only against what users were told before the request was sent.
+	known, previous := c.jobs[id] != nil && c.jobs[id].accepted, c.reportedState(id)
 	c.userRequest(node, "GET", protocol.PathJobs+"/"+id, nil, func(status int, body []byte) {
 		j := c.jobs[id]
 		if j != nil && j.accepted && !j.cancelRequested {
@@ -103,11 +105,12 @@
 		}
 		if status == 200 {
 			if j == nil || !c.isValidJob(&j.spec) {
-				c.reportViolation("invented", "%s was never submitted, or can't run", id)
+				c.reportViolation("invented", "%s was never submitted or can never run, but is known", id)
 			} else {
-				// The answer to its submission may have been lost: this one binds, too.
+				// The reply to the submission may have been lost: this one confirms
+				// acceptance as well.
 				j.accepted = true
-				c.checkReportedState(j, told, body)
+				c.checkReportedState(j, previous, body)
 			}
 			job, err := protocol.ParseJobStatus(body)
 			if err == nil {
@@ -116,13 +119,13 @@
 			}
 		}
 		if status == 404 && known {
-			c.reportViolation("forgotten", "%s gets 404", id)
+			c.reportViolation("forgotten", "%s was accepted but a query got status 404", id)
 		}
 		done(status, "")
 	})
 }
 
-// QueryUntilDone lets a job's user ask for it at intervals, any node, until a final state is told.
+// QueryUntilDone queries random controllers for a job at intervals until its final state is reported.
 func (c *Cluster) QueryUntilDone(id string, every time.Duration) {
 	if c.reportedState(id) != 0 {
 		return
@@ -131,7 +134,7 @@
 	c.after(every, func() { c.QueryUntilDone(id, every) })
 }
 
-// queryAnswered notes whether a question about a job got its answer.
+// queryAnswered records whether a query for the job was answered.
 func (j *userJob) queryAnswered(now time.Time, ok bool) {
 	switch {
 	case ok:
@@ -143,16 +146,16 @@
 	}
 }
 
-// checkAnswered breaks a rule once no question about a job was answered for too long,
-// with all troubles over.
+// checkAnswered checks, once faults are over, that queries for a job do not stay unanswered for longer
+// than maxTimeUnanswered.
 func (c *Cluster) checkAnswered(j *userJob) {
 	if !c.quiescentSince.IsZero() && !j.unansweredSince.IsZero() && c.now.Sub(j.unansweredSince) > maxTimeUnanswered {
-		c.reportViolation("forgotten", "%s got no answer for %s", j.spec.ID, c.now.Sub(j.unansweredSince).Round(time.Second))
+		c.reportViolation("forgotten", "queries for %s were not answered for %s", j.spec.ID, c.now.Sub(j.unansweredSince).Round(time.Second))
 	}
 }
 
-// QueryStorm lets users ask count times in all, over a time, about jobs and from nodes as
-// they come. Nodes that are down aren't asked: the load balancer leaves them out.
+// QueryStorm sends count queries for random jobs to random controllers, spread over a period.
+// Queries to controllers that are down are left out, as a load balancer would do.
 func (c *Cluster) QueryStorm(count int, over time.Duration) {
 	var ids []string
 	for id := range c.jobs {
@@ -168,10 +171,10 @@
 	}
 }
 
-// maxTimeUnanswered is how long questions about a job may go without an answer.
+// maxTimeUnanswered is how long queries for a job may stay unanswered.
 const maxTimeUnanswered = 75 * time.Second
 
-// LongUnanswered lists the jobs that were longer without one.
+// LongUnanswered lists the jobs for which queries stayed unanswered for longer than maxTimeUnanswered.
 func (c *Cluster) LongUnanswered() []string {
 	var list []string
 	for id, j := range c.jobs {
@@ -183,30 +186,32 @@
 	return list
 }
 
-// CancelJob asks a node to cancel a job.
+// CancelJob asks a controller to cancel a job and checks the reply. done gets the status and the job's
+// state.
 func (c *Cluster) CancelJob(node int, id string, done func(status int, state string)) {
 	j := c.jobs[id]
-	known, told := j != nil && j.accepted, c.reportedState(id)
-	if j != nil && told != protocol.Done { // one that is done can't be cancelled any more
+	known, previous := j != nil && j.accepted, c.reportedState(id)
+	if j != nil && previous != protocol.Done { // a job that is done can no longer be cancelled
 		j.cancelRequested = true
 	}
 	c.userRequest(node, "POST", protocol.PathJobs+"/"+id+"/cancel", nil, func(status int, body []byte) {
 		switch {
 		case status == 200 && j == nil:
-			c.reportViolation("invented", "%s was never submitted", id)
+			c.reportViolation("invented", "%s was never submitted but its cancellation got status 200", id)
 		case status == 200:
 			j.accepted = true
-			c.checkReportedState(j, told, body)
+			c.checkReportedState(j, previous, body)
 			if job, err := protocol.ParseJobStatus(body); err != nil || !job.State.Final() {
-				c.reportViolation("went_back", "%s is cancelled and called %s", id, job.State)
+				c.reportViolation("went_back", "cancellation of %s got status 200 with state %s", id, job.State)
 			}
 		case status == 404 && known:
-			c.reportViolation("forgotten", "%s gets 404 for its cancellation", id)
+			c.reportViolation("forgotten", "%s was accepted but its cancellation got status 404", id)
 		}
 		done(status, jobStateIn(body))
 	})
 }
 
+// jobStateIn returns the job state in a response body, or "" if there is none.
 func jobStateIn(body []byte) string {
 	if job, err := protocol.ParseJobStatus(body); err == nil {
 		return job.State.String()
@@ -214,10 +219,11 @@
 	return ""
 }
 
-// userTimeout is how long a user waits for an answer.
+// userTimeout is how long a user waits for a response.
 const userTimeout = 5 * time.Second
 
-// userRequest sends a request of a user's; without a response in time the status is 0.
+// userRequest sends a user's request to a controller. Without a response within userTimeout, done gets
+// status 0.
 func (c *Cluster) userRequest(node int, method, target string, body []byte, done func(status int, body []byte)) {
 	n := c.controllers[node]
 	finished := false
@@ -231,7 +237,7 @@
 	c.request(usersHost, n.name, func(respond respondFunc) { n.request(method, target, body, userTimeout, respond) }, finish)
 }
 
-// reportedState is the final state that a job's user was told, 0 for none.
+// reportedState returns the final state that a job's user was told, 0 for none.
 func (c *Cluster) reportedState(id string) protocol.JobState {
 	if j := c.jobs[id]; j != nil {
 		return j.reportedState
@@ -239,22 +245,22 @@
 	return 0
 }
 
-// checkReportedState checks what a user is told of a job against what was told before the
-// request was sent, and what is true.
-func (c *Cluster) checkReportedState(j *userJob, told protocol.JobState, body []byte) {
+// checkReportedState checks the job state in a response against the real state and against previous,
+// the final state that the user had been told before sending the request (0 for none).
+func (c *Cluster) checkReportedState(j *userJob, previous protocol.JobState, body []byte) {
 	answer, err := protocol.ParseJobStatus(body)
 	if err != nil {
 		return
 	}
 	s := answer.State
-	if told != 0 && s != told {
-		c.reportViolation("went_back", "%s was %s and is %s", j.spec.ID, told, s)
+	if previous != 0 && s != previous {
+		c.reportViolation("went_back", "%s was reported %s and is now reported %s", j.spec.ID, previous, s)
 	}
 	if s == protocol.Done && len(j.completed) < j.spec.Tasks && !c.cloud.hasExternalMachines {
-		c.reportViolation("not_done", "%s: %d of %d tasks", j.spec.ID, len(j.completed), j.spec.Tasks)
+		c.reportViolation("not_done", "%s is reported done with %d of %d tasks complete", j.spec.ID, len(j.completed), j.spec.Tasks)
 	}
 	if s == protocol.Cancelled && !j.cancelRequested {
-		c.reportViolation("went_back", "%s is cancelled without its user's word", j.spec.ID)
+		c.reportViolation("went_back", "%s is reported cancelled but no cancellation was requested", j.spec.ID)
 	}
 	if s.Final() {
 		c.checkFinalState(j, s)
@@ -265,10 +271,10 @@
 	}
 }
 
-// checkFinalState checks that a final state is the only one that a job's user was ever told.
+// checkFinalState checks that a job's user is never told two different final states.
 func (c *Cluster) checkFinalState(j *userJob, s protocol.JobState) {
 	if j.reportedState != 0 && j.reportedState != s {
-		c.reportViolation("went_back", "%s is %s and %s", j.spec.ID, j.reportedState, s)
+		c.reportViolation("went_back", "%s is reported both %s and %s", j.spec.ID, j.reportedState, s)
 	}
 	first := j.reportedState == 0
 	j.reportedState = s
@@ -277,22 +283,22 @@
 	}
 }
 
-// checkCancelled checks that no task of a job is left once its cancellation's time is over.
+// checkCancelled checks that no task of a cancelled job runs any more. It is called when the time
+// limit for cancellations (CancelDeadline) has passed.
 func (c *Cluster) checkCancelled(j *userJob) {
 	for task, on := range j.runningOn {
 		for w := range on {
-			c.reportViolation("ran_cancelled", "%s/%d is still on %s", j.spec.ID, task, w.name)
+			c.reportViolation("ran_cancelled", "task %s/%d of a cancelled job still runs on %s", j.spec.ID, task, w.name)
 		}
 	}
 }
 
-// maxTimeToFirstStart is how long one of the largest jobs may wait for its first task.
+// maxTimeToFirstStart is how long one of the largest jobs may wait until its first task starts.
 const maxTimeToFirstStart = 4 * time.Minute
 
-// Starved lists who is served too little: a class or a team of whose jobs less
-// than half has begun, or of whose largest jobs that holds, and largest jobs that
-// waited too long for their first task. Jobs that were cancelled or can't run
-// don't count.
+// Starved lists the classes and teams of which fewer than half of the jobs have started. For classes
+// it applies the same criterion to the largest quarter of the jobs, and lists those of them that
+// waited longer than maxTimeToFirstStart. Jobs that were cancelled or always fail do not count.
 func (c *Cluster) Starved() []string {
 	groups := map[string][]*userJob{}
 	for _, j := range c.jobs {
@@ -309,7 +315,7 @@
 			}
 			return strings.Compare(a.spec.ID, b.spec.ID)
 		})
-		began := func(jobs []*userJob) (n int) {
+		started := func(jobs []*userJob) (n int) {
 			for _, j := range jobs {
 				if !j.firstStartAt.IsZero() {
 					n++
@@ -317,14 +323,14 @@
 			}
 			return n
 		}
-		if n := began(jobs); n*2 < len(jobs) {
+		if n := started(jobs); n*2 < len(jobs) {
 			list = append(list, fmt.Sprintf("%s: %d of %d jobs began", name, n, len(jobs)))
 		}
 		if !strings.HasPrefix(name, "class ") {
 			continue
 		}
 		largest := jobs[:(len(jobs)+3)/4]
-		if n := began(largest); n*2 < len(largest) {
+		if n := started(largest); n*2 < len(largest) {
 			list = append(list, fmt.Sprintf("%s: %d of the %d largest jobs began", name, n, len(largest)))
 		}
 		for _, j := range largest {
@@ -341,9 +347,8 @@
 	return list
 }
 
-// Unanswered asks every node that is up, one question after the other, for every
-// job that is accepted and not cancelled, and lists those that a node doesn't know
-// or answer.
+// Unanswered queries every running controller for every job that is accepted and not cancelled, and
+// lists the queries that do not succeed.
 func (c *Cluster) Unanswered() []string {
 	var ids, list []string
 	for id, j := range c.jobs {
@@ -362,20 +367,21 @@
 				})
 			}
 		}
-		// Each question may cost a read: no faster than the state service takes.
+		// Each query may cost a read, and the state service limits the rate of requests.
 		c.Advance(25 * time.Millisecond)
 	}
 	c.Advance(5 * time.Second)
 	return list
 }
 
-// taskStarted checks the rules for a task that starts on a machine.
+// taskStarted records that a task starts to run on a machine, and checks the invariants for that: it
+// runs only once, its job is not cancelled, and placement and team limit are respected.
 func (c *Cluster) taskStarted(w *agent, t *attempt, j *userJob) {
 	if j.runningOn[t.taskIndex] == nil {
 		j.runningOn[t.taskIndex] = map[*agent]bool{}
 	}
 	for other := range j.runningOn[t.taskIndex] {
-		c.reportViolation("ran_twice", "%s starts on %s while on %s", t, w.name, other.name)
+		c.reportViolation("ran_twice", "%s starts on %s while it still runs on %s", t, w.name, other.name)
 	}
 	j.runningOn[t.taskIndex][w] = true
 	j.startCount++
@@ -383,7 +389,7 @@
 		j.firstStartAt = c.now
 	}
 	if !j.cancelledAt.IsZero() && c.now.Sub(j.cancelledAt) > c.settings.CancelDeadline {
-		c.reportViolation("ran_cancelled", "%s starts on %s", t, w.name)
+		c.reportViolation("ran_cancelled", "%s of a cancelled job starts on %s", t, w.name)
 	}
 	j.runningByZone[w.machine.zone]++
 	c.checkPlacement(w, t, j)
@@ -392,24 +398,26 @@
 	used := c.usedCPUsByTeam[s.Team]
 	for _, team := range c.settings.Teams {
 		if team.Name == s.Team && used > team.MaxCPUs+protocol.Epsilon {
-			c.reportViolation("quota", "team %s uses %g CPUs", s.Team, used)
+			c.reportViolation("quota", "team %s uses %g CPUs, above its limit", s.Team, used)
 		}
 	}
 }
 
-// checkPlacement checks that a job's rules allow the machine that one of its tasks starts on.
+// checkPlacement checks that a job's placement constraints allow the machine on which one of its tasks
+// starts.
 func (c *Cluster) checkPlacement(w *agent, t *attempt, j *userJob) {
 	s, zones := &j.spec, j.runningByZone
 	switch {
 	case !w.machine.allowedFor(s):
-		c.reportViolation("wrong_place", "%s on %s", t, w.name)
+		c.reportViolation("wrong_place", "%s on %s, which its job does not allow", t, w.name)
 	case s.OneZone && len(zones) > 1:
-		c.reportViolation("wrong_place", "%s on %s: the job is in %d zones", t, w.name, len(zones))
+		c.reportViolation("wrong_place", "%s on %s: the job runs in %d zones instead of one", t, w.name, len(zones))
 	case s.Spread && zones[w.machine.zone] > (s.Tasks+1)/2:
-		c.reportViolation("wrong_place", "%s on %s: %d of %d tasks in zone %s", t, w.name, zones[w.machine.zone], s.Tasks, w.machine.zone)
+		c.reportViolation("wrong_place", "%s on %s: %d of %d tasks run in zone %s", t, w.name, zones[w.machine.zone], s.Tasks, w.machine.zone)
 	}
 }
 
+// taskEnded records that a task no longer runs on a machine.
 func (c *Cluster) taskEnded(w *agent, t *attempt) {
 	j := c.jobs[t.job]
 	on := j.runningOn[t.taskIndex]
