--- a/internal/simulator/ceiling_invariant.go
+++ b/internal/simulator/ceiling_invariant.go
@@ -37,46 +37,46 @@
 		delete(c.ceilingInvariants, team)
 		return
 	}
-	k := &ceilingInvariant{team: team, share: share, roomSince: map[*agent]map[resources]time.Time{}}
-	c.ceilingInvariants[team] = k
-	c.monitorRoomBelowCeiling(k)
+	inv := &ceilingInvariant{team: team, share: share, roomSince: map[*agent]map[resources]time.Time{}}
+	c.ceilingInvariants[team] = inv
+	c.monitorRoomBelowCeiling(inv)
 }
 
 // monitorRoomBelowCeiling updates, at every ceilingSampleInterval, which machines have room below
 // the ceiling for the team's unfinished jobs.
-func (c *Cluster) monitorRoomBelowCeiling(k *ceilingInvariant) {
-	if c.ceilingInvariants[k.team] != k {
+func (c *Cluster) monitorRoomBelowCeiling(inv *ceilingInvariant) {
+	if c.ceilingInvariants[inv.team] != inv {
 		return
 	}
 	shapes := map[resources]bool{}
 	for _, j := range c.jobs {
-		if j.spec.Team == k.team && j.accepted && j.reportedState == 0 {
+		if j.spec.Team == inv.team && j.accepted && j.reportedState == 0 {
 			shapes[resources{j.spec.CPUs, j.spec.MemoryGB}] = true
 		}
 	}
-	for _, h := range c.cloud.machines {
-		if h.agent == nil {
+	for _, m := range c.cloud.machines {
+		if m.agent == nil {
 			continue
 		}
 		for s := range shapes {
-			k.observe(c, h.agent, s)
+			inv.observe(c, m.agent, s)
 		}
 	}
-	c.after(ceilingSampleInterval, func() { c.monitorRoomBelowCeiling(k) })
+	c.after(ceilingSampleInterval, func() { c.monitorRoomBelowCeiling(inv) })
 }
 
 // observe records whether a machine could take one more task and stay below the ceiling. A machine
 // that controllers may not reach, or not know of, counts as having no room.
-func (k *ceilingInvariant) observe(c *Cluster, w *agent, s resources) {
-	since := k.roomSince[w]
+func (inv *ceilingInvariant) observe(c *Cluster, a *agent, s resources) {
+	since := inv.roomSince[a]
 	if since == nil {
 		since = map[resources]time.Time{}
-		k.roomSince[w] = since
+		inv.roomSince[a] = since
 	}
-	taken, tasks := w.teamUsage(k.team)
-	below := tasks == 0 || machineShare(w, taken, s) <= k.share+protocol.Epsilon
+	taken, tasks := a.teamUsage(inv.team)
+	below := tasks == 0 || machineShare(a, taken, s) <= inv.share+protocol.Epsilon
 	switch {
-	case !c.controlPlaneHealthy() || !w.schedulable() || !w.freeResources().covers(s) || !below:
+	case !c.controlPlaneHealthy() || !a.schedulable() || !a.freeResources().covers(s) || !below:
 		delete(since, s)
 	case since[s].IsZero():
 		since[s] = c.now
@@ -91,16 +91,16 @@
 
 // schedulable reports whether a leader should consider the machine for placement: the agent is up
 // and heard from, none of its tasks failed, and it has no preemption notice.
-func (w *agent) schedulable() bool {
-	return !w.dead && !w.hung && !w.heartbeatsLost && !w.hasFailedTask && w.preemptionAt.IsZero() &&
-		w.cluster.now.Sub(w.lastReply) <= w.cluster.settings.HeartbeatInterval*2
+func (a *agent) schedulable() bool {
+	return !a.dead && !a.hung && !a.heartbeatsLost && !a.hasFailedTask && a.preemptionAt.IsZero() &&
+		a.cluster.now.Sub(a.lastReply) <= a.cluster.settings.HeartbeatInterval*2
 }
 
 // freeResources returns the resources that no task uses.
-func (w *agent) freeResources() resources {
-	left := resources{w.spec.CPUs, w.spec.MemoryGB}
-	for _, t := range w.tasks {
-		if j := w.cluster.jobs[t.job]; j != nil && t.state != protocol.Exited {
+func (a *agent) freeResources() resources {
+	left := resources{a.spec.CPUs, a.spec.MemoryGB}
+	for _, t := range a.tasks {
+		if j := a.cluster.jobs[t.job]; j != nil && t.state != protocol.Exited {
 			left.cpus -= j.spec.CPUs
 			left.mem -= j.spec.MemoryGB
 		}
@@ -114,9 +114,9 @@
 }
 
 // teamUsage returns the resources that a team's tasks use on the machine, and their number.
-func (w *agent) teamUsage(team string) (taken resources, tasks int) {
-	for _, t := range w.tasks {
-		if j := w.cluster.jobs[t.job]; j != nil && t.state != protocol.Exited && j.spec.Team == team {
+func (a *agent) teamUsage(team string) (taken resources, tasks int) {
+	for _, t := range a.tasks {
+		if j := a.cluster.jobs[t.job]; j != nil && t.state != protocol.Exited && j.spec.Team == team {
 			taken.cpus += j.spec.CPUs
 			taken.mem += j.spec.MemoryGB
 			tasks++
@@ -127,28 +127,28 @@
 
 // machineShare returns the share of a machine that taken and more use together, of CPUs or memory,
 // whichever is larger.
-func machineShare(w *agent, taken, more resources) float64 {
-	return max((taken.cpus+more.cpus)/w.spec.CPUs, (taken.mem+more.mem)/w.spec.MemoryGB)
+func machineShare(a *agent, taken, more resources) float64 {
+	return max((taken.cpus+more.cpus)/a.spec.CPUs, (taken.mem+more.mem)/a.spec.MemoryGB)
 }
 
 // checkCeiling checks a task that has just been added to the agent's tasks. The ceiling does not
 // apply to critical jobs, gangs, and jobs with zone constraints, nor to the team's only task on a
 // machine.
-func (c *Cluster) checkCeiling(w *agent, j *userJob) {
-	k := c.ceilingInvariants[j.spec.Team]
-	if k == nil || j.spec.Priority == protocol.Critical || j.spec.Kind == protocol.Gang || j.spec.OneZone || j.spec.Spread {
+func (c *Cluster) checkCeiling(a *agent, j *userJob) {
+	inv := c.ceilingInvariants[j.spec.Team]
+	if inv == nil || j.spec.Priority == protocol.Critical || j.spec.Kind == protocol.Gang || j.spec.OneZone || j.spec.Spread {
 		return
 	}
-	taken, tasks := w.teamUsage(k.team)
-	if above := machineShare(w, taken, resources{}); tasks < 2 || above <= k.share+protocol.Epsilon {
+	taken, tasks := a.teamUsage(inv.team)
+	if above := machineShare(a, taken, resources{}); tasks < 2 || above <= inv.share+protocol.Epsilon {
 		return
 	}
 	shape := resources{j.spec.CPUs, j.spec.MemoryGB}
-	for o, since := range k.roomSince {
-		if at := since[shape]; !at.IsZero() && o != w && c.now.Sub(at) > c.maxTimeWithRoomBelow() && o.machine.allowedFor(&j.spec) {
+	for o, since := range inv.roomSince {
+		if at := since[shape]; !at.IsZero() && o != a && c.now.Sub(at) > c.maxTimeWithRoomBelow() && o.machine.allowedFor(&j.spec) {
 			// The starts of one placement round arrive one by one: the room may be taken by
 			// another of them.
-			c.after(maxStartSpread, func() { k.confirmViolation(c, w, o, shape, at) })
+			c.after(maxStartSpread, func() { inv.confirmViolation(c, a, o, shape, at) })
 			return
 		}
 	}
@@ -159,9 +159,9 @@
 
 // confirmViolation reports a violation if the machine below the ceiling still has the room that it
 // had when the task was started on the machine above.
-func (k *ceilingInvariant) confirmViolation(c *Cluster, above, below *agent, shape resources, since time.Time) {
-	if c.ceilingInvariants[k.team] == k && k.roomSince[below][shape].Equal(since) {
-		c.reportViolation("above_ceiling", "team %s uses more than %g of %s although %s has had room below the ceiling for %s", k.team, k.share, above.name, below.name,
+func (inv *ceilingInvariant) confirmViolation(c *Cluster, above, below *agent, shape resources, since time.Time) {
+	if c.ceilingInvariants[inv.team] == inv && inv.roomSince[below][shape].Equal(since) {
+		c.reportViolation("above_ceiling", "team %s uses more than %g of %s although %s has had room below the ceiling for %s", inv.team, inv.share, above.name, below.name,
 			c.now.Sub(since).Round(time.Millisecond))
 	}
 }
@@ -170,10 +170,10 @@
 func (c *Cluster) TeamShares(team string) string {
 	var list []float64
 	sum := 0.0
-	for _, h := range c.cloud.machines {
-		if w := h.agent; w != nil && !w.dead {
-			taken, _ := w.teamUsage(team)
-			s := machineShare(w, taken, resources{})
+	for _, m := range c.cloud.machines {
+		if a := m.agent; a != nil && !a.dead {
+			taken, _ := a.teamUsage(team)
+			s := machineShare(a, taken, resources{})
 			list = append(list, s)
 			sum += s
 		}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -44,10 +44,10 @@
 	return &cloud{cluster: c, types: types, capacity: capacity, refusedNodes: map[string]bool{}, requests: map[string][]string{}}
 }
 
-func (k *cloud) machineType(name string) *protocol.MachineType {
-	for i := range k.types {
-		if k.types[i].Name == name {
-			return &k.types[i]
+func (cl *cloud) machineType(name string) *protocol.MachineType {
+	for i := range cl.types {
+		if cl.types[i].Name == name {
+			return &cl.types[i]
 		}
 	}
 	return nil
@@ -58,20 +58,20 @@
 
 // startMachine creates a machine that is up after the given boot time, or never if boot failures
 // are simulated.
-func (k *cloud) startMachine(typ, zone string, spot bool, boot time.Duration) *machine {
-	h := &machine{name: fmt.Sprintf("%s%06d", machinePrefix, len(k.machines)), machineType: typ, zone: zone, spot: spot, rentedAt: k.cluster.now}
-	h.addr = k.cluster.assignAddress(h)
-	k.machines = append(k.machines, h)
-	if k.neverBoots || k.bootFailureShare > 0 && k.cluster.rng.Float64() < k.bootFailureShare {
-		return h
-	}
-	k.cluster.after(boot, func() {
-		if h.returnedAt.IsZero() {
-			h.bootedAt = k.cluster.now
-			h.agent = newAgent(k.cluster, h, k.machineType(typ))
+func (cl *cloud) startMachine(typ, zone string, spot bool, boot time.Duration) *machine {
+	m := &machine{name: fmt.Sprintf("%s%06d", machinePrefix, len(cl.machines)), machineType: typ, zone: zone, spot: spot, rentedAt: cl.cluster.now}
+	m.addr = cl.cluster.assignAddress(m)
+	cl.machines = append(cl.machines, m)
+	if cl.neverBoots || cl.bootFailureShare > 0 && cl.cluster.rng.Float64() < cl.bootFailureShare {
+		return m
+	}
+	cl.cluster.after(boot, func() {
+		if m.returnedAt.IsZero() {
+			m.bootedAt = cl.cluster.now
+			m.agent = newAgent(cl.cluster, m, cl.machineType(typ))
 		}
 	})
-	return h
+	return m
 }
 
 // ExternalMachine is a machine that is not simulated. The cloud lists it as running; its worker is
@@ -82,70 +82,70 @@
 }
 
 // addExternal lists a machine that is not simulated.
-func (k *cloud) addExternal(m ExternalMachine) error {
-	spec := k.machineType(m.Type)
-	if spec == nil || !slices.Contains(spec.Zones, m.Zone) {
-		return fmt.Errorf("external machine %q: no machine type %q in zone %q", m.Name, m.Type, m.Zone)
+func (cl *cloud) addExternal(e ExternalMachine) error {
+	spec := cl.machineType(e.Type)
+	if spec == nil || !slices.Contains(spec.Zones, e.Zone) {
+		return fmt.Errorf("external machine %q: no machine type %q in zone %q", e.Name, e.Type, e.Zone)
 	}
-	if m.Name == "" || strings.HasPrefix(m.Name, machinePrefix) || slices.ContainsFunc(k.machines, func(h *machine) bool { return h.name == m.Name }) {
-		return fmt.Errorf("external machine %q: the name is empty, in use, or begins with %q", m.Name, machinePrefix)
+	if e.Name == "" || strings.HasPrefix(e.Name, machinePrefix) || slices.ContainsFunc(cl.machines, func(m *machine) bool { return m.name == e.Name }) {
+		return fmt.Errorf("external machine %q: the name is empty, in use, or begins with %q", e.Name, machinePrefix)
 	}
-	if _, err := netip.ParseAddrPort(m.Endpoint); err != nil {
-		return fmt.Errorf("external machine %q: %w", m.Name, err)
+	if _, err := netip.ParseAddrPort(e.Endpoint); err != nil {
+		return fmt.Errorf("external machine %q: %w", e.Name, err)
 	}
-	rented := k.cluster.now.Add(-2 * k.cluster.settings.MaxListLag) // so that even the oldest list contains it
-	k.machines = append(k.machines, &machine{name: m.Name, machineType: m.Type, zone: m.Zone, addr: m.Endpoint, external: true, rentedAt: rented, bootedAt: rented})
-	k.hasExternalMachines = true
+	rented := cl.cluster.now.Add(-2 * cl.cluster.settings.MaxListLag) // so that even the oldest list contains it
+	cl.machines = append(cl.machines, &machine{name: e.Name, machineType: e.Type, zone: e.Zone, addr: e.Endpoint, external: true, rentedAt: rented, bootedAt: rented})
+	cl.hasExternalMachines = true
 	return nil
 }
 
 // terminateMachine terminates a machine and its agent.
-func (k *cloud) terminateMachine(h *machine) {
-	if h.returnedAt.IsZero() {
-		h.returnedAt = k.cluster.now
-		if h.agent != nil {
-			h.agent.terminate()
+func (cl *cloud) terminateMachine(m *machine) {
+	if m.returnedAt.IsZero() {
+		m.returnedAt = cl.cluster.now
+		if m.agent != nil {
+			m.agent.terminate()
 		}
 	}
 }
 
 // failMachine makes a machine fail. Lists report the failure no earlier than 30 seconds
 // later.
-func (k *cloud) failMachine(h *machine) {
-	if h.failedAt.IsZero() && h.returnedAt.IsZero() {
-		h.failedAt = k.cluster.now
-		if h.agent != nil {
-			h.agent.terminate()
+func (cl *cloud) failMachine(m *machine) {
+	if m.failedAt.IsZero() && m.returnedAt.IsZero() {
+		m.failedAt = cl.cluster.now
+		if m.agent != nil {
+			m.agent.terminate()
 		}
 	}
 }
 
 // countRunning counts simulated machines that are neither terminated nor failed.
-func (k *cloud) countRunning(typ, zone string, spot bool) int {
+func (cl *cloud) countRunning(typ, zone string, spot bool) int {
 	n := 0
-	for _, h := range k.machines {
-		if !h.external && h.returnedAt.IsZero() && h.failedAt.IsZero() && h.machineType == typ && h.zone == zone && h.spot == spot {
+	for _, m := range cl.machines {
+		if !m.external && m.returnedAt.IsZero() && m.failedAt.IsZero() && m.machineType == typ && m.zone == zone && m.spot == spot {
 			n++
 		}
 	}
 	return n
 }
 
-func (k *cloud) serve(from, method, target string, body []byte, respond respondFunc) {
-	if k.outage || k.refusedNodes[from] {
+func (cl *cloud) serve(from, method, target string, body []byte, respond respondFunc) {
+	if cl.outage || cl.refusedNodes[from] {
 		respond(503, protocol.EncodeCloudError("trouble"))
 		return
 	}
 	path, query := protocol.ParseQuery(target)
 	switch {
 	case path == protocol.PathMachineTypes:
-		respond(200, protocol.EncodeMachineTypes(k.types))
+		respond(200, protocol.EncodeMachineTypes(cl.types))
 	case path == protocol.PathTerminate:
-		k.terminate(body, respond)
+		cl.terminate(body, respond)
 	case path == protocol.PathMachines && method == "POST":
-		k.provision(body, respond)
+		cl.provision(body, respond)
 	case path == protocol.PathMachines:
-		k.list(query.Get("after"), respond)
+		cl.list(query.Get("after"), respond)
 	default:
 		respond(400, nil)
 	}
@@ -153,21 +153,21 @@
 
 // terminate terminates the machines that a request names. With requestDelay set, it does so later
 // and never replies.
-func (k *cloud) terminate(body []byte, respond respondFunc) {
+func (cl *cloud) terminate(body []byte, respond respondFunc) {
 	names, err := protocol.ParseMachineNames(body)
 	if err != nil || len(names) > protocol.MaxMachinesPerTermination {
 		respond(400, nil)
 		return
 	}
 	end := func() {
-		for _, h := range k.machines {
-			if slices.Contains(names, h.name) {
-				k.terminateMachine(h)
+		for _, m := range cl.machines {
+			if slices.Contains(names, m.name) {
+				cl.terminateMachine(m)
 			}
 		}
 	}
-	if k.requestDelay > 0 {
-		k.cluster.after(k.requestDelay, end)
+	if cl.requestDelay > 0 {
+		cl.cluster.after(cl.requestDelay, end)
 		return
 	}
 	end()
@@ -175,61 +175,61 @@
 }
 
 // provision provisions machines. With requestDelay set, it does so later and never replies.
-func (k *cloud) provision(body []byte, respond respondFunc) {
+func (cl *cloud) provision(body []byte, respond respondFunc) {
 	r, err := protocol.ParseProvision(body)
-	if err != nil || r.Count < 1 || r.Count > protocol.MaxMachinesPerProvision || k.machineType(r.Type) == nil {
+	if err != nil || r.Count < 1 || r.Count > protocol.MaxMachinesPerProvision || cl.machineType(r.Type) == nil {
 		respond(400, nil)
 		return
 	}
-	if k.requestDelay > 0 {
-		k.cluster.after(k.requestDelay, func() { k.rent(r) })
+	if cl.requestDelay > 0 {
+		cl.cluster.after(cl.requestDelay, func() { cl.rent(r) })
 		return
 	}
-	names := k.rent(r)
+	names := cl.rent(r)
 	if names == nil {
 		respond(503, protocol.EncodeCloudError("no capacity"))
 		return
 	}
-	k.cluster.after(k.replyDelay, func() { respond(200, protocol.EncodeMachineNames(names)) })
+	cl.cluster.after(cl.replyDelay, func() { respond(200, protocol.EncodeMachineNames(names)) })
 }
 
 // rent provisions up to the requested number of machines, as capacity permits, and returns their
 // names. A repeated request gets the names of the first one; nil means no capacity.
-func (k *cloud) rent(r protocol.ProvisionRequest) []string {
-	if names, ok := k.requests[r.Request]; ok {
+func (cl *cloud) rent(r protocol.ProvisionRequest) []string {
+	if names, ok := cl.requests[r.Request]; ok {
 		return names
 	}
-	n := min(r.Count, k.capacity-k.countRunning(r.Type, r.Zone, r.Spot))
+	n := min(r.Count, cl.capacity-cl.countRunning(r.Type, r.Zone, r.Spot))
 	if n <= 0 {
 		return nil
 	}
 	var names []string
 	for range n {
-		boot := k.machineType(r.Type).BootTime * time.Duration(60+k.cluster.rng.IntN(60)) / 100
-		if k.bootTimeFactor > 0 {
-			boot = time.Duration(float64(boot) * k.bootTimeFactor)
+		boot := cl.machineType(r.Type).BootTime * time.Duration(60+cl.cluster.rng.IntN(60)) / 100
+		if cl.bootTimeFactor > 0 {
+			boot = time.Duration(float64(boot) * cl.bootTimeFactor)
 		}
-		names = append(names, k.startMachine(r.Type, r.Zone, r.Spot, boot).name)
+		names = append(names, cl.startMachine(r.Type, r.Zone, r.Spot, boot).name)
 	}
-	k.requests[r.Request] = names
+	cl.requests[r.Request] = names
 	return names
 }
 
 // list replies with the machines as they were at a random time up to twice MaxListLag ago.
-func (k *cloud) list(after string, respond respondFunc) {
-	lag := k.cluster.settings.MaxListLag
-	at := k.cluster.now.Add(-time.Duration(k.cluster.rng.Int64N(int64(2 * lag))))
+func (cl *cloud) list(after string, respond respondFunc) {
+	lag := cl.cluster.settings.MaxListLag
+	at := cl.cluster.now.Add(-time.Duration(cl.cluster.rng.Int64N(int64(2 * lag))))
 	var list []protocol.ListedMachine
-	for _, h := range k.machines {
-		if h.name <= after || h.rentedAt.After(at) || !h.returnedAt.IsZero() && !h.returnedAt.After(at) {
+	for _, m := range cl.machines {
+		if m.name <= after || m.rentedAt.After(at) || !m.returnedAt.IsZero() && !m.returnedAt.After(at) {
 			continue
 		}
-		listed := protocol.ListedMachine{Name: h.name, Addr: h.addr, Type: h.machineType, Zone: h.zone, Spot: h.spot,
-			State: protocol.Booting, Age: at.Sub(h.rentedAt)}
-		if !h.bootedAt.IsZero() && !h.bootedAt.After(at) {
+		listed := protocol.ListedMachine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot,
+			State: protocol.Booting, Age: at.Sub(m.rentedAt)}
+		if !m.bootedAt.IsZero() && !m.bootedAt.After(at) {
 			listed.State = protocol.Up
 		}
-		if !h.failedAt.IsZero() && !h.failedAt.Add(30*time.Second).After(at) {
+		if !m.failedAt.IsZero() && !m.failedAt.Add(30*time.Second).After(at) {
 			listed.State = protocol.Failed
 		}
 		list = append(list, listed)
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -100,7 +100,7 @@
 
 // New starts a cluster on a simulated clock, with the core of every controller in this process.
 func New(o Options) *Cluster {
-	c := newCluster(o, time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC), func(h *machine) string { return h.name })
+	c := newCluster(o, time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC), func(m *machine) string { return m.name })
 	for _, n := range c.controllers {
 		n.start()
 	}
--- a/internal/simulator/controller_host.go
+++ b/internal/simulator/controller_host.go
@@ -198,16 +198,16 @@
 // commands are to be duplicated.
 func (n *controllerHost) callAgent(call coordination.Call, done respondFunc) {
 	c := n.cluster
-	w := c.agents[call.Addr]
-	if w == nil {
+	a := c.agents[call.Addr]
+	if a == nil {
 		return
 	}
 	sent := c.now
 	from := n.incarnationID()
-	serve := func(respond respondFunc) { w.serve(from, call.Method, call.Body, sent, respond) }
-	c.request(n.name, w.name, serve, done)
+	serve := func(respond respondFunc) { a.serve(from, call.Method, call.Body, sent, respond) }
+	c.request(n.name, a.name, serve, done)
 	if c.duplicateCommands && call.Method == "POST" {
-		c.after(duplicateDelay, func() { c.send(n.name, w.name, func() { serve(ignoreResponse) }) })
+		c.after(duplicateDelay, func() { c.send(n.name, a.name, func() { serve(ignoreResponse) }) })
 	}
 }
 
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -46,11 +46,11 @@
 // newControllerProcess prepares a controller: it reserves its ports and serves the state service
 // and the cloud for it. It is called with the lock held.
 func newControllerProcess(l *Loopback, n *controllerHost) (*ControllerProcess, error) {
-	k := &ControllerProcess{loopback: l, binary: l.options.Binary, settings: l.cluster.settings,
+	cp := &ControllerProcess{loopback: l, binary: l.options.Binary, settings: l.cluster.settings,
 		SettingsFile: filepath.Join(l.options.Dir, n.name+".toml"),
 		LogFile:      filepath.Join(l.options.Dir, n.name+".log"),
 		transport:    &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}}
-	s := &k.settings
+	s := &cp.settings
 	s.Name, s.Zone = n.name, n.zone
 	var err error
 	if s.ListenAddr, err = l.reservePort(); err != nil {
@@ -63,93 +63,93 @@
 		return nil, err
 	}
 	s.CloudAddr, err = l.serveCloud(n)
-	return k, err
+	return cp, err
 }
 
 // writeSettings starts the forwarders to the other controllers and writes the settings file. All
 // controllers must have their ports already. It is called with the lock held.
-func (k *ControllerProcess) writeSettings() error {
-	for _, peer := range k.loopback.controllers {
-		if peer == k {
+func (cp *ControllerProcess) writeSettings() error {
+	for _, peer := range cp.loopback.controllers {
+		if peer == cp {
 			continue
 		}
-		addr, err := k.loopback.newForwarder(k.settings.Name, peer.settings.Name, peer.settings.PeerListenAddr)
+		addr, err := cp.loopback.newForwarder(cp.settings.Name, peer.settings.Name, peer.settings.PeerListenAddr)
 		if err != nil {
 			return err
 		}
-		k.settings.Peers = append(k.settings.Peers, config.Peer{Name: peer.settings.Name, Zone: peer.settings.Zone, Addr: addr})
+		cp.settings.Peers = append(cp.settings.Peers, config.Peer{Name: peer.settings.Name, Zone: peer.settings.Zone, Addr: addr})
 	}
-	raw, err := k.settings.Encode()
+	raw, err := cp.settings.Encode()
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(k.SettingsFile, raw, 0o644)
+	return os.WriteFile(cp.SettingsFile, raw, 0o644)
 }
 
 // SetBinary sets the program that the controller runs from its next start on.
-func (k *ControllerProcess) SetBinary(path string) { k.binary = path }
+func (cp *ControllerProcess) SetBinary(path string) { cp.binary = path }
 
 // Name returns the controller's name.
-func (k *ControllerProcess) Name() string { return k.settings.Name }
+func (cp *ControllerProcess) Name() string { return cp.settings.Name }
 
 // PublicAddr returns the address where the controller serves users and workers.
-func (k *ControllerProcess) PublicAddr() string { return k.settings.ListenAddr }
+func (cp *ControllerProcess) PublicAddr() string { return cp.settings.ListenAddr }
 
 // StateAddr returns the address of the state service for this controller.
-func (k *ControllerProcess) StateAddr() string { return k.settings.StateAddr }
+func (cp *ControllerProcess) StateAddr() string { return cp.settings.StateAddr }
 
 // CloudAddr returns the address of the cloud for this controller.
-func (k *ControllerProcess) CloudAddr() string { return k.settings.CloudAddr }
+func (cp *ControllerProcess) CloudAddr() string { return cp.settings.CloudAddr }
 
 // Start starts the controller's process.
-func (k *ControllerProcess) Start() error {
-	if k.running() {
-		return fmt.Errorf("%s: %w", k.Name(), ErrAlreadyRunning)
+func (cp *ControllerProcess) Start() error {
+	if cp.running() {
+		return fmt.Errorf("%s: %w", cp.Name(), ErrAlreadyRunning)
 	}
-	log, err := os.OpenFile(k.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(cp.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	arguments := []string{"control", "--config", k.SettingsFile}
-	if k.loopback.options.OperatorFile != "" {
-		arguments = append(arguments, "--operator", k.loopback.options.OperatorFile)
+	arguments := []string{"control", "--config", cp.SettingsFile}
+	if cp.loopback.options.OperatorFile != "" {
+		arguments = append(arguments, "--operator", cp.loopback.options.OperatorFile)
 	}
-	p := &processRun{command: exec.Command(k.binary, arguments...), exited: make(chan struct{})}
+	p := &processRun{command: exec.Command(cp.binary, arguments...), exited: make(chan struct{})}
 	p.command.Stderr = log
 	// The separate process group keeps an interrupt from the terminal from reaching the
 	// controller. If the simulator's process is killed, the system kills the controller.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
-	k.loopback.goroutines.Go(func() {
+	cp.loopback.goroutines.Go(func() {
 		defer func() { _ = log.Close() }() // only the controller's process writes to it
-		k.supervise(p, started)
+		cp.supervise(p, started)
 	})
 	return <-started
 }
 
 // supervise starts a process and waits for its end. It stays locked to one thread because the
 // system sends the parent-death signal (Pdeathsig) when the thread that started the process ends.
-func (k *ControllerProcess) supervise(p *processRun, started chan<- error) {
+func (cp *ControllerProcess) supervise(p *processRun, started chan<- error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	if err := p.command.Start(); err != nil {
 		started <- err
 		return
 	}
-	k.current.Store(p)
+	cp.current.Store(p)
 	started <- nil
 	err := p.command.Wait()
 	close(p.exited)
-	k.loopback.Do(func(c *Cluster) {
+	cp.loopback.Do(func(c *Cluster) {
 		if !p.killed.Load() {
-			c.reportViolation("ended", "process of %s exited unexpectedly: %v", k.Name(), err)
+			c.reportViolation("ended", "process of %s exited unexpectedly: %v", cp.Name(), err)
 		}
 	})
 }
 
 // running implements process.
-func (k *ControllerProcess) running() bool {
-	p := k.current.Load()
+func (cp *ControllerProcess) running() bool {
+	p := cp.current.Load()
 	if p == nil {
 		return false
 	}
@@ -162,8 +162,8 @@
 }
 
 // Kill kills the process, if there is one, and waits until it has exited.
-func (k *ControllerProcess) Kill() {
-	if p := k.current.Load(); p != nil {
+func (cp *ControllerProcess) Kill() {
+	if p := cp.current.Load(); p != nil {
 		p.killed.Store(true)
 		_ = p.command.Process.Kill()
 		<-p.exited
@@ -171,8 +171,8 @@
 }
 
 // Terminate asks the process to drain and exit (SIGTERM), and waits until it has exited.
-func (k *ControllerProcess) Terminate() error {
-	p := k.current.Load()
+func (cp *ControllerProcess) Terminate() error {
+	p := cp.current.Load()
 	if p == nil {
 		return os.ErrProcessDone
 	}
@@ -185,13 +185,13 @@
 }
 
 // Suspend suspends the process (SIGSTOP) until Resume.
-func (k *ControllerProcess) Suspend() error { return k.signal(syscall.SIGSTOP) }
+func (cp *ControllerProcess) Suspend() error { return cp.signal(syscall.SIGSTOP) }
 
 // Resume resumes the suspended process.
-func (k *ControllerProcess) Resume() error { return k.signal(syscall.SIGCONT) }
+func (cp *ControllerProcess) Resume() error { return cp.signal(syscall.SIGCONT) }
 
-func (k *ControllerProcess) signal(s syscall.Signal) error {
-	p := k.current.Load()
+func (cp *ControllerProcess) signal(s syscall.Signal) error {
+	p := cp.current.Load()
 	if p == nil {
 		return os.ErrProcessDone
 	}
@@ -199,21 +199,21 @@
 }
 
 // request implements process.
-func (k *ControllerProcess) request(method, target string, body []byte, timeout time.Duration, respond respondFunc) {
-	k.loopback.goroutines.Go(func() {
-		ctx, cancel := context.WithTimeout(k.loopback.ctx, timeout)
+func (cp *ControllerProcess) request(method, target string, body []byte, timeout time.Duration, respond respondFunc) {
+	cp.loopback.goroutines.Go(func() {
+		ctx, cancel := context.WithTimeout(cp.loopback.ctx, timeout)
 		defer cancel()
-		status, body, err := k.roundTrip(ctx, method, target, body)
+		status, body, err := cp.roundTrip(ctx, method, target, body)
 		if err != nil {
 			status, body = 0, nil
 		}
-		k.loopback.Do(func(*Cluster) { respond(status, body) })
+		cp.loopback.Do(func(*Cluster) { respond(status, body) })
 	})
 }
 
 // roundTrip sends a request to the process and reads its response.
-func (k *ControllerProcess) roundTrip(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+k.settings.ListenAddr+target, bytes.NewReader(body))
+func (cp *ControllerProcess) roundTrip(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+cp.settings.ListenAddr+target, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -221,7 +221,7 @@
 		r.Header.Set("Content-Type", "application/json")
 	}
 	// An http.Client would follow redirects.
-	response, err := k.transport.RoundTrip(r)
+	response, err := cp.transport.RoundTrip(r)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -193,19 +193,19 @@
 // machines.
 func (c *Cluster) machineLoads() (highest, p99, mean float64) {
 	var list []float64
-	for _, h := range c.cloud.machines {
-		w := h.agent
-		if w == nil || w.dead {
+	for _, m := range c.cloud.machines {
+		a := m.agent
+		if a == nil || a.dead {
 			continue
 		}
 		var taken resources
-		for _, t := range w.tasks {
+		for _, t := range a.tasks {
 			if j := c.jobs[t.job]; j != nil && t.state != protocol.Exited {
 				taken.cpus += j.spec.CPUs
 				taken.mem += j.spec.MemoryGB
 			}
 		}
-		load := machineShare(w, taken, resources{})
+		load := machineShare(a, taken, resources{})
 		list = append(list, load)
 		mean += load
 	}
@@ -220,15 +220,15 @@
 // uses more than the ceiling, with more than one task.
 func (c *Cluster) shareAboveCeiling(surges []Surge, ceiling float64) float64 {
 	up, above := 0, 0
-	for _, h := range c.cloud.machines {
-		w := h.agent
-		if w == nil || w.dead {
+	for _, m := range c.cloud.machines {
+		a := m.agent
+		if a == nil || a.dead {
 			continue
 		}
 		up++
 		if slices.ContainsFunc(surges, func(s Surge) bool {
-			taken, tasks := w.teamUsage(s.Team)
-			return tasks > 1 && machineShare(w, taken, resources{}) > ceiling+protocol.Epsilon
+			taken, tasks := a.teamUsage(s.Team)
+			return tasks > 1 && machineShare(a, taken, resources{}) > ceiling+protocol.Epsilon
 		}) {
 			above++
 		}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -59,8 +59,8 @@
 			return false
 		}
 		for task, on := range j.runningOn {
-			for w := range on {
-				if t := w.runningAttempt(j, task); t != nil && (j.spec.Kind == protocol.Service || j.runTime-j.progress[task]-c.now.Sub(t.startedAt) > minRemainingRunTime) {
+			for a := range on {
+				if t := a.runningAttempt(j, task); t != nil && (j.spec.Kind == protocol.Service || j.runTime-j.progress[task]-c.now.Sub(t.startedAt) > minRemainingRunTime) {
 					return true
 				}
 			}
@@ -72,17 +72,17 @@
 	var hung []*agent
 	for _, id := range ids {
 		c.after(time.Duration(c.rng.Int64N(int64(200*time.Millisecond))), func() { c.retryCancel(id) })
-		for _, w := range c.agentsRunning(id) {
-			if hang > 0 && len(hung) < 8 && !w.hung {
-				hung = append(hung, w)
-				w.setHung(true)
+		for _, a := range c.agentsRunning(id) {
+			if hang > 0 && len(hung) < 8 && !a.hung {
+				hung = append(hung, a)
+				a.setHung(true)
 			}
 		}
 	}
 	c.after(hang, func() {
-		for _, w := range hung {
-			if !w.dead {
-				w.setHung(false)
+		for _, a := range hung {
+			if !a.dead {
+				a.setHung(false)
 			}
 		}
 	})
@@ -92,9 +92,9 @@
 func (c *Cluster) agentsRunning(id string) []*agent {
 	var list []*agent
 	for _, on := range c.jobs[id].runningOn {
-		for w := range on {
-			if !slices.Contains(list, w) {
-				list = append(list, w)
+		for a := range on {
+			if !slices.Contains(list, a) {
+				list = append(list, a)
 			}
 		}
 	}
@@ -228,9 +228,9 @@
 const maxStaleHeartbeats = 3
 
 // keepStaleHeartbeat keeps a copy of a share of the heartbeats (staleHeartbeatShare).
-func (c *Cluster) keepStaleHeartbeat(w *agent, body []byte) {
-	if c.staleHeartbeatShare > 0 && len(c.staleHeartbeats[w.name]) < maxStaleHeartbeats && c.rng.Float64() < c.staleHeartbeatShare {
-		c.staleHeartbeats[w.name] = append(c.staleHeartbeats[w.name], body)
+func (c *Cluster) keepStaleHeartbeat(a *agent, body []byte) {
+	if c.staleHeartbeatShare > 0 && len(c.staleHeartbeats[a.name]) < maxStaleHeartbeats && c.rng.Float64() < c.staleHeartbeatShare {
+		c.staleHeartbeats[a.name] = append(c.staleHeartbeats[a.name], body)
 	}
 }
 
--- a/internal/simulator/forwarder.go
+++ b/internal/simulator/forwarder.go
@@ -18,12 +18,12 @@
 
 // linkState returns the current state of a link.
 func (c *Cluster) linkState(from, to string) linkState {
-	switch k := c.linkFaults[link{from, to}]; {
-	case k == nil:
+	switch fault := c.linkFaults[link{from, to}]; {
+	case fault == nil:
 		return linkOpen
-	case k.resetConnections:
+	case fault.resetConnections:
 		return linkReset
-	case k.holdMessages:
+	case fault.holdMessages:
 		return linkHeld
 	}
 	return linkLost
--- a/internal/simulator/loopback.go
+++ b/internal/simulator/loopback.go
@@ -70,21 +70,21 @@
 	defer l.mu.Unlock()
 	l.cluster = newCluster(l.options.Options, time.Now(), l.serveWorker)
 	l.cluster.externalUsers = true
-	for _, m := range l.options.ExternalMachines {
-		if err := l.cluster.cloud.addExternal(m); err != nil {
+	for _, e := range l.options.ExternalMachines {
+		if err := l.cluster.cloud.addExternal(e); err != nil {
 			return err
 		}
 	}
 	for _, n := range l.cluster.controllers {
-		k, err := newControllerProcess(l, n)
+		cp, err := newControllerProcess(l, n)
 		if err != nil {
 			return err
 		}
-		n.remote = k
-		l.controllers = append(l.controllers, k)
+		n.remote = cp
+		l.controllers = append(l.controllers, cp)
 	}
-	for _, k := range l.controllers {
-		if err := k.writeSettings(); err != nil {
+	for _, cp := range l.controllers {
+		if err := cp.writeSettings(); err != nil {
 			return err
 		}
 	}
@@ -96,11 +96,11 @@
 
 // StartControllers starts the controllers that are not running.
 func (l *Loopback) StartControllers() error {
-	for _, k := range l.controllers {
-		if k.running() {
+	for _, cp := range l.controllers {
+		if cp.running() {
 			continue
 		}
-		if err := k.Start(); err != nil {
+		if err := cp.Start(); err != nil {
 			return err
 		}
 	}
@@ -109,8 +109,8 @@
 
 // Close kills the controllers and stops the services.
 func (l *Loopback) Close() {
-	for _, k := range l.controllers {
-		k.Kill()
+	for _, cp := range l.controllers {
+		cp.Kill()
 	}
 	l.mu.Lock()
 	l.closed = true
--- a/internal/simulator/loopback_services.go
+++ b/internal/simulator/loopback_services.go
@@ -73,10 +73,10 @@
 
 // serveWorker starts a server for a machine's worker and returns its address. Requests are not
 // answered before the worker is up or after it has ended.
-func (l *Loopback) serveWorker(h *machine) string {
-	addr, err := l.listen(l.handler(anyController, h.name, func(method, _ string, body []byte, respond respondFunc) {
-		if h.agent != nil {
-			h.agent.serve("", method, body, l.cluster.now, respond)
+func (l *Loopback) serveWorker(m *machine) string {
+	addr, err := l.listen(l.handler(anyController, m.name, func(method, _ string, body []byte, respond respondFunc) {
+		if m.agent != nil {
+			m.agent.serve("", method, body, l.cluster.now, respond)
 		}
 	}))
 	if err != nil {
--- a/internal/simulator/migration_invariant.go
+++ b/internal/simulator/migration_invariant.go
@@ -28,7 +28,7 @@
 
 // observe checks a write to the state service. If a mark is set a second time, a leader has moved a
 // task that was already moved in the same surge.
-func (k *migrationInvariant) observe(c *Cluster, op protocol.Op) {
+func (inv *migrationInvariant) observe(c *Cluster, op protocol.Op) {
 	job, chunk, ok := records.ParseTaskBlockKey(op.Put)
 	j := c.jobs[job]
 	if !ok || j == nil {
@@ -44,7 +44,7 @@
 		c.reportViolation("unreadable_mark", "migration marks of record %s cannot be decoded", op.Put)
 		return
 	}
-	before, now := k.marksByRecord[op.Put], map[migratedTask]bool{}
+	before, now := inv.marksByRecord[op.Put], map[migratedTask]bool{}
 	for i, on := range moved {
 		if !on {
 			continue
@@ -54,11 +54,11 @@
 		if before[t] {
 			continue
 		}
-		if k.moves[t]++; k.moves[t] > 1 {
+		if inv.moves[t]++; inv.moves[t] > 1 {
 			c.reportViolation("moved_twice", "task %s/%d moved again in surge %d", t.job, t.task, t.surge)
 		}
 	}
-	k.marksByRecord[op.Put] = now
+	inv.marksByRecord[op.Put] = now
 }
 
 // Migrations describes how many tasks were moved according to the records, and how often tasks were
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -34,9 +34,9 @@
 // send delivers a message from one host to another after a network delay. On a faulty link it is
 // held or lost.
 func (c *Cluster) send(from, to string, deliver func()) {
-	if k := c.linkFaults[link{from, to}]; k != nil {
-		if k.holdMessages {
-			k.held = append(k.held, deliver)
+	if fault := c.linkFaults[link{from, to}]; fault != nil {
+		if fault.holdMessages {
+			fault.held = append(fault.held, deliver)
 		}
 		return
 	}
@@ -67,8 +67,8 @@
 
 // linkResets reports whether connections fail on the link between two hosts.
 func (c *Cluster) linkResets(from, to string) bool {
-	k := c.linkFaults[link{from, to}]
-	return k != nil && k.resetConnections
+	fault := c.linkFaults[link{from, to}]
+	return fault != nil && fault.resetConnections
 }
 
 // Isolate cuts a controller off from the state service and the other controllers, but not from
@@ -124,11 +124,11 @@
 		return 1
 	})
 	for _, l := range list {
-		k := c.linkFaults[l]
+		fault := c.linkFaults[l]
 		delete(c.linkFaults, l)
 		c.linkChanges++
 		var delay time.Duration
-		for _, f := range k.held {
+		for _, f := range fault.held {
 			delay = max(delay, c.messageDelay()) // never decreases, which keeps the sending order
 			c.after(delay, f)
 		}
--- a/internal/simulator/ownership.go
+++ b/internal/simulator/ownership.go
@@ -78,14 +78,14 @@
 	if c.now.Sub(c.quiescentSince) < recoveryTime {
 		return
 	}
-	for _, h := range c.cloud.machines {
-		w := h.agent
-		if w == nil || w.dead || w.hung || w.heartbeatsLost || c.now.Sub(h.bootedAt) < recoveryTime {
+	for _, m := range c.cloud.machines {
+		a := m.agent
+		if a == nil || a.dead || a.hung || a.heartbeatsLost || c.now.Sub(m.bootedAt) < recoveryTime {
 			continue
 		}
-		if unserved := c.now.Sub(laterOf(w.lastReply, c.quiescentSince)); unserved > c.maxTimeUnserved() {
-			c.reportViolation("unserved", "%s got no reply to its heartbeats for %s", w.name, unserved.Round(time.Millisecond))
-			w.lastReply = c.now
+		if unserved := c.now.Sub(laterOf(a.lastReply, c.quiescentSince)); unserved > c.maxTimeUnserved() {
+			c.reportViolation("unserved", "%s got no reply to its heartbeats for %s", a.name, unserved.Round(time.Millisecond))
+			a.lastReply = c.now
 		}
 	}
 }
--- a/internal/simulator/quiescence.go
+++ b/internal/simulator/quiescence.go
@@ -75,13 +75,13 @@
 // currentAllocation returns the current allocation.
 func (c *Cluster) currentAllocation() *allocation {
 	p := &allocation{cpusByTeam: map[string]float64{}, tasksByZone: map[string]map[string]int{}}
-	for _, h := range c.cloud.machines {
-		w := h.agent
-		if w == nil || w.dead {
+	for _, m := range c.cloud.machines {
+		a := m.agent
+		if a == nil || a.dead {
 			continue
 		}
-		r := freeCapacity{w, w.spec.CPUs, w.spec.MemoryGB}
-		for _, t := range w.tasks {
+		r := freeCapacity{a, a.spec.CPUs, a.spec.MemoryGB}
+		for _, t := range a.tasks {
 			j := c.jobs[t.job]
 			if j == nil || t.state == protocol.Exited {
 				continue
@@ -90,13 +90,13 @@
 			if p.tasksByZone[t.job] == nil {
 				p.tasksByZone[t.job] = map[string]int{}
 			}
-			p.tasksByZone[t.job][h.zone]++
+			p.tasksByZone[t.job][m.zone]++
 			r.cpus -= j.spec.CPUs
 			r.mem -= j.spec.MemoryGB
 		}
 		// A machine that has just booted may be intended for other jobs, or not be known to the
 		// leader yet.
-		if r.cpus > 0 && !w.hung && !w.heartbeatsLost && !w.hasFailedTask && w.preemptionAt.IsZero() && c.now.Sub(h.bootedAt) >= maxWaitDespiteCapacity/3 {
+		if r.cpus > 0 && !a.hung && !a.heartbeatsLost && !a.hasFailedTask && a.preemptionAt.IsZero() && c.now.Sub(m.bootedAt) >= maxWaitDespiteCapacity/3 {
 			p.free = append(p.free, r)
 		}
 	}
@@ -134,8 +134,8 @@
 
 // allowedFor reports whether a job may use the machine, judging by its type, its zone, and whether it
 // is a spot machine.
-func (h *machine) allowedFor(s *protocol.Job) bool {
-	return s.AllowsType(h.machineType) && (s.Zone == "" || s.Zone == h.zone) && (s.AllowSpot || !h.spot)
+func (m *machine) allowedFor(s *protocol.Job) bool {
+	return s.AllowsType(m.machineType) && (s.Zone == "" || s.Zone == m.zone) && (s.AllowSpot || !m.spot)
 }
 
 // zoneAllowed reports whether the job's zone constraints allow one more task in the zone. tasks is
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -287,8 +287,8 @@
 // limit for cancellations (CancelDeadline) has passed.
 func (c *Cluster) checkCancelled(j *userJob) {
 	for task, on := range j.runningOn {
-		for w := range on {
-			c.reportViolation("ran_cancelled", "task %s/%d of a cancelled job still runs on %s", j.spec.ID, task, w.name)
+		for a := range on {
+			c.reportViolation("ran_cancelled", "task %s/%d of a cancelled job still runs on %s", j.spec.ID, task, a.name)
 		}
 	}
 }
@@ -376,23 +376,23 @@
 
 // taskStarted records that a task starts to run on a machine, and checks the invariants for that: it
 // runs only once, its job is not cancelled, and placement and team limit are respected.
-func (c *Cluster) taskStarted(w *agent, t *attempt, j *userJob) {
+func (c *Cluster) taskStarted(a *agent, t *attempt, j *userJob) {
 	if j.runningOn[t.taskIndex] == nil {
 		j.runningOn[t.taskIndex] = map[*agent]bool{}
 	}
 	for other := range j.runningOn[t.taskIndex] {
-		c.reportViolation("ran_twice", "%s starts on %s while it still runs on %s", t, w.name, other.name)
+		c.reportViolation("ran_twice", "%s starts on %s while it still runs on %s", t, a.name, other.name)
 	}
-	j.runningOn[t.taskIndex][w] = true
+	j.runningOn[t.taskIndex][a] = true
 	j.startCount++
 	if j.firstStartAt.IsZero() {
 		j.firstStartAt = c.now
 	}
 	if !j.cancelledAt.IsZero() && c.now.Sub(j.cancelledAt) > c.settings.CancelDeadline {
-		c.reportViolation("ran_cancelled", "%s of a cancelled job starts on %s", t, w.name)
+		c.reportViolation("ran_cancelled", "%s of a cancelled job starts on %s", t, a.name)
 	}
-	j.runningByZone[w.machine.zone]++
-	c.checkPlacement(w, t, j)
+	j.runningByZone[a.machine.zone]++
+	c.checkPlacement(a, t, j)
 	s := &j.spec
 	c.usedCPUsByTeam[s.Team] += s.CPUs
 	used := c.usedCPUsByTeam[s.Team]
@@ -405,31 +405,31 @@
 
 // checkPlacement checks that a job's placement constraints allow the machine on which one of its tasks
 // starts.
-func (c *Cluster) checkPlacement(w *agent, t *attempt, j *userJob) {
+func (c *Cluster) checkPlacement(a *agent, t *attempt, j *userJob) {
 	s, zones := &j.spec, j.runningByZone
 	switch {
-	case !w.machine.allowedFor(s):
-		c.reportViolation("wrong_place", "%s on %s, which its job does not allow", t, w.name)
+	case !a.machine.allowedFor(s):
+		c.reportViolation("wrong_place", "%s on %s, which its job does not allow", t, a.name)
 	case s.OneZone && len(zones) > 1:
-		c.reportViolation("wrong_place", "%s on %s: the job runs in %d zones instead of one", t, w.name, len(zones))
-	case s.Spread && zones[w.machine.zone] > (s.Tasks+1)/2:
-		c.reportViolation("wrong_place", "%s on %s: %d of %d tasks run in zone %s", t, w.name, zones[w.machine.zone], s.Tasks, w.machine.zone)
+		c.reportViolation("wrong_place", "%s on %s: the job runs in %d zones instead of one", t, a.name, len(zones))
+	case s.Spread && zones[a.machine.zone] > (s.Tasks+1)/2:
+		c.reportViolation("wrong_place", "%s on %s: %d of %d tasks run in zone %s", t, a.name, zones[a.machine.zone], s.Tasks, a.machine.zone)
 	}
 }
 
 // taskEnded records that a task no longer runs on a machine.
-func (c *Cluster) taskEnded(w *agent, t *attempt) {
+func (c *Cluster) taskEnded(a *agent, t *attempt) {
 	j := c.jobs[t.job]
 	on := j.runningOn[t.taskIndex]
-	if !on[w] {
+	if !on[a] {
 		return
 	}
-	delete(on, w)
+	delete(on, a)
 	if len(on) == 0 {
 		delete(j.runningOn, t.taskIndex)
 	}
 	c.usedCPUsByTeam[j.spec.Team] -= j.spec.CPUs
-	if j.runningByZone[w.machine.zone]--; j.runningByZone[w.machine.zone] == 0 {
-		delete(j.runningByZone, w.machine.zone)
+	if j.runningByZone[a.machine.zone]--; j.runningByZone[a.machine.zone] == 0 {
+		delete(j.runningByZone, a.machine.zone)
 	}
 }
