--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -44,6 +44,7 @@
 	return &cloud{cluster: c, types: types, capacity: capacity, refusedNodes: map[string]bool{}, requests: map[string][]string{}}
 }
 
+// machineType returns the machine type of that name, or nil.
 func (cl *cloud) machineType(name string) *protocol.MachineType {
 	for i := range cl.types {
 		if cl.types[i].Name == name {
@@ -131,6 +132,7 @@
 	return n
 }
 
+// serve handles a request of a node, unless there is an outage or the node is refused.
 func (cl *cloud) serve(from, method, target string, body []byte, respond respondFunc) {
 	if cl.outage || cl.refusedNodes[from] {
 		respond(503, protocol.EncodeCloudError("trouble"))
--- a/internal/simulator/controller_host.go
+++ b/internal/simulator/controller_host.go
@@ -141,26 +141,26 @@
 // applyEffects carries out the effects of one step of the core and schedules its next tick.
 func (n *controllerHost) applyEffects(e coordination.Effects) {
 	n.cluster.digest.effects(n, e)
-	for _, r := range e.Replies {
-		if respond := n.pendingResponses[r.ID]; respond != nil {
-			delete(n.pendingResponses, r.ID)
-			respond(r.Status, r.Body)
+	for _, reply := range e.Replies {
+		if respond := n.pendingResponses[reply.ID]; respond != nil {
+			delete(n.pendingResponses, reply.ID)
+			respond(reply.Status, reply.Body)
 		}
 	}
 	for _, call := range e.Calls {
 		n.dispatchCall(call)
 	}
-	for _, p := range e.Broadcasts {
+	for _, broadcast := range e.Broadcasts {
 		for _, peer := range n.cluster.controllers {
 			if peer != n {
-				n.sendPeerMessage(peer, p.Body)
+				n.sendPeerMessage(peer, broadcast.Body)
 			}
 		}
 	}
-	for _, s := range e.Unicasts {
+	for _, unicast := range e.Unicasts {
 		for _, peer := range n.cluster.controllers {
-			if peer.name == s.To {
-				n.sendPeerMessage(peer, s.Body)
+			if peer.name == unicast.To {
+				n.sendPeerMessage(peer, unicast.Body)
 			}
 		}
 	}
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -147,7 +147,7 @@
 	})
 }
 
-// running implements process.
+// running implements remoteProcess.
 func (cp *ControllerProcess) running() bool {
 	p := cp.current.Load()
 	if p == nil {
@@ -198,7 +198,7 @@
 	return p.command.Process.Signal(s)
 }
 
-// request implements process.
+// request implements remoteProcess.
 func (cp *ControllerProcess) request(method, target string, body []byte, timeout time.Duration, respond respondFunc) {
 	cp.loopback.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(cp.loopback.ctx, timeout)
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -43,31 +43,31 @@
 	if d.sum == nil {
 		return
 	}
-	for _, r := range e.Replies {
+	for _, reply := range e.Replies {
 		d.writeHeader(n, "reply")
-		d.writeInt(int64(r.ID))
-		d.writeInt(int64(r.Status))
-		d.writeInt(int64(r.RetryAfter))
-		d.writeBytes(r.Body)
+		d.writeInt(int64(reply.ID))
+		d.writeInt(int64(reply.Status))
+		d.writeInt(int64(reply.RetryAfter))
+		d.writeBytes(reply.Body)
 	}
-	for _, k := range e.Calls {
+	for _, call := range e.Calls {
 		d.writeHeader(n, "call")
-		d.writeInt(int64(k.ID))
-		d.writeInt(int64(k.To))
-		d.writeString(k.Addr)
-		d.writeString(k.Method)
-		d.writeString(k.Target)
-		d.writeInt(int64(k.Timeout))
-		d.writeBytes(k.Body)
+		d.writeInt(int64(call.ID))
+		d.writeInt(int64(call.To))
+		d.writeString(call.Addr)
+		d.writeString(call.Method)
+		d.writeString(call.Target)
+		d.writeInt(int64(call.Timeout))
+		d.writeBytes(call.Body)
 	}
-	for _, p := range e.Broadcasts {
+	for _, broadcast := range e.Broadcasts {
 		d.writeHeader(n, "publish")
-		d.writeBytes(p.Body)
+		d.writeBytes(broadcast.Body)
 	}
-	for _, s := range e.Unicasts {
+	for _, unicast := range e.Unicasts {
 		d.writeHeader(n, "send")
-		d.writeString(s.To)
-		d.writeBytes(s.Body)
+		d.writeString(unicast.To)
+		d.writeBytes(unicast.Body)
 	}
 }
 
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -75,11 +75,11 @@
 		return fmt.Errorf("name is missing")
 	}
 	for _, f := range []struct {
-		name        string
-		value, most int
+		name           string
+		value, maximum int
 	}{{"machines", e.Machines, 10_000}, {"seconds", e.Seconds, 86_400}, {"seeds", e.Seeds, 1000}} {
-		if f.value < 1 || f.value > f.most {
-			return fmt.Errorf("%s is %d, must be 1 to %d", f.name, f.value, f.most)
+		if f.value < 1 || f.value > f.maximum {
+			return fmt.Errorf("%s is %d, must be 1 to %d", f.name, f.value, f.maximum)
 		}
 	}
 	if len(e.Teams) == 0 {
@@ -111,16 +111,16 @@
 		return fmt.Errorf("team is %q, must be red, blue or guest", t.Team)
 	}
 	for _, f := range []struct {
-		name        string
-		value       float64
-		least, most float64
+		name             string
+		value            float64
+		minimum, maximum float64
 	}{
 		{"jobsPerSecond", t.JobsPerSecond, 1e-6, 1000}, {"tasks", float64(t.Tasks), 1, protocol.MaxTasks}, {"cpus", t.CPUs, 1e-3, 16},
 		{"runSeconds", t.RunSeconds, 0.1, 86_400}, {"runSpread", t.RunSpread, 0, 3}, {"estimateSpread", t.EstimateSpread, 0, 3},
 		{"saveSeconds", t.CheckpointSeconds, 0, 3600}, {"images", float64(t.Images), 1, 100_000}, {"imageGb", t.ImageGB, 0, 10}, {"popularity", t.Popularity, 0, 10},
 	} {
-		if !(f.value >= f.least) || f.value > f.most {
-			return fmt.Errorf("%s is %g, must be %g to %g", f.name, f.value, f.least, f.most)
+		if !(f.value >= f.minimum) || f.value > f.maximum {
+			return fmt.Errorf("%s is %g, must be %g to %g", f.name, f.value, f.minimum, f.maximum)
 		}
 	}
 	return nil
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -58,8 +58,8 @@
 		if !j.accepted || j.cancelRequested {
 			return false
 		}
-		for task, on := range j.runningOn {
-			for a := range on {
+		for task, agents := range j.runningOn {
+			for a := range agents {
 				if t := a.runningAttempt(j, task); t != nil && (j.spec.Kind == protocol.Service || j.runTime-j.progress[task]-c.now.Sub(t.startedAt) > minRemainingRunTime) {
 					return true
 				}
@@ -91,8 +91,8 @@
 // agentsRunning returns the agents that run tasks of a job, sorted by name.
 func (c *Cluster) agentsRunning(id string) []*agent {
 	var list []*agent
-	for _, on := range c.jobs[id].runningOn {
-		for a := range on {
+	for _, agents := range c.jobs[id].runningOn {
+		for a := range agents {
 			if !slices.Contains(list, a) {
 				list = append(list, a)
 			}
--- a/internal/simulator/migration_invariant.go
+++ b/internal/simulator/migration_invariant.go
@@ -45,8 +45,8 @@
 		return
 	}
 	before, now := inv.marksByRecord[op.Put], map[migratedTask]bool{}
-	for i, on := range moved {
-		if !on {
+	for i, isMoved := range moved {
+		if !isMoved {
 			continue
 		}
 		t := migratedTask{job, chunk*size + i, r.Surge}
--- a/internal/simulator/ownership.go
+++ b/internal/simulator/ownership.go
@@ -58,14 +58,14 @@
 	c.servedByTerm[term] = from
 }
 
-// checkShardOwners checks that the records assign every machine to at most one shard and, once
-// faults have been over for recoveryTime, that every reachable worker gets replies.
-func (c *Cluster) checkShardOwners() {
+// checkShardsAndHeartbeats checks that the records assign every machine to at most one shard and,
+// once faults have been over for recoveryTime, that every reachable worker gets replies.
+func (c *Cluster) checkShardsAndHeartbeats() {
 	shardOf := map[string]int{}
-	for _, it := range c.state.withPrefix(records.PrefixMachineGroups) {
-		id := records.ShardOfGroupKey(it.Key)
+	for _, kv := range c.state.withPrefix(records.PrefixMachineGroups) {
+		id := records.ShardOfGroupKey(kv.Key)
 		var r records.MachineGroup
-		if id == 0 || protocol.Decode(it.Value, &r) != nil {
+		if id == 0 || protocol.Decode(kv.Value, &r) != nil {
 			continue
 		}
 		for _, m := range r.Machines {
@@ -90,6 +90,7 @@
 	}
 }
 
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -101,9 +102,9 @@
 // many are being moved.
 func (c *Cluster) ShardCounts() []string {
 	owned, moving := map[string]int{}, 0
-	for _, it := range c.state.withPrefix(records.PrefixOwners) {
+	for _, kv := range c.state.withPrefix(records.PrefixOwners) {
 		var r shard.OwnerRecord
-		if protocol.Decode(it.Value, &r) != nil {
+		if protocol.Decode(kv.Value, &r) != nil {
 			continue
 		}
 		owned[r.Owner.Name]++
@@ -126,8 +127,8 @@
 // service.
 func (c *Cluster) Members() []string {
 	var list []string
-	for _, it := range c.state.withPrefix(records.PrefixMembers) {
-		list = append(list, strings.TrimPrefix(it.Key, records.PrefixMembers))
+	for _, kv := range c.state.withPrefix(records.PrefixMembers) {
+		list = append(list, strings.TrimPrefix(kv.Key, records.PrefixMembers))
 	}
 	return list
 }
@@ -135,10 +136,10 @@
 // ShardOwners lists the shards and their owners according to the state service.
 func (c *Cluster) ShardOwners() []string {
 	var list []string
-	for _, it := range c.state.withPrefix(records.PrefixOwners) {
+	for _, kv := range c.state.withPrefix(records.PrefixOwners) {
 		var r shard.OwnerRecord
-		if protocol.Decode(it.Value, &r) == nil {
-			list = append(list, fmt.Sprintf("%s %s", strings.TrimPrefix(it.Key, records.PrefixOwners), r.Owner.Name))
+		if protocol.Decode(kv.Value, &r) == nil {
+			list = append(list, fmt.Sprintf("%s %s", strings.TrimPrefix(kv.Key, records.PrefixOwners), r.Owner.Name))
 		}
 	}
 	return list
--- a/internal/simulator/quiescence.go
+++ b/internal/simulator/quiescence.go
@@ -37,7 +37,7 @@
 		return
 	}
 	unfinished := c.jobsMatching(func(j *userJob) bool { return j.accepted && j.reportedState == 0 })
-	p := c.currentAllocation()
+	allocated := c.currentAllocation()
 	for _, id := range unfinished {
 		j := c.jobs[id]
 		if c.now.Sub(j.lastQueryAt) >= queryInterval {
@@ -45,7 +45,7 @@
 			c.Query(c.rng.IntN(len(c.controllers)), id, func(int, string) {})
 		}
 		switch {
-		case j.cancelRequested || j.alwaysFails || j.failures > 0 || !c.waitsDespiteCapacity(j, p):
+		case j.cancelRequested || j.alwaysFails || j.failures > 0 || !c.waitsDespiteCapacity(j, allocated):
 			j.waitsDespiteCapacitySince = time.Time{}
 		case j.waitsDespiteCapacitySince.IsZero() || j.firstStartAt.After(j.waitsDespiteCapacitySince):
 			j.waitsDespiteCapacitySince = c.now
@@ -54,7 +54,7 @@
 			j.waitsDespiteCapacitySince = c.now
 		}
 	}
-	c.checkShardOwners()
+	c.checkShardsAndHeartbeats()
 	c.after(2*time.Second, c.checkQuiescent)
 }
 
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -42,9 +42,9 @@
 // withPrefix returns the items whose keys have the prefix, sorted by key.
 func (s *stateService) withPrefix(prefix string) []protocol.KeyValue {
 	var list []protocol.KeyValue
-	for key, it := range s.keys {
+	for key, kv := range s.keys {
 		if strings.HasPrefix(key, prefix) {
-			list = append(list, it)
+			list = append(list, kv)
 		}
 	}
 	slices.SortFunc(list, func(a, b protocol.KeyValue) int { return strings.Compare(a.Key, b.Key) })
@@ -82,12 +82,12 @@
 
 // leader returns the name of the node that the leader record names, or "".
 func (s *stateService) leader() string {
-	it, ok := s.keys[records.KeyLeader]
+	kv, ok := s.keys[records.KeyLeader]
 	if !ok {
 		return ""
 	}
 	var l records.Leader
-	_ = json.Unmarshal(it.Value, &l)
+	_ = json.Unmarshal(kv.Value, &l)
 	return l.Node
 }
 
@@ -160,11 +160,11 @@
 
 // remove deletes a key under the current revision.
 func (s *stateService) remove(key string) {
-	it, ok := s.keys[key]
+	kv, ok := s.keys[key]
 	if !ok {
 		return
 	}
-	if l := s.leases[it.Lease]; l != nil {
+	if l := s.leases[kv.Lease]; l != nil {
 		delete(l.keys, key)
 	}
 	delete(s.keys, key)
@@ -266,12 +266,12 @@
 	case strings.HasPrefix(path, protocol.PathLeases+"/"):
 		s.changeLease(method, strings.TrimPrefix(path, protocol.PathLeases+"/"), respond)
 	case strings.HasPrefix(path, protocol.PathKeys+"/"):
-		it, ok := s.keys[strings.TrimPrefix(path, protocol.PathKeys+"/")]
+		kv, ok := s.keys[strings.TrimPrefix(path, protocol.PathKeys+"/")]
 		if !ok {
 			respond(404, protocol.EncodeRevision(s.revision))
 			return
 		}
-		respond(200, protocol.EncodeKeyValue(it))
+		respond(200, protocol.EncodeKeyValue(kv))
 	default:
 		respond(400, nil)
 	}
@@ -396,9 +396,9 @@
 		}
 	}
 	var failed []string
-	for _, k := range t.Conditions {
-		if s.keys[k.Key].Version != k.Version {
-			failed = append(failed, k.Key)
+	for _, condition := range t.Conditions {
+		if s.keys[condition.Key].Version != condition.Version {
+			failed = append(failed, condition.Key)
 		}
 	}
 	if failed != nil {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -286,8 +286,8 @@
 // checkCancelled checks that no task of a cancelled job runs any more. It is called when the time
 // limit for cancellations (CancelDeadline) has passed.
 func (c *Cluster) checkCancelled(j *userJob) {
-	for task, on := range j.runningOn {
-		for a := range on {
+	for task, agents := range j.runningOn {
+		for a := range agents {
 			c.reportViolation("ran_cancelled", "task %s/%d of a cancelled job still runs on %s", j.spec.ID, task, a.name)
 		}
 	}
@@ -420,12 +420,12 @@
 // taskEnded records that a task no longer runs on a machine.
 func (c *Cluster) taskEnded(a *agent, t *attempt) {
 	j := c.jobs[t.job]
-	on := j.runningOn[t.taskIndex]
-	if !on[a] {
+	agents := j.runningOn[t.taskIndex]
+	if !agents[a] {
 		return
 	}
-	delete(on, a)
-	if len(on) == 0 {
+	delete(agents, a)
+	if len(agents) == 0 {
 		delete(j.runningOn, t.taskIndex)
 	}
 	c.usedCPUsByTeam[j.spec.Team] -= j.spec.CPUs
