--- a/internal/simulator/chaos_faults_test.go
+++ b/internal/simulator/chaos_faults_test.go
@@ -8,7 +8,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// chaosFaults are the kinds of fault that are drawn; some stand there twice, to come more often.
+// chaosFaults are the kinds of fault that are injected. Each gets a random controller, often the
+// leader. Those that are listed twice occur twice as often.
 var chaosFaults = []func(*chaosRun, *controllerHost){
 	(*chaosRun).controllerCrash,
 	(*chaosRun).controllerCrash,
@@ -52,7 +53,7 @@
 	(*chaosRun).allControllersDown,
 }
 
-// powerLoss: without power for up to more than a minute.
+// powerLoss cuts the power of a controller's host for up to 75.5 s.
 func (r *chaosRun) powerLoss(n *controllerHost) {
 	if n.core != nil {
 		n.crash()
@@ -65,6 +66,7 @@
 	}
 }
 
+// frozenController suspends a controller's process, half of the time the leader's.
 func (r *chaosRun) frozenController(n *controllerHost) {
 	if i := r.cluster.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
 		n = r.cluster.controllers[i]
@@ -73,7 +75,8 @@
 	r.afterRandomDelay(30, n.thaw)
 }
 
-// abnormalBoots: boots are slow, at once, or never.
+// abnormalBoots delays responses to requests for machines. Boots may become instant or slow, and half
+// of the new machines may never come up.
 func (r *chaosRun) abnormalBoots(_ *controllerHost) {
 	r.cluster.cloud.bootTimeFactor, r.cluster.cloud.bootFailureShare = []float64{0.01, 1, 6}[r.rng.IntN(3)], []float64{0, 0.5}[r.rng.IntN(2)]
 	r.cluster.cloud.replyDelay = time.Duration(r.rng.IntN(3000)) * time.Millisecond
@@ -82,6 +85,7 @@
 	})
 }
 
+// delayedTransactions applies a share of the transactions 2 to 12 s late, without a response.
 func (r *chaosRun) delayedTransactions(_ *controllerHost) {
 	r.cluster.state.commitDelay, r.cluster.state.commitDelayJitter, r.cluster.state.delayedCommitShare = 2*time.Second, 10*time.Second, 0.05+r.rng.Float64()/3
 	r.afterRandomDelay(20, func() {
@@ -101,14 +105,15 @@
 	}
 }
 
-// hugeArray: one huge array of small tasks.
+// hugeArray submits a huge array of small tasks.
 func (r *chaosRun) hugeArray(_ *controllerHost) {
 	r.submit(func(j *protocol.Job) {
 		j.Kind, j.Team, j.Tasks, j.CPUs, j.MemoryGB = protocol.Batch, "guest", 300*r.scale, 0.125, 0.1
 	})
 }
 
-// machinesWithoutInbound: reports arrive, nothing of ours does.
+// machinesWithoutInbound cuts machines off from everything that controllers send, while their
+// heartbeats still arrive.
 func (r *chaosRun) machinesWithoutInbound(_ *controllerHost) {
 	for _, h := range r.faultTargets() {
 		reset := r.rng.IntN(2) == 0
@@ -131,7 +136,7 @@
 	r.afterRandomDelay(30, r.cluster.Heal)
 }
 
-// quickRestarts: back within a fraction of a second, perhaps twice in a row.
+// quickRestarts restarts a controller within a fraction of a second, once or twice in a row.
 func (r *chaosRun) quickRestarts(n *controllerHost) {
 	if i := r.cluster.Leader(); i >= 0 && r.rng.IntN(2) == 0 {
 		n = r.cluster.controllers[i]
@@ -193,6 +198,7 @@
 	r.afterRandomDelay(25, func() { r.cluster.state.readmit(n.name) })
 }
 
+// brieflyDelayedTransactions applies all transactions up to 4 s late, without a response.
 func (r *chaosRun) brieflyDelayedTransactions(_ *controllerHost) {
 	r.cluster.state.commitDelay = time.Duration(r.rng.IntN(4000)) * time.Millisecond
 	r.afterRandomDelay(3, func() { r.cluster.state.commitDelay = 0 })
@@ -244,6 +250,7 @@
 	}
 }
 
+// cutController cuts a controller from another one and from about half of the machines in its zone.
 func (r *chaosRun) cutController(n *controllerHost) {
 	p := r.cluster.controllers[r.rng.IntN(3)]
 	if p != n {
@@ -265,19 +272,19 @@
 	}
 }
 
-// lostReplies: the state service carries out, and its answer is lost.
+// lostReplies loses responses of the state service to transactions that it applies.
 func (r *chaosRun) lostReplies(_ *controllerHost) {
 	r.cluster.state.lostReplyShare = 0.05 + r.rng.Float64()/2
 	r.afterRandomDelay(20, func() { r.cluster.state.lostReplyShare = 0 })
 }
 
-// staleHeartbeats: copies of reports reach the next leader as it begins.
+// staleHeartbeats keeps copies of heartbeats, which reach the next leader as it takes over.
 func (r *chaosRun) staleHeartbeats(_ *controllerHost) {
 	r.cluster.staleHeartbeatShare = r.rng.Float64()
 	r.afterRandomDelay(60, func() { r.cluster.staleHeartbeatShare = 0 })
 }
 
-// machinesWithoutOutbound: the machines reach no controller.
+// machinesWithoutOutbound loses all heartbeats of machines, while direct commands reach them.
 func (r *chaosRun) machinesWithoutOutbound(_ *controllerHost) {
 	for _, h := range r.faultTargets() {
 		h.agent.heartbeatsLost = true
@@ -285,6 +292,7 @@
 	}
 }
 
+// refusedAndIsolated cuts a controller from its peers, and the state service refuses it.
 func (r *chaosRun) refusedAndIsolated(n *controllerHost) {
 	r.cluster.IsolateRefused(n)
 	r.afterRandomDelay(30, func() { r.cluster.state.readmit(n.name); r.cluster.Heal() })
@@ -305,6 +313,7 @@
 	}
 }
 
+// queriesAfterChanges makes users query all controllers right after each change of a job.
 func (r *chaosRun) queriesAfterChanges(_ *controllerHost) {
 	r.cluster.queriesAfterChange = true
 	r.afterRandomDelay(25, func() { r.cluster.queriesAfterChange = false })
@@ -315,7 +324,7 @@
 	r.afterRandomDelay(25, func() { r.cluster.state.slowRequestShare = 0 })
 }
 
-// jobStreamWithCancellations: one-task jobs four a second, a quarter of them cancelled.
+// jobStreamWithCancellations submits one-task jobs, four a second, and cancels a quarter of them.
 func (r *chaosRun) jobStreamWithCancellations(_ *controllerHost) {
 	if r.submitted > 400 {
 		return
@@ -334,21 +343,22 @@
 	r.cluster.CrashLeaders(2+r.rng.IntN(4), time.Duration(3+r.rng.IntN(10))*time.Second, time.Duration(100+r.rng.IntN(5000))*time.Millisecond)
 }
 
-// faultAtTrigger: something happens to the leader right before or after a moment.
+// faultAtTrigger crashes, freezes or isolates the leader, or cancels jobs, right before or after a
+// trigger point is reached.
 func (r *chaosRun) faultAtTrigger(_ *controllerHost) {
-	what := []string{"b/q/", "b/f/", "c/", "e/leader", "m/"}[r.rng.IntN(5)]
-	moment := []triggerPoint{onWrite, onWrite, onHeartbeat, onLostReply, onLeader, onJobDone}[r.rng.IntN(6)]
-	if moment != onWrite {
-		what = ""
+	target := []string{"b/q/", "b/f/", "c/", "e/leader", "m/"}[r.rng.IntN(5)]
+	point := []triggerPoint{onWrite, onWrite, onHeartbeat, onLostReply, onLeader, onJobDone}[r.rng.IntN(6)]
+	if point != onWrite {
+		target = ""
 	}
-	k := r.rng.IntN(5)
-	r.cluster.onNext(moment, what, r.rng.IntN(2) == 0, func() {
+	action := r.rng.IntN(5)
+	r.cluster.onNext(point, target, r.rng.IntN(2) == 0, func() {
 		i := r.cluster.Leader()
 		if i < 0 {
 			return
 		}
 		n := r.cluster.controllers[i]
-		switch k {
+		switch action {
 		case 0:
 			n.crash()
 			r.afterRandomDelay(6, func() {
@@ -371,7 +381,7 @@
 	})
 }
 
-// zoneCut: a zone, cut off from all others, the regional services included.
+// zoneCut cuts a zone off from all other zones, the regional services and the users.
 func (r *chaosRun) zoneCut(_ *controllerHost) {
 	zone := r.zones[r.rng.IntN(len(r.zones))]
 	hold := r.rng.IntN(2) == 0
@@ -396,7 +406,8 @@
 	r.afterRandomDelay(40, r.cluster.Heal)
 }
 
-// allControllersDown: nobody is there for up to more than a lease.
+// allControllersDown crashes all controllers at once. Each restarts after up to 40.5 s, which
+// can be longer than a worker's lease.
 func (r *chaosRun) allControllersDown(_ *controllerHost) {
 	for _, p := range r.cluster.controllers {
 		p.crash()
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -13,17 +13,17 @@
 	"brasskeel/internal/protocol"
 )
 
-// TestChaos plays drawn troubles over drawn jobs, then heals everything: no
-// rule may be broken on the way, soon every node that is up must answer for every
-// job that was accepted and not cancelled, no class, team or large job may be
-// starved, and in the end all must be done, with nothing left running. CHAOS_SEEDS sets how
-// many days are played.
+// TestChaos injects random faults while random jobs run, then ends all faults. No invariant may be
+// violated on the way. Soon after the faults have ended every controller that is up must answer
+// for every job that was accepted and not cancelled, no class, team or large job may be starved,
+// and in the end all jobs must be done, with no task left running. CHAOS_SEEDS sets the number of
+// runs; each has its own seed.
 func TestChaos(t *testing.T) {
-	days := 24
+	runs := 24
 	if s := os.Getenv("CHAOS_SEEDS"); s != "" {
-		days, _ = strconv.Atoi(s)
+		runs, _ = strconv.Atoi(s)
 	}
-	for seed := range days {
+	for seed := range runs {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			runChaos(t, chaosOptions{seed: uint64(seed)})
@@ -31,34 +31,33 @@
 	}
 }
 
-// TestChaosBalance plays such days with balance on, while teams surge; half of them with
-// shards. CHAOS_BALANCE sets how many, and CHAOS_BALANCE_FLEETS how many of them have a
-// thousand machines.
+// TestChaosBalance is TestChaos with balancing on, while teams have surges; half of the runs have
+// shards. CHAOS_BALANCE sets the number of runs, and CHAOS_BALANCE_FLEETS the number of further
+// runs with a thousand machines.
 func TestChaosBalance(t *testing.T) {
-	days, fleets := 12, 0
+	runs, fleets := 12, 0
 	if s := os.Getenv("CHAOS_BALANCE"); s != "" {
-		days, _ = strconv.Atoi(s)
+		runs, _ = strconv.Atoi(s)
 	}
 	if s := os.Getenv("CHAOS_BALANCE_FLEETS"); s != "" {
 		fleets, _ = strconv.Atoi(s)
 	}
-	for seed := range days + fleets {
+	for seed := range runs + fleets {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			runChaos(t, chaosOptions{seed: uint64(seed), fleet: seed >= days, shards: seed % 2, balance: true})
+			runChaos(t, chaosOptions{seed: uint64(seed), fleet: seed >= runs, shards: seed % 2, balance: true})
 		})
 	}
 }
 
-// TestChaosFleet plays such days with a thousand machines and tens of thousands of
-// tasks, where up to a third of the machines meets the same trouble at once.
-// CHAOS_FLEETS sets how many.
+// TestChaosFleet is TestChaos with a thousand machines and tens of thousands of tasks, where a
+// fault may affect up to a third of the machines at once. CHAOS_FLEETS sets the number of runs.
 func TestChaosFleet(t *testing.T) {
-	days := 1
+	runs := 1
 	if s := os.Getenv("CHAOS_FLEETS"); s != "" {
-		days, _ = strconv.Atoi(s)
+		runs, _ = strconv.Atoi(s)
 	}
-	for seed := range days {
+	for seed := range runs {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			runChaos(t, chaosOptions{seed: uint64(seed), fleet: true})
@@ -66,18 +65,18 @@
 	}
 }
 
-// TestChaosShards plays such days with the machines divided into shards, while controllers
-// are drained, too. CHAOS_SHARDS sets how many, and CHAOS_SHARD_FLEETS how many of them
-// have a thousand machines.
+// TestChaosShards is TestChaos with the machines divided into shards, while controllers are also
+// drained. CHAOS_SHARDS sets the number of runs, and CHAOS_SHARD_FLEETS the number of further runs
+// with a thousand machines.
 func TestChaosShards(t *testing.T) {
-	days, fleets := 12, 0
+	runs, fleets := 12, 0
 	if s := os.Getenv("CHAOS_SHARDS"); s != "" {
-		days, _ = strconv.Atoi(s)
+		runs, _ = strconv.Atoi(s)
 	}
 	if s := os.Getenv("CHAOS_SHARD_FLEETS"); s != "" {
 		fleets, _ = strconv.Atoi(s)
 	}
-	for seed := range days {
+	for seed := range runs {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			runChaos(t, chaosOptions{seed: uint64(seed), shards: 1 + seed%3})
@@ -91,36 +90,36 @@
 	}
 }
 
-// chaosOptions is what is to be drawn.
+// chaosOptions shape a chaos run.
 type chaosOptions struct {
 	seed    uint64
 	fleet   bool // a thousand machines
-	shards  int  // per controller
-	balance bool // on, and teams surge
+	shards  int  // per controller; 0 without sharding
+	balance bool // balancing is on, and teams have surges
 }
 
-// chaosRun is a drawn day while it is played.
+// chaosRun is the state of a chaos run.
 type chaosRun struct {
 	t               *testing.T
 	options         chaosOptions
 	rng             *rand.Rand
 	cluster         *Cluster
 	zones           []string
-	scale           int      // of tasks and machines
-	failingJobOneIn int      // one job in so many fails everywhere
-	submitted       int      // of submitted jobs
-	accepted        []string // ids
-	recurringFaults []int    // the kinds of fault that meet again and again; empty where all are drawn
+	scale           int      // factor for the number of tasks
+	failingJobOneIn int      // one job in so many fails on every machine
+	submitted       int      // number of submitted jobs
+	accepted        []string // IDs of accepted jobs
+	recurringFaults []int    // indexes of the few kinds of fault that occur mostly; nil if all do
 }
 
-func runChaos(t *testing.T, day chaosOptions) {
-	r := newChaosRun(t, day)
+func runChaos(t *testing.T, opts chaosOptions) {
+	r := newChaosRun(t, opts)
 	for range 60 {
 		r.step()
 	}
 	r.heal()
 	for _, u := range r.cluster.Unanswered() {
-		t.Errorf("not answered once all is healed: %s", u)
+		t.Errorf("not answered after all faults have ended: %s", u)
 	}
 	r.cancelEndlessJobs()
 	r.cluster.BeginQuiescence()
@@ -128,18 +127,18 @@
 	r.checkFinalState()
 }
 
-func newChaosRun(t *testing.T, day chaosOptions) *chaosRun {
-	rng := rand.New(rand.NewPCG(day.seed, 99))
+func newChaosRun(t *testing.T, opts chaosOptions) *chaosRun {
+	rng := rand.New(rand.NewPCG(opts.seed, 99))
 	zones := [][]string{{"a"}, {"a", "b"}, {"a", "b", "c"}}[rng.IntN(3)]
-	o := Options{Seed: day.seed, Controllers: 3, Zones: zones, Machines: 3 + rng.IntN(4), Capacity: 3 + rng.IntN(8), ShardsPerController: day.shards}
-	if day.balance {
-		o.Balance, o.Headroom = chaosBalanceSettings(day.seed)
+	o := Options{Seed: opts.seed, Controllers: 3, Zones: zones, Machines: 3 + rng.IntN(4), Capacity: 3 + rng.IntN(8), ShardsPerController: opts.shards}
+	if opts.balance {
+		o.Balance, o.Headroom = chaosBalanceSettings(opts.seed)
 	}
 	if os.Getenv("SCENARIO_LOG") != "" {
 		o.Log = os.Stderr
 	}
 	scale := 1
-	if day.fleet {
+	if opts.fleet {
 		o.LargeFleet, o.Machines, o.Capacity, scale = true, 1000, 300, 100
 	}
 	o.Digest = newDigest(t)
@@ -148,9 +147,9 @@
 	if rng.IntN(2) == 0 {
 		c.duplicateHeartbeatDelay = time.Duration(2+rng.IntN(45)) * time.Second
 	}
-	r := &chaosRun{t: t, options: day, rng: rng, cluster: c, zones: zones, scale: scale, failingJobOneIn: []int{15, 15, 3}[rng.IntN(3)]}
+	r := &chaosRun{t: t, options: opts, rng: rng, cluster: c, zones: zones, scale: scale, failingJobOneIn: []int{15, 15, 3}[rng.IntN(3)]}
 	c.Advance(3 * time.Second)
-	// Half of the days are made of three kinds of fault that meet again and again.
+	// In half of the runs three kinds of fault occur over and over, so that they often coincide.
 	if rng.IntN(2) == 0 {
 		kinds := len(chaosFaults)
 		r.recurringFaults = []int{rng.IntN(kinds), rng.IntN(kinds), rng.IntN(kinds)}
@@ -158,7 +157,7 @@
 	return r
 }
 
-// chaosBalanceSettings are the settings of a day with balance on.
+// chaosBalanceSettings returns the settings of a run with balancing on.
 func chaosBalanceSettings(seed uint64) (b *config.Balance, headroom float64) {
 	b = &config.Balance{CeilingShare: []float64{0.25, 0.5, 0.75}[seed%3], MaxFetchBacklogSeconds: 2 + float64(seed%5), LoadPenaltySeconds: float64(seed % 4), MigrationMargin: 1.5}
 	if seed%4 < 3 {
@@ -167,7 +166,7 @@
 	return b, headroom
 }
 
-// submit submits a drawn job, after a change.
+// submit submits a random job after change has adapted it.
 func (r *chaosRun) submit(change func(*protocol.Job)) {
 	r.submitted++
 	rng := r.rng
@@ -192,7 +191,7 @@
 	})
 }
 
-// faultTargets are those that a fault befalls: one, or in a fleet up to a third.
+// faultTargets draws the machines that a fault affects: one, or in a large fleet up to a third.
 func (r *chaosRun) faultTargets() []*machine {
 	var up []*machine
 	for _, h := range r.cluster.cloud.machines {
@@ -210,12 +209,12 @@
 	return up[first:min(first+count, len(up))]
 }
 
-// afterRandomDelay runs f after half a second to that many seconds more.
-func (r *chaosRun) afterRandomDelay(most int, f func()) {
-	r.cluster.after(time.Duration(500+r.rng.IntN(most*1000))*time.Millisecond, f)
+// afterRandomDelay runs f after half a second and up to maxSeconds more.
+func (r *chaosRun) afterRandomDelay(maxSeconds int, f func()) {
+	r.cluster.after(time.Duration(500+r.rng.IntN(maxSeconds*1000))*time.Millisecond, f)
 }
 
-// injectFault lets one fault happen, among those that go on.
+// injectFault injects one random fault, while earlier ones may still last.
 func (r *chaosRun) injectFault() {
 	kind := r.rng.IntN(len(chaosFaults))
 	if r.recurringFaults != nil && r.rng.IntN(8) != 0 {
@@ -228,8 +227,8 @@
 	chaosFaults[kind](r, n)
 }
 
-// resetPeerLinksAndCutWorkers lets controllers refuse each other's connections, and the leader lose
-// its workers: before, meanwhile, or right after.
+// resetPeerLinksAndCutWorkers makes controllers refuse each other's connections, and cuts the leader
+// from its workers meanwhile or soon after.
 func (r *chaosRun) resetPeerLinksAndCutWorkers() {
 	c := r.cluster
 	for _, n := range c.controllers {
@@ -252,24 +251,24 @@
 	})
 }
 
-// startSurge lets a team's work come several times as often for a while, and checks its ceiling
-// while the same leader goes on.
+// startSurge submits at least twice as much work of a team as it has unfinished, and checks the
+// team's ceiling from 2 s to 8 s later if the leader is still the same at the beginning.
 func (r *chaosRun) startSurge() {
 	c := r.cluster
 	team := []string{"red", "blue"}[r.rng.IntN(2)]
-	most := 8.0
+	backlogCPUs := 8.0
 	for _, j := range c.jobs {
 		if j.spec.Team == team && j.reportedState == 0 && !j.cancelRequested {
-			most += j.spec.CPUs * float64(j.spec.Tasks-len(j.completed))
+			backlogCPUs += j.spec.CPUs * float64(j.spec.Tasks-len(j.completed))
 		}
 	}
-	if most > 60*float64(r.scale) {
-		return // there is more than enough
+	if backlogCPUs > 60*float64(r.scale) {
+		return // the team has more than enough work
 	}
 	for range 4 {
 		r.submit(func(j *protocol.Job) {
 			j.Kind, j.Team, j.Priority, j.CPUs = protocol.Batch, team, protocol.Standard, 1
-			j.Tasks = max(j.Tasks, int(most/2))
+			j.Tasks = max(j.Tasks, int(backlogCPUs/2))
 		})
 	}
 	leader := c.Leader()
@@ -281,7 +280,7 @@
 	c.after(8*time.Second, func() { c.SetCeilingCheck(team, 0) })
 }
 
-// drainAndReplace lets a controller be drained and replaced.
+// drainAndReplace drains a controller, and later ends its process and starts it again.
 func (r *chaosRun) drainAndReplace() {
 	n := r.cluster.controllers[r.rng.IntN(len(r.cluster.controllers))]
 	if n.core == nil {
@@ -298,7 +297,7 @@
 	})
 }
 
-// step lets some seconds pass, with drawn requests of users and faults.
+// step advances the clock by some seconds, then sends random user requests and injects faults.
 func (r *chaosRun) step() {
 	rng, c := r.rng, r.cluster
 	if r.options.balance && r.submitted < 300 && rng.IntN(10) == 0 {
@@ -323,11 +322,11 @@
 	r.injectFaults([]int{1, 1, 1, 2, 2, 3}[rng.IntN(6)])
 }
 
-// injectFaults lets some faults happen, one after the other or at once.
+// injectFaults injects some faults, each right after the previous one or up to 1.2 s later.
 func (r *chaosRun) injectFaults(count int) {
 	for range count {
 		r.injectFault()
-		if r.rng.IntN(2) == 0 { // or in the same moment
+		if r.rng.IntN(2) == 0 { // otherwise the next fault is injected at the same time
 			r.cluster.Advance(time.Duration(r.rng.IntN(1200)) * time.Millisecond)
 		}
 		if len(r.accepted) > 0 && r.recurringFaults != nil && r.rng.IntN(3) == 0 {
@@ -336,7 +335,7 @@
 	}
 }
 
-// heal ends all faults.
+// heal lets temporary faults run out, ends all others, and starts the controllers that are down.
 func (r *chaosRun) heal() {
 	c := r.cluster
 	c.Advance(45 * time.Second)
@@ -360,51 +359,52 @@
 	c.Advance(20 * time.Second)
 }
 
-// cancelEndlessJobs cancels what would not end by itself. A submission whose answer was lost may
-// have been accepted all the same.
+// cancelEndlessJobs cancels jobs that would not end by themselves: services, and jobs that fail on
+// every machine. A submission whose response was lost may still have been accepted.
 func (r *chaosRun) cancelEndlessJobs() {
 	for i := range r.submitted {
 		id := fmt.Sprintf("run-%06d", i+1)
-		r.cluster.Advance(50 * time.Millisecond) // within what the state service takes
+		r.cluster.Advance(50 * time.Millisecond) // slow enough for the rate limit of the state service
 		if j := r.cluster.jobs[id]; j.spec.Kind == protocol.Service || j.alwaysFails {
 			r.cluster.CancelJob(0, id, func(status int, state string) {
 				if status != 200 && (status != 404 || j.accepted) {
-					r.t.Errorf("cancelling %s: %d %s", id, status, state)
+					r.t.Errorf("cancellation of %s: %d %s, want 200", id, status, state)
 				}
 			})
 		}
 	}
 }
 
-// checkFinalState checks what must hold in the end.
+// checkFinalState checks what must hold after all faults have ended: no class or team is starved,
+// every accepted job has a final state, no task runs, and no invariant was violated.
 func (r *chaosRun) checkFinalState() {
 	t, c := r.t, r.cluster
-	for _, s := range c.Starved() {
-		if !strings.Contains(s, "waited") { // in minutes of trouble any may wait
-			t.Error(s)
+	for _, starved := range c.Starved() {
+		if !strings.Contains(starved, "waited") { // during minutes of faults any job may wait long
+			t.Error(starved)
 		}
 	}
-	for _, f := range c.LongUnanswered() {
-		t.Log(f) // during the troubles it may be so
+	for _, unanswered := range c.LongUnanswered() {
+		t.Log(unanswered) // not an error: it may happen during the faults
 	}
 	for _, id := range r.accepted {
-		// Within what the state service takes: a node that hasn't heard of an outcome reads
-		// it, and thousands of questions in one instant are one too many.
+		// Slow enough for the rate limit of the state service: a controller that doesn't know the
+		// outcome of a job reads it there, and thousands of such reads at once would be refused.
 		c.Advance(25 * time.Millisecond)
 		c.Query(0, id, func(status int, text string) {
 			if status != 200 || !strings.HasPrefix(text, "done") && !strings.HasPrefix(text, "aborted") {
-				t.Errorf("%s in the end: %d %s", id, status, text)
+				t.Errorf("final query for %s: %d %s, want 200 and a final state", id, status, text)
 			}
 		})
 	}
 	c.Advance(10 * time.Second)
 	for id, j := range c.jobs {
 		if len(j.runningOn) > 0 {
-			t.Errorf("%s still has %d tasks on machines", id, len(j.runningOn))
+			t.Errorf("%s still has %d running tasks", id, len(j.runningOn))
 		}
 	}
-	for _, b := range c.Violations() {
-		t.Error(b)
+	for _, violation := range c.Violations() {
+		t.Error(violation)
 	}
 	if r.options.balance {
 		t.Log(c.Migrations())
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -11,12 +11,12 @@
 	"testing"
 )
 
-var digestFile = flag.String("digest", "", "file to which a digest of each played scenario and drawn day is added")
+var digestFile = flag.String("digest", "", "file to which a digest of each scenario and chaos run is appended")
 
 var digestLock sync.Mutex
 
-// newDigest is for the options of a cluster: its sum is written when the test is over, if
-// -digest names a file.
+// newDigest returns the hash for Options.Digest, or nil unless -digest names a file. At the end of
+// the test its sum is appended to that file.
 func newDigest(t *testing.T) hash.Hash {
 	if *digestFile == "" {
 		return nil
--- a/internal/simulator/experiment_test.go
+++ b/internal/simulator/experiment_test.go
@@ -14,12 +14,13 @@
 	"surges": [{"team": "guest", "from": 5, "until": 15, "times": 3}],
 	"balance": {"ceilingShare": 0.5, "tradeSeconds": 10, "moves": true}}`
 
-// A wrong file ends with one line that names the field.
+// TestExperimentFile checks that an invalid experiment file gives a one-line error that names the
+// field.
 func TestExperimentFile(t *testing.T) {
 	if _, err := ParseExperiment([]byte(smallExperiment)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ old, new, names string }{
+	for _, c := range []struct{ old, new, field string }{
 		{`"machines": 6`, `"machines": 0`, "machines"}, {`"seconds": 20`, `"seconds": 1e9`, "seconds"}, {`"seeds": 1`, `"seeds": -1`, "seeds"},
 		{`"name": "small"`, `"name": ""`, "name"}, {`"name"`, `"nome"`, "nome"}, {`"team": "guest", "jobs`, `"team": "green", "jobs`, "teams[0].team"},
 		{`"jobsPerSecond": 0.5`, `"jobsPerSecond": 0`, "teams[0].jobsPerSecond"}, {`"tasks": 4`, `"tasks": "4"`, "tasks"}, {`"images": 2`, `"images": 0`, "teams[0].images"},
@@ -29,10 +30,10 @@
 	} {
 		raw := strings.Replace(smallExperiment, c.old, c.new, 1)
 		if raw == smallExperiment {
-			t.Fatalf("%q isn't there", c.old)
+			t.Fatalf("the sample experiment does not contain %q", c.old)
 		}
-		if _, err := ParseExperiment([]byte(raw)); err == nil || !strings.Contains(err.Error(), c.names) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c.new, err)
+		if _, err := ParseExperiment([]byte(raw)); err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one line that contains %q", c.new, err, c.field)
 		}
 	}
 	raw, err := os.ReadFile("../../docs/experiments/surge.json")
@@ -44,28 +45,29 @@
 	}
 }
 
-// plausible reports whether what an outcome counts can be so.
+// plausible reports whether the figures of an outcome are consistent and not zero.
 func plausible(o *Outcome) bool {
 	return len(o.MaxLoad) == 20 && o.MeanLoad[15] > 0 && o.MaxLoad[15] >= o.MeanLoad[15] && o.ImageHitRate > 0 && o.FetchedGB > 0 && o.Waits["guest"].P99 > 0
 }
 
-// An experiment gives the same outcome every time, breaks no rule, and counts what it should.
+// TestExperiment checks that an experiment gives the same outcome every time, violates no invariant
+// and fills in its figures.
 func TestExperiment(t *testing.T) {
 	e, err := ParseExperiment([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := 0
+	progressCalls := 0
 	run := func() []Outcome {
-		outcomes, err := e.Run(context.Background(), func(string, int, int) { told++ })
+		outcomes, err := e.Run(context.Background(), func(string, int, int) { progressCalls++ })
 		if err != nil {
 			t.Fatal(err)
 		}
 		return outcomes
 	}
 	outcomes := run()
-	if !reflect.DeepEqual(outcomes, run()) || told != 4 {
-		t.Errorf("another outcome, or progress told %d times", told)
+	if !reflect.DeepEqual(outcomes, run()) || progressCalls != 4 {
+		t.Errorf("the second run has another outcome, or progress was reported %d times, want 4", progressCalls)
 	}
 	for _, o := range outcomes {
 		if len(o.Violations) > 0 || o.Jobs == 0 || o.Done != o.Jobs || !plausible(&o) {
@@ -73,12 +75,12 @@
 		}
 	}
 	if off, on := outcomes[0], outcomes[1]; off.Moves != 0 || on.AboveCeilingShare >= off.AboveCeilingShare {
-		t.Errorf("moves %d off; above the ceiling %.3f off and %.3f on", off.Moves, off.AboveCeilingShare, on.AboveCeilingShare)
+		t.Errorf("%d migrations with balancing off; share above the ceiling %.3f with it off and %.3f with it on", off.Moves, off.AboveCeilingShare, on.AboveCeilingShare)
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := e.Run(ended, func(string, int, int) {}); err == nil {
-		t.Error("goes on although it is to end")
+	if _, err := e.Run(cancelled, func(string, int, int) {}); err == nil {
+		t.Error("the experiment runs to its end although its context is cancelled")
 	}
 	if _, err := json.Marshal(outcomes); err != nil {
 		t.Error(err)
--- a/internal/simulator/loopback_test.go
+++ b/internal/simulator/loopback_test.go
@@ -13,8 +13,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// TestLoopback brings trouble to real controllers over a live stand-in. The tests wait for
-// conditions, in real time, and go on side by side, as they mostly wait.
+// TestLoopback injects faults into real controller processes on a loopback cluster. The subtests wait
+// for conditions in real time, and run in parallel because they mostly wait.
 func TestLoopback(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "brasskeel")
 	if out, err := exec.Command("go", "build", "-o", binary, "brasskeel/cmd/brasskeel").CombinedOutput(); err != nil {
@@ -52,16 +52,16 @@
 }
 
 const (
-	surgeJobs  = 8 // of a team that surges
-	surgeTasks = 5 // of each
-	surgeRun   = 2500 * time.Millisecond
+	surgeJobs  = 8                       // jobs of a surge
+	surgeTasks = 5                       // tasks per job of a surge
+	surgeRun   = 2500 * time.Millisecond // run time of each task
 )
 
 func surgeJobID(i int) string { return fmt.Sprintf("run-%06d", 101+i) }
 
-// surgingTeam lets a team's work arrive in a surge on machines that are unevenly loaded, and
-// kills and stops leaders meanwhile. The stand-in checks that no machine is above the ceiling
-// of the settings' file while another had room for longer than its bound.
+// surgingTeam submits a team's work in a surge while the machines are unevenly loaded, and kills one
+// leader and suspends the next meanwhile. The cluster checks that a team takes no more of a machine
+// than the ceiling in the settings file while another machine has had free capacity for long.
 func surgingTeam(t *loopbackTest) {
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
 	t.Do(func(c *Cluster) {
@@ -71,23 +71,23 @@
 			c.submitAndPoll(surgeJobID(i), protocol.Batch, surgeTasks, surgeRun)
 		}
 	})
-	begun := func(least int) {
+	awaitSurgeStarts := func(minStarts int) {
 		t.await("tasks of the surge to start", func(c *Cluster) bool {
 			starts := 0
 			for i := range surgeJobs {
 				starts += c.jobs[surgeJobID(i)].startCount
 			}
-			return starts >= least
+			return starts >= minStarts
 		})
 	}
-	begun(surgeTasks)
+	awaitSurgeStarts(surgeTasks)
 	leader, index := t.leader()
 	leader.Kill()
 	t.await("another leader", func(c *Cluster) bool { return c.Leader() >= 0 && c.Leader() != index })
 	if err := leader.Start(); err != nil {
 		t.Fatal(err)
 	}
-	begun(2 * surgeTasks)
+	awaitSurgeStarts(2 * surgeTasks)
 	leader, index = t.leader()
 	if err := leader.Suspend(); err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 	})
 }
 
-// drainedLeader lets the leader hand over and end, and starts it again.
+// drainedLeader terminates the leader, which hands over before it exits, and starts it again.
 func drainedLeader(t *loopbackTest) {
 	leader, index := t.disruptLeader(func(leader *ControllerProcess, _ int) {
 		if err := leader.Terminate(); err != nil {
@@ -129,7 +129,7 @@
 	t.checkNoTaskRestarted()
 }
 
-// drainedOwners restarts all controllers, one after the other, while jobs run.
+// drainedOwners terminates and restarts all controllers, one after the other, while jobs run.
 func drainedOwners(t *loopbackTest) {
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
 	t.Do(func(c *Cluster) { c.submitBatch(jobsBeforeFault, batchJobCount) })
@@ -148,20 +148,20 @@
 	t.checkNoTaskRestarted()
 }
 
-// checkNoTaskRestarted checks that no task of a batch job was started anew: those that end in an
-// ordinary hand-over were lost by it.
+// checkNoTaskRestarted checks that each task of the batch jobs started only once: a regular handover
+// must not interrupt a task.
 func (t *loopbackTest) checkNoTaskRestarted() {
 	t.Helper()
 	t.Do(func(c *Cluster) {
 		for i := range batchJobCount {
 			if j := c.jobs[batchJobID(i)]; j.startCount != tasksPerJob {
-				t.Errorf("%s: %d starts of %d tasks", batchJobID(i), j.startCount, tasksPerJob)
+				t.Errorf("%s: %d starts for %d tasks, want one each", batchJobID(i), j.startCount, tasksPerJob)
 			}
 		}
 	})
 }
 
-// killedLeader kills the leader and starts it again later.
+// killedLeader kills the leader and restarts it once another controller leads and all jobs are done.
 func killedLeader(t *loopbackTest) {
 	leader, index := t.disruptLeader(func(leader *ControllerProcess, _ int) { leader.Kill() })
 	t.awaitAllDone()
@@ -171,7 +171,7 @@
 	t.awaitAnswersForAll(index)
 }
 
-// stoppedLeader stops the leader for longer than its lease and lets it go on.
+// stoppedLeader suspends the leader until another controller leads, and then resumes it.
 func stoppedLeader(t *loopbackTest) {
 	leader, index := t.disruptLeader(func(leader *ControllerProcess, _ int) {
 		if err := leader.Suspend(); err != nil {
@@ -185,23 +185,23 @@
 	t.awaitAnswersForAll(index)
 }
 
-// refusedLeader lets the state service refuse the leader alone.
+// refusedLeader makes the state service refuse only the leader.
 func refusedLeader(t *loopbackTest) {
 	leader, index := t.disruptLeader(func(leader *ControllerProcess, _ int) {
 		t.Do(func(c *Cluster) { c.state.refusedNodes[leader.Name()] = true })
 	})
 	status := 0
 	t.Do(func(c *Cluster) { c.Query(index, unknownJob, func(s int, _ string) { status = s }) })
-	t.await("the refused node to answer", func(*Cluster) bool { return status != 0 })
+	t.await("the refused controller to respond", func(*Cluster) bool { return status != 0 })
 	if status != 503 {
-		t.Errorf("a refused node answers %d for a job that it can't know", status)
+		t.Errorf("a controller that the state service refuses answers %d for an unknown job, want 503", status)
 	}
 	t.awaitAllDone()
 	t.Do(func(c *Cluster) { c.state.readmit(leader.Name()) })
 	t.awaitAnswersForAll(index)
 }
 
-// isolatedLeader cuts the leader from the state service and the other controllers.
+// isolatedLeader cuts the leader off from the state service and the other controllers.
 func isolatedLeader(t *loopbackTest) {
 	_, index := t.disruptLeader(func(_ *ControllerProcess, index int) {
 		t.Do(func(c *Cluster) { c.Isolate(c.controllers[index]) })
@@ -211,23 +211,24 @@
 	t.awaitAnswersForAll(index)
 }
 
-// loopbackTest is three controllers over six machines, with some batch jobs and a service.
+// loopbackTest is a test on a loopback cluster of three controllers and six machines, which runs some
+// batch jobs and a service.
 type loopbackTest struct {
 	*testing.T
 	*Loopback
 	ctx context.Context
 }
 
-// loopbackTestTimeout bounds all that a test waits for.
+// loopbackTestTimeout is the total time for which a test may wait.
 const loopbackTestTimeout = 40 * time.Second
 
 const (
-	jobsBeforeFault = 4 // batch jobs submitted before the trouble
-	batchJobCount   = 6 // all batch jobs; the others are submitted during it
-	tasksPerJob     = 4 // of each batch job
-	serviceReplicas = 2 // of the service
+	jobsBeforeFault = 4 // batch jobs that are submitted before the fault
+	batchJobCount   = 6 // all batch jobs; the others are submitted during the fault
+	tasksPerJob     = 4 // tasks of each batch job
+	serviceReplicas = 2
 	serviceID       = "run-000900"
-	unknownJob      = "run-000999" // nobody submits it
+	unknownJob      = "run-000999" // never submitted
 )
 
 func batchJobID(i int) string { return fmt.Sprintf("run-%06d", i+1) }
@@ -256,10 +257,11 @@
 	return lt
 }
 
-// reportViolations fails the test when anything went wrong, and then shows what controllers logged.
+// reportViolations fails the test if an invariant was violated, and shows the logs of the controllers
+// if the test has failed for any reason.
 func (t *loopbackTest) reportViolations() {
-	for _, broken := range t.Violations() {
-		t.Error(broken)
+	for _, violation := range t.Violations() {
+		t.Error(violation)
 	}
 	if !t.Failed() {
 		return
@@ -270,6 +272,7 @@
 	}
 }
 
+// await waits until a condition on the cluster holds, and fails the test if it doesn't in time.
 func (t *loopbackTest) await(what string, holds func(*Cluster) bool) {
 	t.Helper()
 	if err := t.Await(t.ctx, what, holds); err != nil {
@@ -277,7 +280,7 @@
 	}
 }
 
-// leader waits for a controller that leads.
+// leader waits until there is a leader, and returns it with its index.
 func (t *loopbackTest) leader() (leader *ControllerProcess, index int) {
 	t.Helper()
 	t.await("a leader", func(c *Cluster) bool {
@@ -287,7 +290,7 @@
 	return t.Controllers()[index], index
 }
 
-// submitAndPoll submits a job and lets its user follow it.
+// submitAndPoll submits a job and queries it until it has a final state.
 func (c *Cluster) submitAndPoll(id string, kind protocol.Kind, tasks int, run time.Duration) {
 	spec := protocol.Job{ID: id, Class: "live", Team: "red", Kind: kind, Priority: protocol.Standard, Tasks: tasks,
 		CPUs: 1, MemoryGB: 1, Image: "img-live", ImageGB: 0.2, EstimatedRuntime: run}
@@ -295,14 +298,14 @@
 	c.QueryUntilDone(id, 500*time.Millisecond)
 }
 
-// submitBatch submits some of the batch jobs. Their tasks take 1 to 3.5 s.
+// submitBatch submits the batch jobs with indexes from from to before to. Their tasks take 1 to 3.5 s.
 func (c *Cluster) submitBatch(from, to int) {
 	for i := from; i < to; i++ {
 		c.submitAndPoll(batchJobID(i), protocol.Batch, tasksPerJob, time.Duration(i+2)*500*time.Millisecond)
 	}
 }
 
-// completedTasks counts those of all jobs.
+// completedTasks counts the completed tasks of all jobs.
 func completedTasks(c *Cluster) int {
 	count := 0
 	for _, j := range c.jobs {
@@ -311,20 +314,20 @@
 	return count
 }
 
-// disruptLeader waits until some tasks have completed, brings trouble to the leader, and
-// submits the other jobs. It returns once another controller leads.
-func (t *loopbackTest) disruptLeader(trouble func(leader *ControllerProcess, index int)) (leader *ControllerProcess, index int) {
+// disruptLeader waits until some tasks have completed, injects a fault into the leader, and submits
+// the other jobs. It returns the former leader once another controller leads.
+func (t *loopbackTest) disruptLeader(fault func(leader *ControllerProcess, index int)) (leader *ControllerProcess, index int) {
 	t.Helper()
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
 	leader, index = t.leader()
-	trouble(leader, index)
+	fault(leader, index)
 	t.Do(func(c *Cluster) { c.submitBatch(jobsBeforeFault, batchJobCount) })
 	t.await("another leader", func(c *Cluster) bool { return c.Leader() >= 0 && c.Leader() != index })
 	return leader, index
 }
 
-// awaitAllDone waits until users were told of every batch job that it is done, and the
-// service serves; then it cancels the service.
+// awaitAllDone waits until every batch job is reported as done and all replicas of the service run.
+// Then it cancels the service and waits for its end.
 func (t *loopbackTest) awaitAllDone() {
 	t.Helper()
 	t.await("every batch job to be done", func(c *Cluster) bool {
@@ -335,32 +338,32 @@
 		}
 		return true
 	})
-	t.await("the service to serve", func(c *Cluster) bool { return len(c.jobs[serviceID].runningOn) == serviceReplicas })
+	t.await("all replicas of the service to run", func(c *Cluster) bool { return len(c.jobs[serviceID].runningOn) == serviceReplicas })
 	t.Do(func(c *Cluster) { c.retryCancel(serviceID) })
-	t.await("the service to be gone", func(c *Cluster) bool {
+	t.await("the service to end", func(c *Cluster) bool {
 		return c.reportedState(serviceID) == protocol.Cancelled && len(c.jobs[serviceID].runningOn) == 0
 	})
 }
 
-// awaitAnswersForAll waits until a node answers for every batch job.
-func (t *loopbackTest) awaitAnswersForAll(node int) {
+// awaitAnswersForAll waits until a controller answers queries for every batch job.
+func (t *loopbackTest) awaitAnswersForAll(index int) {
 	t.Helper()
 	answered := 0
 	t.Do(func(c *Cluster) {
 		for i := range batchJobCount {
-			c.queryUntilKnown(node, batchJobID(i), func() { answered++ })
+			c.queryUntilKnown(index, batchJobID(i), func() { answered++ })
 		}
 	})
-	t.await("the node to answer for all jobs", func(*Cluster) bool { return answered == batchJobCount })
+	t.await("the controller to answer for all jobs", func(*Cluster) bool { return answered == batchJobCount })
 }
 
-// queryUntilKnown polls a node for a job until it answers.
-func (c *Cluster) queryUntilKnown(node int, id string, done func()) {
-	c.Query(node, id, func(status int, _ string) {
+// queryUntilKnown polls a controller for a job until it answers.
+func (c *Cluster) queryUntilKnown(index int, id string, done func()) {
+	c.Query(index, id, func(status int, _ string) {
 		if status == 200 {
 			done()
 			return
 		}
-		c.after(200*time.Millisecond, func() { c.queryUntilKnown(node, id, done) })
+		c.after(200*time.Millisecond, func() { c.queryUntilKnown(index, id, done) })
 	})
 }
--- a/internal/simulator/loopback_versions_test.go
+++ b/internal/simulator/loopback_versions_test.go
@@ -10,10 +10,10 @@
 	"brasskeel/internal/protocol"
 )
 
-// TestLoopbackMixedVersions runs controllers of this version beside one of another version, the
-// program that OTHER_BINARY names. While jobs run it kills each controller in turn and starts
-// the other version in its place, until all have changed, and then back: what one version writes
-// or says the other must take.
+// TestLoopbackMixedVersions runs controllers of this version together with controllers of another
+// version, the program that OTHER_BINARY names. While jobs run it kills each controller in turn and
+// starts the other version in its place, until all have changed, and then back. Each version must
+// accept the records and messages of the other.
 func TestLoopbackMixedVersions(t *testing.T) {
 	other := os.Getenv("OTHER_BINARY")
 	if other == "" {
@@ -31,11 +31,12 @@
 	}
 }
 
+// mixedVersions replaces each controller in turn, and completes a job after each replacement.
 func mixedVersions(t *loopbackTest, binary, other string) {
 	versions := []string{binary, binary, binary}
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
 	for round := range 2 * len(versions) {
-		// Each controller in turn, first to the other version and then back.
+		// The first half of the rounds changes to the other version, the second half back.
 		index := round % len(versions)
 		k := t.Controllers()[index]
 		k.Kill()
@@ -50,17 +51,17 @@
 		}
 		job := fmt.Sprintf("run-%06d", 200+round)
 		t.Do(func(c *Cluster) { c.submitAndPoll(job, protocol.Batch, tasksPerJob, surgeRun/5) })
-		t.await("a job to be done with another mix of versions", func(c *Cluster) bool { return c.reportedState(job) == protocol.Done })
+		t.await("a job to be done with this mix of versions", func(c *Cluster) bool { return c.reportedState(job) == protocol.Done })
 		t.awaitAnswerFor(index, job)
 	}
 	t.Do(func(c *Cluster) { c.submitBatch(jobsBeforeFault, batchJobCount) })
 	t.awaitAllDone()
 }
 
-// awaitAnswerFor waits until a node answers for a job.
-func (t *loopbackTest) awaitAnswerFor(node int, job string) {
+// awaitAnswerFor waits until a controller answers queries for a job.
+func (t *loopbackTest) awaitAnswerFor(index int, job string) {
 	t.Helper()
 	answered := false
-	t.Do(func(c *Cluster) { c.queryUntilKnown(node, job, func() { answered = true }) })
-	t.await("the node to answer for a job", func(*Cluster) bool { return answered })
+	t.Do(func(c *Cluster) { c.queryUntilKnown(index, job, func() { answered = true }) })
+	t.await("the controller to answer for a job", func(*Cluster) bool { return answered })
 }
--- a/internal/simulator/scenario_faults_test.go
+++ b/internal/simulator/scenario_faults_test.go
@@ -10,14 +10,16 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// runCancelNow: cancel_now COUNT [hang=D]: jobs that run and have long to go.
+// runCancelNow handles "cancel_now COUNT [hang=D]": it cancels running jobs that still have long
+// to run. With hang, some of their machines hang for that time.
 func (r *scenarioRunner) runCancelNow(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
 	r.cluster.CancelRunningJobs(count, parseDuration(t, d, arg(d, "hang", "0s")))
 	return ""
 }
 
-// runCancelAtEnd: cancel_at_end SHARE, of the jobs that end from now on.
+// runCancelAtEnd handles "cancel_at_end SHARE": from now on this share of the jobs is cancelled
+// just as they complete.
 func (r *scenarioRunner) runCancelAtEnd(t *testing.T, d *datadriven.TestData) string {
 	share, err := strconv.ParseFloat(firstArg(t, d), 64)
 	if err != nil {
@@ -27,7 +29,8 @@
 	return ""
 }
 
-// runInvalidRequests: odd_requests COUNT every=D
+// runInvalidRequests handles "odd_requests COUNT [every=D]": it sends invalid and repeated
+// requests COUNT times.
 func (r *scenarioRunner) runInvalidRequests(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
 	every := parseDuration(t, d, arg(d, "every", "500ms"))
@@ -37,12 +40,15 @@
 	return ""
 }
 
+// runQueriesAfterChange handles "close_looks on|off": while it is on, users query all controllers
+// right after each change of a job.
 func (r *scenarioRunner) runQueriesAfterChange(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.queriesAfterChange = firstArg(t, d) == "on"
 	return ""
 }
 
-// runChangeLeaders: changes COUNT every=D [down=D]: the leader crashes that often, and is back after down.
+// runChangeLeaders handles "changes COUNT [every=D] [down=D]": the leader crashes COUNT times, and
+// each time restarts after the time that down gives.
 func (r *scenarioRunner) runChangeLeaders(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
 	r.cluster.CrashLeaders(count, parseDuration(t, d, arg(d, "every", "12s")), parseDuration(t, d, arg(d, "down", "300ms")))
@@ -69,7 +75,7 @@
 	return ""
 }
 
-// runPowerOff: silence NODE: its machine has lost power. It is back with restart.
+// runPowerOff handles "silence NODE": the controller's host loses power, until "restart".
 func (r *scenarioRunner) runPowerOff(t *testing.T, d *datadriven.TestData) string {
 	n := r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))]
 	n.crash()
@@ -77,13 +83,15 @@
 	return n.name
 }
 
-// runCheckCeiling: surges TEAM share=S: from now on no task of the team's may go above its ceiling
-// while others have room; share=0 ends it.
+// runCheckCeiling handles "surges TEAM share=S": from now on it is a violation if the team's tasks
+// take more than this share of a machine while other machines have free capacity. share=0 ends
+// the check.
 func (r *scenarioRunner) runCheckCeiling(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.SetCeilingCheck(firstArg(t, d), numberArg(t, d, "share", "0"))
 	return ""
 }
 
+// runFreeze handles "freeze NODE": the controller's process does nothing until "thaw".
 func (r *scenarioRunner) runFreeze(t *testing.T, d *datadriven.TestData) string {
 	n := r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))]
 	n.freeze()
@@ -97,13 +105,15 @@
 	return ""
 }
 
-// runQueryStorm: storm COUNT over=D
+// runQueryStorm handles "storm COUNT [over=D]": users send COUNT queries over a time.
 func (r *scenarioRunner) runQueryStorm(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
 	r.cluster.QueryStorm(count, parseDuration(t, d, arg(d, "over", "10s")))
 	return ""
 }
 
+// runState handles "state FAULT ..." for faults of the state service, "state up", which ends them,
+// and "state spent", which prints the changes and the requests refused by the rate limits.
 func (r *scenarioRunner) runState(t *testing.T, d *datadriven.TestData) string {
 	switch firstArg(t, d) {
 	case "down":
@@ -116,32 +126,35 @@
 	case "refuse":
 		r.cluster.state.refusedNodes[r.cluster.controllers[r.controllerIndex(t, d, arg(d, "node", "leader"))].name] = true
 	case "late":
-		// late by=D [more=D] [share=S]
+		// late by=D [more=D] [share=S]: transactions are applied D to D+more later, without a
+		// response. Without a share this holds for all of them.
 		r.cluster.state.commitDelay = parseDuration(t, d, arg(d, "by", "2s"))
 		r.cluster.state.commitDelayJitter = parseDuration(t, d, arg(d, "more", "0s"))
 		r.cluster.state.delayedCommitShare = numberArg(t, d, "share", "0")
 	case "lost":
-		// lost share=S, of transactions: applied at once, answered never
+		// lost share=S: this share of transactions is applied at once and gets no response.
 		r.cluster.state.lostReplyShare = numberArg(t, d, "share", "0.33")
 	case "slow":
-		// slow by=D share=S, of requests: up to D each; slow by=D watches: new watches, by D
+		// slow by=D share=S: this share of requests takes up to D longer.
+		// slow by=D watches: responses to watches arrive D later.
 		if arg(d, "watches", "") != "" {
 			r.cluster.state.watchDelay = parseDuration(t, d, arg(d, "by", "2s"))
 			return ""
 		}
 		r.cluster.state.maxRequestDelay, r.cluster.state.slowRequestShare = parseDuration(t, d, arg(d, "by", "2s")), numberArg(t, d, "share", "0.33")
 	case "spent":
-		// Since the start or the last time.
+		// The counts since the start or the last such command.
 		s := r.cluster.state
 		out := fmt.Sprintf("changes=%d limited=%d", s.writes, s.rateLimited)
 		s.writes, s.rateLimited = 0, 0
 		return out
 	default:
-		d.Fatalf(t, "unknown state of the state service")
+		d.Fatalf(t, "unknown fault of the state service")
 	}
 	return ""
 }
 
+// runCloud handles "cloud FAULT ..." for faults of the cloud, and "cloud up", which ends them.
 func (r *scenarioRunner) runCloud(t *testing.T, d *datadriven.TestData) string {
 	k := r.cluster.cloud
 	switch firstArg(t, d) {
@@ -154,17 +167,18 @@
 	case "never":
 		k.neverBoots = true
 	case "boots":
-		// boots factor=F [dead=S] [answers=D]: boot times, the share that never comes
-		// up, and how late rentals are answered.
+		// boots factor=F [dead=S] [answers=D]: a factor for boot times, the share of machines
+		// that never come up, and the delay of responses to requests for machines.
 		k.bootTimeFactor, k.bootFailureShare = numberArg(t, d, "factor", "1"), numberArg(t, d, "dead", "0")
 		k.replyDelay = parseDuration(t, d, arg(d, "answers", "0s"))
 	default:
-		d.Fatalf(t, "unknown state of the cloud")
+		d.Fatalf(t, "unknown fault of the cloud")
 	}
 	return ""
 }
 
-// runMachine: machine WHAT NAME
+// runMachine handles "machine FAULT NAME", or "machine FAULT machines:N" for the first N machines
+// that run.
 func (r *scenarioRunner) runMachine(t *testing.T, d *datadriven.TestData) string {
 	if strings.HasPrefix(d.CmdArgs[1].Key, "machines:") {
 		for _, name := range r.hostNames(t, d, d.CmdArgs[1].Key) {
@@ -177,8 +191,9 @@
 	return r.injectMachineFault(t, d, d.CmdArgs[1].Key)
 }
 
-// runCut: cut A B [hold] [oneway] [reset]: a host, "zone:Z", "zone:leader", "zone:others", "machines" or "nodes";
-// oneway stops only what A sends to B, reset does so by ending connections.
+// runCut handles "cut A B [hold] [oneway] [reset]". A and B are names as hostNames takes them. With
+// hold, messages are delivered when the cut ends; oneway drops only messages from A to B, and
+// reset does so by closing connections.
 func (r *scenarioRunner) runCut(t *testing.T, d *datadriven.TestData) string {
 	for _, a := range r.hostNames(t, d, d.CmdArgs[0].Key) {
 		for _, b := range r.hostNames(t, d, d.CmdArgs[1].Key) {
@@ -196,7 +211,8 @@
 	return ""
 }
 
-// runIsolate: isolate NODE [refused]: it gets no answers from the state service, or 503.
+// runIsolate handles "isolate NODE [refused]": the controller loses the other controllers and gets
+// no responses from the state service, or 503 with refused.
 func (r *scenarioRunner) runIsolate(t *testing.T, d *datadriven.TestData) string {
 	n := r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))]
 	if arg(d, "refused", "") != "" {
@@ -207,13 +223,13 @@
 	return ""
 }
 
-// runLinks: links slow=D: every message takes up to D more.
+// runLinks handles "links [slow=D]": every message takes up to D longer.
 func (r *scenarioRunner) runLinks(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.extraLinkDelay = parseDuration(t, d, arg(d, "slow", "0s"))
 	return ""
 }
 
-// runHeal: heal [A B]
+// runHeal handles "heal [A B]": it ends the cuts between A and B, or all cuts.
 func (r *scenarioRunner) runHeal(t *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) == 2 {
 		for _, a := range r.hostNames(t, d, d.CmdArgs[0].Key) {
@@ -227,8 +243,9 @@
 	return ""
 }
 
-// runDuplicates: copies on|off, of direct orders; copies reports=D, of reports up to D late;
-// copies next=SHARE, of reports for the next leader.
+// runDuplicates handles "copies [on|off] [reports=D] [next=SHARE]". While it is on, direct commands
+// are delivered a second time. With reports, copies of heartbeats arrive up to D late; with next,
+// copies of a share of the heartbeats are kept until the next leader takes over.
 func (r *scenarioRunner) runDuplicates(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.duplicateCommands = firstArg(t, d) == "on"
 	r.cluster.staleHeartbeatShare = numberArg(t, d, "next", "0")
@@ -236,7 +253,8 @@
 	return ""
 }
 
-// injectMachineFault befalls a machine.
+// injectMachineFault injects the fault that the first argument names, or ends it. It returns
+// "gone" if a machine that should resume no longer runs.
 func (r *scenarioRunner) injectMachineFault(t *testing.T, d *datadriven.TestData, name string) string {
 	h := r.findMachine(t, d, name)
 	switch firstArg(t, d) {
@@ -264,13 +282,14 @@
 	case "reboot":
 		h.agent.reboot()
 	default:
-		d.Fatalf(t, "unknown trouble")
+		d.Fatalf(t, "unknown fault of a machine")
 	}
 	return ""
 }
 
-// hostNames are those that a name stands for: one, "zone:Z", "machines", "machines:N" for
-// the first N that run, or "nodes".
+// hostNames returns the names of the hosts that a name stands for: "zone:Z" (see zoneHostNames),
+// "machines" for all machines, "machines:N" for the first N that run, "nodes" for all controllers,
+// "leader", "follower", "job/task" for the machine that runs it, or any single host.
 func (r *scenarioRunner) hostNames(t *testing.T, d *datadriven.TestData, name string) []string {
 	if count, ok := strings.CutPrefix(name, "machines:"); ok {
 		return r.runningMachineNames(t, d, count)
@@ -298,7 +317,7 @@
 	return list
 }
 
-// runningMachineNames are the first that run, as many as count says.
+// runningMachineNames returns the first machines that run, count at the most.
 func (r *scenarioRunner) runningMachineNames(t *testing.T, d *datadriven.TestData, count string) (list []string) {
 	n, err := strconv.Atoi(count)
 	if err != nil {
@@ -312,8 +331,8 @@
 	return list
 }
 
-// zoneHostNames are the machines and controllers of a zone: by its name, "leader" for the
-// leader's, or "others" for all but that.
+// zoneHostNames returns the machines and controllers of a zone, given by its name, of the leader's
+// zone for "leader", or of all other zones for "others".
 func (r *scenarioRunner) zoneHostNames(t *testing.T, d *datadriven.TestData, zone string) (list []string) {
 	others := zone == "others"
 	if zone == "leader" || others {
--- a/internal/simulator/scenario_show_test.go
+++ b/internal/simulator/scenario_show_test.go
@@ -10,36 +10,42 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// runTriggerOutput: what came of the commands that ran in moments since the last time.
+// runTriggerOutput handles "heard": it prints the results of the commands that triggers have run
+// since the last such command.
 func (r *scenarioRunner) runTriggerOutput(_ *testing.T, _ *datadriven.TestData) string {
 	out := strings.Join(r.triggerOutput, "\n")
 	r.triggerOutput = nil
 	return out
 }
 
-// runDrained: drained NODE: whether it neither leads nor serves workers.
+// runDrained handles "drained NODE": whether the controller neither leads nor serves workers.
 func (r *scenarioRunner) runDrained(t *testing.T, d *datadriven.TestData) string {
 	return fmt.Sprint(r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))].core.Drained())
 }
 
-// runMigrations: how many tasks of all jobs are on record as moved, and how often tasks were stopped.
+// runMigrations handles "moved": how many tasks of all jobs are on record as migrated, and how often
+// tasks were told to stop.
 func (r *scenarioRunner) runMigrations(_ *testing.T, _ *datadriven.TestData) string {
 	return r.cluster.Migrations()
 }
 
+// runShares handles "shares TEAM": the shares of machines that the team's tasks take.
 func (r *scenarioRunner) runShares(t *testing.T, d *datadriven.TestData) string {
 	return r.cluster.TeamShares(firstArg(t, d))
 }
 
+// runShards handles "shards": the owner of each shard.
 func (r *scenarioRunner) runShards(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.ShardOwners(), "\n")
 }
 
+// runOwnersByShards handles "owners": how many shards each controller owns, and how many move.
 func (r *scenarioRunner) runOwnersByShards(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.ShardCounts(), "\n")
 }
 
-// runAnswerGaps: gaps [reset]: the longest times between two answers to a worker.
+// runAnswerGaps handles "gaps [reset]": the distribution of the times between two responses to a
+// worker. reset starts it anew.
 func (r *scenarioRunner) runAnswerGaps(_ *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) > 0 && d.CmdArgs[0].Key == "reset" {
 		r.cluster.replyIntervals.Reset()
@@ -48,18 +54,22 @@
 	return r.cluster.ReplyIntervals()
 }
 
+// runForgotten handles "forgotten": the jobs whose queries got no answer for too long.
 func (r *scenarioRunner) runForgotten(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.LongUnanswered(), "\n")
 }
 
+// runStarved handles "starved": the teams, classes and large jobs that got too little capacity.
 func (r *scenarioRunner) runStarved(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.Starved(), "\n")
 }
 
+// runUnanswered handles "unanswered": the accepted jobs that some controller doesn't answer for.
 func (r *scenarioRunner) runUnanswered(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.Unanswered(), "\n")
 }
 
+// runHasLeader handles "leads": whether there is a leader.
 func (r *scenarioRunner) runHasLeader(_ *testing.T, _ *datadriven.TestData) string {
 	if r.cluster.Leader() < 0 {
 		return "nobody"
@@ -67,20 +77,24 @@
 	return "one"
 }
 
+// runShow handles "show".
 func (r *scenarioRunner) runShow(_ *testing.T, _ *datadriven.TestData) string {
 	return r.listRunningTasks()
 }
 
-// runShowCount: how many jobs there are, by what their users know and what runs.
+// runShowCount handles "show_count": the number of jobs by the state that their users know, and the
+// number of running tasks.
 func (r *scenarioRunner) runShowCount(_ *testing.T, _ *datadriven.TestData) string {
 	return r.countJobs()
 }
 
+// runMachineCount handles "fleet".
 func (r *scenarioRunner) runMachineCount(_ *testing.T, _ *datadriven.TestData) string {
 	return r.countMachines()
 }
 
-// listRunningTasks lists what runs where, by type, zone and kind of machine.
+// listRunningTasks lists for each job its running tasks by type and zone of their machines, with
+// spot machines apart.
 func (r *scenarioRunner) listRunningTasks() string {
 	var b bytes.Buffer
 	var ids []string
@@ -90,18 +104,18 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		j := r.cluster.jobs[id]
-		where := map[string]int{}
+		tasksByPlace := map[string]int{}
 		for task := range j.runningOn {
 			for w := range j.runningOn[task] {
 				kind := ""
 				if w.machine.spot {
 					kind = " spot"
 				}
-				where[w.machine.machineType+" "+w.machine.zone+kind]++
+				tasksByPlace[w.machine.machineType+" "+w.machine.zone+kind]++
 			}
 		}
 		var places []string
-		for p, n := range where {
+		for p, n := range tasksByPlace {
 			places = append(places, fmt.Sprintf("%d on %s", n, p))
 		}
 		slices.Sort(places)
@@ -110,29 +124,29 @@
 	return b.String()
 }
 
-// countJobs counts jobs by what their users were told, and tasks that run.
+// countJobs counts the jobs by the state that their users were told, and the running tasks.
 func (r *scenarioRunner) countJobs() string {
-	told, tasks := map[string]int{}, 0
+	counts, tasks := map[string]int{}, 0
 	for _, j := range r.cluster.jobs {
 		tasks += len(j.runningOn)
 		switch {
 		case j.reportedState != 0:
-			told[j.reportedState.String()]++
+			counts[j.reportedState.String()]++
 		case j.accepted:
-			told["unfinished"]++
+			counts["unfinished"]++
 		default:
-			told["not accepted"]++
+			counts["not accepted"]++
 		}
 	}
 	var list []string
-	for what, n := range told {
-		list = append(list, fmt.Sprintf("%d %s", n, what))
+	for state, n := range counts {
+		list = append(list, fmt.Sprintf("%d %s", n, state))
 	}
 	slices.Sort(list)
 	return fmt.Sprintf("%s; %d tasks run", strings.Join(list, ", "), tasks)
 }
 
-// countMachines counts the machines that are paid for.
+// countMachines counts the machines that run up costs, by type and zone, with spot machines apart.
 func (r *scenarioRunner) countMachines() string {
 	count := map[string]int{}
 	for _, h := range r.cluster.cloud.machines {
@@ -152,11 +166,12 @@
 	return strings.Join(list, "\n")
 }
 
-// runJobStarts tells how often tasks of a job started.
+// runJobStarts handles "jobs JOB": how often tasks of the job started and failed, and how many have
+// completed.
 func (r *scenarioRunner) runJobStarts(t *testing.T, d *datadriven.TestData) string {
 	j := r.cluster.jobs[firstArg(t, d)]
 	if j == nil {
-		d.Fatalf(t, "no such job")
+		d.Fatalf(t, "there is no job %q", firstArg(t, d))
 	}
 	if j.failures > 0 {
 		return fmt.Sprintf("starts=%d completed=%d failures=%d", j.startCount, len(j.completed), j.failures)
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -14,8 +14,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// TestScenarios runs the files in testdata. A command that leaves a rule
-// broken says so in its output and fails the test, whatever the file expects.
+// TestScenarios runs the scenario files in testdata. A command after which an invariant is
+// violated fails the test, whatever output the file expects.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		r := &scenarioRunner{t: t}
@@ -23,8 +23,8 @@
 	})
 }
 
-// TestLongScenarios runs the files in testdata_long, which take minutes, if SCENARIO_LONG is
-// set.
+// TestLongScenarios runs the scenario files in testdata_long, which take minutes. It is skipped
+// unless SCENARIO_LONG is set.
 func TestLongScenarios(t *testing.T) {
 	if os.Getenv("SCENARIO_LONG") == "" {
 		t.Skip("set SCENARIO_LONG to run them")
@@ -35,10 +35,12 @@
 	})
 }
 
+// scenarioRunner carries out the commands of a scenario file on a simulated cluster.
 type scenarioRunner struct {
 	t       *testing.T
 	cluster *Cluster
-	// Within a moment no time may pass: what is asked then is answered later.
+	// inTrigger is set while commands of "when" run. The simulated clock must not advance then,
+	// so the responses to their requests arrive later and are collected in triggerOutput.
 	inTrigger     bool
 	triggerOutput []string
 }
@@ -48,13 +50,15 @@
 		d.Fatalf(t, "the first command must be start")
 	}
 	out := r.runCommand(t, d)
-	if broken := r.cluster.Violations(); len(broken) > 0 {
-		t.Errorf("%s: rules broken:\n%s", d.Pos, strings.Join(broken, "\n"))
+	if violations := r.cluster.Violations(); len(violations) > 0 {
+		t.Errorf("%s: invariants violated:\n%s", d.Pos, strings.Join(violations, "\n"))
 	}
 	return out
 }
 
-func arg(d *datadriven.TestData, key, otherwise string) string {
+// arg returns the values of the argument with a key, joined by commas, "true" if it has none, or
+// defaultValue if there is no such argument.
+func arg(d *datadriven.TestData, key, defaultValue string) string {
 	for _, a := range d.CmdArgs {
 		if a.Key == key {
 			if len(a.Vals) == 0 {
@@ -63,11 +67,11 @@
 			return strings.Join(a.Vals, ",")
 		}
 	}
-	return otherwise
+	return defaultValue
 }
 
-func numberArg(t *testing.T, d *datadriven.TestData, key, otherwise string) float64 {
-	v, err := strconv.ParseFloat(arg(d, key, otherwise), 64)
+func numberArg(t *testing.T, d *datadriven.TestData, key, defaultValue string) float64 {
+	v, err := strconv.ParseFloat(arg(d, key, defaultValue), 64)
 	if err != nil {
 		d.Fatalf(t, "%s: %v", key, err)
 	}
@@ -82,7 +86,7 @@
 	return v
 }
 
-// firstArg is the first argument, which has no key.
+// firstArg returns the first argument, which is positional: its key is its value.
 func firstArg(t *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) == 0 {
 		d.Fatalf(t, "%s needs an argument", d.Cmd)
@@ -90,12 +94,14 @@
 	return d.CmdArgs[0].Key
 }
 
+// controllerIndex finds a controller by name, the leader by "leader", or the first running
+// controller that doesn't lead by "follower".
 func (r *scenarioRunner) controllerIndex(t *testing.T, d *datadriven.TestData, name string) int {
 	switch name {
 	case "leader":
 		i := r.cluster.Leader()
 		if i < 0 {
-			d.Fatalf(t, "nobody leads")
+			d.Fatalf(t, "there is no leader")
 		}
 		return i
 	case "follower":
@@ -104,18 +110,18 @@
 				return i
 			}
 		}
-		d.Fatalf(t, "nobody follows")
+		d.Fatalf(t, "there is no running follower")
 	}
 	for i, n := range r.cluster.controllers {
 		if n.name == name {
 			return i
 		}
 	}
-	d.Fatalf(t, "no node %q", name)
+	d.Fatalf(t, "there is no controller %q", name)
 	return -1
 }
 
-// findMachine finds a machine by name, or the one that runs "job/task".
+// findMachine finds a machine by name, or by "job/task" one that runs this task.
 func (r *scenarioRunner) findMachine(t *testing.T, d *datadriven.TestData, name string) *machine {
 	if job, task, ok := strings.Cut(name, "/"); ok {
 		i, _ := strconv.Atoi(task)
@@ -124,19 +130,19 @@
 				return w.machine
 			}
 		}
-		d.Fatalf(t, "%s is on no machine", name)
+		d.Fatalf(t, "task %s runs on no machine", name)
 	}
 	for _, h := range r.cluster.cloud.machines {
 		if h.name == name {
 			return h
 		}
 	}
-	d.Fatalf(t, "no machine %q", name)
+	d.Fatalf(t, "there is no machine %q", name)
 	return nil
 }
 
-// sendAndWait sends a request and lets time pass until something has come of it. In a moment
-// the answer is kept for the command "heard" instead.
+// sendAndWait sends a request and advances the clock until it has a result. Within a trigger it
+// doesn't wait, and the result is kept for the command "heard" instead.
 func (r *scenarioRunner) sendAndWait(d *datadriven.TestData, send func(done func(out string))) string {
 	if r.inTrigger {
 		send(func(out string) {
@@ -153,38 +159,39 @@
 	return out
 }
 
-// parseTriggeredCommands are those in the input of "when", one a line.
+// parseTriggeredCommands parses the commands in the input of "when", one a line. Commands that
+// advance the clock are not allowed there.
 func parseTriggeredCommands(t *testing.T, d *datadriven.TestData) (list []*datadriven.TestData) {
 	t.Helper()
 	for line := range strings.Lines(d.Input) {
 		cmd, args, err := datadriven.ParseLine(line)
 		if err != nil || cmd == "" || cmd == "advance" || cmd == "unanswered" {
-			d.Fatalf(t, "%q can't run in a moment", line)
+			d.Fatalf(t, "%q is malformed or can't run in a trigger", line)
 		}
 		list = append(list, &datadriven.TestData{Pos: d.Pos, Cmd: cmd, CmdArgs: args})
 	}
 	return list
 }
 
-// triggerPoints are the names of those that "when" knows.
+// triggerPoints are the trigger points of "when", by the names in scenario files.
 var triggerPoints = map[string]triggerPoint{"write": onWrite, "answer-lost": onLostReply, "leader": onLeader, "report": onHeartbeat, "done": onJobDone}
 
-// runWhen before|after MOMENT [WHAT] [in=D] [passes=N], with commands as input, one a line: they
-// run once, after N such moments,
-// right before or after it, or D later. MOMENT is write KEYPREFIX, answer-lost, leader,
-// report NODE, report NODE/MACHINE or done JOB.
+// runWhen handles "when before|after POINT [TARGET] [in=D] [passes=N]". Its input is a list of
+// commands, one a line. They run once, right before or after the trigger point is reached, or D
+// later, after it has been passed N times. POINT with TARGET is one of write KEYPREFIX,
+// answer-lost, leader, report NODE, report NODE/MACHINE or done JOB.
 func (r *scenarioRunner) runWhen(t *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) < 2 || triggerPoints[d.CmdArgs[1].Key] == 0 || d.CmdArgs[0].Key != "before" && d.CmdArgs[0].Key != "after" {
-		d.Fatalf(t, "when needs before or after, and a moment")
+		d.Fatalf(t, "when needs before or after, and a trigger point")
 	}
-	m, what := triggerPoints[d.CmdArgs[1].Key], ""
+	point, target := triggerPoints[d.CmdArgs[1].Key], ""
 	if len(d.CmdArgs) > 2 && d.CmdArgs[2].Key != "in" && d.CmdArgs[2].Key != "passes" {
-		what = d.CmdArgs[2].Key
+		target = d.CmdArgs[2].Key
 	}
-	if m == onHeartbeat && what != "" {
-		node, machine, of := strings.Cut(what, "/")
-		if what = r.cluster.controllers[r.controllerIndex(t, d, node)].name; of {
-			what += "/" + machine
+	if point == onHeartbeat && target != "" {
+		node, machine, hasMachine := strings.Cut(target, "/")
+		if target = r.cluster.controllers[r.controllerIndex(t, d, node)].name; hasMachine {
+			target += "/" + machine
 		}
 	}
 	triggered := parseTriggeredCommands(t, d)
@@ -197,10 +204,10 @@
 		}
 		r.inTrigger = false
 	}
-	in, passes := parseDuration(t, d, arg(d, "in", "0s")), int(numberArg(t, d, "passes", "0"))
-	r.cluster.onNth(m, what, d.CmdArgs[0].Key == "before", passes, func() {
-		if in > 0 {
-			r.cluster.after(in, run)
+	delay, skip := parseDuration(t, d, arg(d, "in", "0s")), int(numberArg(t, d, "passes", "0"))
+	r.cluster.onNth(point, target, d.CmdArgs[0].Key == "before", skip, func() {
+		if delay > 0 {
+			r.cluster.after(delay, run)
 			return
 		}
 		run()
@@ -208,11 +215,11 @@
 	return ""
 }
 
-// scenarioCommands are those of scenario files, by name.
+// scenarioCommands are the handlers of the commands in scenario files, by command name.
 var scenarioCommands map[string]func(r *scenarioRunner, t *testing.T, d *datadriven.TestData) string
 
 func init() {
-	// Not in the declaration: "when" runs other commands.
+	// Set here, as an initializer would be an initialization cycle: "when" runs other commands.
 	scenarioCommands = map[string]func(r *scenarioRunner, t *testing.T, d *datadriven.TestData) string{
 		"start":         (*scenarioRunner).runStart,
 		"advance":       (*scenarioRunner).runAdvance,
@@ -272,6 +279,7 @@
 	return run(r, t, d)
 }
 
+// runStart handles "start [OPTION=VALUE]...": it replaces the cluster by a new one.
 func (r *scenarioRunner) runStart(t *testing.T, d *datadriven.TestData) string {
 	o := Options{Seed: uint64(numberArg(t, d, "seed", "1")), Controllers: int(numberArg(t, d, "nodes", "3")),
 		Machines: int(numberArg(t, d, "machines", "4")), Capacity: int(numberArg(t, d, "capacity", "20")),
@@ -279,7 +287,7 @@
 		ShardsPerController: int(numberArg(t, d, "shards", "0")), Headroom: numberArg(t, d, "headroom", "0"),
 		TeamCPULimit: numberArg(t, d, "limit", "0"), EventCost: parseDuration(t, d, arg(d, "cost", "0s"))}
 	if arg(d, "ceiling", "") != "" {
-		// ceiling=SHARE [queue=SECONDS] [trade=SECONDS] [moves [margin=N]]: balance is on.
+		// ceiling=SHARE [queue=SECONDS] [trade=SECONDS] [moves [margin=N]] turns on balancing.
 		o.Balance = &config.Balance{CeilingShare: numberArg(t, d, "ceiling", "0.5"),
 			MaxFetchBacklogSeconds: numberArg(t, d, "queue", "20"), LoadPenaltySeconds: numberArg(t, d, "trade", "2"),
 			AllowMigrations: arg(d, "moves", "") != "", MigrationMargin: numberArg(t, d, "margin", "1.5")}
@@ -297,11 +305,12 @@
 	return ""
 }
 
+// runPoll handles "poll JOB [node=NODE] [short]": it queries a controller for a job.
 func (r *scenarioRunner) runPoll(t *testing.T, d *datadriven.TestData) string {
 	node := r.controllerIndex(t, d, arg(d, "node", "leader"))
 	return r.sendAndWait(d, func(done func(string)) {
 		r.cluster.Query(node, firstArg(t, d), func(status int, text string) {
-			if arg(d, "short", "") != "" { // without the counts
+			if arg(d, "short", "") != "" { // without the numbers of tasks
 				text, _, _ = strings.Cut(text, " ")
 			}
 			done(fmt.Sprintf("%d %s", status, text))
@@ -321,7 +330,7 @@
 	return ""
 }
 
-// runRequest: request METHOD TARGET, with the body as input.
+// runRequest handles "request METHOD TARGET [node=NODE]" with the body as input.
 func (r *scenarioRunner) runRequest(t *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) < 2 {
 		d.Fatalf(t, "request needs a method and a target")
@@ -340,23 +349,27 @@
 	return n.name
 }
 
-// runSetting: setting shards=N: of controllers that start from now on; 0 for none.
+// runSetting handles "setting shards=N": it sets the shards per controller for controllers that
+// start from now on. 0 turns sharding off.
 func (r *scenarioRunner) runSetting(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.setShards(int(numberArg(t, d, "shards", "0")))
 	return ""
 }
 
-// runStream: stream FROM COUNT every=D ...: jobs one after the other, numbered from FROM.
+// runStream handles "stream FROM COUNT [every=D] [cancel=N] [insist] ...": it submits COUNT jobs
+// one after the other, numbered from FROM.
 func (r *scenarioRunner) runStream(t *testing.T, d *datadriven.TestData) string {
 	return r.submitStream(t, d)
 }
 
-// runRent: a machine that nobody here asked for.
+// runRent handles "rent [type=T] [zone=Z]": the cloud starts a machine that no controller has
+// requested.
 func (r *scenarioRunner) runRent(_ *testing.T, d *datadriven.TestData) string {
 	r.cluster.cloud.startMachine(arg(d, "type", "small"), arg(d, "zone", "a"), false, time.Second)
 	return ""
 }
 
+// runSubmit handles "submit JOB [node=NODE] ..." with the job's properties as arguments.
 func (r *scenarioRunner) runSubmit(t *testing.T, d *datadriven.TestData) string {
 	spec, run := r.jobSpec(t, d, firstArg(t, d))
 	node := r.controllerIndex(t, d, arg(d, "node", "leader"))
@@ -365,12 +378,12 @@
 	})
 }
 
-// submitStream submits jobs at intervals, whatever is answered; with cancel=N one in N is
-// cancelled on the way, up to a second after it should have ended, and with insist each
-// is sent until it is answered for good.
+// submitStream submits jobs at intervals, whatever the responses are. With cancel=N, one in N is
+// cancelled at a random time up to a second after it should have ended. With insist, each
+// submission is repeated until it gets a final response.
 func (r *scenarioRunner) submitStream(t *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) < 2 {
-		d.Fatalf(t, "stream needs a first number and a count")
+		d.Fatalf(t, "stream needs the number of its first job and a count")
 	}
 	from, _ := strconv.Atoi(d.CmdArgs[0].Key)
 	count, _ := strconv.Atoi(d.CmdArgs[1].Key)
@@ -392,7 +405,7 @@
 	return ""
 }
 
-// jobSpec is a job as a command's arguments describe it.
+// jobSpec builds a job from a command's arguments. The duration is the run time of its tasks.
 func (r *scenarioRunner) jobSpec(t *testing.T, d *datadriven.TestData, id string) (protocol.Job, time.Duration) {
 	spec := protocol.Job{ID: id, Class: arg(d, "class", "class"), Team: arg(d, "team", "red"), Kind: protocol.Batch,
 		Priority: map[string]protocol.Priority{"critical": protocol.Critical, "urgent": protocol.Urgent,
