--- a/internal/simulator/loopback_services_test.go
+++ b/internal/simulator/loopback_services_test.go
@@ -168,10 +168,10 @@
 	list, _, err := protocol.ParseMachines(wantStatus(t, l.Controllers()[0].CloudAddr(), protocol.MachinesTarget(""), 200))
 	index := slices.IndexFunc(list, func(m protocol.ListedMachine) bool { return m.Name == external.Name })
 	if err != nil || index < 0 {
-		t.Fatalf("the cloud lists %+v, %v", list, err)
+		t.Fatalf("the cloud lists %+v, %v, without the external machine", list, err)
 	}
 	if m := list[index]; m.Addr != external.Endpoint || m.Type != external.Type || m.Zone != external.Zone || m.State != protocol.Up {
-		t.Errorf("the cloud lists %+v", m)
+		t.Errorf("the cloud lists the external machine as %+v, not as it is configured", m)
 	}
 	for _, invalidate := range []func(*ExternalMachine){
 		func(m *ExternalMachine) { m.Name = "" },
--- a/internal/simulator/scenario_show_test.go
+++ b/internal/simulator/scenario_show_test.go
@@ -77,7 +77,7 @@
 	return "one"
 }
 
-// runShow handles "show".
+// runShow handles "show": the running tasks of each job and the types of their machines.
 func (r *scenarioRunner) runShow(_ *testing.T, _ *datadriven.TestData) string {
 	return r.listRunningTasks()
 }
@@ -88,7 +88,7 @@
 	return r.countJobs()
 }
 
-// runMachineCount handles "fleet".
+// runMachineCount handles "fleet": the number of rented machines of each type.
 func (r *scenarioRunner) runMachineCount(_ *testing.T, _ *datadriven.TestData) string {
 	return r.countMachines()
 }
@@ -146,7 +146,8 @@
 	return fmt.Sprintf("%s; %d tasks run", strings.Join(list, ", "), tasks)
 }
 
-// countMachines counts the machines that run up costs, by type and zone, with spot machines apart.
+// countMachines counts the rented machines that haven't failed, by type and zone, with spot machines
+// apart.
 func (r *scenarioRunner) countMachines() string {
 	count := map[string]int{}
 	for _, h := range r.cluster.cloud.machines {
