--- a/cmd/standin/cluster.go
+++ b/cmd/standin/cluster.go
@@ -13,38 +13,39 @@
 	"brasskeel/internal/simulator"
 )
 
-// Errors of a run.
 var (
-	errExternalSyntax = errors.New("--external takes name=NAME,type=TYPE,zone=ZONE,endpoint=ADDRESS")
-	errRulesBroken    = errors.New("rules were broken")
+	errExternalSyntax = errors.New("--external must have the form name=NAME,type=TYPE,zone=ZONE,endpoint=ADDRESS")
+	errRulesBroken    = errors.New("rules were violated, see \"rule broken\" in the log")
 )
 
-// capacityPerType is the number of machines that can be rented of each type, ordinary ones and
-// spot ones.
-const capacityPerType = 50
+// cloudCapacity is the number of on-demand machines, and also of spot machines, that the simulated
+// cloud rents out per machine type and zone.
+const cloudCapacity = 50
 
-// startTimeout bounds how long controllers may take to be ready.
+// startTimeout is how long the controllers may take to become ready.
 const startTimeout = 20 * time.Second
 
-// clusterFlags shape the cluster of a command.
+// clusterFlags are the flags that describe the cluster, common to the up and load commands.
 type clusterFlags struct {
 	controllers, machines int
 	binary, operator, dir string
 	external              []string
 }
 
+// add defines the flags on a command.
 func (f *clusterFlags) add(c *cobra.Command) {
 	flags := c.Flags()
 	flags.IntVar(&f.controllers, "controllers", 3, "number of controllers")
-	flags.IntVar(&f.machines, "machines", 6, "number of simulated machines that run from the start")
-	flags.StringVar(&f.binary, "binary", "target/brasskeel", "the controllers' program")
-	flags.StringVar(&f.operator, "operator", "", "the operators' settings (JSON)")
-	flags.StringVar(&f.dir, "dir", "", "where the controllers' settings and logs are kept (without it they are removed at the end)")
-	flags.StringArrayVar(&f.external, "external", nil, "a machine that is not simulated, as name=NAME,type=TYPE,zone=ZONE,endpoint=ADDRESS")
+	flags.IntVar(&f.machines, "machines", 6, "number of simulated machines that are running at the start")
+	flags.StringVar(&f.binary, "binary", "target/brasskeel", "path of the controller binary")
+	flags.StringVar(&f.operator, "operator", "", "path of the operator settings file (JSON); without it the defaults apply")
+	flags.StringVar(&f.dir, "dir", "", "directory for the controllers' settings and logs; without it they go to a temporary directory that is removed at the end")
+	flags.StringArrayVar(&f.external, "external", nil, "a machine whose worker is a real process, as name=NAME,type=TYPE,zone=ZONE,endpoint=ADDRESS; may be repeated")
 }
 
-// run starts a cluster, does something with it once it is ready, and ends it.
-func (f *clusterFlags) run(ctx context.Context, do func(*simulator.Loopback) error) error {
+// run starts a cluster, calls action once it is ready, and shuts the cluster down. It returns
+// errRulesBroken if the cluster recorded any violation.
+func (f *clusterFlags) run(ctx context.Context, action func(*simulator.Loopback) error) error {
 	options, err := f.options()
 	if err != nil {
 		return err
@@ -57,39 +58,40 @@
 	} else if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return err
 	}
-	live, err := simulator.NewLoopback(options)
+	cluster, err := simulator.NewLoopback(options)
 	if err != nil {
 		return err
 	}
-	err = startControllers(ctx, live)
+	err = startControllers(ctx, cluster)
 	if err == nil {
-		err = do(live)
+		err = action(cluster)
 	}
-	live.Close()
-	if len(live.Violations()) > 0 { // each was logged
+	cluster.Close()
+	if len(cluster.Violations()) > 0 { // the simulator logs each broken rule
 		return errors.Join(err, errRulesBroken)
 	}
 	return err
 }
 
 // startControllers starts the controllers and waits until they are ready.
-func startControllers(ctx context.Context, live *simulator.Loopback) error {
-	if err := live.StartControllers(); err != nil {
+func startControllers(ctx context.Context, cluster *simulator.Loopback) error {
+	if err := cluster.StartControllers(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	return live.AwaitReady(ctx)
+	return cluster.AwaitReady(ctx)
 }
 
+// options checks the flags and converts them to the simulator's options.
 func (f *clusterFlags) options() (simulator.LoopbackOptions, error) {
 	o := simulator.LoopbackOptions{Binary: f.binary, OperatorFile: f.operator, Dir: f.dir,
-		Options: simulator.Options{Controllers: f.controllers, Machines: f.machines, Capacity: capacityPerType, Log: os.Stderr}}
+		Options: simulator.Options{Controllers: f.controllers, Machines: f.machines, Capacity: cloudCapacity, Log: os.Stderr}}
 	if f.controllers < 1 || f.machines < 0 {
-		return o, fmt.Errorf("%d controllers and %d machines are no cluster", f.controllers, f.machines)
+		return o, fmt.Errorf("invalid cluster: %d controllers and %d machines; at least one controller is needed and no negative number of machines", f.controllers, f.machines)
 	}
-	for _, text := range f.external {
-		m, err := parseExternal(text)
+	for _, value := range f.external {
+		m, err := parseExternal(value)
 		if err != nil {
 			return o, err
 		}
@@ -98,15 +100,15 @@
 	return o, nil
 }
 
-// parseExternal reads the value of --external.
-func parseExternal(text string) (m simulator.ExternalMachine, err error) {
+// parseExternal parses a value of the --external flag.
+func parseExternal(value string) (m simulator.ExternalMachine, err error) {
 	fields := map[string]*string{"name": &m.Name, "type": &m.Type, "zone": &m.Zone, "endpoint": &m.Endpoint}
-	for part := range strings.SplitSeq(text, ",") {
-		key, value, _ := strings.Cut(part, "=")
-		if fields[key] == nil || value == "" {
-			return m, fmt.Errorf("%w, not %q", errExternalSyntax, text)
+	for part := range strings.SplitSeq(value, ",") {
+		key, fieldValue, _ := strings.Cut(part, "=")
+		if fields[key] == nil || fieldValue == "" {
+			return m, fmt.Errorf("%w, got %q", errExternalSyntax, value)
 		}
-		*fields[key] = value
+		*fields[key] = fieldValue
 	}
 	return m, nil
 }
--- a/cmd/standin/experiment.go
+++ b/cmd/standin/experiment.go
@@ -21,9 +21,9 @@
 
 func experimentCommand() *cobra.Command {
 	var reportFile, plotFile string
-	c := &cobra.Command{Use: "experiment FILE", Short: "Play a drawn load in simulated time, with and without balance", Args: cobra.ExactArgs(1)}
-	c.Flags().StringVar(&reportFile, "json", "", "a file for the whole report")
-	c.Flags().StringVar(&plotFile, "svg", "", "a file for a plot of the machines' loads over time")
+	c := &cobra.Command{Use: "experiment FILE", Short: "Run a randomly generated load in simulated time, with balance off and on", Args: cobra.ExactArgs(1)}
+	c.Flags().StringVar(&reportFile, "json", "", "write the full report to this file (JSON)")
+	c.Flags().StringVar(&plotFile, "svg", "", "write a plot of machine load over time to this file (SVG)")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		raw, err := os.ReadFile(args[0])
 		if err != nil {
@@ -51,17 +51,18 @@
 	return c
 }
 
-// violationError is an error if any rule was broken.
+// violationError returns an error if a rule was broken under any setting.
 func violationError(outcomes []simulator.Outcome) error {
 	for _, o := range outcomes {
 		if len(o.Violations) > 0 {
-			return fmt.Errorf("%d rules broken with the setting %s, first: %s", len(o.Violations), o.Setting, o.Violations[0])
+			return fmt.Errorf("%d rules broken with balance %s, first: %s", len(o.Violations), o.Setting, o.Violations[0])
 		}
 	}
 	return nil
 }
 
-// printOutcomes prints a column for each setting. All figures are from simulated machines.
+// printOutcomes prints a table with one column per setting. All figures are from simulated
+// machines.
 func printOutcomes(out io.Writer, e *simulator.Experiment, outcomes []simulator.Outcome) {
 	fmt.Fprintf(out, "%s: %d simulated machines at the start, %d s, %d seeds\n", e.Name, e.Machines, e.Seconds, e.Seeds)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -89,10 +90,10 @@
 			return fmt.Sprintf("%.2f s, %.2f s", o.Waits[team].Median, o.Waits[team].P99)
 		})
 	}
-	_ = w.Flush() // to a terminal, as all that is printed
+	_ = w.Flush() // output for a terminal: write errors are ignored
 }
 
-func formatPercent(part float64) string { return fmt.Sprintf("%.1f%%", 100*part) }
+func formatPercent(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) }
 
 func mean(list []float64) float64 {
 	sum := 0.0
@@ -102,7 +103,8 @@
 	return sum / float64(max(1, len(list)))
 }
 
-// writeReport writes all outcomes as JSON; without a file's name it does nothing.
+// writeReport writes the experiment and its outcomes to a file as JSON. It does nothing if the
+// file name is empty.
 func writeReport(file string, e *simulator.Experiment, outcomes []simulator.Outcome) error {
 	if file == "" {
 		return nil
@@ -118,7 +120,7 @@
 	return os.WriteFile(file, append(raw, '\n'), 0o644)
 }
 
-// Colours of the settings, and the size of the plot.
+// lineColours holds one colour per setting.
 var lineColours = []color.Color{color.RGBA{R: 190, G: 60, B: 40, A: 255}, color.RGBA{R: 40, G: 90, B: 170, A: 255}}
 
 const (
@@ -126,16 +128,16 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// writePlot draws the loads of the hottest machine and of all over time, as a self-contained
-// SVG; without a file's name it does nothing.
+// writePlot draws the load of the machines over time, as the mean and as the load that 99% of
+// them are below, to a self-contained SVG file. It does nothing if the file name is empty.
 func writePlot(file string, e *simulator.Experiment, outcomes []simulator.Outcome) error {
 	if file == "" {
 		return nil
 	}
 	p := plot.New()
 	p.Title.Text = e.Name + " (simulated machines)"
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "part of a machine taken"
-	p.Y.Min, p.Y.Max = 0, 1.3 // room for the legend
+	p.X.Label.Text, p.Y.Label.Text = "seconds", "share of a machine in use"
+	p.Y.Min, p.Y.Max = 0, 1.3 // leaves space for the legend above full load
 	p.Legend.Top = true
 	for i, o := range outcomes {
 		for _, s := range []struct {
@@ -144,8 +146,8 @@
 			dashes []vg.Length
 		}{{"99% below", o.P99Load, nil}, {"mean", o.MeanLoad, []vg.Length{vg.Points(4), vg.Points(3)}}} {
 			points := make(plotter.XYs, len(s.values))
-			for k, v := range s.values {
-				points[k].X, points[k].Y = float64(k), v
+			for second, v := range s.values {
+				points[second].X, points[second].Y = float64(second), v
 			}
 			line, err := plotter.NewLine(points)
 			if err != nil {
@@ -156,7 +158,7 @@
 			p.Legend.Add(o.Setting+", "+s.name, line)
 		}
 	}
-	drawn, err := p.WriterTo(plotWidth, plotHeight, "svg")
+	svg, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return err
 	}
@@ -164,6 +166,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = drawn.WriteTo(out)
+	_, err = svg.WriteTo(out)
 	return errors.Join(err, out.Close())
 }
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -15,20 +15,20 @@
 	var flags clusterFlags
 	var load simulator.Load
 	var within time.Duration
-	c := &cobra.Command{Use: "load", Short: "Run controllers under a stream of jobs and say how they did", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "load", Short: "Run controllers under a stream of jobs and print completion counts and latencies", Args: cobra.NoArgs}
 	flags.add(c)
 	c.Flags().IntVar(&load.Jobs, "jobs", 100, "number of jobs, of one task each")
 	c.Flags().Float64Var(&load.Rate, "rate", 5, "jobs per second")
-	c.Flags().DurationVar(&load.RunTime, "run", 2*time.Second, "how long a task runs")
-	c.Flags().DurationVar(&within, "within", 5*time.Minute, "when all must be done")
+	c.Flags().DurationVar(&load.RunTime, "run", 2*time.Second, "run time of a task")
+	c.Flags().DurationVar(&within, "within", 5*time.Minute, "time limit for all jobs to be done")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		if load.Jobs < 1 || !(load.Rate > 0) || load.RunTime <= 0 {
-			return fmt.Errorf("%d jobs of %s at %g per second are no load", load.Jobs, load.RunTime, load.Rate)
+			return fmt.Errorf("invalid load: %d jobs of %s at %g per second; all three must be positive", load.Jobs, load.RunTime, load.Rate)
 		}
-		return flags.run(cmd.Context(), func(live *simulator.Loopback) error {
+		return flags.run(cmd.Context(), func(cluster *simulator.Loopback) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), within)
 			defer cancel()
-			summary, err := live.RunLoad(ctx, load)
+			summary, err := cluster.RunLoad(ctx, load)
 			printSummary(cmd.OutOrStdout(), summary)
 			return err
 		})
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,6 @@
-// Standin runs controllers on one machine against a simulated state service, cloud and
-// workers, in real time. It is for trying the project and for its development.
+// Standin runs controllers on one machine in real time, against a simulated state service,
+// cloud and workers. It also runs load experiments in simulated time. It is meant for trying
+// out and developing the project.
 package main
 
 import (
@@ -24,7 +25,7 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "standin",
-		Short:         "Controllers on one machine, against simulated services",
+		Short:         "Run controllers on one machine against simulated services",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -19,13 +19,14 @@
 	"brasskeel/internal/simulator"
 )
 
-// commandTimeout bounds all that a test waits for, and queryInterval is how often its user asks.
+// commandTimeout limits how long a test waits for a command; pollInterval is the pause between
+// requests while it polls.
 const (
 	commandTimeout = 40 * time.Second
 	pollInterval   = 200 * time.Millisecond
 )
 
-// TestCommands runs the commands with real controllers.
+// TestCommands runs the up and load commands with real controller processes.
 func TestCommands(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "brasskeel")
 	if out, err := exec.Command("go", "build", "-o", binary, "brasskeel/cmd/brasskeel").CombinedOutput(); err != nil {
@@ -41,7 +42,7 @@
 	}
 }
 
-// executeCommand runs the command with arguments.
+// executeCommand runs standin with the given arguments.
 func executeCommand(ctx context.Context, out io.Writer, arguments ...string) error {
 	root := rootCommand()
 	root.SetArgs(arguments)
@@ -49,31 +50,31 @@
 	return root.ExecuteContext(ctx)
 }
 
-// checkReport expects an experiment's report in a file.
+// checkReport checks that a file holds an experiment's report.
 func checkReport(t *testing.T, file string) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil || !json.Valid(raw) || !bytes.Contains(raw, []byte(`"simulatedMachines": true`)) {
-		t.Errorf("report: %v, %d bytes", err, len(raw))
+		t.Errorf("invalid report: error %v, %d bytes", err, len(raw))
 	}
 }
 
-// checkPlot expects an experiment's plot in a file.
+// checkPlot checks that a file holds an SVG plot of at least four lines without external references.
 func checkPlot(t *testing.T, file string) {
 	t.Helper()
-	drawn, err := os.ReadFile(file)
-	if err != nil || !bytes.Contains(drawn, []byte("<svg")) || bytes.Count(drawn, []byte("<path")) < 4 || bytes.Contains(drawn, []byte("href")) {
-		t.Errorf("plot: %v, %d bytes", err, len(drawn))
+	svg, err := os.ReadFile(file)
+	if err != nil || !bytes.Contains(svg, []byte("<svg")) || bytes.Count(svg, []byte("<path")) < 4 || bytes.Contains(svg, []byte("href")) {
+		t.Errorf("invalid plot: error %v, %d bytes", err, len(svg))
 	}
 }
 
-// TestExperimentCommand prints a table, shows progress, writes a report and a plot, and refuses
-// a wrong file with one line.
+// TestExperimentCommand checks that the experiment command prints a table and its progress, writes
+// a report and a plot, and rejects an invalid file with an error that names the fault.
 func TestExperimentCommand(t *testing.T) {
 	const settings = `{"name": "two machines", "machines": 2, "seconds": 8, "seeds": 2, "teams": [{"team": "blue", "jobsPerSecond": 0.5,
 		"tasks": 2, "cpus": 1, "runSeconds": 2, "images": 1, "imageGb": 1}], "balance": {}}`
 	dir := t.TempDir()
-	file := func(name, content string) string {
+	writeFile := func(name, content string) string {
 		path := filepath.Join(dir, name)
 		if content != "" {
 			if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -83,9 +84,9 @@
 		return path
 	}
 	var out, progress bytes.Buffer
-	report, plot := file("report.json", ""), file("plot.svg", "")
+	report, plot := writeFile("report.json", ""), writeFile("plot.svg", "")
 	root := rootCommand()
-	root.SetArgs([]string{"experiment", file("e.json", settings), "--json", report, "--svg", plot})
+	root.SetArgs([]string{"experiment", writeFile("e.json", settings), "--json", report, "--svg", plot})
 	root.SetOut(&out)
 	root.SetErr(&progress)
 	if err := root.ExecuteContext(t.Context()); err != nil {
@@ -93,36 +94,36 @@
 	}
 	for _, want := range []string{"two machines: 2 simulated machines", "jobs done", "wait of blue"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q isn't printed:\n%s", want, out.String())
+			t.Errorf("output lacks %q:\n%s", want, out.String())
 		}
 	}
 	if lines := strings.Count(progress.String(), "\n"); lines != 4 {
-		t.Errorf("%d lines of progress for four runs", lines)
+		t.Errorf("got %d lines of progress, want one for each of 4 runs", lines)
 	}
 	checkReport(t, report)
 	checkPlot(t, plot)
-	for content, names := range map[string]string{strings.Replace(settings, `"cpus": 1`, `"cpus": -1`, 1): "teams[0].cpus", "{": "experiment"} {
-		if err := executeCommand(t.Context(), io.Discard, "experiment", file("bad.json", content)); err == nil || !strings.Contains(err.Error(), names) {
-			t.Errorf("%s: %v", names, err)
+	for content, wantInError := range map[string]string{strings.Replace(settings, `"cpus": 1`, `"cpus": -1`, 1): "teams[0].cpus", "{": "experiment"} {
+		if err := executeCommand(t.Context(), io.Discard, "experiment", writeFile("bad.json", content)); err == nil || !strings.Contains(err.Error(), wantInError) {
+			t.Errorf("invalid experiment: want an error that contains %q, got %v", wantInError, err)
 		}
 	}
-	if err := executeCommand(t.Context(), io.Discard, "experiment", file("none.json", "")); err == nil {
-		t.Error("a file that isn't there is taken")
+	if err := executeCommand(t.Context(), io.Discard, "experiment", writeFile("none.json", "")); err == nil {
+		t.Error("an experiment file that does not exist was accepted")
 	}
 }
 
-// testLoad expects all jobs of a small load to be done.
+// testLoad checks that all jobs of a small load are done.
 func testLoad(ctx context.Context, t *testing.T, binary string) {
 	var out bytes.Buffer
 	if err := executeCommand(ctx, &out, "load", "--binary", binary, "--jobs", "10", "--rate", "10", "--run", "500ms"); err != nil {
 		t.Error(err)
 	}
 	if !strings.HasPrefix(out.String(), "jobs      10, accepted 10, done 10\n") {
-		t.Errorf("the summary is\n%s", out.String())
+		t.Errorf("unexpected summary:\n%s", out.String())
 	}
 }
 
-// testUp runs a job like a user does, at the address that the command prints.
+// testUp runs a job, as a user would, at the address that the up command prints.
 func testUp(ctx context.Context, t *testing.T, binary string) {
 	out, in := io.Pipe()
 	running, interrupt := context.WithCancel(ctx)
@@ -141,20 +142,20 @@
 	}
 }
 
-// runJob submits a job and asks for it until it is done. As users do, it asks again when
-// it is refused with 503.
+// runJob submits a job and polls its state until it is done. Requests that are answered with 503
+// are retried, as users do.
 func runJob(ctx context.Context, out *io.PipeReader) error {
-	jobs, err := readJobsURL(out)
+	jobsURL, err := readJobsURL(out)
 	if err != nil {
 		return err
 	}
 	go func() { _, _ = io.Copy(io.Discard, out) }()
 	job := simulator.SampleJob("run-000001", 500*time.Millisecond)
-	if _, err := sendWithRetry(ctx, "POST", jobs, protocol.EncodeJob(&job)); err != nil {
+	if _, err := sendWithRetry(ctx, "POST", jobsURL, protocol.EncodeJob(&job)); err != nil {
 		return err
 	}
 	for {
-		state, err := sendWithRetry(ctx, "GET", jobs+"/"+job.ID, nil)
+		state, err := sendWithRetry(ctx, "GET", jobsURL+"/"+job.ID, nil)
 		if err != nil || state == protocol.Done {
 			return err
 		}
@@ -162,7 +163,7 @@
 	}
 }
 
-// waitPollInterval lasts until the user asks again.
+// waitPollInterval waits for pollInterval, or until ctx ends.
 func waitPollInterval(ctx context.Context) {
 	select {
 	case <-time.After(pollInterval):
@@ -170,10 +171,10 @@
 	}
 }
 
-// sendWithRetry sends a user's request until it isn't refused with 503.
-func sendWithRetry(ctx context.Context, method, address string, body []byte) (protocol.JobState, error) {
+// sendWithRetry sends a user's request and retries it as long as the answer is 503.
+func sendWithRetry(ctx context.Context, method, url string, body []byte) (protocol.JobState, error) {
 	for {
-		status, state, err := sendRequest(ctx, method, address, body)
+		status, state, err := sendRequest(ctx, method, url, body)
 		if err != nil || status != http.StatusServiceUnavailable {
 			return state, err
 		}
@@ -181,7 +182,7 @@
 	}
 }
 
-// readJobsURL finds the first address that the command prints for jobs.
+// readJobsURL returns the first URL for jobs in the command's output.
 func readJobsURL(out io.Reader) (string, error) {
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
@@ -191,12 +192,12 @@
 			}
 		}
 	}
-	return "", errors.Join(lines.Err(), errors.New("no address is printed"))
+	return "", errors.Join(lines.Err(), errors.New("no URL for jobs in the output"))
 }
 
-// sendRequest sends a user's request and reads the state that the answer tells.
-func sendRequest(ctx context.Context, method, address string, body []byte) (int, protocol.JobState, error) {
-	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
+// sendRequest sends a user's request and returns the HTTP status and the job state of the response.
+func sendRequest(ctx context.Context, method, url string, body []byte) (int, protocol.JobState, error) {
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, 0, err
 	}
@@ -205,11 +206,11 @@
 		return 0, 0, err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil || response.StatusCode == http.StatusServiceUnavailable {
 		return response.StatusCode, 0, err
 	}
-	job, err := protocol.ParseJobStatus(answer)
+	job, err := protocol.ParseJobStatus(responseBody)
 	return response.StatusCode, job.State, err
 }
 
@@ -217,11 +218,11 @@
 	want := simulator.ExternalMachine{Name: "home-1", Type: "large", Zone: "a", Endpoint: "127.0.0.1:9000"}
 	got, err := parseExternal("name=home-1,type=large,zone=a,endpoint=127.0.0.1:9000")
 	if err != nil || got != want {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("parseExternal: got %+v, error %v, want %+v", got, err, want)
 	}
-	for _, bad := range []string{"", "name", "name=", "name=a,size=3"} {
-		if _, err := parseExternal(bad); !errors.Is(err, errExternalSyntax) {
-			t.Errorf("%q: %v", bad, err)
+	for _, invalid := range []string{"", "name", "name=", "name=a,size=3"} {
+		if _, err := parseExternal(invalid); !errors.Is(err, errExternalSyntax) {
+			t.Errorf("parseExternal(%q): error %v, want errExternalSyntax", invalid, err)
 		}
 	}
 }
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,5 +1,5 @@
-// Package docs_test holds the pages to the code: what they name must exist, and what on-call
-// engineers may see in the logs must be explained.
+// Package docs_test checks the documentation against the code: files and identifiers that the pages
+// refer to must exist, and every logged warning and error must be documented for on-call engineers.
 package docs_test
 
 import (
@@ -17,8 +17,8 @@
 
 const root = ".."
 
-// maintainedPages are those that describe the code as it is. The others tell what was measured, found or
-// changed at a time, in the words of that time.
+// maintainedPages returns the paths of the pages that describe the present code. Other pages record
+// measurements, findings and changes of the past, and keep the names that were in use then.
 func maintainedPages() []string {
 	list := []string{filepath.Join(root, "README.md"), filepath.Join(root, "DEVELOPERS.md")}
 	for _, name := range []string{"ARCHITECTURE", "BALANCE", "DESIGN", "GLOSSARY", "MEETINGS", "OPERATIONS", "SCALE", "SHARDS"} {
@@ -27,16 +27,16 @@
 	return list
 }
 
-// repository is what the pages may name.
+// repository holds the names that pages may refer to.
 type repository struct {
-	files []string        // paths from the root
-	words map[string]bool // in its files but the pages
+	files []string        // files and directories, relative to the root
+	words map[string]bool // in the contents and paths of all files but .md and .sum files
 }
 
-// optionalFiles are files that aren't always there.
+// optionalFiles may be missing from the repository although pages refer to them.
 var optionalFiles = map[string]bool{"KNOWN-RED.txt": true}
 
-// skippedDirs hold no sources.
+// skippedDirs are directories without sources.
 var skippedDirs = map[string]bool{".git": true, "journal": true, "target": true}
 
 var wordPattern = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*`)
@@ -81,7 +81,8 @@
 	return r
 }
 
-// hasPath reports whether a file or folder is named by the end of its path.
+// hasPath reports whether the repository has a file or directory with this path, or with a path that
+// ends in it.
 func (r *repository) hasPath(path string) bool {
 	path = strings.TrimSuffix(strings.TrimPrefix(path, "./"), "/")
 	for _, f := range r.files {
@@ -99,8 +100,8 @@
 	identifierPattern = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*(\(\))?$`)
 )
 
-// resolves reports whether what a page puts in backquotes exists, if it is a file, a path or an
-// identifier. Commands and other phrases are not looked for.
+// resolves reports whether a name that a page puts in backquotes exists, if it has the form of a
+// file, a path or an identifier. Anything else, such as a command, is accepted unchecked.
 func (r *repository) resolves(name string) bool {
 	switch {
 	case fileNamePattern.MatchString(name):
@@ -117,7 +118,8 @@
 	return true
 }
 
-// TestReferencesInPagesExist looks for each file and identifier that a page puts in backquotes.
+// TestReferencesInPagesExist checks that each file and identifier that a maintained page puts in
+// backquotes exists in the repository.
 func TestReferencesInPagesExist(t *testing.T) {
 	r := readRepository(t)
 	for _, page := range maintainedPages() {
@@ -128,13 +130,14 @@
 		}
 		for _, match := range backquoted.FindAllStringSubmatch(string(raw), -1) {
 			if name := match[1]; !r.resolves(name) {
-				t.Errorf("%s names %s, which is nowhere", page, name)
+				t.Errorf("%s refers to %s, which does not exist in the repository", page, name)
 			}
 		}
 	}
 }
 
-// loggedMessages are the messages of all calls that log at level warn or error, with where.
+// loggedMessages returns the messages of all calls that log at level warn or error, each with the
+// position of a call.
 func loggedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	found := map[string]string{}
@@ -164,7 +167,8 @@
 	return found
 }
 
-// warningMessage is the message of a call that logs at level warn or error.
+// warningMessage returns the message of a call that logs at level warn or error. ok is false for any
+// other node, and for a message that is not a string literal.
 func warningMessage(n ast.Node) (message string, ok bool) {
 	call, isCall := n.(*ast.CallExpr)
 	if !isCall || len(call.Args) == 0 {
@@ -182,8 +186,8 @@
 	return message, err == nil
 }
 
-// TestWarningsAreDocumented holds docs/OPERATIONS.md to every line that is logged at level warn or
-// error.
+// TestWarningsAreDocumented checks that docs/OPERATIONS.md has every message that is logged at level
+// warn or error.
 func TestWarningsAreDocumented(t *testing.T) {
 	raw, err := os.ReadFile("OPERATIONS.md")
 	if err != nil {
@@ -191,11 +195,11 @@
 	}
 	messages := loggedMessages(t)
 	if len(messages) == 0 {
-		t.Fatal("no call that logs a warning was found")
+		t.Fatal("found no call that logs a warning or error")
 	}
 	for message, where := range messages {
 		if !strings.Contains(string(raw), "`"+message+"`") {
-			t.Errorf("%q (%s) is not explained", message, where)
+			t.Errorf("message %q (%s) is not documented in OPERATIONS.md", message, where)
 		}
 	}
 }
