--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -44,7 +44,7 @@
 	offers := testCatalog().Offers(func(k OfferKey) bool { return k != OfferKey{"small", "b", true} })
 	want := []OfferKey{{"small", "a", true}, {"large", "a", false}, {"small", "a", false}, {"small", "b", false}}
 	if len(offers) != len(want) {
-		t.Fatalf("%d offers", len(offers))
+		t.Fatalf("%d offers, want all but the one excluded", len(offers))
 	}
 	for i, o := range offers {
 		if o.Key() != want[i] {
@@ -68,11 +68,11 @@
 		{"only on a large one", testJob(func(j *protocol.Job) { j.CPUs = 5 }), 1, OfferKey{"large", "a", false}},
 	} {
 		if got, ok := BestOffer(testCatalog().Offers(anyOffer), test.job, test.tasks, anywhere); !ok || got.Key() != test.want {
-			t.Errorf("%s: %t %+v", test.name, ok, got.Key())
+			t.Errorf("%s: found %t, offer %+v", test.name, ok, got.Key())
 		}
 	}
 	if _, ok := BestOffer(testCatalog().Offers(anyOffer), testJob(func(j *protocol.Job) { j.CPUs = 17 }), 1, anywhere); ok {
-		t.Error("a task larger than any machine gets an offer")
+		t.Error("offer found for a task larger than any machine")
 	}
 }
 
@@ -81,10 +81,10 @@
 	ordinary, spot := Offer{c.Types["small"], "a", false}, Offer{c.Types["small"], "a", true}
 	j := testJob(func(*protocol.Job) {})
 	if !c.TooExpensive(j, ordinary) || c.TooExpensive(j, spot) {
-		t.Error("twice the lowest price isn't too much, or the lowest is")
+		t.Error("an offer at twice the lowest price must be too expensive, and the one at the lowest price must not")
 	}
 	if fixed := testJob(func(j *protocol.Job) { j.AllowSpot = false }); c.TooExpensive(fixed, ordinary) {
-		t.Error("the price of machines that a job may not use counts")
+		t.Error("offer too expensive compared with spot machines, which the job may not use")
 	}
 }
 
@@ -95,17 +95,17 @@
 	p.Expect(j)
 	p.AddDemand(demandOf(j, 6)) // four of them fit on the booting machine
 	if got := plannedCount(p); got != 1 {
-		t.Errorf("%d machines planned for six tasks with one machine booting", got)
+		t.Errorf("%d machines planned for six tasks of which four fit on a booting machine, want 1", got)
 	}
 	p.AddDisplaced(j, placement.ShapeKeyOf(j), 2)
 	if got := plannedCount(p); got != 1 {
-		t.Errorf("%d machines planned, although two replicas fit on planned ones", got)
+		t.Errorf("%d machines planned after two displaced replicas that fit on the planned one, want 1", got)
 	}
 	if free, taken := p.CountCapacity(0, 0); free != 0 || taken != 8 {
-		t.Errorf("%g CPUs free, %g taken", free, taken)
+		t.Errorf("%g CPUs free and %g allocated on booting and planned machines, want 0 and 8", free, taken)
 	}
 	if cpus, ok := p.AddCheapest(); !ok || cpus != 4 || plannedCount(p) != 2 || p.Booting() != 3 {
-		t.Errorf("headroom: %g CPUs, %d machines", cpus, plannedCount(p))
+		t.Errorf("AddCheapest added %g CPUs, %d machines planned; want 4 and 2, with 3 booting or planned", cpus, plannedCount(p))
 	}
 }
 
@@ -114,18 +114,18 @@
 	p := testPlan(2)
 	p.Expect(j)
 	if p.AddDemand(demandOf(j, 100)); plannedCount(p) != 2 || !p.Full() {
-		t.Errorf("%d machines planned, the limit is two", plannedCount(p))
+		t.Errorf("%d machines planned, want 2, which is the limit, and a full plan", plannedCount(p))
 	}
 	p = testPlan(100)
 	p.quotas["red"].CPUs = 8
 	if p.AddDemand(demandOf(j, 100)); plannedCount(p) != 2 {
-		t.Errorf("%d machines for a quota of 8 CPUs", plannedCount(p))
+		t.Errorf("%d machines planned for a quota of 8 CPUs, want 2", plannedCount(p))
 	}
 	spread := testJob(func(j *protocol.Job) { j.Spread, j.Tasks, j.CPUs = true, 4, 4 })
 	p = testPlan(100)
 	p.AddDemand(demandOf(spread, 4))
 	if requests := p.Requests(); len(requests) != 2 || requests[0].Count != 2 || requests[1].Count != 2 {
-		t.Errorf("a job that spreads: %+v", requests)
+		t.Errorf("requests %+v for a job with Spread, want two machines in each of two zones", requests)
 	}
 }
 
@@ -138,7 +138,7 @@
 		p := testPlan(10)
 		p.AddDemand(d)
 		if got := plannedCount(p) == 1; got != starving || plannedCount(p) > 1 {
-			t.Errorf("starving %t: %d machines", starving, plannedCount(p))
+			t.Errorf("starving %t: %d machines planned; want one if starving, else none", starving, plannedCount(p))
 		}
 	}
 }
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// The usage of each team is right in whatever order attempts are removed.
+// The usage of each team is correct in whatever order attempts are removed.
 func TestLoadByTeam(t *testing.T) {
 	var l Load
 	l.AddAttempt(1, placement.Resources{CPUs: 2, MemGB: 4})
@@ -52,11 +52,11 @@
 	l.AddAttempt(1, placement.Resources{CPUs: 1, MemGB: 8})
 	l.RemoveAttempt(1, placement.Resources{CPUs: 2, MemGB: 4})
 	if r, tasks := l.TeamUsage(1); tasks != 1 || r != (placement.Resources{CPUs: 1, MemGB: 8}) {
-		t.Errorf("usage is %d tasks with %+v", tasks, r)
+		t.Errorf("usage of the team is %d tasks with %+v, not as expected", tasks, r)
 	}
 	l.RemoveAttempt(2, placement.Resources{CPUs: 1, MemGB: 1})
 	if r, tasks := l.TeamUsage(2); tasks != 0 || r != (placement.Resources{}) {
-		t.Errorf("usage is %d tasks with %+v", tasks, r)
+		t.Errorf("usage of the team is %d tasks with %+v, not as expected", tasks, r)
 	}
 	if got := DominantShare(placement.Resources{CPUs: 1, MemGB: 8}, placement.Resources{CPUs: 4, MemGB: 16}); got != 0.5 {
 		t.Errorf("dominant share is %g, want 0.5", got)
@@ -96,8 +96,8 @@
 	}
 }
 
-// A surge is detected at its start, and a further rise changes nothing. It ends when demand has been
-// low for surgeEndDelay, or after maxSurgeDuration.
+// A surge is detected when it starts, and a further increase of demand changes nothing. It ends when
+// demand has been low for surgeEndDelay, or after maxSurgeDuration.
 func TestSurge(t *testing.T) {
 	var s Surge
 	observe := func(sec float64, demand float64) SurgeChange { return s.Observe(at(sec), demand, 4) }
@@ -119,7 +119,7 @@
 		}
 	}
 	observe(180, 22)
-	observe(185, 60) // demand rises again before the end of surgeEndDelay
+	observe(185, 60) // demand increases again before the end of surgeEndDelay
 	observe(186, 22)
 	if c := observe(195, 22); c != Unchanged {
 		t.Errorf("change %d after 9 s of low demand, want none", c)
@@ -241,7 +241,7 @@
 			j.Task = large
 		}
 		if got := j.Exceeds(m, l); got != c.want {
-			t.Errorf("%s: above the ceiling: %v", c.name, got)
+			t.Errorf("%s: exceeds the ceiling: %v", c.name, got)
 		}
 	}
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -47,7 +47,7 @@
 	return c, l
 }
 
-// benchJob returns the i-th of a mix of jobs: batch jobs, services, and low-priority jobs that
+// benchJob returns job i of a mix of jobs: batch jobs, services, and low-priority jobs that
 // save checkpoints.
 func benchJob(i int) *protocol.Job {
 	j := &protocol.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard,
@@ -176,10 +176,10 @@
 		run  func(l *leader)
 	}{
 		{"watch", (*leader).detectFailures},
-		{"grow", (*leader).scaleOut},
-		{"shrink", (*leader).scaleIn},
+		{"scale-out", (*leader).scaleOut},
+		{"scale-in", (*leader).scaleIn},
 		{"consolidate", (*leader).consolidate},
-		{"explain", func(l *leader) { l.pendingLog = ratelog.Throttle{}; l.logPendingReasons() }},
+		{"pending-reasons", func(l *leader) { l.pendingLog = ratelog.Throttle{}; l.logPendingReasons() }},
 		{"publish", func(l *leader) { l.controller.broadcastStatus(); l.controller.effects = Effects{} }},
 	} {
 		b.Run(step.name, func(b *testing.B) {
@@ -197,7 +197,7 @@
 }
 
 // bootingFleet returns a leader whose whole fleet is booting, with twice as many pending tasks as
-// it will hold.
+// the fleet has capacity for.
 func bootingFleet(machines int) *leader {
 	_, l := largeLeader(machines, 2*benchJobs(machines))
 	for _, m := range l.fleetList {
@@ -211,7 +211,7 @@
 }
 
 // BenchmarkScaleOutWhileBooting plans a scale-out while the whole fleet is booting, with twice as
-// many pending tasks as it will hold.
+// many pending tasks as the fleet has capacity for.
 func BenchmarkScaleOutWhileBooting(b *testing.B) {
 	runAtSizes(b, func(b *testing.B, machines int) {
 		l := bootingFleet(machines)
@@ -223,7 +223,7 @@
 }
 
 // singleReplicaFleet returns a leader of a fleet where each machine runs one replica. Other
-// machines hold the replica's image but have no room for it.
+// machines have the replica's image cached but no capacity for it.
 func singleReplicaFleet(machines int) *leader {
 	_, l := largeLeader(machines, 0)
 	for i, m := range l.fleetList {
@@ -275,7 +275,7 @@
 			c, _ := newTestLeader(phaseActive)
 			b.StartTimer()
 			if l = service.electLeader(c); l.phase != phaseReconciling {
-				b.Fatal("not loaded")
+				b.Fatal("records not loaded")
 			}
 		}
 		b.StopTimer()
--- a/internal/coordination/rights_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -38,8 +38,8 @@
 }
 
 // A leader that no longer receives job records stops answering heartbeats early enough that the
-// lease renewed by its last answer ends within CancelDeadline after its latest knowledge of the
-// jobs, whatever the settings and however long the leader's own lease is renewed.
+// worker lease renewed by its last response ends within CancelDeadline after the time as of which
+// it knows the jobs. This holds for all settings, and even while its own lease is renewed.
 func TestLeaseRenewalsEndWithinCancelTime(t *testing.T) {
 	for _, test := range []struct{ lease, cancel time.Duration }{
 		{15 * time.Second, 40 * time.Second}, {28 * time.Second, 48 * time.Second}, {22 * time.Second, 47 * time.Second},
@@ -58,13 +58,13 @@
 		}
 		end := last.Add(test.lease + test.lease/2000)
 		if last.IsZero() || end.After(known.Add(test.cancel)) {
-			t.Errorf("lease %s, cancel_s %s: the last answer comes %s after the latest knowledge of jobs, tasks end %s after it",
+			t.Errorf("lease %s, cancel_s %s: last heartbeat answered %s after the jobs were known, tasks end %s after that time, later than cancel_s allows",
 				test.lease, test.cancel, last.Sub(known), end.Sub(known))
 		}
-		// In an outage heartbeats should be answered for as long as possible: all of the time
-		// but one second and the clock drift is used.
+		// In an outage heartbeats should be answered for as long as possible: until one second
+		// and the clock drift before that limit.
 		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+leadership.MaxClockDrift(test.cancel+test.lease) {
-			t.Errorf("lease %s, cancel_s %s: %s are left unused", test.lease, test.cancel, rest)
+			t.Errorf("lease %s, cancel_s %s: heartbeats are no longer answered %s earlier than necessary", test.lease, test.cancel, rest)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	l.jobsKnownAt = time.Time{}
 	_, body := addRunningJob(c, l)
 	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 0 {
-		t.Fatalf("answered before the jobs were read: %+v", e.Replies)
+		t.Fatalf("heartbeat answered before the jobs were read: %+v", e.Replies)
 	}
 	requested := c.now.Add(-50 * time.Millisecond)
 	l.applyJobRecord(records.KeyOutcome("run-000001"), records.EncodeOutcome(protocol.Cancelled, 0), false)
@@ -85,7 +85,7 @@
 	c.resumeDeferred()
 	e := c.takeEffects()
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stopsJob(e.Replies[0], "run-000001") {
-		t.Fatalf("got %+v, want the lease renewed and the task stopped", e.Replies)
+		t.Fatalf("replies %+v, want status 200 with an order to stop the task", e.Replies)
 	}
 	if !l.jobsKnownAt.Equal(requested) {
 		t.Errorf("jobs known as of %s, want the time at which the list was requested", l.jobsKnownAt)
@@ -94,7 +94,7 @@
 	l.jobsKnownAt = time.Time{}
 	failStateServiceCalls(c)
 	if e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body); len(e.Replies) != 1 || e.Replies[0].Status != 421 {
-		t.Errorf("got %+v, want 421", e.Replies)
+		t.Errorf("replies %+v without the state service, want status 421", e.Replies)
 	}
 }
 
@@ -111,16 +111,16 @@
 		t.Fatalf("the last call is to %s, want a watch", call.Target)
 	}
 	if call.Timeout > c.maxAnswerStaleness() {
-		t.Errorf("the watch times out after %s, but workers are answered for only %s", call.Timeout, c.maxAnswerStaleness())
+		t.Errorf("the watch times out after %s, later than maxAnswerStaleness, %s", call.Timeout, c.maxAnswerStaleness())
 	}
 	l.jobsKnownAt = requested.Add(-10 * time.Second)
 	c.Result(requested.Add(3*time.Second), call.ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeEvents(nil, 9)})
 	if !l.jobsKnownAt.Equal(requested) {
-		t.Errorf("jobs known as of %s after the watch was requested, want 0s", l.jobsKnownAt.Sub(requested))
+		t.Errorf("jobs known as of %s after the time of the watch request, want 0s", l.jobsKnownAt.Sub(requested))
 	}
 }
 
-// The answer to a heartbeat that a later message has overtaken renews the lease. It therefore
+// The response to a heartbeat that was overtaken by a later message renews the lease. It therefore
 // stops the tasks of ended jobs, although the heartbeat's task list may be out of date.
 func TestOvertakenHeartbeatStopsCancelledTasks(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
@@ -130,7 +130,7 @@
 	l.endJob(l.jobs["run-000001"], protocol.Cancelled)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, body)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 || !stopsJob(e.Replies[0], "run-000001") {
-		t.Errorf("got %+v, want an answer that stops the task", e.Replies)
+		t.Errorf("replies %+v, want status 200 with an order to stop the task", e.Replies)
 	}
 }
 
@@ -149,15 +149,15 @@
 	l.sendOrders(m)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	if _, _, orders, _ := protocol.ParseOrders(e.Replies[0].Body); len(orders) != 0 || len(e.Calls) != 0 {
-		t.Fatalf("a start is sent more than %s after the jobs were known: %+v %+v", maxStartStaleness, orders, e.Calls)
+		t.Fatalf("start sent more than %s after the jobs were known: orders %+v, calls %+v", maxStartStaleness, orders, e.Calls)
 	}
 	l.noteJobsKnown(c.now)
 	calls := c.takeEffects().Calls
 	if len(calls) != 1 || calls[0].To != Worker || calls[0].Target != protocol.PathOrders {
-		t.Fatalf("got %+v, want the deferred start", calls)
+		t.Fatalf("calls %+v after the jobs were read again, want one with the deferred start", calls)
 	}
 	if _, _, orders, _ := protocol.ParseOrders(calls[0].Body); len(orders) != 1 || orders[0].Kind != protocol.Start {
-		t.Errorf("got %+v, want the start", orders)
+		t.Errorf("orders %+v, want one start", orders)
 	}
 }
 
@@ -174,6 +174,6 @@
 	c.PeerMessage(c.now, raw)
 	e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body)
 	if len(e.Replies) != 1 || !stopsJob(e.Replies[0], "run-000001") {
-		t.Errorf("got %+v, want the task stopped", e.Replies)
+		t.Errorf("replies %+v, want an order to stop the task of the cancelled job", e.Replies)
 	}
 }
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -31,24 +31,25 @@
 	l.phase, l.loadedAt, l.reconciledAt = phaseActive, c.now, c.now
 }
 
-// A leader that receives nothing from most of the machines that ran tasks before resigns before
-// it releases any of them. It does so once, and not if all peers are disconnected too; until the
-// mark expires no leader hands over to it because of its zone. Without this, a leader that was
-// cut off from its workers was handed the leadership again and returned 1,113 machines that other
+// A leader that receives no heartbeats from most of the machines that ran tasks before its term
+// resigns before it releases any of them. It marks itself as disconnected and resigns again only if
+// another controller is eligible; it doesn't resign if all peers are disconnected too. While it is
+// marked, no leader hands over to it because of its zone. Without the mark, a leader that was
+// partitioned from its workers got the leadership again and released 1,113 machines that other
 // controllers could reach.
 func TestDisconnectedLeaderResigns(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		heard int    // machines whose heartbeats arrive
-		peers []bool // for each peer whose messages arrive, whether it is disconnected
-		stays bool
+		name      string
+		inContact int    // machines whose heartbeats arrive
+		peers     []bool // for each peer whose messages arrive, whether it is disconnected
+		stays     bool
 	}{
-		{"no machines heard", 0, []bool{false, true}, false},
-		{"no machines and no peers heard", 0, nil, false},
-		{"half of the machines heard", 5, []bool{false, false}, true},
-		{"no machines heard, all peers disconnected", 0, []bool{true, true}, true},
-		{"again no machines and no peers heard", 0, nil, true},
-		{"again no machines heard, a peer eligible", 0, []bool{false, true}, false},
+		{"no heartbeats arrive", 0, []bool{false, true}, false},
+		{"no heartbeats and no peer messages arrive", 0, nil, false},
+		{"heartbeats of half of the machines arrive", 5, []bool{false, false}, true},
+		{"no heartbeats arrive, all peers disconnected", 0, []bool{true, true}, true},
+		{"again no heartbeats and no peer messages arrive", 0, nil, true},
+		{"again no heartbeats arrive, a peer eligible", 0, []bool{false, true}, false},
 	} {
 		c, l := newTestLeader(phaseReconciling)
 		again := strings.Contains(test.name, "again")
@@ -64,7 +65,7 @@
 				c.PeerMessage(c.now, m.Encode())
 			}
 			for i, m := range l.fleetList {
-				if i < test.heard {
+				if i < test.inContact {
 					m.session.Registered, m.session.LastSeen, m.session.LastReached, m.session.LastAnswered, m.session.RegisteredAt = true, c.now, c.now, c.now, c.now
 				}
 			}
@@ -73,7 +74,7 @@
 			}
 		}
 		if stays := c.leader == l; stays != test.stays {
-			t.Errorf("%s: the leader stays: %t", test.name, stays)
+			t.Errorf("%s: keeps leading: %t", test.name, stays)
 		}
 		for _, m := range l.fleetList {
 			if !test.stays && m.lifecycle.releasing() {
@@ -81,7 +82,7 @@
 			}
 		}
 		if !again && c.election.Disconnected() == test.stays {
-			t.Errorf("%s: marked as disconnected: %t", test.name, c.election.Disconnected())
+			t.Errorf("%s: marked as disconnected: %t, want true only after a resignation", test.name, c.election.Disconnected())
 		}
 	}
 }
@@ -101,13 +102,13 @@
 		c.peers["n1"] = &peers.Status{LastReceivedAt: c.now, StoreReachable: true, Disconnected: disconnected}
 		l.preferMajorityZone()
 		if stays := c.leader == l; stays != disconnected {
-			t.Errorf("with the peer disconnected %t the leader stays: %t", disconnected, stays)
+			t.Errorf("peer disconnected: %t; keeps leading: %t", disconnected, stays)
 		}
 	}
 }
 
 // A leader whose calls to nearly all workers fail resigns without waiting for their heartbeats.
-// With two such leaders in a row, the workers' leases expired.
+// Otherwise the workers' leases expired during the terms of two successive leaders of this kind.
 func TestLeaderWithFailingCallsResignsEarly(t *testing.T) {
 	c, l := newTestLeader(phaseReconciling)
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
@@ -135,7 +136,7 @@
 		}
 	}
 	if took := c.now.Sub(begin); took > 5*time.Second {
-		t.Errorf("the leader resigned after %s", took)
+		t.Errorf("the leader resigned after %s, want at most 5s", took)
 	}
 	for _, m := range l.fleetList {
 		if m.lifecycle.releasing() {
--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -8,9 +8,9 @@
 	"brasskeel/internal/protocol"
 )
 
-// partitionZone lets all calls to twelve machines of a zone time out, with their last heartbeats
-// spread over an interval. It returns the first machine released within span, and the number of
-// probes sent.
+// partitionZone simulates a network partition of a zone with twelve machines: no heartbeats arrive
+// from them, and all calls to them time out. Their last heartbeats are spread over an interval. It
+// returns the first machine released within span, and the number of probes sent.
 func partitionZone(t *testing.T, interval, span time.Duration) (released string, probes int) {
 	t.Helper()
 	c, l := newTestLeader(phaseActive)
@@ -65,7 +65,7 @@
 func TestPartitionDetectedBeforeMachinesAreReleased(t *testing.T) {
 	for _, interval := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4 * time.Second} {
 		if released, probes := partitionZone(t, interval, 12*time.Second); released != "" || probes < 12 {
-			t.Errorf("heartbeat interval %s: %q is released, %d probes", interval, released, probes)
+			t.Errorf("heartbeat interval %s: %q released, want none; %d probes, want at least 12", interval, released, probes)
 		}
 	}
 }
@@ -81,16 +81,16 @@
 		l.detectFailures()
 	}
 	if m.session.ProbeInFlight {
-		t.Error("a machine is asked before its report is due")
+		t.Error("worker probed before its heartbeat is due")
 	}
 	c.now = m.session.LastSeen.Add(4*time.Second + detectorInterval)
 	l.detectFailures()
 	if !m.session.ProbeInFlight {
-		t.Error("a machine that is late isn't asked")
+		t.Error("worker not probed although its heartbeat is overdue")
 	}
 }
 
-// If one worker of a zone doesn't answer a probe, the others in that zone are probed sooner.
+// If one worker of a zone doesn't answer a probe, the others in that zone are probed earlier.
 func TestSuspectZoneIsProbedSooner(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.cfg.HeartbeatInterval = 4 * time.Second
@@ -105,6 +105,6 @@
 	c.now = c.now.Add(detectorInterval)
 	l.detectFailures()
 	if !near.session.ProbeInFlight || far.session.ProbeInFlight {
-		t.Errorf("probed in the same zone: %t, in another zone: %t", near.session.ProbeInFlight, far.session.ProbeInFlight)
+		t.Errorf("probed in the same zone: %t, in another zone: %t; want true, false", near.session.ProbeInFlight, far.session.ProbeInFlight)
 	}
 }
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/fencing_test.go
@@ -36,9 +36,9 @@
 }
 
 // A leader's writes of placements are conditional on its leader key, on the absence of an outcome
-// of the job, and on the known version of the record. These conditions protect against a delayed
-// copy of the transaction after another leader was elected, against an earlier cancellation, and
-// against an older write of the same leader, respectively.
+// of the job, and on the known version of the record. They protect, in this order, against a
+// transaction that is applied only after another leader was elected, against an earlier
+// cancellation, and against an older write of the same leader.
 func TestRecordsAreConditional(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	j, _ := addRunningJob(c, l)
@@ -52,17 +52,17 @@
 	txn := sentTxn(t, c)
 	for key, version := range map[string]uint64{records.KeyLeader: l.keyVersion, records.KeyOutcome(j.ID): 0, records.KeyTaskBlock(j.ID, 0): 7} {
 		if !hasCondition(txn, key, version) {
-			t.Errorf("a placement is written without the condition on %s: %+v", key, txn.Conditions)
+			t.Errorf("placement written without the condition on %s: %+v", key, txn.Conditions)
 		}
 	}
-	// The outcome is conditional, too: the first write of it decides.
+	// The write of the outcome is conditional, too, so that only the first one is applied.
 	c, l = newTestLeader(phaseActive)
 	j, _ = addRunningJob(c, l)
 	l.writer.newGroups = nil
 	l.taskDone(j, 0)
 	txn = sentTxn(t, c)
 	if !hasCondition(txn, records.KeyLeader, l.keyVersion) || !hasCondition(txn, records.KeyOutcome(j.ID), 0) {
-		t.Errorf("the outcome is written without the conditions on the leader key and its own absence: %+v", txn.Conditions)
+		t.Errorf("outcome written without the conditions on the leader key and on the absence of an outcome: %+v", txn.Conditions)
 	}
 }
 
@@ -81,19 +81,19 @@
 	tokenBefore := m.session.Token()
 	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5))
 	if j.task(0).live != a || l.teamUsage["red"].cpus != 1 {
-		t.Fatal("detached while its start may still be carried out")
+		t.Fatal("attempt considered terminated while its start may still be carried out")
 	}
 	if m.session.Token() <= tokenBefore {
-		t.Fatal("the fencing token isn't raised above that of the start")
+		t.Fatal("fencing token not raised above that of the direct start")
 	}
 	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small",
 		Zone: "a", Incarnation: 1, Sequence: 6, FencingToken: m.session.Token()}))
 	if j.task(0).live != nil || l.teamUsage["red"].cpus != 0 {
-		t.Error("still there although no start can be carried out any more")
+		t.Error("attempt still counts although its start can't be carried out any longer")
 	}
 }
 
-// Tasks that were told to stop count toward their team's limit and their job's zones until they
+// Tasks whose stop was requested count toward their team's limit and their job's zones until they
 // are proven terminated: their machine may hang or be disconnected.
 func TestStoppingTasksCountTowardLimits(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
@@ -107,15 +107,15 @@
 	}
 	other := &job{Job: jobSpec("run-000002"), attemptsByZone: map[string]int{}}
 	if l.withinTeamLimit(other) {
-		t.Fatal("within the limit although the team uses all of its 16 CPUs")
+		t.Fatal("another job is within the team's limit although the team uses all of its 16 CPUs")
 	}
 	l.endJob(j, protocol.Cancelled)
 	c.now = c.now.Add(time.Hour)
 	if l.withinTeamLimit(other) {
-		t.Error("tasks count no more once they were told to stop")
+		t.Error("tasks no longer count toward the team's limit after a stop was requested")
 	}
 	if j.zoneAllowed("b") {
-		t.Error("another zone is allowed while tasks may be in this one")
+		t.Error("another zone allowed while tasks of the job may still run in zone a")
 	}
 }
 
@@ -136,8 +136,8 @@
 	}
 }
 
-// A leader whose lease may have expired places nothing, and after its grace period it answers no
-// worker, however recent its knowledge of jobs is: another leader may have been elected, and that
+// A leader whose lease may have expired places no tasks. After its grace period it answers no
+// worker, even if it knows all recent job records: another leader may have been elected, and that
 // leader waits only for the end of the grace period.
 func TestLeaderStopsAfterLeaseExpiry(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
@@ -148,12 +148,12 @@
 	l.lease.ValidUntil = c.now
 	l.runPlacementRound()
 	if len(m.attempts) > 0 {
-		t.Error("placed without a lease")
+		t.Error("task placed after the lease expired")
 	}
 	l.lease.ValidUntil, l.jobsKnownAt = c.now, c.now.Add(time.Hour)
 	c.now = c.now.Add(l.gracePeriod())
 	if !l.holdsLease() {
-		t.Error("not entitled within its grace")
+		t.Error("leader may not answer workers within its grace period")
 	}
 	c.now = c.now.Add(time.Millisecond)
 	e := c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
@@ -162,9 +162,9 @@
 	}
 }
 
-// A start in the answer to a heartbeat is carried out before the worker's next heartbeat or never.
-// The worker's response to a call may be older than that answer, so the absence of the task from
-// it proves nothing. Its absence from the next heartbeat proves that the start was lost.
+// A start in a heartbeat response is carried out before the worker's next heartbeat or never. The
+// worker's response to a call may be older than the heartbeat response, so the absence of the task
+// from it proves nothing. Its absence from the next heartbeat proves that the start was lost.
 func TestStartInHeartbeatResponse(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	j, _ := addRunningJob(c, l)
@@ -177,13 +177,13 @@
 		t.Fatal(err)
 	}
 	l.stopAttempt(a, 0)
-	l.applyResponse(m, r) // may have been sent before the answer arrived
+	l.applyResponse(m, r) // may have been sent before the heartbeat response arrived
 	if j.task(0).live != a {
-		t.Fatal("detached because of a response that may be older than the start")
+		t.Fatal("attempt considered terminated because of a call response that may be older than the start")
 	}
 	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5))
 	if j.task(0).live == a {
-		t.Error("the next report lacks it, and it still counts")
+		t.Error("attempt still counts although the next heartbeat doesn't report it")
 	}
 }
 
@@ -192,15 +192,15 @@
 	c, l := newTestLeader(phaseActive)
 	body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: (l.term + 1) << 16})
 	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, body); e.Replies[0].Status != 421 || c.leader != nil {
-		t.Errorf("status %d, still leading %t", e.Replies[0].Status, c.leader != nil)
+		t.Errorf("status %d, still leading: %t; want 421, false", e.Replies[0].Status, c.leader != nil)
 	}
 }
 
-// A worker incarnation has its full lease from its beginning, whether or not any of its heartbeats
-// is answered. A machine whose heartbeats don't arrive gets tasks by direct starts; if it then
-// falls silent, they run on until that lease ends. When the lease was counted from the last
-// answer, in an earlier incarnation, the tasks were considered terminated too early and were
-// started elsewhere while they still ran.
+// A worker incarnation has a full lease from its beginning, whether or not any of its heartbeats is
+// answered. A worker whose heartbeats don't arrive still gets tasks by direct starts, and if contact
+// with it is lost, these tasks run until that lease expires. When the lease was counted from the
+// last answered heartbeat, which was of an earlier incarnation, the tasks were considered terminated
+// too early and were started elsewhere while they still ran.
 func TestIncarnationStartsWorkerLease(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(3))
@@ -214,9 +214,9 @@
 	r.Incarnation, r.FencingToken = 2, m.session.Token()
 	l.applyResponse(m, r) // a response to a call: the worker's heartbeats don't arrive
 	if proof := l.terminationProofAt(m); proof.Before(c.now.Add(c.cfg.WorkerLease)) {
-		t.Errorf("considered terminated %s after the incarnation began, but the lease is %s", proof.Sub(c.now), c.cfg.WorkerLease)
+		t.Errorf("tasks considered terminated %s after the incarnation began, but the worker's lease is %s", proof.Sub(c.now), c.cfg.WorkerLease)
 	}
 	if m.session.LastAnswered != answered {
-		t.Error("a session that began counts as a report that was answered")
+		t.Error("the beginning of an incarnation counts as an answered heartbeat")
 	}
 }
--- a/internal/coordination/leadership/election_test.go
+++ b/internal/coordination/leadership/election_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A scheduled campaign does not take place if there is a leader by then.
+// A scheduled campaign does not take place if there is a leader when it is due.
 func TestScheduledCampaignIsCancelled(t *testing.T) {
 	h := newHarness()
 	h.Follow()
@@ -57,12 +57,12 @@
 	h.answerWatch(WatchResponse{Status: WatchDelivered, Revision: 41, Events: []protocol.Event{{Key: item.Key, Value: item.Value, Version: 41}}})
 	h.advance(time.Hour)
 	if len(h.grants) != 0 || h.Role() != Follower || h.OtherLeader() != "n1" {
-		t.Errorf("%d campaigns, role %d, leader %q", len(h.grants), h.Role(), h.OtherLeader())
+		t.Errorf("%d campaigns, role %d, leader %q; want none, Follower, n1", len(h.grants), h.Role(), h.OtherLeader())
 	}
 }
 
 // A candidate is elected only while there is no leader and the term is still the one it read,
-// and its key is bound to its lease. A transaction that is applied late therefore elects no
+// and its key is bound to its lease. A transaction that is applied too late therefore elects no
 // leader.
 func TestElectionIsConditional(t *testing.T) {
 	h := newHarness()
@@ -75,17 +75,17 @@
 	h.advance(100 * time.Millisecond)
 	h.commits[0](true, 50)
 	if len(h.leaderTerms) != 1 || h.Role() != Leader {
-		t.Fatalf("elected %d times, role %d", len(h.leaderTerms), h.Role())
+		t.Fatalf("elected %d times, role %d; want once, Leader", len(h.leaderTerms), h.Role())
 	}
 	m := h.leaderTerms[0]
 	if m.Term != 5 || m.KeyVersion != 50 || m.Lease.ID != 77 || m.ElectedAt != h.now {
-		t.Errorf("elected for %+v", m)
+		t.Errorf("elected with %+v, want term 5, key version 50, lease 77, elected now", m)
 	}
 	if end := granted.Add(baseTTL - MaxClockDrift(baseTTL)); m.Lease.ValidUntil.After(end) {
 		t.Errorf("the lease counts as valid %s too long", m.Lease.ValidUntil.Sub(end))
 	}
 	if term, version := h.Term(); term != 5 || version != 50 {
-		t.Errorf("term %d, version %d", term, version)
+		t.Errorf("term %d, version %d; want 5, 50", term, version)
 	}
 }
 
@@ -93,13 +93,13 @@
 // version 33.
 func checkClaim(t *testing.T, txn *protocol.Txn) {
 	t.Helper()
-	demands := map[string]uint64{}
+	conditions := map[string]uint64{}
 	for _, condition := range txn.Conditions {
-		demands[condition.Key] = condition.Version
+		conditions[condition.Key] = condition.Version
 	}
-	leader, demanded := demands[records.KeyLeader]
-	if !demanded || leader != 0 || demands[records.KeyTerm] != 33 {
-		t.Errorf("elected under the conditions %+v", txn.Conditions)
+	leader, found := conditions[records.KeyLeader]
+	if !found || leader != 0 || conditions[records.KeyTerm] != 33 {
+		t.Errorf("claim has the conditions %+v, want the absence of a leader and version 33 of the term", txn.Conditions)
 	}
 	if txn.Ops[0].Put != records.KeyLeader || txn.Ops[0].Lease != 77 {
 		t.Errorf("the first operation doesn't bind the leader key to lease 77, but has lease %d", txn.Ops[0].Lease)
@@ -129,7 +129,7 @@
 		}
 		h.advance(retryDelay)
 		if len(h.lists) != 2 || h.wanted[0]() {
-			t.Fatalf("%s: the keys were read %d times", test.name, len(h.lists))
+			t.Fatalf("%s: the keys were read %d times, want 2, and the first read must no longer be wanted", test.name, len(h.lists))
 		}
 		h.answerList(termItem(9, 60))
 		h.advance(time.Second)
@@ -174,7 +174,7 @@
 	}
 	h.StepDown("test")
 	if h.leadershipsEnded != 1 {
-		t.Error("a follower stepped down")
+		t.Error("StepDown of a follower ended a leadership")
 	}
 	h = newHarness()
 	h.elect()
@@ -223,11 +223,11 @@
 		h.answerList(leaderItem("n1", 3, 1, 20, 9))
 		h.answerWatch(WatchResponse{Status: test.result})
 		if len(h.watches) != test.watches || len(h.lists) != test.lists {
-			t.Errorf("result %d: %d watches, %d reads", test.result, len(h.watches), len(h.lists))
+			t.Errorf("watch status %d: %d watches, %d reads right after it", test.result, len(h.watches), len(h.lists))
 		}
 		h.advance(watchRetryDelay)
 		if len(h.lists) != test.later {
-			t.Errorf("result %d: %d reads after a pause", test.result, len(h.lists))
+			t.Errorf("watch status %d: %d reads after watchRetryDelay", test.result, len(h.lists))
 		}
 	}
 	h := newHarness()
@@ -236,7 +236,7 @@
 	h.Follow()
 	h.answerWatch(WatchResponse{Status: WatchDelivered, Events: []protocol.Event{{Key: records.KeyLeader, Deleted: true}}})
 	if h.OtherLeader() != "n1" || len(h.watches) != 1 {
-		t.Error("an answer to an older watch counts")
+		t.Error("response to an earlier watch was applied")
 	}
 }
 
@@ -261,10 +261,10 @@
 			h.MarkDisconnected(PeerCounts{Configured: 2})
 		}
 		if got := h.MarkDisconnected(test.peers); got != test.resign {
-			t.Errorf("%s: resigns %t", test.name, got)
+			t.Errorf("%s: resigns: %t", test.name, got)
 		}
 		if got := h.Disconnected(); got != (test.resign || test.again) {
-			t.Errorf("%s: disconnected %t", test.name, got)
+			t.Errorf("%s: disconnected: %t", test.name, got)
 		}
 		h.advance(disconnectedPeriod)
 		if h.Disconnected() {
@@ -282,7 +282,7 @@
 		want                  bool
 	}{
 		{"the preferred zone", "b", "b", minTermDuration, true},
-		{"too soon", "b", "b", minTermDuration - 1, false},
+		{"before minTermDuration", "b", "b", minTermDuration - 1, false},
 		{"its own zone", "a", "a", minTermDuration, false},
 		{"a zone not recorded as preferred", "a", "b", minTermDuration, false},
 		{"no preferred zone", "", "b", minTermDuration, false},
@@ -293,7 +293,7 @@
 		h.BecomeLeader(LeaderTerm{Term: 5, KeyVersion: 50, ElectedAt: h.now})
 		h.now = h.now.Add(test.after)
 		if got := h.ShouldHandOverTo(test.zone); got != test.want {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: hands over: %t", test.name, got)
 		}
 	}
 }
@@ -311,7 +311,7 @@
 			want = 4 * baseTTL
 		}
 		if got := h.CampaignTTL(); got != want {
-			t.Errorf("overloaded %t: %s, want %s", overloaded, got, want)
+			t.Errorf("lost to overload %t: campaigns with a lease of %s, want %s", overloaded, got, want)
 		}
 	}
 }
--- a/internal/coordination/leadership/policy_test.go
+++ b/internal/coordination/leadership/policy_test.go
@@ -8,39 +8,39 @@
 	"brasskeel/internal/records"
 )
 
-// Repeated leader changes lengthen the lease. Leaders of a large fleet that were too busy to
-// renew a short lease left the same work to the next leader, and none ever completed it.
+// Repeated leader changes lengthen the lease. With a short lease, leaders of a large fleet were too
+// busy to renew it, left the same work to the next leader, and none ever completed it.
 func TestTTLGrowsWithLeaderChanges(t *testing.T) {
 	p, now := NewTTLPolicy(baseTTL), start
 	if got := p.TTL(now, false); got != baseTTL {
-		t.Errorf("without changes %s, want %s", got, baseTTL)
+		t.Errorf("lease of %s without changes, want %s", got, baseTTL)
 	}
 	for i, want := range []time.Duration{2 * baseTTL, 2 * baseTTL, 4 * baseTTL, 4 * baseTTL} {
 		p.LeaderChanged(now)
 		if got := p.TTL(now, false); got != want {
-			t.Errorf("after %d changes %s, want %s", i+1, got, want)
+			t.Errorf("after %d changes: lease of %s, want %s", i+1, got, want)
 		}
 	}
 	now = now.Add(changeWindow + time.Second)
 	if got := p.TTL(now, false); got != baseTTL {
-		t.Errorf("after changeWindow without changes %s, want %s", got, baseTTL)
+		t.Errorf("lease of %s after changeWindow without changes, want %s", got, baseTTL)
 	}
 }
 
-// Silent peers count as one leader change. A loss to overload gives the longest lease until
+// Unresponsive peers count as one leader change. A loss to overload gives the longest lease until
 // overloadWindow has passed.
 func TestTTL(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		changes     int
-		peersSilent bool
-		lost        time.Duration // time since the loss to overload; 0: never
-		want        time.Duration
+		name              string
+		changes           int
+		peersUnresponsive bool
+		lost              time.Duration // time since the loss to overload; 0: never
+		want              time.Duration
 	}{
-		{"calm", 0, false, 0, baseTTL},
-		{"silent peers", 0, true, 0, 2 * baseTTL},
-		{"silent peers and a change", 1, true, 0, 2 * baseTTL},
-		{"silent peers and two changes", 2, true, 0, 4 * baseTTL},
+		{"no changes", 0, false, 0, baseTTL},
+		{"unresponsive peers", 0, true, 0, 2 * baseTTL},
+		{"unresponsive peers and a change", 1, true, 0, 2 * baseTTL},
+		{"unresponsive peers and two changes", 2, true, 0, 4 * baseTTL},
 		{"lost to overload", 0, false, time.Second, 4 * baseTTL},
 		{"lost to overload long ago", 0, false, overloadWindow, baseTTL},
 	} {
@@ -51,8 +51,8 @@
 		if test.lost > 0 {
 			p.LostToOverload(start.Add(-test.lost))
 		}
-		if got := p.TTL(start, test.peersSilent); got != test.want {
-			t.Errorf("%s: %s, want %s", test.name, got, test.want)
+		if got := p.TTL(start, test.peersUnresponsive); got != test.want {
+			t.Errorf("%s: lease of %s, want %s", test.name, got, test.want)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	} {
 		zone, ok := MajorityZone(test.machines)
 		if zone != test.want || ok != (test.want != "") {
-			t.Errorf("%s: %q %t, want %q", test.name, zone, ok, test.want)
+			t.Errorf("%s: zone %q, found %t; want %q", test.name, zone, ok, test.want)
 		}
 	}
 }
@@ -92,10 +92,10 @@
 			view{leader: records.Leader{Node: "n1", Zone: "a", Term: 4, Incarnation: 1}, leaderVersion: 20, leaderLease: 9, term: 4, termVersion: 20, preferredZone: "b", sharded: true}},
 		{"undecodable values", []protocol.KeyValue{{Key: records.KeyLeader, Value: []byte(`"?"`), Version: 30}, {Key: records.KeyTerm, Value: []byte("{"), Version: 30}}, false,
 			view{preferredZone: "b"}},
-		{"nobody", []protocol.KeyValue{termItem(4, 20)}, false, view{term: 4, termVersion: 20, preferredZone: "b"}},
+		{"no leader", []protocol.KeyValue{termItem(4, 20)}, false, view{term: 4, termVersion: 20, preferredZone: "b"}},
 	} {
 		if got := v.replace(test.items); got != test.newLeader || v != test.want {
-			t.Errorf("%s: new leader %t, %+v", test.name, got, v)
+			t.Errorf("%s: new leader %t, view %+v", test.name, got, v)
 		}
 	}
 }
@@ -111,8 +111,8 @@
 func (h *fakeLeaseHolder) LeaseRenewed()    { h.renewed++ }
 func (h *fakeLeaseHolder) LeaseExpired()    { h.expired++ }
 
-// A lease is renewed every three tenths of its time to live, sooner after a failure, and no
-// longer once it has expired or its holder does not need it.
+// A lease is renewed at intervals of three tenths of its time to live, after renewalRetryDelay if
+// a renewal failed, and no longer once it has expired or its holder does not need it.
 func TestLeaseRenewal(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -140,7 +140,7 @@
 			want = sent.Add(baseTTL - MaxClockDrift(baseTTL))
 		}
 		if !lease.ValidUntil.Equal(want) {
-			t.Errorf("%s: valid for %s longer than expected", test.name, lease.ValidUntil.Sub(want))
+			t.Errorf("%s: lease counts as valid %s longer than expected", test.name, lease.ValidUntil.Sub(want))
 		}
 		if test.next < 0 {
 			if h.advance(time.Hour); len(h.renewals) != 1 {
--- a/internal/coordination/limits/limits_test.go
+++ b/internal/coordination/limits/limits_test.go
@@ -37,11 +37,11 @@
 		}
 	}
 	if c.Total(ConnectionsShed) != 100 || c.Total(CallsWithoutSocket) != 0 {
-		t.Errorf("totals %d and %d", c.Total(ConnectionsShed), c.Total(CallsWithoutSocket))
+		t.Errorf("totals %d and %d, want 100 and 0", c.Total(ConnectionsShed), c.Total(CallsWithoutSocket))
 	}
 }
 
-// Each limit has a log line and an interval of its own.
+// Each limit is logged in a separate line, with a separate interval.
 func TestLimitsLoggedSeparately(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -51,7 +51,7 @@
 	}
 	c.Log(log, start)
 	if lines := strings.Count(out.String(), "\n"); lines != int(limitCount) {
-		t.Errorf("%d lines for %d limits", lines, limitCount)
+		t.Errorf("%d lines logged for %d limits, want one for each", lines, limitCount)
 	}
 }
 
@@ -59,7 +59,7 @@
 	names := map[string]bool{}
 	for l := range limitCount {
 		if l.String() == "" || l.Consequence() == "" || names[l.String()] {
-			t.Errorf("limit %d: name %q, consequence %q", l, l, l.Consequence())
+			t.Errorf("limit %d: empty or duplicate name %q, or empty consequence %q", l, l, l.Consequence())
 		}
 		names[l.String()] = true
 	}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -18,7 +18,7 @@
 	"brasskeel/internal/records"
 )
 
-// Tests of limits that a fleet of thousands of machines reaches.
+// Tests of limits that are reached with a fleet of thousands of machines.
 
 // newFollower returns another controller that knows c as the leader.
 func newFollower(c *Controller) *Controller {
@@ -44,7 +44,7 @@
 }
 
 // After a few rounds of broadcasts a follower knows the progress of every job of a large fleet,
-// and no message exceeds peers.MaxMessage. Only the first 1,200 jobs were broadcast before, and users
+// and no message exceeds peers.MaxMessage. When only the first 1,200 jobs were broadcast, users
 // saw the others as queued forever.
 func TestProgressOfAllJobsIsBroadcast(t *testing.T) {
 	const jobs = 9000
@@ -55,12 +55,12 @@
 	f := newFollower(c)
 	for round := range 3 {
 		if longest := deliverBroadcasts(c, f); longest > peers.MaxMessage {
-			t.Fatalf("round %d: a message of %d bytes", round, longest)
+			t.Fatalf("round %d: a message of %d bytes exceeds MaxMessage", round, longest)
 		}
 	}
 	for _, j := range l.jobsByAge {
 		if s, _, running := f.knownProgress(j.ID); s != protocol.JobRunning || running != 3 {
-			t.Fatalf("%s: %v, %d running", j.ID, s, running)
+			t.Fatalf("%s: follower knows state %v and %d running tasks, want running and 3", j.ID, s, running)
 		}
 	}
 	// A job without running or done tasks is broadcast once more.
@@ -69,13 +69,12 @@
 		deliverBroadcasts(c, f)
 	}
 	if _, _, running := f.knownProgress(l.jobsByAge[0].ID); running != 0 {
-		t.Errorf("%d tasks are known as running after they were stopped", running)
+		t.Errorf("follower knows %d running tasks of a job without any, want 0", running)
 	}
 }
 
 // The final states of thousands of jobs that end within a second are broadcast within seconds,
-// each at least once. Only 500 a second were broadcast before, and those beyond 5,000 waiting
-// ones were dropped.
+// each at least once. With a limit of 500 a second, those beyond 5,000 waiting ones were dropped.
 func TestManyOutcomesAreBroadcast(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateWriteRPS = 1000
@@ -87,11 +86,11 @@
 	f := newFollower(c)
 	for range 5 {
 		if longest := deliverBroadcasts(c, f); longest > peers.MaxMessage {
-			t.Fatalf("a message of %d bytes", longest)
+			t.Fatalf("a message of %d bytes exceeds MaxMessage", longest)
 		}
 	}
 	if len(f.admission.outcomes) != jobs {
-		t.Errorf("%d of %d final states are known", len(f.admission.outcomes), jobs)
+		t.Errorf("follower knows %d of %d final states, want all", len(f.admission.outcomes), jobs)
 	}
 }
 
@@ -142,8 +141,8 @@
 }
 
 // A list of 25,000 machines is read to its end, even if calls for pages are refused, and machines
-// on its last page are kept. Reading ended after 20,000 machines before, the others were taken
-// for terminated, and one refused page discarded all pages before it.
+// on its last page are kept. When reading ended after 20,000 machines, the others were considered
+// terminated, and a refused page discarded all pages before it.
 func TestLongListsAreReadToTheEnd(t *testing.T) {
 	const count = 25_000
 	c, l := newTestLeader(phaseActive)
@@ -151,10 +150,10 @@
 	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
 	l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
 	if calls := readMachineList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MachinesPageSize {
-		t.Fatalf("the list is not complete after %d calls", calls)
+		t.Fatalf("list incomplete after %d calls, or read in fewer calls than it has pages", calls)
 	}
 	if len(l.machines) != count || !last.lifecycle.unlistedSince.IsZero() {
-		t.Errorf("%d machines are known; the last one counts as unlisted: %t", len(l.machines), !last.lifecycle.unlistedSince.IsZero())
+		t.Errorf("%d machines known, want 25000; the last one counts as unlisted: %t, want false", len(l.machines), !last.lifecycle.unlistedSince.IsZero())
 	}
 }
 
@@ -166,12 +165,12 @@
 	l.controller.cfg.CloudRPS, l.controller.cfg.MaxListLag = 2, 12*time.Second
 	pages := float64(1 + 4000/protocol.MachinesPageSize)
 	if share := pages / l.inventoryInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
-		t.Errorf("reading the list takes %.2f of the call budget", share)
+		t.Errorf("reading the list takes %.2f of the call budget, want at most 0.26", share)
 	}
 	_, small := largeLeader(250, 0)
 	small.controller.cfg.CloudRPS, small.controller.cfg.MaxListLag = 2, 12*time.Second
 	if i := small.inventoryInterval(); i != 6*time.Second {
-		t.Errorf("a small fleet's list is read every %s", i)
+		t.Errorf("list of a small fleet read every %s, want 6s", i)
 	}
 }
 
@@ -192,7 +191,7 @@
 		c.effects.Calls = append(c.effects.Calls, c.Tick(c.now).Calls...)
 	}
 	if calls > 4 || l.autoscaler.inventoryComplete {
-		t.Errorf("%d calls, list complete: %t", calls, l.autoscaler.inventoryComplete)
+		t.Errorf("%d calls, want at most 4; list complete: %t, want false", calls, l.autoscaler.inventoryComplete)
 	}
 }
 
@@ -227,7 +226,7 @@
 				continue
 			}
 			if len(call.Body) > protocol.MaxBody {
-				t.Fatalf("a message of %d bytes", len(call.Body))
+				t.Fatalf("message of %d bytes to a worker exceeds MaxBody", len(call.Body))
 			}
 			_, _, orders, err := protocol.ParseOrders(call.Body)
 			if err != nil {
@@ -244,20 +243,20 @@
 		calls = next
 	}
 	if len(stopped) != tasks {
-		t.Errorf("%d of %d tasks were stopped", len(stopped), tasks)
+		t.Errorf("stop orders sent for %d of %d tasks, want all", len(stopped), tasks)
 	}
 	// The same holds for the response to a heartbeat.
 	m.session.Sequence++
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: m.session.Sequence, FencingToken: l.epoch.BaseToken(), Tasks: runningTaskStatuses(m)}
 	e := c.Request(c.now, 99, "POST", protocol.PathHeartbeat, protocol.EncodeHeartbeat(r))
 	if len(e.Replies) != 1 || len(e.Replies[0].Body) > protocol.MaxBody {
-		t.Fatalf("%d replies, want one that fits a message", len(e.Replies))
+		t.Fatalf("%d replies to the heartbeat, want one of at most MaxBody bytes", len(e.Replies))
 	}
 	if _, _, orders, err := protocol.ParseOrders(e.Replies[0].Body); err != nil || len(orders) < 300 {
-		t.Errorf("%d orders, %v", len(orders), err)
+		t.Errorf("%d orders in the reply, want at least 300; error %v", len(orders), err)
 	}
 	if c.limits.Total(limits.OrdersPerMessage) == 0 {
-		t.Error("nothing was counted")
+		t.Error("the limit on orders per message was not counted as reached")
 	}
 }
 
@@ -281,7 +280,7 @@
 	m := l.fleetList[0]
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: runningTaskStatuses(m)}
 	if size := len(protocol.EncodeHeartbeat(r)); len(r.Tasks) < 300 || size > protocol.MaxBody {
-		t.Errorf("%d tasks in a heartbeat of %d bytes", len(r.Tasks), size)
+		t.Errorf("%d tasks in a heartbeat of %d bytes, want at least 300 tasks in at most MaxBody bytes", len(r.Tasks), size)
 	}
 }
 
@@ -295,11 +294,11 @@
 		c.Request(c.now, uint64(i+1), "GET", fmt.Sprintf("%s/run-%06d", protocol.PathJobs, i), nil)
 	}
 	if c.limits.Total(limits.OpenRequests) != 0 || c.admission.openRequests != 2000 {
-		t.Errorf("%d requests are open, %d were refused", c.admission.openRequests, c.limits.Total(limits.OpenRequests))
+		t.Errorf("%d requests open, %d refused; want 2000, 0", c.admission.openRequests, c.limits.Total(limits.OpenRequests))
 	}
 	c.cfg.StateRPS, c.cfg.MaxSockets = 120, 900
 	if most := c.maxOpenRequests(); most < minOpenRequests || most > 450 {
-		t.Errorf("a small controller allows %d open requests", most)
+		t.Errorf("limit of %d open requests with few sockets, want minOpenRequests to 450", most)
 	}
 }
 
@@ -314,7 +313,7 @@
 	c.checkStatuses()
 	for _, call := range c.takeEffects().Calls {
 		if len(call.Body) > protocol.MaxBody {
-			t.Errorf("%s %s: %d bytes", call.Method, call.Target, len(call.Body))
+			t.Errorf("%s %s: body of %d bytes exceeds MaxBody", call.Method, call.Target, len(call.Body))
 		}
 	}
 }
@@ -330,14 +329,14 @@
 		c.deferHeartbeat(uint64(i+1), nil)
 	}
 	if replies := c.deferOneHeartbeat(heartbeats + 1); len(replies) != 1 || c.limits.Total(limits.DeferredHeartbeats) != 1 {
-		t.Errorf("one heartbeat above the limit: %d replies", len(replies))
+		t.Errorf("%d replies to the heartbeat above the limit, want one and the limit counted once", len(replies))
 	}
 	answered := 0
 	for end := c.now.Add(maxHeartbeatDeferral); !c.now.After(end); c.now = c.now.Add(20 * time.Millisecond) {
 		answered += len(c.Tick(c.now).Replies)
 	}
 	if answered != heartbeats {
-		t.Errorf("%d of %d heartbeats were answered", answered, heartbeats)
+		t.Errorf("%d of %d heartbeats answered within maxHeartbeatDeferral, want all", answered, heartbeats)
 	}
 }
 
@@ -372,14 +371,14 @@
 		steps++
 	}
 	if steps < 5 || l.phase != phaseReconciling {
-		t.Errorf("%d records in %d steps, phase %d", len(blocks), steps, l.phase)
+		t.Errorf("%d task blocks applied in %d steps, phase %d; want at least 5 steps and then phaseReconciling", len(blocks), steps, l.phase)
 	}
 }
 
 // A fleet that needs more than its controller's CPU share grows step by step: each step waits
-// until the machines of the previous one have registered, and none is taken while timers run
-// late. Thousands of machines were provisioned at once before, when it was still unknown what it
-// costs to serve the first of them.
+// until the machines of the previous one have registered, and nothing is provisioned while timers
+// run late. Otherwise thousands of machines were provisioned at once, before the processor time
+// for serving the first of them was known.
 func TestScaleOutBeyondCPUShareIsGradual(t *testing.T) {
 	c, l := largeLeader(600, 4000)
 	c.cfg.CPUShare = 0.025
@@ -411,22 +410,22 @@
 	first := provisioned()
 	boot(first, false)
 	if got := provisioned(); first == 0 || first > 100 || got > protocol.MaxMachinesPerProvision {
-		t.Errorf("%d machines provisioned, and %d more before those had registered", first, got)
+		t.Errorf("%d machines provisioned, want 1 to 100, and %d more before those registered, want at most MaxMachinesPerProvision", first, got)
 	}
 	for _, m := range l.fleetList {
 		m.session.Registered = true
 	}
 	if got := provisioned(); got < 50 || got > 100 {
-		t.Errorf("%d machines provisioned after the earlier ones had registered", got)
+		t.Errorf("%d machines provisioned after the earlier ones registered, want 50 to 100", got)
 	}
 	c.overload.Observe(c.now.Add(-time.Second), overload.OverloadThreshold+1)
 	c.overload.Observe(c.now, 0)
 	if got := provisioned(); got != 0 || c.limits.Total(limits.ServedMachines) == 0 {
-		t.Errorf("%d machines provisioned while timers run late", got)
+		t.Errorf("%d machines provisioned while timers run late, want none and the limit counted", got)
 	}
 	c.cfg.CPUShare = 0.8
 	if got := provisioned(); got != maxPlannedMachines {
-		t.Errorf("%d machines provisioned with a sufficient CPU share", got)
+		t.Errorf("%d machines provisioned with a sufficient CPU share, want maxPlannedMachines", got)
 	}
 }
 
@@ -440,16 +439,16 @@
 		c.Tick(start.Add(time.Duration(i)*500*time.Millisecond + overload.OverloadThreshold + time.Millisecond))
 	}
 	if !c.overload.Persistent(c.now) || l.mayScaleOut() {
-		t.Errorf("persistent overload: %t", c.overload.Persistent(c.now))
+		t.Errorf("persistently overloaded: %t, want true, and no scale-out allowed", c.overload.Persistent(c.now))
 	}
 	c.now = c.now.Add(3 * time.Second) // without late timers
 	if c.overload.Persistent(c.now) {
-		t.Error("persistently overloaded after it kept up")
+		t.Error("persistently overloaded 3 s after the last late timer")
 	}
 }
 
-// The cost of searching the fleet is linear in its size, not quadratic: the search for machines
-// that replicas could move to, and the search for room on machines that are booting.
+// The cost of searching the fleet grows linearly with its size, not quadratically, both for machines
+// that replicas could move to and for capacity on machines that are booting.
 func TestSearchCostIsLinearInFleetSize(t *testing.T) {
 	const machines, perMachine, perBin = 2000, 20, 60
 	l := singleReplicaFleet(machines)
@@ -458,7 +457,7 @@
 		m.replicasFitElsewhere(p, false)
 	}
 	if p.Examined > perMachine*machines {
-		t.Errorf("%d machines were examined for the replicas of %d", p.Examined, machines)
+		t.Errorf("%d machines examined for the replicas of %d machines, want at most 20 per machine", p.Examined, machines)
 	}
 	l = bootingFleet(machines)
 	g := l.newScaleOutPlan()
@@ -467,7 +466,7 @@
 		g.AddDemand(l.plannedDemand(d))
 	}
 	if g.BinsVisited > perBin*machines {
-		t.Errorf("%d bins were visited for a fleet of %d", g.BinsVisited, machines)
+		t.Errorf("%d bins visited for a fleet of %d machines, want at most 60 per machine", g.BinsVisited, machines)
 	}
 }
 
@@ -482,6 +481,6 @@
 	c.now = c.now.Add(2 * time.Second)
 	c.sampler.Flush(c.log, c.now)
 	if lines := strings.Count(out.String(), "\n"); lines > ratelog.LinesPerSecond+1 || !strings.Contains(out.String(), "count=3980") {
-		t.Errorf("%d lines", lines)
+		t.Errorf("%d lines logged, want at most LinesPerSecond and one with the count of suppressed lines, 3980", lines)
 	}
 }
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -23,7 +23,7 @@
 	s.items[key] = protocol.KeyValue{Key: key, Value: records.Encode(value), Version: 3}
 }
 
-// answer returns the response to a call; status 0 means that there is none.
+// answer returns the response to a call; status 0 means no response.
 func (s *fakeStateService) answer(call Call) (status int, body []byte) {
 	if call.To != StateService {
 		return 0, nil
@@ -79,7 +79,7 @@
 	return 200, protocol.EncodeRange(page, len(keys) > limit, 9)
 }
 
-// electLeader makes a controller the leader, and answers its reads.
+// electLeader makes a controller the leader and responds to its reads.
 func (s *fakeStateService) electLeader(c *Controller) *leader {
 	c.election.BecomeLeader(leadership.LeaderTerm{Term: 2, KeyVersion: 20, ElectedAt: c.now,
 		Lease: leadership.Lease{ID: 5, TTL: 2 * time.Second, ValidUntil: c.now.Add(2 * time.Second)}})
@@ -114,26 +114,27 @@
 }
 
 // A new leader reads only the outcomes of jobs that still have a record. Outcomes are kept
-// forever, and reading all of them lengthened each election of a long-running deployment.
+// forever, and reading all of them made each change of leaders in a long-running deployment take
+// longer.
 func TestLoadReadsOutcomesOfUnfinishedJobs(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	service := newStateServiceWithJobs()
 	l := service.electLeader(c)
 	for _, key := range service.readKeys {
 		if key != records.PrefixActive && strings.HasPrefix(records.KeyOutcome("run-1"), key) || strings.HasPrefix(key, records.KeyOutcome("run-1")) {
-			t.Fatalf("%s was read, though no unfinished job has this outcome", key)
+			t.Fatalf("%s was read, which holds outcomes of jobs without a record", key)
 		}
 	}
 	if len(l.jobs) != 3 || l.jobs["run-000002"].finalState != protocol.Cancelled || l.jobs["run-000001"].finalState != 0 {
-		t.Errorf("jobs %v", l.jobs)
+		t.Errorf("jobs %v, want three of which run-000002 is cancelled", l.jobs)
 	}
 	if l.phase != phaseReconciling || l.jobsKnownAt.IsZero() {
-		t.Errorf("phase %d, jobs known as of %s", l.phase, l.jobsKnownAt)
+		t.Errorf("phase %d, jobs known as of %s; want phaseReconciling and a time", l.phase, l.jobsKnownAt)
 	}
 }
 
-// A new leader answers no worker before all outcomes of recorded jobs are read: the answer could
-// renew the lease of a task whose job was cancelled.
+// A new leader answers no worker before all outcomes of recorded jobs are read: a response could
+// renew the lease of a worker with a task whose job was cancelled.
 func TestNoWorkerAnswerBeforeOutcomesAreRead(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	service := newStateServiceWithJobs()
@@ -143,6 +144,6 @@
 		t.Fatalf("jobs known as of %s before all outcomes were read", l.jobsKnownAt)
 	}
 	if e := c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4)); len(e.Replies) != 0 {
-		t.Errorf("answered: %+v", e.Replies)
+		t.Errorf("heartbeat answered before all outcomes were read: %+v", e.Replies)
 	}
 }
--- a/internal/coordination/machine_groups_test.go
+++ b/internal/coordination/machine_groups_test.go
@@ -81,7 +81,7 @@
 	}
 	for i, m := range slices.Clone(l.fleetList) {
 		if !m.recorded {
-			t.Fatalf("%s doesn't count as recorded", m.Name)
+			t.Fatalf("%s is not marked as recorded", m.Name)
 		}
 		if i >= 10 {
 			l.machineTerminated(m, "returned")
@@ -101,12 +101,12 @@
 		applyMachineGroupWrites(c, stored)
 	}
 	if got := loadedMachineNames(stored); len(got) != 10 {
-		t.Errorf("%d machines recorded, want the ten that are left", len(got))
+		t.Errorf("%d machines recorded, want the ten that were not terminated", len(got))
 	}
 }
 
-// The address of a machine that has come up is recorded, so that the next leader can probe the
-// machine while the cloud's inventory is unavailable.
+// The address of a machine's worker is recorded once it is known, so that the next leader can probe
+// the machine while the cloud's inventory is unavailable.
 func TestMachineAddressesAreRecorded(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	stored := map[string]json.RawMessage{}
@@ -120,7 +120,7 @@
 		leader.loadMachineGroup(protocol.KeyValue{Key: key, Value: value})
 	}
 	if got := leader.machines["vm-1"]; got == nil || got.addr != "x" {
-		t.Fatalf("loaded %+v", got)
+		t.Fatalf("loaded %+v, want vm-1 with address x", got)
 	}
 	leader.startReconciling()
 	next.now = next.now.Add(2 * probeDelay)
@@ -130,15 +130,15 @@
 		probed = probed || call.To == Worker && call.Addr == "x"
 	}
 	if !probed {
-		t.Error("the next leader doesn't ask the machine without the cloud's list")
+		t.Error("the next leader doesn't probe the machine while the cloud's inventory is unavailable")
 	}
 }
 
-// A record from the time when each machine had its own is still loaded.
+// A record of a single machine, as earlier versions wrote it, is still loaded.
 func TestLoadsLegacySingleMachineRecord(t *testing.T) {
 	_, l := newTestLeader(phaseLoading)
 	l.loadMachineGroup(protocol.KeyValue{Key: records.PrefixMachineGroups + "vm-7", Value: json.RawMessage(`{"type":"small","zone":"a","spot":true,"at":1}`)})
 	if m := l.machines["vm-7"]; m == nil || !m.Spot || m.Type != "small" || !m.recorded {
-		t.Errorf("loaded %+v", m)
+		t.Errorf("loaded %+v, want the recorded spot machine vm-7 of type small", m)
 	}
 }
--- a/internal/coordination/machine_lifecycle_test.go
+++ b/internal/coordination/machine_lifecycle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A release that the cloud may have carried out is never revoked, nor is the release of a draining
-// machine. One that was refused or not sent yet is.
+// A release is revoked only if it is revocable, its machine isn't draining, and the cloud can't have
+// carried it out: its call was refused or not sent yet.
 func TestReleaseRevokedOnlyIfNotCarriedOut(t *testing.T) {
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	sent := func(c *lifecycle) { c.releaseCallSent(now) }
@@ -29,14 +29,14 @@
 	} {
 		var c lifecycle
 		if !c.inService() || !c.beginRelease(test.revocable) || c.inService() {
-			t.Fatalf("%s: the release doesn't begin: %+v", test.name, c)
+			t.Fatalf("%s: release not begun, or machine still in service: %+v", test.name, c)
 		}
 		if c.beginRelease(true) {
-			t.Errorf("%s: a second release begins", test.name)
+			t.Errorf("%s: release begun a second time", test.name)
 		}
 		test.change(&c)
 		if got := c.revoke(); got != test.revoked || c.releasing() == test.revoked {
-			t.Errorf("%s: revoked %t, %+v", test.name, got, c)
+			t.Errorf("%s: revoked: %t; state %+v", test.name, got, c)
 		}
 	}
 }
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -41,7 +41,7 @@
 }
 
 // The response to a heartbeat that was overtaken by a call response renews the worker's lease. If
-// it didn't count, the worker's tasks would be declared ended too early.
+// it didn't count, the worker's tasks would be considered terminated too early.
 func TestOvertakenHeartbeatRenewsLease(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	start := c.now
@@ -55,10 +55,10 @@
 	later := start.Add(3 * time.Second)
 	e := c.Request(later, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 200 {
-		t.Fatalf("got %+v", e.Replies)
+		t.Fatalf("replies %+v to an overtaken heartbeat, want status 200", e.Replies)
 	}
 	if proof := l.terminationProofAt(m); proof.Before(later.Add(c.cfg.WorkerLease)) {
-		t.Errorf("declared dead %s after the response, with a lease of %s", proof.Sub(later), c.cfg.WorkerLease)
+		t.Errorf("tasks considered terminated %s after the response, but the worker's lease is %s", proof.Sub(later), c.cfg.WorkerLease)
 	}
 }
 
@@ -69,11 +69,11 @@
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(1))
 	m := l.machines["vm-1"]
 	if m == nil || len(l.writer.newGroups) != 0 {
-		t.Fatalf("machine %v, %d records to write while loading", m, len(l.writer.newGroups))
+		t.Fatalf("while loading: machine %v, %d records to write; want a machine and no record", m, len(l.writer.newGroups))
 	}
 	l.startReconciling()
 	if len(l.writer.newGroups) != 1 || l.writer.newGroups[0].machines[0] != m {
-		t.Errorf("%d machine records to write", len(l.writer.newGroups))
+		t.Errorf("%d machine records to write after loading, want one with the machine", len(l.writer.newGroups))
 	}
 }
 
@@ -97,24 +97,24 @@
 		return l.bestMachine(&c, j)
 	}
 	if got := best(); got != list[1] {
-		t.Errorf("without images: %s", got.Name)
+		t.Errorf("without images: %s, want vm-2, which has the most free capacity", got.Name)
 	}
 	list[0].Images.Add(j.imageID, 1, 3)
 	if got := best(); got != list[0] {
-		t.Errorf("with the image on vm-1: %s", got.Name)
+		t.Errorf("with the image on vm-1: %s, want vm-1", got.Name)
 	}
 	list[0].Consolidating = true
 	if got := best(); got != list[1] {
-		t.Errorf("with vm-1 being consolidated: %s", got.Name)
+		t.Errorf("with vm-1 being consolidated: %s, want vm-2", got.Name)
 	}
 	list[1].Allocated.CPUs, list[2].Allocated.CPUs = 4, 4
 	if got := best(); got != list[0] {
-		t.Errorf("with room only there: %s", got.Name)
+		t.Errorf("with capacity only on vm-1, which is being consolidated: %s, want vm-1", got.Name)
 	}
 }
 
-// A job's weight grows with its remaining work, and more so once its deadline can't be met, and
-// shrinks while it waits. A late job with little work left may still come first.
+// A job's weight increases with its remaining work and increases further once its deadline can't be
+// met; it decreases while the job waits. A late job with little work left may still come first.
 func TestBacklogWeight(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	wall := c.now
@@ -132,15 +132,15 @@
 	order := []*job{rest, fresh, large, late}
 	for i := 1; i < len(order); i++ {
 		if a, b := weight(order[i-1]), weight(order[i]); a >= b {
-			t.Errorf("weight %d is %g, weight %d is %g", i-1, a, i, b)
+			t.Errorf("weight %d is %g, weight %d is %g; want increasing weights", i-1, a, i, b)
 		}
 	}
 	if a, b := weight(old), weight(fresh); a >= b {
-		t.Errorf("a job that waited for hours weighs %g, a fresh one %g", a, b)
+		t.Errorf("weight %g of a job that waited for hours, %g of a new one; want less", a, b)
 	}
 	l.corrections["c"] = 5 // tasks of the class take five times their estimates
 	if a, b := weight(fresh), weight(jobOf(2, 0, 0)); a <= b {
-		t.Errorf("with a correction: %g and %g", a, b)
+		t.Errorf("with a correction of the estimates: weight %g for ten tasks, %g for two; want more", a, b)
 	}
 }
 
@@ -158,7 +158,7 @@
 				return r
 			}
 		}
-		t.Fatalf("heartbeat %d/%d is not answered", incarnation, sequence)
+		t.Fatalf("heartbeat not answered (incarnation %d, sequence %d)", incarnation, sequence)
 		return Reply{}
 	}
 }
@@ -168,23 +168,23 @@
 	c, l := newTestLeader(phaseActive)
 	heartbeat := heartbeatSender(t, c)
 	if r := heartbeat(1, 10, 0); r.Status != 200 {
-		t.Fatalf("the first heartbeat: %d", r.Status)
+		t.Fatalf("status %d for the first heartbeat, want 200", r.Status)
 	}
 	m := l.machines["vm-1"]
 	m.recorded, m.Spec = true, &protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
 	if l.acceptsTasks(m) {
-		t.Error("a heartbeat alone, perhaps a late copy, opens a machine for work")
+		t.Error("machine accepts tasks after a heartbeat that may be a delayed duplicate")
 	}
 	if !m.session.ProbeInFlight {
-		t.Error("a machine whose worker registers isn't probed")
+		t.Error("worker not probed when it registered")
 	}
 	if heartbeat(1, 11, m.session.Token()); !l.acceptsTasks(m) {
-		t.Error("a heartbeat that shows a token of this epoch doesn't open the machine")
+		t.Error("machine accepts no tasks after a heartbeat with a token of this epoch")
 	}
 }
 
-// Heartbeats that arrive late or twice: only newer ones update the session. Late duplicates
-// neither renew the lease nor prove anything.
+// Of heartbeats that arrive late or twice, only newer ones update the session. Delayed duplicates
+// neither renew the lease nor prove contact.
 func TestLateAndDuplicateHeartbeats(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	heartbeat := heartbeatSender(t, c)
@@ -193,28 +193,28 @@
 	heartbeat(1, 11, m.session.Token())
 	answered, seen := m.session.LastAnswered, m.session.LastSeen
 	if r := heartbeat(1, 11, 0); r.Status != 503 || m.session.LastAnswered != answered || m.session.LastSeen != seen {
-		t.Errorf("a duplicate: status %d, answered %s later, seen %s later", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(seen))
+		t.Errorf("a duplicate: status %d, want 503; LastAnswered %s and LastSeen %s later, want no change", r.Status, m.session.LastAnswered.Sub(answered), m.session.LastSeen.Sub(seen))
 	}
 	l.applyResponse(m, &protocol.Heartbeat{Machine: "vm-1", Incarnation: 1, Sequence: 13, FencingToken: l.epoch.BaseToken()})
 	if r := heartbeat(1, 12, 0); r.Status != 200 || !m.session.LastAnswered.After(answered) || m.session.Sequence != 13 {
-		t.Errorf("a heartbeat overtaken by a response: status %d, sequence %d", r.Status, m.session.Sequence)
+		t.Errorf("a heartbeat overtaken by a response: status %d, sequence %d; want 200, 13", r.Status, m.session.Sequence)
 	}
 	if r := heartbeat(2, 14, 0); r.Status != 200 || m.session.Incarnation != 2 {
-		t.Errorf("the next incarnation: status %d, incarnation %d", r.Status, m.session.Incarnation)
+		t.Errorf("heartbeat of the next incarnation: status %d, incarnation %d; want 200, 2", r.Status, m.session.Incarnation)
 	}
 	if r := heartbeat(1, 20, 0); r.Status != 503 || m.session.Incarnation != 2 {
-		t.Errorf("a duplicate of an earlier incarnation: status %d, incarnation %d", r.Status, m.session.Incarnation)
+		t.Errorf("a duplicate of an earlier incarnation: status %d, incarnation %d; want 503, 2", r.Status, m.session.Incarnation)
 	}
 	l.machineTerminated(m, "returned")
 	c.now = c.now.Add(10 * time.Minute)
 	if r := heartbeat(2, 15, 0); r.Status != 503 || l.machines["vm-1"] != nil {
-		t.Errorf("a duplicate long after the machine's termination: status %d", r.Status)
+		t.Errorf("a duplicate long after the machine's termination: status %d, want 503 and no machine", r.Status)
 	}
 }
 
 // A worker whose probe response names an older incarnation than was known when the probe was sent
-// has lost its state, and its machine is released. A response that was merely overtaken by a newer
-// incarnation proves nothing.
+// has lost its state, and its machine is released. A response that was merely overtaken by a message
+// of a newer incarnation proves nothing.
 func TestWorkerIncarnationReset(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		c, l := newTestLeader(phaseActive)
@@ -229,14 +229,14 @@
 		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 		c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		if m.lifecycle.releasing() != lost || m.session.Incarnation != 2 {
-			t.Errorf("lost %t: releasing %t, incarnation %d", lost, m.lifecycle.releasing(), m.session.Incarnation)
+			t.Errorf("state lost: %t; releasing %t, incarnation %d", lost, m.lifecycle.releasing(), m.session.Incarnation)
 		}
 	}
 }
 
 // The release of an unresponsive machine is revoked once its worker answers again, unless the
-// cloud may have carried it out. Otherwise, during an outage of the cloud API, every machine that
-// was briefly cut off would be released when the API recovers.
+// cloud may have carried it out. Otherwise, after an outage of the cloud API, every machine that
+// had been unreachable for a short time during the outage would be released.
 func TestReleaseRevokedWhenWorkerAnswersAgain(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -254,7 +254,7 @@
 		call := c.takeEffects().Calls[0]
 		l.recordReached(m, c.now)
 		if !m.lifecycle.releasing() {
-			t.Errorf("%s: revoked while the call was in flight", test.name)
+			t.Errorf("%s: release revoked while its call was in flight", test.name)
 		}
 		c.Result(c.now, call.ID, test.out)
 		l.probe(m)
@@ -279,7 +279,7 @@
 	l.readInventory()
 	c.Result(c.now, c.takeEffects().Calls[0].ID, Outcome{Answered: true, Status: 503})
 	if l.enoughMachinesReconciled() {
-		t.Error("nobody was heard and the list is unknown")
+		t.Error("machines count as reconciled although no worker was in contact and the inventory is unknown")
 	}
 	for i, m := range l.fleetList {
 		if i < 8 {
@@ -287,12 +287,12 @@
 		}
 	}
 	if !l.enoughMachinesReconciled() {
-		t.Error("eight of ten were heard")
+		t.Error("machines don't count as reconciled although eight of ten workers were in contact")
 	}
 }
 
-// A worker that can't reach any controller may still answer calls. Its lease isn't renewed, so
-// its machine takes no new tasks, and is released after two worker leases.
+// A worker whose heartbeats reach no controller may still answer calls. Its lease isn't renewed, so
+// its machine accepts no new tasks, and is released after two worker leases.
 func TestMachineWithUnansweredHeartbeats(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.Request(c.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
@@ -309,14 +309,14 @@
 		l.applyResponse(m, r) // a response to a call
 		l.detectFailures()
 		if accepts := l.acceptsTasks(m); accepts != (c.now.Sub(begin) <= l.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay) {
-			t.Fatalf("accepts tasks: %t, %s after the last heartbeat", accepts, c.now.Sub(begin))
+			t.Fatalf("accepts tasks: %t, %s after the last answered heartbeat", accepts, c.now.Sub(begin))
 		}
 		if m.lifecycle.releasing() && c.now.Sub(begin) <= 2*c.cfg.WorkerLease {
-			t.Fatalf("released after %s", c.now.Sub(begin))
+			t.Fatalf("released %s after the last answered heartbeat, want no release within two worker leases", c.now.Sub(begin))
 		}
 	}
 	l.detectFailures()
 	if !m.lifecycle.releasing() {
-		t.Error("not given up after two leases")
+		t.Error("not released after two worker leases without an answered heartbeat")
 	}
 }
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -19,8 +19,8 @@
 	"brasskeel/internal/records"
 )
 
-// Tests of problems met in operation: faulty jobs and machines, late boots, thousands of status
-// queries, teams without a guarantee, starvation, overload, and missing logs.
+// Tests of problems that occur in operation: faulty jobs and machines, overdue boots, thousands of
+// status queries, teams without a guarantee, starvation, overload, and missing logs.
 
 func addTestJob(l *leader, id string, change func(*protocol.Job)) *job {
 	spec := &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 10, CPUs: 1,
@@ -38,7 +38,7 @@
 	return m
 }
 
-// failTask places a job's next pending task on a machine and lets it fail there.
+// failTask places a job's next pending task on a machine and makes the attempt fail.
 func failTask(l *leader, m *machine, j *job) {
 	a := &attempt{job: j, taskIndex: j.nextPendingTask(), machine: m, recorded: true}
 	j.popPendingTask()
@@ -47,8 +47,8 @@
 	l.detach(a, "test")
 }
 
-// Jobs that fail everywhere don't get a machine quarantined, however many of them fail on it. Jobs
-// that are known to work elsewhere do.
+// A machine isn't quarantined because of jobs that fail everywhere, however many of them fail on it.
+// It is quarantined after failures of two jobs that are known to work elsewhere.
 func TestQuarantinesMachineOnlyForWorkingJobs(t *testing.T) {
 	for _, works := range []bool{false, true} {
 		c, l := newTestLeader(phaseActive)
@@ -69,7 +69,7 @@
 			failTask(l, m, j)
 		}
 		if m.quarantined != works {
-			t.Errorf("after failures of two jobs that work elsewhere (%t): quarantined %t", works, m.quarantined)
+			t.Errorf("after failures of two more jobs (working elsewhere: %t): quarantined %t", works, m.quarantined)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		}
 		l.runPlacementRound()
 		if j.liveAttempts != 1 {
-			t.Fatalf("%d tasks placed of a job that fails everywhere", j.liveAttempts)
+			t.Fatalf("%d tasks placed of a job that fails everywhere, want 1", j.liveAttempts)
 		}
 		for _, a := range j.block(0).unrecorded {
 			l.attemptFailed(a.machine, a)
@@ -113,12 +113,12 @@
 	c.now = c.now.Add(quarantine.MinRunTime)
 	l.runPlacementRound()
 	if j.liveAttempts != j.Tasks {
-		t.Errorf("%d of %d tasks placed after one has run", j.liveAttempts, j.Tasks)
+		t.Errorf("%d of %d tasks placed after one ran for MinRunTime, want all", j.liveAttempts, j.Tasks)
 	}
 }
 
-// Replicas that fail on faulty machines are restarted while other replicas of their job run. A
-// service is never done, so the failures of its long life must not add up to a quarantine.
+// Replicas that fail on faulty machines are restarted while other replicas of their job run. Tasks
+// of a service are never done, so failures must not accumulate until the service is quarantined.
 func TestServiceIsNotQuarantined(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"].MaxCPUs = 100
@@ -148,14 +148,14 @@
 		}
 		l.runPlacementRound()
 		if j.liveAttempts != j.Tasks {
-			t.Fatalf("%d of %d replicas placed after failures on three machines", j.liveAttempts, j.Tasks)
+			t.Fatalf("%d of %d replicas placed after failures on three machines, want all", j.liveAttempts, j.Tasks)
 		}
 	}
 }
 
-// Machines whose boots are late are replaced once. When most boots are late, only some of the
-// machines are replaced, and none is released early. A new leader doesn't judge the boots of
-// inherited machines, which may have been up for a long time.
+// Machines whose boots are overdue are replaced once. When most boots are overdue, only some of the
+// machines are replaced, and none is released. A new leader doesn't count inherited machines as
+// overdue: they may have been up for a long time.
 func TestOverdueBoots(t *testing.T) {
 	count := func(lateBoots, completedBoots int, inherited bool) (*Controller, *leader) {
 		c, l := newTestLeader(phaseActive)
@@ -173,28 +173,28 @@
 	for _, test := range []struct {
 		lateBoots, completedBoots int
 		inherited                 bool
-		coming                    int
-		returned                  int // 45 s after provisioning; four times the usual boot time is 40 s
+		booting                   int // machines counted as booting
+		released                  int // 45 s after provisioning; four times the usual boot time is 40 s
 	}{
-		{lateBoots: 2, completedBoots: 8, coming: 0, returned: 2},
-		{lateBoots: 8, completedBoots: 2, coming: 6, returned: 0},
-		{lateBoots: 2, completedBoots: 8, inherited: true, coming: 0, returned: 0},
-		{lateBoots: 8, completedBoots: 2, inherited: true, coming: 0, returned: 0},
+		{lateBoots: 2, completedBoots: 8, booting: 0, released: 2},
+		{lateBoots: 8, completedBoots: 2, booting: 6, released: 0},
+		{lateBoots: 2, completedBoots: 8, inherited: true, booting: 0, released: 0},
+		{lateBoots: 8, completedBoots: 2, inherited: true, booting: 0, released: 0},
 	} {
 		_, l := count(test.lateBoots, test.completedBoots, test.inherited)
 		l.autoscaler.unmetDemand = []demand{{job: addTestJob(l, "run-000001", func(*protocol.Job) {}), tasks: 1}}
-		if got := len(l.bootingBins()); got != test.coming {
+		if got := len(l.bootingBins()); got != test.booting {
 			t.Errorf("%+v: %d machines counted as booting", test, got)
 		}
 		l.releaseOverdueBoots()
-		returned := 0
+		released := 0
 		for _, m := range l.fleetList {
 			if m.lifecycle.releasing() {
-				returned++
+				released++
 			}
 		}
-		if returned != test.returned {
-			t.Errorf("%+v: %d machines released", test, returned)
+		if released != test.released {
+			t.Errorf("%+v: %d machines released", test, released)
 		}
 	}
 }
@@ -228,7 +228,7 @@
 		t.Errorf("%d checks in 10 s, want at most %d", checks, most)
 	}
 	if answered < 1900 {
-		t.Errorf("%d of 2000 queries answered", answered)
+		t.Errorf("%d of 2000 queries answered, want at least 1900", answered)
 	}
 
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
@@ -239,7 +239,7 @@
 	c.PeerMessage(c.now, raw)
 	e := c.Request(c.now, 9999, "GET", protocol.PathJobs+"/run-000999", nil)
 	if len(e.Calls) != 0 || len(e.Replies) != 1 || e.Replies[0].Status != 200 {
-		t.Errorf("query for a job that a peer announced as done: %+v", e)
+		t.Errorf("query for a job that a peer announced as done: %+v, want a reply without a call", e)
 	}
 }
 
@@ -254,8 +254,8 @@
 	}
 }
 
-// Submissions that arrive together share a transaction. One of a job that already exists doesn't
-// keep the others from being accepted.
+// Submissions that arrive while a transaction is in flight share the next one. A submission whose job
+// already exists doesn't keep the others from being accepted.
 func TestSubmissionsShareTransactions(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.takeEffects()
@@ -265,11 +265,11 @@
 		calls = append(calls, e.Calls...)
 	}
 	if len(calls) != 1 {
-		t.Fatalf("%d calls for five submissions at once", len(calls))
+		t.Fatalf("%d calls for five submissions at once, want one until it is answered", len(calls))
 	}
 	e := c.Result(c.now, calls[0].ID, Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(7)})
 	if len(e.Replies) != 1 || len(e.Calls) != 1 || bytes.Count(e.Calls[0].Body, []byte(`"write"`)) != 4 {
-		t.Fatalf("the other four submissions don't share a transaction: %d replies, %d calls", len(e.Replies), len(e.Calls))
+		t.Fatalf("after the first submission is accepted: %d replies and %d calls, want one reply and one transaction with the other four submissions", len(e.Replies), len(e.Calls))
 	}
 	failed := protocol.EncodeFailedConditions([]string{records.KeyActive(benchJob(4).ID)}, 8)
 	e = c.Result(c.now, e.Calls[0].ID, Outcome{Answered: true, Status: 409, Body: failed})
@@ -280,12 +280,12 @@
 		}
 	}
 	if again != 3 {
-		t.Errorf("%d of the three others are written again", again)
+		t.Errorf("%d submissions written again after one of four failed its condition, want the three others", again)
 	}
 }
 
-// No expensive machines are provisioned for teams without a guarantee, except one to start on once
-// their job has waited for StarvingAfter.
+// No expensive machines are provisioned for teams without a guarantee, except a single one once a
+// job of theirs has waited for StarvingAfter.
 func TestOpportunisticPrice(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["guest"] = &config.Team{Name: "guest", MaxCPUs: config.NoLimit}
@@ -294,19 +294,19 @@
 	other := addTestJob(l, "run-000002", func(*protocol.Job) {})
 	expensive := autoscaler.Offer{Spec: c.types["small"], Zone: "a"} // twice the price of a spot machine
 	if !l.overpriced(guest, expensive) || l.overpriced(other, expensive) || l.overpriced(guest, autoscaler.Offer{Spec: expensive.Spec, Zone: "a", Spot: true}) {
-		t.Error("prices are judged wrongly")
+		t.Error("an on-demand machine must be overpriced for the team without a guarantee, and neither that machine for the other team nor a spot machine")
 	}
 	// Spot machines have run out.
 	l.autoscaler.unavailableUntil[autoscaler.Offer{Spec: expensive.Spec, Zone: "a", Spot: true}.Key()] = c.now.Add(time.Hour)
 	for _, test := range []struct {
-		job   *job
-		rents bool
+		job      *job
+		requests bool
 	}{{guest, false}, {other, true}} {
 		c.takeEffects()
 		l.autoscaler.unmetDemand = []demand{{test.job, 4}}
 		l.scaleOut()
-		if rents := len(c.takeEffects().Calls) > 0; rents != test.rents {
-			t.Errorf("%s: expensive machines requested %t", test.job.Team, rents)
+		if requests := len(c.takeEffects().Calls) > 0; requests != test.requests {
+			t.Errorf("team %s: expensive machines requested: %t", test.job.Team, requests)
 		}
 	}
 	c.now = c.now.Add(queue.StarvingAfter)
@@ -316,18 +316,18 @@
 	c.takeEffects()
 	l.scaleOut()
 	if calls := c.takeEffects().Calls; len(calls) != 1 || !bytes.Contains(calls[0].Body, []byte(`"howMany":1}`)) {
-		t.Errorf("for the starving job of a team without a guarantee: %d calls, want one for one machine", len(calls))
+		t.Errorf("%d calls for the starving job of a team without a guarantee, want one that requests one machine", len(calls))
 	}
 }
 
 // Tasks of teams without a guarantee that save checkpoints are stopped on an expensive machine that
 // is being consolidated, if nothing else runs on it, and aren't placed there again. Tasks of other
-// teams run to their end.
+// teams run until they complete.
 func TestOpportunisticWorkLeavesExpensiveMachines(t *testing.T) {
 	for _, test := range []struct {
-		team   string
-		spot   bool
-		leaves bool
+		team  string
+		spot  bool
+		stops bool // whether the task is stopped
 	}{{"guest", false, true}, {"guest", true, false}, {"red", false, false}} {
 		c, l := newTestLeader(phaseActive)
 		c.teams["red"].MaxCPUs = 100
@@ -348,14 +348,14 @@
 		c.now = c.now.Add(minOpportunisticRuntime + time.Second)
 		m.session.LastSeen, m.session.LastAnswered, m.Consolidating = c.now, c.now, true
 		l.scaleIn()
-		if a.stopRequested != test.leaves {
-			t.Errorf("%+v: told to stop %t", test, a.stopRequested)
+		if a.stopRequested != test.stops {
+			t.Errorf("%+v: stop requested: %t", test, a.stopRequested)
 		}
-		if test.leaves {
+		if test.stops {
 			l.detach(a, "test")
 			l.runPlacementRound()
 			if j.liveAttempts != 0 {
-				t.Errorf("%+v: placed there again", test)
+				t.Errorf("%+v: placed on the expensive machine again", test)
 			}
 		}
 	}
@@ -379,12 +379,12 @@
 	}
 	step(20 * time.Second)
 	if lines("tasks pending") != 1 {
-		t.Fatalf("logged %q", out.String())
+		t.Fatalf("logged %q in 20 s, want one line about pending tasks", out.String())
 	}
 	l.teamUsage["red"].cpus = 4
 	step(60 * time.Second)
 	if k := lines("team limit"); k < 2 || k > 4 {
-		t.Errorf("the team limit is logged %d times in a minute: %s", k, out.String())
+		t.Errorf("the team limit is logged %d times in a minute, want 2 to 4: %s", k, out.String())
 	}
 	c.election.StepDown("test")
 	for range 20 {
@@ -392,12 +392,12 @@
 		c.logAvailability()
 	}
 	if k := lines("no leader known"); k != 1 {
-		t.Errorf("the missing leader is logged %d times in 20 s: %s", k, out.String())
+		t.Errorf("the missing leader is logged %d times in 20 s, want once: %s", k, out.String())
 	}
 }
 
-// A large task is placed although small tasks would take any room that becomes free: a machine is
-// reserved for it once its job has waited for too long.
+// A large task is placed although small tasks would use any capacity that becomes free: a machine is
+// reserved for it once its job has waited for StarvingAfter.
 func TestMachineIsReservedForStarvingJob(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"].MaxCPUs = 100
@@ -416,7 +416,7 @@
 	first.retryQueue = nil
 	l.runPlacementRound()
 	if large.liveAttempts != 1 {
-		t.Error("the job that is overdue got no room")
+		t.Error("no task of the starving job was placed on the machine reserved for it")
 	}
 }
 
@@ -434,12 +434,12 @@
 	c.overload.Observe(c.now, 2*overload.OverloadThreshold)
 	l.runPlacementRound()
 	if critical.liveAttempts != 2 || rest.liveAttempts != 0 {
-		t.Errorf("while overloaded: %d critical tasks and %d others placed", critical.liveAttempts, rest.liveAttempts)
+		t.Errorf("while overloaded: %d critical tasks and %d others placed, want 2 and 0", critical.liveAttempts, rest.liveAttempts)
 	}
 	c.overload.Observe(c.now, 0)
 	l.runPlacementRound()
 	if rest.liveAttempts != 12 {
-		t.Errorf("%d of 12 tasks placed after the overload", rest.liveAttempts)
+		t.Errorf("%d of 12 tasks placed after the overload, want all", rest.liveAttempts)
 	}
 	base := c.operator.LeaderLease()
 	c.overload.Observe(c.now, 2*overload.OverloadThreshold)
--- a/internal/coordination/overload/monitor_test.go
+++ b/internal/coordination/overload/monitor_test.go
@@ -59,7 +59,7 @@
 			m.Observe(now, OverloadThreshold+1)
 		}
 		if got := m.Persistent(now.Add(test.later)); got != test.want {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: persistent: %t", test.name, got)
 		}
 	}
 }
@@ -68,17 +68,17 @@
 func TestRecentOverloadAndPeak(t *testing.T) {
 	var m Monitor
 	if m.OverloadedWithin(start, time.Hour) {
-		t.Error("overloaded before any timer")
+		t.Error("reports an overload before any timer")
 	}
 	m.Observe(start, 2*OverloadThreshold)
 	m.Observe(start.Add(time.Second), time.Millisecond)
 	if now := start.Add(time.Second); !m.OverloadedWithin(now, time.Second+1) || m.OverloadedWithin(now, time.Second) {
-		t.Error("not overloaded a second ago")
+		t.Error("overload of a second ago isn't reported for exactly that age")
 	}
 	if peak := m.TakePeak(); peak != 2*OverloadThreshold {
-		t.Errorf("peak %s", peak)
+		t.Errorf("peak %s, want twice OverloadThreshold", peak)
 	}
 	if peak := m.TakePeak(); peak != 0 {
-		t.Errorf("peak %s after it was taken", peak)
+		t.Errorf("peak %s after it was taken, want 0", peak)
 	}
 }
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -10,33 +10,33 @@
 	"brasskeel/internal/records"
 )
 
-// The longer a leader's lease, the shorter its grace period: together with a worker's lease they
+// The longer a leader's lease, the shorter its grace period: both together with a worker's lease
 // do not exceed the time within which a cancellation must take effect.
 func TestGracePeriodFitsLease(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.lease.TTL = 4 * c.operator.LeaderLease()
 	if sum := l.lease.TTL + l.gracePeriod() + c.cfg.WorkerLease; sum > c.cfg.CancelDeadline {
-		t.Errorf("leader lease, grace period and worker lease take %s of %s", sum, c.cfg.CancelDeadline)
+		t.Errorf("leader lease, grace period and worker lease take %s, longer than CancelDeadline, %s", sum, c.cfg.CancelDeadline)
 	}
 }
 
 // overloadTestMachines is the size of the fleet in the tests of this file.
 const overloadTestMachines = 1600
 
-// A fleet of silent machines is probed in batches, and completely within the time that a new
-// leader waits for heartbeats.
+// A fleet of machines that send no heartbeats is probed in batches, and completely within the time
+// that a new leader waits for heartbeats.
 func TestProbesArePaced(t *testing.T) {
 	_, l := largeLeader(overloadTestMachines, 0)
 	for batch := range 1 + probeBatchDivisor {
 		before := len(l.controller.effects.Calls)
 		l.probeBatch(l.fleetList)
 		if probed := len(l.controller.effects.Calls) - before; probed > overloadTestMachines/probeBatchDivisor {
-			t.Fatalf("batch %d: %d machines probed at once", batch, probed)
+			t.Fatalf("batch %d: %d machines probed at once, more than one part of probeBatchDivisor", batch, probed)
 		}
 	}
 	for _, m := range l.fleetList {
 		if !m.session.ProbeInFlight {
-			t.Fatalf("%s is not probed", m.Name)
+			t.Fatalf("%s was not probed in any batch", m.Name)
 		}
 	}
 }
@@ -48,11 +48,11 @@
 	c.overload.Observe(c.now, 2*overload.ShedThreshold)
 	e := c.Request(c.now, 1, "GET", protocol.PathJobs+"/run-000001", nil)
 	if len(e.Replies) != 1 || e.Replies[0].Status != 503 || e.Replies[0].RetryAfter == 0 {
-		t.Errorf("status query: %+v", e.Replies)
+		t.Errorf("replies %+v to a status query, want status 503 with a retry delay", e.Replies)
 	}
 	e = c.Request(c.now, 2, "POST", protocol.PathJobs, protocol.EncodeJob(benchJob(2)))
 	if len(e.Replies) != 0 || len(e.Calls) == 0 {
-		t.Errorf("submission: %+v, %d calls", e.Replies, len(e.Calls))
+		t.Errorf("replies %+v and %d calls for a submission, want no reply yet and a call", e.Replies, len(e.Calls))
 	}
 }
 
@@ -72,18 +72,18 @@
 		}
 	}
 	if most := (j.liveAttempts+95)/96 + 1; made > most {
-		t.Errorf("%d blocks in memory for %d live tasks", made, j.liveAttempts)
+		t.Errorf("%d task blocks in memory for %d live tasks, more than they need", made, j.liveAttempts)
 	}
 	for _, o := range l.jobsByAge {
 		if o != j && o.Priority >= j.Priority && o.liveAttempts == 0 {
-			t.Errorf("no task of %s was placed beside the huge job", o.ID)
+			t.Errorf("no task of %s placed although its priority is no lower than that of the huge job", o.ID)
 		}
 	}
 	if j.liveAttempts == 0 {
-		t.Error("the huge job got nothing")
+		t.Error("no task of the huge job placed")
 	}
 	if allocated > 200_000 {
-		t.Errorf("%.0f allocations", allocated)
+		t.Errorf("%.0f allocations, want at most 200000", allocated)
 	}
 }
 
@@ -107,7 +107,7 @@
 		used += m.Allocated.CPUs
 	}
 	if used < overloadTestMachines*16 {
-		t.Fatalf("the fleet is not full: %g CPUs in use", used)
+		t.Fatalf("the fleet is not full before the test: %g CPUs in use", used)
 	}
 	add(1000, 400, func(j *protocol.Job) { j.Tasks = 40 })
 	rounds := 0
@@ -118,7 +118,7 @@
 		}
 		l.runPlacementRound()
 		if l.round.examined > 2*baseExamineLimit {
-			t.Errorf("a round examined %d machines, more than %d", l.round.examined, 2*baseExamineLimit)
+			t.Errorf("a round examined %d machines, want at most %d", l.round.examined, 2*baseExamineLimit)
 		}
 		rounds++
 	}
@@ -127,7 +127,7 @@
 		stopping += m.stopRequestedCount
 	}
 	if stopping < 10_000 { // the tasks that fit into the team's quota
-		t.Errorf("after %d rounds %d tasks were stopped for jobs within their team's quota", rounds, stopping)
+		t.Errorf("after %d rounds %d tasks were stopped for jobs within their team's quota, want at least 10000", rounds, stopping)
 	}
 }
 
@@ -151,6 +151,6 @@
 	}
 	l.runPlacementRound()
 	if most := 2 * overloadTestMachines; l.round.examined > most {
-		t.Errorf("a round examined %d machines, more than %d", l.round.examined, most)
+		t.Errorf("a round examined %d machines, want at most %d", l.round.examined, most)
 	}
 }
--- a/internal/coordination/peers/peers_test.go
+++ b/internal/coordination/peers/peers_test.go
@@ -30,7 +30,7 @@
 		}
 		table := Table{"n1": &test.status}
 		if table.AnyFresh(now) != test.fresh || table.AnyEligible(now) != test.eligible || table.StoreReachable(now) != (test.fresh && test.status.StoreReachable) {
-			t.Errorf("%s: the table's result differs from the status", test.name)
+			t.Errorf("%s: results of the table differ from those of the status", test.name)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 		"e": {LastReceivedAt: start.Add(-statusTTL), StoreReachable: true, Disconnected: true},
 	}
 	if eligible, disconnected := table.Connectivity(start); eligible != 1 || disconnected != 2 {
-		t.Errorf("%d eligible, %d disconnected", eligible, disconnected)
+		t.Errorf("%d peers eligible, %d disconnected; want 1, 2", eligible, disconnected)
 	}
 }
 
@@ -71,7 +71,7 @@
 		table.Receive(&test.next, now)
 		p, known := table["n1"].Progress("run-000001", now)
 		if known != test.known || known && (p.Done() != 3 || p.Running() != 2) {
-			t.Errorf("%s: %v %t", test.name, p, known)
+			t.Errorf("%s: progress %v, known %t", test.name, p, known)
 		}
 	}
 }
@@ -83,13 +83,13 @@
 	empty := Message{Sender: "n1", Progress: map[string]JobProgress{"x": {}}, Done: map[string]int{"x": 0}}
 	one := Message{Sender: "n1", Progress: map[string]JobProgress{"x": {}, job: {99999, 99999}}, Done: map[string]int{"x": 0, job: 99999}}
 	if grown := len(one.Encode()) - len(empty.Encode()); grown > ProgressSize(job)+OutcomeSize(job) {
-		t.Errorf("two entries take %d bytes, estimated %d", grown, ProgressSize(job)+OutcomeSize(job))
+		t.Errorf("two entries take %d bytes, more than the estimate of %d", grown, ProgressSize(job)+OutcomeSize(job))
 	}
 	got, err := Decode(one.Encode())
 	if err != nil || got.Sender != "n1" || got.Done[job] != 99999 || got.Progress[job].Running() != 99999 {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded %+v, error %v", got, err)
 	}
 	if _, err := Decode([]byte("{")); err == nil {
-		t.Error("half a message is read")
+		t.Error("truncated message decoded without an error")
 	}
 }
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -62,9 +62,10 @@
 	}
 }
 
-// fakeMachines has room for tasks of one size, at costs that rise from task to task.
+// fakeMachines implements Machines with machines on which room for tasks of one size can be made, at
+// a cost for each further task.
 type fakeMachines struct {
-	costs     map[string][]float64 // of the next tasks on each machine; empty: no room
+	costs     map[string][]float64 // of the next tasks on each machine; empty: no more tasks
 	excluded  string
 	costCalls int
 	preempted []string
@@ -96,7 +97,7 @@
 		{name: "no room", costs: map[string][]float64{}},
 		{name: "lowest cost first", costs: map[string][]float64{"a": {5}, "b": {1}, "c": {3}}, want: []string{"b", "c", "a"}},
 		{name: "first machine of equal cost", costs: map[string][]float64{"a": {1, 1}, "b": {1}, "c": {1}}, want: []string{"a", "a", "b", "c"}},
-		{name: "rising costs", costs: map[string][]float64{"a": {1, 9}, "b": {2, 3}}, want: []string{"a", "b", "b", "a"}},
+		{name: "increasing costs", costs: map[string][]float64{"a": {1, 9}, "b": {2, 3}}, want: []string{"a", "b", "b", "a"}},
 		{name: "free room first", costs: map[string][]float64{"a": {1}, "b": {0, 0, 4}}, want: []string{"b", "b", "a", "b"}},
 		{name: "excluded machine", costs: map[string][]float64{"a": {1}, "b": {2}}, excluded: "a", want: []string{"b"}},
 	} {
@@ -114,8 +115,8 @@
 	}
 }
 
-// Exhausted machines are examined again only for smaller tasks, machines that a job couldn't use
-// for every later job.
+// Exhausted machines are examined again only for smaller tasks. Machines that an earlier job couldn't
+// use are examined again for each later job.
 func TestSearchOfSeveralJobs(t *testing.T) {
 	f := &fakeMachines{costs: map[string][]float64{}}
 	var s Search[string]
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -55,7 +55,7 @@
 	for i := range failureThreshold {
 		v := h.RecordFailure(start, Failure{Machine: fmt.Sprintf("vm-%d", i%2), LiveAttempts: 1}, Progress{}, 2)
 		if want := i == failureThreshold-1; v.EnteredQuarantine != want || (v.State == Quarantined) != want {
-			t.Errorf("failure %d: %+v", i+1, v)
+			t.Errorf("failure %d: verdict %+v", i+1, v)
 		}
 	}
 }
@@ -94,10 +94,10 @@
 	recordFailures(&h, start, 10, Progress{}, 100)
 	h.RecordSuccess()
 	if h.State(start, Progress{}, 100) != Untested || h.Failures() != 0 || h.Machines() != 10 {
-		t.Errorf("state %d, %d failures, %d machines", h.State(start, Progress{}, 100), h.Failures(), h.Machines())
+		t.Errorf("after a success: state %d, %d failures, %d machines; want Untested, 0, 10", h.State(start, Progress{}, 100), h.Failures(), h.Machines())
 	}
 	if v := recordFailures(&h, start, failureThreshold, Progress{}, 100); !v.EnteredQuarantine || v.Backoff != trialBackoff {
-		t.Errorf("failing again: %+v", v)
+		t.Errorf("after as many failures again: verdict %+v, want quarantine with trialBackoff", v)
 	}
 }
 
@@ -115,7 +115,7 @@
 		{"another job works", MachineEvidence{WorkingJobs: 1, Failures: 2, Machines: 1}, false},
 	} {
 		if got := c.evidence.Faulty(); got != c.want {
-			t.Errorf("%s: faulty: %t", c.name, got)
+			t.Errorf("%s: counts as faulty: %t", c.name, got)
 		}
 	}
 }
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -12,7 +12,7 @@
 func TestTiersAndAgeing(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		standing JobInfo
+		info     JobInfo
 		tier     Tier
 		aged     Tier
 		priority int
@@ -29,8 +29,8 @@
 		{"ageing never reaches critical", JobInfo{Priority: protocol.Low, Started: true, Waited: 100 * AgeingStep}, BestEffort, BestEffort, int(protocol.Urgent)},
 		{"submitted in the future", JobInfo{Priority: protocol.Low, Waited: -time.Hour}, BestEffort, BestEffort, int(protocol.Low)},
 	} {
-		if s := c.standing; s.Tier() != c.tier || s.AgedTier() != c.aged || s.AgedPriority() != c.priority {
-			t.Errorf("%s: tier %d, aged tier %d, aged priority %d", c.name, s.Tier(), s.AgedTier(), s.AgedPriority())
+		if s := c.info; s.Tier() != c.tier || s.AgedTier() != c.aged || s.AgedPriority() != c.priority {
+			t.Errorf("%s: tier %d, aged tier %d, aged priority %d, not all as expected", c.name, s.Tier(), s.AgedTier(), s.AgedPriority())
 		}
 	}
 }
--- a/internal/coordination/ratelog/ratelog_test.go
+++ b/internal/coordination/ratelog/ratelog_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Suppressed lines are not counted in the log before the second in which they occurred is
-// over.
+// The count of suppressed lines is not logged before the end of the second in which they
+// occurred.
 func TestFlushWaitsForWindowEnd(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -57,7 +57,7 @@
 	}
 	s.Flush(log, start.Add(time.Second-1))
 	if strings.Contains(out.String(), "suppressed") {
-		t.Error("told too early")
+		t.Error("suppressed lines counted in the log before the end of the second")
 	}
 	s.Info(log, start.Add(time.Second), "a message")
 	if !strings.Contains(out.String(), "count=5") {
@@ -86,7 +86,7 @@
 		now := start.Add(step.after)
 		open := h.MayLog(now)
 		if allow := h.Allow(now, step.status); allow != step.allow || allow && !open {
-			t.Errorf("after %s, %q: allowed %t, open %t", step.after, step.status, allow, open)
+			t.Errorf("after %s, status %q: Allow returned %t, MayLog %t", step.after, step.status, allow, open)
 		}
 	}
 }
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -12,8 +12,8 @@
 	"brasskeel/internal/records"
 )
 
-// leaderWithMigration returns a leader with a surging team, an attempt of that team that was told
-// to stop because its task is being migrated, and the target of the migration.
+// leaderWithMigration returns a leader with a surging team, an attempt of that team whose stop
+// was requested because its task is being migrated, and the target of the migration.
 func leaderWithMigration(t *testing.T) (l *leader, a *attempt, to *machine) {
 	t.Helper()
 	c, l, a := leaderWithBalancing(t)
@@ -29,7 +29,7 @@
 	return l, a, to
 }
 
-// Room on the target is reserved for the migration alone, and released when the migration is
+// Capacity on the target is reserved for the migration alone, and released when the migration is
 // abandoned or completed.
 func TestMigrationReservesTarget(t *testing.T) {
 	whole := &protocol.Job{ID: "run-000009", CPUs: 4, MemoryGB: 1}
@@ -117,7 +117,7 @@
 		{name: "workers still reconnecting", change: func(c *Controller, l *leader) { l.reconciledAt = c.now }},
 		{name: "leader still reconciling", change: func(_ *Controller, l *leader) { l.phase = phaseReconciling }},
 		{name: "lease about to expire", change: func(c *Controller, l *leader) { l.lease.ValidUntil = c.now.Add(500 * time.Millisecond) }},
-		{name: "event loop lags", change: func(c *Controller, _ *leader) { c.overload.Observe(c.now, overload.DeferThreshold+1) }},
+		{name: "event loop overloaded", change: func(c *Controller, _ *leader) { c.overload.Observe(c.now, overload.DeferThreshold+1) }},
 		{name: "persistent overload", change: func(c *Controller, _ *leader) {
 			for ago := 10 * time.Second; ago >= time.Second; ago -= time.Second {
 				c.overload.Observe(c.now.Add(-ago), overload.OverloadThreshold+1)
@@ -137,7 +137,7 @@
 	}
 }
 
-// The record of a task block tells the next leader which tasks were migrated. If the marks can't
+// The record of a task block contains which tasks were migrated, for the next leader. If the marks can't
 // be decoded, all tasks of the block count as migrated.
 func TestMigrationMarks(t *testing.T) {
 	l, a, _ := leaderWithMigration(t)
@@ -162,6 +162,6 @@
 		t.Errorf("%d of %d tasks count as migrated with unreadable marks, want all", got, len(block.tasks))
 	}
 	if l.rebalancer.migratable(a) {
-		t.Error("task may migrate a second time in the same surge")
+		t.Error("task may be migrated a second time in the same surge")
 	}
 }
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -29,27 +29,27 @@
 	return c, l, a
 }
 
-// stateReport returns a heartbeat that reports an attempt in a state.
-func stateReport(a *attempt, seq uint64, s protocol.TaskState) []byte {
+// stateHeartbeat returns a heartbeat that reports an attempt in a state.
+func stateHeartbeat(a *attempt, seq uint64, s protocol.TaskState) []byte {
 	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: a.machine.Name, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16,
 		Tasks: []protocol.TaskStatus{{Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number, State: s}}})
 }
 
 // The load of a machine follows the heartbeats of its worker, but not those that are duplicates or
 // arrive out of order.
-func TestLoadFollowsReports(t *testing.T) {
+func TestLoadFollowsHeartbeats(t *testing.T) {
 	c, l, a := leaderWithBalancing(t)
 	m := a.machine
 	queued := func() time.Duration { return m.load.Fetches.Backlog(c.now, m.Spec.FetchGBPerSecond) }
 	if r, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 1 || r != placement.Needs(a.job.Job) || queued() != 2*time.Second {
 		t.Fatalf("usage of the team is %+v by %d tasks, %s of fetches queued; want 1 task and 2s", r, tasks, queued())
 	}
-	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, stateReport(a, 5, protocol.Fetching))
-	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, stateReport(a, 4, protocol.Running)) // a duplicate, or delayed
+	c.Request(c.now, 2, "POST", protocol.PathHeartbeat, stateHeartbeat(a, 5, protocol.Fetching))
+	c.Request(c.now, 3, "POST", protocol.PathHeartbeat, stateHeartbeat(a, 4, protocol.Running)) // delayed, or a duplicate
 	if queued() != 2*time.Second {
 		t.Errorf("%s of fetches queued after an older heartbeat, want 2s", queued())
 	}
-	c.Request(c.now, 4, "POST", protocol.PathHeartbeat, stateReport(a, 6, protocol.Running))
+	c.Request(c.now, 4, "POST", protocol.PathHeartbeat, stateHeartbeat(a, 6, protocol.Running))
 	if queued() != 0 {
 		t.Errorf("%s of fetches queued while the task runs, want none", queued())
 	}
@@ -58,7 +58,7 @@
 	if _, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 0 || queued() != 0 {
 		t.Errorf("%d tasks and %s of fetches queued in a new incarnation, want none", tasks, queued())
 	}
-	c.Request(c.now, 6, "POST", protocol.PathHeartbeat, stateReport(a, 9, protocol.Running))
+	c.Request(c.now, 6, "POST", protocol.PathHeartbeat, stateHeartbeat(a, 9, protocol.Running))
 	if _, tasks := m.load.TeamUsage(l.rebalancer.teams["red"].id); tasks != 0 {
 		t.Errorf("%d tasks after a heartbeat of an earlier incarnation, want none", tasks)
 	}
@@ -72,7 +72,7 @@
 	if l.rebalancer.surgeOf(a.job) != 0 {
 		t.Error("surge restored from an unreadable record")
 	}
-	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, UsualCPUs: 1}, "nobody": {Number: 6}})}})
+	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: records.Encode(records.Surges{"red": {Number: 5, UsualCPUs: 1}, "unknown": {Number: 6}})}})
 	if l.rebalancer.surgeOf(a.job) != 5 {
 		t.Error("recorded surge not restored")
 	}
--- a/internal/coordination/record_batch_test.go
+++ b/internal/coordination/record_batch_test.go
@@ -28,14 +28,14 @@
 		}
 	}
 	if a == nil || transaction == 0 {
-		t.Fatalf("attempt %v, transaction %d", a, transaction)
+		t.Fatalf("no placement, or no transaction sent for it: attempt %v, transaction %d", a, transaction)
 	}
 	return c, a, transaction
 }
 
 // The result of a transaction decides what happens to a placement in it: the placement counts as
-// recorded, or it is written again, after the keys in doubt were read. Nothing of the placement
-// is sent to a worker before it is recorded.
+// recorded, or it is written again, after the keys whose versions are unknown were read. No start is
+// sent to a worker before the placement is recorded.
 func TestPlacementAfterTransactionResult(t *testing.T) {
 	const id = "run-000001"
 	block, outcome := records.KeyTaskBlock(id, 0), records.KeyOutcome(id)
@@ -50,14 +50,14 @@
 	}{
 		{name: "applied", outcome: Outcome{Answered: true, Status: 200, Body: protocol.EncodeRevision(21)}, recorded: true},
 		{name: "refused", outcome: Outcome{Answered: true, Status: 503}},
-		{name: "no answer", outcome: Outcome{}, reads: block},
+		{name: "no response", outcome: Outcome{}, reads: block},
 		{name: "another version of the block", outcome: conflict(block), reads: block},
-		{name: "the job is over", outcome: conflict(outcome), reads: outcome},
+		{name: "the job has ended", outcome: conflict(outcome), reads: outcome},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c, a, transaction := leaderWithUnansweredPlacement(t)
 			if a.job.ID != id {
-				t.Fatalf("job %s", a.job.ID)
+				t.Fatalf("placement is of the wrong job, %s", a.job.ID)
 			}
 			e := c.Result(c.now, transaction, test.outcome)
 			if a.recorded != test.recorded {
@@ -72,10 +72,10 @@
 				started = started || call.To == Worker
 			}
 			if test.reads != "" && !slices.Contains(reads, protocol.KeyTarget(test.reads)) || test.reads == "" && len(reads) > 0 {
-				t.Errorf("reads %v, want %q", reads, test.reads)
+				t.Errorf("reads %v after the result, want %q", reads, test.reads)
 			}
 			if started && !test.recorded {
-				t.Error("started without a record")
+				t.Error("start sent before the placement is recorded")
 			}
 		})
 	}
@@ -102,11 +102,11 @@
 			t.Fatal(err)
 		}
 		if !hasCondition(txn, key, 12) || !hasCondition(txn, records.KeyOutcome(a.job.ID), 0) {
-			t.Errorf("written again with conditions %+v", txn.Conditions)
+			t.Errorf("placement written again under conditions %+v, want the version that was read and no outcome", txn.Conditions)
 		}
 		return
 	}
-	t.Error("the placement isn't written again")
+	t.Error("placement not written again")
 }
 
 // A leader whose key has changed stops leading.
@@ -114,6 +114,6 @@
 	c, _, transaction := leaderWithUnansweredPlacement(t)
 	c.Result(c.now, transaction, Outcome{Answered: true, Status: 409, Body: protocol.EncodeFailedConditions([]string{records.KeyLeader}, 9)})
 	if c.leader != nil {
-		t.Error("it leads on")
+		t.Error("controller still leads after the leader key changed")
 	}
 }
--- a/internal/coordination/release_deferral_test.go
+++ b/internal/coordination/release_deferral_test.go
@@ -10,10 +10,10 @@
 	"brasskeel/internal/records"
 )
 
-// Silent machines with replicas are released once there is capacity for the replicas elsewhere, or
-// once the workers' leases have expired. Until then, replacements are provisioned. When a third of
-// the machines was partitioned at once, their replicas, which were still serving, were terminated
-// before new machines had booted.
+// Unresponsive machines with replicas are released once there is capacity for the replicas elsewhere,
+// or once the workers' leases have expired. Until then, replacements are provisioned. Without this,
+// when a third of the machines was partitioned at once, their replicas, which were still serving,
+// were terminated before new machines had booted.
 func TestReleaseDeferredUntilReplicasFitElsewhere(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"].MaxCPUs = 100
@@ -51,19 +51,19 @@
 	}
 	pass(8 * time.Second) // several heartbeats, due every 2 s, are missing
 	if got := releasing(); got != 0 || l.autoscaler.displacedReplicas[l.jobsByAge[0]] != 8 {
-		t.Errorf("without capacity %d of 4 are released, and %d replicas are displaced", got, l.autoscaler.displacedReplicas[l.jobsByAge[0]])
+		t.Errorf("without capacity elsewhere %d of 4 machines released and %d replicas displaced, want 0 and 8", got, l.autoscaler.displacedReplicas[l.jobsByAge[0]])
 	}
 	l.scaleOut()
-	if rented := l.autoscaler.requested[autoscaler.Offer{Spec: c.types["small"], Zone: "a"}.Key()]; rented != 4 {
-		t.Errorf("%d machines are requested for eight replicas of half a machine each", rented)
+	if requested := l.autoscaler.requested[autoscaler.Offer{Spec: c.types["small"], Zone: "a"}.Key()]; requested != 4 {
+		t.Errorf("%d machines requested for eight replicas of half a machine each, want 4", requested)
 	}
 	add(20)
 	pass(detectorInterval)
 	if got := releasing(); got != 1 {
-		t.Errorf("with capacity for two replicas %d machines are released", got)
+		t.Errorf("with capacity for two replicas elsewhere %d machines released, want 1", got)
 	}
 	pass(c.cfg.WorkerLease)
 	if got := releasing(); got != 4 {
-		t.Errorf("after the leases have expired %d of 4 are released", got)
+		t.Errorf("after the worker leases expired %d of 4 machines released, want all", got)
 	}
 }
--- a/internal/coordination/sessions/sessions_test.go
+++ b/internal/coordination/sessions/sessions_test.go
@@ -43,17 +43,17 @@
 		t.Fatalf("the first token is %x", s.Token())
 	}
 	if err := s.RaiseToken(s.Token()-1, start); err != nil || s.Token() != 7<<TokenBits {
-		t.Errorf("raised above a lower token: %x, %v", s.Token(), err)
+		t.Errorf("RaiseToken above a lower token: token %x, want no change; error %v", s.Token(), err)
 	}
 	for range 1<<TokenBits - 1 {
 		before := s.Token()
 		if err := s.RaiseToken(before, start); err != nil || s.Token() <= before {
-			t.Fatalf("%x after %x, %v", s.Token(), before, err)
+			t.Fatalf("token %x after %x, want a higher one; error %v", s.Token(), before, err)
 		}
 	}
 	last := s.Token()
 	if err := s.RaiseToken(last, start); !errors.Is(err, ErrTokensExhausted) || s.Token() != last || TermOf(last) != 7 {
-		t.Errorf("raised above the last token: %x, %v", s.Token(), err)
+		t.Errorf("RaiseToken above the last token: token %x, want no change; error %v, want ErrTokensExhausted", s.Token(), err)
 	}
 }
 
@@ -61,27 +61,27 @@
 	s := servedSession(1)
 	heartbeat := func(token uint64) Message { return Message{Incarnation: 1, Sequence: 1, Token: token, Heartbeat: true} }
 	if _, proven := s.ProvesReached(heartbeat(s.Token()), start); proven {
-		t.Error("a token that no answer carried yet proves an answer")
+		t.Error("heartbeat proves contact with a token that no heartbeat response has carried")
 	}
 	s.RecordAnswer(1, start)
 	later := start.Add(time.Second)
 	if at, proven := s.ProvesReached(heartbeat(s.Token()), later); !proven || !at.Equal(start) {
-		t.Errorf("the token of the first answer proves %t, at %s", proven, at)
+		t.Errorf("heartbeat with the token of the first response: proven %t, at %s; want true, at the time of the response", proven, at)
 	}
 	if _, proven := s.ProvesReached(heartbeat(s.Token()), later); proven {
-		t.Error("the same token proves a second answer")
+		t.Error("heartbeat proves contact again with a token that was confirmed before")
 	}
 	if err := s.RaiseToken(s.Token(), later); err != nil {
 		t.Fatal(err)
 	}
 	if _, proven := s.ProvesReached(heartbeat(s.Token()-1), later); proven {
-		t.Error("an older token proves an answer")
+		t.Error("heartbeat proves contact with an older token")
 	}
 	if at, proven := s.ProvesReached(heartbeat(s.Token()), later.Add(time.Second)); !proven || !at.Equal(later) {
-		t.Errorf("a raised token proves %t, at %s", proven, at)
+		t.Errorf("heartbeat with a raised token: proven %t, at %s; want true, at the time when it was raised", proven, at)
 	}
 	if at, proven := s.ProvesReached(Message{}, later); !proven || !at.Equal(later) {
-		t.Errorf("a response proves %t, at %s", proven, at)
+		t.Errorf("call response: proven %t, at %s; want true, now", proven, at)
 	}
 }
 
@@ -94,7 +94,7 @@
 		want                           time.Time
 	}{
 		{name: "never in contact", predecessor: at(20), want: at(35)},
-		{name: "has seen the epoch's token", predecessor: at(20), seen: at(5), want: at(20)},
+		{name: "has seen a token of the epoch", predecessor: at(20), seen: at(5), want: at(20)},
 		{name: "was answered since", predecessor: at(20), seen: at(5), last: at(9), want: at(24)},
 		{name: "answered, and hasn't seen the token", predecessor: at(20), last: at(9), want: at(35)},
 		{name: "began an incarnation", predecessor: at(20), seen: at(5), last: at(9), began: at(12), want: at(27)},
@@ -110,14 +110,14 @@
 func TestNewIncarnationGetsFullLease(t *testing.T) {
 	s := servedSession(1)
 	if !s.Apply(Message{Incarnation: 1, Sequence: 5}, start) {
-		t.Error("the first message begins no incarnation")
+		t.Error("first message not reported as the beginning of an incarnation")
 	}
 	s.RecordAnswer(5, start)
 	if s.Apply(Message{Incarnation: 1, Sequence: 6}, start.Add(time.Second)) {
-		t.Error("the next message begins an incarnation")
+		t.Error("second message reported as the beginning of an incarnation")
 	}
 	if later := start.Add(time.Minute); !s.Apply(Message{Incarnation: 2, Sequence: 1}, later) || !s.IncarnationSince.Equal(later) || s.HeartbeatSequence != 0 {
-		t.Errorf("an incarnation began: %+v", s.MessageOrder)
+		t.Errorf("next incarnation not detected, or its state not reset: %+v", s.MessageOrder)
 	}
 }
 
@@ -162,10 +162,10 @@
 	} {
 		var d Delivery
 		if !d.NeverSent() {
-			t.Fatal("the zero value was sent")
+			t.Fatal("zero value counts as sent")
 		}
 		if change(&d); d.NeverSent() {
-			t.Errorf("%s: never sent", name)
+			t.Errorf("%s: counts as never sent", name)
 		}
 	}
 }
@@ -173,13 +173,13 @@
 func TestPresumedDead(t *testing.T) {
 	timing := Timing{HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second}
 	for _, test := range []struct {
-		name    string
-		silence ContactLoss
-		want    bool
+		name string
+		loss ContactLoss
+		want bool
 	}{
 		{"in contact", ContactLoss{Unseen: 2 * time.Second}, false},
-		{"silent", ContactLoss{Unseen: 5*time.Second + 1}, true},
-		{"silent for less", ContactLoss{Unseen: 5 * time.Second, FailedProbes: 2}, false},
+		{"no messages", ContactLoss{Unseen: 5*time.Second + 1}, true},
+		{"no messages for less", ContactLoss{Unseen: 5 * time.Second, FailedProbes: 2}, false},
 		{"doesn't answer probes", ContactLoss{Unseen: 4 * time.Second, FailedProbes: 3}, true},
 		{"doesn't answer probes, was seen", ContactLoss{Unseen: 3 * time.Second, FailedProbes: 3}, false},
 		{"nothing reaches it", ContactLoss{Unreached: 11 * time.Second, FailedProbes: 4}, true},
@@ -188,8 +188,8 @@
 		{"its heartbeats aren't answered", ContactLoss{Unanswered: 31 * time.Second}, true},
 		{"its heartbeats aren't answered, for less", ContactLoss{Unanswered: 30 * time.Second}, false},
 	} {
-		if got := timing.PresumedDead(test.silence); got != test.want {
-			t.Errorf("%s: %t", test.name, got)
+		if got := timing.PresumedDead(test.loss); got != test.want {
+			t.Errorf("%s: presumed dead: %t", test.name, got)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	}{{2, 2, false}, {3, 3, true}, {10, 6, false}, {10, 7, true}, {100, 3, false}} {
 		h := DomainHealth{Machines: test.machines, Suspect: test.suspect}
 		if got := h.Partitioned(); got != test.want {
-			t.Errorf("%d of %d are suspect: %t", test.suspect, test.machines, got)
+			t.Errorf("%d of %d machines suspect: partitioned: %t", test.suspect, test.machines, got)
 		}
 	}
 }
@@ -212,15 +212,15 @@
 	s.RegisteredAt = start
 	now := start.Add(time.Minute)
 	if d.Unanswered(s, now) != 0 || d.Unreached(s, now) != 0 {
-		t.Error("a worker that isn't registered counts as silent")
+		t.Error("unregistered worker counts as out of contact")
 	}
 	s.Registered = true
 	if d.Unanswered(s, now) != time.Minute || d.Unreached(s, now) != time.Minute {
-		t.Error("silence doesn't count from the registration")
+		t.Error("time out of contact isn't counted from the registration")
 	}
 	d.Reset(now.Add(-time.Second))
 	if d.Unanswered(s, now) != time.Second || d.Unreached(s, now) != time.Second {
-		t.Error("silence doesn't count anew")
+		t.Error("time out of contact isn't counted from the reset")
 	}
 }
 
@@ -228,10 +228,10 @@
 	var d Detector
 	d.Scan(start)
 	if d.Scan(start.Add(time.Second)) {
-		t.Error("a second between scans is a stall")
+		t.Error("scan a second after the last one reports a stall")
 	}
 	if !d.Scan(start.Add(2*time.Second + 1)) {
-		t.Error("more than a second between scans is none")
+		t.Error("scan more than a second after the last one reports no stall")
 	}
 }
 
--- a/internal/coordination/shard/forms_test.go
+++ b/internal/coordination/shard/encodings_test.go
@@ -8,7 +8,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// Records and messages keep the encoding of earlier versions, with all fields set and with none.
+// Records and messages are encoded as earlier versions encoded them, with all fields set and with
+// none.
 func TestEncodings(t *testing.T) {
 	member := Member{Name: "n1", Incarnation: 1<<64 - 1}
 	owner := Ownership{Member: member, Term: 41}
@@ -41,7 +42,7 @@
 	})
 }
 
-// The numbers of states and reasons in messages are those of earlier versions.
+// States and exit reasons have the same numbers in messages as in earlier versions.
 func TestNumbersInMessages(t *testing.T) {
 	for _, number := range []struct{ got, want uint8 }{
 		{uint8(protocol.Fetching), 1}, {uint8(protocol.Running), 2}, {uint8(protocol.Checkpointing), 3}, {uint8(protocol.Exited), 4},
@@ -49,7 +50,7 @@
 		{uint8(protocol.ExitNoCapacity), 4}, {uint8(protocol.ExitAlreadyRunning), 5}, {uint8(protocol.ExitUnknownTask), 6}, {uint8(protocol.ExitGangFailed), 7},
 	} {
 		if number.got != number.want {
-			t.Errorf("number %d, want %d", number.got, number.want)
+			t.Errorf("value %d on the wire, want %d", number.got, number.want)
 		}
 	}
 }
--- a/internal/coordination/shard/envelope.go
+++ b/internal/coordination/shard/envelope.go
@@ -17,7 +17,7 @@
 }
 
 // ErrEmptyMessage reports a message with neither instructions nor observations.
-var ErrEmptyMessage = errors.New("a line about shards without content")
+var ErrEmptyMessage = errors.New("shard message without instructions or observations")
 
 // messagePrefix is what the encoding of each Message begins with.
 var messagePrefix = []byte(`{"shards":`)
--- a/internal/coordination/shard/errors_test.go
+++ b/internal/coordination/shard/errors_test.go
@@ -22,10 +22,10 @@
 		}
 		var record *RecordError
 		if !errors.As(err, &record) || record.Key != test.key {
-			t.Errorf("%s: %T names %+v", test.key, err, record)
+			t.Errorf("%s: %T holds the record error %+v, want one with this key", test.key, err, record)
 		}
 	}
-	if _, err := ParseMessage([]byte(`{"shards":"n1"}`)); !errors.Is(err, ErrEmptyMessage) || err.Error() != "a line about shards without content" {
-		t.Errorf("an empty message: %v", err)
+	if _, err := ParseMessage([]byte(`{"shards":"n1"}`)); !errors.Is(err, ErrEmptyMessage) || err.Error() != "shard message without instructions or observations" {
+		t.Errorf("error %v for a message without content", err)
 	}
 }
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -42,23 +42,24 @@
 	return conditions
 }
 
-// Shards are assigned only if the previous owner has ended, and the change is conditional on that.
+// Shards are assigned only if the membership of the previous owner has ended, and the change is
+// conditional on that.
 func TestAssignAfterTheOwnerEnded(t *testing.T) {
 	table := newTestTable(t, "a", "a")
 	if c := table.Assign([]Assignment{{1, member("b")}}, leader); len(c.Records) != 0 {
-		t.Errorf("a shard with a live owner was assigned: %+v", c.Records)
+		t.Errorf("shard with a live owner assigned: %+v", c.Records)
 	}
 	table.Remove(records.KeyMember("a"), 30)
 	c := table.Assign([]Assignment{{1, member("b")}, {2, member("c")}}, leader)
 	conditions := conditionVersions(c)
-	if version, there := conditions[records.KeyMember("a")]; !there || version != 0 {
-		t.Errorf("the change isn't conditional on the previous owner's lease: %v", conditions)
+	if version, found := conditions[records.KeyMember("a")]; !found || version != 0 {
+		t.Errorf("change isn't conditional on the absence of the previous owner's member record: %v", conditions)
 	}
 	if conditions[records.KeyLeader] != 5 || conditions[records.KeyTerm] != 6 || conditions[records.KeyOwner(1)] != 20 {
-		t.Errorf("conditions %v", conditions)
+		t.Errorf("change has the conditions %v, want versions 5 of the leader, 6 of the term and 20 of the owner", conditions)
 	}
 	if r := c.Records[1]; r.HandedOver || r.Owner.Term != 10 || c.Records[2].Owner.Term != 11 || c.Term != 11 {
-		t.Errorf("records %+v", c.Records)
+		t.Errorf("records %+v, want terms 10 and 11 and no HandedOver", c.Records)
 	}
 }
 
@@ -72,25 +73,25 @@
 	proposal := table.ProposeMove(1, member("b"), leader)
 	table.Applied(proposal, 40)
 	if table.ProposeMove(1, member("c"), leader) != nil {
-		t.Error("a second move was proposed for a shard that is moving")
+		t.Error("second move proposed for a shard that is moving")
 	}
 	if table.HandOver(1, member("b"), true) != nil {
 		t.Error("handed over by a member that isn't the owner")
 	}
 	handover := table.HandOver(1, member("a"), true)
 	if conditions := conditionVersions(handover); conditions[records.KeyOwner(1)] != 40 || len(conditions) != 1 {
-		t.Errorf("conditions %v", conditions)
+		t.Errorf("handover has the conditions %v, want only version 40 of the owner", conditions)
 	}
 	table.Applied(handover, 41)
 	if owner, ok := table.Owner(1); !ok || owner.Name != "b" || owner.Term != 10 {
-		t.Errorf("owner %+v", owner)
+		t.Errorf("owner %+v after the handover, want b under term 10", owner)
 	}
-	// An older record that arrives later changes nothing.
+	// An older record that arrives later is ignored.
 	if err := table.Put(records.KeyOwner(1), records.Encode(OwnerRecord{Owner: Ownership{member("a"), 1}}), 20); err != nil {
 		t.Fatal(err)
 	}
 	if owner, _ := table.Owner(1); owner.Name != "b" {
-		t.Errorf("owner %+v after an old record", owner)
+		t.Errorf("owner %+v after an older record arrived, want b", owner)
 	}
 }
 
@@ -98,18 +99,18 @@
 func TestUnreadableRecord(t *testing.T) {
 	table := newTestTable(t, "a")
 	if table.Put(records.KeyOwner(1), json.RawMessage(`{"owner":7}`), 50) == nil {
-		t.Error("an invalid record was accepted")
+		t.Error("invalid record accepted")
 	}
 	if _, ok := table.Owner(1); ok {
-		t.Error("a shard with an unreadable record has an owner")
+		t.Error("shard with an unreadable record has an owner")
 	}
 	if version, unreadable := table.Unreadable(1); !unreadable || version != 50 {
-		t.Errorf("version %d, unreadable %t", version, unreadable)
+		t.Errorf("version %d, unreadable %t; want 50, true", version, unreadable)
 	}
 }
 
-// fleetWithLoads returns three healthy controllers with these processor shares, and six shards of a
-// hundred machines each, owned by the controllers in turn.
+// fleetWithLoads returns three healthy controllers that use the given shares of a processor, and six
+// shards of a hundred machines each, two per controller.
 func fleetWithLoads(shares ...float64) ([]Controller, []Shard) {
 	var controllers []Controller
 	for i, controller := range []string{"a", "b", "c"} {
@@ -122,7 +123,7 @@
 	return controllers, shards
 }
 
-// No shard moves for loads that differ little, or differ much only briefly.
+// No shard moves because of loads that differ little, or differ much for a short time only.
 func TestNoMoveForNoise(t *testing.T) {
 	p := NewPlanner()
 	for i := range 120 {
@@ -132,7 +133,7 @@
 		}
 		controllers, shards := fleetWithLoads(share...)
 		if d := p.Plan(start.Add(time.Duration(i)*time.Second), controllers, shards); len(d) > 0 {
-			t.Fatalf("after %d s: %+v", i, d)
+			t.Fatalf("after %d s: decisions %+v, want none", i, d)
 		}
 	}
 }
@@ -145,18 +146,18 @@
 	for i := range 60 {
 		for _, d := range p.Plan(start.Add(time.Duration(i)*time.Second), controllers, shards) {
 			if d.Reason != ReasonBalance || d.To.Name == "a" {
-				t.Fatalf("after %d s: %+v", i, d)
+				t.Fatalf("after %d s: decision %+v, want a move away from a for balance", i, d)
 			}
 			at = append(at, i)
 		}
 	}
 	if len(at) == 0 || at[0] < 15 || len(at) > 1 && at[1]-at[0] < 20 {
-		t.Errorf("moves after %v s", at)
+		t.Errorf("moves after %v s, want the first one after at least 15 s and the next at least 20 s later", at)
 	}
 }
 
-// A draining controller loses its shards, two at a time, and is given none; an unhealthy controller
-// is given none either.
+// The shards of a draining controller are moved away, maxConcurrentMoves at a time. Neither a draining
+// nor an unhealthy controller gets any.
 func TestDrain(t *testing.T) {
 	p := NewPlanner()
 	controllers, shards := fleetWithLoads(0.4, 0.4, 0.4)
@@ -164,17 +165,17 @@
 	controllers[1].Healthy = false
 	d := p.Plan(start, controllers, shards)
 	if len(d) != maxConcurrentMoves {
-		t.Fatalf("%+v", d)
+		t.Fatalf("decisions %+v, want maxConcurrentMoves of them", d)
 	}
 	for _, k := range d {
 		if k.Reason != ReasonDraining || k.To.Name != "c" || shards[k.ID-1].Owner.Name != "a" {
-			t.Errorf("%+v", k)
+			t.Errorf("decision %+v, want a move from a to c because a is draining", k)
 		}
 	}
 }
 
-// A shard whose machines no controller reaches is tried by each controller once without delay, and
-// isn't given to one that failed with it in the last minute.
+// A shard whose machines no controller reaches is assigned to each controller once without delay, and
+// then not to one that failed to reach its machines within reachFailureTTL.
 func TestUnreachableShardIsTriedOncePerController(t *testing.T) {
 	p := NewPlanner()
 	controllers, shards := fleetWithLoads(0.4, 0.4, 0.4)
@@ -191,26 +192,26 @@
 		lastOwned[shards[0].Owner] = now
 		for _, d := range p.Plan(now, controllers, shards[:1]) {
 			if at, ok := lastOwned[d.To]; ok && now.Sub(at) < reachFailureTTL {
-				t.Errorf("after %s it went back to %s, which owned it %s ago", now.Sub(start), d.To.Name, now.Sub(at))
+				t.Errorf("after %s the shard moved back to %s, which owned it %s ago", now.Sub(start), d.To.Name, now.Sub(at))
 			}
 			shards[0].Owner = d.To
 			moves++
 		}
 		if i == 2 && moves != 2 {
-			t.Errorf("moved %d times in 3 s, want 2", moves)
+			t.Errorf("shard moved %d times in 3 s, want 2", moves)
 		}
 	}
 	if moves < 2 || moves > 2+2*300/60 {
-		t.Errorf("moved %d times in five minutes", moves)
+		t.Errorf("shard moved %d times in five minutes, want 2 to 12", moves)
 	}
 }
 
 // An owner whose messages don't reach the leader, while the state service shows that it reaches its
-// workers, keeps its last shard for a time. Its other shards don't go to a controller that is
-// already busy.
+// workers, keeps its last shard for lastShardKeepTime. Its other shards don't move to a controller
+// that already uses most of its processor share.
 func TestUnresponsiveOwnerThatServes(t *testing.T) {
 	for _, c := range []struct {
-		share            float64 // of the controller that would take them
+		share            float64 // processor share used by the controller that would get them
 		reportsReachable bool
 		sinceLastMessage time.Duration
 		want             int
@@ -255,23 +256,24 @@
 	return in, observed
 }
 
-// Instructions are split into messages that together hold all of them, in order, each within its room.
+// Instructions are split into messages of at most messageRoom bytes that together hold all of them, in
+// order.
 func TestTakeFittingInstructions(t *testing.T) {
 	in, _ := oversizedMessages()
 	machines, starts, terminated := 0, 0, 0
 	for !in.Empty() {
 		message, _ := in.TakeFitting(messageRoom)
 		if size := messageBytes(message); size > messageRoom || message.Empty() {
-			t.Fatalf("a message of %d bytes", size)
+			t.Fatalf("message of %d bytes is empty or exceeds messageRoom", size)
 		}
 		if len(message.Starts) > 0 && machines+len(message.Machines) < entries {
-			t.Error("starts were sent before their machines")
+			t.Error("starts sent before their machines")
 		}
 		machines, starts = machines+len(message.Machines), starts+len(message.Starts)
 		terminated += len(message.TerminatedMachines)
 	}
 	if machines != entries || starts != entries || terminated != entries {
-		t.Errorf("%d machines, %d starts, %d terminated", machines, starts, terminated)
+		t.Errorf("messages hold %d machines, %d starts and %d terminated machines, want all entries", machines, starts, terminated)
 	}
 }
 
@@ -282,18 +284,18 @@
 	for !observed.Empty() {
 		message := observed.TakeFitting(messageRoom)
 		if size := messageBytes(message); size > messageRoom {
-			t.Fatalf("a message of %d bytes", size)
+			t.Fatalf("message of %d bytes exceeds messageRoom", size)
 		}
 		states, terminations = states+len(message.TaskStates), terminations+len(message.Terminations)
 		if s := message.Status; s != nil {
 			if s.Part != parts || s.More != (unhealthy+len(s.Unhealthy) < entries) {
-				t.Errorf("part %d: %+v", parts, s)
+				t.Errorf("part %d of the status: %+v, wrong part number or More", parts, s)
 			}
 			unhealthy, parts = unhealthy+len(s.Unhealthy), parts+1
 		}
 	}
 	if states != entries || terminations != entries || unhealthy != entries || parts < 2 {
-		t.Errorf("%d states, %d terminations, %d unhealthy in %d parts", states, terminations, unhealthy, parts)
+		t.Errorf("messages hold %d states, %d terminations and %d unhealthy workers in %d parts, want all entries in several parts", states, terminations, unhealthy, parts)
 	}
 }
 
@@ -303,25 +305,25 @@
 	from, to := NewChannel(e), NewChannel(e)
 	first, lost, third := from.NextHeader(start, true), from.NextHeader(start, true), from.NextHeader(start, true)
 	if !to.Receive(first) || to.Receive(first) {
-		t.Error("the first message must be accepted exactly once")
+		t.Error("first message not accepted exactly once")
 	}
 	_ = lost
 	if to.Receive(third) {
-		t.Error("a message after a lost one was accepted")
+		t.Error("message after a lost one accepted")
 	}
 	from.Receive(to.NextHeader(start, false))
 	from.CheckTimeouts(start.Add(time.Second))
 	if !from.SnapshotDue() || !to.Receive(from.NextHeader(start.Add(time.Second), true)) {
-		t.Error("no snapshot after a lost message")
+		t.Error("no snapshot due after a lost message, or snapshot not accepted")
 	}
 	if to.Receive(Header{Epoch: ChannelEpoch{Term: 4, Member: member("a")}, Sequence: 1, Snapshot: true}) {
-		t.Error("a message of another epoch was accepted")
+		t.Error("message of another epoch accepted")
 	}
 	for !from.WindowFull() {
 		from.NextHeader(start, true)
 	}
 	from.Receive(Header{Epoch: e, Acknowledged: from.sent})
 	if from.WindowFull() {
-		t.Error("the window is full although all messages are acknowledged")
+		t.Error("window full although all messages are acknowledged")
 	}
 }
--- a/internal/coordination/shard_guards_test.go
+++ b/internal/coordination/shard_ownership_test.go
@@ -50,7 +50,8 @@
 }
 
 // An owner's observations are applied while it owns the shard, but not if they arrive after another
-// owner took over: the successor may have started what the first one saw missing.
+// member became the owner: the new owner may have started an attempt that the previous owner
+// reported as terminated.
 func TestObservationsOfEarlierOwners(t *testing.T) {
 	l, a := newShardedLeader(t)
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
@@ -60,30 +61,30 @@
 	outdated.Terminations = []shard.Termination{{Task: attemptTask(a), Reason: "never sent"}}
 	l.shards.receive("n1", outdated)
 	if l.jobsByAge[0].task(0).live != a {
-		t.Fatal("a termination from an earlier owner was applied")
+		t.Fatal("termination from the previous owner of the shard was applied")
 	}
 	l.shards.receive("n2", observationsFrom(l, "n2", 7, 1))
 	current := observationsFrom(l, "n2", 7, 2)
 	current.Terminations = outdated.Terminations
 	l.shards.receive("n2", current)
 	if l.jobsByAge[0].task(0).live != nil {
-		t.Error("a termination from the present owner was not applied")
+		t.Error("termination from the current owner of the shard was not applied")
 	}
 }
 
-// While no messages arrive from a shard's owner, its workers don't count as silent: the leader waits
-// for the reports of the next owner.
+// While no messages arrive from a shard's owner, the leader doesn't consider its workers unresponsive:
+// it waits for the reports of the next owner.
 func TestOwnerTimeoutIsNotWorkerFailure(t *testing.T) {
 	l, a := newShardedLeader(t)
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
 	a.machine.session.LastSeen, a.machine.session.LastAnswered, a.machine.session.LastReached, a.machine.session.RegisteredAt = l.controller.now, l.controller.now, l.controller.now, l.controller.now
 	l.controller.now = l.controller.now.Add(time.Minute)
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
-		t.Errorf("%s is unresponsive although its owner has timed out", a.machine.Name)
+		t.Errorf("%s counts as unresponsive although its owner has timed out", a.machine.Name)
 	}
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 2)) // its status follows within a second
 	if s := l.assessReachability(); len(s.unresponsive) != 0 {
-		t.Errorf("%s is unresponsive as soon as a message arrives from its owner again", a.machine.Name)
+		t.Errorf("%s counts as unresponsive as soon as a message arrives from its owner again", a.machine.Name)
 	}
 }
 
@@ -118,17 +119,17 @@
 	o := newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 5))
 	if m := o.machines["vm-1"]; m.attemptsKnown || len(m.attemptList) != 0 {
-		t.Error("a machine list of an earlier ownership epoch was applied")
+		t.Error("machine list of an earlier ownership epoch was applied")
 	}
 	o = newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 7))
 	if m := o.machines["vm-1"]; !m.attemptsKnown || len(m.attemptList) != 1 {
-		t.Error("a machine list of the present ownership epoch was not applied")
+		t.Error("machine list of the current ownership epoch was not applied")
 	}
 }
 
-// An owner that is asked to hand over a shard redirects its workers to the next owner, and answers
-// them again once the move is canceled.
+// An owner whose shard is to move to another member redirects its workers to that member, and
+// answers them again once the move is canceled.
 func TestOwnerHandingOverRedirectsWorkers(t *testing.T) {
 	o := newTestShardOwner(t)
 	putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
@@ -138,18 +139,18 @@
 	o.applyTable()
 	e := o.controller.Request(o.controller.now, 1, "POST", protocol.PathHeartbeat, encodedHeartbeat(4))
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 || protocol.ParseRedirect(e.Replies[0].Body) != "n2" {
-		t.Errorf("answers %+v", e.Replies)
+		t.Errorf("replies %+v to a heartbeat during the move, want a redirect to n2", e.Replies)
 	}
 	record.Next = nil // the move is canceled
 	putShardRecord(t, o.sharding.table, records.KeyOwner(1), record, 5)
 	o.applyTable()
 	if e := o.controller.Request(o.controller.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
-		t.Errorf("answers %+v", e.Replies)
+		t.Errorf("replies %+v to a heartbeat after the move was canceled, want status 200", e.Replies)
 	}
 }
 
-// Silent workers of a partitioned owner aren't taken for unresponsive while another controller may
-// reach them, but are once every controller has tried.
+// Workers of a partitioned owner that send no heartbeats don't count as unresponsive while another
+// controller may reach them, but do once every controller has tried to.
 func TestUnresponsiveWorkersOfPartitionedOwner(t *testing.T) {
 	l, a := newShardedLeader(t)
 	l.shards.receive("n1", observationsFrom(l, "n1", 5, 1))
@@ -164,15 +165,17 @@
 		return len(l.assessReachability().unresponsive) > 0
 	}
 	if unresponsive(true) {
-		t.Error("unresponsive although another controller may reach it")
+		t.Error("worker counts as unresponsive although another controller may reach it")
 	}
 	if !unresponsive(false) {
-		t.Error("not unresponsive although every controller has tried to reach it")
+		t.Error("worker doesn't count as unresponsive although every controller has tried to reach it")
 	}
 }
 
-// A worker that was redirected to the leader and comes back is left to try all controllers in turn.
-// Workers aren't redirected to a leader that lost its own workers or that has sent no message lately.
+// A worker that contacts this controller again after a redirect to the leader gets a redirect without
+// a target, so that it tries all controllers one after the other. Workers aren't redirected to a
+// leader that lost contact with its own workers or that has sent no message within
+// leaderContactWindow.
 func TestWorkersThatDoNotReachTheLeader(t *testing.T) {
 	o := newTestShardOwner(t)
 	c, s := o.controller, &o.sharding.redirector
@@ -180,23 +183,23 @@
 	setElectionKeys(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
 	c.peers["n1"] = &peers.Status{LastReceivedAt: c.now}
 	if got := s.target("vm-7"); got != "n1" {
-		t.Fatalf("redirected to %q", got)
+		t.Fatalf("redirected to %q, want the leader n1", got)
 	}
 	c.now = c.now.Add(sessions.LostHeartbeatDelay)
 	c.peers["n1"].LastReceivedAt = c.now
 	if got := s.target("vm-7"); got != "" {
-		t.Errorf("redirected to %q again", got)
+		t.Errorf("second redirect is to %q, want no target", got)
 	}
 	if got := s.target("vm-8"); got != "n1" {
-		t.Errorf("another worker is redirected to %q", got)
+		t.Errorf("another worker is redirected to %q, want the leader n1", got)
 	}
 	c.peers["n1"].WorkersUnreachable = true
 	if got := s.target("vm-9"); got != "" {
-		t.Errorf("redirected to %q, which lost its workers", got)
+		t.Errorf("redirected to %q, a leader that lost its workers", got)
 	}
 	c.peers["n1"].WorkersUnreachable, c.now = false, c.now.Add(leaderContactWindow+time.Second)
 	if got := s.target("vm-9"); got != "" {
-		t.Errorf("redirected to %q, which has sent no message lately", got)
+		t.Errorf("redirected to %q, a leader that has sent no message within leaderContactWindow", got)
 	}
 }
 
@@ -221,7 +224,7 @@
 	}
 	sent, last := sentTerminations()
 	if sent != 1 {
-		t.Fatalf("%d terminations sent", sent)
+		t.Fatalf("%d terminations sent, want 1", sent)
 	}
 	acknowledge := func(ack uint64, requestSnapshot bool) {
 		o.controller.now = o.controller.now.Add(time.Second)
@@ -231,16 +234,16 @@
 	acknowledge(last-1, true)
 	sent, last = sentTerminations()
 	if sent != 1 {
-		t.Errorf("%d terminations in the snapshot after a lost message", sent)
+		t.Errorf("%d terminations in the snapshot after a lost message, want 1", sent)
 	}
 	acknowledge(last, true)
 	if sent, _ := sentTerminations(); sent != 0 {
-		t.Errorf("%d terminations sent again after they were acknowledged", sent)
+		t.Errorf("%d terminations sent again after they were acknowledged, want none", sent)
 	}
 }
 
-// An exit that an earlier leader allowed to be forgotten, and that the worker still reports, is sent
-// to a leader that lists the attempt as running.
+// An exit that the worker still reports is sent to a new leader that lists the attempt as running,
+// even if the previous leader allowed the worker to forget it.
 func TestForgottenExitIsSentToNextLeader(t *testing.T) {
 	o := newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 7))
@@ -249,27 +252,27 @@
 	o.taskExitReported(m, m.attemptList[0], &exit)
 	o.applyForget(&shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1})
 	if !o.taskExitReported(m, nil, &exit) {
-		t.Fatal("the worker may not forget the exit after the leader allowed it")
+		t.Fatal("worker may not forget the exit although the leader allowed it")
 	}
 	o.feed.flush()
 	o.controller.takeEffects()
 	o.feed.connect("n2", 10)
 	o.feed.receive("n2", instructionsWithTask(o, 7))
 	if len(m.attemptList) != 1 {
-		t.Fatal("the next leader's machine list was not applied")
+		t.Fatal("machine list of the next leader was not applied")
 	}
 	o.feed.flush()
 	o.controller.takeEffects()
 	if o.taskExitReported(m, m.attemptList[0], &exit) {
-		t.Error("the worker may forget the exit before the next leader knows of it")
+		t.Error("worker may forget the exit before the next leader knows of it")
 	}
 	if len(o.feed.pending.Exits) != 1 {
-		t.Error("the exit isn't sent to the next leader")
+		t.Error("exit isn't sent to the next leader")
 	}
 }
 
-// An owner that hands over a shard while an earlier owner may still answer its workers records that,
-// so that the next owner waits for the earlier one's grace period.
+// An owner that hands over a shard while an earlier owner may still answer its workers records the
+// next owner without HandedOver, so that the next owner waits for the earlier owner's grace period.
 func TestHandOverWhileEarlierOwnerMayAnswer(t *testing.T) {
 	handedOverExclusively := func(wait time.Duration) bool {
 		o := newTestShardOwner(t)
@@ -293,19 +296,19 @@
 				}
 			}
 		}
-		t.Fatal("no handover is written")
+		t.Fatal("no transaction with the handover was sent")
 		return false
 	}
 	if handedOverExclusively(time.Second) {
-		t.Error("handed over as exclusive although an earlier owner may still answer")
+		t.Error("recorded with HandedOver although an earlier owner may still answer workers")
 	}
 	if !handedOverExclusively(0) {
-		t.Error("not handed over as exclusive although no earlier owner may still answer")
+		t.Error("recorded without HandedOver although no earlier owner may answer workers any longer")
 	}
 }
 
-// An owner pauses when a worker has seen a later fencing token, and resumes serving the other workers
-// once the table, read since then, shows no other owner.
+// An owner stops serving a shard when a worker of it has seen a later fencing token. It resumes
+// serving the other workers once it has read the table again and the table shows no other owner.
 func TestOneWorkerWithNewerToken(t *testing.T) {
 	o := newTestShardOwner(t)
 	putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
@@ -316,21 +319,21 @@
 		return o.controller.Request(o.controller.now, seq, "POST", protocol.PathHeartbeat, body).Replies[0].Status
 	}
 	if got := status("vm-1", 1, 9); got != 421 {
-		t.Errorf("a worker with a later token gets %d", got)
+		t.Errorf("status %d for a worker with a later token, want 421", got)
 	}
-	o.applyTable() // the table is as old as before
+	o.applyTable() // the table was not read again
 	if got := status("vm-2", 2, 7); got != 421 {
-		t.Errorf("the other workers get %d before the table is read", got)
+		t.Errorf("status %d for the other workers before the table is read, want 421", got)
 	}
 	o.sharding.tableGeneration = o.sharding.watchGeneration
 	o.applyTable()
 	if got := status("vm-2", 3, 7); got != 200 {
-		t.Errorf("the other workers get %d although there is no other owner", got)
+		t.Errorf("status %d for the other workers although there is no other owner, want 200", got)
 	}
 	if got := status("vm-1", 4, 9); got != 421 {
-		t.Errorf("a worker with a later token gets %d", got)
+		t.Errorf("status %d for the worker with a later token after the table was read, want 421", got)
 	}
 	if got := status("vm-2", 5, 7); got != 200 {
-		t.Errorf("the other workers get %d after another heartbeat with the later token", got)
+		t.Errorf("status %d for the other workers after another heartbeat with the later token, want 200", got)
 	}
 }
--- a/internal/coordination/state_service_test.go
+++ b/internal/coordination/state_service_test.go
@@ -47,6 +47,6 @@
 	}
 	c.Result(c.now, probe, Outcome{Answered: true, Status: 404})
 	if c.store.Unavailable() {
-		t.Error("unavailable although it answers")
+		t.Error("unavailable although the probe was answered")
 	}
 }
--- a/internal/coordination/statestore/client.go
+++ b/internal/coordination/statestore/client.go
@@ -215,7 +215,7 @@
 
 // Statuses of watches.
 const (
-	WatchUnknown   WatchStatus = iota // no answer, a refusal, or an invalid answer
+	WatchUnknown   WatchStatus = iota // no response, a refusal, or an invalid response
 	WatchEvents                       // all changes up to the revision were delivered
 	WatchCompacted                    // the service no longer has all of the changes: the keys must be read again
 )
@@ -232,7 +232,7 @@
 func (c *Client) Watch(prefix string, after uint64, wait time.Duration, done func(WatchResult)) {
 	target := protocol.WatchTarget(prefix, after, wait)
 	c.send("GET", target, nil, wait+watchTimeoutMargin, func(r Response) {
-		if r.Answered { // without an answer there may just have been no change, which doesn't count as a failure
+		if r.Answered { // a missing response may just mean that there was no change, so it doesn't count as a failure
 			c.observe(r)
 		}
 		done(watchResult(r))
--- a/internal/coordination/statestore/client_test.go
+++ b/internal/coordination/statestore/client_test.go
@@ -18,10 +18,10 @@
 	}{
 		{name: "found", response: answered(200, found), status: Found, version: 7},
 		{name: "absent", response: answered(404, nil), status: Absent},
-		{name: "invalid answer", response: answered(200, []byte(`{}`))},
+		{name: "invalid response", response: answered(200, []byte(`{}`))},
 		{name: "refused", response: answered(503, nil)},
 		{name: "rate limited", response: answered(429, nil)},
-		{name: "no answer", response: Response{}},
+		{name: "no response", response: Response{}},
 		{name: "not sent", response: Response{NotSent: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,20 +45,20 @@
 	for range 3 {
 		h.answer(t, Response{})
 		if h.run(200*time.Millisecond, func() {}); len(h.sent) != 0 {
-			t.Fatal("asked again without a pause")
+			t.Fatal("retried before the retry delay")
 		}
 		h.run(100*time.Millisecond, func() {})
 		h.sent = slices.DeleteFunc(h.sent, func(r sentRequest) bool { return r.Target == protocol.KeyTarget("probe") })
 	}
 	h.answer(t, answered(404, nil))
 	if results != 1 {
-		t.Fatalf("%d results", results)
+		t.Fatalf("%d results after the first answered read, want 1", results)
 	}
 	c.GetWithRetry("a", func() bool { return alive }, func(ReadResult) { results++ })
 	alive = false
 	h.answer(t, answered(404, nil))
 	if results != 1 {
-		t.Error("a result for somebody who is gone")
+		t.Error("result reported although alive returned false")
 	}
 }
 
@@ -75,20 +75,21 @@
 	h.answer(t, answered(200, protocol.EncodeRange([]protocol.KeyValue{item("c/1", 3)}, true, 9)))
 	second := h.answer(t, answered(200, protocol.EncodeRange([]protocol.KeyValue{item("c/2", 4)}, false, 12)))
 	if second.Target != protocol.RangeTarget("c/", "c/1", pageSize) {
-		t.Errorf("the second page is requested as %s", second.Target)
+		t.Errorf("second page requested with target %s, want the range after c/1", second.Target)
 	}
 	if len(got) != 1 || len(got[0].Items) != 2 || got[0].Revision != 9 || !got[0].RequestedAt.Equal(requested) {
-		t.Errorf("got %+v, requested at %s", got, requested)
+		t.Errorf("got %+v, want one result with two items, revision 9 and request time %s", got, requested)
 	}
 }
 
-// An empty page that announces more pages would be requested forever.
+// An empty page that announces more pages is retried only after a delay: a list continues after the
+// last key of the previous page, so it would request the same page forever.
 func TestListRefusesEmptyPageWithMore(t *testing.T) {
 	h, c := newTestClient()
-	c.List("c/", always, func(ListResult) { t.Error("listed") })
+	c.List("c/", always, func(ListResult) { t.Error("list completed with an empty page that announces more") })
 	h.answer(t, answered(200, protocol.EncodeRange([]protocol.KeyValue{}, true, 9)))
 	if len(h.sent) != 0 {
-		t.Error("asked on at once")
+		t.Error("page requested again without the retry delay")
 	}
 }
 
@@ -102,9 +103,9 @@
 		{name: "changes", response: answered(200, protocol.EncodeEvents([]protocol.Event{{Key: "c/1", Deleted: true, Version: 12}}, 12)), status: WatchEvents, revision: 12},
 		{name: "none", response: answered(200, protocol.EncodeEvents(nil, 9)), status: WatchEvents, revision: 9},
 		{name: "revision compacted", response: answered(410, nil), status: WatchCompacted},
-		{name: "invalid answer", response: answered(200, []byte(`{}`))},
+		{name: "invalid response", response: answered(200, []byte(`{}`))},
 		{name: "refused", response: answered(503, nil)},
-		{name: "no answer", response: Response{}},
+		{name: "no response", response: Response{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, c := newTestClient()
@@ -118,7 +119,7 @@
 	}
 }
 
-// A missing or invalid answer says nothing about whether a transaction was applied.
+// A missing or invalid response leaves unknown whether a transaction was applied.
 func TestCommit(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -126,14 +127,14 @@
 		want     CommitResult
 	}{
 		{name: "applied", response: answered(200, protocol.EncodeRevision(7)), want: CommitResult{Status: CommitApplied, Revision: 7}},
-		{name: "applied, invalid answer", response: answered(200, []byte(`{}`))},
+		{name: "applied, invalid response", response: answered(200, []byte(`{}`))},
 		{name: "conflict", response: answered(409, protocol.EncodeFailedConditions([]string{"a"}, 9)), want: CommitResult{Status: CommitConflict, Failed: []string{"a"}}},
 		{name: "conflict without keys", response: answered(409, protocol.EncodeFailedConditions(nil, 9))},
 		{name: "refused", response: answered(503, nil), want: CommitResult{Status: CommitRefused}},
 		{name: "rate limited", response: answered(429, nil), want: CommitResult{Status: CommitRefused}},
 		{name: "lease ended", response: answered(400, nil), want: CommitResult{Status: CommitLeaseExpired}},
 		{name: "fault", response: answered(500, nil)},
-		{name: "no answer", response: Response{}},
+		{name: "no response", response: Response{}},
 		{name: "not sent", response: Response{NotSent: true}, want: CommitResult{Status: CommitRefused}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -145,7 +146,7 @@
 				t.Errorf("got %+v", got)
 			}
 			if len(h.sent) != 0 {
-				t.Error("sent again")
+				t.Error("transaction sent again")
 			}
 		})
 	}
@@ -158,10 +159,10 @@
 		granted  uint64
 		renewed  LeaseStatus
 	}{
-		{name: "yes", response: answered(200, protocol.EncodeLease(7)), granted: 7, renewed: LeaseHeld},
+		{name: "granted, renewed", response: answered(200, protocol.EncodeLease(7)), granted: 7, renewed: LeaseHeld},
 		{name: "ended", response: answered(404, nil), renewed: LeaseEnded},
 		{name: "refused", response: answered(503, nil)},
-		{name: "no answer", response: Response{}},
+		{name: "no response", response: Response{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, c := newTestClient()
@@ -170,16 +171,16 @@
 			c.GrantLease(2*time.Second, func(gotID uint64, got bool) { id, granted = gotID, got })
 			h.answer(t, test.response)
 			if id != test.granted || granted != (test.granted != 0) {
-				t.Errorf("granted %d, %t", id, granted)
+				t.Errorf("lease %d, granted %t", id, granted)
 			}
 			var status LeaseStatus
 			c.RenewLease(7, time.Second, func(got LeaseStatus) { status = got })
 			if r := h.answer(t, test.response); r.Target != protocol.RenewLeaseTarget(7) || r.Timeout != time.Second || status != test.renewed {
-				t.Errorf("%s within %s: renewed %d", r.Target, r.Timeout, status)
+				t.Errorf("renewal sent to %s with time-out %s, status %d", r.Target, r.Timeout, status)
 			}
 			c.RevokeLease(7)
 			if r := h.answer(t, test.response); r.Method != "DELETE" || r.Target != protocol.LeaseTarget(7) {
-				t.Errorf("revoked by %s %s", r.Method, r.Target)
+				t.Errorf("revocation sent as %s %s", r.Method, r.Target)
 			}
 		})
 	}
@@ -198,8 +199,8 @@
 		{name: "rate limited", response: answered(429, nil)},
 		{name: "refuses", response: answered(503, nil), unavailable: true},
 		{name: "server error", response: answered(500, nil), unavailable: true},
-		{name: "no answer", response: Response{}, unavailable: true},
-		{name: "watch without an answer", response: Response{}, watch: true},
+		{name: "no response", response: Response{}, unavailable: true},
+		{name: "watch without a response", response: Response{}, watch: true},
 		{name: "watch refused", response: answered(503, nil), watch: true, unavailable: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -211,7 +212,7 @@
 			}
 			h.answer(t, test.response)
 			if c.Unavailable() {
-				t.Error("unavailable for a hiccup")
+				t.Error("unavailable right after a single response")
 			}
 			h.run(1300*time.Millisecond, func() {})
 			if c.Unavailable() != test.unavailable || c.Healthy() == test.unavailable {
@@ -233,31 +234,32 @@
 		}
 	}
 	if !c.Unavailable() {
-		t.Fatal("available")
+		t.Fatal("available after 1.5 s without a response")
 	}
 	h.run(300*time.Millisecond, func() {})
 	h.answer(t, answered(404, nil))
 	h.run(10*time.Second, func() {})
 	if c.Unavailable() || len(h.sent) != 0 {
-		t.Errorf("unavailable %t, %d requests", c.Unavailable(), len(h.sent))
+		t.Errorf("after the recovery: unavailable %t, %d requests in flight; want false, 0", c.Unavailable(), len(h.sent))
 	}
 }
 
-// A service that has been silent is probed once; while it fails, other probes are already sent.
-func TestProbeIfSilent(t *testing.T) {
+// A service that hasn't answered for a while is probed once. While it fails, probeUntilRecovered
+// probes it, so ProbeIfIdle sends nothing.
+func TestProbeIfIdle(t *testing.T) {
 	h, c := newTestClient()
 	c.ProbeIfIdle()
 	if len(h.sent) != 0 {
-		t.Error("asked although it has just answered")
+		t.Error("probed although the service has just answered")
 	}
 	h.run(2*time.Second, func() {})
 	c.ProbeIfIdle()
 	h.answer(t, Response{})
 	c.ProbeIfIdle()
 	if len(h.sent) != 0 {
-		t.Error("asked twice")
+		t.Error("probed by ProbeIfIdle while the service fails")
 	}
 	if h.run(6*time.Second, func() {}); c.Healthy() {
-		t.Error("healthy without an answer")
+		t.Error("healthy after 6 s without a response")
 	}
 }
--- a/internal/coordination/statestore/committer_test.go
+++ b/internal/coordination/statestore/committer_test.go
@@ -49,9 +49,9 @@
 		{name: "refused", response: answered(503, nil), history: "refused [a b]", pause: true},
 		{name: "rate limited", response: answered(429, nil), history: "refused [a b]", pause: true},
 		{name: "not sent", response: Response{NotSent: true}, history: "refused [a b]", pause: true},
-		{name: "no answer", response: Response{}, history: "unknown [a b]"},
+		{name: "no response", response: Response{}, history: "unknown [a b]"},
 		{name: "fault", response: answered(500, nil), history: "unknown [a b]"},
-		{name: "invalid answer", response: answered(200, nil), history: "unknown [a b]"},
+		{name: "invalid response", response: answered(200, nil), history: "unknown [a b]"},
 		{name: "lease error without a lease", response: answered(400, nil), history: "unknown [a b]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -60,11 +60,11 @@
 			c.Flush()
 			s.keys = []string{"c"}
 			if c.Flush(); len(h.sent) != 1 {
-				t.Fatalf("%d transactions in flight at a time", len(h.sent))
+				t.Fatalf("%d transactions in flight, want 1", len(h.sent))
 			}
 			txn := sentTxn(t, h)
 			if len(txn.Ops) != 2 || len(txn.Conditions) != 3 || txn.Conditions[0] != guard {
-				t.Errorf("sent %+v", txn)
+				t.Errorf("sent %+v, want two operations under three conditions, the guard first", txn)
 			}
 			h.answer(t, test.response)
 			if len(s.history) != 1 || s.history[0] != test.history {
@@ -72,11 +72,11 @@
 			}
 			c.Flush()
 			if paused := sentTxn(t, h) == nil; paused != test.pause {
-				t.Errorf("paused %t", paused)
+				t.Errorf("paused before the next transaction: %t", paused)
 			}
 			h.run(250*time.Millisecond, c.Flush)
 			if sentTxn(t, h) == nil {
-				t.Error("nothing is sent after the pause")
+				t.Error("no transaction is sent after the pause")
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 	s.keys = []string{"b"}
 	c.Flush()
 	if len(s.history) != 0 || len(h.sent) != 0 {
-		t.Errorf("results %q, %d requests", s.history, len(h.sent))
+		t.Errorf("results %q, %d requests in flight; want none of either", s.history, len(h.sent))
 	}
 }
 
@@ -106,24 +106,24 @@
 	h.answer(t, answered(200, protocol.EncodeKeyValue(item("a", 7))))
 	h.answer(t, Response{})
 	if c.Flush(); sentTxn(t, h) != nil || len(versions) != 1 || versions[0] != 7 {
-		t.Fatalf("versions %v", versions)
+		t.Fatalf("versions %v while a read is retried, want only that of the first key, 7", versions)
 	}
 	h.run(260*time.Millisecond, c.Flush)
 	h.answer(t, answered(404, nil))
 	if version, known := versions[1]; !known || version != 0 {
-		t.Errorf("versions %v", versions)
+		t.Errorf("versions %v, want 0 for the second key, which is absent", versions)
 	}
 	if c.Flush(); sentTxn(t, h) == nil {
-		t.Error("nothing is sent although all versions are known")
+		t.Error("no transaction is sent although all versions are known")
 	}
 }
 
 func TestRereadWithoutKeys(t *testing.T) {
 	h, s, c := newTestCommitter()
-	c.RereadVersions(nil, func(int, uint64) { t.Error("a version is reported without keys") })
+	c.RereadVersions(nil, func(int, uint64) { t.Error("version reported although no keys were given") })
 	s.keys = []string{"a"}
 	if c.Flush(); sentTxn(t, h) == nil {
-		t.Error("nothing is sent")
+		t.Error("no transaction is sent")
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	step()
 	if !slices.Equal(sizes, []int{3, 3, 2}) {
-		t.Fatalf("transaction sizes at first: %v", sizes)
+		t.Fatalf("transactions sent at first have %v operations, want 3, 3 and 2", sizes)
 	}
 	h.run(time.Second, step)
 	if len(s.keys) != 0 {
@@ -164,16 +164,16 @@
 	fired := 0
 	h.run(200*time.Millisecond, func() { fired++ })
 	if fired != 1 {
-		t.Errorf("%d timers fired", fired)
+		t.Errorf("%d timers fired, want 1", fired)
 	}
 	s.pending = Pending{}
 	if c.Flush(); len(h.sent) != 0 {
-		t.Error("sent without anything to write")
+		t.Error("request sent although nothing is pending")
 	}
-	// A source may turn out to have nothing to write.
+	// A source may announce pending writes and then add none to the transaction.
 	s.pending = Pending{Any: true}
 	if c.Flush(); len(h.sent) != 0 {
-		t.Error("an empty transaction is sent")
+		t.Error("empty transaction sent")
 	}
 }
 
@@ -195,10 +195,10 @@
 			txn.reset(2)
 			test.fill(&txn)
 			if txn.HasRoom() != test.room {
-				t.Errorf("room %t", txn.HasRoom())
+				t.Errorf("has room: %t", txn.HasRoom())
 			}
 			if txn.reset(2); !txn.HasRoom() || len(txn.txn.Ops)+len(txn.txn.Conditions) != 0 {
-				t.Errorf("after a reset: %+v", txn)
+				t.Errorf("not empty after a reset: %+v", txn)
 			}
 		})
 	}
--- a/internal/coordination/statestore/record_test.go
+++ b/internal/coordination/statestore/record_test.go
@@ -36,7 +36,7 @@
 				t.Errorf("queued %t, lazy %t", queue, r.Lazy())
 			}
 			if r.Lazy() && !r.Due().Equal(due) {
-				t.Errorf("due at %s", r.Due())
+				t.Errorf("due at %s, want the time passed to MarkLazy", r.Due())
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 	}{
 		{name: "new", steps: func(*RecordState) {}},
 		{name: "loaded", steps: func(r *RecordState) { *r = LoadedRecord(7) }, version: 7, mayExist: true},
-		{name: "first write under way", steps: func(r *RecordState) { r.BeginWrite() }, inFlight: true, mayExist: true},
+		{name: "first write in flight", steps: func(r *RecordState) { r.BeginWrite() }, inFlight: true, mayExist: true},
 		{name: "written", steps: func(r *RecordState) { r.BeginWrite(); r.Written(8) }, version: 8, mayExist: true},
 		{name: "refused", steps: func(r *RecordState) { r.BeginWrite(); r.NotWritten() }},
 		{name: "unanswered", steps: func(r *RecordState) { *r = LoadedRecord(7); r.BeginWrite(); r.BeginVerify() }, version: 7, inFlight: true, mayExist: true},
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -9,10 +9,10 @@
 	now := time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 	b := NewTokenBucket(10, 5, now)
 	if !b.TryTake(now, 5) || b.TryTake(now, 1) {
-		t.Error("the burst is not five")
+		t.Error("an initially full bucket doesn't hold exactly five tokens")
 	}
 	if w := b.Wait(now, 2); w != 200*time.Millisecond {
-		t.Errorf("two tokens are available after %s, want 200ms", w)
+		t.Errorf("wait of %s for two tokens, want 200ms", w)
 	}
 	now = now.Add(time.Minute)
 	if got := b.Available(now); got != 5 {
@@ -20,7 +20,7 @@
 	}
 	b.Spend(now, 8)
 	if b.TryTake(now.Add(300*time.Millisecond), 1) {
-		t.Error("a debt is forgotten")
+		t.Error("token taken while the balance is still negative after an overdraft")
 	}
 }
 
--- a/internal/records/forms_test.go
+++ b/internal/records/encodings_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// Encodings that are no longer written are still read.
+// Records in encodings that are no longer written are still decoded.
 func TestLegacyRecordEncodings(t *testing.T) {
 	golden.CheckDecode(t, []golden.Case{
 		{File: "machine_old.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true, LegacyRentedAt: 1790000000123}},
@@ -47,7 +47,7 @@
 	})
 }
 
-// Records are stored under the keys where earlier versions look for them.
+// Records are stored under the keys that earlier versions use.
 func TestKeys(t *testing.T) {
 	for _, key := range []struct{ got, want string }{
 		{KeyLeader, "e/leader"}, {KeyTerm, "e/term"}, {KeyPreferredZone, "e/prefer"}, {KeySharded, "e/sharded"},
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -20,7 +20,7 @@
 			block.Tasks = append(block.Tasks, TaskEntry{Offset: i, Attempt: math.MaxInt32, Machine: strings.Repeat("m", 24)})
 		}
 		if n := len(Encode(block)); n > valueBytes {
-			t.Errorf("%d tasks take %d of %d bytes", size, n, valueBytes)
+			t.Errorf("block of %d tasks takes %d bytes, more than %d", size, n, valueBytes)
 		}
 	}
 }
@@ -33,7 +33,7 @@
 			r.Machines = append(r.Machines, MachineEntry{Name: strings.Repeat("m", 24), RentedAt: math.MaxInt32 * 1000, Addr: "255.255.255.255:65535"})
 		}
 		if n := len(Encode(r)); n > valueBytes {
-			t.Errorf("%d machines take %d of %d bytes", len(r.Machines), n, valueBytes)
+			t.Errorf("group of %d machines takes %d bytes, more than %d", len(r.Machines), n, valueBytes)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 		}
 	}
 	if job, block, ok := ParseTaskBlockKey(KeyTaskBlock("run-000001", 17)); !ok || job != "run-000001" || block != 17 {
-		t.Errorf("key: %s, %d, %t", job, block, ok)
+		t.Errorf("task block key parsed as job %s, block %d, ok %t", job, block, ok)
 	}
 }
 
@@ -69,7 +69,7 @@
 	} {
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 		if err := protocol.Decode(Encode(want), got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%+v is read as %+v, %v", want, got, err)
+			t.Errorf("%+v is decoded as %+v, error %v", want, got, err)
 		}
 	}
 }
@@ -77,10 +77,10 @@
 func TestOutcome(t *testing.T) {
 	for _, s := range []protocol.JobState{protocol.Done, protocol.Cancelled} {
 		if got, done, err := DecodeOutcome(EncodeOutcome(s, 7)); err != nil || got != s || done != 7 {
-			t.Errorf("%s: %s, %d, %v", s, got, done, err)
+			t.Errorf("outcome %s decoded as %s, %d done tasks, error %v", s, got, done, err)
 		}
 	}
 	if _, _, err := DecodeOutcome([]byte(`{"state":"lost"}`)); err == nil {
-		t.Error("an unknown outcome is taken")
+		t.Error("unknown outcome decoded without an error")
 	}
 }
