--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -16,7 +16,7 @@
 )
 
 // admission serves users' requests. It works the same on every controller: jobs and their final
-// states are written to the state service before the user is told, and the leader learns of them
+// states are written to the state service before the user gets a reply, and the leader reads them
 // from there. A final state may be served from the cache, as it never changes; any other state is
 // reported only if this controller wrote it, or read it after the request arrived.
 type admission struct {
@@ -75,7 +75,7 @@
 }
 
 // publishOutcome caches a final state that this controller wrote, and announces it to the peers,
-// so that they need not read it for each user who asks them.
+// so that they need not read it for each status query that they get.
 func (a *admission) publishOutcome(job string, s protocol.JobState, done int) {
 	if _, ok := a.outcomes[job]; !ok {
 		a.announceOutcome(outcomeAnnouncement{job: job, outcome: jobOutcome{s, done}})
@@ -156,15 +156,15 @@
 }
 
 // refuseStoreUnavailable refuses a request that needs the state service, and closes the
-// connection. On the same connection the user would keep asking this controller, perhaps the only
-// one that is cut off, while a new connection may reach another.
+// connection. On the same connection the user would keep sending requests to this controller, which
+// may be the only one without access to the state service, while a new connection may reach another.
 func (c *Controller) refuseStoreUnavailable(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1, Close: true,
 		Body: protocol.EncodeError("the state service does not answer")})
 }
 
-// refuseRetryLater asks the user to retry a request after a few seconds. The time is random, so
-// that not all users retry at once.
+// refuseRetryLater refuses a request with a Retry-After of one to three seconds. The time is random,
+// so that not all users retry at once.
 func (c *Controller) refuseRetryLater(id uint64) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: 503, RetryAfter: 1 + c.rng.IntN(3),
 		Body: protocol.EncodeError("too much at once")})
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -41,8 +41,8 @@
 	u.gpus += j.GPUs
 }
 
-// detach undoes attach. It must be called only on proof that the attempt has terminated and
-// can't be started any more.
+// detach undoes attach. It must be called only on proof that the attempt has terminated and can no
+// longer be started.
 func (l *leader) detach(a *attempt, reason string) {
 	j, m := a.job, a.machine
 	t := j.task(a.taskIndex)
@@ -200,8 +200,8 @@
 	return !a.recorded && a.job.block(a.taskIndex).record.InFlight()
 }
 
-// adjustStoppingTotals adds an attempt to the totals of attempts that were told to stop (delta 1)
-// or removes it (delta -1). The search for room uses the totals of a machine or a team for every
+// adjustStoppingTotals adds an attempt to the totals of attempts whose stop was requested (delta 1)
+// or removes it (delta -1). The search for victims uses the totals of a machine or a team for every
 // job and task. Recomputing them each time took a leader with thousands of pending tasks seconds
 // at a time, longer than its lease.
 func (l *leader) adjustStoppingTotals(a *attempt, delta int) {
@@ -227,7 +227,7 @@
 	migratedInSurge    uint64      // number of the surge in which it was migrated; 0: none
 }
 
-// attempt is one attempt to run a task on a machine. It is live until proven terminated.
+// attempt is one attempt to run a task on a machine. It is live until it is proven terminated.
 type attempt struct {
 	job       *job
 	taskIndex int
@@ -241,11 +241,11 @@
 	stateSince time.Time
 
 	stopRequested bool
-	stopGrace     time.Duration // time to save its state once it is told to stop
+	stopGrace     time.Duration // time that it gets to save its state when it is stopped
 	stopSentAt    time.Time
 
 	listIndex        int    // index in its machine's attemptList
-	lastListedStatus uint64 // statusCount of the last message from its worker that listed it
+	lastListedStatus uint64 // statusCount at the latest status that listed it
 }
 
 type taskKey struct {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -13,22 +13,22 @@
 // Timeouts and intervals of cloud calls and scaling.
 const (
 	cloudTimeout          = 4 * time.Second
-	noCapacityBackoff     = 15 * time.Second // after "no capacity"
+	noCapacityBackoff     = 15 * time.Second // after the cloud had no capacity for an offer
 	machineTypesInterval  = 45 * time.Second
 	minimumBilledTime     = 60 * time.Second
 	releaseRetryInterval  = time.Second
 	consolidationInterval = 10 * time.Second
 )
 
-// maxPlannedMachines bounds the machines requested by one scale-out; its responses show what
-// else is needed. reservedReleaseCalls is how many calls of the burst budget scale-out leaves
+// maxPlannedMachines bounds the machines requested by one scale-out; the responses to these
+// requests determine what else is needed. reservedReleaseCalls is how many calls of the burst budget scale-out leaves
 // for releases.
 const (
 	maxPlannedMachines   = 200
 	reservedReleaseCalls = 1
 )
 
-// demand is the number of a job's tasks that found no machine.
+// demand is a number of tasks of a job that found no machine.
 type demand struct {
 	job   *job
 	tasks int
@@ -38,7 +38,7 @@
 type autoscalerState struct {
 	callBudget              *ratelimit.TokenBucket
 	unmetDemand             []demand
-	displacedReplicas       map[*job]int // replicas on silent machines that are kept until there is capacity elsewhere
+	displacedReplicas       map[*job]int // replicas on unresponsive machines that are kept until there is capacity elsewhere
 	demandIncomplete        bool         // the last placement round ended early, so unmetDemand is incomplete
 	scaleOutScheduled       bool
 	requestCount            uint64
@@ -60,7 +60,8 @@
 	scaler.unavailableUntil, scaler.requested = map[autoscaler.OfferKey]time.Time{}, map[autoscaler.OfferKey]int{}
 }
 
-// scheduleScaleOut runs scaleOut soon, ahead of the next maintenance.
+// scheduleScaleOut schedules scaleOut to run after a short delay, before the next periodic
+// maintenance.
 func (l *leader) scheduleScaleOut() {
 	if l.autoscaler.scaleOutScheduled {
 		return
--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -17,7 +17,7 @@
 	Zones map[string]int     // of the job's live tasks
 	Tasks int
 	// TooExpensive reports whether an offer costs too much for the job, and Starving whether
-	// the job has waited for so long that it gets one machine to start on nevertheless.
+	// the job has waited for so long that it gets a single machine in spite of the price.
 	TooExpensive func(Offer) bool
 	Starving     func() bool
 }
@@ -164,7 +164,7 @@
 	}
 	if !j.OneZone && !j.Spread {
 		if found == limit && i > 0 {
-			i-- // the last bin may have room for more
+			i-- // the last bin may hold further tasks
 		}
 		p.searchFrom[shape] = max(p.searchFrom[shape], i)
 	}
@@ -185,7 +185,7 @@
 	return count
 }
 
-// tooSmall reports whether a bin can't hold any more of the expected jobs' tasks.
+// tooSmall reports whether a bin can't hold another task of any expected job.
 func (p *Plan) tooSmall(b *Bin) bool {
 	return b.cpus < p.smallest.CPUs-protocol.Epsilon || b.memoryGB < p.smallest.MemGB-protocol.Epsilon
 }
--- a/internal/coordination/balance/load.go
+++ b/internal/coordination/balance/load.go
@@ -148,8 +148,8 @@
 	return seconds(left / rate)
 }
 
-// advance updates the pending fetches to a time. Until then, the unfinished fetches have shared the
-// rate equally.
+// advance updates the remaining sizes of the pending fetches to a time. Since the last update, the
+// unfinished fetches have shared the rate equally.
 func (f *PendingFetches) advance(now time.Time, rate float64) {
 	elapsed := now.Sub(f.updatedAt).Seconds()
 	f.updatedAt = now
--- a/internal/coordination/balance/planned_usage.go
+++ b/internal/coordination/balance/planned_usage.go
@@ -32,7 +32,8 @@
 // TargetCount returns the number of machines to which moves are planned.
 func (s PlannedUsage) TargetCount() int { return s.allocated.Len() }
 
-// fits reports whether one more task of a job may move to a machine, beside the planned moves.
+// fits reports whether one more task of a job may move to a machine, in addition to the planned
+// moves.
 func (s PlannedUsage) fits(m *placement.Machine, j *protocol.Job) bool {
 	return m.Allows(j) && m.FitsInReport(j) &&
 		m.Allocated.Plus(m.Incoming).Plus(s.Allocated(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -13,7 +13,7 @@
 
 // Planner plans moves of running tasks for the state of a fleet at one time: of replicas off
 // machines that are to be consolidated (Evacuate), and of surging teams' tasks off overloaded
-// machines (Rebalance). It decides nothing else. It is deterministic: the same sequence of calls
+// machines (Rebalance). It makes no other decisions. It is deterministic: the same sequence of calls
 // gives the same plans.
 //
 // Machines are looked up by the images that they cache, and each search continues where the
@@ -42,7 +42,7 @@
 	shape placement.ShapeKey
 }
 
-// searchState is the progress of a search: the machines before next can take no more replicas of
+// searchState is the progress of a search: the machines before next can hold no more replicas of
 // the kind, unless the planner's reopened count for the image has changed since.
 type searchState struct{ next, reopened int }
 
@@ -52,7 +52,7 @@
 	return &Planner{machines: machines, acceptsTasks: acceptsTasks, planned: NewPlannedUsage(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
 }
 
-// PlannedUsage returns the room that the plans so far use.
+// PlannedUsage returns the resources that the plans so far use on their targets.
 func (p *Planner) PlannedUsage() PlannedUsage { return p.planned }
 
 // indexImages fills holders.
@@ -74,8 +74,8 @@
 }
 
 // Evacuate reports whether each of the replicas on a machine fits on another machine of the same
-// zone that caches its image, beside the moves planned so far. If so, it adds the moves to the plan,
-// unless dryRun is set.
+// zone that caches its image, in addition to the moves planned so far. If so, it adds the moves to
+// the plan, unless dryRun is set.
 func (p *Planner) Evacuate(m *placement.Machine, replicas []Replica, dryRun bool) bool {
 	if p.holders == nil {
 		p.indexImages()
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -51,8 +51,8 @@
 	maxSources         = 16 // most loaded machines that are examined as sources
 	maxTargets         = 48 // least loaded machines, and machines that cache the image, examined per task
 	writesPerMigration = 2  // writes to the state service: the mark and the new start
-	// A running task without checkpoints loses its work. It is migrated only for a multiple of
-	// the margin, and only early in its run.
+	// A running task without checkpoints loses its work. It is migrated only if the saving exceeds
+	// the cost by a multiple of the margin, and only early in its run.
 	noCheckpointMargin  = 2
 	noCheckpointDivisor = 4 // it may have run for this fraction of its remaining run time
 )
@@ -167,7 +167,7 @@
 func (h *sourcePlanner) bestTarget(w *MigratableTask, moved placement.Resources) (best Migration, found bool) {
 	consider := func(o *LoadedMachine) {
 		if o.Machine == h.source.Machine || o.Load == nil || o.Consolidating || !h.acceptsTasks(o.Machine) {
-			return // one that accepts no tasks may be of an unknown type
+			return // a machine that accepts no tasks may have no Spec
 		}
 		if !w.ZoneAllowed(o.Zone) || !h.planned.fits(o.Machine, w.Job) {
 			return
--- a/internal/coordination/balance/surge.go
+++ b/internal/coordination/balance/surge.go
@@ -8,16 +8,16 @@
 // Parameters of surge detection.
 const (
 	usualCPUsTimeConstant = time.Minute      // time constant of the moving average of a team's demand
-	surgeStartFactor      = 1.5              // a surge starts when demand exceeds this multiple of the level by more than one machine
-	surgeEndFactor        = 1.2              // demand is low at no more than this multiple of the level plus half a machine
+	surgeStartFactor      = 1.5              // a surge starts when demand exceeds this multiple of the usual demand by more than one machine
+	surgeEndFactor        = 1.2              // demand is low at no more than this multiple of the usual demand plus half a machine
 	surgeEndDelay         = 10 * time.Second // how long demand must stay low to end a surge
-	maxSurgeDuration      = 10 * time.Minute // after which a surge ends and the present demand becomes the level
+	maxSurgeDuration      = 10 * time.Minute // after which a surge ends and the current demand becomes the usual demand
 )
 
 // SurgeRecord is the part of an active surge that is recorded.
 type SurgeRecord struct {
-	Number    uint64 // start time in Unix milliseconds, increased if necessary to exceed all earlier numbers
-	UsualCPUs float64
+	Number    uint64  // start time in Unix milliseconds, increased if necessary to exceed all earlier numbers
+	UsualCPUs float64 // usual demand of the team, in CPUs
 }
 
 // SurgeChange says whether an observation of a team's demand started or ended a surge.
@@ -30,11 +30,11 @@
 	Ended
 )
 
-// Surge detects surges in a team's demand: demand far above its usual level.
+// Surge detects surges in a team's demand: demand far above its moving average, the usual demand.
 type Surge struct {
 	initialized bool
 	observedAt  time.Time
-	usualCPUs   float64 // usual demand of the team, in CPUs
+	usualCPUs   float64 // usual demand of the team, in CPUs: its moving average outside surges
 	number      uint64  // of the active surge; 0 if there is none
 	lastNumber  uint64  // highest number so far
 	startedAt   time.Time
@@ -58,7 +58,7 @@
 // must exceed the starting threshold by that much.
 func (s *Surge) Observe(now time.Time, demand, machine float64) SurgeChange {
 	if !s.initialized {
-		// A new leader takes the first demand that it observes as the usual level.
+		// A new leader uses the first demand that it observes as the usual demand.
 		*s = Surge{initialized: true, observedAt: now, usualCPUs: demand, lastNumber: s.lastNumber}
 		return Unchanged
 	}
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -8,7 +8,7 @@
 
 // Handling of machines that boot late or never. A machine whose boot is overdue is replaced and
 // eventually released. If most booting machines are overdue at once, the cloud is slow and
-// replacements would be as late. Then only some are replaced, to find out whether new machines
+// replacements would boot as slowly. Then only some are replaced, to find out whether new machines
 // boot faster, and all get a longer boot timeout.
 
 const (
@@ -38,8 +38,8 @@
 	return l.controller.now.Sub(m.provisionedAt) >= m.Spec.BootTime*overdueFactor+overdueMargin
 }
 
-// awaitsRegistration reports whether a machine that should have booted may have registered with
-// an earlier leader and just not with this one yet. Otherwise a new leader would release such
+// awaitsRegistration reports whether a machine whose boot seems overdue may have registered with an
+// earlier leader, and has had too little time to register with this one. Otherwise a new leader would release such
 // machines as if they had never booted.
 func (l *leader) awaitsRegistration(m *machine) bool {
 	return m.inherited && l.bootOverdue(m) && l.controller.now.Sub(l.loadedAt) < l.controller.timing().RegistrationTimeout()
@@ -77,8 +77,8 @@
 	return len(b.overdue)
 }
 
-// bootingBins returns the capacity of booting machines without those that are replaced: some of
-// them never boot, and tasks shouldn't wait for them.
+// bootingBins returns the capacity of the booting machines, except of overdue ones that are to be
+// replaced: some of these never boot, and tasks shouldn't wait for them.
 func (l *leader) bootingBins() []*autoscaler.Bin {
 	b := l.bootProgress()
 	without := b.replacedCount()
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -10,7 +10,7 @@
 type jobPresence uint8
 
 const (
-	presenceUnknown jobPresence = iota // the state service didn't answer, or its answer was invalid
+	presenceUnknown jobPresence = iota // the state service didn't answer, or its response was invalid
 	jobAbsent                          // the job was never accepted
 	jobPresent
 )
@@ -90,13 +90,13 @@
 	})
 }
 
-// writeCancellation records that a job is cancelled, unless it has another outcome by then.
+// writeCancellation records that a job is cancelled, unless the job already has an outcome.
 // version is the version of the job's record.
 func (c *Controller) writeCancellation(job string, version uint64, finish func(jobRead)) {
 	_, done, _ := c.knownProgress(job)
-	// The outcome is created at most once, by this transaction or by the leader's "done". The
-	// second of them to be applied fails, and its sender reads what the first wrote. The user is
-	// told only after that.
+	// The outcome is created at most once, by this transaction or by the leader's write of "done".
+	// The second of them fails, and its sender reads the outcome that the first wrote. The user
+	// gets a reply only after that.
 	c.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: records.KeyActive(job), Version: version}, {Key: records.KeyOutcome(job)}},
 		Ops:        []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -30,7 +30,7 @@
 	return id
 }
 
-// placementTask returns the job's tasks as the placement package sees them.
+// placementTask returns the description of the job's tasks for package placement.
 func (j *job) placementTask() placement.Task { return placement.Task{Job: j.Job, Image: j.imageID} }
 
 // shapeKeyOf returns the key of a job's shape. It is computed once, as every scan of the fleet
@@ -87,7 +87,7 @@
 }
 
 // avoidsMachine reports whether a job avoids a machine on which it failed. Once its tasks have
-// failed on quarantine.MachineThreshold machines, the job is taken for the cause and avoids none.
+// failed on quarantine.MachineThreshold machines, the job is considered the cause and avoids none.
 func (l *leader) avoidsMachine(j *job, m *machine) bool {
 	return m.failuresByJob[j.ID] > 0 && j.history.Machines() < quarantine.MachineThreshold
 }
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -10,10 +10,10 @@
 // consolidation, as a divisor.
 const consolidationDivisor = 30
 
-// consolidate moves all replicas off underused machines, if other machines that hold their
-// images have room for them, so that the underused ones can be released. Services run for long,
-// and would otherwise keep all machines that they were spread over while the cluster was busy.
-// A move is fast because the target already holds the image.
+// consolidate moves all replicas off underused machines, if they fit on other machines that cache
+// their images, so that the underused ones can be released. Services run for a long time. Otherwise
+// they would keep all machines in use over which they were spread while the cluster was busy. A
+// move is fast because the target already caches the image.
 func (l *leader) consolidate() {
 	c, scaler := l.controller, &l.autoscaler
 	if len(scaler.unmetDemand) > 0 || scaler.demandIncomplete || c.store.Unavailable() || c.now.Sub(scaler.consolidatedAt) < consolidationInterval {
@@ -54,8 +54,8 @@
 		if !m.Consolidating {
 			onDemandCapacity += l.onDemandCapacity(m)
 		}
-		littleUsed := m.Consolidating || m.Allocated.CPUs <= m.Spec.CPUs/2+protocol.Epsilon
-		if m.holdsOnlyReplicas() && littleUsed && l.controller.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
+		underused := m.Consolidating || m.Allocated.CPUs <= m.Spec.CPUs/2+protocol.Epsilon
+		if m.holdsOnlyReplicas() && underused && l.controller.now.Sub(m.provisionedAt) > 2*minimumBilledTime {
 			candidates = append(candidates, m)
 		}
 	}
@@ -75,11 +75,11 @@
 
 // newPlanner returns a planner for the current fleet.
 func (l *leader) newPlanner() *balance.Planner {
-	sites := make([]balance.LoadedMachine, len(l.fleetList))
+	machines := make([]balance.LoadedMachine, len(l.fleetList))
 	for i, m := range l.fleetList {
-		sites[i] = balance.LoadedMachine{Machine: &m.Machine, Load: m.load}
+		machines[i] = balance.LoadedMachine{Machine: &m.Machine, Load: m.load}
 	}
-	return balance.NewPlanner(sites, func(m *placement.Machine) bool { return l.acceptsTasks(l.machines[m.Name]) })
+	return balance.NewPlanner(machines, func(m *placement.Machine) bool { return l.acceptsTasks(l.machines[m.Name]) })
 }
 
 // runningReplicas returns the replicas on a machine, in a fixed order, or false if one of them
@@ -98,19 +98,20 @@
 	return list, true
 }
 
-// replicasFitElsewhere reports whether all replicas on a machine fit on other machines. Unless
-// try is set, it reserves that capacity in the planner.
-func (m *machine) replicasFitElsewhere(p *balance.Planner, try bool) bool {
+// replicasFitElsewhere reports whether all replicas on a machine are running and fit on other
+// machines. Unless dryRun is set, it adds their moves to the planner.
+func (m *machine) replicasFitElsewhere(p *balance.Planner, dryRun bool) bool {
 	replicas, settled := m.runningReplicas()
-	return settled && p.Evacuate(&m.Machine, replicas, try)
+	return settled && p.Evacuate(&m.Machine, replicas, dryRun)
 }
 
-// lazyPlanner creates a planner on first use: most passes over the fleet need none.
+// lazyPlanner creates a planner on first use: most scans of the fleet need none.
 type lazyPlanner struct {
 	leader  *leader
 	planner *balance.Planner
 }
 
+// get returns the planner, which it creates in the first call.
 func (z *lazyPlanner) get() *balance.Planner {
 	if z.planner == nil {
 		z.planner = z.leader.newPlanner()
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -10,8 +10,8 @@
 )
 
 // Drain prepares the controller for a planned shutdown: its shards move to other controllers
-// while jobs continue to run, then it resigns leadership. It still serves users. It gives up
-// nothing that no other controller can take over.
+// while jobs continue to run, then it resigns leadership. It still serves users. It keeps shards
+// and leadership as long as no other controller can take them over.
 func (c *Controller) Drain(now time.Time) Effects {
 	c.now = now
 	if !c.draining {
@@ -39,8 +39,8 @@
 	c.after(drainInterval, c.drainStep)
 }
 
-// startDraining tells the leader, by the member's record, that this controller should own no
-// shards.
+// startDraining marks this controller as draining, and records that in its member record, so that
+// the leader moves its shards away.
 func (s *sharding) startDraining() {
 	s.draining = true
 	if s.owner != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// recordDraining writes to the member's record that it is draining, and retries until that
+// recordDraining writes to the member record that the member is draining, and retries until that
 // succeeds or the membership ends.
 func (s *sharding) recordDraining(own *shardOwner) {
 	s.writeMemberRecord(own, func(applied bool) {
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -45,7 +45,8 @@
 	Body []byte
 }
 
-// Effects is what a step asks its caller to do. The entries of each list are in order.
+// Effects are the replies, calls, messages and spans that a step produced and that its caller must
+// send or record. The entries of each list are in order.
 type Effects struct {
 	Replies    []Reply
 	Calls      []Call
@@ -91,7 +92,7 @@
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, Body: body})
 }
 
-// refuse answers a request with an error and asks the client to retry after one second.
+// refuse answers a request with an error and a Retry-After of one second.
 func (c *Controller) refuse(id uint64, status int, reason string) {
 	c.effects.Replies = append(c.effects.Replies, Reply{ID: id, Status: status, RetryAfter: 1, Body: protocol.EncodeError(reason)})
 }
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -121,9 +121,9 @@
 func (l *leader) NeedsLease() bool { return l.alive() }
 
 // RenewalSent implements leadership.LeaseHolder. A leader whose lease and grace period have
-// ended is fenced: it answers no workers, but keeps its state. In an outage of the state service
-// the lease does not run out there, and if a renewal then succeeds, no other controller can have
-// led in the meantime.
+// ended is fenced: it answers no workers, but keeps its state. During an outage of the state service
+// the lease may not expire in the service. If a renewal succeeds after the outage, no other
+// controller can have led since the last one.
 func (l *leader) RenewalSent() {
 	if l.fenced || l.holdsLease() || l.jobsKnownAt.IsZero() {
 		return
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -9,8 +9,9 @@
 // detectorInterval is how often the failure detector scans all machines.
 const detectorInterval = 250 * time.Millisecond
 
-// detectFailures probes silent machines and releases unresponsive ones. Silence doesn't prove
-// that a machine's tasks have ended, but its release does, and takes only a moment.
+// detectFailures probes machines from which no messages arrive, and releases unresponsive ones.
+// Missing messages don't prove that a machine's tasks have ended. Its release proves it, and the
+// cloud confirms a release quickly.
 func (l *leader) detectFailures() {
 	c := l.controller
 	stalled := l.detector.Scan(c.now)
@@ -21,8 +22,8 @@
 		return
 	}
 	if stalled || c.store.Unavailable() || !l.holdsLease() {
-		// No task could be moved now, and workers without a response from this controller
-		// try another one: their silence is counted from here.
+		// No task could be moved now, and workers that get no response from this controller
+		// try another one. Their times out of contact are counted from now.
 		l.detector.Reset(c.now)
 		return
 	}
@@ -42,7 +43,8 @@
 		if !m.session.LastReached.IsZero() {
 			continue
 		}
-		// A worker that registered soon shows a token of this epoch in its next heartbeat.
+		// A worker that has registered shows a token of this epoch in its next heartbeat, which
+		// follows soon.
 		if !m.session.Registered && m.inherited || m.session.Registered && l.controller.now.Sub(m.session.RegisteredAt) > tokenEchoTimeout {
 			unreached = append(unreached, m)
 		}
@@ -59,6 +61,7 @@
 	contact      sessions.FleetContact
 }
 
+// assessReachability assesses the contact with each machine in one scan.
 func (l *leader) assessReachability() *fleetReachability {
 	s := &fleetReachability{domains: map[failureDomain]*sessions.DomainHealth{}, suspectZones: map[string]bool{}}
 	for _, m := range l.fleetList {
@@ -73,16 +76,16 @@
 	return s
 }
 
-// unresponsiveSince returns since when a machine has been silent, and whether its worker is
-// expected to be up.
+// unresponsiveSince returns the time since which no message of a machine's worker has arrived, and
+// whether its worker is expected to be running.
 func (l *leader) unresponsiveSince(m *machine) (since time.Time, expected bool) {
 	since = m.session.LastSeen
 	if !m.session.Registered {
 		if len(m.attempts) == 0 {
 			return since, false
 		}
-		// It ran tasks under an earlier leader. It counts as silent since the records were
-		// loaded if it has been probed without an answer, else since the reconciliation.
+		// It ran tasks under an earlier leader. The time counts from when the records were
+		// loaded if it was probed without an answer, else from the reconciliation.
 		since = l.reconciledAt
 		if m.session.FailedProbes >= sessions.UnansweringProbeThreshold {
 			since = l.loadedAt
@@ -91,14 +94,15 @@
 	if l.shards != nil {
 		contactSince, ok := l.shards.ownerContactSince(m)
 		if !ok {
-			return l.controller.now, true // no owner is in contact
+			return l.controller.now, true // without contact to the owner nothing is known of the worker
 		}
 		since = sessions.Latest(since, contactSince)
 	}
 	return sessions.Latest(since, l.detector.ResetAt()), true
 }
 
-// countInherited counts a machine that was loaded from an earlier leader's record.
+// countInherited counts a machine that was loaded from an earlier leader's record, by whether it
+// registered or failed to answer probes.
 func (s *fleetReachability) countInherited(m *machine) {
 	s.contact.Inherited++
 	switch {
@@ -109,7 +113,7 @@
 	}
 }
 
-// add counts a machine that has been silent for unseen.
+// add adds a machine to the result. unseen is the time since the latest message of its worker.
 func (s *fleetReachability) add(l *leader, m *machine, unseen time.Duration) {
 	key := l.failureDomain(m)
 	domain := s.domains[key]
@@ -144,14 +148,14 @@
 // It does so if most registered machines are unreachable. Only registered machines count:
 // another controller may still reach them, and if it can't, they won't have registered with it
 // either and it keeps leading. When all machines counted, the leaders of a cluster that had
-// permanently lost most machines handed over to one another endlessly. The check comes before
+// permanently lost most machines handed over to one another endlessly. The check is made before
 // any release: a leader that an outage kept from detecting this in time released its whole
 // fleet.
 //
 // It also does so if most machines that the previous leader knew never registered and another
-// controller hasn't tried to lead yet. Machines that don't answer probes either aren't waited
-// for: after two successive leaders that were partitioned from the workers, all worker leases
-// had expired before the third one led.
+// controller hasn't tried to lead yet. It doesn't wait for machines that don't answer probes
+// either: when it did, all worker leases expired during the terms of two successive leaders that
+// were partitioned from the workers, before a third one was elected.
 func (l *leader) resignIfDisconnected(s *fleetReachability) bool {
 	c := l.controller
 	if s.contact.MostUnreachable() && c.now.Sub(l.reconciledAt) > 2*time.Second && c.resignDisconnected("most machines are unreachable") {
@@ -170,11 +174,11 @@
 		if l.serves(m) {
 			l.terminateExpired(m)
 		}
-		silence := c.now.Sub(sessions.Latest(m.session.LastSeen, m.session.LastReached, l.detector.ResetAt(), l.electedAt))
-		if s.domains[l.failureDomain(m)].Partitioned() && silence <= c.cfg.WorkerLease {
+		outOfContact := c.now.Sub(sessions.Latest(m.session.LastSeen, m.session.LastReached, l.detector.ResetAt(), l.electedAt))
+		if s.domains[l.failureDomain(m)].Partitioned() && outOfContact <= c.cfg.WorkerLease {
 			continue
 		}
-		if m.lifecycle.releasing() || !deferral.defers(m, silence) {
+		if m.lifecycle.releasing() || !deferral.defers(m, outOfContact) {
 			l.release(m, reasonUnresponsive)
 		}
 	}
@@ -184,20 +188,21 @@
 	}
 }
 
-// presumedDead reports whether a machine that has been silent for unseen should be released.
+// presumedDead reports whether a machine should be treated as dead and released. unseen is the time
+// since the latest message of its worker.
 func (l *leader) presumedDead(m *machine, unseen time.Duration) bool {
-	silence := sessions.ContactLoss{Unseen: unseen, Unreached: l.unreachedFor(m), Unanswered: l.unansweredFor(m), FailedProbes: m.session.FailedProbes}
+	loss := sessions.ContactLoss{Unseen: unseen, Unreached: l.unreachedFor(m), Unanswered: l.unansweredFor(m), FailedProbes: m.session.FailedProbes}
 	if l.shards != nil {
-		// All of this is reported by the owner of the machine's shard. Without contact to an
-		// owner nothing is known, and earlier reports count only from when contact resumed.
+		// The owner of the machine's shard reports all of these times. Without contact to an
+		// owner nothing is known, and the times count only from when contact was resumed.
 		since, inContact := l.shards.ownerContactSince(m)
 		if !inContact {
 			return false
 		}
 		contactFor := l.controller.now.Sub(since)
-		silence.Unreached, silence.Unanswered = min(silence.Unreached, contactFor), min(silence.Unanswered, contactFor)
+		loss.Unreached, loss.Unanswered = min(loss.Unreached, contactFor), min(loss.Unanswered, contactFor)
 	}
-	return l.controller.timing().PresumedDead(silence)
+	return l.controller.timing().PresumedDead(loss)
 }
 
 // failureDomain identifies the machines that a network partition would cut off from their
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -19,15 +19,16 @@
 	// maxHeartbeatDeferral is the longest time for which a heartbeat is deferred: a worker
 	// waits 4 s for the response, and an election takes about as long as a leader's lease.
 	maxHeartbeatDeferral = 2500 * time.Millisecond
-	// leaderSuspectAfter and leaderSuspectUntil bound the silence for which a leader is
-	// suspected to have failed. A leader broadcasts its status every second. One that stays
-	// silent for leaderSuspectAfter may have failed; one that stays silent until
-	// leaderSuspectUntil is more likely partitioned from this controller alone.
+	// leaderSuspectAfter and leaderSuspectUntil bound the time without a message for which a
+	// leader is suspected to have failed. A leader broadcasts its status every second. If no
+	// message arrives for leaderSuspectAfter, it may have failed; if none arrives for
+	// leaderSuspectUntil, it is more likely partitioned from this controller alone.
 	leaderSuspectAfter = 2200 * time.Millisecond
 	leaderSuspectUntil = 15 * time.Second
 )
 
-// leaderSuspect reports whether there is no leader, or the leader has recently become silent.
+// leaderSuspect reports whether there is no leader, or the leader may have failed: its last message
+// is older than leaderSuspectAfter, but not than leaderSuspectUntil.
 func (c *Controller) leaderSuspect() bool {
 	name := c.election.OtherLeader()
 	if name == "" {
@@ -37,8 +38,8 @@
 	if p == nil {
 		return false
 	}
-	quiet := c.now.Sub(p.LastReceivedAt)
-	return quiet > leaderSuspectAfter && quiet < leaderSuspectUntil
+	age := c.now.Sub(p.LastReceivedAt)
+	return age > leaderSuspectAfter && age < leaderSuspectUntil
 }
 
 // deferredHeartbeats is a queue of heartbeats in order of arrival. Since all are deferred for
@@ -59,8 +60,8 @@
 }
 
 // deferHeartbeat keeps a heartbeat until a leader is known. If it were redirected to a
-// controller that is down, its worker would wait there for 4 s: with all controllers but one
-// down, workers went from one to the next until their leases had expired.
+// controller that is down, its worker would wait 4 s for a response: with all controllers but one
+// down, workers tried one controller after the other until their leases had expired.
 func (c *Controller) deferHeartbeat(id uint64, body []byte) {
 	if len(c.deferred.queue) >= c.maxDeferredHeartbeats() {
 		c.limits.Reached(limits.DeferredHeartbeats)
@@ -111,19 +112,19 @@
 }
 
 // redirector chooses the target when a controller that neither leads nor serves a worker
-// redirects it. The leader knows which controller serves the worker. But a worker that cannot
-// reach the leader came back after a time-out, was redirected to the leader again, and did not
-// try the controller that serves it before its lease expired. Such a worker is redirected
-// without a target, and then tries all controllers in turn.
+// redirects it. The leader knows which controller serves the worker. But a worker that could not
+// reach the leader contacted this controller again after a time-out, was redirected to the leader
+// again, and did not try the controller that serves it before its lease expired. Such a worker is
+// redirected without a target, and then tries all controllers in turn.
 type redirector struct {
 	controller   *Controller
 	redirectedAt map[string]time.Time // when a worker was last redirected to the leader, by machine
 }
 
 const (
-	// redirectReturnWindow is the time within which a worker that comes back after a redirect
-	// is taken not to have reached the leader: the time-out of a heartbeat and the pause after
-	// it, doubled.
+	// redirectReturnWindow is the time within which a worker that contacts this controller again
+	// after a redirect is assumed not to have reached the leader: twice the time-out of a
+	// heartbeat and the pause after it.
 	redirectReturnWindow = 2 * sessions.LostHeartbeatDelay
 	// maxRememberedRedirects is the number of entries above which old redirects are dropped.
 	maxRememberedRedirects = 1024
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -29,8 +29,8 @@
 	}
 	m.session.LastAnswered = c.now
 	if arrival == sessions.Overtaken {
-		// Its task list is outdated, so orders derived from it could be wrong. The response
-		// renews the worker's lease all the same, so it carries the stops of ended jobs.
+		// Its task list is outdated, so orders derived from it could be wrong. But the response
+		// renews the worker's lease, so it carries the stop orders for tasks of ended jobs.
 		m.session.HeartbeatSequence = r.Sequence
 		c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), s.stopOrdersForEndedJobs(r)))
 		return
@@ -49,11 +49,13 @@
 }
 
 // applyResponse updates the state of a machine from the status in a worker's response to a
-// call. Resulting orders go out by another call or with the next heartbeat response.
+// call. Resulting orders are sent by another call or with the next heartbeat response.
 func (s *workerSessions) applyResponse(m *machine, r *protocol.Heartbeat) {
 	s.applyStatus(m, r, responseMessage(r))
 }
 
+// applyStatus updates the state of a machine from a status, and returns the orders to send with the
+// response if the status came with a heartbeat.
 func (s *workerSessions) applyStatus(m *machine, r *protocol.Heartbeat, message sessions.Message) []protocol.Order {
 	s.updateWorker(m, r, message)
 	s.updateReachability(m, message)
@@ -63,8 +65,9 @@
 		s.listener.preemptionNoticed(m)
 	}
 	if !s.loaded && !m.attemptsKnown {
-		// Which tasks belong here isn't known yet. The response still renews the worker's
-		// lease, so it carries the stops of ended jobs. The next heartbeat repeats the status.
+		// It isn't known yet which attempts belong on the machine. But the response renews the
+		// worker's lease, so it carries the stop orders for tasks of ended jobs. The next
+		// heartbeat repeats the status.
 		return s.stopOrdersForEndedJobs(r)
 	}
 	if !m.session.Reconciled {
@@ -82,7 +85,7 @@
 	return s.fitOrders(&budget, slices.Concat(orders, s.stopOrders(m), s.forgetOrders(m, r, forgets)))
 }
 
-// fitOrders drops the orders that don't fit into one message. They are found again when the
+// fitOrders drops the orders that don't fit into one message. They are created again when the
 // worker's next heartbeat is applied.
 func (s *workerSessions) fitOrders(budget *protocol.OrderBudget, orders []protocol.Order) []protocol.Order {
 	fit, cut := budget.Fit(orders)
@@ -169,8 +172,8 @@
 }
 
 // reconcileAbsentAttempts handles the known attempts that a message doesn't report, in a fixed
-// order, and returns the starts to send with a heartbeat response. Stops have precedence:
-// their part of the message is reserved first.
+// order, and returns the starts to send with a heartbeat response. Stops have precedence: space
+// for them in the message is reserved first.
 func (s *workerSessions) reconcileAbsentAttempts(m *machine, message sessions.Message, budget protocol.OrderBudget) []protocol.Order {
 	for _, a := range m.attemptList {
 		if a.stopRequested {
@@ -209,9 +212,9 @@
 	return false
 }
 
-// startWithHeartbeat reports whether a start is to go out with the heartbeat response, which
-// it does if the message has room for it. After a response to a call, the start is instead
-// sent by a call at the end of the step.
+// startWithHeartbeat reports whether a start is sent with the heartbeat response, which is the case
+// if the response has space for it. If the status came with a response to a call, the start is
+// instead sent by a call at the end of the step.
 func (s *workerSessions) startWithHeartbeat(m *machine, a *attempt, message sessions.Message, budget *protocol.OrderBudget) (sent bool) {
 	if !message.Heartbeat {
 		s.scheduleOrders(m)
@@ -225,8 +228,8 @@
 	return true
 }
 
-// stopOrders returns the stops for attempts that the latest message reported and that were
-// requested to stop.
+// stopOrders returns the stops for attempts that the latest status lists and whose stop was
+// requested.
 func (s *workerSessions) stopOrders(m *machine) []protocol.Order {
 	if m.stopRequestedCount == 0 {
 		return nil
@@ -244,7 +247,7 @@
 }
 
 // forgetOrders returns the orders to forget exited tasks once that is safe. A worker no longer
-// knows a forgotten attempt, so a late duplicate of its direct start would start it once more.
+// knows a forgotten attempt, so a delayed duplicate of its direct start would start it again.
 // Workers refuse orders below the highest token they have seen: the token is raised first, and
 // the orders are sent once a message shows that the worker has seen the raised token.
 func (s *workerSessions) forgetOrders(m *machine, r *protocol.Heartbeat, forgets []protocol.Order) []protocol.Order {
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -19,8 +19,8 @@
 	// read before it.
 	maxInventoryPageAttempts = 4
 	inventoryRetryInterval   = 500 * time.Millisecond
-	// maxInventory is the maximum number of machines in a read, for the sake of memory. A read
-	// that reaches it isn't compared with the known machines, since a machine missing from it
+	// maxInventory is the maximum number of machines in a read, to limit memory use. A read that
+	// reaches it isn't compared with the known machines, since a machine missing from it
 	// may be on a later page.
 	maxInventory = 250_000
 )
@@ -69,7 +69,7 @@
 	}
 	list, more, err := protocol.ParseMachines(out.Body)
 	if err != nil || more && (len(list) == 0 || list[len(list)-1].Name <= r.after) {
-		r.finish() // a list that doesn't advance would be read endlessly
+		r.finish() // a list whose pages don't advance would be read endlessly
 		return
 	}
 	r.machines = append(r.machines, list...)
@@ -162,9 +162,9 @@
 	}
 }
 
-// reconcileUnlisted releases a machine that should be in the inventory and isn't. An inventory
-// may be older than its lag, up to twice as old, so a missing machine is only known to be gone
-// once it has been missing for longer than any inventory can lag.
+// reconcileUnlisted releases a machine that should be in the inventory and isn't. An inventory may
+// be up to twice as old as MaxListLag, so a machine is known to be terminated only once inventories
+// haven't listed it for longer than that.
 func (l *leader) reconcileUnlisted(m *machine) {
 	c := l.controller
 	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.maxInventoryStaleness() {
@@ -180,7 +180,7 @@
 	}
 }
 
-// maxInventoryStaleness is how long after a change all inventories show it.
+// maxInventoryStaleness is the time after a change from which on all inventories show it.
 func (c *Controller) maxInventoryStaleness() time.Duration {
 	return 3*c.cfg.MaxListLag + 10*time.Second
 }
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -62,16 +62,16 @@
 func (j *job) withinQuota() bool { return j.quota == quotaWithin }
 
 // jobRecorded implements sessionListener.
-func (l *leader) jobRecorded(id string, value json.RawMessage, live bool) {
+func (l *leader) jobRecorded(id string, value json.RawMessage, justWritten bool) {
 	var r records.Job
 	if err := protocol.Decode(value, &r); err != nil || r.Spec == nil || r.BlockSize <= 0 || r.Spec.Tasks <= 0 {
 		l.controller.log.Error("job record unreadable", "job", id, "error", err)
 		return
 	}
 	l.addJob(&r)
-	if live {
+	if justWritten {
 		// Writing the job's record used write capacity of the state service. Charging it to
-		// the leader's write budget leaves room for users that submit many jobs per second.
+		// the leader's write budget leaves capacity for users that submit many jobs per second.
 		l.writer.committer.Spend(1)
 		l.requestPlacement()
 	}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -25,7 +25,7 @@
 	nextBroadcastIndex int
 	teamUsage          map[string]*usage
 	corrections        queue.Corrections    // of runtime estimates
-	stoppingUsage      map[string]usage     // by team: resources of attempts that were told to stop
+	stoppingUsage      map[string]usage     // by team: resources of attempts whose stop was requested
 	terminatedAt       map[string]time.Time // terminated machines that the cloud's list may still show
 	writer             recordWriter
 	autoscaler         autoscalerState
@@ -58,7 +58,8 @@
 	l.writer.init(l)
 	l.autoscaler.init(l)
 	if c.sharding == nil && c.election.Sharded() {
-		// Other controllers may still own shards; this leader has to take those back first.
+		// Other controllers may still own shards. This leader must move those to its own
+		// controller first.
 		c.startSharding(false)
 	}
 	if c.sharding != nil {
@@ -77,8 +78,8 @@
 // examined.
 const pausePerExaminedMachine = 150 * time.Nanosecond
 
-// requestPlacement schedules a placement round. A short delay lets one round serve changes that
-// occur at about the same time.
+// requestPlacement schedules a placement round after a short delay, so that one round handles all
+// changes that occur at about the same time.
 func (l *leader) requestPlacement() {
 	if l.placementRequested || l.phase != phaseActive {
 		return
--- a/internal/coordination/leadership/doc.go
+++ b/internal/coordination/leadership/doc.go
@@ -4,8 +4,8 @@
 // holds the highest term so far. A candidate becomes leader of the next term by creating the
 // leader key in a transaction that requires the term key to be unchanged; it leads until its
 // lease expires. A term is never reused, and fencing tokens are derived from it. An
-// [Election] watches these keys, campaigns when there is no leader, and gives up leadership
-// when it sees another leader, when its lease has expired, or by resigning. A [LeaseRenewer]
+// [Election] watches these keys, campaigns when there is no leader, and ends its leadership
+// when it sees another leader, when its lease has expired, or when it resigns. A [LeaseRenewer]
 // renews a lease. [TTLPolicy] chooses the lease's time to live, [MajorityZone] the zone that
 // the leader should be in.
 //
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// campaignJitter keeps controllers from campaigning at the same moment.
+	// campaignJitter is a random delay that keeps controllers from campaigning at the same time.
 	campaignJitter = 60 * time.Millisecond
 	// otherZoneDelay delays campaigns outside the preferred zone, so that controllers in it
 	// campaign first.
@@ -19,8 +19,8 @@
 	disconnectedDelay = 2 * time.Second
 	// disconnectedPeriod is how long a leader that resigned because it lost connectivity to
 	// its workers counts as disconnected: it campaigns after the others, and no leader hands
-	// over to it. Without it, such a leader was handed the leadership back because of its
-	// zone, and released a whole fleet that another controller could reach.
+	// over to it. Otherwise such a leader got the leadership back because of its zone, and
+	// released a whole fleet that another controller could reach.
 	disconnectedPeriod = time.Minute
 	// retryDelay and retryJitter make up the pause after a failed campaign.
 	retryDelay  = 150 * time.Millisecond
@@ -46,7 +46,7 @@
 // follower.
 const (
 	Follower          Role = iota
-	CampaignScheduled      // a campaign starts soon unless there is a leader by then
+	CampaignScheduled      // a campaign starts soon, unless a leader is elected before
 	Candidate              // the lease request or the election transaction is in flight
 	Leader
 )
@@ -106,6 +106,7 @@
 	})
 }
 
+// watch watches the election keys from a revision on, as long as generation is the current one.
 func (e *Election) watch(after uint64, generation int) {
 	e.store.Watch(records.PrefixElection, after, func(response WatchResponse) {
 		if e.generation != generation {
@@ -234,8 +235,8 @@
 	})
 }
 
-// retry reads the keys again some time after a failed campaign, unless this controller leads
-// by then.
+// retry reads the keys again after a delay that follows a failed campaign, unless this controller
+// leads then.
 func (e *Election) retry() {
 	e.role = Follower
 	e.clock.After(retryDelay+e.clock.Jitter(retryJitter), func() {
@@ -251,8 +252,8 @@
 	e.host.Elected(t)
 }
 
-// StepDown gives up leadership if this controller has it, and follows the keys again. The
-// lease is left to expire.
+// StepDown ends the leadership of this controller, if it leads, and follows the keys again. The
+// lease isn't revoked and expires.
 func (e *Election) StepDown(reason string) {
 	if e.role != Leader {
 		return
@@ -266,8 +267,8 @@
 	e.Follow()
 }
 
-// Resign gives up leadership voluntarily. It revokes the lease, so that another controller can
-// be elected at once; this one does not campaign until pause has passed.
+// Resign ends the leadership of this controller voluntarily. It revokes the lease, so that another
+// controller can be elected at once; this one does not campaign until pause has passed.
 func (e *Election) Resign(reason string, pause time.Duration) {
 	e.noCampaignBefore = e.clock.Now().Add(pause)
 	e.store.RevokeLease(e.leaderTerm.Lease.ID)
@@ -277,7 +278,7 @@
 // PeerCounts counts the other controllers by their state.
 type PeerCounts struct {
 	Configured   int // all peers in the settings
-	Eligible     int // recently heard from, reach the store and are not disconnected
+	Eligible     int // recently sent a message, reach the store and are not disconnected
 	Disconnected int // recently reported that they are disconnected
 }
 
--- a/internal/coordination/leadership/host.go
+++ b/internal/coordination/leadership/host.go
@@ -40,7 +40,7 @@
 // WatchResponse is the response to a watch.
 type WatchResponse struct {
 	Status   WatchStatus
-	Events   []protocol.Event // for WatchDelivered; empty if nothing changed in time
+	Events   []protocol.Event // for WatchDelivered; empty if nothing changed while it waited
 	Revision uint64           // the events include all changes up to this revision
 }
 
@@ -72,8 +72,8 @@
 	LeadershipEnded()
 	// LeaderUpdated is called after each change of the election keys.
 	LeaderUpdated()
-	// LostToOverload reports whether the leadership that is being given up was most likely
-	// lost because the controller was too busy to renew its lease in time.
+	// LostToOverload reports whether the leadership that ends was most likely lost because the
+	// controller was too busy to renew its lease in time.
 	LostToOverload() bool
 	// PeersUnresponsive reports whether messages of other controllers were received before, but
 	// none recently.
--- a/internal/coordination/leadership/lease.go
+++ b/internal/coordination/leadership/lease.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MaxClockDrift returns the most by which the monotonic clocks of two machines can differ
-// over the duration d. It is twice what the protocol allows, to cover rounding.
+// MaxClockDrift returns the maximum by which the monotonic clocks of two machines can differ over
+// the duration d. It is twice what the protocol allows, to cover rounding.
 func MaxClockDrift(d time.Duration) time.Duration { return d / 1000 }
 
 // Lease is a lease in the store that protects exclusive ownership: the leader's of all
@@ -11,7 +11,7 @@
 type Lease struct {
 	ID         uint64
 	TTL        time.Duration
-	ValidUntil time.Time // until then no other controller can have taken over
+	ValidUntil time.Time // no other controller can have become the owner before this time
 }
 
 // NewLease returns a lease whose grant was requested at sent. The store starts the time to
--- a/internal/coordination/leadership/ttl_policy.go
+++ b/internal/coordination/leadership/ttl_policy.go
@@ -16,10 +16,12 @@
 // a large fleet is the heaviest load on a leader. One that could not renew a short lease in
 // time left the same work to its successor, and no leader ever completed it.
 //
-// A controller that recently lost leadership to overload requests four times the base. It has
-// twice as much work as before: alone with all workers of a fleet, it lost a short lease at
-// every load peak, minutes apart. The absence of peers counts as one leader change, because no other controller is waiting for
-// the lease to expire.
+// A controller that recently lost leadership to overload requests four times the base. Without
+// peers it has twice as much work as before: a controller that alone served all workers of a fleet
+// lost a short lease at every load peak, minutes apart.
+//
+// The absence of messages from peers counts as one leader change, because no other controller is
+// waiting for the lease to expire.
 type TTLPolicy struct {
 	base           time.Duration
 	changes        []time.Time // times of leader changes, latest last
@@ -40,14 +42,14 @@
 // LostToOverload records that this controller lost leadership to overload.
 func (p *TTLPolicy) LostToOverload(now time.Time) { p.overloadLossAt = now }
 
-// TTL returns the time to live to request now. peersSilent says that no message from another
+// TTL returns the time to live to request now. peersUnresponsive says that no message from another
 // controller was received recently.
-func (p *TTLPolicy) TTL(now time.Time, peersSilent bool) time.Duration {
+func (p *TTLPolicy) TTL(now time.Time, peersUnresponsive bool) time.Duration {
 	if !p.overloadLossAt.IsZero() && now.Sub(p.overloadLossAt) < overloadWindow {
 		return 4 * p.base
 	}
 	recent := 0
-	if peersSilent {
+	if peersUnresponsive {
 		recent = 1
 	}
 	for _, at := range p.changes {
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -11,8 +11,8 @@
 // one is reached.
 
 // CountSocketLimits records how often socket limits were reached since the last call: closed
-// counts responses that closed their connection, shed the connections that were closed to make
-// room, and busy the calls that got no socket.
+// counts responses that closed their connection, shed the connections that were closed to free
+// sockets for others, and busy the calls that got no socket.
 func (c *Controller) CountSocketLimits(closed, shed, busy int) {
 	c.limits.ReachedTimes(limits.ConnectionsClosed, closed)
 	c.limits.ReachedTimes(limits.ConnectionsShed, shed)
@@ -42,8 +42,8 @@
 func (c *Controller) maxDeferredHeartbeats() int { return c.cfg.MaxSockets / 2 }
 
 // maxUnrecordedPlacements bounds the placements that wait to be recorded, so that one placement
-// round does not delay other writes for long. It allows the block records of two full
-// transactions, but at least minUnrecordedPlacements.
+// round does not delay other writes for long. It allows the placements in as many block records as
+// two full transactions hold, but at least minUnrecordedPlacements.
 func (w *recordWriter) maxUnrecordedPlacements() int {
 	return max(minUnrecordedPlacements, 2*w.leader.controller.cfg.MaxTxnOps*w.tasksPerBlock)
 }
@@ -52,7 +52,7 @@
 const minUnrecordedPlacements = 2000
 
 // maxPendingAnnouncements bounds the final states that wait to be broadcast to peers: as many as the
-// state service accepts writes in pendingAnnouncementSeconds.
+// state service accepts writes in pendingAnnouncementSeconds, but at least minPendingAnnouncements.
 func (c *Controller) maxPendingAnnouncements() int {
 	return max(minPendingAnnouncements, int(pendingAnnouncementSeconds*c.cfg.StateWriteRPS))
 }
--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -30,11 +30,11 @@
 	MachineTypesRecordSize              // bytes of the machine types record
 	PeerMessageSize                     // bytes of a message to a peer
 	ConnectionsClosed                   // sockets: responses that closed their connection
-	ConnectionsShed                     // sockets: connections closed to make room for others
+	ConnectionsShed                     // sockets: connections closed to free sockets for others
 	CallsWithoutSocket                  // sockets: calls abandoned while waiting for a socket
 	PeerMessagesLost                    // messages dropped because a peer reads too slowly
 	ServedMachines                      // machines that this controller can serve with its CPU share
-	SurgeCeiling                        // share of one machine that a surging team's tasks may take
+	SurgeCeiling                        // share of one machine that a surging team's tasks may use
 	limitCount
 )
 
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -32,7 +32,7 @@
 	replicaCount       int
 	onDemandCPUs       float64                        // CPUs allocated to jobs that may not use spot machines
 	cpusByPriority     [protocol.Critical + 1]float64 // CPUs allocated, by priority
-	stopRequestedCount int                            // attempts that were requested to stop
+	stopRequestedCount int                            // attempts whose stop was requested
 	emptySince         time.Time
 
 	// Used with sharding only, except for incomingMigrations.
@@ -44,7 +44,7 @@
 	newerTokenSeen     bool                      // its worker has seen a later token than this owner's
 	reportedExits      map[taskKey]*reportedExit // exits reported to the leader
 	orphans            map[taskKey]uint64        // attempts unknown here that were reported to the leader
-	orphanStops        map[taskKey]uint64        // attempts of those that the leader wants stopped
+	orphanStops        map[taskKey]uint64        // attempts among the orphans that the leader requested to stop
 
 	failuresByJob map[string]int // failed attempts by job since the last success
 	quarantined   bool
@@ -71,8 +71,8 @@
 	return m
 }
 
-// adoptMachine adds a machine that no record names. It was provisioned by a request whose
-// response was lost, or by one that the cloud carried out late.
+// adoptMachine adds a machine that no record names. It was provisioned by a request whose response
+// was lost or that the cloud carried out late.
 func (l *leader) adoptMachine(name, typ, zone string, spot bool, age time.Duration) *machine {
 	m := l.newMachine(name, typ, zone, spot)
 	m.provisionedAt = l.controller.now.Add(-age)
@@ -95,7 +95,7 @@
 		return
 	}
 	if l == nil || !l.holdsLease() {
-		// Never 200: the worker would stay with this controller while its lease runs out.
+		// A status of 200 would make the worker stay with this controller until its lease expires.
 		c.reply(id, 421, protocol.EncodeRedirect(c.election.OtherLeader()))
 		return
 	}
@@ -116,9 +116,8 @@
 }
 
 // machineForHeartbeat returns the machine of the worker that sent a heartbeat, adopting it if
-// no record names it. For a terminated machine it replies with an error and returns nil:
-// machine names are never reused, so a late duplicate of a heartbeat must not bring the
-// machine back.
+// no record names it. For a terminated machine it replies with an error and returns nil: machine
+// names are never reused, so a delayed duplicate of a heartbeat must not add the machine again.
 func (l *leader) machineForHeartbeat(id uint64, r *protocol.Heartbeat) *machine {
 	if m := l.machines[r.Machine]; m != nil {
 		return m
@@ -130,6 +129,7 @@
 	return l.adoptMachine(r.Machine, r.Type, r.Zone, r.Spot, 0)
 }
 
+// compareAttempts orders attempts by job ID, then by task index.
 func compareAttempts(a, b *attempt) int {
 	if a.job != b.job {
 		if a.job.ID < b.job.ID {
--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -11,9 +11,9 @@
 )
 
 // machineGroup is a group of machines of the same type, zone and purchase option that share a
-// record. Machines are provisioned by the hundred, and no task starts on a machine before its
-// record is written: with a record for each machine, the first placements waited for seconds
-// behind the records of booting machines.
+// record. Hundreds of machines are provisioned at a time, and no task starts on a machine before its
+// record is written: with a record for each machine, the first placements waited for seconds until
+// the records of booting machines were written.
 //
 // From its first write on, machines are only removed from a group, each after it was proven
 // terminated. A write that is applied late therefore lists too many machines, never too few.
@@ -37,8 +37,8 @@
 	groupStored                   // the record is in the store
 )
 
-// groupRewriteDelay lets several changes of a group share one write: machines that terminated, and
-// the addresses of machines that came up. The next leader probes the recorded addresses at once,
+// groupRewriteDelay lets several changes of a group share one write: the removal of terminated
+// machines, and the addresses of workers that have registered. The next leader probes the recorded addresses at once,
 // without the cloud's inventory, which may not be available.
 const groupRewriteDelay = 5 * time.Second
 
@@ -76,11 +76,11 @@
 // machinesPerGroup returns how many machines may share a record. With shards the groups are
 // smaller, so that all shards can have about the same number of machines.
 func (w *recordWriter) machinesPerGroup() int {
-	most := records.MachinesPerGroup(w.leader.controller.cfg.MaxValueBytes)
+	limit := records.MachinesPerGroup(w.leader.controller.cfg.MaxValueBytes)
 	if w.leader.shards != nil {
-		return min(most, maxMachinesPerShardGroup)
+		return min(limit, maxMachinesPerShardGroup)
 	}
-	return most
+	return limit
 }
 
 // maxMachinesPerShardGroup is the maximum number of machines of a shard that share a record.
@@ -166,7 +166,8 @@
 		return
 	}
 	if name, ok := cutPrefix(item.Key, records.PrefixMachineGroups); ok && len(r.Machines) == 0 {
-		// From before machines shared records: the key ends with the machine's name.
+		// A record of a single machine, as earlier versions wrote it: the key ends with the
+		// machine's name.
 		r.Machines = []records.MachineEntry{{Name: name, RentedAt: r.LegacyRentedAt}}
 	}
 	group := &machineGroup{key: item.Key, shard: shard.ID(records.ShardOfGroupKey(item.Key)), stage: groupStored,
@@ -196,7 +197,7 @@
 	if rentedAt.After(now) {
 		rentedAt = now
 	}
-	// The age so far is measured by the wall clock; from here on the monotonic clock counts.
+	// The age so far is measured by the wall clock, from here on by the monotonic clock.
 	m.provisionedAt = now.Add(-now.Round(0).Sub(rentedAt))
 	return m
 }
--- a/internal/coordination/machine_lifecycle.go
+++ b/internal/coordination/machine_lifecycle.go
@@ -20,8 +20,8 @@
 )
 
 // lifecycle is the state of a machine from its start until it is proven to be terminated. A
-// draining machine takes no new tasks and is released once it is empty. A release returns the
-// machine to the cloud whatever runs on it. The release of a draining machine is never revoked.
+// draining machine gets no new tasks and is released once it is empty. A release returns the machine
+// to the cloud even if tasks run on it. The release of a draining machine is never revoked.
 type lifecycle struct {
 	draining        bool
 	release         releaseState
@@ -75,7 +75,7 @@
 	return true
 }
 
-// drainMachine stops all tasks on a machine and lets it take no new ones.
+// drainMachine stops all tasks on a machine and keeps it from getting new ones.
 func (l *leader) drainMachine(m *machine) {
 	if m.lifecycle.draining {
 		return
@@ -87,8 +87,8 @@
 }
 
 // drainForPreemption stops the tasks that can save a checkpoint, and service replicas, on a
-// machine that the cloud will preempt. Tasks without checkpoints go on: they may still
-// complete.
+// machine that the cloud will preempt. Tasks without checkpoints continue to run: they may complete
+// before the preemption.
 func (l *leader) drainForPreemption(m *machine) {
 	for _, a := range m.sortedAttempts() {
 		if a.job.CheckpointInterval > 0 {
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -48,6 +48,7 @@
 	})
 }
 
+// setMachineTypes replaces the machine types and logs them.
 func (c *Controller) setMachineTypes(types []protocol.MachineType) {
 	c.types = make(map[string]*protocol.MachineType, len(types))
 	for i := range types {
--- a/internal/coordination/overload/monitor.go
+++ b/internal/coordination/overload/monitor.go
@@ -2,7 +2,7 @@
 //
 // The only input is scheduling lag, the time by which a timer ran late. From it the package
 // derives the levels at which work is deferred, restricted or shed, and whether the process
-// has been overloaded for long. A Monitor reads no clock and starts nothing. It never decides
+// has been overloaded for a long time. A Monitor reads no clock and starts nothing. It never decides
 // which work is deferred or shed; its callers do.
 package overload
 
@@ -12,7 +12,7 @@
 // allows. Above DeferThreshold, work that can wait is deferred. Above OverloadThreshold, only
 // critical work and work within quotas is started. Above ShedThreshold, status queries are
 // refused at once, so that the leader lease, heartbeats and submissions are still served: a
-// leader that loses its lease because it is late leaves even more work to its successor.
+// leader that loses its lease because it renews it too late leaves even more work to its successor.
 const (
 	DeferThreshold    = 150 * time.Millisecond
 	OverloadThreshold = 400 * time.Millisecond
--- a/internal/coordination/peer_broadcast.go
+++ b/internal/coordination/peer_broadcast.go
@@ -6,8 +6,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// Limits of one round of broadcasts. Peers accept a few messages at once, and a round with the
-// progress of every job of a very large fleet would use all of a small CPU share.
+// Limits of one round of broadcasts. Peers buffer only a few messages, and a round with the progress
+// of every job of a very large fleet would use all of a small CPU share.
 const (
 	messageBudget            = 48 << 10 // bytes of job entries in one message
 	messagesPerRound         = 6
@@ -62,8 +62,8 @@
 	c.effects.Broadcasts = append(c.effects.Broadcasts, Broadcast{Body: body})
 }
 
-// addOutcomes adds final states to a message until it is full, and returns the remaining room in
-// bytes. It appends those that must be broadcast again to again.
+// addOutcomes adds final states to a message until it is full, and returns the number of bytes that
+// are left in it. It appends the final states that must be broadcast once more to again.
 func (c *Controller) addOutcomes(m *peers.Message, room int, again *[]outcomeAnnouncement) int {
 	a := &c.admission
 	m.Done, m.Cancelled = map[string]int{}, map[string]int{}
@@ -105,7 +105,8 @@
 func (r *progressRound) complete() bool { return r.remaining == 0 }
 
 // fill adds the progress of the next jobs to a message until it is full. The next round starts
-// where this one ends. A job that is back at no running and no done tasks is included once more.
+// where this one ends. A job whose last broadcast showed running or done tasks, and that has none of
+// either now, is included once more.
 func (r *progressRound) fill(m *peers.Message, room int) {
 	l := r.leader
 	if l == nil {
@@ -117,15 +118,15 @@
 			l.nextBroadcastIndex = 0
 		}
 		j := l.jobsByAge[l.nextBroadcastIndex]
-		begun := j.runningTasks > 0 || j.doneTasks > 0
-		if begun || j.progressBroadcast {
+		hasProgress := j.runningTasks > 0 || j.doneTasks > 0
+		if hasProgress || j.progressBroadcast {
 			size := peers.ProgressSize(j.ID)
 			if size > room {
 				return
 			}
 			room -= size
 			m.Progress[j.ID] = peers.JobProgress{j.doneTasks, j.runningTasks}
-			j.progressBroadcast = begun
+			j.progressBroadcast = hasProgress
 		}
 		l.nextBroadcastIndex++
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -28,8 +28,8 @@
 	}
 	for job, done := range m.Cancelled {
 		c.admission.cacheOutcome(job, protocol.Cancelled, done)
-		// A leader without access to the state service learns of the cancellation sooner
-		// this way, and stops the job's tasks.
+		// A leader without access to the state service learns of the cancellation only from
+		// this message, and stops the job's tasks.
 		if l := c.leader; l != nil && l.jobs[job] != nil {
 			l.endJob(l.jobs[job], protocol.Cancelled)
 		}
--- a/internal/coordination/peers/message.go
+++ b/internal/coordination/peers/message.go
@@ -6,8 +6,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// MaxMessage is the length in bytes of the longest message that a peer accepts. What does not
-// fit goes into further messages, or waits for the next round.
+// MaxMessage is the length in bytes of the longest message that a peer accepts. What does not fit is
+// sent in further messages or in the next round.
 const MaxMessage = 64 << 10
 
 // Message is the content of one broadcast. The final states of jobs come from the controller
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -9,8 +9,8 @@
 	"brasskeel/internal/coordination/autoscaler"
 )
 
-// This file logs, for operators, why tasks are pending and why a controller is unavailable: when
-// that changes, and from time to time while it lasts.
+// This file logs, for operators, why tasks are pending and why a controller is unavailable: when the
+// reason changes, and at intervals while it persists.
 
 // pendingLogAfter is how long a job must have been pending to be logged.
 const pendingLogAfter = 5 * time.Second
@@ -50,16 +50,16 @@
 type pendingReason uint8
 
 const (
-	pendingRoomExpected  pendingReason = iota // machines that the job may use can be rented, or will have room soon
+	pendingRoomExpected  pendingReason = iota // machines that the job may use can be provisioned, or will have capacity soon
 	pendingTeamLimit                          // the team's limit is reached
 	pendingQuarantine                         // the job is in quarantine: it seems to fail on every machine
-	pendingZoneRules                          // the job's zone rules allow no zone in which it could run
+	pendingZoneRules                          // the job's zone rules allow no zone that has a suitable machine type
 	pendingRecordBacklog                      // the round ended early, e.g. because too many records wait to be written
 	pendingBoots                              // machines are booting
 	pendingCloudCapacity                      // the cloud offers no instance that the job may use
 	pendingPrice                              // the instances that the cloud offers are too expensive for the job
 	pendingHeartbeats                         // a new leader still waits for heartbeats
-	pendingSurgeCeiling                       // all room would put a machine above the surge ceiling of the team
+	pendingSurgeCeiling                       // further tasks would put every machine with capacity above the surge ceiling of the team
 	pendingReasonCount
 )
 
@@ -72,9 +72,9 @@
 	}[r]
 }
 
-// pendingReasonOf returns why a job's tasks are pending: the first reason that applies. booting
-// tells whether any machine is booting, open which instances the cloud offers.
-func (l *leader) pendingReasonOf(j *job, booting bool, open []autoscaler.Offer) pendingReason {
+// pendingReasonOf returns why a job's tasks are pending: the first reason that applies. booting says
+// whether any machine is booting. offers are the offers that can be requested now.
+func (l *leader) pendingReasonOf(j *job, booting bool, offers []autoscaler.Offer) pendingReason {
 	switch {
 	case l.phase != phaseActive:
 		return pendingHeartbeats
@@ -92,7 +92,7 @@
 		return pendingBoots
 	}
 	reason := pendingCloudCapacity
-	for _, o := range open {
+	for _, o := range offers {
 		if o.Allows(j.Job) && j.zoneAllowed(o.Zone) {
 			if !l.overpriced(j, o) {
 				return pendingRoomExpected
@@ -111,17 +111,17 @@
 
 // summarizePending summarizes the jobs that have been pending for at least pendingLogAfter.
 func (l *leader) summarizePending(booting bool) (sum pendingSummary) {
-	var open []autoscaler.Offer
+	var offers []autoscaler.Offer
 	now := l.controller.now.Round(0)
 	for _, j := range l.jobsByAge {
 		left := j.pendingTasks()
 		if left == 0 || now.Sub(j.submitted) < pendingLogAfter {
 			continue
 		}
-		if open == nil {
-			open = l.offers()
+		if offers == nil {
+			offers = l.offers()
 		}
-		r := l.pendingReasonOf(j, booting, open)
+		r := l.pendingReasonOf(j, booting, offers)
 		sum.jobs[r]++
 		sum.tasks[r] += left
 		if j.liveAttempts == 0 && j.doneTasks == 0 && (sum.longest == nil || j.submitted.Before(sum.longest.submitted)) {
@@ -143,7 +143,7 @@
 	return reasons, counts
 }
 
-// logPendingReasons logs why tasks are pending, when that has changed and from time to time.
+// logPendingReasons logs why tasks are pending, when the reasons have changed and at intervals.
 func (l *leader) logPendingReasons() {
 	c := l.controller
 	if !l.pendingLog.MayLog(c.now) {
--- a/internal/coordination/place_job.go
+++ b/internal/coordination/place_job.go
@@ -71,9 +71,9 @@
 	return slices.ContainsFunc(l.round.zones, func(z string) bool { return (j.Zone == "" || j.Zone == z) && j.zoneAllowed(z) })
 }
 
-// provisionable reports whether any machine that can be rented would take one more task of the
-// job. If machines are available in one zone only, a job that may have at most half of its tasks
-// there waits indefinitely. It must not count as unmet demand, which holds up consolidation.
+// provisionable reports whether one more task of the job could run on any machine that can be
+// provisioned. If machines are available in one zone only, a job that may have at most half of its
+// tasks there waits indefinitely. It must not count as unmet demand, which prevents consolidation.
 func (l *leader) provisionable(j *job) bool {
 	for _, t := range l.controller.types {
 		if !j.AllowsType(t.Name) || !t.Fits(j.Job) {
@@ -104,12 +104,13 @@
 	candidates := l.findCandidates(j)
 	maxTasks := j.pendingTasks()
 	if tier < j.tier() {
-		// A starving job starts a tenth of its tasks; the others wait for their regular tier.
+		// For a starving job a tenth of its tasks are placed in the higher tier; the others
+		// wait until its regular tier is served.
 		maxTasks = min(maxTasks, (j.Tasks+9)/10)
 	}
 	maxTasks = l.limitQuarantineTrials(j, maxTasks)
 	var imageHolders *victimSearch
-	held := 0 // tasks that wait for room which more machines would not provide
+	held := 0 // tasks that wait for capacity which more machines would not provide
 	for placed := 0; placed < maxTasks && j.pendingTasks() > held && !l.writer.saturated(); placed++ {
 		if !l.withinTeamLimit(j) {
 			l.preemptWithinTeamLimit(j)
@@ -124,8 +125,8 @@
 			break
 		}
 		if candidates.Best().AboveCeiling && !l.rebalancer.mayExceedCeiling(j) {
-			// The remaining candidates have room, but above the surge ceiling. The tasks
-			// that fit there wait, and no machine is rented for them.
+			// The remaining candidates have capacity, but above the surge ceiling. The
+			// tasks that fit there wait, and no machine is provisioned for them.
 			held += min(j.pendingTasks()-held, l.taskCapacityAboveCeiling(&candidates, j))
 			break
 		}
@@ -149,8 +150,8 @@
 	return l.preemptNext(*search, j)
 }
 
-// capAtTeamLimit returns how many of the given number of tasks the CPU limit of the job's team
-// lets start.
+// capAtTeamLimit returns how many of the given number of tasks may be started within the CPU limit
+// of the job's team.
 func (l *leader) capAtTeamLimit(j *job, tasks int) int {
 	if u, t := l.teamUsage[j.Team], l.controller.teams[j.Team]; j.CPUs > 0 && t != nil {
 		return min(tasks, int((t.MaxCPUs-u.cpus)/j.CPUs+protocol.Epsilon))
@@ -158,8 +159,8 @@
 	return tasks
 }
 
-// placeGang places all tasks of a gang or none: a partial gang would only hold resources until
-// its workers give up waiting for the rest. It returns how many tasks are left that more
+// placeGang places all tasks of a gang or none: the tasks of a partial gang would only occupy
+// resources until their workers time out waiting for the others. It returns how many tasks are left that more
 // machines would help.
 func (l *leader) placeGang(j *job) int {
 	need := j.pendingTasks()
--- a/internal/coordination/placement/images.go
+++ b/internal/coordination/placement/images.go
@@ -1,11 +1,11 @@
 package placement
 
 // ImageID is the number of an image, valid for one leader's term. Machines are scored for every
-// job, and comparing image names took most of that time.
+// job, and comparing image names took most of the time for that.
 type ImageID = int32
 
 // ImageCache models the image cache of a machine. Heartbeats don't list the cached images, so they
-// are inferred: the image of a running task must be there, and the worker keeps the most recently
+// are inferred: the image of a running task must be cached, and the worker keeps the most recently
 // used images that fit into its cache (LRU).
 type ImageCache struct {
 	images []cachedImage // most recently used last
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -32,17 +32,17 @@
 	return r.CPUs <= limit.CPUs+protocol.Epsilon && r.GPUs <= limit.GPUs+protocol.Epsilon && r.MemGB <= limit.MemGB+protocol.Epsilon
 }
 
-// Machine is a machine as placement sees it.
+// Machine holds the properties of a machine that matter for placement.
 type Machine struct {
 	Name          string
 	Type, Zone    string
 	Spot          bool
 	Spec          *protocol.MachineType // nil for an unknown type
-	Consolidating bool                  // takes new tasks only if no other machine has room
+	Consolidating bool                  // gets new tasks only if no other machine has capacity
 
 	Allocated   Resources // by all attempts that aren't proven terminated
-	Terminating Resources // the part of Allocated of attempts that were told to stop
-	Reserved    Resources // for preempting or starving jobs, until the next round
+	Terminating Resources // the part of Allocated of attempts whose stop was requested
+	Reserved    Resources // for jobs that preempt or are starving, until the next round
 	Incoming    Resources // reserved for tasks that are being migrated to the machine
 	ReplicaCPUs float64   // the part of Allocated.CPUs of service replicas
 	ReportBytes int       // upper bound of the size of the tasks in the worker's heartbeat
@@ -59,7 +59,7 @@
 	return m.Spec.CacheGB
 }
 
-// Fits reports whether one more task of a job fits into the room that is neither allocated nor
+// Fits reports whether one more task of a job fits into the resources that are neither allocated nor
 // reserved for incoming migrations.
 func (m *Machine) Fits(j *protocol.Job) bool {
 	// This is called for every machine and job. Written out, it takes half of the time that it
@@ -69,8 +69,8 @@
 		m.Allocated.GPUs+m.Incoming.GPUs+j.GPUs <= m.Spec.GPUs+protocol.Epsilon
 }
 
-// HasRoom reports whether one more task of a job fits, into the worker's heartbeat as well, without
-// using the room that is reserved for other jobs.
+// HasRoom reports whether one more task of a job fits on the machine and into the worker's heartbeat,
+// without using the resources that are reserved for other jobs.
 func (m *Machine) HasRoom(j *protocol.Job) bool {
 	if !m.Fits(j) || !m.FitsInReport(j) {
 		return false
@@ -78,13 +78,13 @@
 	return m.Reserved == (Resources{}) || m.fitsBesideReserved(j)
 }
 
-// fitsBesideReserved reports whether one more task of a job fits beside the reserved room, part of
-// which terminating attempts still use.
+// fitsBesideReserved reports whether one more task of a job fits in addition to what is reserved for
+// other jobs, part of which terminating attempts still use.
 func (m *Machine) fitsBesideReserved(j *protocol.Job) bool {
 	return m.Allocated.Plus(m.Incoming).Plus(Needs(j)).Plus(m.Reserved).Minus(m.Terminating).Within(Capacity(m.Spec))
 }
 
-// TaskCapacity returns how many more tasks of a job fit into the room that is neither allocated
+// TaskCapacity returns how many more tasks of a job fit into the resources that are neither allocated
 // nor reserved for incoming migrations.
 func (m *Machine) TaskCapacity(j *protocol.Job) int {
 	free := Capacity(m.Spec).Minus(m.Allocated).Minus(m.Incoming)
@@ -97,7 +97,7 @@
 	return max(0, count)
 }
 
-// Reserve reserves room for one task of a job, until the next placement round.
+// Reserve reserves resources for one task of a job, until the next placement round.
 func (m *Machine) Reserve(j *protocol.Job) { m.Reserved = m.Reserved.Plus(Needs(j)) }
 
 // Allows reports whether a job's restrictions on machine types, zone and spot machines allow the
--- a/internal/coordination/placement/score.go
+++ b/internal/coordination/placement/score.go
@@ -12,9 +12,9 @@
 type Weights struct{ Image, Room float64 }
 
 // Score returns the score of a machine for a task: the weighted sum of the cached share of the
-// task's image and the free share of the machine. For service replicas, which run for long, the
-// share of the machine that replicas already use takes the place of the free share: spread over
-// many machines, one on each, replicas would keep all of them from being returned.
+// task's image and the free share of the machine. For service replicas, which run for a long time,
+// the share of the machine that replicas already use is used instead of the free share: replicas
+// that were spread over many machines, one on each, would keep all of them from being released.
 func (w Weights) Score(m *Machine, t Task) float64 {
 	room := m.FreeShare(t.Job)
 	if t.Kind == protocol.Service && m.Spec.CPUs > 0 {
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -19,13 +19,13 @@
 // doubles from round to round.
 const maxExamineLimitFactor = 16
 
-// interruptedRoundPause is the minimum pause between a round that ended early and the next one.
+// interruptedRoundPause is the minimum pause between a round that was interrupted and the next one.
 const interruptedRoundPause = 50 * time.Millisecond
 
 // placementRound is the state of one placement round. Its buffers are reused by the next one.
 //
-// During a round, room is only used up: no machine is added to accepting or withRoom, and no
-// room is released. A search that found no room (unplaceable, and the exhausted machines of
+// During a round, free capacity only decreases: no machine is added to accepting or withRoom, and no
+// capacity is released. A search that found no capacity (unplaceable, and the exhausted machines of
 // victimSearches) is therefore not repeated. Each machine in withRoom is also in accepting, and
 // zones holds the zones of the machines in accepting.
 type placementRound struct {
@@ -118,7 +118,7 @@
 	}
 }
 
-// roundOutcome says whether a round goes on after a job was served.
+// roundOutcome says whether a round continues after a job was served.
 type roundOutcome uint8
 
 const (
@@ -127,7 +127,7 @@
 )
 
 // serveJob serves a job in a round: it places tasks, preempts other work for the tasks that are
-// left, and adds the tasks that still have no room to the unmet demand.
+// left, and adds the tasks for which that isn't possible to the unmet demand.
 func (l *leader) serveJob(j *job) roundOutcome {
 	now := l.controller.now
 	// The tier may differ from the one that the queue was sorted by: serving the jobs before
@@ -140,8 +140,9 @@
 	}
 	left := l.placeOrReserve(j, tier)
 	if left > 0 && (l.writer.saturated() || l.round.examineLimitReached()) {
-		// The remaining tasks wait for records or for the next round, not for room. Nothing is
-		// preempted for them, and they count as demand only once room is all that they lack.
+		// The remaining tasks wait for records or for the next round, not for capacity. Nothing
+		// is preempted for them, and they count as demand only if they lack nothing but
+		// capacity.
 		return interruptRound
 	}
 	if left > 0 && now.Before(j.backoffUntil) {
@@ -171,7 +172,7 @@
 }
 
 // reserveMachine reserves the machine with the most free CPUs for one task of a starving job.
-// Otherwise small tasks take all room as soon as it is released, and a large task never finds
+// Otherwise small tasks use all capacity as soon as it becomes free, and a large task never finds
 // enough of it on one machine, although its job is served first.
 func (l *leader) reserveMachine(j *job) {
 	var best *machine
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -22,9 +22,9 @@
 	return false
 }
 
-// preemptionDelay is how long a job within its team's quota waits for room before it preempts
-// work of others: two fifths of the start objective. Tasks are short, so most of the room becomes
-// available without preemption, and preempted work has to run again.
+// preemptionDelay is how long a job within its team's quota waits for capacity before it preempts
+// work of others: two fifths of the start objective. Tasks are short, so most of the capacity becomes
+// free without preemption, and preempted work has to run again.
 func (l *leader) preemptionDelay() time.Duration { return l.quotaStartObjective() * 2 / 5 }
 
 // preemptionDelayOver reports whether a job has waited long enough to preempt any preemptible
@@ -85,7 +85,7 @@
 // lower. A job within its team's quota may also preempt attempts of another team that uses more
 // than its quota, except those of services and of jobs within that quota.
 func (l *leader) preemptible(a *attempt, j *job) bool {
-	// A job that is served before this one would only be placed there again.
+	// The tasks of a job that is served before this one would only be placed there again.
 	if a.stopRequested || a.job == j || a.job.tier() < j.tier() {
 		return false
 	}
--- a/internal/coordination/preemption/search.go
+++ b/internal/coordination/preemption/search.go
@@ -13,23 +13,23 @@
 	// Cost returns the cost of making room for one more task of the job on a machine; ok is
 	// false if preempting all preemptible work there doesn't make enough room.
 	Cost(machine M) (cost float64, ok bool)
-	// Preempt makes the room that the last call of Cost was about, and reserves it for the
+	// Preempt makes the room whose cost the last call of Cost returned, and reserves it for the
 	// job.
 	Preempt(machine M)
 }
 
-// Search finds, task by task, the machine where making room costs least. Room that is already
-// being freed costs nothing and is therefore used first. All machines are examined once for all
+// Search finds, for one task after the other, the machine where making room costs least. Capacity
+// that is already being freed costs nothing and is therefore used first. All machines are examined once for all
 // jobs that may preempt the same work; these jobs share the search during a placement round.
 // After that, only the machine that was chosen last is examined again. Examining all of them for
 // every task, or for every job, kept the leader of a large fleet from renewing its lease for
 // seconds.
 //
 // Each machine that was added is in exactly one of three lists: options, which have room for the
-// job's tasks at a cost that was right when it was computed and may have risen since; skipped,
-// which the current job can't use; or exhausted, which have no room for the smallest task so far.
-// During a round, room is only used up, so a machine that is exhausted for a task is also
-// exhausted for larger ones.
+// job's tasks at a cost that may have increased since it was computed; skipped, which the current
+// job can't use; or exhausted, which have no room for the smallest task so far. During a round, free
+// capacity only decreases, so a machine that is exhausted for a task is also exhausted for larger
+// ones.
 type Search[M any] struct {
 	options   optionHeap[M]
 	skipped   []option[M]
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -13,8 +13,8 @@
 }
 
 // quarantined reports whether a job seems to fail on every machine. Restarting all of its tasks
-// at once, again and again, would cost record writes, image fetches and room of its team until the
-// user cancels it.
+// at once, again and again, would cost record writes, image fetches and capacity of its team until
+// the user cancels it.
 func (l *leader) quarantined(j *job) bool {
 	return j.history.State(l.controller.now, j.progress(), len(l.fleetList)) == quarantine.Quarantined
 }
@@ -28,7 +28,8 @@
 	return min(tasks, max(0, 1-j.liveAttempts))
 }
 
-// timerMargin is added to timers, so that they fire after the time that they wait for.
+// timerMargin is added to the durations of timers, so that they fire after the end of the period that
+// they wait for.
 const timerMargin = 10 * time.Millisecond
 
 // attemptFailed records the failure of an attempt, and sets the job's backoff accordingly.
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -1,13 +1,13 @@
 // Package quarantine distinguishes jobs that fail on every machine from machines on which every
 // job fails. It decides how long a failing job has to wait and whether a machine is faulty.
 //
-// A job that was submitted with a mistake fails on every machine; a faulty machine fails every
-// job. What tells the two apart is jobs that are known to work, because a task of them is done or
-// has been running for a while. When failing jobs were merely counted, two faulty jobs on the
-// same machine were enough to have it returned, and each new leader returned a few machines.
+// A job that was submitted with a mistake fails on every machine; on a faulty machine every job
+// fails. The two cases are distinguished by jobs that are known to work, because a task of them is
+// done or has been running for some time. When failing jobs were merely counted, two faulty jobs on
+// the same machine were enough to have it released, and each new leader released a few machines.
 //
 // The package owns the history of a job's failures. It reads no clock, and never stops, places
-// or returns anything itself.
+// or releases anything itself.
 package quarantine
 
 import "time"
@@ -17,14 +17,14 @@
 	// working.
 	MinRunTime = 3 * time.Second
 	// MinTimeSinceFailure is how long, in addition, no running task of the job may have failed.
-	// It lets a service count as working again, whose tasks are never done, after a faulty
-	// machine has failed one of its replicas.
+	// With this limit a service, whose tasks are never done, counts as working again some time
+	// after one of its replicas failed on a faulty machine.
 	MinTimeSinceFailure = 30 * time.Second
 	// failureThreshold is the number of failures without a success in between that, on at least
 	// MachineThreshold machines, put a job into quarantine.
 	failureThreshold = 4
 	// MachineThreshold is the number of machines with failures of a job from which on the job,
-	// not the machines, is taken for the cause.
+	// not the machines, is considered the cause.
 	MachineThreshold = 3
 	// trialBackoff is the first pause of a job in quarantine. The job is tried with one task at
 	// a time, after pauses that double up to MaxTrialBackoff.
@@ -47,8 +47,8 @@
 //	                            machines of a smaller fleet
 //	Quarantined -> Working      a trial succeeds
 //	Quarantined -> Untested     the fleet has grown beyond the machines with failures
-//	Working     -> Untested     nothing is running any more, or a running task failed, and no task
-//	                            is done
+//	Working     -> Untested     no task is running any longer, or a running task failed, and no
+//	                            task is done
 const (
 	Untested State = iota
 	Working
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -1,5 +1,5 @@
 // Package queue decides in which order pending jobs are served: by tier, then by priority, both
-// adjusted for the time that a job has waited (ageing), then by the remaining work.
+// adjusted for the time that a job has waited (ageing), then by the remaining work (weight).
 //
 // It consists of pure functions. It reads no clock, keeps no jobs, and never decides what is
 // placed where or what is preempted.
@@ -89,11 +89,11 @@
 const missedDeadlinePenalty = 4
 
 // Weight orders jobs of the same tier and priority: the job of the lowest weight is served first.
-// It is based on the remaining work, because the aim is to have as many jobs as possible in time.
-// Ordered by deadline alone, every job of a backlog would be a little late. Deadlines that can't
-// be met any more raise the weight several times, so that the job yields to others without being
-// last: its only remaining task may be small. Waiting reduces the weight, so that no job waits
-// forever.
+// It is based on the remaining work, because the aim is to finish as many jobs as possible in time.
+// Ordered by deadline alone, every job of a backlog would be a little late. Deadlines that can no
+// longer be met increase the weight several times, so that other jobs come first, but not all of
+// them: the job's only remaining task may be small. Waiting reduces the weight, so that no job
+// waits forever.
 //
 // Users' estimates are often wrong by half, so a deadline counts as missed only if half of the
 // estimated run time is too long to meet it.
--- a/internal/coordination/ratelog/sampler.go
+++ b/internal/coordination/ratelog/sampler.go
@@ -53,8 +53,8 @@
 }
 
 // Flush logs how many lines were suppressed in windows that have ended. It must be called
-// regularly: after the end of a burst, no further line with its message may follow to trigger
-// that.
+// regularly, because after a burst there may be no further line with the same message that would
+// cause the count to be logged.
 func (s *Sampler) Flush(log *slog.Logger, now time.Time) {
 	for message, w := range s.windows {
 		if now.Sub(w.start) >= time.Second {
@@ -63,6 +63,7 @@
 	}
 }
 
+// logSuppressed logs the number of suppressed lines, if there are any.
 func (w *window) logSuppressed(log *slog.Logger, message string) {
 	if w.suppressed > 0 {
 		log.Info("repeated log lines suppressed", "message", message, "count", w.suppressed)
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -12,7 +12,8 @@
 
 const (
 	// maxCeilingWait is the longest time that a job waits for a machine that stays below its
-	// team's ceiling. It is far below the time for which a job may wait while there is room.
+	// team's ceiling. It is much shorter than the time that a job may wait although there is
+	// free capacity.
 	maxCeilingWait = 15 * time.Second
 	// ceilingWaitDivisor bounds the wait to a fraction of the time in which users want a job
 	// of the class started or finished: a quarter of it.
@@ -38,9 +39,9 @@
 // ceilingState is the state of a job with respect to the ceiling of its team's surge.
 type ceilingState uint8
 
-// A job goes from ceilingNotReached to ceilingWaiting when the only machines with room would be
-// put above the ceiling, and to ceilingExceeded when no other machine will be available in time.
-// With another surge it starts again.
+// A job changes from ceilingNotReached to ceilingWaiting when a task would put every machine with
+// capacity above the ceiling, and to ceilingExceeded when no other machine will be available in
+// time. In another surge it starts again.
 const (
 	ceilingNotReached ceilingState = iota
 	ceilingWaiting
@@ -58,29 +59,29 @@
 // mayExceedCeiling reports whether a job's tasks may be placed above the ceiling: its wait is
 // over, or no machine below the ceiling will boot before that. The job's team must be in a surge.
 func (b *rebalancer) mayExceedCeiling(j *job) bool {
-	c, hold, surge := b.leader.controller, &j.ceiling, b.surgeOf(j)
-	if hold.surge != surge {
-		*hold = ceilingWait{surge: surge, state: ceilingWaiting, since: c.now}
+	c, wait, surge := b.leader.controller, &j.ceiling, b.surgeOf(j)
+	if wait.surge != surge {
+		*wait = ceilingWait{surge: surge, state: ceilingWaiting, since: c.now}
 	}
-	if hold.state == ceilingExceeded {
+	if wait.state == ceilingExceeded {
 		return true
 	}
-	until := hold.since.Add(b.ceilingWaitLimit(j))
+	until := wait.since.Add(b.ceilingWaitLimit(j))
 	if c.now.Before(until) && b.bootsInTime(j, until) {
-		if !hold.timerSet {
-			hold.timerSet = true
+		if !wait.timerSet {
+			wait.timerSet = true
 			c.after(until.Sub(c.now)+time.Millisecond, b.leader.requestPlacementIfLeading)
 		}
 		return false
 	}
-	hold.state = ceilingExceeded
+	wait.state = ceilingExceeded
 	c.limits.Reached(limits.SurgeCeiling)
-	c.log.Debug("surge ceiling exceeded", "job", j.ID, "team", j.Team, "tasks", j.pendingTasks(), "duration", c.now.Sub(hold.since))
+	c.log.Debug("surge ceiling exceeded", "job", j.ID, "team", j.Team, "tasks", j.pendingTasks(), "duration", c.now.Sub(wait.since))
 	return true
 }
 
-// taskCapacityAboveCeiling returns how many more tasks of a job the remaining candidates, all of
-// them above the ceiling, have room for.
+// taskCapacityAboveCeiling returns how many more tasks of a job fit on the remaining candidates, all
+// of which are above the ceiling.
 func (l *leader) taskCapacityAboveCeiling(c *placement.Candidates, j *job) int {
 	count := 0
 	for k := range c.All {
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -14,14 +14,14 @@
 // Running tasks of surging teams are migrated off overloaded machines. A migration has the steps
 // of a preemption, preceded by a record:
 //
-//  1. a mark that the task was migrated in this surge is recorded, and room is reserved on the
+//  1. a mark that the task was migrated in this surge is recorded, and capacity is reserved on the
 //     target machine;
-//  2. the attempt is told to stop;
+//  2. the attempt is stopped;
 //  3. its termination is proven, as for any other attempt;
 //  4. the next placement round starts the task on the target before it places anything else.
 //
-// If the leader changes in between, the task still counts as migrated and waits to be placed like
-// any other.
+// If the leader changes between these steps, the task still counts as migrated and waits to be placed
+// like any other.
 
 const (
 	// stopDuration is the time for a stop and the proof of termination in addition to saving a
@@ -156,7 +156,7 @@
 		a.recorded && a.delivery.Reported && !a.stopRequested && (a.state == protocol.Running || a.state == protocol.Fetching)
 }
 
-// migratableTask returns an attempt as the planner sees it.
+// migratableTask returns the description of an attempt for the planner.
 func (b *rebalancer) migratableTask(a *attempt) balance.MigratableTask {
 	j, m := a.job, a.machine
 	w := balance.MigratableTask{Task: j.placementTask(), Team: b.teams[j.Team].id, Running: a.state == protocol.Running, Checkpoints: j.CheckpointInterval > 0,
@@ -164,12 +164,12 @@
 	if w.Running {
 		w.RanFor = b.leader.controller.now.Sub(a.stateSince)
 	}
-	likely := time.Duration(float64(j.EstimatedRuntime) * b.leader.corrections.Factor(j.Class) * m.load.Speed.Slowdown())
-	w.Remaining = max(0, likely-w.RanFor) // an overdue task may end at any moment
+	expected := time.Duration(float64(j.EstimatedRuntime) * b.leader.corrections.Factor(j.Class) * m.load.Speed.Slowdown())
+	w.Remaining = max(0, expected-w.RanFor) // an overdue task may end at any time
 	return w
 }
 
-// startMigration reserves room for a task on its target and queues the record of its migration
+// startMigration reserves capacity for a task on its target and queues the record of its migration
 // mark.
 func (b *rebalancer) startMigration(a *attempt, to *machine) {
 	l := b.leader
@@ -185,13 +185,13 @@
 	l.controller.log.Debug("migration started", "job", a.job.ID, "task", a.taskIndex, "attempt", a.number, "from", a.machine.Name, "to", to.Name)
 }
 
-// reserveIncoming reserves room for a task that is to be migrated to the machine.
+// reserveIncoming reserves capacity for a task that is to be migrated to the machine.
 func (m *machine) reserveIncoming(needs placement.Resources) {
 	m.Incoming = m.Incoming.Plus(needs)
 	m.incomingMigrations++
 }
 
-// releaseIncoming releases room that reserveIncoming reserved.
+// releaseIncoming releases capacity that reserveIncoming reserved.
 func (m *machine) releaseIncoming(needs placement.Resources) {
 	m.Incoming = m.Incoming.Minus(needs)
 	if m.incomingMigrations--; m.incomingMigrations == 0 {
@@ -220,8 +220,8 @@
 	}
 }
 
-// abandonMigration releases the room on the target. If the attempt was already told to stop, its
-// task is placed like any other.
+// abandonMigration releases the reservation on the target. If the stop of the attempt was already
+// requested, its task is placed like any other.
 func (b *rebalancer) abandonMigration(mg *migration, reason string) {
 	delete(b.migrations.active, mg.attempt)
 	mg.target.releaseIncoming(mg.needs)
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -159,7 +159,7 @@
 func (b *rebalancer) recordSurges() {
 	surges := records.Surges{}
 	for name, t := range b.teams {
-		if r, under := t.surge.Record(); under {
+		if r, active := t.surge.Record(); active {
 			surges[name] = records.Surge(r)
 		}
 	}
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/record_batch.go
@@ -70,17 +70,17 @@
 func (b *recordBatch) Unknown() { b.requeue(func(*taskBlock) bool { return true }) }
 
 // requeue queues everything in the batch to be written again. The versions of the blocks for
-// which unsure returns true are read first.
-func (b *recordBatch) requeue(unsure func(*taskBlock) bool) {
+// which versionUnknown returns true are read first.
+func (b *recordBatch) requeue(versionUnknown func(*taskBlock) bool) {
 	w := b.writer
-	var unsureBlocks []*taskBlock
+	var blocksToVerify []*taskBlock
 	var keys []string
 	for i := range b.blocks {
 		w.requeue(&b.blocks[i])
 		block := b.blocks[i].block
-		if unsure(block) {
+		if versionUnknown(block) {
 			block.record.BeginVerify()
-			unsureBlocks = append(unsureBlocks, block)
+			blocksToVerify = append(blocksToVerify, block)
 			keys = append(keys, records.KeyTaskBlock(block.job.ID, block.index))
 			continue
 		}
@@ -92,8 +92,8 @@
 	w.otherPuts = append(b.otherPuts, w.otherPuts...)
 	w.keysToDelete = append(b.deletedKeys, w.keysToDelete...)
 	w.committer.RereadVersions(keys, func(index int, version uint64) {
-		unsureBlocks[index].record.Verified(version)
-		w.markUrgent(unsureBlocks[index])
+		blocksToVerify[index].record.Verified(version)
+		w.markUrgent(blocksToVerify[index])
 	})
 }
 
@@ -121,8 +121,8 @@
 	}
 }
 
-// completionRecorded notes that a task's completion is recorded, and acknowledges its exit to the
-// shard's owner that reported it.
+// completionRecorded marks a task's completion as recorded, and acknowledges its exit to the shard
+// owner that reported it.
 func (l *leader) completionRecorded(t *task) {
 	t.doneRecorded = true
 	if t.unacknowledgedExit != nil && l.shards != nil {
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -16,8 +16,8 @@
 const lazyWriteDelay = 700 * time.Millisecond
 
 // recordWriter queues a leader's dirty records and fills transactions with them. Its committer
-// sends one transaction at a time, each conditional on the leader key's version, so that one that
-// is applied late, after another leader was elected, fails. A transaction is filled with outcomes
+// sends one transaction at a time. Each is conditional on the leader key's version, so that it fails
+// if it is applied only after another leader was elected. A transaction is filled with outcomes
 // of jobs first, then with machine groups, because no task starts on a machine before the machine
 // is recorded, and then with blocks of tasks.
 type recordWriter struct {
@@ -58,8 +58,8 @@
 }
 
 // saturated reports whether so many records are queued that no more tasks should be placed. A
-// task that is placed now has to wait for its record to be written; it is better chosen from the
-// tasks that are pending by then. Each record holds the placements of one block of a job's tasks.
+// task that is placed now would have to wait until its record is written. It is better to choose
+// then among the tasks that are pending. Each record holds the placements of one block of a job's tasks.
 // The bound is the number of records written in about half a second, and at least a few
 // transactions.
 func (w *recordWriter) saturated() bool {
@@ -96,7 +96,7 @@
 // recordDone queues the outcome "done" of a job whose tasks are all done.
 func (w *recordWriter) recordDone(j *job) { w.doneJobs = append(w.doneJobs, j) }
 
-// put queues a write of a key whose own version isn't checked.
+// put queues a write of a key without a condition on that key's version.
 func (w *recordWriter) put(key string, value json.RawMessage) {
 	w.otherPuts = append(w.otherPuts, protocol.Op{Put: key, Value: value})
 }
@@ -104,7 +104,7 @@
 // deleteKey queues the deletion of a key.
 func (w *recordWriter) deleteKey(key string) { w.keysToDelete = append(w.keysToDelete, key) }
 
-// deleteJob queues the deletion of a job's records. The job's own record is last, because a
+// deleteJob queues the deletion of a job's records. The record of the job itself is last, because a
 // later leader needs it to find the others.
 func (w *recordWriter) deleteJob(j *job) {
 	for _, block := range j.blocks {
@@ -272,8 +272,8 @@
 	block.migrating = append(block.migrating, write.migrating...)
 }
 
-// readOutcome reads the outcome of a job that another controller ended. Until it is known, every
-// write of the job's blocks fails on the condition that there is no outcome.
+// readOutcome reads the outcome of a job that another controller ended. Until the outcome is known,
+// every write of the job's blocks fails, because it is conditional on the absence of an outcome.
 func (w *recordWriter) readOutcome(id string) {
 	l, c := w.leader, w.leader.controller
 	c.store.Get(records.KeyOutcome(id), func(r statestore.ReadResult) {
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -20,7 +20,7 @@
 	electedAt time.Time
 	loadedAt  time.Time // when all records were loaded
 	// reconciledAt is the time at which the leader became active; in phaseReconciling it is
-	// the latest time at which it will.
+	// the time at which it becomes active at the latest.
 	reconciledAt          time.Time
 	reconcileCheckPending bool
 }
@@ -44,9 +44,9 @@
 
 const (
 	// probeDelay is how long a new leader waits for heartbeats before it probes workers.
-	// Workers contact the new leader when their next heartbeat is due, or later. Those that
-	// an earlier leader without access to the state service still answers contact it only
-	// after that leader's grace period.
+	// Workers contact the new leader when their next heartbeat is due, or later. Workers whose
+	// heartbeats are still answered by an earlier leader without access to the state service
+	// contact the new one only after the earlier leader's grace period.
 	probeDelay = 50 * time.Millisecond
 	// maxProbeFailures is the number of failed probes after which a new leader no longer
 	// waits for a machine.
@@ -113,12 +113,12 @@
 }
 
 // enoughMachinesReconciled reports whether at most one in maxMissingDivisor of the machines that
-// should report their tasks and images is still awaited. A machine is not awaited if it has
-// reported, if it did not answer its probes, or if it cannot be probed because the cloud's list
-// does not contain it.
+// should report their tasks and images is still awaited. A machine is not awaited if its worker
+// has reported, if it did not answer its probes, or if it cannot be probed because the cloud's
+// inventory does not contain it.
 //
 // Among hundreds of machines some are always down, and part of a large fleet may be lost at
-// once. Placement can go on without the missing machines: it skips them, and the tasks that they
+// once. Placement doesn't depend on the missing machines: it skips them, and the tasks that they
 // ran still count. It also skips machines that no message of this leader has reached yet, but
 // those are not awaited: one heartbeat reports their tasks and images, and waiting for a second
 // one with this leader's fencing token took half a second longer on a small CPU share.
@@ -139,8 +139,8 @@
 	return missing*maxMissingDivisor <= expected
 }
 
-// expectsTaskReport reports whether a machine's worker should be running. A machine that is
-// known only from the cloud's list, which may lag, may already be terminated.
+// expectsTaskReport reports whether a machine's worker should be running. A machine that is known
+// only from the cloud's inventory, which may be out of date, may already be terminated.
 func (l *leader) expectsTaskReport(m *machine) bool {
 	booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.BootTime)
 	return len(m.attempts) > 0 || booted
@@ -151,7 +151,7 @@
 	if m.session.Reconciled || m.session.FailedProbes >= maxProbeFailures || l.ownerTimedOut(m) {
 		return false
 	}
-	// Without an address the machine cannot be probed. While the cloud's list is not available,
-	// addresses come only with heartbeats, so the machine is still awaited.
+	// Without an address the machine cannot be probed. While the cloud's inventory is not
+	// available, only heartbeats contain addresses, so the machine is still awaited.
 	return m.addr != "" || !l.autoscaler.inventoryComplete
 }
--- a/internal/coordination/release_deferral.go
+++ b/internal/coordination/release_deferral.go
@@ -6,13 +6,12 @@
 	"brasskeel/internal/protocol"
 )
 
-// releaseDeferral decides, for one scan of the silent machines, which of those with replicas are
-// not released yet. A replica on a machine that is only partitioned keeps serving until its
-// worker's lease expires, and one on a dead machine can't start elsewhere without free
-// capacity. So nothing is gained by releasing a machine before there is capacity for its
-// replicas. If a third of all on-demand machines was cut off at once, releasing them would make
-// their replicas unavailable until new machines have booted. Those are provisioned in the
-// meantime.
+// releaseDeferral decides, for one scan, which unresponsive machines with replicas are not released
+// yet. A replica on a machine that is only partitioned keeps serving until its worker's lease
+// expires, and one on a dead machine can't start elsewhere without free capacity. So nothing is
+// gained by releasing a machine before there is capacity for its replicas. If a third of all
+// on-demand machines were partitioned at once, releasing them would make their replicas unavailable
+// until new machines have booted. New machines are provisioned while the releases are deferred.
 type releaseDeferral struct {
 	leader   *leader
 	claimed  map[*machine]usage          // capacity claimed by replicas of machines that are released
@@ -24,10 +23,11 @@
 	return &releaseDeferral{leader: l, claimed: map[*machine]usage{}, unplaced: map[*job]int{}, noRoom: map[victimSearchKey]float64{}}
 }
 
-// defers reports whether the release of a silent machine is deferred. If it isn't, capacity for
-// the machine's replicas is claimed.
-func (d *releaseDeferral) defers(m *machine, silence time.Duration) bool {
-	if m.replicaCount == 0 || silence > d.leader.controller.cfg.WorkerLease {
+// defers reports whether the release of an unresponsive machine is deferred, because fewer than half
+// of its replicas would find capacity elsewhere. If it isn't, capacity for the machine's replicas is
+// claimed. outOfContact is how long there has been no contact with the machine.
+func (d *releaseDeferral) defers(m *machine, outOfContact time.Duration) bool {
+	if m.replicaCount == 0 || outOfContact > d.leader.controller.cfg.WorkerLease {
 		return false
 	}
 	plan := map[*machine]usage{}
@@ -64,8 +64,8 @@
 	return false
 }
 
-// machineWithRoom returns a machine with capacity for a replica, counting that of
-// lower-priority work that can be preempted.
+// machineWithRoom returns a machine with capacity for a replica, or nil. Capacity used by
+// lower-priority work counts as free, since that work can be preempted.
 func (d *releaseDeferral) machineWithRoom(j *job, plan map[*machine]usage) *machine {
 	k := victimSearchKeyOf(j)
 	if least, ok := d.noRoom[k]; ok && j.CPUs >= least {
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -10,9 +10,9 @@
 )
 
 // scaleIn releases machines that aren't needed: empty ones beyond the headroom, and ones that
-// never booted. Tasks spread over all machines, so waiting for one to become empty by chance
-// would keep them all. Hence it marks machines for consolidation, which take new tasks only
-// when no other machine has room.
+// never booted. Tasks spread over all machines, so if it only waited until one became empty by
+// chance, it would keep all of them. Hence it marks machines for consolidation. These get new tasks
+// only when no other machine has capacity.
 func (l *leader) scaleIn() {
 	l.releaseOverdueBoots()
 	spare := l.spareCapacity()
@@ -28,7 +28,8 @@
 	}
 	sortByPriceDescending(candidates)
 	for _, m := range candidates {
-		// Replicas would keep it in use for long, unless they can move to other machines.
+		// Replicas would keep the machine in use for a long time, unless they can move to other
+		// machines.
 		if !spare.canSpare(l, m) || m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(planner.get(), false)) {
 			continue
 		}
@@ -50,7 +51,7 @@
 	case m.Consolidating && l.evictOpportunistic(m):
 		return false
 	case m.Consolidating && m.holdsOnlyReplicas() && !m.replicasFitElsewhere(planner.get(), true):
-		m.Consolidating = false // its replicas keep it in use, so other tasks may use it too
+		m.Consolidating = false // its replicas keep it in use, so other tasks may be placed on it as well
 		planner.get().CancelEvacuation(&m.Machine)
 		return false
 	}
@@ -58,7 +59,8 @@
 		m.incomingMigrations == 0 && !m.lifecycle.preemptionNoticed()
 }
 
-// releaseReason is why an empty machine should be released; "" if it shouldn't be.
+// releaseReason returns why an empty machine should be released, or "" if it isn't empty or should be
+// kept.
 func (l *leader) releaseReason(m *machine) string {
 	now := l.controller.now
 	if len(m.attempts) > 0 {
@@ -86,6 +88,7 @@
 	onDemandReserve float64 // of onDemand that should stay available
 }
 
+// spareCapacity returns the spare capacity of the current fleet.
 func (l *leader) spareCapacity() spareCapacity {
 	var spare spareCapacity
 	used := 0.0
@@ -179,8 +182,8 @@
 const reasonUnresponsive = "unresponsive"
 
 // revokeRelease revokes the release of an unresponsive machine that was reached again, if the
-// cloud can't have carried it out. Otherwise, when the cloud API is unavailable as well, all
-// machines that were briefly cut off would be released as soon as it responds again.
+// cloud can't have carried it out. Otherwise, after an outage of the cloud API, all machines that had
+// been unreachable for a short time during the outage would be released.
 func (l *leader) revokeRelease(m *machine) {
 	if m.lifecycle.revoke() {
 		l.controller.logSampled("machine release revoked", "machine", m.Name)
@@ -194,9 +197,9 @@
 	if m.removed || !m.lifecycle.beginRelease(reason == reasonUnresponsive) {
 		return
 	}
-	silence := l.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.provisionedAt))
+	unseen := l.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.provisionedAt))
 	l.controller.logSampled("machine release requested", "machine", m.Name, "reason", reason, "attempts", len(m.attempts),
-		"registered", m.session.Registered, "silent", silence.Round(time.Millisecond))
+		"registered", m.session.Registered, "silent", unseen.Round(time.Millisecond))
 	l.sendReleases()
 }
 
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -21,17 +21,17 @@
 	}
 	for _, k := range scaler.requested {
 		if k > 0 {
-			return false // its response decides what else is needed
+			return false // what else is needed depends on the response
 		}
 	}
 	return true
 }
 
-// The load of a fleet shows only when its machines are up. After thousands of machines were
-// provisioned at once, while the first of them still booted, a leader with a small CPU share
-// became so slow that it responded to neither workers nor users. So beyond forecastCapacity the
-// fleet grows in steps proportional to its size, each after the previous one is up, and only
-// while the leader keeps up with its timers.
+// The load that a fleet causes can be measured only when its machines are running. When thousands of
+// machines were provisioned at once, while the first of them were still booting, a leader with a
+// small CPU share became so slow that it responded to neither workers nor users. So beyond
+// forecastCapacity the fleet grows in steps proportional to its size. Each step waits until the
+// machines of the previous one are running, and is made only if the leader's timers run on time.
 const (
 	// heartbeatCost is the approximate CPU time that a controller needs for a heartbeat and all
 	// work it causes, on an ordinary core: 86 microseconds were measured (docs/MEASUREMENTS.md).
@@ -40,9 +40,9 @@
 	recentOverloadWindow = 4 * time.Second
 )
 
-// forecastCapacity is how many machines this controller can probably serve with its CPU share.
-// The capacity of shard owners isn't added: how many of them serve workers, and what load that
-// leaves to the leader, shows as the fleet grows.
+// forecastCapacity is an estimate of how many machines this controller can serve with its CPU share.
+// The capacity of shard owners isn't added: how many of them serve workers, and which load remains
+// for the leader, is measured as the fleet grows.
 func (l *leader) forecastCapacity() int {
 	c := l.controller.cfg
 	return int(min(c.CPUShare*float64(c.HeartbeatInterval)/float64(heartbeatCost), 1e9))
@@ -221,7 +221,7 @@
 		case out.Answered && out.Status == 200:
 			names, err := protocol.ParseMachineNames(out.Body)
 			if err != nil {
-				return // the inventory will show the machines
+				return // the machines will be in the cloud's inventory
 			}
 			for _, m := range names {
 				if l.machines[m] == nil && l.terminatedAt[m].IsZero() {
@@ -241,7 +241,8 @@
 			l.scheduleScaleOut()
 		case out.Answered && out.Status == 429:
 		default:
-			// The request may have been carried out; the inventory will show the machines.
+			// The request may have been carried out. Then the machines will be in the cloud's
+			// inventory.
 			scaler.unavailableUntil[key] = c.now.Add(3 * time.Second)
 		}
 	})
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -38,8 +38,8 @@
 // probeFailed implements sessionListener.
 func (l *leader) probeFailed(*machine) { l.checkReconciled() }
 
-// incarnationReset implements sessionListener. Incarnation and sequence numbers no longer tell
-// which of the worker's messages is newer, so the machine is released.
+// incarnationReset implements sessionListener. The worker's messages can no longer be ordered by
+// their incarnation and sequence numbers, so the machine is released.
 func (l *leader) incarnationReset(m *machine) {
 	m.lifecycle.draining = true
 	l.release(m, "worker incarnation reset")
@@ -57,8 +57,8 @@
 // attemptTerminated implements sessionListener.
 func (l *leader) attemptTerminated(a *attempt, reason string) { l.detach(a, reason) }
 
-// orphanReported implements sessionListener. The task isn't recorded on this machine, or no
-// longer, so it is stopped.
+// orphanReported implements sessionListener. No attempt at the task is recorded on this machine, or
+// none any longer, so the task is stopped.
 func (l *leader) orphanReported(*machine, *protocol.TaskStatus) bool { return true }
 
 // newerTokenSeen implements sessionListener.
--- a/internal/coordination/sessions/delivery.go
+++ b/internal/coordination/sessions/delivery.go
@@ -44,7 +44,7 @@
 const (
 	// Undecided means that a start may still be carried out.
 	Undecided Absence = iota + 1
-	// Terminated means that the attempt has ended and can't start any more.
+	// Terminated means that the attempt has ended and can no longer be started.
 	Terminated
 	// Unfenced means that a start may be carried out until the worker sees a token above
 	// DirectToken.
@@ -61,7 +61,7 @@
 )
 
 // EvaluateAbsence determines what follows if a worker's newest message doesn't report the
-// attempt, in an epoch with the given lowest token. Absence proves termination only once no
+// attempt. baseToken is the lowest fencing token of the current epoch. Absence proves termination only once no
 // start that was sent can still be carried out. The reason is set for Terminated.
 func (d *Delivery) EvaluateAbsence(m Message, baseToken uint64) (verdict Absence, reason string) {
 	switch {
--- a/internal/coordination/sessions/detector.go
+++ b/internal/coordination/sessions/detector.go
@@ -4,11 +4,12 @@
 
 // Timeouts and thresholds that don't depend on settings.
 const (
-	// minProbeAfter is the shortest silence after which a worker is probed. Heartbeats may be
-	// seconds apart, while a live worker answers a probe within milliseconds.
+	// minProbeAfter is the shortest time without a message after which a worker is probed.
+	// Heartbeats may be seconds apart, while a running worker answers a probe within
+	// milliseconds.
 	minProbeAfter = 2 * time.Second
-	// failedProbesReleaseAfter is the silence after which a worker is presumed dead if it
-	// doesn't answer probes either.
+	// failedProbesReleaseAfter is the time without a message after which a worker is presumed
+	// dead if it doesn't answer probes either.
 	failedProbesReleaseAfter = 3500 * time.Millisecond
 	// LostHeartbeatDelay is the delay that an unanswered heartbeat causes: the worker waits for
 	// the response and then tries the next controller.
@@ -21,8 +22,8 @@
 	// which a worker is presumed dead although its heartbeats arrive.
 	UnansweringProbeThreshold = 3
 	unreachedReleaseProbes    = 4
-	// stalledAfter is the gap between two scans after which unread messages may be waiting, so
-	// that all workers seem silent.
+	// stalledAfter is the gap between two scans above which messages of the workers may have
+	// been received but not read yet, so that all workers seem unresponsive.
 	stalledAfter = time.Second
 	// registrationSlack covers one or two heartbeats sent to controllers that are down, and
 	// reconnectSlack the second that a worker takes to try the next controller.
@@ -36,19 +37,20 @@
 	WorkerLease       time.Duration
 }
 
-// SuspectAfter is the silence after which a machine takes no new tasks.
+// SuspectAfter is the time without a message after which a machine gets no new tasks.
 func (t Timing) SuspectAfter() time.Duration { return t.longestInterval() + 700*time.Millisecond }
 
-// UnresponsiveAfter is the silence after which a machine is presumed dead regardless of probes.
+// UnresponsiveAfter is the time without a message after which a machine is presumed dead
+// regardless of probes.
 func (t Timing) UnresponsiveAfter() time.Duration {
 	return max(t.HeartbeatInterval*2+time.Second, 4*time.Second)
 }
 
-// ProbeAfter is the silence after which a worker is probed. It is no shorter than the heartbeat
-// interval: probing between heartbeats took as many calls as there were heartbeats, and detects
-// a dead worker only a second sooner. In a suspect zone, where a worker doesn't answer, the
-// others are probed as early as possible: otherwise the first machine would be released before
-// a partition is detected.
+// ProbeAfter is the time without a message after which a worker is probed. It is no shorter than
+// the heartbeat interval: probing between heartbeats took as many calls as there were heartbeats,
+// and detects a dead worker only a second earlier. In a suspect zone, where a worker doesn't
+// answer probes, the others are probed as early as possible: otherwise the first machine would be
+// released before a partition is detected.
 func (t Timing) ProbeAfter(suspectZone bool) time.Duration {
 	if suspectZone {
 		return minProbeAfter
@@ -64,8 +66,8 @@
 // probes fail as well.
 func (t Timing) unreachedReleaseAfter() time.Duration { return 3*t.HeartbeatInterval + 4*time.Second }
 
-// RegistrationTimeout is how long it takes at most until all live workers have registered with
-// a new leader.
+// RegistrationTimeout is the maximum time until all running workers have registered with a new
+// leader.
 func (t Timing) RegistrationTimeout() time.Duration { return t.longestInterval() + registrationSlack }
 
 // ReconnectTime is how long workers take to find their current owner, except those that lose
@@ -94,16 +96,17 @@
 
 // Detector is the state that a failure detector keeps between scans of its workers.
 type Detector struct {
-	resetAt      time.Time       // silence is counted from here at the earliest
+	resetAt      time.Time       // times out of contact are counted from here at the earliest
 	scannedAt    time.Time       // when the last scan began
 	cursor       int             // position of the next worker to probe
 	suspectZones map[string]bool // zones with a worker that didn't answer its latest probe
 }
 
-// Reset restarts the count of all silence, because silence up to now had other causes.
+// Reset makes all times out of contact count from now on at the earliest. It is called when missing
+// messages up to now had causes other than failed workers.
 func (d *Detector) Reset(now time.Time) { d.resetAt = now }
 
-// ResetAt is when the count of silence was last restarted.
+// ResetAt returns the time of the latest Reset.
 func (d *Detector) ResetAt() time.Time { return d.resetAt }
 
 // Scan records that a scan begins, and reports whether the process was stalled since the last
@@ -117,8 +120,8 @@
 // SetSuspectZones sets the zones with a worker that didn't answer its latest probe.
 func (d *Detector) SetSuspectZones(zones map[string]bool) { d.suspectZones = zones }
 
-// Unanswered is how long no heartbeat of a worker has been answered: its heartbeats may reach no
-// controller although it answers calls. It is 0 for an unregistered worker.
+// Unanswered returns for how long no heartbeat of a worker has been answered: its heartbeats may
+// reach no controller although it answers calls. It is 0 for an unregistered worker.
 func (d *Detector) Unanswered(s *Session, now time.Time) time.Duration {
 	if !s.Registered {
 		return 0
@@ -126,7 +129,7 @@
 	return now.Sub(Latest(s.LastAnswered, s.RegisteredAt, d.resetAt))
 }
 
-// Unreached is how long there has been no proof that anything sent reaches a worker. It is 0 for
+// Unreached returns for how long there has been no proof that anything sent reaches a worker. It is 0 for
 // an unregistered worker.
 func (d *Detector) Unreached(s *Session, now time.Time) time.Duration {
 	if !s.Registered {
@@ -135,8 +138,8 @@
 	return now.Sub(Latest(s.LastReached, s.RegisteredAt, d.resetAt))
 }
 
-// NeedsProbe reports whether a worker in the given zone that was silent for unseen should be
-// probed.
+// NeedsProbe reports whether a worker in the given zone should be probed. unseen is the time since
+// its latest message.
 func (d *Detector) NeedsProbe(t Timing, s *Session, zone string, unseen time.Duration, now time.Time) bool {
 	return unseen > t.ProbeAfter(d.suspectZones[zone]) || s.Registered && s.LastReached.IsZero() ||
 		d.Unreached(s, now) > t.UnreachedProbeAfter() || s.FailedProbes > 0
@@ -160,18 +163,18 @@
 // from their controller together.
 type DomainHealth struct {
 	Machines int
-	Suspect  int // silent, or with a failed probe
+	Suspect  int // without a recent message, or with a failed probe
 }
 
-// Partitioned reports whether a partition explains the silence better than dead machines do,
-// since most machines are suspect at once. Heartbeats arrive at different times, so machines
-// that are only late so far count as suspect, too.
+// Partitioned reports whether a partition is a more likely cause than dead machines, because most
+// machines are suspect at once. Heartbeats arrive at different times, so machines whose heartbeats
+// are only slightly overdue count as suspect, too.
 func (h *DomainHealth) Partitioned() bool { return h.Suspect > 2 && h.Suspect*5 > h.Machines*3 }
 
 // FleetContact counts the workers of a fleet by their contact with the controller.
 type FleetContact struct {
 	Registered  int // in this epoch
-	Unreachable int // registered, but not answering probes
+	Unreachable int // registered, but not responding to several probes in a row
 	// Workers known from an earlier epoch: all of them, those that registered in this one, and
 	// those that neither registered nor answer probes.
 	Inherited, InheritedRegistered, InheritedUnanswering int
--- a/internal/coordination/sessions/session.go
+++ b/internal/coordination/sessions/session.go
@@ -80,7 +80,8 @@
 	ProbeInFlight bool
 }
 
-// Served reports whether this owner currently responds to and calls the worker.
+// Served reports whether this owner currently responds to the worker's heartbeats and calls the
+// worker.
 func (s *Session) Served() bool { return s.Epoch != nil && !s.Epoch.Paused }
 
 // Token returns the worker's current fencing token. The worker must be served here.
@@ -123,7 +124,7 @@
 	Stale
 )
 
-// ClassifyHeartbeat classifies a heartbeat before it is applied.
+// ClassifyHeartbeat classifies a heartbeat. It must be called before the heartbeat is applied.
 func (s *Session) ClassifyHeartbeat(heartbeat Message) Arrival {
 	switch sameIncarnation := heartbeat.Incarnation == s.Incarnation; {
 	case !s.Registered:
@@ -153,8 +154,9 @@
 		s.HeartbeatSequence = 0
 		// An incarnation has a full lease from its beginning, which was no later than now,
 		// whether or not any of its heartbeats is answered. A worker whose heartbeats reach no
-		// controller still gets tasks by direct starts, one incarnation after the other. When
-		// such a worker fell silent, its tasks were declared ended long before they had ended.
+		// controller still gets tasks by direct starts, in each of its incarnations. When the
+		// lease was counted from its last answered heartbeat and contact with it was lost, its
+		// tasks were considered terminated long before they had ended.
 		s.IncarnationSince = now
 	}
 	return began
@@ -189,15 +191,15 @@
 	}
 }
 
-// TerminationProofAt is when a worker that stays silent has certainly ended its tasks. The lease
-// is the worker's, with an allowance for clock drift. The previous owner may have responded to
-// the worker until its own grace period ended.
+// TerminationProofAt returns the time at which a worker has certainly ended its tasks if contact
+// with it isn't resumed before. lease is the worker's lease, with an allowance for clock drift. The
+// previous owner may have responded to the worker until that owner's grace period ended.
 func (s *Session) TerminationProofAt(lease time.Duration) time.Time {
 	last := s.Epoch.PredecessorUntil
 	if !s.EpochSeenAt.IsZero() {
-		// The worker has seen a token of this epoch and accepts no responses of earlier owners
-		// any more. Until then, they may have renewed its lease: a token that arrived with a
-		// direct order doesn't tell when the lease was last renewed.
+		// The worker has seen a token of this epoch and no longer accepts responses of earlier
+		// owners. Until it saw the token, they may have renewed its lease: a token that arrived
+		// with a direct order doesn't show when the lease was last renewed.
 		last = s.EpochSeenAt
 	}
 	return Latest(last, s.LastAnswered, s.IncarnationSince).Add(lease)
--- a/internal/coordination/shard/channel.go
+++ b/internal/coordination/shard/channel.go
@@ -10,7 +10,7 @@
 	Acknowledged uint64       `json:"k"` // sequence of the last message accepted from the other side
 	// Snapshot marks the first message of a snapshot, which replaces everything sent before.
 	Snapshot bool `json:"b,omitempty"`
-	// SnapshotRequested asks the other side for a snapshot, because messages were lost.
+	// SnapshotRequested requests a snapshot from the other side, because messages were lost.
 	SnapshotRequested bool `json:"g,omitempty"`
 }
 
@@ -29,23 +29,24 @@
 )
 
 // maxUnacknowledged is the send window: how many messages may be unacknowledged. It is smaller than
-// what a stream buffers for a slow peer. A snapshot of a large shard takes many more messages:
-// sent all at once, most of them would be lost, and again with each requested snapshot.
+// the number that a stream buffers for a slow peer. A snapshot of a large shard takes many more
+// messages. If they were all sent at once, most of them would be lost, and the same would happen
+// with each snapshot that is then requested.
 const maxUnacknowledged = 8
 
-// Channel numbers the messages of one side and detects lost ones of the other. Messages arrive in
-// order, but some may be lost: then the other side is asked for a snapshot. Single messages are
-// never resent.
+// Channel numbers the messages that one side sends and detects which messages of the other side were
+// lost. Messages arrive in order, but some may be lost: then a snapshot is requested from the other
+// side. Single messages are never resent.
 type Channel struct {
 	epoch               ChannelEpoch
-	sent                uint64
-	acknowledged        uint64
+	sent                uint64    // sequence of the last message sent
+	acknowledged        uint64    // sequence of the last message that the other side acknowledged
 	unacknowledgedSince time.Time // since when no acknowledgement has arrived for sent messages; zero after one
-	received            uint64
-	inOrder             bool // a snapshot has begun to arrive, and no message was lost since
-	snapshotDue         bool // the next message sent begins a snapshot
+	received            uint64    // sequence of the last message accepted from the other side
+	inOrder             bool      // a snapshot has begun to arrive, and no message was lost since
+	snapshotDue         bool      // the next message sent begins a snapshot
 	snapshotAt          time.Time
-	snapshotRequested   bool // the other side asks for a snapshot
+	snapshotRequested   bool // the other side requested a snapshot
 	ackDue              bool // an acknowledgement or a snapshot request is to be sent
 }
 
@@ -102,7 +103,7 @@
 		return false // a duplicate: its content may be outdated, even if it begins a snapshot
 	}
 	if !h.Snapshot && (!c.inOrder || h.Sequence != c.received+1) {
-		// A message before it was lost: a snapshot is requested.
+		// An earlier message was lost: a snapshot is requested.
 		c.inOrder, c.ackDue = false, true
 		return false
 	}
@@ -110,9 +111,11 @@
 	return true
 }
 
-// RequestSnapshot asks the other side for a snapshot, because a message contradicts the known state.
+// RequestSnapshot requests a snapshot from the other side, because a message contradicts the known
+// state.
 func (c *Channel) RequestSnapshot() { c.inOrder, c.ackDue = false, true }
 
+// receiveAck applies the acknowledgement and the snapshot request in a header.
 func (c *Channel) receiveAck(h Header) {
 	if h.Acknowledged > c.acknowledged && h.Acknowledged <= c.sent {
 		c.acknowledged = h.Acknowledged
--- a/internal/coordination/shard/fleet.go
+++ b/internal/coordination/shard/fleet.go
@@ -9,9 +9,9 @@
 // Fleet yields the shard and the zone of each machine; the shard is 0 for a machine without one.
 type Fleet = iter.Seq2[ID, string]
 
-// ForNewMachine is the shard from 1 to count that a new machine of a zone is to be in: the one with
-// the fewest machines among the shards without machines of other zones, or among all if there is
-// no such shard.
+// ForNewMachine returns the shard, from 1 to count, for a new machine of a zone: the one with the
+// fewest machines among the shards without machines of other zones, or among all if there is no such
+// shard.
 func ForNewMachine(zone string, count int, fleet Fleet) ID {
 	machines, foreign := map[ID]int{}, map[ID]bool{}
 	for id, other := range fleet {
@@ -35,9 +35,9 @@
 	return best
 }
 
-// PlannerShards gives the shards that have a record, and those from 1 to count, as input of the
-// planner. A shard whose record can't be parsed is left out until ended reports that any owner of
-// it has stopped serving.
+// PlannerShards returns the shards that have a record, and those from 1 to count, as input of the
+// planner. A shard whose record can't be parsed is omitted until ended reports that any owner of it
+// has stopped serving.
 func (t *Table) PlannerShards(count int, fleet Fleet, ended func(id ID, version uint64) bool) []Shard {
 	zones := map[ID]map[string]int{}
 	for id, zone := range fleet {
@@ -74,7 +74,7 @@
 func (s *Shard) countMachines(zones map[string]int) {
 	for zone, count := range zones {
 		s.Machines += count
-		if most := zones[s.Zone]; s.Zone == "" || count > most || count == most && zone < s.Zone {
+		if largest := zones[s.Zone]; s.Zone == "" || count > largest || count == largest && zone < s.Zone {
 			s.Zone = zone
 		}
 	}
@@ -93,7 +93,8 @@
 	return &UnreadableRecords{seen: map[ID]unreadableRecord{}}
 }
 
-// Age is how long ago a version of a shard's record that can't be parsed was first seen.
+// Age returns how long ago a version of a shard's record that can't be parsed was first seen. The
+// first call for a version records the time.
 func (u *UnreadableRecords) Age(now time.Time, id ID, version uint64) time.Duration {
 	r, ok := u.seen[id]
 	if !ok || r.version != version {
--- a/internal/coordination/shard/messages.go
+++ b/internal/coordination/shard/messages.go
@@ -14,7 +14,7 @@
 type Start struct {
 	Task
 	FirstNotice bool  `json:"f,omitempty"` // no owner was notified of it before
-	Stopping    bool  `json:"x,omitempty"` // it is to be stopped
+	Stopping    bool  `json:"x,omitempty"` // its stop was requested
 	GraceMillis int64 `json:"g,omitempty"` // time that it gets to save a checkpoint when it is stopped
 }
 
@@ -37,13 +37,13 @@
 	Starts           []Start `json:"r,omitempty"`
 }
 
-// Instructions is a message from the leader to an owner. It spares the owner from reading records
-// and grants no rights: the owner follows it only while the state service shows that it owns the
-// shard, and attempts are recorded before the message lists them.
+// Instructions is a message from the leader to an owner. With it the owner needs to read no records
+// of attempts. It grants no rights: the owner applies it only while the state service shows that it
+// owns the shard, and attempts are recorded before the message lists them.
 type Instructions struct {
 	Header
 	Machines           []Machine `json:"m,omitempty"`
-	TerminatedMachines []string  `json:"x,omitempty"` // they certainly no longer exist
+	TerminatedMachines []string  `json:"x,omitempty"` // machines that are proven terminated
 	Starts             []Start   `json:"n,omitempty"`
 	Stops              []Stop    `json:"o,omitempty"`
 	Forgets            []Task    `json:"f,omitempty"` // exited tasks whose results are recorded
@@ -59,9 +59,9 @@
 	Zone             string `json:"z"`
 	Spot             bool   `json:"p,omitempty"`
 	Reconciled       bool   `json:"c,omitempty"` // its tasks were compared with the leader's list
-	Reached          bool   `json:"r,omitempty"` // something that the owner sent arrived
+	Reached          bool   `json:"r,omitempty"` // it is proven that something sent by the owner reached it
 	PreemptionMillis int64  `json:"n,omitempty"` // time until the cloud takes the machine; 0 without a notice
-	IncarnationReset bool   `json:"b,omitempty"` // it counts its incarnations from the beginning again
+	IncarnationReset bool   `json:"b,omitempty"` // it lost its state and restarted its incarnation numbers
 }
 
 // TaskState is the state of an attempt as its worker reported it.
@@ -77,20 +77,21 @@
 	Checkpointed bool                `json:"k,omitempty"`
 }
 
-// Termination reports that an attempt has certainly ended and can no longer be started. That is
-// final. The leader accepts it only from the shard's owner under the term that the message names.
+// Termination reports that an attempt has certainly ended and can no longer be started. It is never
+// withdrawn. The leader accepts it only from the shard's owner under the term that the message names.
 type Termination struct {
 	Task
 	Reason string `json:"w"`
 }
 
-// UnhealthyWorker is a worker that is silent or that its owner doesn't reach.
+// UnhealthyWorker is a worker whose owner is partly or completely out of contact with it, with the
+// times that sessions.ContactLoss holds.
 type UnhealthyWorker struct {
 	Machine          string `json:"m"`
 	UnseenMillis     int64  `json:"s"`
 	UnreachedMillis  int64  `json:"u"`
 	UnansweredMillis int64  `json:"r"`
-	FailedProbes     int    `json:"f"` // probes in a row without an answer
+	FailedProbes     int    `json:"f"` // consecutive probes without an answer
 }
 
 // Observations is a message from an owner to the leader.
--- a/internal/coordination/shard/moves.go
+++ b/internal/coordination/shard/moves.go
@@ -30,7 +30,8 @@
 	ms.byShard[d.ID] = &Move{ID: d.ID, From: owner.Name, To: d.To.Name, Reason: d.Reason, Proposed: now}
 }
 
-// Update records which shards were handed over, and drops moves that were canceled or overtaken.
+// Update records which shards were handed over, and drops moves that were canceled or that another
+// change of the owner has made obsolete.
 func (ms *Moves) Update(now time.Time, t *Table) {
 	for id, m := range ms.byShard {
 		r, _, ok := t.Record(id)
@@ -48,7 +49,7 @@
 }
 
 // Served records that a controller announced that it serves a shard. It returns the move if that
-// completes it: a shard without machines gets no heartbeats to wait for.
+// completes it, which is the case for a shard without machines: it gets no heartbeats.
 func (ms *Moves) Served(now time.Time, id ID, controller string, hasMachines func(ID) bool) *Move {
 	m := ms.byShard[id]
 	if m == nil || m.To != controller || m.HandedOver.IsZero() {
--- a/internal/coordination/shard/outbox.go
+++ b/internal/coordination/shard/outbox.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// messageInterval is the minimum time between messages to one side. What happens meanwhile goes into
-// one message, since each message wakes up both sides several times.
+// messageInterval is the minimum time between messages to the same receiver. All changes within it
+// are sent in one message, since each message wakes up both sides several times.
 const messageInterval = 25 * time.Millisecond
 
-// Outbox decides when one side sends its messages. The side provides the content and sends it.
+// Outbox decides when one side of a channel sends its messages. Its user provides the content and
+// sends it.
 type Outbox struct {
 	Channel   *Channel // to the other side; nil while none is open
 	scheduled bool
@@ -14,8 +15,8 @@
 	sentAt    time.Time
 }
 
-// Schedule has flush called at the end of the step, or once messageInterval has passed since the
-// last message. after runs a function after a duration.
+// Schedule arranges that flush is called at the end of the step, or once messageInterval has passed
+// since the last message. after runs a function after a duration.
 func (o *Outbox) Schedule(now time.Time, after func(time.Duration, func()), flush func()) {
 	if o.scheduled {
 		return
@@ -48,7 +49,7 @@
 
 // UnacknowledgedTerminations keeps terminations until the message that carried them is acknowledged.
 // The owner drops terminated attempts, so no snapshot contains them: if the only message about one
-// were lost, it would stay with the leader forever. The zero value keeps none.
+// were lost, the leader would keep the attempt forever. The zero value keeps none.
 type UnacknowledgedTerminations struct{ sent []sentTermination }
 
 type sentTermination struct {
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -50,11 +50,11 @@
 // OwnerRecord is the record of a shard's owner.
 type OwnerRecord struct {
 	Owner Ownership `json:"owner"`
-	// Next is the ownership that the shard is to move to. The present owner stops serving, then
+	// Next is the ownership that the shard is to move to. The current owner stops serving, then
 	// makes Next the owner.
 	Next *Ownership `json:"next,omitempty"`
 	// HandedOver reports whether all earlier owners had stopped serving when this one became the
-	// owner. Otherwise one of them may have gone on for its grace period.
+	// owner. Otherwise one of them may have continued to serve for its grace period.
 	HandedOver bool `json:"released,omitempty"`
 	// Generation counts the owners of the shard, this one included.
 	Generation uint64 `json:"gen"`
@@ -84,10 +84,12 @@
 	return c
 }
 
+// require makes the change conditional on the version of a key.
 func (c *Change) require(key string, version uint64) {
 	c.Txn.Conditions = append(c.Txn.Conditions, protocol.Condition{Key: key, Version: version})
 }
 
+// put adds the write of a shard's record, conditional on the record's version.
 func (c *Change) put(id ID, version uint64, r OwnerRecord) {
 	key := records.KeyOwner(int(id))
 	c.require(key, version)
@@ -116,11 +118,12 @@
 	To Member
 }
 
-// Assign assigns unowned shards to members: new shards, and those whose owner's lease has ended.
+// Assign returns a change that assigns unowned shards to members: new shards, and those whose owner's
+// lease has ended.
 // The change is conditional on the member key of the previous owner being as the table has it:
 // absent, or of a later incarnation. So the previous ownership has certainly ended in the state
-// service. Shards with a live owner are skipped. A shard whose record can't be parsed is assigned
-// too: the caller must have waited until any owner of it has stopped serving.
+// service. Shards whose owner's lease hasn't ended are skipped. A shard whose record can't be parsed
+// is assigned too: the caller must have waited until any owner of it has stopped serving.
 func (t *Table) Assign(list []Assignment, leader LeaderState) *Change {
 	c := newChange(leader)
 	owners := map[string]bool{}
@@ -145,8 +148,9 @@
 	return c.recordTerm(leader)
 }
 
-// ProposeMove asks the owner of a shard to hand it over to a member. It is nil if the shard has no
-// live owner, is moving already, or belongs to that member.
+// ProposeMove returns a change that requests the owner of a shard to hand it over to a member. It
+// returns nil if the shard has no owner or its lease has ended, if the shard is moving already, or if
+// it belongs to that member.
 func (t *Table) ProposeMove(id ID, to Member, leader LeaderState) *Change {
 	current, ok := t.records[id]
 	if !ok || current.value.Next != nil || !t.Alive(current.value.Owner.Member) || current.value.Owner.Member == to {
@@ -160,8 +164,8 @@
 	return c.recordTerm(leader)
 }
 
-// CancelMove cancels a proposed move, for example when the member that the shard was to move to
-// has ended. It is nil without such a move.
+// CancelMove returns a change that cancels a proposed move, for example when the membership of the
+// next owner has ended. It returns nil if there is no such move.
 func (t *Table) CancelMove(id ID, leader LeaderState) *Change {
 	current, ok := t.records[id]
 	if !ok || current.value.Next == nil {
@@ -174,9 +178,10 @@
 	return c
 }
 
-// HandOver makes the member that a shard moves to its owner. Only the present owner may do so,
-// once it has stopped serving; no leader is involved. exclusive says that no earlier owner may
-// still answer workers: otherwise the next owner must wait for that as well.
+// HandOver returns a change that makes the member that a shard moves to its owner. Only the current
+// owner may commit it, once it has stopped serving; no leader is involved. exclusive says that no
+// earlier owner may still answer workers; otherwise the next owner must wait for the end of that
+// owner's grace period. It returns nil if from isn't the owner or no move is proposed.
 func (t *Table) HandOver(id ID, from Member, exclusive bool) *Change {
 	current, ok := t.records[id]
 	if !ok || current.value.Next == nil || current.value.Owner.Member != from {
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -8,7 +8,7 @@
 
 // Load is the load that an owner reports of itself.
 type Load struct {
-	CPUShare      float64       `json:"share"`         // used part of the processor share that it may use
+	CPUShare      float64       `json:"share"`         // used part of its configured processor share
 	Lag           time.Duration `json:"lag,omitempty"` // how late its timers fire
 	HeartbeatRate float64       `json:"reports"`       // heartbeats answered per second
 	Machines      int           `json:"machines"`
@@ -19,13 +19,13 @@
 	Member
 	Zone     string
 	Draining bool
-	// Healthy reports whether it may be given more shards: its messages arrive, its timers aren't
-	// late, and it reaches most of its workers.
+	// Healthy reports whether it may get more shards: its messages arrive, its timers run on
+	// time, and it reaches most of its workers.
 	Healthy bool
 	// Reachability is whether it reaches its workers, as far as known.
 	Reachability Reachability
 	// SinceLastMessage is how long ago the leader received its last message. Its lease may
-	// be valid all the same.
+	// still be valid even if that is long ago.
 	SinceLastMessage time.Duration
 	Load             Load
 }
@@ -69,19 +69,19 @@
 	maxConcurrentMoves     = 2                // of shards with machines
 	rebalanceInterval      = 20 * time.Second // between moves for balance
 	moveCooldown           = 60 * time.Second // before a shard moves again for balance
-	reachFailureTTL        = 60 * time.Second // before a member that lost a zone's workers is given another shard there
-	lastShardKeepTime      = 30 * time.Second // of the last shard by an unresponsive owner that reaches its workers
-	maxTakeoverCPUShare    = 0.5              // processor share up to which shards of an unresponsive owner are taken over
-	reasonHoldTime         = 15 * time.Second // how long a reason must hold before a served shard moves for it
+	reachFailureTTL        = 60 * time.Second // before a member that lost contact with a zone's workers gets another shard there
+	lastShardKeepTime      = 30 * time.Second // how long an unresponsive owner that reaches its workers keeps its last shard
+	maxTakeoverCPUShare    = 0.5              // processor share up to which a controller gets shards of an unresponsive owner
+	reasonHoldTime         = 15 * time.Second // how long a reason must persist before a served shard moves for it
 	unresponsiveAfter      = 6 * time.Second  // after how long without a message an owner's shards move
-	minCPUShareGap         = 0.25             // between the busiest and the idlest controller, to move for balance
-	maxRemainingGap        = 0.75             // part of the gap that a move may leave at most
-	minMachineRatio        = 2.0              // ratio of machines, to move for balance while loads are unknown
-	minMachinesToRebalance = 8                // of the busiest controller, to move for balance
+	minCPUShareGap         = 0.25             // minimum difference of used shares between the busiest and the idlest controller, to move for balance
+	maxRemainingGap        = 0.75             // maximum part of that difference that may remain after a move
+	minMachineRatio        = 2.0              // minimum ratio of machine counts, to move for balance while loads are unknown
+	minMachinesToRebalance = 8                // minimum number of machines of the busiest controller, to move for balance
 )
 
-// Planner decides which shards move. It keeps the times of its decisions, and since when each
-// reason for a move has held.
+// Planner decides which shards move. It keeps the times of its decisions, and since when there has
+// been a reason for each move.
 type Planner struct {
 	movedAt        map[ID]time.Time
 	rebalancedAt   time.Time            // last move for balance
@@ -89,7 +89,7 @@
 	reachFailures  reachFailures
 }
 
-// pendingReason is a reason and since when it has held.
+// pendingReason is a reason for a move, and since when there has been this reason.
 type pendingReason struct {
 	reason Reason
 	since  time.Time
@@ -156,7 +156,7 @@
 	return Decision{Assignment{s.ID, to}, why}
 }
 
-// bestController is the best of the eligible controllers for a shard, nil if there is none.
+// bestController returns the best of the eligible controllers for a shard, or nil if there is none.
 func (v *view) bestController(s *Shard, eligible func(c *Controller) bool) *Controller {
 	var best *Controller
 	for i := range v.controllers {
@@ -171,7 +171,8 @@
 	return best
 }
 
-// compareControllers compares two controllers as owners of a shard; the better one is less.
+// compareControllers compares two controllers as owners of a shard. The result is negative if a is
+// the better one.
 func (v *view) compareControllers(s *Shard, a, b *Controller) int {
 	return cmp.Or(
 		compareBool(a.Draining, b.Draining),
@@ -203,7 +204,7 @@
 	return -1
 }
 
-// assignUnowned assigns shards without a live owner at once.
+// assignUnowned assigns shards that have no owner or whose owner's lease has ended, without delay.
 func (p *Planner) assignUnowned(now time.Time, v *view) []Decision {
 	var list []Decision
 	for i := range v.shards {
@@ -211,7 +212,7 @@
 		if !s.Unowned {
 			continue
 		}
-		// Any live controller is eligible, healthy or not: a shard must not stay unowned.
+		// All members are eligible, healthy or not: a shard must not stay unowned.
 		if c := v.bestController(s, func(*Controller) bool { return true }); c != nil {
 			list = append(list, v.assign(s, c.Member, ReasonUnowned))
 			p.movedAt[s.ID] = now
@@ -242,7 +243,7 @@
 	return list
 }
 
-// moveReason is why a shard should have another owner, 0 if there is no reason.
+// moveReason returns why a shard should have another owner, or 0 if there is no reason.
 func (v *view) moveReason(s *Shard) Reason {
 	c := v.controller(s.Owner)
 	switch {
@@ -261,8 +262,8 @@
 	return 0
 }
 
-// heldLongEnough reports whether a reason has held for long enough to move a shard. It also records
-// since when it has held.
+// heldLongEnough reports whether a reason has persisted for long enough to move a shard. It also
+// records when the reason was first seen.
 func (p *Planner) heldLongEnough(now time.Time, s *Shard, why Reason) bool {
 	held, ok := p.pendingReasons[s.ID]
 	if !ok || held.reason != why {
@@ -276,7 +277,7 @@
 }
 
 // rebalance moves one shard from the busiest controller to the idlest, if their loads have differed
-// for reasonHoldTime and the move brings them closer.
+// for reasonHoldTime and the move reduces the difference.
 func (p *Planner) rebalance(now time.Time, v *view) []Decision {
 	busiest, idlest := v.busiestAndIdlest()
 	if busiest == nil || v.moving > 0 {
@@ -290,8 +291,8 @@
 	}
 	gap, lasting := p.pendingReasons[0]
 	if !lasting {
-		// A new leader counts the gap from now: loads right after a change of leaders
-		// aren't meaningful.
+		// A new leader counts the time of the difference from now: loads right after a change
+		// of leaders aren't meaningful.
 		gap = pendingReason{0, now}
 		p.pendingReasons[0] = gap
 	}
@@ -303,8 +304,8 @@
 	return []Decision{v.assign(s, idlest.Member, ReasonBalance)}
 }
 
-// busiestAndIdlest are the most loaded controller, and the least loaded of the healthy ones. Both
-// exclude draining and unresponsive controllers, and are nil if there is no such pair.
+// busiestAndIdlest returns the most loaded controller, and the least loaded of the healthy ones.
+// Draining and unresponsive controllers are excluded. Both results are nil if there is no such pair.
 func (v *view) busiestAndIdlest() (busiest, idlest *Controller) {
 	for i := range v.controllers {
 		c := &v.controllers[i]
@@ -324,8 +325,8 @@
 	return busiest, idlest
 }
 
-// load is a controller's used processor share, or its number of machines while the shares aren't
-// known.
+// load returns a controller's used processor share, or its number of machines while the shares
+// aren't known.
 func (v *view) load(c *Controller) float64 {
 	if v.loadsKnown() {
 		return c.Load.CPUShare
@@ -337,8 +338,8 @@
 	return !slices.ContainsFunc(v.controllers, func(c Controller) bool { return c.Load.CPUShare == 0 })
 }
 
-// rebalanceCandidate is the shard whose move brings the loads of two controllers closest, nil if no
-// move is worth its cost.
+// rebalanceCandidate returns the shard whose move leaves the smallest difference between the loads of
+// two controllers, or nil if no move reduces the difference enough.
 func (p *Planner) rebalanceCandidate(now time.Time, v *view, busiest, idlest *Controller) *Shard {
 	machines := float64(v.machines[busiest.Member])
 	if machines < minMachinesToRebalance {
--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -9,11 +9,11 @@
 	zone   string
 }
 
-// reachFailures are the times at which members last had lost contact with most of their workers, by
-// zone. They let a shard move at once to a member that hasn't recently failed in its zone, but not
-// back to one that has: where no controller reaches the machines, the shard doesn't circulate. A
-// cooldown of a minute per shard wasn't enough: an owner that lost its workers soon after it was
-// given shards kept them until the workers' leases ended.
+// reachFailures are the latest times at which members were out of contact with most of their workers,
+// by zone. With them a shard can move at once to a member that hasn't recently failed in its zone,
+// but not back to one that has: if no controller reaches the machines, the shard doesn't move around
+// endlessly. A minimum time of a minute between moves of a shard was not a solution: an owner that
+// lost contact with its workers soon after it got shards kept them until the workers' leases ended.
 type reachFailures map[reachFailure]time.Time
 
 // recent reports whether a member lost contact with its workers in a zone within reachFailureTTL.
@@ -37,9 +37,9 @@
 	}
 }
 
-// canTake reports whether a controller may be given a shard that is to leave its owner. A shard of a
-// partitioned owner may also go to a controller without contact to the leader, if the state service
-// shows that it reaches its workers: where controllers can't reach each other, the leader's own
+// canTake reports whether a controller may get a shard that is to move away from its owner. A shard
+// of a partitioned owner may also move to a controller without contact to the leader, if the state
+// service shows that it reaches its workers: if controllers can't reach each other, the leader's own
 // controller may be the partitioned one.
 func (p *Planner) canTake(now time.Time, c *Controller, s *Shard, why Reason) bool {
 	if c.Member == s.Owner || p.reachFailures.recent(now, c.Member, s.Zone) {
@@ -48,7 +48,7 @@
 	return c.Healthy || why == ReasonPartitioned && c.Reachability == WorkersReachable
 }
 
-// HasAlternative reports whether a controller other than the present owner may reach the workers of
+// HasAlternative reports whether a controller other than the current owner may reach the workers of
 // a zone, as far as known.
 func (p *Planner) HasAlternative(now time.Time, controllers []Controller, owner Member, zone string) bool {
 	s := Shard{Owner: owner, Zone: zone}
@@ -60,8 +60,8 @@
 	return false
 }
 
-// servesUnresponsive reports whether a shard would leave its owner only because the owner's messages
-// don't reach the leader, while the state service shows that it reaches its workers.
+// servesUnresponsive reports whether a shard would move away only because its owner's messages don't
+// reach the leader, while the state service shows that it reaches its workers.
 func (v *view) servesUnresponsive(s *Shard, why Reason) bool {
 	return why == ReasonUnresponsive && s.Machines > 0 && v.controller(s.Owner).Reachability == WorkersReachable
 }
@@ -74,8 +74,8 @@
 }
 
 // keepsShard reports whether an unresponsive owner that reaches its workers keeps its last shard.
-// It does so only for lastShardKeepTime, since results that its workers report meanwhile aren't
-// recorded.
+// It does so only for lastShardKeepTime, since no results that its workers report during that time
+// are recorded.
 func (v *view) keepsShard(s *Shard, why Reason) bool {
 	return v.servesUnresponsive(s, why) && v.countStaying(s.Owner) <= 1 && v.controller(s.Owner).SinceLastMessage <= lastShardKeepTime
 }
@@ -110,7 +110,7 @@
 
 // Values of Reachability.
 const (
-	// ReachabilityUnknown: there is no evidence for either.
+	// ReachabilityUnknown: there is no evidence of either.
 	ReachabilityUnknown Reachability = iota
 	// WorkersReachable: its member record recently showed that it reaches most of them, although
 	// its messages don't reach the leader.
@@ -123,14 +123,14 @@
 // reachability into its member record. It costs one write each time, and none in normal operation.
 const ReachabilityInterval = 3 * time.Second
 
-// reachabilityValidity is for how long the leader relies on a written report.
+// reachabilityValidity is how long the leader relies on a written report.
 const reachabilityValidity = 2 * ReachabilityInterval
 
 // ReachabilityTracker follows the reachability reports in a member's record. The zero value has seen
 // no record.
 type ReachabilityTracker struct {
 	report      ReachabilityReport
-	initialized bool      // a record was seen before
+	initialized bool      // a record was processed before
 	reportedAt  time.Time // when the report was first seen; zero if it may be old
 }
 
@@ -146,7 +146,7 @@
 	s.initialized = true
 }
 
-// At is the member's reachability at a time.
+// At returns the member's reachability at a time.
 func (s *ReachabilityTracker) At(now time.Time) Reachability {
 	switch {
 	case s.reportedAt.IsZero() || now.Sub(s.reportedAt) > reachabilityValidity:
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -1,7 +1,7 @@
 package shard
 
 // Messages between the leader and owners have a limited size. Pending content is collected in one
-// message of any size, from which parts that fit are taken. Its lists are split in the order in
+// message of any size, from which parts that fit into a message are taken. Its lists are split in the order in
 // which the other side applies them, so that no entry overtakes an earlier one of the same task.
 
 // Maximum encoded bytes of an entry, without the names in it.
@@ -50,7 +50,7 @@
 	full                bool // a list had to be split: the lists after it wait
 }
 
-// takeFront removes entries from the front of a list as long as there is room, and returns them.
+// takeFront removes entries from the front of a list as long as they fit, and returns them.
 func takeFront[T any](f *messageFiller, list *[]T, size func(*T) int) (part []T) {
 	if f.full {
 		return nil
@@ -73,8 +73,8 @@
 	return len(in.Machines)+len(in.TerminatedMachines)+len(in.Starts)+len(in.Stops)+len(in.Forgets) == 0
 }
 
-// TakeFitting moves what fits into room bytes into one message, and returns it with the room that
-// is left.
+// TakeFitting moves the entries that fit into room bytes into one message, and returns the message
+// and the number of bytes that are left.
 func (in *Instructions) TakeFitting(room int) (message Instructions, left int) {
 	f := &messageFiller{remaining: room, capacity: room}
 	message.Machines = takeFront(f, &in.Machines, (*Machine).Size)
@@ -94,8 +94,8 @@
 	return len(o.Workers)+len(o.TaskStates)+len(o.Exits)+len(o.Terminations)+len(o.Orphans) == 0 && o.Status == nil
 }
 
-// TakeFitting moves what fits into room bytes into one message. The status comes last; if it has
-// many unhealthy workers, they are sent in several messages.
+// TakeFitting moves the entries that fit into room bytes into one message. The status is taken last;
+// if it has many unhealthy workers, it is sent in parts in several messages.
 func (o *Observations) TakeFitting(room int) (message Observations) {
 	f := &messageFiller{remaining: room, capacity: room}
 	message.Workers = takeFront(f, &o.Workers, (*Worker).size)
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -11,7 +11,8 @@
 	"brasskeel/internal/records"
 )
 
-// RecordError reports a key of shards whose record can't be parsed. Callers find it with errors.As.
+// RecordError reports a key under records.PrefixShards whose record can't be parsed. Callers detect it with
+// errors.As.
 type RecordError struct {
 	Key    string // in the state service
 	Reason string // names the shard or member and quotes the value
@@ -43,8 +44,8 @@
 	return &Table{records: map[ID]versioned[OwnerRecord]{}, members: map[string]versioned[MemberRecord]{}, unreadable: map[ID]uint64{}}
 }
 
-// Put adds or replaces a record, unless a newer version of it is known. An error says that the
-// record can't be parsed; the one known before is dropped then.
+// Put adds or replaces a record, unless a newer version of it is known. It returns an error if the
+// record can't be parsed. In this case the version known before is dropped.
 func (t *Table) Put(key string, value json.RawMessage, version uint64) error {
 	if controller, ok := strings.CutPrefix(key, records.PrefixMembers); ok {
 		return t.putMember(controller, value, version)
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -11,7 +11,7 @@
 const (
 	// itemsPerMessage is about how many workers and task states are collected for one message.
 	itemsPerMessage = 400
-	// exitRetention is how long an owner keeps an exit after the leader said that the worker may
+	// exitRetention is how long an owner keeps an exit after the leader allowed the worker to
 	// forget it.
 	exitRetention = 30 * time.Second
 )
@@ -34,6 +34,7 @@
 	return &changeFeed{owner: o, changedWorkers: map[*machine]bool{}, leaderLastReceivedAt: o.controller.now}
 }
 
+// workerChanged queues the entry of a worker to be sent.
 func (f *changeFeed) workerChanged(m *machine) { f.changedWorkers[m] = true; f.schedule() }
 
 func (f *changeFeed) taskStateChanged(a *attempt) {
@@ -56,16 +57,16 @@
 	f.schedule()
 }
 
-// announceOwnership sends the served shards to the leader at once, so that it answers with their
-// machines.
+// announceOwnership sends the served shards to the leader without delay, so that the leader sends
+// their machines.
 func (f *changeFeed) announceOwnership() { f.flush() }
 
 func attemptTask(a *attempt) shard.Task {
 	return shard.Task{Machine: a.machine.Name, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number}
 }
 
-// schedule has a message sent at the end of the step, or once the minimum interval between
-// messages has passed.
+// schedule arranges that a message is sent at the end of the step, or once the minimum interval
+// between messages has passed.
 func (f *changeFeed) schedule() {
 	c := f.owner.controller
 	f.Schedule(c.now, c.runAfter, func() {
@@ -95,18 +96,18 @@
 
 func (f *changeFeed) hasPending() bool { return !f.pending.Empty() || len(f.changedWorkers) > 0 }
 
-// beginSnapshot marks all that is known of the workers to be sent.
+// beginSnapshot queues the entries of all workers and the states of all their tasks to be sent.
 func (f *changeFeed) beginSnapshot() {
 	terminations := f.pending.Terminations
 	f.pending, f.changedWorkers, f.snapshotWorkers = shard.Observations{Status: f.pending.Status}, map[*machine]bool{}, map[*machine]bool{}
 	f.pending.Terminations = append(f.unacknowledged.Take(), terminations...)
 	if f.pending.Status != nil && f.pending.Status.Part > 0 {
-		f.pending.Status = nil // it was sent in part only; the next status follows within a second
+		f.pending.Status = nil // a part of it was already sent; the next status follows within a second
 	}
 	for _, m := range f.owner.fleetList {
 		f.changedWorkers[m], f.snapshotWorkers[m] = true, true
 		for _, k := range m.reportedExits {
-			k.sentAt = time.Time{} // it is sent again when the worker next reports it
+			k.sentAt = time.Time{} // the exit is sent again when the worker next reports it
 		}
 		clear(m.orphans)
 	}
@@ -137,10 +138,12 @@
 			return
 		}
 	}
-	clear(f.changedWorkers) // what is left are machines that were removed
+	clear(f.changedWorkers) // the remaining ones are machines that were removed
 	clear(f.snapshotWorkers)
 }
 
+// appendTaskStates moves the states of a machine's tasks into the pending message, and returns their
+// number.
 func (f *changeFeed) appendTaskStates(m *machine) (count int) {
 	for _, a := range m.sortedAttempts() {
 		if a.state != 0 {
@@ -151,6 +154,7 @@
 	return count
 }
 
+// workerEntry returns the state of a machine's worker for a message.
 func (f *changeFeed) workerEntry(m *machine) shard.Worker {
 	w := shard.Worker{Machine: m.Name, Shard: m.shard, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, IncarnationReset: m.incarnationReset}
 	if m.session.Registered {
@@ -171,8 +175,8 @@
 	c.sendShardMessage(f.leader, shard.Message{Observations: &message})
 }
 
-// connect opens a channel to the leader of a term, unless it is open already or the present
-// leader's term is higher.
+// connect opens a channel to the leader of a term, unless it is already open or the current channel
+// is to the leader of a later term.
 func (f *changeFeed) connect(leader string, term uint64) {
 	epoch := shard.ChannelEpoch{Term: term, Member: f.owner.sharding.member}
 	if f.Channel != nil && f.Channel.Epoch() == epoch || f.Channel != nil && f.Channel.Epoch().Term > term {
@@ -197,7 +201,7 @@
 	}
 	if in.Snapshot {
 		for _, m := range f.owner.fleetList {
-			m.attemptsKnown = false // until the snapshot lists the machine
+			m.attemptsKnown = false // until a message of the snapshot lists the machine
 		}
 	}
 	for i := range in.Machines {
@@ -241,7 +245,7 @@
 	}
 	for _, a := range m.sortedAttempts() {
 		if r := starts[taskKey{a.job.ID, a.taskIndex}]; r == nil || r.Attempt != a.number {
-			o.removeAttempt(a) // the leader knows that it was terminated
+			o.removeAttempt(a) // the leader knows that it has terminated
 		}
 	}
 	for i := range k.Starts {
@@ -259,7 +263,7 @@
 	o.controller.resumeDeferred()
 }
 
-// applyStart adds an attempt that was recorded and of which no owner was notified before.
+// applyStart adds a recorded attempt that no owner was notified of before.
 func (o *shardOwner) applyStart(r *shard.Start) {
 	m := o.machines[r.Machine]
 	if m == nil || !m.attemptsKnown || m.attempts[taskKey{r.Job, r.TaskIndex}] != nil {
@@ -269,7 +273,8 @@
 	o.addAttempt(m, *r, false)
 }
 
-// applyStop stops a task, whether or not this owner knows its attempt.
+// applyStop stops an attempt. If this owner doesn't know it, the task is stopped when its worker
+// reports it.
 func (o *shardOwner) applyStop(s *shard.Stop) {
 	m := o.machines[s.Machine]
 	if m == nil {
@@ -283,7 +288,7 @@
 	m.orphanStops[key] = s.Attempt
 }
 
-// applyForget lets a worker forget an exited task, whose result is recorded.
+// applyForget allows a worker to forget an exited task, whose result is recorded.
 func (o *shardOwner) applyForget(t *shard.Task) {
 	m := o.machines[t.Machine]
 	if m == nil {
@@ -323,18 +328,20 @@
 	f.flush()
 }
 
-// unhealthy gives the status entry of a worker that is silent, that doesn't answer probes, that
-// nothing sent was seen to reach, or whose heartbeats go unanswered.
+// unhealthy returns the status entry of a worker that sends no messages, that doesn't answer probes,
+// for which there is no recent proof that anything sent reaches it, or whose heartbeats go
+// unanswered. It returns false for other workers.
 func (o *shardOwner) unhealthy(m *machine) (shard.UnhealthyWorker, bool) {
-	silent, unreached, unanswered := o.unseenFor(m), o.unreachedFor(m), o.unansweredFor(m)
-	if !o.expectsHeartbeats(m) || silent <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unanswered <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
+	unseen, unreached, unanswered := o.unseenFor(m), o.unreachedFor(m), o.unansweredFor(m)
+	if !o.expectsHeartbeats(m) || unseen <= o.controller.timing().SuspectAfter() && m.session.FailedProbes == 0 && unreached <= o.controller.timing().UnreachedProbeAfter() && unanswered <= o.controller.timing().SuspectAfter()+sessions.LostHeartbeatDelay {
 		return shard.UnhealthyWorker{}, false
 	}
-	return shard.UnhealthyWorker{Machine: m.Name, UnseenMillis: silent.Milliseconds(), UnreachedMillis: unreached.Milliseconds(),
+	return shard.UnhealthyWorker{Machine: m.Name, UnseenMillis: unseen.Milliseconds(), UnreachedMillis: unreached.Milliseconds(),
 		UnansweredMillis: unanswered.Milliseconds(), FailedProbes: m.session.FailedProbes}, true
 }
 
-// sweepExits drops exits that workers were allowed to forget longer than exitRetention ago.
+// sweepExits drops the exits on a machine that its worker was allowed to forget longer than
+// exitRetention ago.
 func (o *shardOwner) sweepExits(m *machine) {
 	for key, k := range m.reportedExits {
 		if k.forget && o.controller.now.Sub(k.sentAt) > exitRetention {
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -24,8 +24,8 @@
 	unreadable               *shard.UnreadableRecords
 }
 
-// ownerTimeout is after how long without a message an owner's reports of its workers are no longer
-// relied on.
+// ownerTimeout is the time without a message from an owner after which its reports of its workers are
+// no longer relied on.
 const ownerTimeout = 2500 * time.Millisecond
 
 func newShardCoordinator(l *leader, s *sharding, retiring bool) *shardCoordinator {
@@ -38,7 +38,7 @@
 }
 
 // ownershipChanged updates the channels and moves after a change of owners or members, and plans
-// anew.
+// again.
 func (sc *shardCoordinator) ownershipChanged() {
 	c := sc.leader.controller
 	for _, m := range sc.sharding.table.Members() {
@@ -65,7 +65,8 @@
 	sc.plan()
 }
 
-// channelToOwner is the channel to the owner of a shard, nil when the shard has no live owner.
+// channelToOwner returns the channel to the owner of a shard, or nil if the shard has no owner or the
+// owner's lease has ended.
 func (sc *shardCoordinator) channelToOwner(id shard.ID) *ownerChannel {
 	ownership, ok := sc.sharding.table.Owner(id)
 	if !ok {
@@ -77,8 +78,9 @@
 	return nil
 }
 
-// ownerContactSince is since when the owner of a machine's shard has sent messages without a gap. It
-// is false when the owner's reports can't be relied on: then the machine's silence proves nothing.
+// ownerContactSince returns since when the owner of a machine's shard has sent messages without a
+// gap. It returns false if the owner's reports can't be relied on: then missing messages of the
+// machine's worker don't show that the machine failed.
 func (sc *shardCoordinator) ownerContactSince(m *machine) (time.Time, bool) {
 	since, ok := sc.ownerContactSinceByShard[m.shard]
 	if ok && sc.hasAlternativeOwner(m) {
@@ -86,7 +88,7 @@
 	}
 	owner := sc.channelToOwner(m.shard)
 	// An owner that hasn't announced the shard yet has probed none of its workers: what is known of
-	// them comes from the previous owner, which may have lost contact with them.
+	// them was reported by the previous owner, which may have lost contact with them.
 	if !ok || owner == nil || owner.announcedTerms[m.shard] == 0 || sc.leader.controller.now.Sub(owner.lastReceivedAt) > ownerTimeout {
 		delete(sc.ownerContactSinceByShard, m.shard)
 		return time.Time{}, false
@@ -115,8 +117,8 @@
 	return m.shard != 0 && m.group != nil && m.group.stored() && m.recorded
 }
 
-// ownerOverloaded reports whether an owner that sent a message within recentOverloadWindow reported
-// that its timers fire too late.
+// ownerOverloaded reports whether an owner that sent a message within recentOverloadWindow is
+// overloaded according to its status.
 func (sc *shardCoordinator) ownerOverloaded() bool {
 	for _, owner := range sc.channels {
 		if owner.status.Load.Lag > overload.OverloadThreshold && sc.leader.controller.now.Sub(owner.lastReceivedAt) <= recentOverloadWindow {
@@ -142,17 +144,18 @@
 	sc.plan()
 }
 
+// memberNames returns the names of the controllers with a channel, sorted.
 func (sc *shardCoordinator) memberNames() []string {
-	var nodes []string
+	var names []string
 	for controller := range sc.channels {
-		nodes = append(nodes, controller)
+		names = append(names, controller)
 	}
-	slices.Sort(nodes)
-	return nodes
+	slices.Sort(names)
+	return names
 }
 
-// reachabilityAt is whether an owner reaches its workers according to its member record. It is used
-// only for an owner whose messages don't arrive.
+// reachabilityAt returns whether an owner reaches its workers according to its member record. While
+// the owner's messages arrive, it returns ReachabilityUnknown: then the record isn't used.
 func (owner *ownerChannel) reachabilityAt(now time.Time) shard.Reachability {
 	if now.Sub(owner.lastReceivedAt) <= ownerTimeout {
 		return shard.ReachabilityUnknown
@@ -160,8 +163,8 @@
 	return owner.reachabilityTracker.At(now)
 }
 
-// hasAlternativeOwner reports whether a machine's owner is partitioned from its workers while
-// another controller may reach them: then their silence proves nothing.
+// hasAlternativeOwner reports whether a machine's owner is partitioned from its workers while another
+// controller may reach them. Then missing messages of the workers don't show that machines failed.
 func (sc *shardCoordinator) hasAlternativeOwner(m *machine) bool {
 	owner := sc.channelToOwner(m.shard)
 	return owner != nil && owner.partitioned && owner.alternatives[m.Zone]
@@ -184,8 +187,8 @@
 }
 
 // ownerTimedOut reports whether a machine's owner has sent no message within ownerTimeout, so that
-// a new leader need not wait for a report of its tasks: between controllers that refuse each
-// other's connections it would wait the maximum time for two thirds of the fleet.
+// a new leader need not wait for a report of the machine's tasks: if the controllers refuse each
+// other's connections, it would wait the maximum time for two thirds of the fleet.
 func (l *leader) ownerTimedOut(m *machine) bool {
 	if l.shards == nil {
 		return false
@@ -194,8 +197,8 @@
 	return owner == nil || l.controller.now.Sub(owner.lastReceivedAt) > ownerTimeout
 }
 
-// resignIfDisconnected lets another controller lead if this one receives messages from no other
-// owner, doesn't reach its own workers either, and the state service shows that another owner
+// resignIfDisconnected resigns leadership if this controller receives messages from no other owner,
+// doesn't reach the workers of its own shards either, and the state service shows that another owner
 // reaches its workers. It reports whether it resigned.
 func (sc *shardCoordinator) resignIfDisconnected() bool {
 	l, c := sc.leader, sc.leader.controller
@@ -221,6 +224,6 @@
 	return reachableOwners > 0 && c.resignDisconnected("no contact with workers or other shard owners")
 }
 
-// ownerUnresponsiveAfter is after how long without a message an owner counts as disconnected from the
-// leader.
+// ownerUnresponsiveAfter is the time without a message after which an owner counts as disconnected
+// from the leader.
 const ownerUnresponsiveAfter = 6 * time.Second
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -14,7 +14,7 @@
 	shard.Outbox
 	pending             shard.Instructions  // not yet sent
 	pendingMachines     map[*machine]bool   // machines to send with all their attempts
-	announcedTerms      map[shard.ID]uint64 // shards whose machines were queued for this owner, and the term of its ownership
+	announcedTerms      map[shard.ID]uint64 // shards that the owner announced to serve, and the term of its ownership
 	lastReceivedAt      time.Time           // when the owner's last message was received
 	status              shard.Status
 	statusParts         shard.StatusParts
@@ -59,6 +59,8 @@
 	}
 }
 
+// forgetExit notifies a machine's owner that the result of an exited task is recorded, so that the
+// worker may forget the task.
 func (sc *shardCoordinator) forgetExit(t shard.Task) {
 	m := sc.leader.machines[t.Machine]
 	if m == nil {
@@ -70,8 +72,8 @@
 	}
 }
 
-// schedule has a message sent to an owner at the end of the step, or once the minimum interval
-// between messages has passed.
+// schedule arranges that a message is sent to an owner at the end of the step, or once the minimum
+// interval between messages has passed.
 func (sc *shardCoordinator) schedule(owner *ownerChannel) {
 	c := sc.leader.controller
 	owner.Schedule(c.now, c.runAfter, func() {
@@ -102,7 +104,7 @@
 	return !owner.pending.Empty() || len(owner.pendingMachines) > 0
 }
 
-// beginSnapshot marks all machines of the shards that an owner serves to be sent.
+// beginSnapshot queues all machines of the shards that an owner serves to be sent.
 func (sc *shardCoordinator) beginSnapshot(owner *ownerChannel) {
 	owner.pending, owner.pendingMachines = shard.Instructions{}, map[*machine]bool{}
 	for _, m := range sc.leader.fleetList {
@@ -112,8 +114,8 @@
 	}
 }
 
-// nextMachines removes from the pending machines those whose entries fit in the room that is left
-// in a message, and returns the entries. An empty message holds at least one, whatever its size.
+// nextMachines removes from the pending machines those whose entries fit into the room bytes that are
+// left in a message, and returns the entries. An empty message gets at least one, whatever its size.
 func (sc *shardCoordinator) nextMachines(owner *ownerChannel, room int) []shard.Machine {
 	var list []shard.Machine
 	for _, m := range sc.leader.fleetList {
@@ -131,7 +133,7 @@
 			return list
 		}
 	}
-	clear(owner.pendingMachines) // what is left are machines that were removed
+	clear(owner.pendingMachines) // the remaining ones are machines that were removed
 	return list
 }
 
@@ -145,6 +147,7 @@
 	return size
 }
 
+// sendMessage completes a message with its header and sends it.
 func (sc *shardCoordinator) sendMessage(owner *ownerChannel, message shard.Instructions) {
 	c := sc.leader.controller
 	content := owner.Channel.SnapshotDue() || !message.Empty()
@@ -152,7 +155,7 @@
 	c.sendShardMessage(owner.member.Name, shard.Message{Instructions: &message})
 }
 
-// machineEntry is a machine with all recorded attempts that may be on it. The owner counts as
+// machineEntry returns a machine with all recorded attempts that may be on it, and marks the owner as
 // notified of them.
 func (sc *shardCoordinator) machineEntry(m *machine, term uint64) shard.Machine {
 	k := shard.Machine{Shard: m.shard, Term: term, Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
@@ -205,5 +208,5 @@
 	}
 }
 
-// runAfter is after without the timer, for callers that never stop it.
+// runAfter is after without its result, for callers that never cancel the timer.
 func (c *Controller) runAfter(d time.Duration, f func()) { c.after(d, f) }
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -16,11 +16,11 @@
 type sharding struct {
 	controller          *Controller
 	table               *shard.Table
-	tableLoaded         bool // the table was read and is watched
-	watchGeneration     int  // of the watch; events of an older one are dropped
-	tableGeneration     int  // the watch generation whose read built the table
-	draining            bool
-	joining             bool
+	tableLoaded         bool                      // the table was read and is watched
+	watchGeneration     int                       // of the watch; events of an older one are dropped
+	tableGeneration     int                       // the watch generation whose read built the table
+	draining            bool                      // this controller is to own no shards
+	joining             bool                      // a lease or the first member record is being acquired
 	memberWriteInFlight bool                      // the member's record is being rewritten
 	reachability        *shard.ReachabilityReport // latest one written to its record
 	member              shard.Member              // zero without a lease
@@ -29,7 +29,8 @@
 	partitionedUntil    time.Time // until when other controllers shouldn't redirect workers here
 }
 
-// startSharding lets the controller own shards. A draining one becomes a member, but is to own none.
+// startSharding makes the controller join the members that may own shards. A draining controller
+// becomes a member too, but gets no shards.
 func (c *Controller) startSharding(draining bool) {
 	c.sharding = &sharding{controller: c, table: shard.NewTable(), draining: draining, redirector: newRedirector(c)}
 	c.sharding.loadTable()
@@ -52,12 +53,15 @@
 	})
 }
 
+// putRecord adds a record to the table and logs an error if it can't be parsed.
 func (s *sharding) putRecord(key string, it protocol.KeyValue) {
 	if err := s.table.Put(key, it.Value, it.Version); err != nil {
 		s.controller.log.Error("shard record unreadable", "key", key, "error", err)
 	}
 }
 
+// watchTable watches the records of owners and members from a revision on. If the watch fails, it
+// reads them again.
 func (s *sharding) watchTable(after uint64, current func() bool) {
 	store := s.controller.store
 	store.Watch(records.PrefixShards, after, watchWait, func(r statestore.WatchResult) {
@@ -89,8 +93,8 @@
 	}
 }
 
-// ownershipChanged applies the present table to this controller's membership, its owned shards, and
-// its leader if it leads.
+// ownershipChanged applies the current table to this controller's membership, to the shards that it
+// owns, and, if it leads, to its shard coordinator.
 func (s *sharding) ownershipChanged() {
 	if !s.tableLoaded {
 		return
@@ -108,8 +112,8 @@
 	}
 }
 
-// join acquires a lease as a member. The lease's ID is the member's incarnation, which tells it
-// from earlier memberships of the same controller.
+// join acquires a lease as a member. The lease's ID is the member's incarnation, which distinguishes
+// this membership from earlier ones of the same controller.
 func (s *sharding) join() {
 	if s.joining || !s.tableLoaded {
 		return
@@ -161,7 +165,7 @@
 	})
 }
 
-// leave ends the membership and discards all state of the shards that it owned.
+// leave ends the membership and discards all state of the shards that the member owned.
 func (s *sharding) leave(why string) {
 	s.controller.log.Warn("shard membership lost", "incarnation", s.member.Incarnation, "reason", why)
 	s.owner.ended = true
@@ -191,7 +195,8 @@
 	c.deferHeartbeat(id, body)
 }
 
-// ownerName is the name of a shard's live owner, empty without one.
+// ownerName returns the name of the controller that owns a shard, or "" if there is no owner or its
+// lease has ended.
 func (s *sharding) ownerName(id shard.ID) string {
 	owner, ok := s.table.Owner(id)
 	if !ok {
@@ -200,7 +205,7 @@
 	return owner.Name
 }
 
-// sendStatus sends the status of this owner and its workers to the leader; it runs every second.
+// sendStatus sends the status of this owner and its workers to the leader. It runs every second.
 func (s *sharding) sendStatus() {
 	if s.owner != nil {
 		s.updatePartitioned()
@@ -244,12 +249,13 @@
 // few seconds some calls get through, while the less frequent heartbeats don't.
 func (c *Controller) maxUnanswered() time.Duration { return c.cfg.WorkerLease / 3 }
 
-// partitionedHold is for how long after it lost contact with most of its workers a controller tells
-// the others not to redirect workers to it: it can't see when they could reach it again.
+// partitionedHold is how long a controller that lost contact with most of its workers reports to the
+// other controllers that they shouldn't redirect workers to it. It can't detect when workers could
+// reach it again.
 const partitionedHold = 20 * time.Second
 
-// updatePartitioned extends the partitioned hold while this controller doesn't reach most of its
-// workers.
+// updatePartitioned restarts the period of partitionedHold while this controller doesn't reach most of
+// its workers.
 func (s *sharding) updatePartitioned() {
 	if reach := s.owner.currentReachability(); shard.Partitioned(reach.Workers, reach.Unreachable) {
 		s.partitionedUntil = s.controller.now.Add(partitionedHold)
@@ -275,30 +281,30 @@
 	}, func(result statestore.CommitResult) {
 		s.memberWriteInFlight = false
 		if s.owner != own {
-			return // the membership ended meanwhile
+			return // the membership has ended since the write was sent
 		}
 		if result.Status == statestore.CommitApplied {
 			s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: result.Revision})
 			s.ownershipChanged()
 		} else if result.Status != statestore.CommitRefused {
-			s.loadTable() // it may have been applied
+			s.loadTable() // the transaction may have been applied
 		}
 		done(result.Status == statestore.CommitApplied)
 	})
 }
 
-// shardOwner implements leadership.Holder for the lease of its membership.
+// shardOwner implements leadership.LeaseHolder for the lease of its membership.
 
-// NeedsLease implements leadership.Holder.
+// NeedsLease implements leadership.LeaseHolder.
 func (o *shardOwner) NeedsLease() bool { return o.sharding.owner == o }
 
-// RenewalSent implements leadership.Holder.
+// RenewalSent implements leadership.LeaseHolder.
 func (o *shardOwner) RenewalSent() {}
 
-// LeaseRenewed implements leadership.Holder.
+// LeaseRenewed implements leadership.LeaseHolder.
 func (o *shardOwner) LeaseRenewed() {}
 
-// LeaseExpired implements leadership.Holder.
+// LeaseExpired implements leadership.LeaseHolder.
 func (o *shardOwner) LeaseExpired() {
 	o.sharding.leave("its lease has ended")
 	o.sharding.loadTable()
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -45,7 +45,7 @@
 		if owner.announcedTerms[id] != 0 {
 			continue
 		}
-		// Silence that a previous owner reported doesn't count for this one.
+		// Times out of contact that a previous owner reported don't count for this one.
 		sc.ownerContactSinceByShard[id] = sc.leader.controller.now
 		owner.announcedTerms[id] = term
 		sc.reportMoveCompleted(sc.moves.Served(sc.leader.controller.now, id, owner.member.Name, sc.hasMachines))
@@ -58,9 +58,10 @@
 	}
 }
 
-// servedMachine gives a machine that an owner may report on: one of a shard that it serves under
-// the ownership recorded in the state service; nil for any other. Late observations of a previous
-// owner are dropped: its successor may have started what the previous one saw missing.
+// servedMachine returns a machine if an owner may report on it, that is, if the owner serves the
+// machine's shard under the ownership recorded in the state service; otherwise nil. So late
+// observations of a previous owner are dropped: the current owner may have started an attempt that
+// the previous one reported as terminated.
 func (sc *shardCoordinator) servedMachine(owner *ownerChannel, name string) *machine {
 	m := sc.leader.machines[name]
 	if m == nil || owner.announcedTerms[m.shard] == 0 {
@@ -109,8 +110,8 @@
 	}
 }
 
-// reportedAttempt is the attempt that an owner reports on, nil if the leader doesn't have it on
-// that machine or the owner doesn't serve the machine.
+// reportedAttempt returns the attempt that an owner reports on, or nil if the leader has no such
+// attempt on that machine or the owner doesn't serve the machine.
 func (sc *shardCoordinator) reportedAttempt(owner *ownerChannel, t *shard.Task) *attempt {
 	m := sc.servedMachine(owner, t.Machine)
 	if m == nil {
@@ -122,6 +123,7 @@
 	return nil
 }
 
+// applyWorker applies what an owner reports of a machine's worker.
 func (sc *shardCoordinator) applyWorker(m *machine, w *shard.Worker) {
 	l, c := sc.leader, sc.leader.controller
 	if m.Zone != w.Zone || m.Type != w.Type || m.Spot != w.Spot {
@@ -167,6 +169,8 @@
 	}
 }
 
+// applyExit applies the exit of a task. The owner is notified that the worker may forget the task at
+// once or, for a completed task, when its result is recorded.
 func (sc *shardCoordinator) applyExit(owner *ownerChannel, e *shard.Exit) {
 	m := sc.servedMachine(owner, e.Machine)
 	if m == nil {
@@ -212,12 +216,13 @@
 	}
 }
 
-// isUnreachable reports whether an owner lost contact with a worker: several probes in a row failed,
-// or the worker's heartbeats have gone unanswered for too long.
+// isUnreachable reports whether an owner lost contact with a worker: several consecutive probes
+// failed, or no heartbeat of the worker has been answered for longer than maxUnanswered.
 func (sc *shardCoordinator) isUnreachable(w *shard.UnhealthyWorker) bool {
 	return w.FailedProbes >= sessions.UnreachableProbeThreshold || millis(w.UnansweredMillis) > sc.leader.controller.maxUnanswered()
 }
 
+// workerHealthy records that a worker is in contact with its owner.
 func (sc *shardCoordinator) workerHealthy(m *machine) {
 	now := sc.leader.controller.now
 	m.session.LastSeen, m.session.LastAnswered, m.session.FailedProbes = now, now, 0
@@ -227,6 +232,7 @@
 	}
 }
 
+// workerUnhealthy records how long a worker has been out of contact with its owner.
 func (sc *shardCoordinator) workerUnhealthy(m *machine, w *shard.UnhealthyWorker) {
 	now := sc.leader.controller.now
 	m.session.FailedProbes = w.FailedProbes
