--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -12,9 +12,9 @@
 	"brasskeel/internal/records"
 )
 
-// shardOwner serves the workers of shards for a leader that may be another controller. Which
-// shards it owns and which machines belong to them it reads from the state service. The leader
-// tells it which attempts may run there, and it reports to the leader what the workers show.
+// shardOwner serves the workers of shards for a leader that may be another controller. It reads from
+// the state service which shards it owns and which machines belong to them. The leader sends it the
+// attempts that may run there, and it reports to the leader what the workers report.
 type shardOwner struct {
 	workerSessions
 	sharding              *sharding
@@ -22,7 +22,7 @@
 	movedAway             map[string]shard.ID // machines of shards that another member owns now
 	feed                  *changeFeed         // to the leader
 	loadingMachines       bool                // the machines' records are being read
-	reloadMachines        bool                // they must be read again: a shard was acquired meanwhile
+	reloadMachines        bool                // they must be read again: a shard was acquired during the read
 	heartbeatsSinceStatus int                 // answered since the last status
 	reachabilityWrittenAt time.Time           // when reachability was last written to the member record
 	reachabilitySequence  uint64              // of the latest report written
@@ -31,12 +31,13 @@
 // ownedShard is a shard that this owner serves.
 type ownedShard struct {
 	epoch             sessions.Epoch
-	moving            bool // to another member; workers are no longer answered or called
+	moving            bool // it is to move to another member; its workers are no longer answered or called
 	handingOver       bool // the handover is being written
 	superseded        bool // a worker has seen a later fencing token
-	recheckGeneration int  // table generation from which on the table shows whether there is a later owner
+	recheckGeneration int  // table generation from which on the table shows whether there is a later owner; valid while superseded
 }
 
+// served reports whether the shard's workers are answered and called.
 func (owned *ownedShard) served() bool { return !owned.moving && !owned.superseded }
 
 // setMoving records whether the shard is moving away, and pauses or resumes its ownership epoch.
@@ -84,12 +85,13 @@
 	}
 }
 
-// acquireShard starts to serve a shard.
+// acquireShard starts to serve a shard that the table shows as owned by this member.
 func (o *shardOwner) acquireShard(id shard.ID, r shard.OwnerRecord) {
 	c := o.controller
 	t := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
 	if !r.HandedOver {
-		// The previous owner may go on without the state service for its grace period.
+		// Without the state service, the previous owner may continue to answer workers for its
+		// grace period.
 		t.PredecessorUntil = c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))
 	}
 	o.shards[id] = &ownedShard{epoch: t}
@@ -110,7 +112,7 @@
 	o.controller.log.Info("shard ownership ended", "shard", id)
 }
 
-// forgetMachine drops the state of a machine that is no longer served.
+// forgetMachine drops the state of a machine that is no longer served, except from fleetList.
 func (o *shardOwner) forgetMachine(m *machine) {
 	m.removed, m.session.Epoch = true, nil
 	delete(o.machines, m.Name)
@@ -119,32 +121,33 @@
 	}
 }
 
+// removeMachine drops the state of a machine that is no longer served.
 func (o *shardOwner) removeMachine(m *machine) {
 	o.forgetMachine(m)
 	o.fleetList = slices.DeleteFunc(o.fleetList, func(k *machine) bool { return k == m })
 }
 
-// applyMove stops serving a shard that is to move, and resumes if the move was canceled.
-// The state of its workers is kept until the state service shows another owner: when service
-// resumes under the same token, the owner must know what it sent.
+// applyMove stops serving a shard that is to move, and resumes if the move was canceled. The state
+// of its workers is kept until the state service shows another owner: if this owner resumes serving
+// them with the same fencing tokens, it must know what it sent to them.
 func (o *shardOwner) applyMove(id shard.ID, r shard.OwnerRecord) {
 	owned := o.shards[id]
 	if owned.superseded && o.sharding.tableGeneration >= owned.recheckGeneration {
-		// The table was read since and shows no other owner. A single worker may have seen a later
-		// token if its machine got into the records of two shards. Without this the shard would
-		// stay unserved forever.
+		// The table was read again since the later token was seen, and shows no other owner. A
+		// single worker may have seen a later token if the records of two shards contained its
+		// machine. Without this check the shard would stay unserved forever.
 		owned.setSuperseded(false)
 	}
 	owned.setMoving(r.Next != nil)
 	if !owned.moving || owned.handingOver {
 		return
 	}
-	o.feed.flush() // observations up to now are valid only while this member is the owner
+	o.feed.flush() // the leader accepts these observations only while this member is the owner
 	owned.handingOver = true
 	o.handOverShard(id)
 }
 
-// handOverShard makes the member that a shard moves to its owner.
+// handOverShard records the member that a shard is to move to as its owner.
 func (o *shardOwner) handOverShard(id shard.ID) {
 	s := o.sharding
 	owned := o.shards[id]
@@ -152,8 +155,9 @@
 		return
 	}
 	// If the previous owner didn't hand over the shard and its grace period isn't over, it may
-	// still answer the workers. The record must say so: otherwise the next owner would take their
-	// silence as proof that their tasks ended while the previous owner renews their leases.
+	// still answer the workers. The record must show that: otherwise the next owner would treat
+	// missing messages of the workers as proof that their tasks have ended while the previous
+	// owner renews their leases.
 	change := s.table.HandOver(id, s.member, !o.controller.now.Before(owned.epoch.PredecessorUntil))
 	if change == nil {
 		owned.handingOver = false
@@ -207,7 +211,7 @@
 }
 
 // redirectMoved redirects a heartbeat from a machine whose shard this owner served before to the
-// present owner, and reports whether there is one.
+// current owner, and reports whether there is one.
 func (o *shardOwner) redirectMoved(id uint64, r *protocol.Heartbeat) bool {
 	moved, ok := o.movedAway[r.Machine]
 	if !ok {
@@ -221,8 +225,8 @@
 	return true
 }
 
-// nextOwner is the name of the controller that a shard moves to, empty if there is no move to
-// another one.
+// nextOwner returns the name of the controller that a shard is to move to, or "" if there is no move
+// to another controller.
 func (o *shardOwner) nextOwner(id shard.ID) string {
 	if r, _, ok := o.sharding.table.Record(id); ok && r.Next != nil && r.Next.Name != o.controller.cfg.Name {
 		return r.Next.Name
@@ -230,8 +234,8 @@
 	return ""
 }
 
-// loadMachines reads the records of machines and adds those of owned shards, so that their workers
-// are answered before a leader has sent their entries.
+// loadMachines reads the records of machines and adds the machines of owned shards, so that their
+// workers can be answered even before a leader has sent the machines.
 func (o *shardOwner) loadMachines() {
 	if o.loadingMachines {
 		o.reloadMachines = true
@@ -250,6 +254,7 @@
 	})
 }
 
+// loadMachineGroup adds the machines in a group's record if this member owns their shard.
 func (o *shardOwner) loadMachineGroup(it protocol.KeyValue) {
 	id := shard.ID(records.ShardOfGroupKey(it.Key))
 	owned := o.shards[id]
@@ -268,7 +273,7 @@
 	}
 }
 
-// servedTerms are the shards that are served now, and the terms of their ownerships.
+// servedTerms returns the shards that are served now, and the terms of their ownerships.
 func (o *shardOwner) servedTerms() map[shard.ID]uint64 {
 	terms := map[shard.ID]uint64{}
 	for id, owned := range o.shards {
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -13,6 +13,7 @@
 	"brasskeel/internal/protocol"
 )
 
+// newMachine adds a machine of a shard that this owner serves.
 func (o *shardOwner) newMachine(k shard.Machine, owned *ownedShard) *machine {
 	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, session: sessions.Session{Epoch: &owned.epoch},
 		attempts: map[taskKey]*attempt{}, reportedExits: map[taskKey]*reportedExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
@@ -22,37 +23,38 @@
 	return m
 }
 
-// unseenFor is how long a worker has been silent. Time before its shard was acquired doesn't count.
+// unseenFor returns the time since the latest message of a worker. Time before its shard was acquired
+// doesn't count.
 func (o *shardOwner) unseenFor(m *machine) time.Duration {
 	return o.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.session.Epoch.Since, o.detector.ResetAt()))
 }
 
-// detectUnresponsiveWorkers probes silent workers, and terminates the attempts of those that have been
-// silent for so long that their leases have expired.
+// detectUnresponsiveWorkers probes workers from which no messages arrive, and terminates the attempts
+// of those whose leases have certainly expired.
 func (o *shardOwner) detectUnresponsiveWorkers() {
 	if o.detector.Scan(o.controller.now) || o.controller.store.Unavailable() || !o.holdsLease() {
-		o.detector.Reset(o.controller.now) // workers that got no answer look for another controller
+		o.detector.Reset(o.controller.now) // workers whose heartbeats weren't answered try other controllers
 		return
 	}
-	var ask []*machine
-	doubtful := map[string]bool{}
+	var toProbe []*machine
+	suspectZones := map[string]bool{}
 	for _, m := range o.fleetList {
 		if owned := o.shards[m.shard]; owned == nil || !owned.served() {
 			continue
 		}
-		silent := o.unseenFor(m)
+		unseen := o.unseenFor(m)
 		if m.session.FailedProbes > 0 {
-			doubtful[m.Zone] = true
+			suspectZones[m.Zone] = true
 		}
-		if o.expectsHeartbeats(m) && (o.needsProbe(m, silent) || !m.session.Registered && silent > probeDelay) {
-			ask = append(ask, m)
+		if o.expectsHeartbeats(m) && (o.needsProbe(m, unseen) || !m.session.Registered && unseen > probeDelay) {
+			toProbe = append(toProbe, m)
 		}
-		if silent > o.controller.timing().SuspectAfter() && len(m.attemptList) > 0 {
+		if unseen > o.controller.timing().SuspectAfter() && len(m.attemptList) > 0 {
 			o.terminateExpired(m)
 		}
 	}
-	o.detector.SetSuspectZones(doubtful)
-	o.probeBatch(ask)
+	o.detector.SetSuspectZones(suspectZones)
+	o.probeBatch(toProbe)
 }
 
 // expectsHeartbeats reports whether a machine's worker should be running: it registered here or with
@@ -83,7 +85,8 @@
 	}
 }
 
-// probeFailed implements sessionListener: the next status reports it.
+// probeFailed implements sessionListener. Nothing is sent: the next status lists the worker as
+// unhealthy.
 func (o *shardOwner) probeFailed(*machine) {}
 
 // incarnationReset implements sessionListener.
@@ -104,15 +107,15 @@
 type reportedExit struct {
 	exit   shard.Exit
 	sentAt time.Time
-	forget bool // its result is recorded: the worker may forget it
+	forget bool // the leader has recorded its result, so the worker may forget it
 }
 
 // exitResendInterval is after how long an exit is sent to the leader again if the worker still
 // reports it.
 const exitResendInterval = 3 * time.Second
 
-// taskExitReported implements sessionListener. The exit proves that the attempt has ended; the
-// leader says when the worker may forget it.
+// taskExitReported implements sessionListener. The exit proves that the attempt has ended. The worker
+// may forget it once the leader has recorded the result.
 func (o *shardOwner) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool) {
 	key := taskKey{t.Job, t.TaskIndex}
 	k := m.reportedExits[key]
@@ -122,8 +125,9 @@
 	}
 	if a != nil {
 		o.removeAttempt(a)
-		// A leader that lists the attempt doesn't know of the exit, even if an earlier leader let
-		// the worker forget it. If it weren't sent, the attempt would stay there forever.
+		// A leader that lists the attempt doesn't know of the exit, even if an earlier leader
+		// allowed the worker to forget it. If it weren't sent again, the leader would keep the
+		// attempt forever.
 		k.forget, k.sentAt = false, time.Time{}
 	}
 	if !k.forget && o.controller.now.Sub(k.sentAt) > exitResendInterval {
@@ -155,8 +159,8 @@
 	return false
 }
 
-// newerTokenSeen implements sessionListener. There may be a later owner of the shard: it isn't
-// served until the table, read again, shows whether there is.
+// newerTokenSeen implements sessionListener. There may be a later owner of the machine's shard. The
+// shard isn't served until the table has been read again and shows whether there is.
 func (o *shardOwner) newerTokenSeen(m *machine) {
 	o.controller.log.Info("worker has a later fencing token", "machine", m.Name, "shard", m.shard)
 	if owned := o.shards[m.shard]; owned != nil && !owned.superseded && !m.newerTokenSeen {
@@ -167,10 +171,10 @@
 	}
 }
 
-// jobRecorded implements sessionListener: the owner needs only the job's ID.
+// jobRecorded implements sessionListener. The owner needs only the job's ID.
 func (o *shardOwner) jobRecorded(id string, _ json.RawMessage, _ bool) { o.job(id) }
 
-// jobEnded implements sessionListener: the job's tasks are stopped without waiting for the leader.
+// jobEnded implements sessionListener. It stops the job's attempts without waiting for the leader.
 func (o *shardOwner) jobEnded(j *job, s protocol.JobState) {
 	j.finalState = s
 	held := slices.Collect(maps.Keys(j.heldAttempts))
@@ -185,7 +189,7 @@
 // jobRemoved implements sessionListener.
 func (o *shardOwner) jobRemoved(id string) { delete(o.jobs, id) }
 
-// job gives the job with an ID, and adds it if it isn't known.
+// job returns the job with an ID, and adds it if it isn't known.
 func (o *shardOwner) job(id string) *job {
 	j := o.jobs[id]
 	if j == nil {
@@ -223,8 +227,8 @@
 	o.untrack(a)
 }
 
-// stopAttempt requests that an attempt is stopped within a grace time; a shorter one replaces an
-// earlier request.
+// stopAttempt requests that an attempt be stopped within a grace time. A later request may only
+// shorten the grace time. An attempt whose start was never sent terminates at once.
 func (o *shardOwner) stopAttempt(a *attempt, grace time.Duration) {
 	if a.stopRequested && a.stopGrace <= grace {
 		return
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -24,14 +24,14 @@
 		return
 	}
 	decisions := sc.planner.Plan(c.now, sc.plannerControllers(), sc.plannerShards())
-	var vacant []shard.Assignment
+	var assignments []shard.Assignment
 	for _, d := range decisions {
-		if d.Reason == shard.ReasonUnowned && len(vacant) < sc.maxAssignments() {
-			vacant = append(vacant, d.Assignment)
+		if d.Reason == shard.ReasonUnowned && len(assignments) < sc.maxAssignments() {
+			assignments = append(assignments, d.Assignment)
 		}
 	}
-	if len(vacant) > 0 {
-		sc.commitChange(sc.sharding.table.Assign(vacant, sc.leaderState()))
+	if len(assignments) > 0 {
+		sc.commitChange(sc.sharding.table.Assign(assignments, sc.leaderState()))
 		return
 	}
 	for _, d := range decisions {
@@ -54,8 +54,8 @@
 	return shard.LeaderState{LeaderVersion: sc.leader.keyVersion, Term: term, TermVersion: version, ShardingRecorded: e.Sharded()}
 }
 
-// cancelMoveToEndedMember gives a change that cancels a move whose target member has ended, nil if
-// there is none.
+// cancelMoveToEndedMember returns a change that cancels a move to a member whose membership has
+// ended, or nil if there is none.
 func (sc *shardCoordinator) cancelMoveToEndedMember() *shard.Change {
 	for _, id := range sc.sharding.table.IDs() {
 		r, _, ok := sc.sharding.table.Record(id)
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// commitChange commits a change of owners.
+// commitChange commits a change of owners. While it is in flight, or its result is unknown, no other
+// change is made.
 func (sc *shardCoordinator) commitChange(change *shard.Change) {
 	l, c := sc.leader, sc.leader.controller
 	if len(change.Txn.Ops) == 0 {
@@ -117,7 +118,7 @@
 	})
 }
 
-// plannerControllers are the members with what the planner needs to know of them.
+// plannerControllers returns the members as input of the planner.
 func (sc *shardCoordinator) plannerControllers() []shard.Controller {
 	c := sc.leader.controller
 	var list []shard.Controller
@@ -138,8 +139,7 @@
 	return list
 }
 
-// plannerShards are the recorded and the configured shards with what the planner needs to know of
-// them.
+// plannerShards returns the recorded and the configured shards as input of the planner.
 func (sc *shardCoordinator) plannerShards() []shard.Shard {
 	count := sc.shardCount
 	if sc.retiring {
@@ -148,7 +148,7 @@
 	return sc.sharding.table.PlannerShards(count, sc.leader.machineShards, sc.previousOwnerEnded)
 }
 
-// machineShards gives the shard and the zone of each machine.
+// machineShards yields the shard and the zone of each machine.
 func (l *leader) machineShards(yield func(shard.ID, string) bool) {
 	for _, m := range l.fleetList {
 		if !yield(m.shard, m.Zone) {
@@ -158,14 +158,14 @@
 }
 
 // previousOwnerEnded reports whether any owner of a shard whose record can't be parsed has certainly
-// stopped answering workers: an owner that reads such a record stops at once, and one without the
-// state service stops when its knowledge of cancellations is too old (maxAnswerStaleness).
+// stopped answering workers. An owner that reads such a record stops at once. An owner without access
+// to the state service stops when its knowledge of cancellations is too old (maxAnswerStaleness).
 func (sc *shardCoordinator) previousOwnerEnded(id shard.ID, version uint64) bool {
 	c := sc.leader.controller
 	return sc.unreadable.Age(c.now, id, version) > c.maxAnswerStaleness()+leadership.MaxClockDrift(c.cfg.CancelDeadline)+deadlineMargin
 }
 
-// shardForNewMachine is the shard for a new machine, 0 without sharding.
+// shardForNewMachine returns the shard for a new machine, or 0 without sharding.
 func (l *leader) shardForNewMachine(m *machine) shard.ID {
 	if l.shards == nil {
 		return 0
@@ -176,17 +176,17 @@
 // assignUnshardedMachines moves machines whose record has no shard in its key to records that have
 // one. Where both records exist, the one with a shard takes precedence.
 func (l *leader) assignUnshardedMachines() {
-	old := map[string]bool{}
+	unsharded := map[string]bool{} // keys of the old records
 	for _, m := range l.fleetList {
 		if m.group == nil || m.group.shard != 0 {
 			continue
 		}
-		if m.group.stored() && !old[m.group.key] {
-			old[m.group.key] = true
+		if m.group.stored() && !unsharded[m.group.key] {
+			unsharded[m.group.key] = true
 		}
 		l.writer.recordMachine(m)
 	}
-	for _, key := range slices.Sorted(maps.Keys(old)) {
+	for _, key := range slices.Sorted(maps.Keys(unsharded)) {
 		l.writer.deleteKey(key)
 	}
 }
@@ -200,7 +200,7 @@
 	return false
 }
 
-// reportMoveCompleted logs and traces a completed move; nil is none.
+// reportMoveCompleted logs and traces a completed move. It does nothing if move is nil.
 func (sc *shardCoordinator) reportMoveCompleted(move *shard.Move) {
 	if move == nil {
 		return
--- a/internal/coordination/statestore/client.go
+++ b/internal/coordination/statestore/client.go
@@ -12,7 +12,7 @@
 const requestTimeout = 1500 * time.Millisecond
 
 // Delays before a read, or the read of one page of a list, is retried: a fixed part and a random
-// part, so that controllers don't all retry at the same moment after an outage.
+// part, so that controllers don't all retry at the same time after an outage.
 const (
 	readRetryDelay  = 200 * time.Millisecond
 	listRetryDelay  = 250 * time.Millisecond
@@ -51,7 +51,7 @@
 	Stop()
 }
 
-// Host is what a client needs from the process it runs in.
+// Host provides the clock, timers and transport that a client needs.
 type Host interface {
 	// Now returns the time of the current step.
 	Now() time.Time
@@ -87,7 +87,7 @@
 
 // Statuses of reads.
 const (
-	ReadUnknown ReadStatus = iota // no answer, a refusal, or an invalid answer
+	ReadUnknown ReadStatus = iota // no response, a refusal, or an invalid response
 	Absent                        // there is no such key
 	Found
 )
@@ -118,8 +118,8 @@
 	})
 }
 
-// GetWithRetry reads one key and retries until the result is known. It gives up, without calling
-// done, once alive returns false.
+// GetWithRetry reads one key and retries until the result is known. It stops, without calling done,
+// once alive returns false.
 func (c *Client) GetWithRetry(key string, alive func() bool, done func(ReadResult)) {
 	c.Get(key, func(r ReadResult) {
 		switch {
@@ -151,7 +151,7 @@
 }
 
 // List reads all keys with a prefix, page by page, and retries each page until it is read. It
-// gives up, without calling done, once alive returns false.
+// stops, without calling done, once alive returns false.
 func (c *Client) List(prefix string, alive func() bool, done func(ListResult)) {
 	l := &listing{client: c, prefix: prefix, alive: alive, done: done}
 	l.requestPage("")
--- a/internal/coordination/statestore/committer.go
+++ b/internal/coordination/statestore/committer.go
@@ -90,7 +90,7 @@
 	Fill(t *Transaction) Batch
 }
 
-// Pending says whether there is something to write, and how soon.
+// Pending says whether there is something to write, and when it is due.
 type Pending struct {
 	Any   bool
 	Delay time.Duration // until it is due; 0 if it is due now
@@ -103,7 +103,7 @@
 	Applied(revision uint64)
 	// Conflict reports that nothing was written, because the conditions on these keys failed.
 	Conflict(failed []string)
-	// Refused reports that nothing was written or ever will be.
+	// Refused reports that nothing was written, and nothing will be.
 	Refused()
 	// Unknown reports that the batch may have been written, or may be written later.
 	Unknown()
@@ -119,9 +119,9 @@
 )
 
 // Committer writes a source's records with group commit: records that become dirty while one
-// transaction is in flight go into the next. Only one transaction is in flight at a time, so
-// that they are applied in order. Each is conditional on a guard key's version, so that one that
-// is applied late, after the guard key has changed, fails.
+// transaction is in flight are written by the next. Only one transaction is in flight at a time, so
+// that they are applied in order. Each is conditional on a guard key's version, so that it fails if
+// it is applied only after the guard key has changed.
 type Committer struct {
 	client *Client
 	log    *slog.Logger
@@ -145,7 +145,8 @@
 		budget: ratelimit.NewTokenBucket(writesPerSecond*rateShare, writesPerSecond*burstShare, client.host.Now())}
 }
 
-// Spend charges operations to the write budget that others wrote or that bypassed the committer.
+// Spend charges the write budget for operations that other controllers wrote or that weren't written
+// by the committer.
 func (c *Committer) Spend(ops int) { c.budget.Spend(c.client.host.Now(), float64(ops)) }
 
 // Available returns how many operations the write budget allows now. It is negative while the
--- a/internal/coordination/statestore/health.go
+++ b/internal/coordination/statestore/health.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Thresholds for judging the service's health.
+// Thresholds for assessing the service's health.
 const (
 	probeInterval        = 300 * time.Millisecond  // time between probes while the service fails
 	probeAfterIdle       = 1500 * time.Millisecond // time without an answer after which the service is probed
@@ -11,13 +11,13 @@
 	healthyWithin        = 5 * time.Second         // time after an answer in which the service counts as healthy
 )
 
-// health is the state of the service as this controller sees it, judged from its responses.
+// health is the service's state for this controller, derived from its responses.
 type health struct {
 	answeredAt   time.Time // last answer that wasn't a failure
 	failingSince time.Time // first failure since then; zero while the service works
 }
 
-// Start starts judging the service's health.
+// Start begins the assessment of the service's health: the service counts as healthy now.
 func (c *Client) Start() { c.health.answeredAt = c.host.Now() }
 
 // observe updates the service's health from a response.
@@ -40,8 +40,8 @@
 }
 
 // probeUntilRecovered probes the service until it answers again. While the service counts as
-// unavailable, users are refused without a request to it, so nothing else might ever detect the
-// recovery: a follower that sent no requests of its own considered it unavailable forever.
+// unavailable, users' requests are refused without a request to it, so nothing else might ever detect
+// the recovery: a follower that sent no other requests considered it unavailable forever.
 func (c *Client) probeUntilRecovered() {
 	if c.health.failingSince.IsZero() {
 		return
@@ -49,9 +49,9 @@
 	c.Get(c.probeKey, func(ReadResult) { c.host.After(probeInterval, c.probeUntilRecovered) })
 }
 
-// ProbeIfIdle probes the service if it hasn't answered for a while. A watch whose connection
-// was cut shows no failure for many seconds, and a controller without other requests would still
-// report itself healthy.
+// ProbeIfIdle probes the service if it hasn't answered for longer than probeAfterIdle. A watch whose
+// connection has failed shows no failure for many seconds, and without other requests the controller
+// would still report itself healthy.
 func (c *Client) ProbeIfIdle() {
 	if c.health.failingSince.IsZero() && c.host.Now().Sub(c.health.answeredAt) > probeAfterIdle {
 		c.Get(c.probeKey, func(ReadResult) {})
--- a/internal/coordination/statestore/lease.go
+++ b/internal/coordination/statestore/lease.go
@@ -11,7 +11,7 @@
 
 // Statuses of leases.
 const (
-	LeaseUnknown LeaseStatus = iota // no answer, or a refusal
+	LeaseUnknown LeaseStatus = iota // no response, or a refusal
 	LeaseHeld                       // valid for its full time to live, counted from when the request was sent
 	LeaseEnded                      // expired or revoked
 )
--- a/internal/coordination/statestore/record.go
+++ b/internal/coordination/statestore/record.go
@@ -21,8 +21,8 @@
 )
 
 // RecordState is the state of one record: whether it must be written, and which version of it
-// is in the store. Each write is conditional on that version, so that a write that is applied
-// after it was given up can't overwrite a newer one. The zero value is a clean record that isn't
+// is in the store. Each write is conditional on that version, so that a delayed write can't overwrite
+// a newer one. The zero value is a clean record that isn't
 // in the store.
 //
 //	clean --MarkLazy--> lazy --MarkUrgent--> urgent        (any) --MarkClean--> clean
@@ -70,17 +70,17 @@
 // MarkClean marks the record's present contents as written.
 func (r *RecordState) MarkClean() { r.dirtiness = clean }
 
-// BeginWrite notes that a transaction that contains the record is being sent.
+// BeginWrite records that a transaction that contains the record is being sent.
 func (r *RecordState) BeginWrite() { r.stage = writing }
 
-// Written notes that the transaction was applied.
+// Written records that the transaction was applied.
 func (r *RecordState) Written(version uint64) { r.version, r.stage = version, idle }
 
-// NotWritten notes that the transaction wasn't applied and never will be, and that the known
+// NotWritten records that the transaction wasn't applied and never will be, and that the known
 // version still holds.
 func (r *RecordState) NotWritten() { r.stage = idle }
 
-// BeginVerify notes that the version in the store is no longer known.
+// BeginVerify records that the version in the store is no longer known.
 func (r *RecordState) BeginVerify() { r.stage = verifying }
 
 // Verified sets the version that was read from the store.
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -8,9 +8,9 @@
 	"brasskeel/internal/records"
 )
 
-// statusCheckDivisor divides the state service's request rate to give the limit on one
-// controller's status checks. A check serves dozens of queries, and the more often users ask, the
-// more queries share one. When each check was sent as soon as the last one was answered, the
+// statusCheckDivisor is the maximum fraction of the state service's request rate that one
+// controller's status checks use, as a divisor. A check serves dozens of queries, and the more
+// queries arrive, the more of them share one. When each check was sent as soon as the last one was answered, the
 // checks of three controllers alone exceeded the service's rate limit, and submissions were
 // refused.
 const statusCheckDivisor = 12
@@ -34,8 +34,8 @@
 		c.refuse(id, 503, "busy")
 		return
 	}
-	// A state that isn't final may have changed through another controller, so it is reported
-	// only after a fresh read; without one there is no answer.
+	// Another controller may have changed a state that isn't final, so it is reported only
+	// after a fresh read; without one the query is refused.
 	if c.store.Unavailable() {
 		c.refuseStoreUnavailable(id)
 		return
@@ -45,8 +45,8 @@
 	c.checkStatuses()
 }
 
-// answerStatus replies with the state that is known here. The caller must have found out since the
-// request arrived whether the job has a final state.
+// answerStatus replies with the state that is known here. The caller must have checked, after the
+// request arrived, whether the job has a final state.
 func (c *Controller) answerStatus(id uint64, job string) {
 	s, done, running := c.knownProgress(job)
 	if outcome, ok := c.admission.outcomes[job]; ok {
@@ -55,9 +55,9 @@
 	c.reply(id, 200, protocol.EncodeJobStatus(job, s, done, running))
 }
 
-// statusCheck is a read-only transaction. It compares whether each of some jobs has an outcome
-// and, for jobs that this controller doesn't know to be accepted, whether they exist. Both answers
-// are as of the same moment.
+// statusCheck is a read-only transaction. It checks for some jobs whether each has an outcome and,
+// for jobs that this controller doesn't know to be accepted, whether they exist. All results are as
+// of the same revision.
 type statusCheck struct {
 	txn     *protocol.Txn
 	queries []statusQuery
@@ -117,7 +117,7 @@
 	for _, key := range r.Failed {
 		exists[key] = true
 	}
-	reads := map[string][]uint64{} // queries for finished jobs, by job
+	reads := map[string][]uint64{} // queries for jobs whose outcome must be read, by job
 	for _, q := range check.queries {
 		_, final := c.admission.outcomes[q.job]
 		switch {
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -73,9 +73,9 @@
 // maxSubmissionBytes limits the size of the records in one transaction of submissions.
 const maxSubmissionBytes = 32 << 10
 
-// nextSubmissions moves pending submissions into a transaction. It fills at most half of one,
-// because the state service refuses all of a transaction if its remaining write capacity is too
-// small for it.
+// nextSubmissions moves pending submissions into a transaction. It uses at most half of the
+// operations that a transaction may have, because the state service refuses a whole transaction if
+// its remaining write capacity is too small for it.
 func (a *admission) nextSubmissions(txnOps int) ([]*submission, *protocol.Txn) {
 	t := &protocol.Txn{}
 	count, size := 0, 0
@@ -83,9 +83,9 @@
 		if count == max(1, txnOps/2) || count > 0 && size+len(s.record) > maxSubmissionBytes {
 			break
 		}
-		// The job exists once this is applied, and the user is told only then. The condition
-		// that there is no outcome keeps a delayed duplicate from recreating a finished job
-		// whose record was already deleted.
+		// The job exists once this is applied, and the user gets a reply only then. The
+		// condition that there is no outcome keeps a delayed duplicate from recreating a
+		// finished job whose record was already deleted.
 		t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyActive(s.job.ID)}, protocol.Condition{Key: records.KeyOutcome(s.job.ID)})
 		t.Ops = append(t.Ops, protocol.Op{Put: records.KeyActive(s.job.ID), Value: s.record})
 		count, size = count+1, size+len(s.record)
--- a/internal/coordination/task_blocks.go
+++ b/internal/coordination/task_blocks.go
@@ -32,6 +32,7 @@
 	return added
 }
 
+// task returns the task with the given index.
 func (j *job) task(i int) *task { return &j.block(i).tasks[i%j.blockSize] }
 
 // encode returns the block's record, and the tasks whose completion it would be the first to
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// loadAttempt loads the latest attempt at a task from its record. It is live if the record names
-// a machine and the task isn't done.
+// loadAttempt loads the latest attempt at a task from its record. The attempt is live if the record
+// names a machine that isn't terminated, and the task isn't done.
 func (l *leader) loadAttempt(block *taskBlock, entry *records.TaskEntry) {
 	t := &block.tasks[entry.Offset]
 	t.lastAttemptNumber = entry.Attempt
@@ -113,8 +114,8 @@
 	}
 	m := l.machines[entry.Machine]
 	if m == nil {
-		// The machine's own record is gone. It is deleted only after the machine was proven
-		// terminated, so the attempt has terminated too.
+		// No record names the machine any longer. It was removed from its record only after it
+		// was proven terminated, so the attempt has terminated too.
 		return
 	}
 	a := &attempt{job: block.job, taskIndex: block.index*block.job.blockSize + entry.Offset, number: entry.Attempt, machine: m, placedAt: l.controller.now,
@@ -125,8 +126,9 @@
 	l.attach(a)
 }
 
-// requeueInactiveTasks queues the tasks up to the end of a loaded block that are neither live nor
-// done to be started again. Tasks are started in order, so all of these were started before.
+// requeueInactiveTasks queues the tasks up to the end of a loaded block that are not done and have no
+// live attempt, so that they are started again. Tasks are started in order, so all of these were
+// started before.
 func (b *taskBlock) requeueInactiveTasks() {
 	j := b.job
 	end := min(j.Tasks, b.index*j.blockSize+len(b.tasks))
--- a/internal/coordination/timers.go
+++ b/internal/coordination/timers.go
@@ -13,7 +13,7 @@
 	return c.timers[0].at
 }
 
-// timer runs a function when its time has come.
+// timer runs a function at a given time.
 type timer struct {
 	at  time.Time
 	seq uint64 // orders timers with equal times: the one set first runs first
--- a/internal/coordination/victim_search.go
+++ b/internal/coordination/victim_search.go
@@ -43,9 +43,9 @@
 	search preemption.Search[*machine]
 }
 
-// preemptFor preempts other work for up to left tasks of a job and returns for how many tasks no
-// room could be made. The victims' room is available once their exit is reported; the job's tasks
-// are placed then.
+// preemptFor preempts other work for up to left tasks of a job and returns for how many tasks that
+// wasn't possible. The victims' resources are available once their exits are reported; the job's
+// tasks are placed then.
 func (l *leader) preemptFor(j *job, left int) int {
 	k := victimSearchKeyOf(j)
 	if !l.preemptionDelayOver(j) {
@@ -77,7 +77,7 @@
 	s.search.BeginJob(l.victimSelectorFor(j, s.rules), placement.Needs(j.Job))
 }
 
-// preemptNext makes room for one more task of the job that the search was begun for, and reports
+// preemptNext preempts work for one more task of the job that the search was begun for, and reports
 // whether that was possible.
 func (l *leader) preemptNext(s *victimSearch, j *job) bool {
 	return s.search.PreemptNext(l.victimSelectorFor(j, s.rules))
@@ -162,7 +162,7 @@
 }
 
 // Preempt implements preemption.Machines. It stops the victims that the last call of Cost chose
-// and reserves their room for the job.
+// and reserves their resources for the job.
 func (v *victimSelector) Preempt(m *machine) {
 	l, j := v.leader, v.job
 	for i := range v.victims {
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -31,7 +31,7 @@
 	if !s.alive() || m.orders.inFlight || m.removed || !m.session.Registered || m.addr == "" || !s.loaded && !m.attemptsKnown || !s.serves(m) || !s.holdsLease() {
 		return false
 	}
-	// An unreachable worker gets its orders with its next heartbeat response.
+	// A worker that calls don't reach gets its orders with its next heartbeat response.
 	return !s.controller.now.Before(m.orders.pausedUntil) && s.controller.now.Sub(m.session.LastSeen) <= s.controller.cfg.HeartbeatInterval*3/2
 }
 
@@ -61,7 +61,7 @@
 }
 
 // pendingOrders returns the unsent stops and starts for a worker, as many as one message
-// holds. The others go out once that message was answered.
+// holds. The others are sent once that message was answered.
 func (s *workerSessions) pendingOrders(m *machine) (orders []protocol.Order, starts []*attempt) {
 	mayStart := s.startsAllowed()
 	budget := protocol.NewOrderBudget()
@@ -98,7 +98,7 @@
 	return startOrder(a), true
 }
 
-// deferStarts keeps a machine's starts back until a recent read of the job records allows them.
+// deferStarts defers a machine's starts until a recent read of the job records allows them.
 func (s *workerSessions) deferStarts(m *machine) {
 	if !m.orders.startsDeferred {
 		m.orders.startsDeferred = true
@@ -141,9 +141,9 @@
 	}
 }
 
-// ordersUnanswered handles a call with orders that got no valid response. The worker may still
-// carry the orders out late. So the token of a direct start is kept until the worker has seen
-// a higher one, unless the orders were never sent or were refused.
+// ordersUnanswered handles a call with orders that got no valid response. The worker may carry the
+// orders out later. So the token of a direct start is kept until the worker has seen a higher one,
+// unless the orders were never sent or were refused.
 func (s *workerSessions) ordersUnanswered(m *machine, starts []*attempt, out Outcome) {
 	if out.NotSent || out.Answered && out.Status == 400 {
 		for _, a := range starts {
--- a/internal/coordination/worker_probes.go
+++ b/internal/coordination/worker_probes.go
@@ -20,7 +20,8 @@
 	tokenEchoTimeout = 700 * time.Millisecond
 )
 
-// needsProbe reports whether a machine should be probed after it was silent for unseen.
+// needsProbe reports whether a machine should be probed. unseen is the time since the latest message of
+// its worker.
 func (s *workerSessions) needsProbe(m *machine, unseen time.Duration) bool {
 	return s.detector.NeedsProbe(s.controller.timing(), &m.session, m.Zone, unseen, s.controller.now)
 }
@@ -36,7 +37,7 @@
 	}
 }
 
-// probeBatch probes some of the listed machines, and others the next time: sending hundreds of
+// probeBatch probes some of the listed machines, and others in the next call: sending hundreds of
 // probes at once takes longer than probeTimeout.
 func (s *workerSessions) probeBatch(list []*machine) {
 	limit := max(minProbeBatch, len(s.fleetList)/probeBatchDivisor)
@@ -83,14 +84,14 @@
 	case r == nil || r.Machine != m.Name:
 		m.session.FailedProbes++
 		s.listener.probeFailed(m)
-		// Perhaps only calls fail. A raised token proves, once a heartbeat shows it,
-		// that heartbeat responses reach the worker.
+		// Possibly only calls fail. Once a heartbeat shows a raised token, that proves that
+		// heartbeat responses reach the worker.
 		if m.session.Registered && m.session.SeenToken >= m.session.Token() {
 			s.raiseFencingToken(m, m.session.SeenToken)
 		}
 	case r.Incarnation < incarnation:
 		// The probe was sent after the newer incarnation was known, so the worker lost its
-		// state: it was restarted and numbers its incarnations from the beginning.
+		// state and restarted its incarnation numbers.
 		s.controller.log.Warn("worker incarnation reset", "machine", m.Name, "incarnation", r.Incarnation, "previous", m.session.Incarnation)
 		s.listener.incarnationReset(m)
 	case m.session.IsNewer(responseMessage(r)):
@@ -102,8 +103,8 @@
 }
 
 // announceEpoch sends a worker a token of this epoch by a call if the worker's heartbeats go to
-// another controller. An earlier owner that lost the state service may still respond to them,
-// and would keep the worker until its grace period ends.
+// another controller. An earlier owner without access to the state service may still respond to
+// them, so that the worker would stay with it until its grace period ends.
 func (s *workerSessions) announceEpoch(m *machine) {
 	if !s.needsAnnouncement(m) {
 		return
@@ -125,7 +126,7 @@
 
 // needsAnnouncement reports whether a worker has seen no token of this epoch although it had
 // time to reconnect. Workers that reconnect by themselves aren't called: with a small CPU
-// share, those calls took a new leader a tenth of its first seconds.
+// share, those calls took a tenth of a new leader's first seconds.
 func (s *workerSessions) needsAnnouncement(m *machine) bool {
 	if !m.session.EpochSeenAt.IsZero() || m.orders.inFlight || !s.loaded && !m.attemptsKnown || !s.serves(m) {
 		return false
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -11,9 +11,9 @@
 )
 
 // workerSessions manages the workers of a leader's or a shard owner's machines: it responds to
-// their heartbeats, sends orders, probes silent workers, and determines which attempts have
-// terminated. It neither places tasks nor writes records. It reports events to its listener,
-// which does.
+// their heartbeats, sends orders, probes workers from which no messages arrive, and determines
+// which attempts have terminated. It neither places tasks nor writes records. It reports events to its
+// listener, which does.
 type workerSessions struct {
 	controller *Controller
 	listener   sessionListener
@@ -29,7 +29,7 @@
 	lease       leadership.Lease
 
 	detector       sessions.Detector
-	statusCount    uint64     // statuses applied, call responses included; marks the attempts in the latest one
+	statusCount    uint64     // statuses applied, including those in call responses; marks the attempts that the latest one lists
 	ordersDue      []*machine // machines with orders to send at the end of the step
 	deferredStarts []*machine // machines whose starts wait for a recent read of the job records
 }
@@ -63,16 +63,17 @@
 	// orphanReported: the worker reported a task that is unknown here. It returns whether to
 	// stop the task.
 	orphanReported(m *machine, t *protocol.TaskStatus) (stop bool)
-	// attemptTerminated: it was proven that an attempt has ended and can't start any more.
+	// attemptTerminated: it was proven that an attempt has ended and can no longer be started.
 	attemptTerminated(a *attempt, reason string)
-	// jobRecorded: a record of an unfinished job was read; live means that it has just been
-	// written. jobEnded: the job's outcome is recorded. jobRemoved: its record was removed.
-	jobRecorded(id string, value json.RawMessage, live bool)
+	// jobRecorded: a record of an unfinished job was read. justWritten means that a watch
+	// delivered it, so that it is new. jobEnded: the job's outcome is recorded. jobRemoved: its record was removed.
+	jobRecorded(id string, value json.RawMessage, justWritten bool)
 	jobEnded(j *job, s protocol.JobState)
 	jobRemoved(id string)
 }
 
-// serves reports whether this owner currently responds to and calls a machine's worker.
+// serves reports whether this owner currently responds to the heartbeats of a machine's worker and
+// calls the worker.
 func (s *workerSessions) serves(m *machine) bool { return m.session.Served() }
 
 // newWorkerSessions returns sessions without machines and jobs.
@@ -95,7 +96,7 @@
 
 // gracePeriod is how long an owner keeps responding to heartbeats after its lease may have
 // expired, so that an outage of the state service doesn't end every task. The next owner waits
-// for its end before it treats a worker's silence as proof that the tasks have ended. It is
+// for its end before it treats missing messages of a worker as proof that the tasks have ended. It is
 // short enough that lease, grace period and worker lease together fit into the time in which
 // a cancellation must take effect; maxAnswerStaleness bounds it further.
 func (s *workerSessions) gracePeriod() time.Duration {
@@ -148,8 +149,9 @@
 	if at.After(s.jobsKnownAt) {
 		s.jobsKnownAt = at
 	}
-	// An overloaded owner reads its watches late, so starts are not allowed most of the time.
-	// Deferred starts go out now rather than with the machines' next heartbeats.
+	// An overloaded owner reads the responses to its watches late, so starts are not allowed
+	// most of the time. Deferred starts are sent now rather than with the machines' next
+	// heartbeats.
 	if len(s.deferredStarts) > 0 && s.startsAllowed() {
 		for _, m := range s.deferredStarts {
 			m.orders.startsDeferred = false
@@ -159,7 +161,8 @@
 	}
 }
 
-// terminationProofAt is when the tasks on a machine that stays silent have certainly ended.
+// terminationProofAt returns the time at which all tasks on a machine have certainly ended if contact
+// with its worker isn't resumed before.
 func (s *workerSessions) terminationProofAt(m *machine) time.Time {
 	lease := s.controller.cfg.WorkerLease
 	return m.session.TerminationProofAt(lease + leadership.MaxClockDrift(lease) + deadlineMargin)
@@ -177,12 +180,12 @@
 	return sessions.Timing{HeartbeatInterval: c.cfg.HeartbeatInterval, WorkerLease: c.cfg.WorkerLease}
 }
 
-// unansweredFor is how long no heartbeat of a machine has been answered.
+// unansweredFor returns for how long no heartbeat of a machine has been answered.
 func (s *workerSessions) unansweredFor(m *machine) time.Duration {
 	return s.detector.Unanswered(&m.session, s.controller.now)
 }
 
-// unreachedFor is how long there has been no proof that anything sent reaches a machine.
+// unreachedFor returns for how long there has been no proof that anything sent reaches a machine.
 func (s *workerSessions) unreachedFor(m *machine) time.Duration {
 	return s.detector.Unreached(&m.session, s.controller.now)
 }
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -10,7 +10,7 @@
 // Job is the record of an accepted job.
 type Job struct {
 	SubmittedAt int64         `json:"at"`    // Unix milliseconds
-	BlockSize   int           `json:"chunk"` // tasks per block, fixed for the life of the job
+	BlockSize   int           `json:"chunk"` // tasks per block; never changes for a job
 	Spec        *protocol.Job `json:"spec"`  // as submitted by the user
 }
 
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -62,7 +62,7 @@
 
 // KeyOutcome returns the key of a job's final state. The key is created once and never
 // overwritten (every write is conditional on its absence), so a controller that has read it
-// may tell the user: no later write can contradict it.
+// may report it to the user: no later write can contradict it.
 func KeyOutcome(job string) string { return PrefixOutcome + job }
 
 // KeyTaskBlock returns the key of the record of one block of a job's tasks.
@@ -85,7 +85,7 @@
 }
 
 // KeyMachineGroup returns the key of the record of a group of machines. It is made from the
-// term of the leader that created the group and a counter of that leader's. The shard of the
+// term of the leader that created the group and a counter that the leader keeps. The shard of the
 // group's machines is part of the key, so that a delayed write of the record can't change it;
 // 0 is no shard. Keys with a shard sort before those without.
 func KeyMachineGroup(shard int, term, counter uint64) string {
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -8,14 +8,14 @@
 	Spot     bool           `json:"spot,omitempty"`
 	Machines []MachineEntry `json:"m"`
 
-	// LegacyRentedAt is set in records that were written when each machine had its own: when
+	// LegacyRentedAt is set in records of a single machine, as earlier versions wrote them: when
 	// the machine was provisioned, in Unix milliseconds. The key of such a record ends with the
 	// machine's name.
 	LegacyRentedAt int64 `json:"at,omitempty"`
 }
 
-// Size limits of a group: the bytes of its record besides the machines, and the most bytes that
-// one machine with a long name takes.
+// Size limits of a group: the bytes of its record besides the machines, and the maximum number of
+// bytes that one machine with a long name takes.
 const (
 	groupOverheadBytes = 256
 	bytesPerMachine    = 104
--- a/internal/records/task_blocks.go
+++ b/internal/records/task_blocks.go
@@ -64,8 +64,8 @@
 	return set, nil
 }
 
-// Size limits of a block: the bytes of its record besides the tasks, and the most bytes that one
-// task with a long machine name and a high attempt number takes.
+// Size limits of a block: the bytes of its record besides the tasks, and the maximum number of bytes
+// that one task with a long machine name and a high attempt number takes.
 const (
 	blockOverheadBytes = 512
 	bytesPerTask       = 72
