--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -21,8 +21,8 @@
 )
 
 // maxPlannedMachines bounds the machines requested by one scale-out; the responses to these
-// requests determine what else is needed. reservedReleaseCalls is how many calls of the burst budget scale-out leaves
-// for releases.
+// requests determine what else is needed. reservedReleaseCalls is how many calls of the burst
+// budget scale-out leaves for releases.
 const (
 	maxPlannedMachines   = 200
 	reservedReleaseCalls = 1
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -39,8 +39,8 @@
 }
 
 // awaitsRegistration reports whether a machine whose boot seems overdue may have registered with an
-// earlier leader, and has had too little time to register with this one. Otherwise a new leader would release such
-// machines as if they had never booted.
+// earlier leader, and has had too little time to register with this one. Otherwise a new leader
+// would release such machines as if they had never booted.
 func (l *leader) awaitsRegistration(m *machine) bool {
 	return m.inherited && l.bootOverdue(m) && l.controller.now.Sub(l.loadedAt) < l.controller.timing().RegistrationTimeout()
 }
--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -38,8 +38,8 @@
 )
 
 // groupRewriteDelay lets several changes of a group share one write: the removal of terminated
-// machines, and the addresses of workers that have registered. The next leader probes the recorded addresses at once,
-// without the cloud's inventory, which may not be available.
+// machines, and the addresses of workers that have registered. The next leader probes the recorded
+// addresses at once, without the cloud's inventory, which may not be available.
 const groupRewriteDelay = 5 * time.Second
 
 // recordMachine queues a machine to be recorded, in a new group if no queued one accepts it.
--- a/internal/coordination/place_job.go
+++ b/internal/coordination/place_job.go
@@ -160,8 +160,8 @@
 }
 
 // placeGang places all tasks of a gang or none: the tasks of a partial gang would only occupy
-// resources until their workers time out waiting for the others. It returns how many tasks are left that more
-// machines would help.
+// resources until their workers time out waiting for the others. It returns how many tasks are left
+// that more machines would help.
 func (l *leader) placeGang(j *job) int {
 	need := j.pendingTasks()
 	if j.liveAttempts > 0 {
--- a/internal/coordination/preemption/search.go
+++ b/internal/coordination/preemption/search.go
@@ -19,10 +19,10 @@
 }
 
 // Search finds, for one task after the other, the machine where making room costs least. Capacity
-// that is already being freed costs nothing and is therefore used first. All machines are examined once for all
-// jobs that may preempt the same work; these jobs share the search during a placement round.
-// After that, only the machine that was chosen last is examined again. Examining all of them for
-// every task, or for every job, kept the leader of a large fleet from renewing its lease for
+// that is already being freed costs nothing and is therefore used first. All machines are examined
+// once for all jobs that may preempt the same work; these jobs share the search during a placement
+// round. After that, only the machine that was chosen last is examined again. Examining all of them
+// for every task, or for every job, kept the leader of a large fleet from renewing its lease for
 // seconds.
 //
 // Each machine that was added is in exactly one of three lists: options, which have room for the
--- a/internal/coordination/queue/corrections.go
+++ b/internal/coordination/queue/corrections.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Corrections are the factors by which the run times of each class's tasks differ from the users'
-// estimates. These may be too high or too low for most tasks for a day at a time. The factor of a class that is
-// absent is 1.
+// estimates. These may be too high or too low for most tasks for a day at a time. The factor of a
+// class that is absent is 1.
 type Corrections map[string]float64
 
 const (
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// The record of a task block contains which tasks were migrated, for the next leader. If the marks can't
-// be decoded, all tasks of the block count as migrated.
+// The record of a task block contains which tasks were migrated, for the next leader. If the marks
+// can't be decoded, all tasks of the block count as migrated.
 func TestMigrationMarks(t *testing.T) {
 	l, a, _ := leaderWithMigration(t)
 	block := a.job.block(a.taskIndex)
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// saturated reports whether so many records are queued that no more tasks should be placed. A
-// task that is placed now would have to wait until its record is written. It is better to choose
-// then among the tasks that are pending. Each record holds the placements of one block of a job's tasks.
+// saturated reports whether so many records are queued that no more tasks should be placed. A task
+// that is placed now would have to wait until its record is written. It is better to choose then
+// among the tasks that are pending. Each record holds the placements of one block of a job's tasks.
 // The bound is the number of records written in about half a second, and at least a few
 // transactions.
 func (w *recordWriter) saturated() bool {
--- a/internal/coordination/sessions/delivery.go
+++ b/internal/coordination/sessions/delivery.go
@@ -60,9 +60,9 @@
 	ReasonLeaseExpired     = "the worker's lease expired"
 )
 
-// EvaluateAbsence determines what follows if a worker's newest message doesn't report the
-// attempt. baseToken is the lowest fencing token of the current epoch. Absence proves termination only once no
-// start that was sent can still be carried out. The reason is set for Terminated.
+// EvaluateAbsence determines what follows if a worker's newest message doesn't report the attempt.
+// baseToken is the lowest fencing token of the current epoch. Absence proves termination only once
+// no start that was sent can still be carried out. The reason is set for Terminated.
 func (d *Delivery) EvaluateAbsence(m Message, baseToken uint64) (verdict Absence, reason string) {
 	switch {
 	case d.Reported:
--- a/internal/coordination/sessions/detector.go
+++ b/internal/coordination/sessions/detector.go
@@ -129,8 +129,8 @@
 	return now.Sub(Latest(s.LastAnswered, s.RegisteredAt, d.resetAt))
 }
 
-// Unreached returns for how long there has been no proof that anything sent reaches a worker. It is 0 for
-// an unregistered worker.
+// Unreached returns for how long there has been no proof that anything sent reaches a worker. It is
+// 0 for an unregistered worker.
 func (d *Detector) Unreached(s *Session, now time.Time) time.Duration {
 	if !s.Registered {
 		return 0
--- a/internal/coordination/shard/doc.go
+++ b/internal/coordination/shard/doc.go
@@ -8,9 +8,9 @@
 // controller passes in records of the state service and messages of peers, and carries out the
 // resulting changes and sends.
 //
-// Only the records in the state service determine who owns a shard. A change of the owner is one transaction,
-// conditional on the version of the shard's record, and carries a term above all earlier ones,
-// from which the owner's fencing tokens are made.
+// Only the records in the state service determine who owns a shard. A change of the owner is one
+// transaction, conditional on the version of the shard's record, and carries a term above all
+// earlier ones, from which the owner's fencing tokens are made.
 //
 // The package must never do I/O, read a clock, or start a goroutine: times are passed as arguments.
 // It must never conclude that an ownership has ended because no messages arrive from the owner: an
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -118,12 +118,12 @@
 	To Member
 }
 
-// Assign returns a change that assigns unowned shards to members: new shards, and those whose owner's
-// lease has ended.
-// The change is conditional on the member key of the previous owner being as the table has it:
-// absent, or of a later incarnation. So the previous ownership has certainly ended in the state
-// service. Shards whose owner's lease hasn't ended are skipped. A shard whose record can't be parsed
-// is assigned too: the caller must have waited until any owner of it has stopped serving.
+// Assign returns a change that assigns unowned shards to members: new shards, and those whose
+// owner's lease has ended. The change is conditional on the member key of the previous owner being
+// as the table has it: absent, or of a later incarnation. So the previous ownership has certainly
+// ended in the state service. Shards whose owner's lease hasn't ended are skipped. A shard whose
+// record can't be parsed is assigned too: the caller must have waited until any owner of it has
+// stopped serving.
 func (t *Table) Assign(list []Assignment, leader LeaderState) *Change {
 	c := newChange(leader)
 	owners := map[string]bool{}
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -1,8 +1,9 @@
 package shard
 
 // Messages between the leader and owners have a limited size. Pending content is collected in one
-// message of any size, from which parts that fit into a message are taken. Its lists are split in the order in
-// which the other side applies them, so that no entry overtakes an earlier one of the same task.
+// message of any size, from which parts that fit into a message are taken. Its lists are split in
+// the order in which the other side applies them, so that no entry overtakes an earlier one of the
+// same task.
 
 // Maximum encoded bytes of an entry, without the names in it.
 const (
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -11,8 +11,8 @@
 	"brasskeel/internal/records"
 )
 
-// RecordError reports a key under records.PrefixShards whose record can't be parsed. Callers detect it with
-// errors.As.
+// RecordError reports a key under records.PrefixShards whose record can't be parsed. Callers detect
+// it with errors.As.
 type RecordError struct {
 	Key    string // in the state service
 	Reason string // names the shard or member and quotes the value
--- a/internal/coordination/statestore/record.go
+++ b/internal/coordination/statestore/record.go
@@ -20,10 +20,9 @@
 	verifying              // a transaction may or may not have written the record; its version is being read
 )
 
-// RecordState is the state of one record: whether it must be written, and which version of it
-// is in the store. Each write is conditional on that version, so that a delayed write can't overwrite
-// a newer one. The zero value is a clean record that isn't
-// in the store.
+// RecordState is the state of one record: whether it must be written, and which version of it is in
+// the store. Each write is conditional on that version, so that a delayed write can't overwrite a
+// newer one. The zero value is a clean record that isn't in the store.
 //
 //	clean --MarkLazy--> lazy --MarkUrgent--> urgent        (any) --MarkClean--> clean
 //	idle --BeginWrite--> writing --Written or NotWritten--> idle
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -10,9 +10,9 @@
 
 // statusCheckDivisor is the maximum fraction of the state service's request rate that one
 // controller's status checks use, as a divisor. A check serves dozens of queries, and the more
-// queries arrive, the more of them share one. When each check was sent as soon as the last one was answered, the
-// checks of three controllers alone exceeded the service's rate limit, and submissions were
-// refused.
+// queries arrive, the more of them share one. When each check was sent as soon as the last one was
+// answered, the checks of three controllers alone exceeded the service's rate limit, and
+// submissions were refused.
 const statusCheckDivisor = 12
 
 // statusCheckInterval is the minimum time between two status checks.
--- a/internal/coordination/worker_probes.go
+++ b/internal/coordination/worker_probes.go
@@ -20,8 +20,8 @@
 	tokenEchoTimeout = 700 * time.Millisecond
 )
 
-// needsProbe reports whether a machine should be probed. unseen is the time since the latest message of
-// its worker.
+// needsProbe reports whether a machine should be probed. unseen is the time since the latest
+// message of its worker.
 func (s *workerSessions) needsProbe(m *machine, unseen time.Duration) bool {
 	return s.detector.NeedsProbe(s.controller.timing(), &m.session, m.Zone, unseen, s.controller.now)
 }
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -65,8 +65,9 @@
 	orphanReported(m *machine, t *protocol.TaskStatus) (stop bool)
 	// attemptTerminated: it was proven that an attempt has ended and can no longer be started.
 	attemptTerminated(a *attempt, reason string)
-	// jobRecorded: a record of an unfinished job was read. justWritten means that a watch
-	// delivered it, so that it is new. jobEnded: the job's outcome is recorded. jobRemoved: its record was removed.
+	// jobRecorded: a record of an unfinished job was read. justWritten means that a watch delivered
+	// it, so that it is new. jobEnded: the job's outcome is recorded. jobRemoved: its record was
+	// removed.
 	jobRecorded(id string, value json.RawMessage, justWritten bool)
 	jobEnded(j *job, s protocol.JobState)
 	jobRemoved(id string)
