--- a/internal/coordination/balance/rebalance_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -27,7 +27,8 @@
 	return f
 }
 
-// addTask puts a task of a team on a machine, given by its index. change, if not nil, changes the task.
+// addTask adds a task of a team to the machine with the given index. change, if not nil, changes the
+// task.
 func (f *fleet) addTask(index int, team Team, change func(*MigratableTask)) {
 	s := f.machines[index]
 	job := &protocol.Job{Kind: protocol.Batch, CPUs: 1, MemoryGB: 1, Image: "a", ImageGB: 1, CheckpointInterval: 5 * time.Second, CheckpointDuration: time.Second}
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -52,8 +52,8 @@
 	l.round.candidates = l.round.candidates[:0]
 	l.round.ceilingPolicy = l.rebalancer.ceilingPolicy(j)
 	s := placement.ShapeOf(j.Job)
-	// A shape that is at least as large as one that found no room won't find any either, and
-	// nothing is placed while too many records wait to be written.
+	// A shape that is at least as large as one that found no room won't find any either. No
+	// task is placed while too many records wait to be written.
 	if l.writer.saturated() || s.KnownNotToFit(l.round.unplaceable) {
 		return placement.Candidates{}
 	}
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// rerankBest updates the rank of the best machine after it was given a task, or drops it if it
-// can't take another one.
+// rerankBest updates the rank of the best machine after a task was placed on it, or drops the machine
+// if no further task of the job fits there.
 func (l *leader) rerankBest(c *placement.Candidates, j *job) {
 	k := c.Best()
 	m := l.round.withRoom[k.Machine]
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -61,7 +61,7 @@
 	unavailability   string           // current reason; empty while available
 	unavailableSince time.Time
 
-	draining  bool // the controller is giving up its shards and leadership
+	draining  bool // the controller is handing over its shards and leadership
 	limits    limits.Counters
 	sampler   ratelog.Sampler    // for log lines that occur in bursts
 	deferred  deferredHeartbeats // heartbeats that wait for a leader
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -113,7 +113,7 @@
 
 // redirector chooses the target when a controller that neither leads nor serves a worker
 // redirects it. The leader knows which controller serves the worker. But a worker that could not
-// reach the leader contacted this controller again after a time-out, was redirected to the leader
+// reach the leader contacted this controller again after a timeout, was redirected to the leader
 // again, and did not try the controller that serves it before its lease expired. Such a worker is
 // redirected without a target, and then tries all controllers in turn.
 type redirector struct {
@@ -123,7 +123,7 @@
 
 const (
 	// redirectReturnWindow is the time within which a worker that contacts this controller again
-	// after a redirect is assumed not to have reached the leader: twice the time-out of a
+	// after a redirect is assumed not to have reached the leader: twice the timeout of a
 	// heartbeat and the pause after it.
 	redirectReturnWindow = 2 * sessions.LostHeartbeatDelay
 	// maxRememberedRedirects is the number of entries above which old redirects are dropped.
--- a/internal/coordination/leadership/doc.go
+++ b/internal/coordination/leadership/doc.go
@@ -13,7 +13,7 @@
 // controller's [Role], and the rules for when it may campaign. It depends on the rest of the
 // controller only through the interfaces [Clock], [Store] and [Host].
 //
-// Invariants: a clock, a peer's message or a time-out is never proof that leadership ended
+// Invariants: a clock, a peer's message or a timeout is never proof that leadership ended
 // elsewhere; only the store's state decides an election. An expired lease is never renewed,
 // and after [Lease.ValidUntil] a leader never writes without the conditions that the store
 // checks.
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Shape holds the properties of a task that determine on which machines it finds room: the
+// Shape holds the properties of a task that determine on which machines it can be placed: the
 // resources that it needs and the machines that it may use.
 type Shape struct {
 	needs Resources
@@ -99,7 +99,7 @@
 func ShapeOf(j *protocol.Job) Shape { return Shape{Needs(j), j.Zone, j.AllowSpot, j.MachineTypes} }
 
 // KnownNotToFit reports whether a shape that needs no more, with the same restrictions, is in
-// failed, i.e. found no room earlier in the round. During a round, room is only used up.
+// failed, that is, found no room earlier in the round. During a round, free capacity only decreases.
 func (s *Shape) KnownNotToFit(failed []Shape) bool {
 	for i := range failed {
 		f := &failed[i]
--- a/internal/coordination/statestore/client_test.go
+++ b/internal/coordination/statestore/client_test.go
@@ -176,7 +176,7 @@
 			var status LeaseStatus
 			c.RenewLease(7, time.Second, func(got LeaseStatus) { status = got })
 			if r := h.answer(t, test.response); r.Target != protocol.RenewLeaseTarget(7) || r.Timeout != time.Second || status != test.renewed {
-				t.Errorf("renewal sent to %s with time-out %s, status %d", r.Target, r.Timeout, status)
+				t.Errorf("renewal sent to %s with timeout %s, status %d", r.Target, r.Timeout, status)
 			}
 			c.RevokeLease(7)
 			if r := h.answer(t, test.response); r.Method != "DELETE" || r.Target != protocol.LeaseTarget(7) {
--- a/internal/coordination/statestore/committer_test.go
+++ b/internal/coordination/statestore/committer_test.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// What doesn't fit into a transaction goes into the next, and what exceeds the write budget waits.
+// Records that don't fit into a transaction are written by the next one, and records that exceed the
+// write budget wait.
 func TestRoomAndBudget(t *testing.T) {
 	h, s, c := newTestCommitter()
 	s.keys = strings.Split("abcdefghijklmn", "")
