--- a/internal/coordination/leadership/election_test.go
+++ b/internal/coordination/leadership/election_test.go
@@ -82,7 +82,7 @@
 		t.Errorf("elected with %+v, want term 5, key version 50, lease 77, elected now", m)
 	}
 	if end := granted.Add(baseTTL - MaxClockDrift(baseTTL)); m.Lease.ValidUntil.After(end) {
-		t.Errorf("the lease counts as valid %s too long", m.Lease.ValidUntil.Sub(end))
+		t.Errorf("lease counts as valid %s longer than the store keeps it", m.Lease.ValidUntil.Sub(end))
 	}
 	if term, version := h.Term(); term != 5 || version != 50 {
 		t.Errorf("term %d, version %d; want 5, 50", term, version)
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -80,7 +80,7 @@
 	}
 	want := []string{"critical", "starving", "within quota", "urgent", "small", "best effort", "equal to best effort"}
 	if !slices.Equal(order, want) {
-		t.Errorf("wrong order: %q", order)
+		t.Errorf("sorted as %q, not in the order of service", order)
 	}
 }
 
--- a/internal/coordination/statestore/client_test.go
+++ b/internal/coordination/statestore/client_test.go
@@ -30,7 +30,7 @@
 			c.Get("a", func(r ReadResult) { got = append(got, r) })
 			h.answer(t, test.response)
 			if len(got) != 1 || got[0].Status != test.status || got[0].Item.Version != test.version {
-				t.Errorf("got %+v", got)
+				t.Errorf("results %+v, want one with the status and contents of this case", got)
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 			c.Watch("c/", 9, time.Second, func(r WatchResult) { got = append(got, r) })
 			h.answer(t, test.response)
 			if len(got) != 1 || got[0].Status != test.status || got[0].Revision != test.revision {
-				t.Errorf("got %+v", got)
+				t.Errorf("results %+v, want one with the status and contents of this case", got)
 			}
 		})
 	}
@@ -143,7 +143,7 @@
 			c.Commit(&protocol.Txn{}, func(r CommitResult) { got = append(got, r) })
 			h.answer(t, test.response)
 			if len(got) != 1 || got[0].Status != test.want.Status || got[0].Revision != test.want.Revision || !slices.Equal(got[0].Failed, test.want.Failed) {
-				t.Errorf("got %+v", got)
+				t.Errorf("results %+v, want one with the status and contents of this case", got)
 			}
 			if len(h.sent) != 0 {
 				t.Error("transaction sent again")
