--- a/internal/simulator/scenario_faults_test.go
+++ b/internal/simulator/scenario_faults_test.go
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// runInvalidRequests handles "odd_requests COUNT [every=D]": it sends invalid and repeated
+// runInvalidRequests handles "invalid_requests COUNT [every=D]": it sends invalid and repeated
 // requests COUNT times.
 func (r *scenarioRunner) runInvalidRequests(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
@@ -40,16 +40,16 @@
 	return ""
 }
 
-// runQueriesAfterChange handles "close_looks on|off": while it is on, users query all controllers
-// right after each change of a job.
-func (r *scenarioRunner) runQueriesAfterChange(t *testing.T, d *datadriven.TestData) string {
+// runQueryAfterChange handles "query_after_change on|off": while it is on, users query all
+// controllers right after each change of a job.
+func (r *scenarioRunner) runQueryAfterChange(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.queriesAfterChange = firstArg(t, d) == "on"
 	return ""
 }
 
-// runChangeLeaders handles "changes COUNT [every=D] [down=D]": the leader crashes COUNT times, and
-// each time restarts after the time that down gives.
-func (r *scenarioRunner) runChangeLeaders(t *testing.T, d *datadriven.TestData) string {
+// runCrashLeaders handles "crash_leaders COUNT [every=D] [down=D]": the leader crashes COUNT times,
+// and each time restarts after the time that down gives.
+func (r *scenarioRunner) runCrashLeaders(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
 	r.cluster.CrashLeaders(count, parseDuration(t, d, arg(d, "every", "12s")), parseDuration(t, d, arg(d, "down", "300ms")))
 	return ""
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// runPowerOff handles "silence NODE": the controller's host loses power, until "restart".
+// runPowerOff handles "power_off NODE": the controller's host loses power, until "restart".
 func (r *scenarioRunner) runPowerOff(t *testing.T, d *datadriven.TestData) string {
 	n := r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))]
 	n.crash()
@@ -83,9 +83,9 @@
 	return n.name
 }
 
-// runCheckCeiling handles "surges TEAM share=S": from now on it is a violation if the team's tasks
-// take more than this share of a machine while other machines have free capacity. share=0 ends
-// the check.
+// runCheckCeiling handles "check_ceiling TEAM share=S": from now on it is a violation if the team's
+// tasks take more than this share of a machine while other machines have free capacity. share=0
+// ends the check.
 func (r *scenarioRunner) runCheckCeiling(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.SetCeilingCheck(firstArg(t, d), numberArg(t, d, "share", "0"))
 	return ""
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// runQueryStorm handles "storm COUNT [over=D]": users send COUNT queries over a time.
+// runQueryStorm handles "query_storm COUNT [over=D]": users send COUNT queries over a time.
 func (r *scenarioRunner) runQueryStorm(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
 	r.cluster.QueryStorm(count, parseDuration(t, d, arg(d, "over", "10s")))
@@ -113,7 +113,7 @@
 }
 
 // runState handles "state FAULT ..." for faults of the state service, "state up", which ends them,
-// and "state spent", which prints the changes and the requests refused by the rate limits.
+// and "state usage", which prints the changes and the requests refused by the rate limits.
 func (r *scenarioRunner) runState(t *testing.T, d *datadriven.TestData) string {
 	switch firstArg(t, d) {
 	case "down":
@@ -142,7 +142,7 @@
 			return ""
 		}
 		r.cluster.state.maxRequestDelay, r.cluster.state.slowRequestShare = parseDuration(t, d, arg(d, "by", "2s")), numberArg(t, d, "share", "0.33")
-	case "spent":
+	case "usage":
 		// The counts since the start or the last such command.
 		s := r.cluster.state
 		out := fmt.Sprintf("changes=%d limited=%d", s.writes, s.rateLimited)
@@ -243,9 +243,9 @@
 	return ""
 }
 
-// runDuplicates handles "copies [on|off] [reports=D] [next=SHARE]". While it is on, direct commands
-// are delivered a second time. With reports, copies of heartbeats arrive up to D late; with next,
-// copies of a share of the heartbeats are kept until the next leader takes over.
+// runDuplicates handles "duplicates [on|off] [reports=D] [next=SHARE]". While it is on, direct
+// commands are delivered a second time. With reports, copies of heartbeats arrive up to D late;
+// with next, copies of a share of the heartbeats are kept until the next leader takes over.
 func (r *scenarioRunner) runDuplicates(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.duplicateCommands = firstArg(t, d) == "on"
 	r.cluster.staleHeartbeatShare = numberArg(t, d, "next", "0")
@@ -267,17 +267,17 @@
 		h.agent.setHung(false)
 	case "fail":
 		r.cluster.cloud.failMachine(h)
-	case "take":
+	case "terminate":
 		r.cluster.cloud.terminateMachine(h)
 	case "notice":
 		h.agent.preemptionAt = r.cluster.now.Add(parseDuration(t, d, arg(d, "in", "20s")))
 		h.agent.statusChanged()
 		r.cluster.after(parseDuration(t, d, arg(d, "in", "20s")), func() { r.cluster.cloud.terminateMachine(h) })
-	case "sick":
+	case "fail_tasks":
 		h.agent.failsAllTasks = true
-	case "mute":
+	case "lose_heartbeats":
 		h.agent.heartbeatsLost = true
-	case "unmute":
+	case "restore_heartbeats":
 		h.agent.heartbeatsLost = false
 	case "reboot":
 		h.agent.reboot()
--- a/internal/simulator/scenario_show_test.go
+++ b/internal/simulator/scenario_show_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// runTriggerOutput handles "heard": it prints the results of the commands that triggers have run
-// since the last such command.
+// runTriggerOutput handles "trigger_output": it prints the results of the commands that triggers
+// have run since the last such command.
 func (r *scenarioRunner) runTriggerOutput(_ *testing.T, _ *datadriven.TestData) string {
 	out := strings.Join(r.triggerOutput, "\n")
 	r.triggerOutput = nil
@@ -23,8 +23,8 @@
 	return fmt.Sprint(r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))].core.Drained())
 }
 
-// runMigrations handles "moved": how many tasks of all jobs are on record as migrated, and how often
-// tasks were told to stop.
+// runMigrations handles "migrations": how many tasks of all jobs are on record as migrated, and how
+// often tasks were told to stop.
 func (r *scenarioRunner) runMigrations(_ *testing.T, _ *datadriven.TestData) string {
 	return r.cluster.Migrations()
 }
@@ -39,14 +39,14 @@
 	return strings.Join(r.cluster.ShardOwners(), "\n")
 }
 
-// runOwnersByShards handles "owners": how many shards each controller owns, and how many move.
-func (r *scenarioRunner) runOwnersByShards(_ *testing.T, _ *datadriven.TestData) string {
+// runShardCounts handles "shard_counts": how many shards each controller owns, and how many move.
+func (r *scenarioRunner) runShardCounts(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.ShardCounts(), "\n")
 }
 
-// runAnswerGaps handles "gaps [reset]": the distribution of the times between two responses to a
-// worker. reset starts it anew.
-func (r *scenarioRunner) runAnswerGaps(_ *testing.T, d *datadriven.TestData) string {
+// runReplyIntervals handles "reply_intervals [reset]": the distribution of the times between two
+// responses to a worker. reset starts it anew.
+func (r *scenarioRunner) runReplyIntervals(_ *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) > 0 && d.CmdArgs[0].Key == "reset" {
 		r.cluster.replyIntervals.Reset()
 		return ""
@@ -54,8 +54,8 @@
 	return r.cluster.ReplyIntervals()
 }
 
-// runForgotten handles "forgotten": the jobs whose queries got no answer for too long.
-func (r *scenarioRunner) runForgotten(_ *testing.T, _ *datadriven.TestData) string {
+// runLongUnanswered handles "long_unanswered": the jobs whose queries got no answer for too long.
+func (r *scenarioRunner) runLongUnanswered(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.LongUnanswered(), "\n")
 }
 
@@ -69,7 +69,7 @@
 	return strings.Join(r.cluster.Unanswered(), "\n")
 }
 
-// runHasLeader handles "leads": whether there is a leader.
+// runHasLeader handles "has_leader": whether there is a leader.
 func (r *scenarioRunner) runHasLeader(_ *testing.T, _ *datadriven.TestData) string {
 	if r.cluster.Leader() < 0 {
 		return "nobody"
@@ -88,8 +88,9 @@
 	return r.countJobs()
 }
 
-// runMachineCount handles "fleet": the number of rented machines of each type.
-func (r *scenarioRunner) runMachineCount(_ *testing.T, _ *datadriven.TestData) string {
+// runMachineCounts handles "machine_counts": the number of machines of each type and zone that are
+// neither terminated nor failed.
+func (r *scenarioRunner) runMachineCounts(_ *testing.T, _ *datadriven.TestData) string {
 	return r.countMachines()
 }
 
@@ -146,8 +147,8 @@
 	return fmt.Sprintf("%s; %d tasks run", strings.Join(list, ", "), tasks)
 }
 
-// countMachines counts the rented machines that haven't failed, by type and zone, with spot machines
-// apart.
+// countMachines counts the machines that are neither terminated nor failed, by type and zone, with
+// spot machines apart.
 func (r *scenarioRunner) countMachines() string {
 	count := map[string]int{}
 	for _, h := range r.cluster.cloud.machines {
@@ -167,8 +168,8 @@
 	return strings.Join(list, "\n")
 }
 
-// runJobStarts handles "jobs JOB": how often tasks of the job started and failed, and how many have
-// completed.
+// runJobStarts handles "job_starts JOB": how often tasks of the job started and failed, and how
+// many have completed.
 func (r *scenarioRunner) runJobStarts(t *testing.T, d *datadriven.TestData) string {
 	j := r.cluster.jobs[firstArg(t, d)]
 	if j == nil {
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -142,7 +142,7 @@
 }
 
 // sendAndWait sends a request and advances the clock until it has a result. Within a trigger it
-// doesn't wait, and the result is kept for the command "heard" instead.
+// doesn't wait, and the result is kept for the command "trigger_output" instead.
 func (r *scenarioRunner) sendAndWait(d *datadriven.TestData, send func(done func(out string))) string {
 	if r.inTrigger {
 		send(func(out string) {
@@ -174,12 +174,12 @@
 }
 
 // triggerPoints are the trigger points of "when", by the names in scenario files.
-var triggerPoints = map[string]triggerPoint{"write": onWrite, "answer-lost": onLostReply, "leader": onLeader, "report": onHeartbeat, "done": onJobDone}
+var triggerPoints = map[string]triggerPoint{"write": onWrite, "answer-lost": onLostReply, "leader": onLeader, "heartbeat": onHeartbeat, "done": onJobDone}
 
 // runWhen handles "when before|after POINT [TARGET] [in=D] [passes=N]". Its input is a list of
 // commands, one a line. They run once, right before or after the trigger point is reached, or D
 // later, after it has been passed N times. POINT with TARGET is one of write KEYPREFIX,
-// answer-lost, leader, report NODE, report NODE/MACHINE or done JOB.
+// answer-lost, leader, heartbeat NODE, heartbeat NODE/MACHINE or done JOB.
 func (r *scenarioRunner) runWhen(t *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) < 2 || triggerPoints[d.CmdArgs[1].Key] == 0 || d.CmdArgs[0].Key != "before" && d.CmdArgs[0].Key != "after" {
 		d.Fatalf(t, "when needs before or after, and a trigger point")
@@ -221,53 +221,53 @@
 func init() {
 	// Set here, as an initializer would be an initialization cycle: "when" runs other commands.
 	scenarioCommands = map[string]func(r *scenarioRunner, t *testing.T, d *datadriven.TestData) string{
-		"start":         (*scenarioRunner).runStart,
-		"advance":       (*scenarioRunner).runAdvance,
-		"submit":        (*scenarioRunner).runSubmit,
-		"poll":          (*scenarioRunner).runPoll,
-		"cancel":        (*scenarioRunner).runCancel,
-		"cancel_now":    (*scenarioRunner).runCancelNow,
-		"cancel_at_end": (*scenarioRunner).runCancelAtEnd,
-		"odd_requests":  (*scenarioRunner).runInvalidRequests,
-		"close_looks":   (*scenarioRunner).runQueriesAfterChange,
-		"changes":       (*scenarioRunner).runChangeLeaders,
-		"calm":          (*scenarioRunner).runBeginQuiescence,
-		"when":          (*scenarioRunner).runWhen,
-		"heard":         (*scenarioRunner).runTriggerOutput,
-		"request":       (*scenarioRunner).runRequest,
-		"crash":         (*scenarioRunner).runCrash,
-		"restart":       (*scenarioRunner).runRestart,
-		"silence":       (*scenarioRunner).runPowerOff,
-		"drain":         (*scenarioRunner).runDrain,
-		"drained":       (*scenarioRunner).runDrained,
-		"setting":       (*scenarioRunner).runSetting,
-		"surges":        (*scenarioRunner).runCheckCeiling,
-		"moved":         (*scenarioRunner).runMigrations,
-		"shares":        (*scenarioRunner).runShares,
-		"shards":        (*scenarioRunner).runShards,
-		"owners":        (*scenarioRunner).runOwnersByShards,
-		"gaps":          (*scenarioRunner).runAnswerGaps,
-		"freeze":        (*scenarioRunner).runFreeze,
-		"thaw":          (*scenarioRunner).runThaw,
-		"storm":         (*scenarioRunner).runQueryStorm,
-		"forgotten":     (*scenarioRunner).runForgotten,
-		"state":         (*scenarioRunner).runState,
-		"cloud":         (*scenarioRunner).runCloud,
-		"machine":       (*scenarioRunner).runMachine,
-		"cut":           (*scenarioRunner).runCut,
-		"isolate":       (*scenarioRunner).runIsolate,
-		"links":         (*scenarioRunner).runLinks,
-		"heal":          (*scenarioRunner).runHeal,
-		"copies":        (*scenarioRunner).runDuplicates,
-		"stream":        (*scenarioRunner).runStream,
-		"starved":       (*scenarioRunner).runStarved,
-		"unanswered":    (*scenarioRunner).runUnanswered,
-		"rent":          (*scenarioRunner).runRent,
-		"leads":         (*scenarioRunner).runHasLeader,
-		"show":          (*scenarioRunner).runShow,
-		"show_count":    (*scenarioRunner).runShowCount,
-		"fleet":         (*scenarioRunner).runMachineCount,
-		"jobs":          (*scenarioRunner).runJobStarts,
+		"start":              (*scenarioRunner).runStart,
+		"advance":            (*scenarioRunner).runAdvance,
+		"submit":             (*scenarioRunner).runSubmit,
+		"poll":               (*scenarioRunner).runPoll,
+		"cancel":             (*scenarioRunner).runCancel,
+		"cancel_now":         (*scenarioRunner).runCancelNow,
+		"cancel_at_end":      (*scenarioRunner).runCancelAtEnd,
+		"invalid_requests":   (*scenarioRunner).runInvalidRequests,
+		"query_after_change": (*scenarioRunner).runQueryAfterChange,
+		"crash_leaders":      (*scenarioRunner).runCrashLeaders,
+		"quiesce":            (*scenarioRunner).runBeginQuiescence,
+		"when":               (*scenarioRunner).runWhen,
+		"trigger_output":     (*scenarioRunner).runTriggerOutput,
+		"request":            (*scenarioRunner).runRequest,
+		"crash":              (*scenarioRunner).runCrash,
+		"restart":            (*scenarioRunner).runRestart,
+		"power_off":          (*scenarioRunner).runPowerOff,
+		"drain":              (*scenarioRunner).runDrain,
+		"drained":            (*scenarioRunner).runDrained,
+		"setting":            (*scenarioRunner).runSetting,
+		"check_ceiling":      (*scenarioRunner).runCheckCeiling,
+		"migrations":         (*scenarioRunner).runMigrations,
+		"shares":             (*scenarioRunner).runShares,
+		"shards":             (*scenarioRunner).runShards,
+		"shard_counts":       (*scenarioRunner).runShardCounts,
+		"reply_intervals":    (*scenarioRunner).runReplyIntervals,
+		"freeze":             (*scenarioRunner).runFreeze,
+		"thaw":               (*scenarioRunner).runThaw,
+		"query_storm":        (*scenarioRunner).runQueryStorm,
+		"long_unanswered":    (*scenarioRunner).runLongUnanswered,
+		"state":              (*scenarioRunner).runState,
+		"cloud":              (*scenarioRunner).runCloud,
+		"machine":            (*scenarioRunner).runMachine,
+		"cut":                (*scenarioRunner).runCut,
+		"isolate":            (*scenarioRunner).runIsolate,
+		"links":              (*scenarioRunner).runLinks,
+		"heal":               (*scenarioRunner).runHeal,
+		"duplicates":         (*scenarioRunner).runDuplicates,
+		"stream":             (*scenarioRunner).runStream,
+		"starved":            (*scenarioRunner).runStarved,
+		"unanswered":         (*scenarioRunner).runUnanswered,
+		"rent":               (*scenarioRunner).runRent,
+		"has_leader":         (*scenarioRunner).runHasLeader,
+		"show":               (*scenarioRunner).runShow,
+		"show_count":         (*scenarioRunner).runShowCount,
+		"machine_counts":     (*scenarioRunner).runMachineCounts,
+		"job_starts":         (*scenarioRunner).runJobStarts,
 	}
 }
 
