--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -33,10 +33,10 @@
 	addr                    string // address of its worker
 	spot                    bool
 	external                bool // not simulated; its worker, if any, is a separate process
-	rentedAt                time.Time
+	provisionedAt           time.Time
 	bootedAt                time.Time // zero until it has booted
 	failedAt                time.Time
-	returnedAt              time.Time
+	terminatedAt            time.Time
 	agent                   *agent
 }
 
@@ -60,14 +60,14 @@
 // startMachine creates a machine that is up after the given boot time, or never if boot failures
 // are simulated.
 func (cl *cloud) startMachine(typ, zone string, spot bool, boot time.Duration) *machine {
-	m := &machine{name: fmt.Sprintf("%s%06d", machinePrefix, len(cl.machines)), machineType: typ, zone: zone, spot: spot, rentedAt: cl.cluster.now}
+	m := &machine{name: fmt.Sprintf("%s%06d", machinePrefix, len(cl.machines)), machineType: typ, zone: zone, spot: spot, provisionedAt: cl.cluster.now}
 	m.addr = cl.cluster.assignAddress(m)
 	cl.machines = append(cl.machines, m)
 	if cl.neverBoots || cl.bootFailureShare > 0 && cl.cluster.rng.Float64() < cl.bootFailureShare {
 		return m
 	}
 	cl.cluster.after(boot, func() {
-		if m.returnedAt.IsZero() {
+		if m.terminatedAt.IsZero() {
 			m.bootedAt = cl.cluster.now
 			m.agent = newAgent(cl.cluster, m, cl.machineType(typ))
 		}
@@ -94,16 +94,16 @@
 	if _, err := netip.ParseAddrPort(e.Endpoint); err != nil {
 		return fmt.Errorf("external machine %q: %w", e.Name, err)
 	}
-	rented := cl.cluster.now.Add(-2 * cl.cluster.settings.MaxListLag) // so that even the oldest list contains it
-	cl.machines = append(cl.machines, &machine{name: e.Name, machineType: e.Type, zone: e.Zone, addr: e.Endpoint, external: true, rentedAt: rented, bootedAt: rented})
+	provisioned := cl.cluster.now.Add(-2 * cl.cluster.settings.MaxListLag) // so that even the oldest list contains it
+	cl.machines = append(cl.machines, &machine{name: e.Name, machineType: e.Type, zone: e.Zone, addr: e.Endpoint, external: true, provisionedAt: provisioned, bootedAt: provisioned})
 	cl.hasExternalMachines = true
 	return nil
 }
 
 // terminateMachine terminates a machine and its agent.
 func (cl *cloud) terminateMachine(m *machine) {
-	if m.returnedAt.IsZero() {
-		m.returnedAt = cl.cluster.now
+	if m.terminatedAt.IsZero() {
+		m.terminatedAt = cl.cluster.now
 		if m.agent != nil {
 			m.agent.terminate()
 		}
@@ -113,7 +113,7 @@
 // failMachine makes a machine fail. Lists report the failure no earlier than 30 seconds
 // later.
 func (cl *cloud) failMachine(m *machine) {
-	if m.failedAt.IsZero() && m.returnedAt.IsZero() {
+	if m.failedAt.IsZero() && m.terminatedAt.IsZero() {
 		m.failedAt = cl.cluster.now
 		if m.agent != nil {
 			m.agent.terminate()
@@ -125,7 +125,7 @@
 func (cl *cloud) countRunning(typ, zone string, spot bool) int {
 	n := 0
 	for _, m := range cl.machines {
-		if !m.external && m.returnedAt.IsZero() && m.failedAt.IsZero() && m.machineType == typ && m.zone == zone && m.spot == spot {
+		if !m.external && m.terminatedAt.IsZero() && m.failedAt.IsZero() && m.machineType == typ && m.zone == zone && m.spot == spot {
 			n++
 		}
 	}
@@ -184,10 +184,10 @@
 		return
 	}
 	if cl.requestDelay > 0 {
-		cl.cluster.after(cl.requestDelay, func() { cl.rent(r) })
+		cl.cluster.after(cl.requestDelay, func() { cl.provisionMachines(r) })
 		return
 	}
-	names := cl.rent(r)
+	names := cl.provisionMachines(r)
 	if names == nil {
 		respond(503, protocol.EncodeCloudError("no capacity"))
 		return
@@ -195,9 +195,9 @@
 	cl.cluster.after(cl.replyDelay, func() { respond(200, protocol.EncodeMachineNames(names)) })
 }
 
-// rent provisions up to the requested number of machines, as capacity permits, and returns their
-// names. A repeated request gets the names of the first one; nil means no capacity.
-func (cl *cloud) rent(r protocol.ProvisionRequest) []string {
+// provisionMachines provisions up to the requested number of machines, as capacity permits, and
+// returns their names. A repeated request gets the names of the first one; nil means no capacity.
+func (cl *cloud) provisionMachines(r protocol.ProvisionRequest) []string {
 	if names, ok := cl.requests[r.Request]; ok {
 		return names
 	}
@@ -223,11 +223,11 @@
 	at := cl.cluster.now.Add(-time.Duration(cl.cluster.rng.Int64N(int64(2 * lag))))
 	var list []protocol.ListedMachine
 	for _, m := range cl.machines {
-		if m.name <= after || m.rentedAt.After(at) || !m.returnedAt.IsZero() && !m.returnedAt.After(at) {
+		if m.name <= after || m.provisionedAt.After(at) || !m.terminatedAt.IsZero() && !m.terminatedAt.After(at) {
 			continue
 		}
 		listed := protocol.ListedMachine{Name: m.name, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot,
-			State: protocol.Booting, Age: at.Sub(m.rentedAt)}
+			State: protocol.Booting, Age: at.Sub(m.provisionedAt)}
 		if !m.bootedAt.IsZero() && !m.bootedAt.After(at) {
 			listed.State = protocol.Up
 		}
--- a/internal/simulator/loopback_services_test.go
+++ b/internal/simulator/loopback_services_test.go
@@ -190,9 +190,9 @@
 	}
 }
 
-// TestLoopbackProcessEnds checks that a controller process that exits by itself is reported as a
+// TestLoopbackProcessExit checks that a controller process that exits by itself is reported as a
 // violation, and that a missing program gives an error.
-func TestLoopbackProcessEnds(t *testing.T) {
+func TestLoopbackProcessExit(t *testing.T) {
 	program := func(name string) string {
 		path, err := exec.LookPath(name)
 		if err != nil {
--- a/internal/simulator/scenario_show_test.go
+++ b/internal/simulator/scenario_show_test.go
@@ -152,7 +152,7 @@
 func (r *scenarioRunner) countMachines() string {
 	count := map[string]int{}
 	for _, h := range r.cluster.cloud.machines {
-		if h.returnedAt.IsZero() && h.failedAt.IsZero() {
+		if h.terminatedAt.IsZero() && h.failedAt.IsZero() {
 			kind := h.machineType + " " + h.zone
 			if h.spot {
 				kind += " spot"
