--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -9,7 +9,7 @@
 )
 
 // Limits on what admission caches: a small part of the memory of the smallest controllers. What
-// is evicted is read again from the state service.
+// is evicted is read again from the state service when it is needed.
 const (
 	maxCachedOutcomes     = 50_000
 	maxCachedAcceptedJobs = 50_000
@@ -24,9 +24,9 @@
 	maxPendingAnnouncements int
 	outcomes                map[string]jobOutcome // final states by job ID; they never change
 	accepted                map[string]struct{}   // IDs of accepted jobs without a known outcome
-	pendingQueries          []statusQuery         // waiting for the next check
+	pendingQueries          []statusQuery         // waiting for the next status check
 	lastCheckSentAt         time.Time
-	checkInFlight           bool
+	checkInFlight           bool                  // a status check is in flight or scheduled
 	pendingAnnouncements    []outcomeAnnouncement // final states to broadcast to the peers
 	openRequests            int                   // requests that wait for the state service
 
@@ -49,7 +49,7 @@
 
 // statusQuery is a request for a job's status that waits for a status check.
 type statusQuery struct {
-	id  uint64
+	id  uint64 // request ID
 	job string
 }
 
@@ -59,7 +59,8 @@
 	a.accepted = map[string]struct{}{}
 }
 
-// cacheOutcome caches a job's final state. If the cache is full, about a tenth of it is evicted.
+// cacheOutcome caches a job's final state. If the cache is full, about a tenth of its entries,
+// chosen arbitrarily, are evicted first.
 func (a *admission) cacheOutcome(job string, s protocol.JobState, done int) {
 	if len(a.outcomes) >= maxCachedOutcomes {
 		a.limits.Reached(limits.CachedOutcomes)
@@ -74,8 +75,9 @@
 	delete(a.accepted, job)
 }
 
-// publishOutcome caches a final state that this controller wrote, and announces it to the peers,
-// so that they need not read it for each status query that they get.
+// publishOutcome caches a final state that this controller wrote. Unless it was cached before, it
+// is also announced to the peers, so that they need not read it for each status query that they
+// get.
 func (a *admission) publishOutcome(job string, s protocol.JobState, done int) {
 	if _, ok := a.outcomes[job]; !ok {
 		a.announceOutcome(outcomeAnnouncement{job: job, outcome: jobOutcome{s, done}})
@@ -83,7 +85,8 @@
 	a.cacheOutcome(job, s, done)
 }
 
-// announceOutcome queues a final state for the next broadcasts to the peers.
+// announceOutcome queues a final state for the next broadcasts to the peers. If the queue is full,
+// the final state is not broadcast, and the peers read it from the state service.
 func (a *admission) announceOutcome(announcement outcomeAnnouncement) {
 	if len(a.pendingAnnouncements) >= a.maxPendingAnnouncements {
 		a.limits.Reached(limits.OutcomesToBroadcast)
@@ -101,7 +104,8 @@
 	a.accepted[job] = struct{}{}
 }
 
-// routeRequest passes a request to its handler, and refuses requests that have none.
+// routeRequest passes a request to its handler. It refuses requests that have none, and, except for
+// health checks and heartbeats, requests beyond maxOpenRequests.
 func (c *Controller) routeRequest(id uint64, method, target string, body []byte) {
 	route, job := protocol.ParseTarget(target)
 	want := "POST"
@@ -145,8 +149,8 @@
 // replyHealth answers a health check. The controller reports itself unhealthy only while it can't
 // serve users but other controllers may: when the state service fails for this controller while a
 // peer still reaches it, or when this controller has lost both the state service and its peers. In
-// an outage that the peers confirm, no controller is better than another, and leaving the load
-// balancer would only cost time when the outage ends.
+// an outage that the peers confirm, or without peers, no controller is better than another, and
+// leaving the load balancer would only cost time when the outage ends.
 func (c *Controller) replyHealth(id uint64) {
 	if c.store.Unavailable() && len(c.cfg.Peers) > 0 && (c.peers.StoreReachable(c.now) || !c.peers.AnyFresh(c.now)) {
 		c.refuse(id, 503, "the state service refuses this node")
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -10,8 +10,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// attach counts an attempt toward its machine's allocation, its team's usage and its job's
-// zones, until detach.
+// attach makes an attempt the live one of its task. Until detach, it counts toward its machine's
+// allocation, its team's usage and its job's zones.
 func (l *leader) attach(a *attempt) {
 	j, m := a.job, a.machine
 	j.task(a.taskIndex).live = a
@@ -41,8 +41,9 @@
 	u.gpus += j.GPUs
 }
 
-// detach undoes attach. It must be called only on proof that the attempt has terminated and can no
-// longer be started.
+// detach undoes attach, and queues the task to be started again unless the task is done or its job
+// has ended. It must be called only on proof that the attempt has terminated and can no longer be
+// started.
 func (l *leader) detach(a *attempt, reason string) {
 	j, m := a.job, a.machine
 	t := j.task(a.taskIndex)
@@ -90,7 +91,7 @@
 	l.requestPlacement()
 }
 
-// setTaskState sets an attempt's state as its worker reported it.
+// setTaskState sets an attempt's state as its worker reported it; 0 if the attempt has terminated.
 func (l *leader) setTaskState(a *attempt, s protocol.TaskState) {
 	if a.state == s {
 		return
@@ -109,7 +110,8 @@
 	a.state, a.stateSince = s, l.controller.now
 }
 
-// taskDone marks a task as completed, whichever of its attempts completed it.
+// taskDone marks a task as completed, whichever of its attempts completed it. A replica of a service
+// is never done: it is started again when it exits.
 func (l *leader) taskDone(j *job, i int) {
 	t := j.task(i)
 	if t.done || j.Kind == protocol.Service {
@@ -128,7 +130,8 @@
 }
 
 // finalizeJobIfComplete records the outcome of a job whose tasks are all done, and deletes the
-// records of a finished job that has no live attempts.
+// records of a finished job that has no live attempts. It does nothing while records are being
+// loaded, since tasks and attempts may not be known yet.
 func (l *leader) finalizeJobIfComplete(j *job) {
 	if l.phase == phaseLoading {
 		return
@@ -177,7 +180,7 @@
 
 // stopAttempt requests that an attempt stop, with a grace period in which it may save its state.
 // A later request may only shorten the grace period. An attempt whose start was never sent
-// terminates at once.
+// terminates at once, unless a write of its placement may be in flight.
 func (l *leader) stopAttempt(a *attempt, grace time.Duration) {
 	if a.stopRequested && a.stopGrace <= grace {
 		return
@@ -201,7 +204,7 @@
 }
 
 // adjustStoppingTotals adds an attempt to the totals of attempts whose stop was requested (delta 1)
-// or removes it (delta -1). The search for victims uses the totals of a machine or a team for every
+// or removes it (delta -1). The search for preemption victims uses the totals of a machine or a team for every
 // job and task. Recomputing them each time took a leader with thousands of pending tasks seconds
 // at a time, longer than its lease.
 func (l *leader) adjustStoppingTotals(a *attempt, delta int) {
@@ -242,7 +245,7 @@
 
 	stopRequested bool
 	stopGrace     time.Duration // time that it gets to save its state when it is stopped
-	stopSentAt    time.Time
+	stopSentAt    time.Time     // when a stop with stopGrace was sent by a call; zero if none was
 
 	listIndex        int    // index in its machine's attemptList
 	lastListedStatus uint64 // statusCount at the latest status that listed it
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -46,12 +46,12 @@
 	requested               map[autoscaler.OfferKey]int       // machines in requests in flight, by offer
 	releaseInFlight         bool
 	inventoryInFlight       bool
-	inventoryRequestedAt    time.Time // when the last read began
-	inventoryComplete       bool      // it was read in full in this term
+	inventoryRequestedAt    time.Time // when the latest read of the inventory began
+	inventoryComplete       bool      // the inventory was read in full at least once in this term
 	machineTypesRequestedAt time.Time
 	consolidatedAt          time.Time
 	utilizationLoggedAt     time.Time
-	largestOnDemandCPUs     float64 // CPUs of the largest job seen that may not use spot machines, all of its tasks together
+	largestOnDemandCPUs     float64 // CPUs of the largest service seen that may not use spot machines, all of its replicas together
 }
 
 func (scaler *autoscalerState) init(l *leader) {
@@ -60,8 +60,8 @@
 	scaler.unavailableUntil, scaler.requested = map[autoscaler.OfferKey]time.Time{}, map[autoscaler.OfferKey]int{}
 }
 
-// scheduleScaleOut schedules scaleOut to run after a short delay, before the next periodic
-// maintenance.
+// scheduleScaleOut schedules scaleOut to run after a short delay, instead of only with the next
+// periodic maintenance. Calls during the delay have no further effect.
 func (l *leader) scheduleScaleOut() {
 	if l.autoscaler.scaleOutScheduled {
 		return
@@ -75,7 +75,8 @@
 	})
 }
 
-// maintain is the leader's periodic maintenance of the fleet.
+// maintain is the leader's periodic maintenance, which also runs at the end of the recovery. Until
+// the leader is active, it only refreshes machine types, the inventory and shards, and logs.
 func (l *leader) maintain() {
 	c, scaler := l.controller, &l.autoscaler
 	for name, at := range l.terminatedAt {
@@ -107,7 +108,7 @@
 	}
 	l.preferMajorityZone()
 	if !l.alive() {
-		return
+		return // leadership was handed over to the preferred zone
 	}
 	l.runPlacementRound()
 	l.scaleOut()
@@ -119,7 +120,7 @@
 }
 
 // logUtilization logs, at most every 5 s, how the machines are used and how many requests and
-// calls there were since the last time.
+// calls there were since the previous such line.
 func (l *leader) logUtilization() {
 	c, scaler := l.controller, &l.autoscaler
 	if c.now.Sub(scaler.utilizationLoggedAt) < 5*time.Second {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -26,10 +26,10 @@
 	}
 }
 
-// benchJobs is the number of jobs for a fleet, with about eighteen tasks per machine.
+// benchJobs is the number of jobs for a fleet, with about seventeen tasks per machine.
 func benchJobs(machines int) int { return machines * 3 / 8 }
 
-// largeLeader returns a leader of an empty fleet with pending jobs.
+// largeLeader returns the leader of a fleet without tasks, with pending jobs.
 func largeLeader(machines, jobs int) (*Controller, *leader) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["red"] = &config.Team{Name: "red", GuaranteedCPUs: 14000, MaxCPUs: 1e6}
@@ -222,8 +222,9 @@
 	})
 }
 
-// singleReplicaFleet returns a leader of a fleet where each machine runs one replica. Other
-// machines have the replica's image cached but no capacity for it.
+// singleReplicaFleet returns a leader of a fleet where each machine runs one replica on 7 of its 16
+// CPUs, and every second machine also a batch task on 3 CPUs. A replica's image is cached on one in
+// twenty machines, which have the same load: either all have capacity for one more replica, or none.
 func singleReplicaFleet(machines int) *leader {
 	_, l := largeLeader(machines, 0)
 	for i, m := range l.fleetList {
--- a/internal/coordination/boot_progress.go
+++ b/internal/coordination/boot_progress.go
@@ -12,23 +12,24 @@
 // boot faster, and all get a longer boot timeout.
 
 const (
-	overdueFactor          = 2 // multiple of the usual boot time after which a replacement is provisioned
-	overdueMargin          = 2 * time.Second
-	bootTimeoutFactor      = 4 // multiple after which it is released, but not before bootTimeoutMargin
-	bootTimeoutMargin      = 20 * time.Second
-	slowBootTimeoutFactor  = 10 // multiple while the cloud is slow
-	minSlowBoots           = 3  // minimum number of overdue machines for the cloud to count as slow
-	slowReplacementDivisor = 4  // fraction of the overdue machines that is replaced then, as a divisor
+	overdueFactor          = 2                // multiple of the usual boot time after which a replacement is provisioned
+	overdueMargin          = 2 * time.Second  // added to that multiple
+	bootTimeoutFactor      = 4                // multiple of the usual boot time after which an overdue machine is released
+	bootTimeoutMargin      = 20 * time.Second // minimum time from the usual boot time until that release
+	slowBootTimeoutFactor  = 10               // replaces bootTimeoutFactor and bootTimeoutMargin while the cloud is slow
+	minSlowBoots           = 3                // minimum number of overdue machines for the cloud to count as slow
+	slowReplacementDivisor = 4                // while the cloud is slow, one in this many overdue machines is replaced
 )
 
 // bootProgress summarizes the machines that were provisioned recently.
 type bootProgress struct {
 	overdue []*machine // booting for longer than expected
-	booted  int        // registered recently
+	booted  int        // registered, and were provisioned less than the boot timeout ago
 	longest *machine   // the machine that has been booting for the longest
 }
 
-// booting reports whether a machine in service hasn't registered yet since it was provisioned.
+// booting reports whether a machine in service, of a known type, is still booting: it hasn't
+// registered with this leader, nor may it have registered with an earlier one (awaitsRegistration).
 func (l *leader) booting(m *machine) bool {
 	return !m.session.Registered && m.lifecycle.inService() && m.Spec != nil && !l.awaitsRegistration(m)
 }
@@ -64,7 +65,8 @@
 	return b
 }
 
-// slow reports whether the cloud is slow, with most recent boots overdue.
+// slow reports whether the cloud is slow: at least minSlowBoots machines are overdue, and they
+// outnumber those that booted recently.
 func (b *bootProgress) slow() bool {
 	return len(b.overdue) >= minSlowBoots && len(b.overdue) > b.booted
 }
@@ -81,14 +83,14 @@
 // replaced: some of these never boot, and tasks shouldn't wait for them.
 func (l *leader) bootingBins() []*autoscaler.Bin {
 	b := l.bootProgress()
-	without := b.replacedCount()
+	toReplace := b.replacedCount()
 	var bins []*autoscaler.Bin
 	for _, m := range l.fleetList {
 		if !l.booting(m) {
 			continue
 		}
-		if without > 0 && l.bootOverdue(m) {
-			without--
+		if toReplace > 0 && l.bootOverdue(m) {
+			toReplace--
 			continue
 		}
 		bins = append(bins, autoscaler.NewBin(m.offer()))
@@ -97,7 +99,7 @@
 }
 
 // releaseOverdueBoots releases overdue machines after the boot timeout, or after
-// minimumBilledTime if no task waits for capacity.
+// minimumBilledTime if no task waits for capacity. It keeps machines with attempts.
 func (l *leader) releaseOverdueBoots() {
 	b := l.bootProgress()
 	idle := len(l.autoscaler.unmetDemand) == 0 && len(l.autoscaler.displacedReplicas) == 0 && !l.autoscaler.demandIncomplete
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -96,7 +96,7 @@
 	_, done, _ := c.knownProgress(job)
 	// The outcome is created at most once, by this transaction or by the leader's write of "done".
 	// The second of them fails, and its sender reads the outcome that the first wrote. The user
-	// gets a reply only after that.
+	// gets a reply only when the outcome is known to exist.
 	c.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: records.KeyActive(job), Version: version}, {Key: records.KeyOutcome(job)}},
 		Ops:        []protocol.Op{{Put: records.KeyOutcome(job), Value: records.EncodeOutcome(protocol.Cancelled, done)}},
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -8,9 +8,10 @@
 )
 
 // acceptsTasks reports whether a machine accepts new tasks: its worker has registered with this
-// leader and was reached by it, the machine is in service, and neither heartbeats nor responses
-// are overdue. A worker that answers calls but whose heartbeats don't arrive terminates all its
-// tasks when its lease expires.
+// leader and was reached by it, the machine is recorded, of a known type, in service and not about
+// to be preempted, the latest probe of its worker didn't fail, and neither messages of the worker
+// nor answers to its heartbeats are overdue. A worker that answers calls but whose heartbeats don't
+// arrive terminates all its tasks when its lease expires.
 func (l *leader) acceptsTasks(m *machine) bool {
 	if !m.session.Registered || m.session.LastReached.IsZero() || !m.recorded || m.Spec == nil || !m.lifecycle.inService() ||
 		m.lifecycle.preemptionNoticed() || m.session.FailedProbes != 0 {
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -6,14 +6,14 @@
 	"brasskeel/internal/protocol"
 )
 
-// consolidationDivisor is the fraction of the fleet whose replicas are moved in one
-// consolidation, as a divisor.
+// consolidationDivisor bounds one consolidation: it moves the replicas off at most one in
+// consolidationDivisor of the fleet's machines, but off one machine at least.
 const consolidationDivisor = 30
 
 // consolidate moves all replicas off underused machines, if they fit on other machines that cache
-// their images, so that the underused ones can be released. Services run for a long time. Otherwise
-// they would keep all machines in use over which they were spread while the cluster was busy. A
-// move is fast because the target already caches the image.
+// their images, so that the underused ones can be released. Services run for a long time: without
+// consolidation, their replicas would keep all machines in use over which they were spread while the
+// cluster was busy. A move is fast because the target already caches the image.
 func (l *leader) consolidate() {
 	c, scaler := l.controller, &l.autoscaler
 	if len(scaler.unmetDemand) > 0 || scaler.demandIncomplete || c.store.Unavailable() || c.now.Sub(scaler.consolidatedAt) < consolidationInterval {
@@ -30,7 +30,7 @@
 			continue // replicas are planned to move here
 		}
 		if capacity := l.onDemandCapacity(m); !m.Consolidating && capacity > 0 && onDemandCapacity-m.Spec.CPUs < l.onDemandReserve() {
-			continue
+			continue // the remaining machines would have too little on-demand capacity
 		}
 		if !m.replicasFitElsewhere(planner.get(), false) {
 			continue
@@ -43,9 +43,10 @@
 	}
 }
 
-// consolidationCandidates returns the machines that hold only replicas and are underused or
-// already marked for consolidation, the most expensive first, and the on-demand capacity of all
-// machines that aren't being consolidated, in CPUs.
+// consolidationCandidates returns the machines that accept tasks, hold only replicas, are underused
+// or already marked for consolidation, and were provisioned some time ago, the most expensive first.
+// It also returns the on-demand capacity of all machines that accept tasks and aren't being
+// consolidated, in CPUs.
 func (l *leader) consolidationCandidates() (candidates []*machine, onDemandCapacity float64) {
 	for _, m := range l.fleetList {
 		if !l.acceptsTasks(m) {
@@ -82,8 +83,9 @@
 	return balance.NewPlanner(machines, func(m *placement.Machine) bool { return l.acceptsTasks(l.machines[m.Name]) })
 }
 
-// runningReplicas returns the replicas on a machine, in a fixed order, or false if one of them
-// isn't running or another replica of its service is pending.
+// runningReplicas returns the replicas on a machine, in a fixed order. settled is false, and the
+// list empty, if one of them isn't running or is to be stopped, or if another replica of its service
+// is pending.
 func (m *machine) runningReplicas() (list []balance.Replica, settled bool) {
 	for _, a := range m.sortedAttempts() {
 		j := a.job
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -72,7 +72,7 @@
 	sharding  *sharding // nil while the leader serves all machines
 
 	localMessages    []shard.Message // shard messages between this controller's own roles
-	rejectedMessages int             // number of invalid shard messages received
+	rejectedMessages int             // number of shard messages received that were invalid or of unknown senders
 }
 
 // New creates a controller that starts at now. bootID must differ from that of every earlier
@@ -90,8 +90,8 @@
 	return c
 }
 
-// Start runs the first step: the controller begins to follow the election, requests the machine
-// types, and sets its periodic timers.
+// Start runs the first step: the controller begins to follow the election, joins the members that
+// may own shards if sharding is enabled, requests the machine types, and sets its periodic timers.
 func (c *Controller) Start(now time.Time) Effects {
 	c.now = now
 	c.store.Start()
--- a/internal/coordination/disconnected_test.go
+++ b/internal/coordination/disconnected_test.go
@@ -74,7 +74,7 @@
 			}
 		}
 		if stays := c.leader == l; stays != test.stays {
-			t.Errorf("%s: keeps leading: %t", test.name, stays)
+			t.Errorf("%s: keeps leading: %t, want %t", test.name, stays, test.stays)
 		}
 		for _, m := range l.fleetList {
 			if !test.stays && m.lifecycle.releasing() {
@@ -82,7 +82,7 @@
 			}
 		}
 		if !again && c.election.Disconnected() == test.stays {
-			t.Errorf("%s: marked as disconnected: %t, want true only after a resignation", test.name, c.election.Disconnected())
+			t.Errorf("%s: marked as disconnected: %t, want %t: true only after a resignation", test.name, c.election.Disconnected(), !test.stays)
 		}
 	}
 }
@@ -102,13 +102,14 @@
 		c.peers["n1"] = &peers.Status{LastReceivedAt: c.now, StoreReachable: true, Disconnected: disconnected}
 		l.preferMajorityZone()
 		if stays := c.leader == l; stays != disconnected {
-			t.Errorf("peer disconnected: %t; keeps leading: %t", disconnected, stays)
+			t.Errorf("peer disconnected: %t; keeps leading: %t, want %t", disconnected, stays, disconnected)
 		}
 	}
 }
 
 // A leader whose calls to nearly all workers fail resigns without waiting for their heartbeats.
-// Otherwise the workers' leases expired during the terms of two successive leaders of this kind.
+// When leaders waited, the workers' leases expired during the terms of two successive leaders that
+// couldn't reach the workers.
 func TestLeaderWithFailingCallsResignsEarly(t *testing.T) {
 	c, l := newTestLeader(phaseReconciling)
 	c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -5,7 +5,7 @@
 // Times of a drain.
 const (
 	drainInterval      = 200 * time.Millisecond // between checks whether leadership can be resigned
-	drainCampaignPause = 20 * time.Second       // without a campaign after the resignation
+	drainCampaignPause = 20 * time.Second       // after the resignation, until the controller may campaign again
 	drainRecordRetry   = 300 * time.Millisecond // until a failed write of the member record is retried
 )
 
@@ -30,7 +30,8 @@
 	return c.leader == nil && (c.sharding == nil || c.sharding.owner == nil || len(c.sharding.owner.shards) == 0)
 }
 
-// drainStep resigns leadership once the controller owns no shards and an eligible peer exists.
+// drainStep resigns leadership if the controller owns no shards, reaches the state service, and has
+// an eligible peer. It is repeated every drainInterval, as the controller may be elected again.
 func (c *Controller) drainStep() {
 	servesShards := c.sharding != nil && c.sharding.owner != nil && len(c.sharding.owner.shards) > 0
 	if c.leader != nil && !servesShards && !c.store.Unavailable() && c.peers.AnyEligible(c.now) {
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -46,7 +46,7 @@
 }
 
 // Effects are the replies, calls, messages and spans that a step produced and that its caller must
-// send or record. The entries of each list are in order.
+// send or record. Each list is in the order in which its entries were produced.
 type Effects struct {
 	Replies    []Reply
 	Calls      []Call
@@ -56,9 +56,9 @@
 }
 
 // Outcome is the result of a call. If Answered is false, no response was received: the request
-// may have been carried out, or may still be, unless NotSent says that it was never sent. Busy
-// says that it was not sent because no local socket was free, which implies nothing about the
-// destination.
+// may have been carried out, or may be carried out later, unless NotSent says that it was never
+// sent. Busy says that it was not sent because no local socket was free, which implies nothing about
+// the destination.
 type Outcome struct {
 	Status   int
 	Body     []byte
@@ -67,11 +67,12 @@
 	Busy     bool
 }
 
-// requestCounts counts received requests and sent calls for the log.
+// requestCounts counts the requests received and calls sent since the last fleet utilization line in
+// the log.
 type requestCounts struct{ Heartbeats, StatusQueries, Submissions, StateCalls, CloudCalls, WorkerCalls int }
 
 // takeEffects ends a step: it delivers local messages, sends the writes and orders that are due,
-// and returns the step's effects.
+// repeats this if new local messages result, and returns the step's effects.
 func (c *Controller) takeEffects() Effects {
 	for again := true; again; again = len(c.localMessages) > 0 {
 		c.deliverLocalMessages()
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -89,7 +89,8 @@
 	h.controller.leader = nil
 }
 
-// LeaderUpdated implements leadership.Host.
+// LeaderUpdated implements leadership.Host. It handles the heartbeats that were deferred until a
+// leader is known.
 func (h electionHost) LeaderUpdated() { h.controller.resumeDeferred() }
 
 // LostToOverload implements leadership.Host.
@@ -120,10 +121,14 @@
 // NeedsLease implements leadership.LeaseHolder.
 func (l *leader) NeedsLease() bool { return l.alive() }
 
-// RenewalSent implements leadership.LeaseHolder. A leader whose lease and grace period have
-// ended is fenced: it answers no workers, but keeps its state. During an outage of the state service
-// the lease may not expire in the service. If a renewal succeeds after the outage, no other
-// controller can have led since the last one.
+// RenewalSent implements leadership.LeaseHolder. It logs, once until the lease is renewed, that
+// the leader is fenced, which means that it answers no workers, but keeps its state: its lease and
+// grace period have ended, or it may not know of all recent cancellations (holdsLease). A leader that hasn't read the jobs yet doesn't
+// answer workers either, but that is part of its recovery and isn't logged.
+//
+// The leader keeps its state because the state service, during its own outage, possibly doesn't end
+// the lease. If a renewal succeeds after the outage, the lease has never ended in the service, so no
+// other controller can have led in the meantime.
 func (l *leader) RenewalSent() {
 	if l.fenced || l.holdsLease() || l.jobsKnownAt.IsZero() {
 		return
@@ -140,8 +145,8 @@
 
 // preferMajorityZone keeps the leader in the zone that holds most machines, so that a
 // partition between zones separates it from as few of them as possible. It records that zone
-// as preferred, and hands over to it only if a controller there recently reported that it can
-// lead.
+// as preferred, and resigns in favor of that zone only if a controller there recently reported that
+// it can lead.
 func (l *leader) preferMajorityZone() {
 	c := l.controller
 	if !c.hasPeersInOtherZones() || c.store.Unavailable() {
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -9,8 +9,8 @@
 // detectorInterval is how often the failure detector scans all machines.
 const detectorInterval = 250 * time.Millisecond
 
-// detectFailures probes machines from which no messages arrive, and releases unresponsive ones.
-// Missing messages don't prove that a machine's tasks have ended. Its release proves it, and the
+// detectFailures probes machines from which no messages arrive, resigns if this controller seems to
+// be disconnected, and otherwise releases unresponsive machines. Missing messages don't prove that a machine's tasks have ended. Its release proves it, and the
 // cloud confirms a release quickly.
 func (l *leader) detectFailures() {
 	c := l.controller
@@ -22,8 +22,9 @@
 		return
 	}
 	if stalled || c.store.Unavailable() || !l.holdsLease() {
-		// No task could be moved now, and workers that get no response from this controller
-		// try another one. Their times out of contact are counted from now.
+		// After a stall, messages may have arrived that aren't read yet. Without the state
+		// service or the lease, no task could be moved, and workers that get no response from
+		// this controller try another one. Times out of contact are counted from now.
 		l.detector.Reset(c.now)
 		return
 	}
@@ -142,18 +143,19 @@
 	}
 }
 
-// resignIfDisconnected hands the leadership over if another controller may reach machines that
-// this one can't reach, and reports whether it did.
+// resignIfDisconnected resigns leadership if another controller may reach machines that this one
+// can't reach, and reports whether it did. In both of the following cases it keeps leading if
+// resignDisconnected finds that a change of leaders would not help.
 //
-// It does so if most registered machines are unreachable. Only registered machines count:
+// It resigns if most registered machines are unreachable. Only registered machines count:
 // another controller may still reach them, and if it can't, they won't have registered with it
 // either and it keeps leading. When all machines counted, the leaders of a cluster that had
 // permanently lost most machines handed over to one another endlessly. The check is made before
 // any release: a leader that an outage kept from detecting this in time released its whole
 // fleet.
 //
-// It also does so if most machines that the previous leader knew never registered and another
-// controller hasn't tried to lead yet. It doesn't wait for machines that don't answer probes
+// It also resigns if few of the machines that an earlier leader recorded have registered, although
+// there was time for it. It doesn't wait that long if most of these machines don't answer probes
 // either: when it did, all worker leases expired during the terms of two successive leaders that
 // were partitioned from the workers, before a third one was elected.
 func (l *leader) resignIfDisconnected(s *fleetReachability) bool {
@@ -166,7 +168,8 @@
 }
 
 // releaseUnresponsive releases machines that are presumed dead, except for those that are more
-// likely partitioned from their controller, and those kept for the replicas they run.
+// likely partitioned from their controller, and those kept for the replicas they run. Neither is
+// kept for longer than a worker's lease, after which its tasks have ended anyway.
 func (l *leader) releaseUnresponsive(s *fleetReachability) {
 	c := l.controller
 	deferral := l.newReleaseDeferral()
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -27,8 +27,9 @@
 	leaderSuspectUntil = 15 * time.Second
 )
 
-// leaderSuspect reports whether there is no leader, or the leader may have failed: its last message
-// is older than leaderSuspectAfter, but not than leaderSuspectUntil.
+// leaderSuspect reports whether no other controller is known to lead, or the leader may have failed:
+// its last message is older than leaderSuspectAfter, but not than leaderSuspectUntil. A leader from
+// which no message has been received yet is not suspected.
 func (c *Controller) leaderSuspect() bool {
 	name := c.election.OtherLeader()
 	if name == "" {
@@ -48,7 +49,7 @@
 	queue       []deferredHeartbeat
 	expiryTimer *timer // for the first heartbeat; nil while the queue is empty
 	// requeueDeadline is the deadline of the deferred heartbeat that is being handled again,
-	// in case it has to be deferred once more; otherwise zero.
+	// in case it has to be deferred once more. It is zero while none is being handled again.
 	requeueDeadline time.Time
 }
 
@@ -59,9 +60,10 @@
 	return queue
 }
 
-// deferHeartbeat keeps a heartbeat until a leader is known. If it were redirected to a
-// controller that is down, its worker would wait 4 s for a response: with all controllers but one
-// down, workers tried one controller after the other until their leases had expired.
+// deferHeartbeat keeps a heartbeat until a leader is known, or redirects it without a target if too
+// many are deferred. A worker that is redirected to a controller that is down waits 4 s for a
+// response. When heartbeats weren't deferred and all controllers but one were down, workers tried one
+// controller after the other until their leases had expired.
 func (c *Controller) deferHeartbeat(id uint64, body []byte) {
 	if len(c.deferred.queue) >= c.maxDeferredHeartbeats() {
 		c.limits.Reached(limits.DeferredHeartbeats)
@@ -97,9 +99,9 @@
 	}
 }
 
-// resumeDeferred handles the deferred heartbeats once a leader is known. A newly elected leader
-// must not answer them before it has read the jobs, because it does not know yet which are
-// cancelled.
+// resumeDeferred handles the deferred heartbeats once a leader is known that isn't suspected to have
+// failed. If this controller is the leader, it must not answer them before it has read the jobs,
+// because until then it does not know which are cancelled.
 func (c *Controller) resumeDeferred() {
 	if len(c.deferred.queue) == 0 || c.leader == nil && c.leaderSuspect() || c.leader != nil && c.leader.jobsKnownAt.IsZero() {
 		return
@@ -112,10 +114,10 @@
 }
 
 // redirector chooses the target when a controller that neither leads nor serves a worker
-// redirects it. The leader knows which controller serves the worker. But a worker that could not
-// reach the leader contacted this controller again after a timeout, was redirected to the leader
-// again, and did not try the controller that serves it before its lease expired. Such a worker is
-// redirected without a target, and then tries all controllers in turn.
+// redirects it. The target is the leader, which knows the controller that serves the worker. A worker
+// that can't reach the leader contacts this controller again after a timeout. It is then redirected
+// without a target, and tries all controllers in turn. When it was redirected to the leader again, it
+// did not try the controller that serves it before its lease expired.
 type redirector struct {
 	controller   *Controller
 	redirectedAt map[string]time.Time // when a worker was last redirected to the leader, by machine
@@ -123,8 +125,8 @@
 
 const (
 	// redirectReturnWindow is the time within which a worker that contacts this controller again
-	// after a redirect is assumed not to have reached the leader: twice the timeout of a
-	// heartbeat and the pause after it.
+	// after a redirect is assumed not to have reached the leader: twice the sum of a heartbeat's
+	// timeout and the pause after it.
 	redirectReturnWindow = 2 * sessions.LostHeartbeatDelay
 	// maxRememberedRedirects is the number of entries above which old redirects are dropped.
 	maxRememberedRedirects = 1024
@@ -137,8 +139,9 @@
 	return redirector{controller: c, redirectedAt: map[string]time.Time{}}
 }
 
-// target returns the controller that a machine's worker should try, or "" for the next one in
-// turn.
+// target returns the controller that a machine's worker should try: the leader, or "" for the next
+// one in turn. It is "" if the leader doesn't reach its workers, if its last message is too old, if
+// no leader is known, or if the worker came back from the leader.
 func (r *redirector) target(machine string) string {
 	c := r.controller
 	leader := c.election.OtherLeader()
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -172,8 +172,8 @@
 }
 
 // reconcileAbsentAttempts handles the known attempts that a message doesn't report, in a fixed
-// order, and returns the starts to send with a heartbeat response. Stops have precedence: space
-// for them in the message is reserved first.
+// order, and returns the starts to send with a heartbeat response. Stops have precedence: space for
+// them in the message is reserved before that for starts.
 func (s *workerSessions) reconcileAbsentAttempts(m *machine, message sessions.Message, budget protocol.OrderBudget) []protocol.Order {
 	for _, a := range m.attemptList {
 		if a.stopRequested {
@@ -222,7 +222,7 @@
 	}
 	if !budget.Reserve(a.job.ID) {
 		s.controller.limits.Reached(limits.OrdersPerMessage)
-		return false // the next heartbeat won't report the attempt either
+		return false // the next heartbeat won't list the attempt either, and the start is tried again then
 	}
 	a.delivery.MarkSent(message.Incarnation, message.Sequence)
 	return true
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -10,8 +10,8 @@
 
 // Limits for reading the cloud's inventory, which takes one call for every 500 machines.
 const (
-	// inventoryCallDivisor is the maximum fraction of the cloud's call rate that inventory reads
-	// use, as a divisor. If the inventory of a large fleet were read as often as that of a
+	// inventoryCallDivisor bounds the calls for inventory reads to one in inventoryCallDivisor of
+	// those that the cloud's call rate allows. If the inventory of a large fleet were read as often as that of a
 	// small one, no calls would be left for provisioning and releases.
 	inventoryCallDivisor = 4
 	// maxInventoryPageAttempts is how often a page is requested, at inventoryRetryInterval,
@@ -36,8 +36,8 @@
 type inventoryRead struct {
 	leader   *leader
 	machines []protocol.ListedMachine
-	after    string // the last machine read
-	attempts int    // of the next page
+	after    string // name of the last machine read so far; empty before the first page
+	attempts int    // number of requests for the next page so far
 }
 
 // readInventory reads the cloud's inventory and reconciles the known machines with it.
@@ -132,7 +132,8 @@
 	}
 }
 
-// reconcileListed adopts or updates a machine that the inventory lists.
+// reconcileListed adopts or updates a machine that the inventory lists, and releases it if it has
+// failed.
 func (l *leader) reconcileListed(it *protocol.ListedMachine) {
 	c := l.controller
 	m := l.machines[it.Name]
@@ -163,8 +164,8 @@
 }
 
 // reconcileUnlisted releases a machine that should be in the inventory and isn't. An inventory may
-// be up to twice as old as MaxListLag, so a machine is known to be terminated only once inventories
-// haven't listed it for longer than that.
+// be up to twice as old as MaxListLag, so a machine counts as terminated only once inventories haven't
+// listed it for longer than that. A machine whose worker was recently heard from is kept.
 func (l *leader) reconcileUnlisted(m *machine) {
 	c := l.controller
 	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.maxInventoryStaleness() {
@@ -180,7 +181,8 @@
 	}
 }
 
-// maxInventoryStaleness is the time after a change from which on all inventories show it.
+// maxInventoryStaleness is the time after which a change of the fleet is visible in every inventory
+// that is read.
 func (c *Controller) maxInventoryStaleness() time.Duration {
 	return 3*c.cfg.MaxListLag + 10*time.Second
 }
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -12,7 +12,8 @@
 	"brasskeel/internal/records"
 )
 
-// job is the in-memory state of an unfinished job, kept by the leader or by the owner of a shard.
+// job is the in-memory state of a job whose record exists, kept by the leader or by the owner of a
+// shard.
 type job struct {
 	*protocol.Job
 	submitted time.Time
@@ -38,12 +39,12 @@
 	history            quarantine.History // of its failures
 	backoffUntil       time.Time          // time before which no task is started
 	preemptionTimerSet bool               // a timer is set for the end of its preemption delay
-	ceiling            ceilingWait        // its wait for machines below the ceiling of its team's surge
+	ceiling            ceilingWait        // state of its wait for machines below the ceiling of its team's surge
 
 	imageID  placement.ImageID
 	shapeKey placement.ShapeKey // created on first use
 
-	progressBroadcast bool // the last broadcast to the peers showed running or done tasks
+	progressBroadcast bool // the latest broadcast of its progress showed running or done tasks
 
 	// heldAttempts are the job's attempts at the owner of a shard; a leader keeps attempts in blocks.
 	heldAttempts map[*attempt]struct{}
@@ -83,7 +84,7 @@
 // jobRemoved implements sessionListener. The leader ignores it, as it deletes job records itself.
 func (l *leader) jobRemoved(string) {}
 
-// addJob adds a recorded job, unless it is already known.
+// addJob adds a recorded job, unless it is already known, and ends it if its outcome is cached.
 func (l *leader) addJob(r *records.Job) {
 	if l.jobs[r.Spec.ID] != nil {
 		return
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -17,7 +17,7 @@
 	epoch      sessions.Epoch // ownership epoch of all machines
 	term       uint64
 	keyVersion uint64 // version of the leader key, a condition of every write by this leader
-	fenced     bool   // the lease and its grace period have ended: no worker is answered
+	fenced     bool   // it was logged that no worker is answered; reset when the lease is renewed
 	recovery
 
 	jobsByAge []*job // in order of submission
@@ -26,7 +26,7 @@
 	teamUsage          map[string]*usage
 	corrections        queue.Corrections    // of runtime estimates
 	stoppingUsage      map[string]usage     // by team: resources of attempts whose stop was requested
-	terminatedAt       map[string]time.Time // terminated machines that the cloud's list may still show
+	terminatedAt       map[string]time.Time // when machines terminated that the cloud's inventory may still list, by name
 	writer             recordWriter
 	autoscaler         autoscalerState
 	rebalancer         *rebalancer       // nil while balance is off
@@ -53,16 +53,19 @@
 	}
 	l.listener = l
 	l.rebalancer = newRebalancer(l)
-	// The previous leader may have had the shortest lease, which has the longest grace period.
+	// The previous leader may still be in its grace period. The grace period is what is left of
+	// CancelDeadline after the lease and other times, so it is longest for the shortest lease that
+	// the previous leader may have had, LeaderLease.
 	l.epoch = sessions.Epoch{Term: t.Term, Since: c.now, PredecessorUntil: c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))}
 	l.writer.init(l)
 	l.autoscaler.init(l)
 	if c.sharding == nil && c.election.Sharded() {
-		// Other controllers may still own shards. This leader must move those to its own
-		// controller first.
+		// Sharding was disabled, but other controllers may still own shards. This controller must
+		// be a member that isn't draining, so that the shards can be moved to it first.
 		c.startSharding(false)
 	}
 	if c.sharding != nil {
+		// Without the sharding setting, all shards are moved to this controller.
 		l.shards = newShardCoordinator(l, c.sharding, c.operator.Sharding == nil)
 	}
 	c.leader = l
@@ -85,7 +88,7 @@
 		return
 	}
 	l.placementRequested = true
-	// The delay grows with the cost of the last round, so that placement takes at most about
+	// The delay grows with the cost of the latest round, so that placement takes at most about
 	// half of a small CPU share.
 	delay := 8*time.Millisecond + time.Duration(len(l.jobsByAge))*20*time.Microsecond + time.Duration(l.round.examined)*pausePerExaminedMachine
 	if l.controller.overload.ShouldDefer() {
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -6,9 +6,9 @@
 	"brasskeel/internal/coordination/limits"
 )
 
-// This file holds the limits that are derived from settings, and counts the limits that are
-// reached outside the core. Package limits has the names of all limits and what happens when
-// one is reached.
+// This file holds the limits that are derived from settings, and records how often limits outside
+// the core were reached. Package limits has the names of all limits and what happens when one is
+// reached.
 
 // CountSocketLimits records how often socket limits were reached since the last call: closed
 // counts responses that closed their connection, shed the connections that were closed to free
@@ -27,14 +27,16 @@
 
 // maxOpenRequests bounds the requests that wait for the state service. A status check serves
 // half as many queries as a transaction has conditions, so with this bound the waiting requests
-// are answered within about a second. Half of the sockets are always left for workers.
+// are answered within about a second. Half of the sockets are left for workers, as long as the other
+// half is at least minOpenRequests.
 func (c *Controller) maxOpenRequests() int {
 	perCheck := c.maxConditions() / 2
 	perSecond := int(time.Second / c.statusCheckInterval())
 	return max(minOpenRequests, min(perCheck*perSecond, c.cfg.MaxSockets/2))
 }
 
-// minOpenRequests is the minimum of maxOpenRequests, however slow the state service is.
+// minOpenRequests is the minimum of maxOpenRequests, however slow the state service is and however
+// few sockets there are.
 const minOpenRequests = 400
 
 // maxDeferredHeartbeats bounds the heartbeats that wait until a leader is known, since each of
@@ -62,8 +64,8 @@
 	pendingAnnouncementSeconds = 20
 )
 
-// logSampled logs an event that may occur for many objects at once. Package ratelog limits the
-// number of lines with the same message at level info.
+// logSampled logs an event that may occur for many objects at once, at level info. Package ratelog
+// limits the number of lines with the same message.
 func (c *Controller) logSampled(message string, args ...any) {
 	c.sampler.Info(c.log, c.now, message, args...)
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -74,7 +74,7 @@
 }
 
 // The final states of thousands of jobs that end within a second are broadcast within seconds,
-// each at least once. With a limit of 500 a second, those beyond 5,000 waiting ones were dropped.
+// each at least once. With a limit of 500 a second, those beyond 5,000 queued ones were dropped.
 func TestManyOutcomesAreBroadcast(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.cfg.StateWriteRPS = 1000
@@ -94,7 +94,7 @@
 	}
 }
 
-// machineListPage returns the response to a call for a page of the cloud's list, which has count
+// machineListPage returns the response to a call for a page of the cloud's inventory, which has count
 // machines, numbered from 0.
 func machineListPage(call Call, count int) []byte {
 	first := 0
@@ -111,7 +111,7 @@
 	return protocol.EncodeMachines(list, first+protocol.MachinesPageSize < count)
 }
 
-// readMachineList makes a leader read a list of count machines once, and returns the number of
+// readMachineList makes a leader read an inventory of count machines once, and returns the number of
 // calls. Every refuse-th call is refused; 0 refuses none.
 func readMachineList(c *Controller, l *leader, count, refuse int) (calls int) {
 	c.effects = Effects{}
@@ -140,8 +140,8 @@
 	return calls
 }
 
-// A list of 25,000 machines is read to its end, even if calls for pages are refused, and machines
-// on its last page are kept. When reading ended after 20,000 machines, the others were considered
+// An inventory of 25,000 machines is read to its end, even if calls for pages are refused, and
+// machines on its last page are kept. When reading ended after 20,000 machines, the others were considered
 // terminated, and a refused page discarded all pages before it.
 func TestLongListsAreReadToTheEnd(t *testing.T) {
 	const count = 25_000
@@ -150,31 +150,31 @@
 	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
 	l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
 	if calls := readMachineList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MachinesPageSize {
-		t.Fatalf("list incomplete after %d calls, or read in fewer calls than it has pages", calls)
+		t.Fatalf("inventory incomplete after %d calls, or read in fewer calls than it has pages", calls)
 	}
 	if len(l.machines) != count || !last.lifecycle.unlistedSince.IsZero() {
 		t.Errorf("%d machines known, want 25000; the last one counts as unlisted: %t, want false", len(l.machines), !last.lifecycle.unlistedSince.IsZero())
 	}
 }
 
-// Reading the list of a large fleet leaves most of the cloud's call budget for provisioning and
-// release. Read every six seconds, the list of 4,000 machines took two thirds of a budget of two
-// calls a second.
+// Reading the inventory of a large fleet leaves most of the cloud's call budget for provisioning and
+// releases. Read every six seconds, the inventory of 4,000 machines took two thirds of a budget of
+// two calls a second.
 func TestInventoryReadsLeaveCallBudget(t *testing.T) {
 	_, l := largeLeader(4000, 0)
 	l.controller.cfg.CloudRPS, l.controller.cfg.MaxListLag = 2, 12*time.Second
 	pages := float64(1 + 4000/protocol.MachinesPageSize)
 	if share := pages / l.inventoryInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
-		t.Errorf("reading the list takes %.2f of the call budget, want at most 0.26", share)
+		t.Errorf("reading the inventory takes %.2f of the call budget, want at most 0.26", share)
 	}
 	_, small := largeLeader(250, 0)
 	small.controller.cfg.CloudRPS, small.controller.cfg.MaxListLag = 2, 12*time.Second
 	if i := small.inventoryInterval(); i != 6*time.Second {
-		t.Errorf("list of a small fleet read every %s, want 6s", i)
+		t.Errorf("inventory of a small fleet read every %s, want 6s", i)
 	}
 }
 
-// Reading a list that repeats its pages is abandoned.
+// The read of an inventory that repeats its pages is abandoned.
 func TestEndlessListIsAbandoned(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.readInventory()
@@ -191,7 +191,7 @@
 		c.effects.Calls = append(c.effects.Calls, c.Tick(c.now).Calls...)
 	}
 	if calls > 4 || l.autoscaler.inventoryComplete {
-		t.Errorf("%d calls, want at most 4; list complete: %t, want false", calls, l.autoscaler.inventoryComplete)
+		t.Errorf("%d calls, want at most 4; inventory complete: %t, want false", calls, l.autoscaler.inventoryComplete)
 	}
 }
 
@@ -212,7 +212,7 @@
 }
 
 // A message to a worker never exceeds 64 KiB; the orders that do not fit are sent with the next
-// one.
+// message.
 func TestOrdersFitMessages(t *testing.T) {
 	const tasks = 3000
 	c, l, m := newCrowdedMachine(tasks)
@@ -377,8 +377,8 @@
 
 // A fleet that needs more than its controller's CPU share grows step by step: each step waits
 // until the machines of the previous one have registered, and nothing is provisioned while timers
-// run late. Otherwise thousands of machines were provisioned at once, before the processor time
-// for serving the first of them was known.
+// run late. Without these steps, thousands of machines were provisioned at once, before the processor
+// time for serving the first of them was known.
 func TestScaleOutBeyondCPUShareIsGradual(t *testing.T) {
 	c, l := largeLeader(600, 4000)
 	c.cfg.CPUShare = 0.025
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -9,8 +9,9 @@
 )
 
 // loadRecords reads all kinds of records concurrently, so that the delays of slow responses of the
-// state service don't add up. The order of the reads doesn't matter: since this controller was
-// elected, no other controller writes the records of machines and attempts.
+// state service don't add up. It applies machines and task blocks once all kinds are read. The order
+// of the reads doesn't matter: since this controller was elected, no other controller writes the
+// records of machines and attempts.
 func (l *leader) loadRecords() {
 	var machines, blocks []protocol.KeyValue
 	remaining := 3
@@ -47,10 +48,12 @@
 // a leader with a small share of a CPU from renewing its lease in time.
 const blocksPerStep = 32
 
-// blockStepPause is the pause between two such steps, in which the event loop handles other work.
+// blockStepPause is the pause between two steps that load task blocks, in which the event loop
+// handles other work.
 const blockStepPause = time.Millisecond
 
-// applyRecords loads machines before task blocks, whose attempts refer to jobs and machines.
+// applyRecords loads machines before task blocks, whose attempts refer to jobs and machines. The jobs
+// are loaded before.
 func (l *leader) applyRecords(machines, blocks []protocol.KeyValue) {
 	for _, item := range machines {
 		l.loadMachineGroup(item)
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -9,7 +9,7 @@
 	"brasskeel/internal/records"
 )
 
-// maxConcurrentOutcomeChecks is how many checks of outcomes are in flight at a time.
+// maxConcurrentOutcomeChecks is how many checks of outcomes are in flight at a time at most.
 const maxConcurrentOutcomeChecks = 4
 
 // loadJobs reads the records of active jobs and the outcomes of those that have one, and passes
@@ -107,7 +107,7 @@
 	}
 }
 
-// watchJobs watches for submissions and outcomes after a revision.
+// watchJobs watches for submissions, outcomes and deleted job records after a revision.
 func (s *workerSessions) watchJobs(after uint64) {
 	requestedAt := s.controller.now
 	store := s.controller.store
@@ -142,7 +142,7 @@
 }
 
 // applyJobRecord applies a record under PrefixJobs. justWritten says that a watch delivered it, so
-// that it is new; otherwise it existed before.
+// that it is new. A record that was read without a watch may be old.
 func (s *workerSessions) applyJobRecord(key string, value json.RawMessage, justWritten bool) {
 	if id, ok := cutPrefix(key, records.PrefixActive); ok {
 		s.listener.jobRecorded(id, value, justWritten)
--- a/internal/coordination/load_jobs_test.go
+++ b/internal/coordination/load_jobs_test.go
@@ -12,7 +12,8 @@
 	"brasskeel/internal/records"
 )
 
-// fakeStateService holds items and answers a new leader's reads of them.
+// fakeStateService holds items and answers a new leader's reads of them. Calls other than reads get
+// no answer.
 type fakeStateService struct {
 	items         map[string]protocol.KeyValue
 	readKeys      []string // keys read, prefixes listed, and keys compared by transactions
