--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -130,15 +130,15 @@
 // the lease. If a renewal succeeds after the outage, the lease has never ended in the service, so no
 // other controller can have led in the meantime.
 func (l *leader) RenewalSent() {
-	if l.fenced || l.holdsLease() || l.jobsKnownAt.IsZero() {
+	if l.fencingLogged || l.holdsLease() || l.jobsKnownAt.IsZero() {
 		return
 	}
-	l.fenced = true
+	l.fencingLogged = true
 	l.controller.log.Warn("fenced until leader lease is renewed", "term", l.term)
 }
 
 // LeaseRenewed implements leadership.LeaseHolder.
-func (l *leader) LeaseRenewed() { l.fenced = false }
+func (l *leader) LeaseRenewed() { l.fencingLogged = false }
 
 // LeaseExpired implements leadership.LeaseHolder.
 func (l *leader) LeaseExpired() { l.controller.election.StepDown("leader lease expired") }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -14,10 +14,10 @@
 // state service and from heartbeats. Without shards the leader serves all workers itself.
 type leader struct {
 	workerSessions
-	epoch      sessions.Epoch // ownership epoch of all machines
-	term       uint64
-	keyVersion uint64 // version of the leader key, a condition of every write by this leader
-	fenced     bool   // it was logged that no worker is answered; reset when the lease is renewed
+	epoch         sessions.Epoch // ownership epoch of all machines
+	term          uint64
+	keyVersion    uint64 // version of the leader key, a condition of every write by this leader
+	fencingLogged bool   // it was logged that no worker is answered; reset when the lease is renewed
 	recovery
 
 	jobsByAge []*job // in order of submission
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// machineListPage returns the response to a call for a page of the cloud's inventory, which has count
+// inventoryPage returns the response to a call for a page of the cloud's inventory, which has count
 // machines, numbered from 0.
-func machineListPage(call Call, count int) []byte {
+func inventoryPage(call Call, count int) []byte {
 	first := 0
 	if _, after, found := strings.Cut(call.Target, "=vm-"); found {
 		if _, err := fmt.Sscanf(after, "%d", &first); err != nil {
@@ -111,9 +111,9 @@
 	return protocol.EncodeMachines(list, first+protocol.MachinesPageSize < count)
 }
 
-// readMachineList makes a leader read an inventory of count machines once, and returns the number of
+// readWholeInventory makes a leader read an inventory of count machines once, and returns the number of
 // calls. Every refuse-th call is refused; 0 refuses none.
-func readMachineList(c *Controller, l *leader, count, refuse int) (calls int) {
+func readWholeInventory(c *Controller, l *leader, count, refuse int) (calls int) {
 	c.effects = Effects{}
 	l.readInventory()
 	for range 10_000 {
@@ -123,7 +123,7 @@
 				continue
 			}
 			calls++
-			o := Outcome{Answered: true, Status: 200, Body: machineListPage(call, count)}
+			o := Outcome{Answered: true, Status: 200, Body: inventoryPage(call, count)}
 			if refuse > 0 && calls%refuse == 0 {
 				o = Outcome{Answered: true, Status: 429}
 			}
@@ -143,13 +143,13 @@
 // An inventory of 25,000 machines is read to its end, even if calls for pages are refused, and
 // machines on its last page are kept. When reading ended after 20,000 machines, the others were considered
 // terminated, and a refused page discarded all pages before it.
-func TestLongListsAreReadToTheEnd(t *testing.T) {
+func TestLongInventoriesAreReadToTheEnd(t *testing.T) {
 	const count = 25_000
 	c, l := newTestLeader(phaseActive)
 	last := l.newMachine(fmt.Sprintf("vm-%06d", count-1), "small", "a", false)
 	last.recorded, last.provisionedAt = true, c.now.Add(-time.Hour)
 	l.autoscaler.callBudget = ratelimit.NewTokenBucket(1000, 1000, c.now)
-	if calls := readMachineList(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MachinesPageSize {
+	if calls := readWholeInventory(c, l, count, 7); !l.autoscaler.inventoryComplete || calls < count/protocol.MachinesPageSize {
 		t.Fatalf("inventory incomplete after %d calls, or read in fewer calls than it has pages", calls)
 	}
 	if len(l.machines) != count || !last.lifecycle.unlistedSince.IsZero() {
@@ -175,7 +175,7 @@
 }
 
 // The read of an inventory that repeats its pages is abandoned.
-func TestEndlessListIsAbandoned(t *testing.T) {
+func TestEndlessInventoryIsAbandoned(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	l.readInventory()
 	again := protocol.EncodeMachines([]protocol.ListedMachine{{Name: "vm-000001", Type: "small", Zone: "a", State: protocol.Up}}, true)
