--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -248,7 +248,7 @@
 	stopSentAt    time.Time     // when a stop with stopGrace was sent by a call; zero if none was
 
 	listIndex        int    // index in its machine's attemptList
-	lastListedStatus uint64 // statusCount at the latest status that listed it
+	lastListedStatus uint64 // statusCount at the latest worker status that listed it
 }
 
 type taskKey struct {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -38,8 +38,8 @@
 type autoscalerState struct {
 	callBudget              *ratelimit.TokenBucket
 	unmetDemand             []demand
-	displacedReplicas       map[*job]int // replicas on unresponsive machines that are kept until there is capacity elsewhere
-	demandIncomplete        bool         // the last placement round ended early, so unmetDemand is incomplete
+	displacedReplicas       map[*job]int // by service: replicas on unresponsive machines whose release waits for capacity elsewhere
+	demandIncomplete        bool         // the latest placement round ended early, so unmetDemand is incomplete
 	scaleOutScheduled       bool
 	requestCount            uint64
 	unavailableUntil        map[autoscaler.OfferKey]time.Time // when offers without capacity may be requested again
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -52,7 +52,8 @@
 	})
 }
 
-// cancel handles a request to cancel a job.
+// cancel handles a request to cancel a job. A job that already has an outcome keeps it, and the reply
+// names it.
 func (c *Controller) cancel(id uint64, job string) {
 	if !protocol.ValidJobID(job) {
 		c.reply(id, 404, protocol.EncodeError("no such job"))
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -38,8 +38,8 @@
 }
 
 // A leader that no longer receives job records stops answering heartbeats early enough that the
-// worker lease renewed by its last response ends within CancelDeadline after the time as of which
-// it knows the jobs. This holds for all settings, and even while its own lease is renewed.
+// worker lease that its last heartbeat response renews ends within CancelDeadline after the time as
+// of which it knows the jobs. This holds for all settings, and even while its own lease is renewed.
 func TestLeaseRenewalsEndWithinCancelTime(t *testing.T) {
 	for _, test := range []struct{ lease, cancel time.Duration }{
 		{15 * time.Second, 40 * time.Second}, {28 * time.Second, 48 * time.Second}, {22 * time.Second, 47 * time.Second},
@@ -48,22 +48,22 @@
 		c.cfg.WorkerLease, c.cfg.CancelDeadline = test.lease, test.cancel
 		l.jobsKnownAt = c.now
 		l.lease.ValidUntil = c.now.Add(time.Hour) // the lease is renewed, but no watch gets a response
-		known, last := l.jobsKnownAt, time.Time{}
+		known, lastAnswered := l.jobsKnownAt, time.Time{}
 		for i := range 8000 {
 			at := known.Add(time.Duration(i) * 100 * time.Millisecond)
 			e := c.Request(at, uint64(i+1), "POST", protocol.PathHeartbeat, encodedHeartbeat(uint64(i+1)))
 			if len(e.Replies) == 1 && e.Replies[0].Status == 200 {
-				last = at
+				lastAnswered = at
 			}
 		}
-		end := last.Add(test.lease + test.lease/2000)
-		if last.IsZero() || end.After(known.Add(test.cancel)) {
+		leaseEnd := lastAnswered.Add(test.lease + test.lease/2000) // with the clock drift that the protocol allows
+		if lastAnswered.IsZero() || leaseEnd.After(known.Add(test.cancel)) {
 			t.Errorf("lease %s, cancel_s %s: last heartbeat answered %s after the jobs were known, tasks end %s after that time, later than cancel_s allows",
-				test.lease, test.cancel, last.Sub(known), end.Sub(known))
+				test.lease, test.cancel, lastAnswered.Sub(known), leaseEnd.Sub(known))
 		}
 		// In an outage heartbeats should be answered for as long as possible: until one second
 		// and the clock drift before that limit.
-		if rest := known.Add(test.cancel).Sub(end); rest > time.Second+leadership.MaxClockDrift(test.cancel+test.lease) {
+		if rest := known.Add(test.cancel).Sub(leaseEnd); rest > time.Second+leadership.MaxClockDrift(test.cancel+test.lease) {
 			t.Errorf("lease %s, cancel_s %s: heartbeats are no longer answered %s earlier than necessary", test.lease, test.cancel, rest)
 		}
 	}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -71,7 +71,7 @@
 	leader    *leader   // nil while this controller is not the leader
 	sharding  *sharding // nil while the leader serves all machines
 
-	localMessages    []shard.Message // shard messages between this controller's own roles
+	localMessages    []shard.Message // shard messages between the leader and the shard owner on this controller
 	rejectedMessages int             // number of shard messages received that were invalid or of unknown senders
 }
 
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -9,8 +9,8 @@
 	"brasskeel/internal/records"
 )
 
-// overloadLossWindow is the time within which overload counts as the cause of a loss of
-// leadership.
+// overloadLossWindow is how long before a loss of leadership this controller's latest overload may
+// have been to count as the cause of the loss.
 const overloadLossWindow = 3 * time.Second
 
 func (c *Controller) newElection() *leadership.Election {
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -55,10 +55,10 @@
 
 // fleetReachability is the result of one scan of a leader's machines.
 type fleetReachability struct {
-	unresponsive []*machine // to be released
+	unresponsive []*machine // presumed dead
 	toProbe      []*machine
 	domains      map[failureDomain]*sessions.DomainHealth
-	suspectZones map[string]bool
+	suspectZones map[string]bool // zones with a machine whose latest probe failed
 	contact      sessions.FleetContact
 }
 
@@ -95,7 +95,7 @@
 	if l.shards != nil {
 		contactSince, ok := l.shards.ownerContactSince(m)
 		if !ok {
-			return l.controller.now, true // without contact to the owner nothing is known of the worker
+			return l.controller.now, true // without contact with the shard's owner nothing is known of the worker
 		}
 		since = sessions.Latest(since, contactSince)
 	}
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -128,7 +128,8 @@
 	// after a redirect is assumed not to have reached the leader: twice the sum of a heartbeat's
 	// timeout and the pause after it.
 	redirectReturnWindow = 2 * sessions.LostHeartbeatDelay
-	// maxRememberedRedirects is the number of entries above which old redirects are dropped.
+	// maxRememberedRedirects is the number of remembered redirects from which on those older than
+	// redirectReturnWindow are dropped, to limit memory use.
 	maxRememberedRedirects = 1024
 	// leaderContactWindow is how recent the last message from the leader must be for workers to
 	// be redirected to it, if it has sent any.
@@ -156,7 +157,7 @@
 	return leader
 }
 
-// recordRedirect records that a machine's worker was redirected to the leader.
+// recordRedirect remembers that a machine's worker was redirected to the leader.
 func (r *redirector) recordRedirect(machine string) {
 	if len(r.redirectedAt) >= maxRememberedRedirects {
 		for name, at := range r.redirectedAt {
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -19,7 +19,8 @@
 	return sessions.Message{Incarnation: r.Incarnation, Sequence: r.Sequence, Token: r.FencingToken}
 }
 
-// answerHeartbeat responds to a heartbeat of a machine that this owner serves.
+// answerHeartbeat responds to a heartbeat of a machine that this owner serves. A stale heartbeat is
+// refused, and an overtaken one gets no orders but the stops for tasks of ended jobs.
 func (s *workerSessions) answerHeartbeat(m *machine, id uint64, r *protocol.Heartbeat) {
 	c := s.controller
 	arrival := m.session.ClassifyHeartbeat(heartbeatMessage(r))
@@ -29,7 +30,7 @@
 	}
 	m.session.LastAnswered = c.now
 	if arrival == sessions.Overtaken {
-		// Its task list is outdated, so orders derived from it could be wrong. But the response
+		// The heartbeat's task list is outdated, so orders derived from it could be wrong. But the response
 		// renews the worker's lease, so it carries the stop orders for tasks of ended jobs.
 		m.session.HeartbeatSequence = r.Sequence
 		c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), s.stopOrdersForEndedJobs(r)))
@@ -137,8 +138,8 @@
 	m.session.RecordReached(at)
 }
 
-// reconcileReportedTasks compares the tasks that a worker reports with its known attempts. It
-// returns the stops of orphaned tasks, which only a heartbeat response may carry, and the
+// reconcileReportedTasks compares the tasks that a worker reports with the known attempts on its
+// machine. It returns the stops of orphaned tasks, which only a heartbeat response may carry, and the
 // orders to forget exited tasks, which may need a raised token first (forgetOrders).
 func (s *workerSessions) reconcileReportedTasks(m *machine, r *protocol.Heartbeat, heartbeat bool) (orphans, forgets []protocol.Order) {
 	s.statusCount++
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -50,7 +50,7 @@
 	(&inventoryRead{leader: l}).requestPage()
 }
 
-// requestPage requests the next page.
+// requestPage requests the page that follows r.after.
 func (r *inventoryRead) requestPage() {
 	r.attempts++
 	r.leader.controller.call(Cloud, "", "GET", protocol.MachinesTarget(r.after), nil, cloudTimeout, func(out Outcome) {
@@ -60,7 +60,8 @@
 	})
 }
 
-// handlePage handles the outcome of a page request.
+// handlePage handles the outcome of a page request. A failed request is retried. After the last page
+// the known machines are reconciled with the inventory.
 func (r *inventoryRead) handlePage(out Outcome) {
 	l := r.leader
 	if !out.Answered || out.Status != 200 {
@@ -69,7 +70,7 @@
 	}
 	list, more, err := protocol.ParseMachines(out.Body)
 	if err != nil || more && (len(list) == 0 || list[len(list)-1].Name <= r.after) {
-		r.finish() // a list whose pages don't advance would be read endlessly
+		r.finish() // invalid, or a page that doesn't advance, with which the read would never end
 		return
 	}
 	r.machines = append(r.machines, list...)
@@ -188,7 +189,7 @@
 }
 
 // releaseUnknownFailed releases a failed machine that no record names, which removes it from the
-// inventory.
+// inventory. If the call budget is used up, a later read of the inventory leads to another attempt.
 func (l *leader) releaseUnknownFailed(name string) {
 	if l.autoscaler.callBudget.TryTake(l.controller.now, 1) {
 		l.controller.call(Cloud, "", "POST", protocol.PathTerminate, protocol.EncodeTerminate([]string{name}), cloudTimeout, func(Outcome) {})
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -14,7 +14,7 @@
 // state service and from heartbeats. Without shards the leader serves all workers itself.
 type leader struct {
 	workerSessions
-	epoch         sessions.Epoch // ownership epoch of all machines
+	epoch         sessions.Epoch // ownership epoch of all machines; unused with shards, whose owners have their own
 	term          uint64
 	keyVersion    uint64 // version of the leader key, a condition of every write by this leader
 	fencingLogged bool   // it was logged that no worker is answered; reset when the lease is renewed
@@ -33,7 +33,7 @@
 	shards             *shardCoordinator // nil when this leader serves all machines itself
 
 	pendingLog         ratelog.Throttle // for the reasons why tasks are pending
-	requestedZone      string           // the preferred zone that this leader last recorded
+	requestedZone      string           // the latest zone that this leader requested to be recorded as preferred
 	placementRequested bool
 	round              placementRound
 	imageIDs           map[string]placement.ImageID
