--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -204,9 +204,9 @@
 }
 
 // adjustStoppingTotals adds an attempt to the totals of attempts whose stop was requested (delta 1)
-// or removes it (delta -1). The search for preemption victims uses the totals of a machine or a team for every
-// job and task. Recomputing them each time took a leader with thousands of pending tasks seconds
-// at a time, longer than its lease.
+// or removes it (delta -1). The search for preemption victims uses the totals of a machine or a
+// team for every job and task. Recomputing them each time took a leader with thousands of pending
+// tasks seconds at a time, longer than its lease.
 func (l *leader) adjustStoppingTotals(a *attempt, delta int) {
 	j, m, sign := a.job, a.machine, float64(delta)
 	m.stopRequestedCount += delta
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -75,8 +75,10 @@
 	})
 }
 
-// maintain is the leader's periodic maintenance, which also runs at the end of the recovery. Until
-// the leader is active, it only refreshes machine types, the inventory and shards, and logs.
+// maintain is the leader's periodic maintenance, which also runs at the end of the recovery. While
+// the records are being loaded, it only forgets machines that terminated some time ago. From then
+// until the leader is active, it only refreshes the machine types, the inventory and the shards, and
+// logs why tasks are pending.
 func (l *leader) maintain() {
 	c, scaler := l.controller, &l.autoscaler
 	for name, at := range l.terminatedAt {
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -121,10 +121,11 @@
 // NeedsLease implements leadership.LeaseHolder.
 func (l *leader) NeedsLease() bool { return l.alive() }
 
-// RenewalSent implements leadership.LeaseHolder. It logs, once until the lease is renewed, that
-// the leader is fenced, which means that it answers no workers, but keeps its state: its lease and
-// grace period have ended, or it may not know of all recent cancellations (holdsLease). A leader that hasn't read the jobs yet doesn't
-// answer workers either, but that is part of its recovery and isn't logged.
+// RenewalSent implements leadership.LeaseHolder. It logs, once until the lease is renewed, that the
+// leader is fenced, which means that it answers no workers, but keeps its state: its lease and
+// grace period have ended, or it may not know of all recent cancellations (holdsLease). A leader
+// that hasn't read the jobs yet doesn't answer workers either, but that is part of its recovery and
+// isn't logged.
 //
 // The leader keeps its state because the state service, during its own outage, possibly doesn't end
 // the lease. If a renewal succeeds after the outage, the lease has never ended in the service, so no
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -10,8 +10,8 @@
 const detectorInterval = 250 * time.Millisecond
 
 // detectFailures probes machines from which no messages arrive, resigns if this controller seems to
-// be disconnected, and otherwise releases unresponsive machines. Missing messages don't prove that a machine's tasks have ended. Its release proves it, and the
-// cloud confirms a release quickly.
+// be disconnected, and otherwise releases unresponsive machines. Missing messages don't prove that
+// a machine's tasks have ended. Its release proves it, and the cloud confirms a release quickly.
 func (l *leader) detectFailures() {
 	c := l.controller
 	stalled := l.detector.Scan(c.now)
@@ -168,8 +168,9 @@
 }
 
 // releaseUnresponsive releases machines that are presumed dead, except for those that are more
-// likely partitioned from their controller, and those kept for the replicas they run. Neither is
-// kept for longer than a worker's lease, after which its tasks have ended anyway.
+// likely partitioned from their controller, and those kept for the replicas they run. Both are
+// kept for at most the length of a worker's lease without contact, after which their tasks have ended
+// anyway.
 func (l *leader) releaseUnresponsive(s *fleetReachability) {
 	c := l.controller
 	deferral := l.newReleaseDeferral()
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -116,8 +116,8 @@
 // redirector chooses the target when a controller that neither leads nor serves a worker
 // redirects it. The target is the leader, which knows the controller that serves the worker. A worker
 // that can't reach the leader contacts this controller again after a timeout. It is then redirected
-// without a target, and tries all controllers in turn. When it was redirected to the leader again, it
-// did not try the controller that serves it before its lease expired.
+// without a target, and tries all controllers in turn. Workers that were redirected to the leader
+// again did not try the controller that serves them before their leases expired.
 type redirector struct {
 	controller   *Controller
 	redirectedAt map[string]time.Time // when a worker was last redirected to the leader, by machine
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -30,8 +30,9 @@
 	}
 	m.session.LastAnswered = c.now
 	if arrival == sessions.Overtaken {
-		// The heartbeat's task list is outdated, so orders derived from it could be wrong. But the response
-		// renews the worker's lease, so it carries the stop orders for tasks of ended jobs.
+		// The heartbeat's task list is outdated, so orders derived from it could be wrong. But the
+		// response renews the worker's lease, so it carries the stop orders for tasks of ended
+		// jobs.
 		m.session.HeartbeatSequence = r.Sequence
 		c.reply(id, 200, protocol.EncodeHeartbeatResponse(m.session.Token(), s.stopOrdersForEndedJobs(r)))
 		return
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -11,8 +11,8 @@
 // Limits for reading the cloud's inventory, which takes one call for every 500 machines.
 const (
 	// inventoryCallDivisor bounds the calls for inventory reads to one in inventoryCallDivisor of
-	// those that the cloud's call rate allows. If the inventory of a large fleet were read as often as that of a
-	// small one, no calls would be left for provisioning and releases.
+	// those that the cloud's call rate allows. If the inventory of a large fleet were read as often
+	// as that of a small one, no calls would be left for provisioning and releases.
 	inventoryCallDivisor = 4
 	// maxInventoryPageAttempts is how often a page is requested, at inventoryRetryInterval,
 	// before the read is abandoned. Without retries, one refused call would waste all pages
@@ -165,8 +165,8 @@
 }
 
 // reconcileUnlisted releases a machine that should be in the inventory and isn't. An inventory may
-// be up to twice as old as MaxListLag, so a machine counts as terminated only once inventories haven't
-// listed it for longer than that. A machine whose worker was recently heard from is kept.
+// be up to twice as old as MaxListLag, so a machine counts as terminated only once inventories
+// haven't listed it for longer than that. A machine whose worker was recently heard from is kept.
 func (l *leader) reconcileUnlisted(m *machine) {
 	c := l.controller
 	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.maxInventoryStaleness() {
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -111,8 +111,8 @@
 	return protocol.EncodeMachines(list, first+protocol.MachinesPageSize < count)
 }
 
-// readWholeInventory makes a leader read an inventory of count machines once, and returns the number of
-// calls. Every refuse-th call is refused; 0 refuses none.
+// readWholeInventory makes a leader read an inventory of count machines once, and returns the
+// number of calls. Every refuse-th call is refused; 0 refuses none.
 func readWholeInventory(c *Controller, l *leader, count, refuse int) (calls int) {
 	c.effects = Effects{}
 	l.readInventory()
@@ -141,8 +141,8 @@
 }
 
 // An inventory of 25,000 machines is read to its end, even if calls for pages are refused, and
-// machines on its last page are kept. When reading ended after 20,000 machines, the others were considered
-// terminated, and a refused page discarded all pages before it.
+// machines on its last page are kept. When reading ended after 20,000 machines, the others were
+// considered terminated, and a refused page discarded all pages before it.
 func TestLongInventoriesAreReadToTheEnd(t *testing.T) {
 	const count = 25_000
 	c, l := newTestLeader(phaseActive)
