--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -117,7 +117,7 @@
 		t.Errorf("%d machines planned, want 2, which is the limit, and a full plan", plannedCount(p))
 	}
 	p = testPlan(100)
-	p.quotas["red"].CPUs = 8
+	p.unusedLimits["red"].CPUs = 8
 	if p.AddDemand(demandOf(j, 100)); plannedCount(p) != 2 {
 		t.Errorf("%d machines planned for a quota of 8 CPUs, want 2", plannedCount(p))
 	}
--- a/internal/coordination/autoscaler/bins.go
+++ b/internal/coordination/autoscaler/bins.go
@@ -11,7 +11,7 @@
 type Bin struct {
 	Offer                Offer
 	cpus, gpus, memoryGB float64
-	reportBytes          int // size of the tasks' entries in a heartbeat
+	heartbeatBytes       int // size of the tasks' entries in a heartbeat
 }
 
 // NewBin returns the bin of an empty machine.
@@ -22,10 +22,10 @@
 // place puts a task of a job into the bin if it fits, and reports whether it did.
 func (b *Bin) place(j *protocol.Job) bool {
 	if !b.Offer.Allows(j) || j.CPUs > b.cpus+protocol.Epsilon || j.GPUs > b.gpus+protocol.Epsilon || j.MemoryGB > b.memoryGB+protocol.Epsilon ||
-		b.reportBytes+protocol.MaxTaskStatusBytes(j.ID) > placement.MaxTaskReportBytes {
+		b.heartbeatBytes+protocol.MaxTaskStatusBytes(j.ID) > placement.MaxTaskReportBytes {
 		return false
 	}
-	b.reportBytes += protocol.MaxTaskStatusBytes(j.ID)
+	b.heartbeatBytes += protocol.MaxTaskStatusBytes(j.ID)
 	b.cpus -= j.CPUs
 	b.gpus -= j.GPUs
 	b.memoryGB -= j.MemoryGB
--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -42,19 +42,19 @@
 	// searchFrom is the index in openBins where the search for capacity starts, by task shape.
 	// The bins before it can't hold another task of that shape.
 	searchFrom   map[placement.ShapeKey]int
-	smallest     placement.Resources // minimum of each resource over the expected jobs
+	minNeeds     placement.Resources // minimum of each resource over the expected jobs
 	expectsAny   bool
 	countByOffer map[OfferKey]int
 	offerOrder   []Offer
 	planned      int
-	quotas       map[string]*Quota // by team
+	unusedLimits map[string]*Quota // by team
 }
 
 // NewPlan returns an empty plan for offers, cheapest per CPU first, the booting machines and the
 // teams' quotas. The plan reduces the quotas as it uses them.
-func NewPlan(offers []Offer, booting []*Bin, quotas map[string]*Quota) *Plan {
+func NewPlan(offers []Offer, booting []*Bin, unusedLimits map[string]*Quota) *Plan {
 	return &Plan{offers: offers, bins: booting, openBins: slices.Clone(booting), searchFrom: map[placement.ShapeKey]int{},
-		countByOffer: map[OfferKey]int{}, quotas: quotas}
+		countByOffer: map[OfferKey]int{}, unusedLimits: unusedLimits}
 }
 
 // Expect announces a job before its demand is added. Bins that are too small for all expected
@@ -62,9 +62,9 @@
 func (p *Plan) Expect(j *protocol.Job) {
 	if !p.expectsAny {
 		p.expectsAny = true
-		p.smallest = placement.Resources{CPUs: j.CPUs, MemGB: j.MemoryGB}
+		p.minNeeds = placement.Resources{CPUs: j.CPUs, MemGB: j.MemoryGB}
 	}
-	p.smallest.CPUs, p.smallest.MemGB = min(p.smallest.CPUs, j.CPUs), min(p.smallest.MemGB, j.MemoryGB)
+	p.minNeeds.CPUs, p.minNeeds.MemGB = min(p.minNeeds.CPUs, j.CPUs), min(p.minNeeds.MemGB, j.MemoryGB)
 }
 
 // Full reports whether the plan has reached its limit of machines.
@@ -76,13 +76,13 @@
 // AddDemand assigns a job's tasks to booting and planned machines, and plans the further machines
 // that they need.
 func (p *Plan) AddDemand(d Demand) {
-	left := min(d.Tasks, p.tasksWithinQuota(d.Job))
+	left := min(d.Tasks, p.tasksWithinTeamLimit(d.Job))
 	zones := newZoneConstraint(d.Job, d.Zones)
-	quota := p.quotas[d.Job.Team]
+	unused := p.unusedLimits[d.Job.Team]
 	use := func(count int) {
 		left -= count
-		quota.CPUs -= float64(count) * d.Job.CPUs
-		quota.GPUs -= float64(count) * d.Job.GPUs
+		unused.CPUs -= float64(count) * d.Job.CPUs
+		unused.GPUs -= float64(count) * d.Job.GPUs
 	}
 	use(p.fillBins(d.Job, d.Shape, zones, left))
 	for left > 0 && !p.Full() {
@@ -142,14 +142,14 @@
 	return list
 }
 
-// tasksWithinQuota is how many tasks of a job its team's quota still allows to start.
-func (p *Plan) tasksWithinQuota(j *protocol.Job) int {
-	quota, limit := p.quotas[j.Team], float64(j.Tasks)
+// tasksWithinTeamLimit is how many tasks of a job its team's limit still allows to start.
+func (p *Plan) tasksWithinTeamLimit(j *protocol.Job) int {
+	unused, limit := p.unusedLimits[j.Team], float64(j.Tasks)
 	if j.CPUs > 0 {
-		limit = min(limit, (quota.CPUs+protocol.Epsilon)/j.CPUs)
+		limit = min(limit, (unused.CPUs+protocol.Epsilon)/j.CPUs)
 	}
 	if j.GPUs > 0 {
-		limit = min(limit, (quota.GPUs+protocol.Epsilon)/j.GPUs)
+		limit = min(limit, (unused.GPUs+protocol.Epsilon)/j.GPUs)
 	}
 	return max(0, int(limit))
 }
@@ -187,7 +187,7 @@
 
 // tooSmall reports whether a bin can't hold another task of any expected job.
 func (p *Plan) tooSmall(b *Bin) bool {
-	return b.cpus < p.smallest.CPUs-protocol.Epsilon || b.memoryGB < p.smallest.MemGB-protocol.Epsilon
+	return b.cpus < p.minNeeds.CPUs-protocol.Epsilon || b.memoryGB < p.minNeeds.MemGB-protocol.Epsilon
 }
 
 // dropFullBins removes full bins from openBins once they are the majority. Otherwise thousands
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -236,11 +236,11 @@
 		if c.queue > 0 {
 			l.Fetches.Add(start, 9, c.queue, 1)
 		}
-		j := policy
+		p := policy
 		if c.large {
-			j.Task = large
+			p.Task = large
 		}
-		if got := j.Exceeds(m, l); got != c.want {
+		if got := p.Exceeds(m, l); got != c.want {
 			t.Errorf("%s: exceeds the ceiling: %v", c.name, got)
 		}
 	}
@@ -258,9 +258,9 @@
 		penalty       time.Duration
 		prefersCached bool
 	}{{0, true}, {2 * time.Second, true}, {4 * time.Second, false}} {
-		j := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: time.Minute, LoadPenalty: c.penalty}, Now: start, Team: 1, Task: task}
+		p := CeilingPolicy{Settings: Settings{CeilingShare: 0.5, MaxFetchBacklog: time.Minute, LoadPenalty: c.penalty}, Now: start, Team: 1, Task: task}
 		score := func(m *placement.Machine, l *Load) float64 {
-			return weights.Score(m, task) - j.Penalty(m, l, weights.Image)
+			return weights.Score(m, task) - p.Penalty(m, l, weights.Image)
 		}
 		if prefersCached := score(cached, busy) > score(uncached, idle); prefersCached != c.prefersCached {
 			t.Errorf("load penalty %s: prefers the machine with the image: %v", c.penalty, prefersCached)
--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -59,10 +59,10 @@
 func (p *Planner) indexImages() {
 	p.holders = map[cachedImage][]*LoadedMachine{}
 	for i := range p.machines {
-		s := &p.machines[i]
-		for id := range s.Images.All {
-			k := cachedImage{id, s.Zone}
-			p.holders[k] = append(p.holders[k], s)
+		m := &p.machines[i]
+		for id := range m.Images.All {
+			k := cachedImage{id, m.Zone}
+			p.holders[k] = append(p.holders[k], m)
 		}
 	}
 }
@@ -82,12 +82,12 @@
 	}
 	plan := &evacuation{p, m, p.planned, map[string]bool{}}
 	for i := range replicas {
-		o := plan.findTarget(&replicas[i])
-		if o == nil {
+		target := plan.findTarget(&replicas[i])
+		if target == nil {
 			return false
 		}
-		plan.planned = plan.planned.With(o.Name, placement.Needs(replicas[i].Job))
-		plan.targets[o.Name] = true
+		plan.planned = plan.planned.With(target.Name, placement.Needs(replicas[i].Job))
+		plan.targets[target.Name] = true
 	}
 	if !dryRun {
 		p.planned = plan.planned
@@ -126,13 +126,13 @@
 	sure := true
 	defer func() { p.searches[key] = s }()
 	for i := s.next; i < len(list); i++ {
-		o := list[i]
+		m := list[i]
 		p.Examined++
-		fits := !o.Consolidating && p.acceptsTasks(o.Machine) && e.planned.fits(o.Machine, r.Job)
-		if fits && o.Machine != e.from {
-			return o
+		fits := !m.Consolidating && p.acceptsTasks(m.Machine) && e.planned.fits(m.Machine, r.Job)
+		if fits && m.Machine != e.from {
+			return m
 		}
-		sure = sure && !fits && !e.targets[o.Name]
+		sure = sure && !fits && !e.targets[m.Name]
 		if sure {
 			s.next = i + 1
 		}
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -60,34 +60,34 @@
 // Rebalance plans migrations off overloaded sources: those where a team is above its ceiling, where
 // image fetches are queued for too long, or that are slower than other machines. The migrations off
 // a source are planned as a whole, the most loaded sources first.
-func (p *Planner) Rebalance(t MigrationParams, sources []Source) []Migration {
+func (p *Planner) Rebalance(migrationParams MigrationParams, sources []Source) []Migration {
 	mostLoaded := slices.Clone(sources)
 	slices.SortStableFunc(mostLoaded, func(a, b Source) int {
-		return cmp.Or(cmp.Compare(t.overload(&b), t.overload(&a)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(migrationParams.overload(&b), migrationParams.overload(&a)), cmp.Compare(a.Name, b.Name))
 	})
-	var moves []Migration
+	var migrations []Migration
 	leastLoaded := p.leastLoaded()
 	for i := range mostLoaded[:min(len(mostLoaded), maxSources)] {
-		if len(moves) >= t.MaxMigrations {
+		if len(migrations) >= migrationParams.MaxMigrations {
 			break
 		}
-		sp := &sourcePlanner{Planner: p, params: t, source: &mostLoaded[i], targets: leastLoaded, planned: p.planned}
-		planned := sp.plan(t.MaxMigrations - len(moves))
+		sp := &sourcePlanner{Planner: p, params: migrationParams, source: &mostLoaded[i], targets: leastLoaded, planned: p.planned}
+		planned := sp.plan(migrationParams.MaxMigrations - len(migrations))
 		if len(planned) > 0 {
 			p.planned = sp.planned
-			moves = append(moves, planned...)
+			migrations = append(migrations, planned...)
 		}
 	}
-	return moves
+	return migrations
 }
 
 // overload ranks sources: it returns the largest load by a team's tasks, as a fraction of the
 // ceiling, plus the slowdown of the machine.
-func (t *MigrationParams) overload(s *Source) float64 {
+func (params *MigrationParams) overload(s *Source) float64 {
 	highest := 0.0
 	for i := range s.Tasks {
 		r, _ := s.Load.TeamUsage(s.Tasks[i].Team)
-		highest = max(highest, DominantShare(r, placement.Capacity(s.Spec))/t.CeilingShare+s.Load.Speed.Slowdown()-1)
+		highest = max(highest, DominantShare(r, placement.Capacity(s.Spec))/params.CeilingShare+s.Load.Speed.Slowdown()-1)
 	}
 	return highest
 }
@@ -96,8 +96,8 @@
 func (p *Planner) leastLoaded() []*LoadedMachine {
 	var list []*LoadedMachine
 	for i := range p.machines {
-		if s := &p.machines[i]; s.Load != nil && !s.Consolidating && p.acceptsTasks(s.Machine) {
-			list = append(list, s)
+		if m := &p.machines[i]; m.Load != nil && !m.Consolidating && p.acceptsTasks(m.Machine) {
+			list = append(list, m)
 		}
 	}
 	p.Examined += len(list)
@@ -119,22 +119,22 @@
 	planned PlannedUsage
 }
 
-// plan returns up to maxMoves worthwhile migrations off the source, the one with the largest gain
+// plan returns up to maxMigrations worthwhile migrations off the source, the one with the largest gain
 // first.
-func (h *sourcePlanner) plan(maxMoves int) []Migration {
-	tasks := make([]*MigratableTask, 0, len(h.source.Tasks))
-	for i := range h.source.Tasks {
-		tasks = append(tasks, &h.source.Tasks[i])
+func (sp *sourcePlanner) plan(maxMigrations int) []Migration {
+	tasks := make([]*MigratableTask, 0, len(sp.source.Tasks))
+	for i := range sp.source.Tasks {
+		tasks = append(tasks, &sp.source.Tasks[i])
 	}
-	var moves []Migration
+	var migrations []Migration
 	moved := placement.Resources{} // resources of the tasks planned to leave the source
-	for len(moves) < maxMoves {
+	for len(migrations) < maxMigrations {
 		best, bestIndex := Migration{}, -1
-		for i, w := range tasks {
-			if w == nil || !isBatch(w.Job) || !h.overloaded(w, moved) {
+		for i, task := range tasks {
+			if task == nil || !isBatch(task.Job) || !sp.overloaded(task, moved) {
 				continue
 			}
-			if m, ok := h.bestTarget(w, moved); ok && (bestIndex < 0 || m.Saving-m.Cost > best.Saving-best.Cost) {
+			if m, ok := sp.bestTarget(task, moved); ok && (bestIndex < 0 || m.Saving-m.Cost > best.Saving-best.Cost) {
 				best, bestIndex = m, i
 			}
 		}
@@ -144,18 +144,18 @@
 		tasks[bestIndex] = nil
 		needs := placement.Needs(best.Task.Job)
 		moved = moved.Plus(needs)
-		h.planned = h.planned.With(best.To.Name, needs)
-		moves = append(moves, best)
+		sp.planned = sp.planned.With(best.To.Name, needs)
+		migrations = append(migrations, best)
 	}
-	return moves
+	return migrations
 }
 
 // overloaded reports whether there is a reason to migrate a task off the source.
-func (h *sourcePlanner) overloaded(w *MigratableTask, moved placement.Resources) bool {
-	l := h.source.Load
-	r, tasks := l.TeamUsage(w.Team)
-	above := tasks > 1 && DominantShare(r.Minus(moved), placement.Capacity(h.source.Spec)) > h.params.CeilingShare+shareEpsilon
-	queued := !w.Running && l.Fetches.Backlog(h.params.Now, h.source.Spec.FetchGBPerSecond) > h.params.MaxFetchBacklog
+func (sp *sourcePlanner) overloaded(task *MigratableTask, moved placement.Resources) bool {
+	l := sp.source.Load
+	r, tasks := l.TeamUsage(task.Team)
+	above := tasks > 1 && DominantShare(r.Minus(moved), placement.Capacity(sp.source.Spec)) > sp.params.CeilingShare+shareEpsilon
+	queued := !task.Running && l.Fetches.Backlog(sp.params.Now, sp.source.Spec.FetchGBPerSecond) > sp.params.MaxFetchBacklog
 	return above || queued || l.Speed.Slowdown() > slowSourceThreshold
 }
 
@@ -164,77 +164,77 @@
 const slowSourceThreshold = 1.3
 
 // bestTarget returns the worthwhile migration of a task with the largest gain, if there is one.
-func (h *sourcePlanner) bestTarget(w *MigratableTask, moved placement.Resources) (best Migration, found bool) {
-	consider := func(o *LoadedMachine) {
-		if o.Machine == h.source.Machine || o.Load == nil || o.Consolidating || !h.acceptsTasks(o.Machine) {
+func (sp *sourcePlanner) bestTarget(task *MigratableTask, moved placement.Resources) (best Migration, found bool) {
+	consider := func(target *LoadedMachine) {
+		if target.Machine == sp.source.Machine || target.Load == nil || target.Consolidating || !sp.acceptsTasks(target.Machine) {
 			return // a machine that accepts no tasks may have no Spec
 		}
-		if !w.ZoneAllowed(o.Zone) || !h.planned.fits(o.Machine, w.Job) {
+		if !task.ZoneAllowed(target.Zone) || !sp.planned.fits(target.Machine, task.Job) {
 			return
 		}
-		if m, pays := h.evaluate(w, o, moved); pays && (!found || m.Saving-m.Cost > best.Saving-best.Cost) {
+		if m, pays := sp.evaluate(task, target, moved); pays && (!found || m.Saving-m.Cost > best.Saving-best.Cost) {
 			best, found = m, true
 		}
 	}
-	for _, o := range h.targets {
-		consider(o)
+	for _, target := range sp.targets {
+		consider(target)
 	}
-	if h.holders == nil {
-		h.indexImages()
+	if sp.holders == nil {
+		sp.indexImages()
 	}
-	holders := h.holders[cachedImage{w.Image, h.source.Zone}]
-	for _, o := range holders[:min(len(holders), maxTargets)] {
-		consider(o)
+	holders := sp.holders[cachedImage{task.Image, sp.source.Zone}]
+	for _, target := range holders[:min(len(holders), maxTargets)] {
+		consider(target)
 	}
 	return best, found
 }
 
 // evaluate returns what the migration of a task to a machine would save and cost, and whether it is
 // worthwhile.
-func (h *sourcePlanner) evaluate(w *MigratableTask, o *LoadedMachine, moved placement.Resources) (Migration, bool) {
-	t, src := &h.params, h.source
-	move := Migration{Task: w, From: src.Machine, To: o.Machine}
-	planned := h.planned.Allocated(o.Name)
-	there, tasks := o.Load.TeamUsage(w.Team)
-	needs := placement.Needs(w.Job)
-	after := DominantShare(there.Plus(planned).Plus(needs), placement.Capacity(o.Spec))
-	if (tasks > 0 || planned != (placement.Resources{})) && after > t.CeilingShare+shareEpsilon {
-		return move, false // the team would exceed its ceiling there, too
-	}
-	here, _ := src.Load.TeamUsage(w.Team)
-	loadReduction := max(0, DominantShare(here.Minus(moved), placement.Capacity(src.Spec))-after) / t.CeilingShare
-	move.Saving = time.Duration(t.LoadPenalty.Seconds() * loadReduction * float64(time.Second))
-	if slower := src.Load.Speed.Slowdown() / o.Load.Speed.Slowdown(); slower > 1 {
-		move.Saving += time.Duration(float64(w.Remaining) * (1 - 1/slower))
-	}
-	if !w.Running {
-		move.Saving += src.Load.Fetches.Backlog(t.Now, src.Spec.FetchGBPerSecond)
-	}
-	move.Cost = t.StopDuration + writesPerMigration*t.WriteDuration
-	if o.ImageShare(w.Task) < 1 {
-		move.Cost += o.Load.Fetches.Backlog(t.Now, o.Spec.FetchGBPerSecond)
-		if o.Spec.FetchGBPerSecond > 0 {
-			move.Cost += seconds(w.ImageGB / o.Spec.FetchGBPerSecond)
+func (sp *sourcePlanner) evaluate(task *MigratableTask, target *LoadedMachine, moved placement.Resources) (Migration, bool) {
+	params, src := &sp.params, sp.source
+	migration := Migration{Task: task, From: src.Machine, To: target.Machine}
+	planned := sp.planned.Allocated(target.Name)
+	there, tasks := target.Load.TeamUsage(task.Team)
+	needs := placement.Needs(task.Job)
+	after := DominantShare(there.Plus(planned).Plus(needs), placement.Capacity(target.Spec))
+	if (tasks > 0 || planned != (placement.Resources{})) && after > params.CeilingShare+shareEpsilon {
+		return migration, false // the team would exceed its ceiling there, too
+	}
+	here, _ := src.Load.TeamUsage(task.Team)
+	loadReduction := max(0, DominantShare(here.Minus(moved), placement.Capacity(src.Spec))-after) / params.CeilingShare
+	migration.Saving = time.Duration(params.LoadPenalty.Seconds() * loadReduction * float64(time.Second))
+	if slower := src.Load.Speed.Slowdown() / target.Load.Speed.Slowdown(); slower > 1 {
+		migration.Saving += time.Duration(float64(task.Remaining) * (1 - 1/slower))
+	}
+	if !task.Running {
+		migration.Saving += src.Load.Fetches.Backlog(params.Now, src.Spec.FetchGBPerSecond)
+	}
+	migration.Cost = params.StopDuration + writesPerMigration*params.WriteDuration
+	if target.ImageShare(task.Task) < 1 {
+		migration.Cost += target.Load.Fetches.Backlog(params.Now, target.Spec.FetchGBPerSecond)
+		if target.Spec.FetchGBPerSecond > 0 {
+			migration.Cost += seconds(task.ImageGB / target.Spec.FetchGBPerSecond)
 		}
 	}
-	return move, h.worthwhile(w, &move)
+	return migration, sp.worthwhile(task, &migration)
 }
 
 // worthwhile adds the work that is lost to the cost of a migration, and reports whether the
 // migration saves enough. Tasks that are about to end aren't migrated.
-func (h *sourcePlanner) worthwhile(w *MigratableTask, m *Migration) bool {
-	margin := h.params.Margin
-	if w.Running && w.Checkpoints {
-		m.Cost += w.CheckpointDuration
+func (sp *sourcePlanner) worthwhile(task *MigratableTask, m *Migration) bool {
+	margin := sp.params.Margin
+	if task.Running && task.Checkpoints {
+		m.Cost += task.CheckpointDuration
 	}
-	if w.Running && !w.Checkpoints {
-		m.Cost += w.RanFor
+	if task.Running && !task.Checkpoints {
+		m.Cost += task.RanFor
 		margin *= noCheckpointMargin
-		if w.RanFor > w.Remaining/noCheckpointDivisor {
+		if task.RanFor > task.Remaining/noCheckpointDivisor {
 			return false
 		}
 	}
-	if w.Remaining <= m.Cost {
+	if task.Remaining <= m.Cost {
 		return false
 	}
 	return m.Saving.Seconds() > margin*m.Cost.Seconds()
--- a/internal/coordination/balance/rebalance_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -12,7 +12,7 @@
 // fleet is a small fleet for planning migrations: machines of four CPUs with tasks of surging teams.
 type fleet struct {
 	machines []LoadedMachine
-	work     []MigratableTask
+	tasks    []MigratableTask
 	params   MigrationParams
 }
 
@@ -40,14 +40,14 @@
 	s.Allocated = s.Allocated.Plus(placement.Needs(w.Job))
 	s.Load.AddAttempt(team, placement.Needs(w.Job))
 	s.Images.Add(w.Image, w.ImageGB, 20)
-	f.work = append(f.work, w)
+	f.tasks = append(f.tasks, w)
 }
 
 func (f *fleet) plan() []Migration {
 	var sources []Source
 	for i, s := range f.machines {
 		source := Source{LoadedMachine: s}
-		for _, w := range f.work {
+		for _, w := range f.tasks {
 			if w.Owner == i {
 				source.Tasks = append(source.Tasks, w)
 			}
@@ -66,11 +66,11 @@
 	for range 4 {
 		f.addTask(0, 1, nil)
 	}
-	moves := f.plan()
-	if len(moves) != 2 {
-		t.Fatalf("%d migrations, want 2", len(moves))
+	migrations := f.plan()
+	if len(migrations) != 2 {
+		t.Fatalf("%d migrations, want 2", len(migrations))
 	}
-	for i, m := range moves {
+	for i, m := range migrations {
 		if m.From != f.machines[0].Machine || m.To == m.From || m.Saving.Seconds() <= 1.5*m.Cost.Seconds() {
 			t.Errorf("migration to the same machine, from another one, or not worthwhile: %+v", m)
 		}
@@ -79,27 +79,27 @@
 		}
 	}
 	f.params.MaxMigrations = 1
-	if moves := f.plan(); len(moves) != 1 {
-		t.Errorf("%d migrations, want 1 with MaxMigrations 1", len(moves))
+	if migrations := f.plan(); len(migrations) != 1 {
+		t.Errorf("%d migrations, want 1 with MaxMigrations 1", len(migrations))
 	}
 }
 
 // migrationCases are cases of three tasks on a machine, and whether any of them is migrated.
 var migrationCases = []struct {
-	name   string
-	change func(*MigratableTask)
-	setUp  func(*fleet)
-	moves  bool // whether any migration is planned
+	name     string
+	change   func(*MigratableTask)
+	setUp    func(*fleet)
+	migrates bool // whether any migration is planned
 }{
-	{name: "worthwhile migration", moves: true},
+	{name: "worthwhile migration", migrates: true},
 	{name: "minutes of work without checkpoints", change: func(w *MigratableTask) { w.Checkpoints, w.RanFor, w.Remaining = false, 4*time.Minute, 5*time.Minute }},
-	{name: "just started without checkpoints", change: func(w *MigratableTask) { w.Checkpoints, w.RanFor = false, time.Second }, moves: true},
+	{name: "just started without checkpoints", change: func(w *MigratableTask) { w.Checkpoints, w.RanFor = false, time.Second }, migrates: true},
 	{name: "huge image", change: func(w *MigratableTask) { w.ImageGB = 60; w.Remaining = 10 * time.Minute }},
 	{name: "long checkpoint", change: func(w *MigratableTask) { w.CheckpointDuration = 30 * time.Second }},
 	{name: "task about to end", change: func(w *MigratableTask) { w.Remaining = 2 * time.Second }},
 	{name: "overdue task", change: func(w *MigratableTask) { w.Remaining = 0 }},
-	{name: "half of the estimated run time", change: func(w *MigratableTask) { w.Remaining /= 2 }, moves: true},
-	{name: "one and a half times the estimated run time", change: func(w *MigratableTask) { w.Remaining = w.Remaining * 3 / 2 }, moves: true},
+	{name: "half of the estimated run time", change: func(w *MigratableTask) { w.Remaining /= 2 }, migrates: true},
+	{name: "one and a half times the estimated run time", change: func(w *MigratableTask) { w.Remaining = w.Remaining * 3 / 2 }, migrates: true},
 	{name: "long fetch backlog on the targets", setUp: func(f *fleet) {
 		for _, s := range f.machines[1:] {
 			s.Load.Fetches.Add(start, 9, 40, 1)
@@ -114,7 +114,7 @@
 	{name: "slow machine", setUp: func(f *fleet) {
 		f.params.LoadPenalty = 0
 		f.machines[0].Load.Speed = Speed{sum: 10, weight: 10}
-	}, moves: true},
+	}, migrates: true},
 	{name: "load within the ceiling", setUp: func(f *fleet) { f.params.CeilingShare = 1 }},
 	{name: "zone not allowed", change: func(w *MigratableTask) { w.ZoneAllowed = func(zone string) bool { return zone != "a" } }},
 	{name: "service replica", change: func(w *MigratableTask) { w.Kind = protocol.Service }},
@@ -141,8 +141,8 @@
 		if c.setUp != nil {
 			c.setUp(f)
 		}
-		if moves := f.plan(); (len(moves) > 0) != c.moves {
-			t.Errorf("%s: %d migrations planned", c.name, len(moves))
+		if migrations := f.plan(); (len(migrations) > 0) != c.migrates {
+			t.Errorf("%s: %d migrations planned", c.name, len(migrations))
 		}
 	}
 }
@@ -154,8 +154,8 @@
 	f.addTask(0, 1, func(w *MigratableTask) { w.Running, w.RanFor, w.Image = false, 0, 7 })
 	f.machines[0].Images.Reset()
 	f.machines[0].Load.Fetches.Add(start, 9, 50, 1)
-	if moves := f.plan(); len(moves) != 1 {
-		t.Errorf("%d migrations, want 1", len(moves))
+	if migrations := f.plan(); len(migrations) != 1 {
+		t.Errorf("%d migrations, want 1", len(migrations))
 	}
 }
 
@@ -167,9 +167,9 @@
 	}
 	f.machines[1].Images.Add(1, 1, 20)
 	f.machines[1].Spec = nil
-	sources := []Source{{LoadedMachine: f.machines[0], Tasks: f.work}}
-	if moves := NewPlanner(f.machines, func(m *placement.Machine) bool { return m.Spec != nil }).Rebalance(f.params, sources); len(moves) != 0 {
-		t.Errorf("%d migrations, want none", len(moves))
+	sources := []Source{{LoadedMachine: f.machines[0], Tasks: f.tasks}}
+	if migrations := NewPlanner(f.machines, func(m *placement.Machine) bool { return m.Spec != nil }).Rebalance(f.params, sources); len(migrations) != 0 {
+		t.Errorf("%d migrations, want none", len(migrations))
 	}
 }
 
@@ -183,11 +183,11 @@
 	}
 	total := 0
 	for round := range 20 {
-		moves := f.plan()
-		if total += len(moves); len(moves) == 0 && round > 2 {
+		migrations := f.plan()
+		if total += len(migrations); len(migrations) == 0 && round > 2 {
 			break
 		}
-		for _, m := range moves { // carry it out without a mark, so that each task may migrate again
+		for _, m := range migrations { // carry it out without a mark, so that each task may migrate again
 			from, to := -1, -1
 			for i, s := range f.machines {
 				if s.Machine == m.From {
@@ -202,9 +202,9 @@
 			f.machines[from].Load.RemoveAttempt(m.Task.Team, needs)
 			f.machines[to].Allocated = f.machines[to].Allocated.Plus(needs)
 			f.machines[to].Load.AddAttempt(m.Task.Team, needs)
-			for i := range f.work {
-				if f.work[i].Owner == from && f.work[i].Team == m.Task.Team {
-					f.work[i].Owner = to
+			for i := range f.tasks {
+				if f.tasks[i].Owner == from && f.tasks[i].Team == m.Task.Team {
+					f.tasks[i].Owner = to
 					break
 				}
 			}
@@ -238,7 +238,7 @@
 		for i, s := range f.machines {
 			if i%8 == 7 {
 				source := Source{LoadedMachine: s}
-				for _, w := range f.work[:4] {
+				for _, w := range f.tasks[:4] {
 					w.Owner = i
 					source.Tasks = append(source.Tasks, w)
 				}
@@ -248,7 +248,7 @@
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
 				p := NewPlanner(f.machines, func(*placement.Machine) bool { return true })
-				if moves := p.Rebalance(f.params, sources); len(moves) == 0 {
+				if migrations := p.Rebalance(f.params, sources); len(migrations) == 0 {
 					b.Fatal("no migration planned")
 				}
 			}
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -18,18 +18,18 @@
 }
 
 // before reports whether a candidate ranks before another one.
-func (k *Candidate) before(o *Candidate) bool {
+func (c *Candidate) before(o *Candidate) bool {
 	switch {
-	case k.AboveCeiling != o.AboveCeiling:
+	case c.AboveCeiling != o.AboveCeiling:
 		return o.AboveCeiling
-	case k.LastResort != o.LastResort:
+	case c.LastResort != o.LastResort:
 		return o.LastResort
-	case k.Score != o.Score:
-		return k.Score > o.Score
-	case k.FreeCPUs != o.FreeCPUs:
-		return k.FreeCPUs > o.FreeCPUs
+	case c.Score != o.Score:
+		return c.Score > o.Score
+	case c.FreeCPUs != o.FreeCPUs:
+		return c.FreeCPUs > o.FreeCPUs
 	}
-	return k.Machine < o.Machine
+	return c.Machine < o.Machine
 }
 
 // Candidates are the machines that may take tasks of a job, as a priority queue. They are scored
@@ -64,8 +64,8 @@
 func (c *Candidates) DropBest() { heap.Pop(&c.list) }
 
 // UpdateBest replaces the best candidate by k and ranks it again.
-func (c *Candidates) UpdateBest(k Candidate) {
-	c.list[0] = k
+func (c *Candidates) UpdateBest(updated Candidate) {
+	c.list[0] = updated
 	heap.Fix(&c.list, 0)
 }
 
--- a/internal/coordination/preemption/search.go
+++ b/internal/coordination/preemption/search.go
@@ -31,11 +31,11 @@
 // capacity only decreases, so a machine that is exhausted for a task is also exhausted for larger
 // ones.
 type Search[M any] struct {
-	options   optionHeap[M]
-	skipped   []option[M]
-	exhausted []option[M]
-	smallest  placement.Resources // needs of the smallest task so far
-	started   bool                // smallest is set
+	options       optionHeap[M]
+	skipped       []option[M]
+	exhausted     []option[M]
+	examinedNeeds placement.Resources // needs of the smallest task so far
+	started       bool                // examinedNeeds is set
 }
 
 // option is a machine in a search.
@@ -61,8 +61,8 @@
 func (s *Search[M]) BeginJob(machines Machines[M], needs placement.Resources) {
 	s.options = append(s.options, s.skipped...)
 	s.skipped = s.skipped[:0]
-	if !s.started || needs.CPUs < s.smallest.CPUs || needs.GPUs < s.smallest.GPUs || needs.MemGB < s.smallest.MemGB {
-		s.started, s.smallest = true, needs
+	if !s.started || needs.CPUs < s.examinedNeeds.CPUs || needs.GPUs < s.examinedNeeds.GPUs || needs.MemGB < s.examinedNeeds.MemGB {
+		s.started, s.examinedNeeds = true, needs
 		s.retryExhausted(machines)
 	}
 	heap.Init(&s.options)
--- a/internal/coordination/preemption/victims.go
+++ b/internal/coordination/preemption/victims.go
@@ -26,22 +26,22 @@
 }
 
 // before compares candidates: the result is negative if w is preempted before o.
-func (w *Candidate[A]) before(o *Candidate[A]) int {
-	if d := int(w.Priority) - int(o.Priority); d != 0 {
+func (c *Candidate[A]) before(o *Candidate[A]) int {
+	if d := int(c.Priority) - int(o.Priority); d != 0 {
 		return d
 	}
 	// The job submitted last comes first. With the least lost work first, tasks that were just
 	// restarted would be preempted again and again.
-	if d := o.JobSubmitted.Compare(w.JobSubmitted); d != 0 {
+	if d := o.JobSubmitted.Compare(c.JobSubmitted); d != 0 {
 		return d
 	}
-	if d := cmp.Compare(w.LostWork, o.LostWork); d != 0 {
+	if d := cmp.Compare(c.LostWork, o.LostWork); d != 0 {
 		return d
 	}
-	if d := cmp.Compare(w.JobID, o.JobID); d != 0 {
+	if d := cmp.Compare(c.JobID, o.JobID); d != 0 {
 		return d
 	}
-	return w.TaskIndex - o.TaskIndex
+	return c.TaskIndex - o.TaskIndex
 }
 
 // costPerVictim is the cost of each victim in addition to its lost work: of two choices that lose
@@ -55,9 +55,9 @@
 func ChooseVictims[A any](free, needs placement.Resources, candidates []Candidate[A]) (victims []Candidate[A], cost float64, ok bool) {
 	slices.SortFunc(candidates, func(a, b Candidate[A]) int { return a.before(&b) })
 	for i := range candidates {
-		w := &candidates[i]
-		cost += w.LostWork + costPerVictim
-		free = free.Plus(w.Needs)
+		c := &candidates[i]
+		cost += c.LostWork + costPerVictim
+		free = free.Plus(c.Needs)
 		if Fits(free, needs) {
 			return candidates[:i+1], cost, true
 		}
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -18,13 +18,13 @@
 
 func TestState(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		failures int // each on another machine
-		running  time.Duration
-		broken   time.Duration // since a running task failed; 0: never
-		progress Progress
-		fleet    int
-		want     State
+		name            string
+		failures        int // each on another machine
+		running         time.Duration
+		sinceRunFailure time.Duration // since a running task failed; 0: never
+		progress        Progress
+		fleet           int
+		want            State
 	}{
 		{name: "new job", fleet: 10, want: Untested},
 		{name: "failures below the threshold", failures: failureThreshold - 1, fleet: 10, want: Untested},
@@ -33,15 +33,15 @@
 		{name: "one task done", failures: 10, progress: Progress{DoneTasks: 1}, fleet: 10, want: Working},
 		{name: "task running for less than MinRunTime", failures: failureThreshold, running: MinRunTime - 1, progress: Progress{RunningTasks: 1}, fleet: 10, want: Quarantined},
 		{name: "task running for MinRunTime", failures: failureThreshold, running: MinRunTime, progress: Progress{RunningTasks: 1}, fleet: 10, want: Working},
-		{name: "recent failure of a running task", failures: failureThreshold, running: time.Minute, broken: MinTimeSinceFailure - 1, progress: Progress{RunningTasks: 1}, fleet: 10, want: Quarantined},
-		{name: "old failure of a running task", failures: failureThreshold, running: time.Minute, broken: MinTimeSinceFailure, progress: Progress{RunningTasks: 1}, fleet: 10, want: Working},
+		{name: "recent failure of a running task", failures: failureThreshold, running: time.Minute, sinceRunFailure: MinTimeSinceFailure - 1, progress: Progress{RunningTasks: 1}, fleet: 10, want: Quarantined},
+		{name: "old failure of a running task", failures: failureThreshold, running: time.Minute, sinceRunFailure: MinTimeSinceFailure, progress: Progress{RunningTasks: 1}, fleet: 10, want: Working},
 	} {
 		var h History
 		recordFailures(&h, start, c.failures, Progress{}, c.fleet)
 		now := start.Add(time.Hour)
 		h.RecordRunning(now.Add(-c.running))
-		if c.broken > 0 {
-			h.lastRunFailure = now.Add(-c.broken)
+		if c.sinceRunFailure > 0 {
+			h.lastRunFailure = now.Add(-c.sinceRunFailure)
 		}
 		if got := h.State(now, c.progress, c.fleet); got != c.want {
 			t.Errorf("%s: state %d, want %d", c.name, got, c.want)
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -43,11 +43,11 @@
 
 // Tier returns the job's tier without ageing. Preemption uses this one: what a job may preempt
 // doesn't depend on how long it has waited.
-func (s JobInfo) Tier() Tier {
+func (info JobInfo) Tier() Tier {
 	switch {
-	case s.Priority == protocol.Critical:
+	case info.Priority == protocol.Critical:
 		return Critical
-	case s.WithinQuota:
+	case info.WithinQuota:
 		return WithinQuota
 	}
 	return BestEffort
@@ -55,23 +55,23 @@
 
 // AgedTier returns the job's tier, which takes into account how long it has waited for its first
 // task.
-func (s JobInfo) AgedTier() Tier {
-	if t := s.Tier(); t < BestEffort || !s.Starving() {
+func (info JobInfo) AgedTier() Tier {
+	if t := info.Tier(); t < BestEffort || !info.Starving() {
 		return t
 	}
 	return Starving
 }
 
 // Starving reports whether the job has waited too long for its first task to start.
-func (s JobInfo) Starving() bool { return !s.Started && s.Waited >= StarvingAfter }
+func (info JobInfo) Starving() bool { return !info.Started && info.Waited >= StarvingAfter }
 
 // AgedPriority returns the job's priority, raised by one for each AgeingStep of waiting. Ageing
 // never makes a job critical.
-func (s JobInfo) AgedPriority() int {
-	if s.Priority == protocol.Critical {
+func (info JobInfo) AgedPriority() int {
+	if info.Priority == protocol.Critical {
 		return int(protocol.Critical)
 	}
-	return min(int(protocol.Urgent), int(s.Priority)+int(max(s.Waited, 0)/AgeingStep))
+	return min(int(protocol.Urgent), int(info.Priority)+int(max(info.Waited, 0)/AgeingStep))
 }
 
 // RemainingWork is the work of a job that isn't done yet.
@@ -97,16 +97,16 @@
 //
 // Users' estimates are often wrong by half, so a deadline counts as missed only if half of the
 // estimated run time is too long to meet it.
-func (b *RemainingWork) Weight() float64 {
-	runtime := max(b.Runtime, time.Second)
-	waited := max(b.Waited, 0)
+func (w *RemainingWork) Weight() float64 {
+	runtime := max(w.Runtime, time.Second)
+	waited := max(w.Waited, 0)
 	missed := 0
-	for _, deadline := range b.Deadlines {
+	for _, deadline := range w.Deadlines {
 		if waited+runtime/2 >= deadline {
 			missed++
 		}
 	}
-	work := runtime.Seconds() * float64(b.Tasks) * max(b.CPUs, 0.1)
+	work := runtime.Seconds() * float64(w.Tasks) * max(w.CPUs, 0.1)
 	return work * float64(1+missedDeadlinePenalty*missed) / (1 + waited.Minutes()/10)
 }
 
--- a/internal/coordination/ratelog/ratelog_test.go
+++ b/internal/coordination/ratelog/ratelog_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestThrottle(t *testing.T) {
-	var h Throttle
+	var throttle Throttle
 	for _, step := range []struct {
 		after  time.Duration // since the start
 		status string
@@ -84,8 +84,8 @@
 		{time.Hour, "", false},
 	} {
 		now := start.Add(step.after)
-		open := h.MayLog(now)
-		if allow := h.Allow(now, step.status); allow != step.allow || allow && !open {
+		open := throttle.MayLog(now)
+		if allow := throttle.Allow(now, step.status); allow != step.allow || allow && !open {
 			t.Errorf("after %s, status %q: Allow returned %t, MayLog %t", step.after, step.status, allow, open)
 		}
 	}
