--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -44,7 +44,7 @@
 	offers := testCatalog().Offers(func(k OfferKey) bool { return k != OfferKey{"small", "b", true} })
 	want := []OfferKey{{"small", "a", true}, {"large", "a", false}, {"small", "a", false}, {"small", "b", false}}
 	if len(offers) != len(want) {
-		t.Fatalf("%d offers, want all but the one excluded", len(offers))
+		t.Fatalf("%d offers, want %d: all but the unavailable one", len(offers), len(want))
 	}
 	for i, o := range offers {
 		if o.Key() != want[i] {
@@ -62,13 +62,13 @@
 		want  OfferKey
 	}{
 		{"a few tasks", testJob(func(*protocol.Job) {}), 4, OfferKey{"small", "a", true}},
-		{"many, not on spot machines", testJob(func(j *protocol.Job) { j.AllowSpot = false }), 16, OfferKey{"large", "a", false}},
-		{"a few, not on spot machines", testJob(func(j *protocol.Job) { j.AllowSpot = false }), 3, OfferKey{"small", "a", false}},
+		{"many tasks, not on spot machines", testJob(func(j *protocol.Job) { j.AllowSpot = false }), 16, OfferKey{"large", "a", false}},
+		{"a few tasks, not on spot machines", testJob(func(j *protocol.Job) { j.AllowSpot = false }), 3, OfferKey{"small", "a", false}},
 		{"in a zone", testJob(func(j *protocol.Job) { j.Zone = "b" }), 4, OfferKey{"small", "b", true}},
-		{"only on a large one", testJob(func(j *protocol.Job) { j.CPUs = 5 }), 1, OfferKey{"large", "a", false}},
+		{"fits only on a large machine", testJob(func(j *protocol.Job) { j.CPUs = 5 }), 1, OfferKey{"large", "a", false}},
 	} {
 		if got, ok := BestOffer(testCatalog().Offers(anyOffer), test.job, test.tasks, anywhere); !ok || got.Key() != test.want {
-			t.Errorf("%s: found %t, offer %+v", test.name, ok, got.Key())
+			t.Errorf("%s: found %t, offer %+v; want %+v", test.name, ok, got.Key(), test.want)
 		}
 	}
 	if _, ok := BestOffer(testCatalog().Offers(anyOffer), testJob(func(j *protocol.Job) { j.CPUs = 17 }), 1, anywhere); ok {
@@ -93,7 +93,7 @@
 	p := testPlan(10, NewBin(small))
 	j := testJob(func(*protocol.Job) {})
 	p.Expect(j)
-	p.AddDemand(demandOf(j, 6)) // four of them fit on the booting machine
+	p.AddDemand(demandOf(j, 6)) // four of the tasks fit on the booting machine
 	if got := plannedCount(p); got != 1 {
 		t.Errorf("%d machines planned for six tasks of which four fit on a booting machine, want 1", got)
 	}
@@ -119,7 +119,7 @@
 	p = testPlan(100)
 	p.unusedLimits["red"].CPUs = 8
 	if p.AddDemand(demandOf(j, 100)); plannedCount(p) != 2 {
-		t.Errorf("%d machines planned for a quota of 8 CPUs, want 2", plannedCount(p))
+		t.Errorf("%d machines planned with 8 CPUs left of the team's limit, want 2", plannedCount(p))
 	}
 	spread := testJob(func(j *protocol.Job) { j.Spread, j.Tasks, j.CPUs = true, 4, 4 })
 	p = testPlan(100)
--- a/internal/coordination/autoscaler/bins.go
+++ b/internal/coordination/autoscaler/bins.go
@@ -7,7 +7,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// Bin is the free capacity of a machine that is booting or planned.
+// Bin is the free capacity of a booting or planned machine.
 type Bin struct {
 	Offer                Offer
 	cpus, gpus, memoryGB float64
@@ -34,12 +34,11 @@
 
 // zoneConstraint applies a job's zone constraints to its planned tasks.
 type zoneConstraint struct {
-	job         *protocol.Job // nil without constraints
-	tasksByZone map[string]int
+	job         *protocol.Job  // nil without constraints
+	tasksByZone map[string]int // live attempts and planned tasks
 }
 
-// newZoneConstraint returns a job's constraint, with the given counts of tasks already running
-// in each zone.
+// newZoneConstraint returns a job's constraint. zones counts the job's live attempts in each zone.
 func newZoneConstraint(j *protocol.Job, zones map[string]int) *zoneConstraint {
 	z := anyZone()
 	if j.OneZone || j.Spread {
@@ -52,7 +51,8 @@
 // anyZone returns a constraint that allows all zones.
 func anyZone() *zoneConstraint { return &zoneConstraint{tasksByZone: map[string]int{}} }
 
-// allows reports whether one more task may be placed in a zone.
+// allows reports whether one more task may be placed in a zone. All tasks of a job with OneZone share
+// one zone, and at most half of the tasks of a job with Spread, rounded up, are in the same zone.
 func (z *zoneConstraint) allows(zone string) bool {
 	if z.job == nil {
 		return true
--- a/internal/coordination/autoscaler/doc.go
+++ b/internal/coordination/autoscaler/doc.go
@@ -3,8 +3,8 @@
 //
 // It owns the choice among offers, by price, and one plan at a time. It has no access to the
 // cloud, a clock, running machines or records: all of these are passed in as values, and the
-// caller requests the planned machines. It must never plan for more tasks of a team than its
-// quota allows to start: the machines would be idle.
+// caller requests the planned machines. It must never plan for more tasks of a team than the
+// team's limit allows to start: the machines would be idle.
 //
 // CPUs and GPUs are counted in units of one, memory in GB, prices per machine and hour.
 package autoscaler
--- a/internal/coordination/autoscaler/offers.go
+++ b/internal/coordination/autoscaler/offers.go
@@ -24,7 +24,7 @@
 // Key returns the key of the offer.
 func (o Offer) Key() OfferKey { return OfferKey{o.Spec.Name, o.Zone, o.Spot} }
 
-// Price is the price per machine and hour.
+// Price returns the price per machine and hour.
 func (o Offer) Price() float64 {
 	if o.Spot {
 		return o.Spec.SpotPricePerHour
@@ -32,7 +32,7 @@
 	return o.Spec.PricePerHour
 }
 
-// PricePerCPU is the hourly price of a machine divided by its CPUs.
+// PricePerCPU returns the price of a machine per hour, divided by its CPUs.
 func (o Offer) PricePerCPU() float64 { return o.Price() / o.Spec.CPUs }
 
 // Allows reports whether a job's tasks may run on a machine of the offer and fit on it.
@@ -40,7 +40,8 @@
 	return j.AllowsType(o.Spec.Name) && o.Spec.Fits(j) && (j.Zone == "" || j.Zone == o.Zone) && (j.AllowSpot || !o.Spot)
 }
 
-// tasksPerMachine is how many tasks of a job a machine of the offer holds.
+// tasksPerMachine returns how many tasks of a job an empty machine of the offer holds. They must also
+// fit into a heartbeat.
 func (o Offer) tasksPerMachine(j *protocol.Job) float64 {
 	fit := float64(placement.MaxTaskReportBytes / protocol.MaxTaskStatusBytes(j.ID))
 	if j.CPUs > 0 {
@@ -95,12 +96,14 @@
 	return list
 }
 
-// opportunisticPriceFactor is the highest price per CPU to pay for opportunistic jobs, as a
+// opportunisticPriceFactor is the highest price per CPU to pay for an opportunistic job, as a
 // multiple of the lowest price per CPU among the machines that the job may use.
 const opportunisticPriceFactor = 1.5
 
-// TooExpensive reports whether an offer costs too much for an opportunistic job, which gets only
-// idle and cheap capacity.
+// TooExpensive reports whether an offer costs too much for an opportunistic job, that is, one that
+// isn't critical, of a team without a guarantee. Such a job gets only idle and cheap capacity. The
+// offer is compared with the cheapest machine that the job may use, in any zone and also if that one
+// isn't available now.
 func (c Catalog) TooExpensive(j *protocol.Job, o Offer) bool {
 	lowest := 0.0
 	for _, t := range c.Types {
@@ -114,9 +117,10 @@
 	return o.PricePerCPU() > opportunisticPriceFactor*lowest
 }
 
-// BestOffer returns the cheapest offer for a number of a job's tasks, by price per task. The
-// price of a machine that holds more tasks than are left is divided by those that are left, or
-// by two for a single one. It returns false if no offer is suitable.
+// BestOffer returns the offer with the lowest price per task, for the given number of a job's tasks.
+// The price of a machine is divided by the number of tasks that it holds, but by no more than the
+// given number, or two if that is one. Among equal offers the first is chosen. found is false if no
+// offer is suitable.
 func BestOffer(offers []Offer, j *protocol.Job, tasks int, zoneAllowed func(zone string) bool) (best Offer, found bool) {
 	bestCost := 0.0
 	for _, o := range offers {
--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -7,22 +7,23 @@
 	"brasskeel/internal/protocol"
 )
 
-// Quota is the resources that a team may still use within its limit, over all its jobs.
+// Quota is the part of a team's limit that isn't used yet, over all its jobs.
 type Quota struct{ CPUs, GPUs float64 }
 
 // Demand is a number of a job's tasks that wait for a machine.
 type Demand struct {
 	Job   *protocol.Job
 	Shape placement.ShapeKey // of a task
-	Zones map[string]int     // of the job's live tasks
+	Zones map[string]int     // number of the job's live attempts in each zone
 	Tasks int
 	// TooExpensive reports whether an offer costs too much for the job, and Starving whether
-	// the job has waited for so long that it gets a single machine in spite of the price.
+	// the job has waited for so long that it gets a single machine in spite of the price, if none
+	// of its waiting tasks finds capacity otherwise.
 	TooExpensive func(Offer) bool
 	Starving     func() bool
 }
 
-// Request is a number of machines of one offer to request.
+// Request is the number of machines to request of one offer.
 type Request struct {
 	Offer Offer
 	Count int
@@ -30,7 +31,8 @@
 
 // Plan is the machines to provision in addition to the booting ones.
 type Plan struct {
-	// Limit is how many machines may be planned for demand.
+	// Limit is how many machines may be planned for pending tasks and displaced replicas.
+	// AddCheapest may exceed it.
 	Limit int
 	// BinsVisited counts the bins that were searched, over all jobs.
 	BinsVisited int
@@ -38,20 +40,20 @@
 	offers   []Offer
 	bins     []*Bin // all booting and planned machines
 	openBins []*Bin // those that may hold more pending tasks, in the same order
-	fullBins int    // number of openBins that have become too small
+	fullBins int    // number of openBins that are full: too small for any expected job
 	// searchFrom is the index in openBins where the search for capacity starts, by task shape.
 	// The bins before it can't hold another task of that shape.
 	searchFrom   map[placement.ShapeKey]int
-	minNeeds     placement.Resources // minimum of each resource over the expected jobs
-	expectsAny   bool
-	countByOffer map[OfferKey]int
-	offerOrder   []Offer
-	planned      int
-	unusedLimits map[string]*Quota // by team
+	minNeeds     placement.Resources // minimum of CPUs and of memory over the expected jobs; GPUs aren't compared
+	expectsAny   bool                // minNeeds is set
+	countByOffer map[OfferKey]int    // planned machines
+	offerOrder   []Offer             // the offers in countByOffer, in the order in which they were first planned
+	planned      int                 // planned machines, without the booting ones
+	unusedLimits map[string]*Quota   // by team
 }
 
-// NewPlan returns an empty plan for offers, cheapest per CPU first, the booting machines and the
-// teams' quotas. The plan reduces the quotas as it uses them.
+// NewPlan returns an empty plan. offers are ordered by price per CPU, lowest first. unusedLimits are
+// the unused parts of the teams' limits; the plan reduces them by the tasks that it assigns.
 func NewPlan(offers []Offer, booting []*Bin, unusedLimits map[string]*Quota) *Plan {
 	return &Plan{offers: offers, bins: booting, openBins: slices.Clone(booting), searchFrom: map[placement.ShapeKey]int{},
 		countByOffer: map[OfferKey]int{}, unusedLimits: unusedLimits}
@@ -67,14 +69,14 @@
 	p.minNeeds.CPUs, p.minNeeds.MemGB = min(p.minNeeds.CPUs, j.CPUs), min(p.minNeeds.MemGB, j.MemoryGB)
 }
 
-// Full reports whether the plan has reached its limit of machines.
+// Full reports whether as many machines are planned as Limit allows.
 func (p *Plan) Full() bool { return p.planned >= p.Limit }
 
-// Booting is the number of booting and planned machines.
+// Booting returns the number of booting and planned machines.
 func (p *Plan) Booting() int { return len(p.bins) }
 
 // AddDemand assigns a job's tasks to booting and planned machines, and plans the further machines
-// that they need.
+// that they need, within the team's limit and the limit of machines.
 func (p *Plan) AddDemand(d Demand) {
 	left := min(d.Tasks, p.tasksWithinTeamLimit(d.Job))
 	zones := newZoneConstraint(d.Job, d.Zones)
@@ -87,6 +89,9 @@
 	use(p.fillBins(d.Job, d.Shape, zones, left))
 	for left > 0 && !p.Full() {
 		offer, ok := BestOffer(p.offers, d.Job, left, zones.allows)
+		// An offer that is too expensive is used only for a starving job. left == d.Tasks if the
+		// team's limit allows all waiting tasks and none has been assigned, so the job gets one
+		// such machine at most.
 		if !ok || d.TooExpensive(offer) && (left != d.Tasks || !d.Starving()) {
 			return
 		}
@@ -98,8 +103,8 @@
 	}
 }
 
-// AddDisplaced plans capacity for replicas on unresponsive machines. Their teams' usage already
-// includes them, and they may be placed in any zone.
+// AddDisplaced plans capacity for replicas on unresponsive machines. The teams' usage already includes
+// them, so the unused limits don't matter, and the zone constraints OneZone and Spread aren't applied.
 func (p *Plan) AddDisplaced(j *protocol.Job, shape placement.ShapeKey, replicas int) {
 	zones := anyZone()
 	for left := replicas; left > 0 && !p.Full(); left-- {
@@ -114,8 +119,8 @@
 	}
 }
 
-// CountCapacity adds the free CPUs of the booting and planned machines, and those assigned to
-// pending tasks, to the given counts.
+// CountCapacity returns the given numbers of free and taken CPUs, increased by the CPUs of the booting
+// and planned machines that are free and that are assigned to tasks.
 func (p *Plan) CountCapacity(free, taken float64) (allFree, allTaken float64) {
 	for _, b := range p.bins {
 		free += b.cpus
@@ -124,8 +129,8 @@
 	return free, taken
 }
 
-// AddCheapest plans one more machine of the cheapest offer for future tasks, and returns its
-// CPUs, or false if there is no offer.
+// AddCheapest plans one more machine for future tasks, of the offer with the lowest price per CPU, and
+// returns its CPUs; ok is false if there is no offer.
 func (p *Plan) AddCheapest() (cpus float64, ok bool) {
 	if len(p.offers) == 0 {
 		return 0, false
@@ -142,7 +147,7 @@
 	return list
 }
 
-// tasksWithinTeamLimit is how many tasks of a job its team's limit still allows to start.
+// tasksWithinTeamLimit returns how many tasks of a job its team's limit still allows to start.
 func (p *Plan) tasksWithinTeamLimit(j *protocol.Job) int {
 	unused, limit := p.unusedLimits[j.Team], float64(j.Tasks)
 	if j.CPUs > 0 {
@@ -154,17 +159,17 @@
 	return max(0, int(limit))
 }
 
-// fillBins assigns up to limit tasks of a job to booting and planned machines, and returns how
-// many it assigned.
+// fillBins assigns up to limit tasks of a job to booting and already planned machines, and returns
+// how many it assigned.
 func (p *Plan) fillBins(j *protocol.Job, shape placement.ShapeKey, zones *zoneConstraint, limit int) int {
 	i, found := p.searchFrom[shape], 0
 	for ; i < len(p.openBins) && found < limit; i++ {
 		p.BinsVisited++
 		found += p.pack(p.openBins[i], j, zones, limit-found)
 	}
-	if !j.OneZone && !j.Spread {
+	if !j.OneZone && !j.Spread { // with these, bins that have room may have been passed over
 		if found == limit && i > 0 {
-			i-- // the last bin may hold further tasks
+			i-- // the bin that took the last task may hold further ones
 		}
 		p.searchFrom[shape] = max(p.searchFrom[shape], i)
 	}
@@ -172,7 +177,7 @@
 	return found
 }
 
-// pack puts up to limit tasks of a job into a bin, and returns how many it put there.
+// pack puts up to limit tasks of a job into a bin, and returns how many tasks fit.
 func (p *Plan) pack(b *Bin, j *protocol.Job, zones *zoneConstraint, limit int) int {
 	count := 0
 	for count < limit && zones.allows(b.Offer.Zone) && b.place(j) {
@@ -190,8 +195,8 @@
 	return b.cpus < p.minNeeds.CPUs-protocol.Epsilon || b.memoryGB < p.minNeeds.MemGB-protocol.Epsilon
 }
 
-// dropFullBins removes full bins from openBins once they are the majority. Otherwise thousands
-// of jobs would each search thousands of full bins.
+// dropFullBins removes the full bins from openBins once they are the majority. If they remained,
+// thousands of jobs would each search thousands of full bins.
 func (p *Plan) dropFullBins() {
 	if p.fullBins*2 <= len(p.openBins) {
 		return
@@ -201,7 +206,7 @@
 	clear(p.searchFrom)
 }
 
-// addMachine plans one more machine.
+// addMachine plans one more machine of an offer and returns its bin.
 func (p *Plan) addMachine(o Offer) *Bin {
 	key := o.Key()
 	if p.countByOffer[key] == 0 {
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -30,7 +30,7 @@
 		want time.Duration
 	}{
 		{func() {}, 0, 6 * time.Second},
-		{func() {}, 2, 4 * time.Second}, // 2 GB of each image were fetched
+		{func() {}, 2, 4 * time.Second}, // 2 GB of each image have been fetched
 		{func() {}, 4, 2 * time.Second}, // the first fetch is complete, 4 GB of the other remain
 		{func() { f.Cancel(at(4), 1, rate) }, 4, 2 * time.Second},
 		{func() { f.Add(at(4), 3, 6, rate) }, 4, 5 * time.Second},
@@ -52,11 +52,11 @@
 	l.AddAttempt(1, placement.Resources{CPUs: 1, MemGB: 8})
 	l.RemoveAttempt(1, placement.Resources{CPUs: 2, MemGB: 4})
 	if r, tasks := l.TeamUsage(1); tasks != 1 || r != (placement.Resources{CPUs: 1, MemGB: 8}) {
-		t.Errorf("usage of the team is %d tasks with %+v, not as expected", tasks, r)
+		t.Errorf("usage of team 1 is %d tasks with %+v, want 1 with 1 CPU and 8 GB", tasks, r)
 	}
 	l.RemoveAttempt(2, placement.Resources{CPUs: 1, MemGB: 1})
 	if r, tasks := l.TeamUsage(2); tasks != 0 || r != (placement.Resources{}) {
-		t.Errorf("usage of the team is %d tasks with %+v, not as expected", tasks, r)
+		t.Errorf("usage of team 2 is %d tasks with %+v, want none", tasks, r)
 	}
 	if got := DominantShare(placement.Resources{CPUs: 1, MemGB: 8}, placement.Resources{CPUs: 4, MemGB: 16}); got != 0.5 {
 		t.Errorf("dominant share is %g, want 0.5", got)
@@ -67,20 +67,20 @@
 // are not enough to count a machine as slow.
 func TestSlowdown(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	wrong := distuv.LogNormal{Mu: 0, Sigma: 0.5, Src: rng}
-	varies := distuv.LogNormal{Mu: 0, Sigma: 0.1, Src: rng}
+	estimateErrors := distuv.LogNormal{Mu: 0, Sigma: 0.5, Src: rng}
+	variation := distuv.LogNormal{Mu: 0, Sigma: 0.1, Src: rng}
 	machines, class := make([]Speed, 20), &RunTimes{}
 	slow := map[int]float64{3: 1.8, 7: 3}
 	for range 400 {
 		job, estimate := &RunTimes{}, 40*time.Second
-		run := wrong.Rand() * estimate.Seconds()
+		run := estimateErrors.Rand() * estimate.Seconds()
 		for range 12 {
 			k := rng.IntN(len(machines))
-			times := run * varies.Rand()
+			observed := run * variation.Rand()
 			if f := slow[k]; f > 0 {
-				times *= f
+				observed *= f
 			}
-			machines[k].Observe(seconds(times), estimate, job, class)
+			machines[k].Observe(seconds(observed), estimate, job, class)
 		}
 	}
 	for k := range machines {
@@ -96,18 +96,18 @@
 	}
 }
 
-// A surge is detected when it starts, and a further increase of demand changes nothing. It ends when
-// demand has been low for surgeEndDelay, or after maxSurgeDuration.
+// A surge starts when demand exceeds the starting threshold, and a further increase of demand changes
+// nothing. It ends when demand has been low for surgeEndDelay, or after maxSurgeDuration.
 func TestSurge(t *testing.T) {
 	var s Surge
 	observe := func(sec float64, demand float64) SurgeChange { return s.Observe(at(sec), demand, 4) }
 	for sec := range 120 {
 		if c := observe(float64(sec), 20); c != Unchanged {
-			t.Fatalf("change %d at steady demand, want none", c)
+			t.Fatalf("SurgeChange %d at steady demand, want none", c)
 		}
 	}
 	if c := observe(120, 33); c != Unchanged {
-		t.Errorf("change %d below the starting threshold, want none", c)
+		t.Errorf("SurgeChange %d below the starting threshold, want none", c)
 	}
 	if c := observe(121, 40); c != Started {
 		t.Errorf("no surge started above the starting threshold")
@@ -115,17 +115,17 @@
 	number := s.Number()
 	for sec := 122; sec < 180; sec++ {
 		if c := observe(float64(sec), 80); c != Unchanged {
-			t.Errorf("change %d when demand doubles during a surge, want none", c)
+			t.Errorf("SurgeChange %d when demand doubles during a surge, want none", c)
 		}
 	}
 	observe(180, 22)
-	observe(185, 60) // demand increases again before the end of surgeEndDelay
+	observe(185, 60) // demand is high again before surgeEndDelay has passed
 	observe(186, 22)
 	if c := observe(195, 22); c != Unchanged {
-		t.Errorf("change %d after 9 s of low demand, want none", c)
+		t.Errorf("SurgeChange %d after 9 s of low demand, want none", c)
 	}
 	if c := observe(196, 22); c != Ended || s.Number() != 0 {
-		t.Errorf("change %d after 10 s of low demand, want Ended and no active surge", c)
+		t.Errorf("SurgeChange %d after 10 s of low demand, want Ended and no active surge", c)
 	}
 	if observe(197, 90); s.Number() <= number {
 		t.Errorf("surge number %d after %d, want a higher one", s.Number(), number)
@@ -181,7 +181,8 @@
 	}
 }
 
-// A new leader continues a recorded surge. Without one, its first observation starts no surge.
+// A new leader continues a recorded surge. Without a recorded surge, its first observation starts none,
+// however high the demand.
 func TestRestoredSurge(t *testing.T) {
 	var s Surge
 	if s.Observe(at(0), 500, 4); s.Number() != 0 {
@@ -192,7 +193,7 @@
 		t.Errorf("surge number %d, want 7", s.Number())
 	}
 	if r, active := s.Record(); !active || r.Number != 7 || r.UsualCPUs != 20 {
-		t.Errorf("record %+v, active: %v", r, active)
+		t.Errorf("record %+v, active: %v; want the restored one, active", r, active)
 	}
 }
 
@@ -214,14 +215,14 @@
 		name     string
 		team     int     // tasks of the team
 		other    int     // tasks of another team
-		queue    float64 // GB to fetch, at 1 GB/s
+		fetchGB  float64 // pending fetches, at 1 GB/s
 		hasImage bool
 		large    bool
 		want     bool
 	}{
 		{name: "empty"}, {name: "one task of the team", team: 1}, {name: "two tasks of the team", team: 2, want: true},
-		{name: "others", other: 3}, {name: "large task on an empty machine", large: true}, {name: "large task beside another", team: 1, large: true, want: true},
-		{name: "fetch backlog too long", queue: 6, want: true}, {name: "fetch backlog at the limit", queue: 5}, {name: "long fetch backlog, but image cached", queue: 6, hasImage: true},
+		{name: "only tasks of another team", other: 3}, {name: "large task on an empty machine", large: true}, {name: "large task beside another", team: 1, large: true, want: true},
+		{name: "fetch backlog too long", fetchGB: 6, want: true}, {name: "fetch backlog at the limit", fetchGB: 5}, {name: "long fetch backlog, but image cached", fetchGB: 6, hasImage: true},
 	} {
 		l, m := &Load{}, machine()
 		if c.hasImage {
@@ -233,15 +234,15 @@
 		for range c.other {
 			l.AddAttempt(2, placement.Resources{CPUs: 1, MemGB: 1})
 		}
-		if c.queue > 0 {
-			l.Fetches.Add(start, 9, c.queue, 1)
+		if c.fetchGB > 0 {
+			l.Fetches.Add(start, 9, c.fetchGB, 1)
 		}
 		p := policy
 		if c.large {
 			p.Task = large
 		}
 		if got := p.Exceeds(m, l); got != c.want {
-			t.Errorf("%s: exceeds the ceiling: %v", c.name, got)
+			t.Errorf("%s: exceeds the ceiling: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -263,7 +264,7 @@
 			return weights.Score(m, task) - p.Penalty(m, l, weights.Image)
 		}
 		if prefersCached := score(cached, busy) > score(uncached, idle); prefersCached != c.prefersCached {
-			t.Errorf("load penalty %s: prefers the machine with the image: %v", c.penalty, prefersCached)
+			t.Errorf("load penalty %s: prefers the machine with the image: %v, want %v", c.penalty, prefersCached, c.prefersCached)
 		}
 	}
 }
--- a/internal/coordination/balance/ceiling.go
+++ b/internal/coordination/balance/ceiling.go
@@ -14,18 +14,19 @@
 	Task placement.Task
 }
 
-// Exceeds reports whether one more task would put a machine above the ceiling. A machine
-// without work of the team may always take one task.
+// Exceeds reports whether one more task would put a machine above the ceiling: the team would use more
+// than CeilingShare of it, or the task's image isn't cached and the fetch backlog is longer than
+// MaxFetchBacklog. CeilingShare doesn't apply to the team's first task on a machine.
 func (p *CeilingPolicy) Exceeds(m *placement.Machine, l *Load) bool {
 	r, tasks := l.TeamUsage(p.Team)
-	r = r.Plus(m.Incoming) // tasks of surging teams that are being migrated to the machine
+	r = r.Plus(m.Incoming) // tasks of any surging team that are being migrated to the machine
 	if tasks > 0 && DominantShare(r.Plus(placement.Needs(p.Task.Job)), placement.Capacity(m.Spec)) > p.CeilingShare+shareEpsilon {
 		return true
 	}
 	if m.ImageShare(p.Task) >= 1 {
 		return false
 	}
-	// The task's own fetch doesn't count; otherwise no machine could ever take a task whose image
+	// The task's own fetch doesn't count. If it did, no machine could ever take a task whose image
 	// takes longer to fetch than MaxFetchBacklog.
 	queued := l.Fetches.Backlog(p.Now, m.Spec.FetchGBPerSecond)
 	return queued > p.MaxFetchBacklog
@@ -34,9 +35,9 @@
 // shareEpsilon absorbs rounding errors in sums of resources.
 const shareEpsilon = 1e-9
 
-// Penalty returns by how much the score of a machine is reduced, for the load that its team's tasks
-// put on it, its slowdown, and its fetch backlog if it lacks the image. imageWeight is the weight of
-// the image term of the score.
+// Penalty returns by how much the score of a machine is reduced: for the share of it that the team's
+// tasks use, relative to the ceiling, for its slowdown, and for its fetch backlog if the image isn't
+// cached. imageWeight is the weight of the image term of the score.
 func (p *CeilingPolicy) Penalty(m *placement.Machine, l *Load, imageWeight float64) float64 {
 	if p.LoadPenalty <= 0 {
 		return 0
@@ -60,5 +61,6 @@
 	return max(imageWeight, 0) / max(fetchSeconds, minFetchSeconds)
 }
 
-// minFetchSeconds is the shortest fetch time from which scorePerFetchSecond is derived.
+// minFetchSeconds is the shortest fetch time from which scorePerFetchSecond is derived. It bounds the
+// result for small images and for machines whose fetch rate is unknown.
 const minFetchSeconds = 1
--- a/internal/coordination/balance/load.go
+++ b/internal/coordination/balance/load.go
@@ -6,7 +6,7 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// Team is the number of a team, valid for one leader's term.
+// Team is a number that identifies a team, valid for one leader's term.
 type Team int32
 
 // Load is the load of one machine.
@@ -23,7 +23,7 @@
 	placement.Resources
 }
 
-// AddAttempt adds an attempt of a team, until it is proven terminated.
+// AddAttempt adds an attempt of a team. It counts until it is proven terminated; see RemoveAttempt.
 func (l *Load) AddAttempt(team Team, r placement.Resources) {
 	for i := range l.teams {
 		if t := &l.teams[i]; t.team == team {
@@ -62,7 +62,7 @@
 	return r, 0
 }
 
-// DominantShare returns the largest share of a machine's capacity that r uses of any resource.
+// DominantShare returns the largest share that r uses of the capacity of any resource.
 func DominantShare(r, capacity placement.Resources) float64 {
 	share := 0.0
 	if capacity.CPUs > 0 {
@@ -87,6 +87,7 @@
 	updatedAt time.Time // the time as of which remainingGB is correct
 }
 
+// fetch is the pending fetch of one image.
 type fetch struct {
 	image       placement.ImageID
 	remainingGB float64
@@ -106,7 +107,7 @@
 	f.list = append(f.list, fetch{image, gb, 1})
 }
 
-// Complete records that an image has been fetched.
+// Complete records that an image has been fetched, for all attempts that waited for it.
 func (f *PendingFetches) Complete(now time.Time, image placement.ImageID, rate float64) {
 	f.advance(now, rate)
 	f.remove(image)
@@ -126,6 +127,7 @@
 	}
 }
 
+// remove removes the fetch of an image, if it is pending.
 func (f *PendingFetches) remove(image placement.ImageID) {
 	for i := range f.list {
 		if f.list[i].image == image {
@@ -148,8 +150,9 @@
 	return seconds(left / rate)
 }
 
-// advance updates the remaining sizes of the pending fetches to a time. Since the last update, the
-// unfinished fetches have shared the rate equally.
+// advance updates the remaining sizes of the pending fetches to the time now. Since updatedAt, the
+// unfinished fetches have shared the rate equally. A fetch whose computed remaining size is 0 stays
+// pending until Complete or Cancel is called.
 func (f *PendingFetches) advance(now time.Time, rate float64) {
 	elapsed := now.Sub(f.updatedAt).Seconds()
 	f.updatedAt = now
--- a/internal/coordination/balance/planned_usage.go
+++ b/internal/coordination/balance/planned_usage.go
@@ -7,9 +7,9 @@
 	"brasskeel/internal/protocol"
 )
 
-// PlannedUsage holds the resources that planned moves will use on their targets, in addition to
-// those already allocated. It is a persistent data structure: With copies only what it changes, and
-// a plan that is discarded needs no undo.
+// PlannedUsage holds the resources that planned moves will use on their target machines, in addition
+// to those already allocated there. It is a persistent data structure: With copies only what it
+// changes, and a plan that is discarded needs no undo.
 type PlannedUsage struct {
 	usage *iradix.Tree[placement.Resources] // by machine name
 }
@@ -23,7 +23,7 @@
 	return r
 }
 
-// With returns a copy of s with one more move to a machine.
+// With returns a copy of u with one more move, to a machine on which it will use r.
 func (u PlannedUsage) With(machine string, r placement.Resources) PlannedUsage {
 	usage, _, _ := u.usage.Insert([]byte(machine), u.Allocated(machine).Plus(r))
 	return PlannedUsage{usage}
--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -11,22 +11,22 @@
 	Load *Load // nil without load balancing
 }
 
-// Planner plans moves of running tasks for the state of a fleet at one time: of replicas off
-// machines that are to be consolidated (Evacuate), and of surging teams' tasks off overloaded
-// machines (Rebalance). It makes no other decisions. It is deterministic: the same sequence of calls
-// gives the same plans.
+// Planner plans moves of tasks from one machine to another, for the state of a fleet at one time: of
+// service replicas off machines that are to be consolidated (Evacuate), and of surging teams' batch
+// tasks off overloaded machines (Rebalance, which calls its moves migrations). It makes no other
+// decisions. It is deterministic: the same sequence of calls gives the same plans.
 //
 // Machines are looked up by the images that they cache, and each search continues where the
-// previous one for the same shape of replica ended. With a search through the whole fleet for
-// every replica, a fleet of 4,000 machines took a third of a second, and many times that on a
-// small share of a processor.
+// previous one for the same image, zone and shape of replica ended. When each replica was searched
+// for in the whole fleet, planning for 4,000 machines took a third of a second, and many times that
+// on a small share of a processor.
 type Planner struct {
 	machines     []LoadedMachine
 	acceptsTasks func(*placement.Machine) bool // whether a machine accepts new tasks
 	planned      PlannedUsage
 	holders      map[cachedImage][]*LoadedMachine // by cached image, in the order of the fleet; nil before the first search
 	searches     map[searchKey]searchState
-	reopened     map[cachedImage]int // how often a machine with the image became available as a target again
+	reopened     map[cachedImage]int // how often the consolidation of a machine with the image was cancelled
 	Examined     int                 // machines examined, over all searches
 }
 
@@ -36,14 +36,15 @@
 	zone  string
 }
 
-// searchKey identifies replicas that have the same possible targets.
+// searchKey identifies replicas that may move to the same machines.
 type searchKey struct {
 	image cachedImage
 	shape placement.ShapeKey
 }
 
-// searchState is the progress of a search: the machines before next can hold no more replicas of
-// the kind, unless the planner's reopened count for the image has changed since.
+// searchState is the progress of the searches with one searchKey: the holders of the image before
+// index next can't take another such replica. It is valid while reopened is equal to the planner's
+// reopened count for the image.
 type searchState struct{ next, reopened int }
 
 // NewPlanner returns a planner for the current state of a fleet. acceptsTasks reports whether a
@@ -52,10 +53,10 @@
 	return &Planner{machines: machines, acceptsTasks: acceptsTasks, planned: NewPlannedUsage(), searches: map[searchKey]searchState{}, reopened: map[cachedImage]int{}}
 }
 
-// PlannedUsage returns the resources that the plans so far use on their targets.
+// PlannedUsage returns the resources that the moves planned so far will use on their targets.
 func (p *Planner) PlannedUsage() PlannedUsage { return p.planned }
 
-// indexImages fills holders.
+// indexImages fills holders from the images that the machines cache.
 func (p *Planner) indexImages() {
 	p.holders = map[cachedImage][]*LoadedMachine{}
 	for i := range p.machines {
@@ -74,8 +75,8 @@
 }
 
 // Evacuate reports whether each of the replicas on a machine fits on another machine of the same
-// zone that caches its image, in addition to the moves planned so far. If so, it adds the moves to
-// the plan, unless dryRun is set.
+// zone that caches its image, in addition to the moves planned so far. If so, it adds their moves to
+// PlannedUsage, unless dryRun is set.
 func (p *Planner) Evacuate(m *placement.Machine, replicas []Replica, dryRun bool) bool {
 	if p.holders == nil {
 		p.indexImages()
@@ -103,7 +104,7 @@
 	}
 }
 
-// evacuation is an attempt to plan the moves of all replicas off a machine.
+// evacuation plans the moves of all replicas off one machine.
 type evacuation struct {
 	*Planner
 	from    *placement.Machine
@@ -121,9 +122,10 @@
 		s = searchState{reopened: p.reopened[key.image]}
 	}
 	list := p.holders[key.image]
-	// sure is true as long as the machines examined can take no more replicas of the kind,
-	// whichever machine is evacuated next.
-	sure := true
+	// noneFits is true while no machine examined so far could take such a replica, whichever
+	// machine is evacuated next. A machine without room only because this evacuation moves replicas
+	// there could, if the plan is discarded; the evacuated machine itself could if it has room.
+	noneFits := true
 	defer func() { p.searches[key] = s }()
 	for i := s.next; i < len(list); i++ {
 		m := list[i]
@@ -132,8 +134,8 @@
 		if fits && m.Machine != e.from {
 			return m
 		}
-		sure = sure && !fits && !e.targets[m.Name]
-		if sure {
+		noneFits = noneFits && !fits && !e.targets[m.Name]
+		if noneFits {
 			s.next = i + 1
 		}
 	}
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -8,12 +8,12 @@
 	"brasskeel/internal/coordination/placement"
 )
 
-// MigratableTask is a task of a surging team that is running, or waiting for its image, and that
-// may migrate once during the surge.
+// MigratableTask is a task of a surging team that is running or waiting for its image. It may be
+// migrated once during the surge.
 type MigratableTask struct {
 	placement.Task
 	Team        Team
-	Running     bool          // it has its image
+	Running     bool          // it has its image and runs; otherwise it waits for the image
 	RanFor      time.Duration // how long it has been running
 	Remaining   time.Duration // expected remaining run time on its machine
 	Checkpoints bool          // it saves a checkpoint when it is stopped
@@ -29,7 +29,8 @@
 	Tasks []MigratableTask
 }
 
-// Migration is the planned move of a task, with its expected saving and cost, both as time.
+// Migration is the planned move of a task, with its expected saving and cost, both in time of the
+// task. The difference is its gain.
 type Migration struct {
 	Task         *MigratableTask
 	From, To     *placement.Machine
@@ -41,25 +42,26 @@
 	Settings
 	Now           time.Time
 	StopDuration  time.Duration // until a stopped attempt is proven terminated and its successor is recorded
-	WriteDuration time.Duration // cost of a write to the state service
-	Margin        float64       // how many times its cost a migration has to save
+	WriteDuration time.Duration // time that one write takes at the write rate of the state service
+	Margin        float64       // a migration has to save more than this multiple of its cost
 	MaxMigrations int
 }
 
-// Bounds of a plan. They keep the effort from growing with the square of the fleet size.
+// Parameters of a plan. maxSources and maxTargets keep the effort from growing with the square of the
+// fleet size.
 const (
 	maxSources         = 16 // most loaded machines that are examined as sources
-	maxTargets         = 48 // least loaded machines, and machines that cache the image, examined per task
+	maxTargets         = 48 // least loaded machines that are examined per task, and as many that cache its image
 	writesPerMigration = 2  // writes to the state service: the mark and the new start
 	// A running task without checkpoints loses its work. It is migrated only if the saving exceeds
 	// the cost by a multiple of the margin, and only early in its run.
 	noCheckpointMargin  = 2
-	noCheckpointDivisor = 4 // it may have run for this fraction of its remaining run time
+	noCheckpointDivisor = 4 // it may have run for at most its remaining run time divided by this
 )
 
 // Rebalance plans migrations off overloaded sources: those where a team is above its ceiling, where
-// image fetches are queued for too long, or that are slower than other machines. The migrations off
-// a source are planned as a whole, the most loaded sources first.
+// image fetches are queued for too long, or that are slower than other machines. It plans for one
+// source after the other, the most loaded first.
 func (p *Planner) Rebalance(migrationParams MigrationParams, sources []Source) []Migration {
 	mostLoaded := slices.Clone(sources)
 	slices.SortStableFunc(mostLoaded, func(a, b Source) int {
@@ -82,7 +84,7 @@
 }
 
 // overload ranks sources: it returns the largest load by a team's tasks, as a fraction of the
-// ceiling, plus the slowdown of the machine.
+// ceiling, plus the machine's slowdown above 1.
 func (params *MigrationParams) overload(s *Source) float64 {
 	highest := 0.0
 	for i := range s.Tasks {
@@ -92,7 +94,8 @@
 	return highest
 }
 
-// leastLoaded returns the least loaded machines that accept tasks, at most maxTargets.
+// leastLoaded returns the least loaded machines that accept tasks, at most maxTargets. Unlike in
+// overload, the load is that of all teams.
 func (p *Planner) leastLoaded() []*LoadedMachine {
 	var list []*LoadedMachine
 	for i := range p.machines {
@@ -120,7 +123,7 @@
 }
 
 // plan returns up to maxMigrations worthwhile migrations off the source, the one with the largest gain
-// first.
+// first. Only batch tasks are migrated.
 func (sp *sourcePlanner) plan(maxMigrations int) []Migration {
 	tasks := make([]*MigratableTask, 0, len(sp.source.Tasks))
 	for i := range sp.source.Tasks {
@@ -150,7 +153,9 @@
 	return migrations
 }
 
-// overloaded reports whether there is a reason to migrate a task off the source.
+// overloaded reports whether there is a reason to migrate a task off the source: its team is above the
+// ceiling, with more than one task; the task waits for its image behind a fetch backlog longer than
+// MaxFetchBacklog; or the source is slow. moved is the resources of the tasks already planned to leave.
 func (sp *sourcePlanner) overloaded(task *MigratableTask, moved placement.Resources) bool {
 	l := sp.source.Load
 	r, tasks := l.TeamUsage(task.Team)
@@ -159,15 +164,16 @@
 	return above || queued || l.Speed.Slowdown() > slowSourceThreshold
 }
 
-// slowSourceThreshold is the slowdown above which a task is migrated off a machine for that reason
+// slowSourceThreshold is the slowdown of a machine above which its tasks are migrated for that reason
 // alone.
 const slowSourceThreshold = 1.3
 
-// bestTarget returns the worthwhile migration of a task with the largest gain, if there is one.
+// bestTarget returns the worthwhile migration of a task with the largest gain, if there is one. It
+// examines the least loaded machines, and machines of the source's zone that cache the image.
 func (sp *sourcePlanner) bestTarget(task *MigratableTask, moved placement.Resources) (best Migration, found bool) {
 	consider := func(target *LoadedMachine) {
 		if target.Machine == sp.source.Machine || target.Load == nil || target.Consolidating || !sp.acceptsTasks(target.Machine) {
-			return // a machine that accepts no tasks may have no Spec
+			return // a machine that accepts no tasks may have no Spec, which fits needs
 		}
 		if !task.ZoneAllowed(target.Zone) || !sp.planned.fits(target.Machine, task.Job) {
 			return
@@ -199,7 +205,7 @@
 	needs := placement.Needs(task.Job)
 	after := DominantShare(there.Plus(planned).Plus(needs), placement.Capacity(target.Spec))
 	if (tasks > 0 || planned != (placement.Resources{})) && after > params.CeilingShare+shareEpsilon {
-		return migration, false // the team would exceed its ceiling there, too
+		return migration, false // the team would exceed the ceiling there, too
 	}
 	here, _ := src.Load.TeamUsage(task.Team)
 	loadReduction := max(0, DominantShare(here.Minus(moved), placement.Capacity(src.Spec))-after) / params.CeilingShare
@@ -221,7 +227,8 @@
 }
 
 // worthwhile adds the work that is lost to the cost of a migration, and reports whether the
-// migration saves enough. Tasks that are about to end aren't migrated.
+// migration saves enough. A task that is expected to end within the time that its migration costs
+// isn't migrated.
 func (sp *sourcePlanner) worthwhile(task *MigratableTask, m *Migration) bool {
 	margin := sp.params.Margin
 	if task.Running && task.Checkpoints {
--- a/internal/coordination/balance/rebalance_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -9,7 +9,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// fleet is a small fleet for planning migrations: machines of four CPUs with tasks of surging teams.
+// fleet is a fleet for planning migrations: machines of four CPUs with tasks of surging teams. The
+// Owner of a task is the index of its machine.
 type fleet struct {
 	machines []LoadedMachine
 	tasks    []MigratableTask
@@ -43,6 +44,7 @@
 	f.tasks = append(f.tasks, w)
 }
 
+// plan returns the migrations that Rebalance plans for the fleet.
 func (f *fleet) plan() []Migration {
 	var sources []Source
 	for i, s := range f.machines {
@@ -59,8 +61,8 @@
 	return NewPlanner(f.machines, func(*placement.Machine) bool { return true }).Rebalance(f.params, sources)
 }
 
-// An overloaded machine is relieved down to the ceiling and no further, by worthwhile migrations. The
-// same fleet gives the same plan.
+// Tasks are migrated off an overloaded machine until the team is at the ceiling, and no further. Each
+// migration is worthwhile, and the same fleet gives the same plan.
 func TestRebalance(t *testing.T) {
 	f := newFleet(4)
 	for range 4 {
@@ -142,13 +144,13 @@
 			c.setUp(f)
 		}
 		if migrations := f.plan(); (len(migrations) > 0) != c.migrates {
-			t.Errorf("%s: %d migrations planned", c.name, len(migrations))
+			t.Errorf("%s: %d migrations planned, want any: %t", c.name, len(migrations), c.migrates)
 		}
 	}
 }
 
 // A task that waits for its image behind a long fetch backlog migrates to a machine without one.
-func TestMigrationFromFetchQueue(t *testing.T) {
+func TestMigrationFromFetchBacklog(t *testing.T) {
 	f := newFleet(3)
 	f.params.LoadPenalty = 0
 	f.addTask(0, 1, func(w *MigratableTask) { w.Running, w.RanFor, w.Image = false, 0, 7 })
@@ -173,8 +175,8 @@
 	}
 }
 
-// The plans for two teams, each of which overloads a machine, converge: completed migrations
-// are not followed by migrations back.
+// The plans for two teams, each of which overloads a machine, converge: tasks aren't migrated back and
+// forth.
 func TestPlansConverge(t *testing.T) {
 	f := newFleet(4)
 	for range 3 {
@@ -187,7 +189,7 @@
 		if total += len(migrations); len(migrations) == 0 && round > 2 {
 			break
 		}
-		for _, m := range migrations { // carry it out without a mark, so that each task may migrate again
+		for _, m := range migrations { // carry it out without a migration mark, so that each task may be migrated again
 			from, to := -1, -1
 			for i, s := range f.machines {
 				if s.Machine == m.From {
@@ -221,7 +223,7 @@
 	one := s.With("vm-1", placement.Resources{CPUs: 1})
 	two := one.With("vm-1", placement.Resources{CPUs: 2}).With("vm-2", placement.Resources{MemGB: 1})
 	if s.TargetCount() != 0 || one.Allocated("vm-1").CPUs != 1 || two.Allocated("vm-1").CPUs != 3 || one.TargetCount() != 1 || two.TargetCount() != 2 {
-		t.Errorf("original has %v targets, first copy allocates %v, second %v on vm-1; want 0, 1 CPU, 3 CPUs", s.TargetCount(), one.Allocated("vm-1"), two.Allocated("vm-1"))
+		t.Errorf("original has %v targets, first copy plans %v, second copy plans %v on vm-1; want 0, 1 CPU, 3 CPUs", s.TargetCount(), one.Allocated("vm-1"), two.Allocated("vm-1"))
 	}
 }
 
--- a/internal/coordination/balance/settings.go
+++ b/internal/coordination/balance/settings.go
@@ -1,6 +1,6 @@
 // Package balance keeps track of the load of machines by team, detects surges in the demand of
-// teams, limits how much of a machine a surging team may use, and plans migrations of running tasks
-// off overloaded machines (Planner).
+// teams, limits how much of a machine a surging team may use (the ceiling), and plans migrations of
+// tasks off overloaded machines (Planner).
 //
 // It owns the loads of machines, the surges of teams, and the run times by which slow machines are
 // detected. It reads no clock, uses neither the state service nor the network, and never carries
@@ -17,7 +17,8 @@
 	// MaxFetchBacklog is the longest backlog of image fetches at which a machine still gets
 	// tasks whose image it lacks without counting as above the ceiling.
 	MaxFetchBacklog time.Duration
-	// LoadPenalty is the additional fetch time that is accepted to place a task on a machine
-	// without tasks of its team rather than on one that the team fills up to the ceiling.
+	// LoadPenalty converts load into fetch time. When machines are ranked, one on which the team's
+	// tasks have reached the ceiling is equal to one without them on which fetching the image
+	// takes LoadPenalty longer.
 	LoadPenalty time.Duration
 }
--- a/internal/coordination/balance/surge.go
+++ b/internal/coordination/balance/surge.go
@@ -8,8 +8,8 @@
 // Parameters of surge detection.
 const (
 	usualCPUsTimeConstant = time.Minute      // time constant of the moving average of a team's demand
-	surgeStartFactor      = 1.5              // a surge starts when demand exceeds this multiple of the usual demand by more than one machine
-	surgeEndFactor        = 1.2              // demand is low at no more than this multiple of the usual demand plus half a machine
+	surgeStartFactor      = 1.5              // a surge starts when demand exceeds this multiple of the usual demand by more than one machine's CPUs
+	surgeEndFactor        = 1.2              // demand is low at no more than this multiple of the usual demand plus half of one machine's CPUs
 	surgeEndDelay         = 10 * time.Second // how long demand must stay low to end a surge
 	maxSurgeDuration      = 10 * time.Minute // after which a surge ends and the current demand becomes the usual demand
 )
@@ -34,14 +34,15 @@
 type Surge struct {
 	initialized bool
 	observedAt  time.Time
-	usualCPUs   float64 // usual demand of the team, in CPUs: its moving average outside surges
-	number      uint64  // of the active surge; 0 if there is none
-	lastNumber  uint64  // highest number so far
-	startedAt   time.Time
-	lowSince    time.Time // since when demand has been low enough to end the surge; zero if it isn't
+	usualCPUs   float64   // usual demand of the team, in CPUs: its moving average outside surges
+	number      uint64    // of the active surge; 0 if there is none
+	lastNumber  uint64    // highest number so far
+	startedAt   time.Time // when the surge started or was restored
+	lowSince    time.Time // since when demand has been low enough to end the surge; zero if it is higher
 }
 
-// Restore sets the active surge from its record.
+// Restore sets the active surge from its record. maxSurgeDuration counts from now, not from the start
+// of the recorded surge.
 func (s *Surge) Restore(now time.Time, r SurgeRecord) {
 	*s = Surge{initialized: true, observedAt: now, usualCPUs: r.UsualCPUs, number: r.Number, lastNumber: r.Number, startedAt: now}
 }
@@ -54,20 +55,20 @@
 // Number returns the number of the active surge; 0 if there is none.
 func (s *Surge) Number() uint64 { return s.number }
 
-// Observe updates the state with a team's demand. machine is the number of CPUs of a machine: demand
-// must exceed the starting threshold by that much.
-func (s *Surge) Observe(now time.Time, demand, machine float64) SurgeChange {
+// Observe updates the state with a team's demand, in CPUs. machineCPUs is the number of CPUs of one
+// machine, on which the thresholds depend; see surgeStartFactor and surgeEndFactor.
+func (s *Surge) Observe(now time.Time, demand, machineCPUs float64) SurgeChange {
 	if !s.initialized {
-		// A new leader uses the first demand that it observes as the usual demand.
+		// A new leader without a record uses the first demand that it observes as the usual demand.
 		*s = Surge{initialized: true, observedAt: now, usualCPUs: demand, lastNumber: s.lastNumber}
 		return Unchanged
 	}
 	elapsed := now.Sub(s.observedAt)
 	s.observedAt = now
 	if s.number != 0 {
-		return s.observeSurge(now, demand, machine)
+		return s.observeSurge(now, demand, machineCPUs)
 	}
-	if demand > s.usualCPUs*surgeStartFactor+machine {
+	if demand > s.usualCPUs*surgeStartFactor+machineCPUs {
 		s.number = max(s.lastNumber+1, uint64(now.UnixMilli()))
 		s.lastNumber, s.startedAt, s.lowSince = s.number, now, time.Time{}
 		return Started
@@ -76,10 +77,10 @@
 	return Unchanged
 }
 
-// observeSurge is Observe while a surge is active.
-func (s *Surge) observeSurge(now time.Time, demand, machine float64) SurgeChange {
+// observeSurge implements Observe while a surge is active.
+func (s *Surge) observeSurge(now time.Time, demand, machineCPUs float64) SurgeChange {
 	switch {
-	case demand > s.usualCPUs*surgeEndFactor+machine/2:
+	case demand > s.usualCPUs*surgeEndFactor+machineCPUs/2:
 		s.lowSince = time.Time{}
 	case s.lowSince.IsZero():
 		s.lowSince = now
