--- a/internal/coordination/leadership/doc.go
+++ b/internal/coordination/leadership/doc.go
@@ -1,7 +1,7 @@
 // Package leadership implements one controller's part in the election of the leader.
 //
-// Leadership is a key in the consensus-backed store, bound to a lease, next to a key that
-// holds the highest term so far. A candidate becomes leader of the next term by creating the
+// Leadership is a key in the state service, a consensus-backed key-value store, bound to a lease,
+// next to a key that holds the highest term so far. A candidate becomes leader of the next term by creating the
 // leader key in a transaction that requires the term key to be unchanged; it leads until its
 // lease expires. A term is never reused, and fencing tokens are derived from it. An
 // [Election] watches these keys, campaigns when there is no leader, and ends its leadership
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// campaignJitter is a random delay that keeps controllers from campaigning at the same time.
+	// campaignJitter is the maximum of a random delay that keeps controllers from campaigning at
+	// the same time.
 	campaignJitter = 60 * time.Millisecond
 	// otherZoneDelay delays campaigns outside the preferred zone, so that controllers in it
 	// campaign first.
@@ -19,13 +20,14 @@
 	disconnectedDelay = 2 * time.Second
 	// disconnectedPeriod is how long a leader that resigned because it lost connectivity to
 	// its workers counts as disconnected: it campaigns after the others, and no leader hands
-	// over to it. Otherwise such a leader got the leadership back because of its zone, and
-	// released a whole fleet that another controller could reach.
+	// over to it. Without this period, such a leader became leader again because of its zone,
+	// and released a whole fleet that another controller could reach.
 	disconnectedPeriod = time.Minute
-	// retryDelay and retryJitter make up the pause after a failed campaign.
+	// retryDelay plus a random delay of up to retryJitter is the pause after a failed campaign.
 	retryDelay  = 150 * time.Millisecond
 	retryJitter = 150 * time.Millisecond
-	// watchRetryDelay and watchRetryJitter make up the pause after a failed watch.
+	// watchRetryDelay plus a random delay of up to watchRetryJitter is the pause after a failed
+	// watch.
 	watchRetryDelay  = 200 * time.Millisecond
 	watchRetryJitter = 100 * time.Millisecond
 	// minTermDuration is the minimum time that a leader leads before it hands over to the
@@ -40,10 +42,10 @@
 // Role is a controller's role in the election.
 type Role uint8
 
-// Roles in the election. A follower schedules a campaign when there is no leader, and becomes
-// a candidate when it requests a lease. A scheduled or failed campaign ends in the role of
-// follower again. Only a candidate becomes leader; a leader that steps down becomes a
-// follower.
+// Roles in the election. A follower schedules a campaign when there is no leader. When the campaign
+// is due, the controller becomes a candidate and requests a lease, or a follower again if there is a
+// leader by then. A candidate becomes the leader, or a follower if its campaign fails. A leader that
+// steps down becomes a follower.
 const (
 	Follower          Role = iota
 	CampaignScheduled      // a campaign starts soon, unless a leader is elected before
@@ -61,9 +63,9 @@
 
 // Settings configures the election for one controller.
 type Settings struct {
-	Name    string // the controller's name
-	Zone    string
-	BootID  uint64        // distinguishes this process from earlier ones with the same name
+	Name    string        // the controller's name
+	Zone    string        // the controller's zone
+	BootID  uint64        // the Incarnation in records.Leader; distinguishes this process from earlier ones with the same name
 	BaseTTL time.Duration // time to live of the leader lease without recent leader changes
 }
 
@@ -76,14 +78,14 @@
 	host     Host
 
 	view       view
-	loaded     bool // the view was read at least once
-	generation int  // of the watch; responses to earlier watches are dropped
+	loaded     bool // the keys were read at least once
+	generation int  // increased by each Follow; responses to the watches of earlier ones are dropped
 	role       Role
 	leaderTerm LeaderTerm // valid while role is Leader
 	ttl        TTLPolicy
 
 	noCampaignBefore  time.Time // set when this controller resigns
-	disconnectedUntil time.Time
+	disconnectedUntil time.Time // end of disconnectedPeriod
 }
 
 // New returns the election of one controller. It is idle until Follow is called.
@@ -91,7 +93,7 @@
 	return &Election{settings: s, log: log, clock: clock, store: store, host: host, ttl: NewTTLPolicy(s.BaseTTL)}
 }
 
-// Follow reads the election keys again and watches them from then on.
+// Follow reads the election keys and watches them from then on. It replaces an earlier watch.
 func (e *Election) Follow() {
 	e.generation++
 	generation := e.generation
@@ -128,6 +130,7 @@
 	})
 }
 
+// applyEvents updates the view with the events of a watch.
 func (e *Election) applyEvents(events []protocol.Event) {
 	for _, event := range events {
 		if event.Deleted {
@@ -141,8 +144,9 @@
 	}
 }
 
-// viewChanged reacts to a change of the view: it steps down, schedules a campaign, or revokes
-// the lease of this controller's previous process.
+// viewChanged reacts to a change of the view. It steps down if there is a later leader, and informs the
+// host. A controller that doesn't lead schedules a campaign if there is no leader, and revokes the
+// lease of its own previous process if that one was the leader.
 func (e *Election) viewChanged() {
 	if e.role == Leader && e.view.leaderVersion > e.leaderTerm.KeyVersion {
 		e.StepDown("another leader was elected")
@@ -156,15 +160,15 @@
 		return
 	}
 	if leader := e.view.leader; leader.Node == e.settings.Name && leader.Incarnation != e.settings.BootID && e.view.leaderLease != 0 {
-		// This controller's previous process was the leader. It no longer runs, and its
-		// writes that may still be in flight are conditional on the leader key, which is
-		// deleted with this lease.
+		// The previous process no longer runs. Its writes may still be in flight, but they are
+		// conditional on the leader key, which is deleted with this lease.
 		e.log.Info("revoking lease of previous process", "term", leader.Term)
 		e.store.RevokeLease(e.view.leaderLease)
 	}
 }
 
-// scheduleCampaign starts a campaign after campaignDelay.
+// scheduleCampaign starts a campaign after campaignDelay, if there is no leader then. It does nothing
+// if one is already scheduled or in progress.
 func (e *Election) scheduleCampaign() {
 	if e.role != Follower || !e.loaded {
 		return
@@ -196,7 +200,8 @@
 
 // campaign tries to become leader: it requests a lease, then commits one transaction that
 // creates the leader key bound to that lease and increments the term. Of two candidates only
-// one can succeed, and a delayed transaction fails because the term has changed.
+// one can succeed, and a transaction that is delayed until after another election fails because the
+// term has changed.
 func (e *Election) campaign() {
 	e.role = Candidate
 	ttl, sent := e.CampaignTTL(), e.clock.Now()
@@ -221,9 +226,9 @@
 		},
 	}, func(applied bool, revision uint64) {
 		if !applied {
-			// The transaction may have been applied, or may still be. Revoking the lease
-			// deletes the leader key if it exists, and the store refuses later writes that
-			// are bound to the lease.
+			// The transaction may have been applied, or may be applied later. Revoking the
+			// lease deletes the leader key if it exists, and the store refuses later writes
+			// that are bound to the lease.
 			e.store.RevokeLease(lease.ID)
 			e.retry()
 			return
@@ -235,8 +240,8 @@
 	})
 }
 
-// retry reads the keys again after a delay that follows a failed campaign, unless this controller
-// leads then.
+// retry ends a failed campaign. After a delay it reads the keys again, which schedules the next campaign
+// if there is no leader. It doesn't do so if this controller leads by then.
 func (e *Election) retry() {
 	e.role = Follower
 	e.clock.After(retryDelay+e.clock.Jitter(retryJitter), func() {
@@ -252,8 +257,8 @@
 	e.host.Elected(t)
 }
 
-// StepDown ends the leadership of this controller, if it leads, and follows the keys again. The
-// lease isn't revoked and expires.
+// StepDown ends the leadership of this controller, if it leads, and follows the keys again. It doesn't
+// revoke the lease, which expires unless Resign has revoked it.
 func (e *Election) StepDown(reason string) {
 	if e.role != Leader {
 		return
@@ -278,14 +283,14 @@
 // PeerCounts counts the other controllers by their state.
 type PeerCounts struct {
 	Configured   int // all peers in the settings
-	Eligible     int // recently sent a message, reach the store and are not disconnected
-	Disconnected int // recently reported that they are disconnected
+	Eligible     int // those that recently sent a message, reach the store and aren't disconnected
+	Disconnected int // those that recently reported that they are disconnected
 }
 
 // MarkDisconnected marks this controller as disconnected from its workers and reports whether
-// it should resign because of that. It should not, and is not marked, if all other controllers
-// are disconnected too, as a change of leader would not help. A controller that is already
-// marked resigns again only if another one is known to be eligible.
+// it should resign because of that. It should not, and is not marked, if there are no other
+// controllers or all of them are disconnected too, as a change of leader would not help. A controller
+// that is already marked resigns again only if another one is known to be eligible.
 func (e *Election) MarkDisconnected(peers PeerCounts) (resign bool) {
 	if peers.Disconnected == peers.Configured || e.Disconnected() && peers.Eligible == 0 {
 		return false
@@ -294,7 +299,7 @@
 	return true
 }
 
-// Disconnected reports whether this controller recently lost connectivity to its workers.
+// Disconnected reports whether MarkDisconnected marked this controller within disconnectedPeriod.
 func (e *Election) Disconnected() bool { return e.clock.Now().Before(e.disconnectedUntil) }
 
 // ShouldHandOverTo reports whether this leader should hand over to a controller in zone: it
@@ -316,7 +321,8 @@
 // is known.
 func (e *Election) LeaderName() string { return e.view.leader.Node }
 
-// OtherLeader returns the name of the leader if it is another controller, otherwise "".
+// OtherLeader returns the name of the leader if it is another controller; empty if this controller
+// leads or no leader is known.
 func (e *Election) OtherLeader() string {
 	if e.view.leaderVersion == 0 || e.view.leader.Node == e.settings.Name {
 		return ""
@@ -334,7 +340,7 @@
 // Term returns the highest known term and the version of its key.
 func (e *Election) Term() (term, version uint64) { return e.view.term, e.view.termVersion }
 
-// TermRead updates the view with the term key as the leader has just read it.
+// TermRead updates the view with the term key, which this controller has just read as the leader.
 func (e *Election) TermRead(item protocol.KeyValue) { e.view.put(item.Key, item.Value, item.Version) }
 
 // TermRaised updates the view after this controller, as the leader, raised the term.
--- a/internal/coordination/leadership/election_test.go
+++ b/internal/coordination/leadership/election_test.go
@@ -22,7 +22,7 @@
 		{name: "in the preferred zone", keys: []protocol.KeyValue{zoneItem("a")}, delay: 0},
 		{name: "outside the preferred zone", keys: []protocol.KeyValue{zoneItem("b")}, delay: otherZoneDelay},
 		{name: "controller disconnected", before: func(h *harness) { h.MarkDisconnected(PeerCounts{Configured: 2}) }, delay: disconnectedDelay},
-		{name: "both", keys: []protocol.KeyValue{zoneItem("b")}, before: func(h *harness) { h.MarkDisconnected(PeerCounts{Configured: 2}) },
+		{name: "outside the preferred zone and disconnected", keys: []protocol.KeyValue{zoneItem("b")}, before: func(h *harness) { h.MarkDisconnected(PeerCounts{Configured: 2}) },
 			delay: otherZoneDelay + disconnectedDelay},
 		{name: "after a resignation", before: func(h *harness) { h.BecomeLeader(LeaderTerm{Term: 1}); h.Resign("test", 20*time.Second) }, delay: 20 * time.Second},
 	} {
@@ -77,12 +77,12 @@
 	if len(h.leaderTerms) != 1 || h.Role() != Leader {
 		t.Fatalf("elected %d times, role %d; want once, Leader", len(h.leaderTerms), h.Role())
 	}
-	m := h.leaderTerms[0]
-	if m.Term != 5 || m.KeyVersion != 50 || m.Lease.ID != 77 || m.ElectedAt != h.now {
-		t.Errorf("elected with %+v, want term 5, key version 50, lease 77, elected now", m)
+	elected := h.leaderTerms[0]
+	if elected.Term != 5 || elected.KeyVersion != 50 || elected.Lease.ID != 77 || elected.ElectedAt != h.now {
+		t.Errorf("elected with %+v, want term 5, key version 50, lease 77, elected now", elected)
 	}
-	if end := granted.Add(baseTTL - MaxClockDrift(baseTTL)); m.Lease.ValidUntil.After(end) {
-		t.Errorf("lease counts as valid %s longer than the store keeps it", m.Lease.ValidUntil.Sub(end))
+	if end := granted.Add(baseTTL - MaxClockDrift(baseTTL)); elected.Lease.ValidUntil.After(end) {
+		t.Errorf("lease counts as valid %s longer than the store keeps it", elected.Lease.ValidUntil.Sub(end))
 	}
 	if term, version := h.Term(); term != 5 || version != 50 {
 		t.Errorf("term %d, version %d; want 5, 50", term, version)
@@ -106,7 +106,8 @@
 	}
 }
 
-// A failed campaign leaves no lease behind, and is repeated after the keys were read again.
+// A failed campaign revokes the lease that it was granted, and is repeated after the keys were read
+// again.
 func TestFailedCampaign(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -149,7 +150,7 @@
 		role    Role
 	}{
 		{"an older leader", 20, Leader},
-		{"itself", 50, Leader},
+		{"the version of its own key", 50, Leader},
 		{"a later leader", 51, Follower},
 	} {
 		h := newHarness()
@@ -205,7 +206,7 @@
 	}
 }
 
-// After a watch returned events, the next one continues from its revision. After a compaction
+// After a watch returned events, the next watch continues from its revision. After a compaction
 // the keys are read again at once, after a failure they are read again with a delay. Responses
 // to an earlier watch are dropped.
 func TestWatch(t *testing.T) {
@@ -240,8 +241,9 @@
 	}
 }
 
-// A leader that lost connectivity to its workers resigns once, unless all other controllers
-// are disconnected too, and again only if another controller is eligible.
+// A leader that lost connectivity to its workers resigns, unless there are no other controllers or all
+// of them are disconnected too. Within disconnectedPeriod it resigns again only if another controller
+// is eligible.
 func TestMarkDisconnected(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -32,7 +32,7 @@
 
 	leaderTerms       []LeaderTerm
 	leadershipsEnded  int
-	updates           int
+	updates           int // calls of LeaderUpdated
 	overloaded        bool
 	peersUnresponsive bool
 }
@@ -76,7 +76,7 @@
 	h.txns, h.commits = append(h.txns, t), append(h.commits, done)
 }
 
-func (h *harness) Elected(m LeaderTerm)    { h.leaderTerms = append(h.leaderTerms, m) }
+func (h *harness) Elected(t LeaderTerm)    { h.leaderTerms = append(h.leaderTerms, t) }
 func (h *harness) LeadershipEnded()        { h.leadershipsEnded++ }
 func (h *harness) LeaderUpdated()          { h.updates++ }
 func (h *harness) LostToOverload() bool    { return h.overloaded }
@@ -104,12 +104,12 @@
 	done(items, 40)
 }
 
-// answerWatch responds to the latest watch.
+// answerWatch responds to the latest watch request.
 func (h *harness) answerWatch(response WatchResponse) { h.watches[len(h.watches)-1](response) }
 
-func leaderItem(controller string, term, boot, version, lease uint64) protocol.KeyValue {
+func leaderItem(controller string, term, incarnation, version, lease uint64) protocol.KeyValue {
 	return protocol.KeyValue{Key: records.KeyLeader, Version: version, Lease: lease,
-		Value: records.Encode(records.Leader{Node: controller, Zone: "a", Term: term, Incarnation: boot})}
+		Value: records.Encode(records.Leader{Node: controller, Zone: "a", Term: term, Incarnation: incarnation})}
 }
 
 func termItem(term, version uint64) protocol.KeyValue {
--- a/internal/coordination/leadership/host.go
+++ b/internal/coordination/leadership/host.go
@@ -17,17 +17,18 @@
 }
 
 // Store is the consensus-backed key-value store. Each method sends a request and returns;
-// done runs in a later step. A request that gets no response may have been carried out, or
-// may still be.
+// done runs in a later step. A request that gets no response may have been carried out,
+// or may be carried out later.
 type Store interface {
 	// List reads all keys with a prefix. It is retried until it succeeds or wanted returns
 	// false. A watch that starts after the returned revision misses no change.
 	List(prefix string, wanted func() bool, done func(items []protocol.KeyValue, revision uint64))
-	// Watch waits for changes of keys with a prefix after a revision.
+	// Watch waits until keys with a prefix change after a revision, or until the store ends the wait.
 	Watch(prefix string, after uint64, done func(WatchResponse))
 	// GrantLease requests a lease; granted is false unless the store confirmed the grant.
 	GrantLease(ttl time.Duration, done func(lease uint64, granted bool))
-	// RenewLease extends a lease by its full time to live.
+	// RenewLease extends a lease to its full time to live. The renewal is RenewalUnknown if no
+	// response arrives within timeout.
 	RenewLease(lease uint64, timeout time.Duration, done func(Renewal))
 	// RevokeLease ends a lease, which deletes the keys bound to it. The outcome is not
 	// reported: a lease that is not revoked expires.
@@ -50,7 +51,7 @@
 // Outcomes of a watch.
 const (
 	WatchDelivered WatchStatus = iota + 1
-	WatchCompacted             // the store no longer has the changes since that revision
+	WatchCompacted             // the store no longer has all changes after the requested revision
 	WatchFailed
 )
 
@@ -70,10 +71,11 @@
 	Elected(t LeaderTerm)
 	// LeadershipEnded is called when the controller has stepped down.
 	LeadershipEnded()
-	// LeaderUpdated is called after each change of the election keys.
+	// LeaderUpdated is called after the election keys were read or have changed: the leader, the
+	// term, the preferred zone, or whether machines are divided into shards.
 	LeaderUpdated()
-	// LostToOverload reports whether the leadership that ends was most likely lost because the
-	// controller was too busy to renew its lease in time.
+	// LostToOverload reports whether the leadership that is about to end was most likely lost
+	// because the controller was too busy to renew its lease in time.
 	LostToOverload() bool
 	// PeersUnresponsive reports whether messages of other controllers were received before, but
 	// none recently.
--- a/internal/coordination/leadership/lease.go
+++ b/internal/coordination/leadership/lease.go
@@ -22,11 +22,12 @@
 	return l
 }
 
+// extend updates ValidUntil for a grant or renewal that was requested at sent.
 func (l *Lease) extend(sent time.Time) { l.ValidUntil = sent.Add(l.TTL - MaxClockDrift(l.TTL)) }
 
 // LeaseHolder uses a lease that a LeaseRenewer renews.
 type LeaseHolder interface {
-	// NeedsLease reports whether the lease is still in use; renewals end once it is not.
+	// NeedsLease reports whether the lease is still in use. Renewals end once it returns false.
 	NeedsLease() bool
 	// RenewalSent is called after each renewal request.
 	RenewalSent()
@@ -44,12 +45,12 @@
 	holder LeaseHolder
 }
 
-// renewalRetryDelay is the pause after a failed renewal. It is much shorter than the shortest
+// renewalRetryDelay is the pause after a renewal without a response. It is much shorter than the shortest
 // lease, so that several attempts fit into the lease's remaining time.
 const renewalRetryDelay = 200 * time.Millisecond
 
-// KeepLeaseAlive renews a lease, first at once and then every three tenths of its time to
-// live.
+// KeepLeaseAlive renews a lease as long as its holder needs it: first at once, then three tenths of its
+// time to live after each success, and renewalRetryDelay after each renewal without a response.
 func KeepLeaseAlive(clock Clock, store Store, lease *Lease, holder LeaseHolder) {
 	lr := &LeaseRenewer{clock: clock, store: store, lease: lease, holder: holder}
 	lr.renew()
--- a/internal/coordination/leadership/policy_test.go
+++ b/internal/coordination/leadership/policy_test.go
@@ -117,7 +117,7 @@
 	for _, test := range []struct {
 		name    string
 		renewal Renewal
-		keeps   bool
+		keeps   bool          // whether the holder still needs the lease when the response arrives
 		next    time.Duration // until the next renewal; -1: never
 		valid   bool          // whether the renewal extends ValidUntil
 	}{
@@ -144,7 +144,7 @@
 		}
 		if test.next < 0 {
 			if h.advance(time.Hour); len(h.renewals) != 1 {
-				t.Errorf("%s: renewed again", test.name)
+				t.Errorf("%s: renewed again, want no further renewal", test.name)
 			}
 			continue
 		}
--- a/internal/coordination/leadership/ttl_policy.go
+++ b/internal/coordination/leadership/ttl_policy.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	// changeWindow is how long a leader change lengthens the lease of the next leader.
+	// changeWindow is how long a leader change lengthens the leases that controllers request.
 	changeWindow = 15 * time.Second
-	// maxRememberedChanges bounds the number of leader changes kept in memory.
+	// maxRememberedChanges bounds the number of leader changes kept in memory. TTL needs three.
 	maxRememberedChanges = 4
-	// overloadWindow is how long the loss of leadership to overload lengthens the lease.
+	// overloadWindow is how long a loss of leadership to overload lengthens the leases that this
+	// controller requests.
 	overloadWindow = 2 * time.Minute
 )
 
@@ -16,11 +17,11 @@
 // a large fleet is the heaviest load on a leader. One that could not renew a short lease in
 // time left the same work to its successor, and no leader ever completed it.
 //
-// A controller that recently lost leadership to overload requests four times the base. Without
-// peers it has twice as much work as before: a controller that alone served all workers of a fleet
+// A controller that recently lost leadership to overload requests four times the base. If its peers are
+// down, it has twice as much work as before: a controller that alone served all workers of a fleet
 // lost a short lease at every load peak, minutes apart.
 //
-// The absence of messages from peers counts as one leader change, because no other controller is
+// The absence of messages from peers counts as one leader change, because then no other controller is
 // waiting for the lease to expire.
 type TTLPolicy struct {
 	base           time.Duration
--- a/internal/coordination/leadership/view.go
+++ b/internal/coordination/leadership/view.go
@@ -33,7 +33,7 @@
 }
 
 // put updates the view with the value of one key, and reports whether it names a leader of a
-// later term. A value that cannot be decoded is ignored.
+// later term than the view. A value that cannot be decoded is ignored.
 func (v *view) put(key string, value json.RawMessage, version uint64) (newLeader bool) {
 	switch key {
 	case records.KeyLeader:
@@ -58,7 +58,7 @@
 	return newLeader
 }
 
-// remove updates the view after the deletion of a key.
+// remove updates the view after the deletion of a key. It keeps the term and the preferred zone.
 func (v *view) remove(key string) {
 	switch key {
 	case records.KeyLeader:
--- a/internal/coordination/limits/limits_test.go
+++ b/internal/coordination/limits/limits_test.go
@@ -27,7 +27,7 @@
 		{"again within the interval", time.Second, 98, ""},
 		{"just before the interval ends", LogInterval - 1, 1, ""},
 		{"the interval is over", LogInterval, 0, "count=99 total=100"},
-		{"nothing since", 3 * LogInterval, 0, ""},
+		{"not reached since the last line", 3 * LogInterval, 0, ""},
 	} {
 		out.Reset()
 		c.ReachedTimes(ConnectionsShed, step.reached)
--- a/internal/coordination/overload/monitor.go
+++ b/internal/coordination/overload/monitor.go
@@ -2,8 +2,8 @@
 //
 // The only input is scheduling lag, the time by which a timer ran late. From it the package
 // derives the levels at which work is deferred, restricted or shed, and whether the process
-// has been overloaded for a long time. A Monitor reads no clock and starts nothing. It never decides
-// which work is deferred or shed; its callers do.
+// has been overloaded for a long time. A Monitor reads no clock, and starts no goroutine
+// and no timer. It never decides which work is deferred or shed; its callers do.
 package overload
 
 import "time"
@@ -23,15 +23,15 @@
 	// recoveryGap is the time between two overloaded timers above which the process counts as
 	// having recovered in between.
 	recoveryGap = 2 * time.Second
-	// persistentAfter is how long overload must last without such a gap until the process
-	// counts as having more to serve than its CPU share allows.
+	// persistentAfter is how long overload must last, without recovery in between, until the
+	// process counts as having more to serve than its CPU share allows.
 	persistentAfter = 5 * time.Second
 )
 
 // Monitor tracks the scheduling lag of one process. The zero value is ready for use.
 type Monitor struct {
-	lag           time.Duration // of the last timer
-	peak          time.Duration // since TakePeak
+	lag           time.Duration // of the timer observed last
+	peak          time.Duration // highest lag since the last call of TakePeak
 	overloadedAt  time.Time     // when the lag was last above OverloadThreshold
 	overloadSince time.Time     // when the current overload began; gaps up to recoveryGap don't end it
 }
@@ -49,7 +49,7 @@
 	m.overloadedAt = now
 }
 
-// Lag returns the lag of the last timer.
+// Lag returns the lag of the timer that was observed last.
 func (m *Monitor) Lag() time.Duration { return m.lag }
 
 // ShouldDefer reports whether work that can wait should be deferred.
@@ -66,8 +66,9 @@
 	return !m.overloadedAt.IsZero() && now.Sub(m.overloadedAt) < age
 }
 
-// Persistent reports whether the process has been overloaded for so long that additional
-// machines would only reduce how often it can answer each of them.
+// Persistent reports whether the process is overloaded and has been so for more than persistentAfter.
+// Additional machines would then only reduce how often it can answer each of them. The process counts as
+// overloaded up to recoveryGap after the last overloaded timer.
 func (m *Monitor) Persistent(now time.Time) bool {
 	return !m.overloadedAt.IsZero() && now.Sub(m.overloadedAt) <= recoveryGap && now.Sub(m.overloadSince) > persistentAfter
 }
--- a/internal/coordination/overload/monitor_test.go
+++ b/internal/coordination/overload/monitor_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
-// Each level begins above its threshold, and ends with the next timer that runs on time.
+// Each level begins when the lag exceeds its threshold, and ends with the next timer that runs on time.
 func TestLevels(t *testing.T) {
 	for _, test := range []struct {
 		lag                       time.Duration
@@ -38,19 +38,19 @@
 func TestPersistent(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		interval time.Duration
-		timers   int
-		later    time.Duration
+		interval time.Duration // between overloaded timers
+		timers   int           // number of overloaded timers
+		later    time.Duration // from the last timer until Persistent is called
 		want     bool
 	}{
 		{"never overloaded", 0, 0, 0, false},
 		{"overloaded once", 0, 1, 0, false},
 		{"for exactly persistentAfter", time.Second, 6, 0, false},
-		{"for longer", time.Second, 7, 0, true},
-		{"with pauses of recoveryGap", recoveryGap, 4, 0, true},
-		{"with longer pauses", recoveryGap + 1, 10, 0, false},
-		{"recoveryGap ago", time.Second, 7, recoveryGap, true},
-		{"longer ago", time.Second, 7, recoveryGap + 1, false},
+		{"for longer than persistentAfter", time.Second, 7, 0, true},
+		{"timers recoveryGap apart", recoveryGap, 4, 0, true},
+		{"timers more than recoveryGap apart", recoveryGap + 1, 10, 0, false},
+		{"ended recoveryGap ago", time.Second, 7, recoveryGap, true},
+		{"ended more than recoveryGap ago", time.Second, 7, recoveryGap + 1, false},
 	} {
 		var m Monitor
 		now := start
@@ -59,7 +59,7 @@
 			m.Observe(now, OverloadThreshold+1)
 		}
 		if got := m.Persistent(now.Add(test.later)); got != test.want {
-			t.Errorf("%s: persistent: %t", test.name, got)
+			t.Errorf("%s: persistent: %t, want %t", test.name, got, test.want)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	m.Observe(start, 2*OverloadThreshold)
 	m.Observe(start.Add(time.Second), time.Millisecond)
 	if now := start.Add(time.Second); !m.OverloadedWithin(now, time.Second+1) || m.OverloadedWithin(now, time.Second) {
-		t.Error("overload of a second ago isn't reported for exactly that age")
+		t.Error("OverloadedWithin must report an overload of 1 s ago for an age of more than 1 s, and not for 1 s")
 	}
 	if peak := m.TakePeak(); peak != 2*OverloadThreshold {
 		t.Errorf("peak %s, want twice OverloadThreshold", peak)
--- a/internal/coordination/peers/message.go
+++ b/internal/coordination/peers/message.go
@@ -11,8 +11,8 @@
 const MaxMessage = 64 << 10
 
 // Message is the content of one broadcast. The final states of jobs come from the controller
-// that recorded them. They are created once and never overwritten, so a receiver may report
-// them to users like those it recorded itself, however late the message arrives.
+// that recorded them. The record of a final state is created once and never overwritten, so a
+// receiver may report it to users like one that it recorded itself, however late the message arrives.
 type Message struct {
 	Sender             string                 `json:"node"`
 	StoreReachable     bool                   `json:"storeOK"`
@@ -33,16 +33,16 @@
 // Running returns the number of tasks that are running.
 func (p JobProgress) Running() int { return p[1] }
 
-// Upper bounds in bytes for the parts of a message's entries.
+// Upper bounds in bytes for the parts of a job's entry in a message.
 const (
-	jobEntryBytes  = 16 // without the job ID: quotes, colon, comma, brackets
-	taskCountBytes = 6
+	jobEntryBytes  = 16 // without the job ID and the counts: quotes, colon, comma, brackets
+	taskCountBytes = 6  // digits of a number of tasks, which is at most protocol.MaxTasks
 )
 
-// OutcomeSize returns an estimate of the bytes that a job's final state takes in a message.
+// OutcomeSize returns an upper bound of the bytes that a job's final state takes in a message.
 func OutcomeSize(job string) int { return len(job) + jobEntryBytes + taskCountBytes }
 
-// ProgressSize returns an estimate of the bytes that a job's progress takes in a message.
+// ProgressSize returns an upper bound of the bytes that a job's progress takes in a message.
 func ProgressSize(job string) int { return len(job) + jobEntryBytes + 2*taskCountBytes }
 
 // Encode returns the message in its wire format. The result may be longer than MaxMessage.
--- a/internal/coordination/peers/peers_test.go
+++ b/internal/coordination/peers/peers_test.go
@@ -7,7 +7,8 @@
 
 var start = time.Date(2026, 9, 21, 12, 0, 0, 0, time.UTC)
 
-// A peer's reported status counts only for a short time.
+// A peer's status counts as fresh until statusTTL, and makes the peer eligible until eligibilityTTL,
+// after its last message.
 func TestStatus(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -18,7 +19,7 @@
 		{"just received", Status{StoreReachable: true}, 0, true, true},
 		{"just before eligibility ends", Status{StoreReachable: true}, eligibilityTTL - 1, true, true},
 		{"too old to be eligible", Status{StoreReachable: true}, eligibilityTTL, true, false},
-		{"old", Status{StoreReachable: true}, statusTTL, false, false},
+		{"too old to be fresh", Status{StoreReachable: true}, statusTTL, false, false},
 		{"state service not reachable", Status{}, 0, true, false},
 		{"disconnected", Status{StoreReachable: true, Disconnected: true}, 0, true, false},
 		{"workers not reachable", Status{StoreReachable: true, WorkersUnreachable: true}, 0, true, true},
@@ -26,7 +27,7 @@
 		test.status.LastReceivedAt = start
 		now := start.Add(test.age)
 		if fresh, eligible := test.status.Fresh(now), test.status.Eligible(now); fresh != test.fresh || eligible != test.eligible {
-			t.Errorf("%s: fresh %t, eligible %t", test.name, fresh, eligible)
+			t.Errorf("%s: fresh %t, eligible %t; want %t, %t", test.name, fresh, eligible, test.fresh, test.eligible)
 		}
 		table := Table{"n1": &test.status}
 		if table.AnyFresh(now) != test.fresh || table.AnyEligible(now) != test.eligible || table.StoreReachable(now) != (test.fresh && test.status.StoreReachable) {
@@ -54,13 +55,13 @@
 func TestProgress(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		after time.Duration
-		next  Message // received after that time
+		after time.Duration // from the progress until the next message
+		next  Message
 		known bool
 	}{
 		{"at once", 0, Message{Term: 4}, true},
 		{"just before it expires", progressTTL, Message{Term: 4}, true},
-		{"later", progressTTL + 1, Message{Term: 4}, false},
+		{"after it has expired", progressTTL + 1, Message{Term: 4}, false},
 		{"another term", time.Second, Message{Term: 5}, false},
 		{"no longer the leader", time.Second, Message{}, false},
 	} {
@@ -71,7 +72,7 @@
 		table.Receive(&test.next, now)
 		p, known := table["n1"].Progress("run-000001", now)
 		if known != test.known || known && (p.Done() != 3 || p.Running() != 2) {
-			t.Errorf("%s: progress %v, known %t", test.name, p, known)
+			t.Errorf("%s: progress %v, known %t; want [3 2] if known, known %t", test.name, p, known, test.known)
 		}
 	}
 }
@@ -83,7 +84,7 @@
 	empty := Message{Sender: "n1", Progress: map[string]JobProgress{"x": {}}, Done: map[string]int{"x": 0}}
 	one := Message{Sender: "n1", Progress: map[string]JobProgress{"x": {}, job: {99999, 99999}}, Done: map[string]int{"x": 0, job: 99999}}
 	if grown := len(one.Encode()) - len(empty.Encode()); grown > ProgressSize(job)+OutcomeSize(job) {
-		t.Errorf("two entries take %d bytes, more than the estimate of %d", grown, ProgressSize(job)+OutcomeSize(job))
+		t.Errorf("two entries take %d bytes, more than the upper bound of %d", grown, ProgressSize(job)+OutcomeSize(job))
 	}
 	got, err := Decode(one.Encode())
 	if err != nil || got.Sender != "n1" || got.Done[job] != 99999 || got.Progress[job].Running() != 99999 {
--- a/internal/coordination/peers/table.go
+++ b/internal/coordination/peers/table.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Times for which a peer's messages count. Every peer sends one each second.
+// Times for which a peer's messages count. Every peer sends a message each second.
 const (
 	statusTTL      = 3 * time.Second
 	eligibilityTTL = 2500 * time.Millisecond // for handing leadership to the peer
-	// progressTTL is longer because in a very large fleet the progress of one job is broadcast
-	// only every few seconds.
+	// progressTTL is longer than statusTTL because in a very large fleet the progress of one job is
+	// broadcast only every few seconds.
 	progressTTL = 30 * time.Second
 )
 
@@ -15,7 +15,7 @@
 type Status struct {
 	LastReceivedAt     time.Time // when the latest message was received
 	StoreReachable     bool      // the state service serves the peer
-	Disconnected       bool      // the peer led recently and lost connectivity to too many machines
+	Disconnected       bool      // the peer recently resigned as the leader because it lost connectivity to its workers
 	WorkersUnreachable bool      // the peer owns shards and recently lost most of their workers
 
 	term     uint64 // the term that progress belongs to
@@ -23,15 +23,17 @@
 	prunedAt time.Time // when expired progress was last removed
 }
 
+// receivedProgress is the progress of a job, with the time when it was received.
 type receivedProgress struct {
 	JobProgress
 	receivedAt time.Time
 }
 
-// Fresh reports whether a message of the peer was received recently.
+// Fresh reports whether a message of the peer was received within statusTTL.
 func (s *Status) Fresh(now time.Time) bool { return now.Sub(s.LastReceivedAt) < statusTTL }
 
-// Eligible reports whether leadership may be handed to the peer.
+// Eligible reports whether leadership may be handed to the peer: within eligibilityTTL, it reported that
+// it reaches the state service and isn't disconnected.
 func (s *Status) Eligible(now time.Time) bool {
 	return s.StoreReachable && !s.Disconnected && now.Sub(s.LastReceivedAt) < eligibilityTTL
 }
@@ -46,6 +48,7 @@
 	return received.JobProgress, true
 }
 
+// receive updates the status with a message. It discards the progress of other terms.
 func (s *Status) receive(m *Message, now time.Time) {
 	s.LastReceivedAt, s.StoreReachable, s.Disconnected, s.WorkersUnreachable = now, m.StoreReachable, m.Disconnected, m.WorkersUnreachable
 	if s.term != m.Term || s.progress == nil {
@@ -57,6 +60,7 @@
 	s.prune(now)
 }
 
+// prune removes expired progress, at most once per progressTTL.
 func (s *Status) prune(now time.Time) {
 	if now.Sub(s.prunedAt) < progressTTL {
 		return
@@ -106,8 +110,8 @@
 	return false
 }
 
-// Connectivity counts peers with a recent status: disconnected counts those that report lost
-// connectivity to workers, eligible those of the others that reach the state service.
+// Connectivity counts peers with a fresh status: disconnected counts those that report that they lost
+// connectivity to their workers, eligible the other ones that reach the state service.
 func (t Table) Connectivity(now time.Time) (eligible, disconnected int) {
 	for _, s := range t {
 		switch {
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -11,13 +11,13 @@
 // Candidate is a machine with room for a task, with the values by which it is ranked.
 type Candidate struct {
 	Machine      int32 // index in the list of machines with room; breaks ties, lower first
-	AboveCeiling bool  // the task would put it above a surge ceiling: ranks after those below
-	LastResort   bool  // it is being consolidated: ranks after those that aren't
+	AboveCeiling bool  // the task would put the machine above a surge ceiling; ranks after all others
+	LastResort   bool  // the machine is being consolidated; ranks after those that aren't
 	Score        float64
 	FreeCPUs     float64 // ranks machines of equal score, higher first
 }
 
-// before reports whether a candidate ranks before another one.
+// before reports whether c ranks before o.
 func (c *Candidate) before(o *Candidate) bool {
 	switch {
 	case c.AboveCeiling != o.AboveCeiling:
@@ -63,7 +63,7 @@
 // DropBest removes the best candidate.
 func (c *Candidates) DropBest() { heap.Pop(&c.list) }
 
-// UpdateBest replaces the best candidate by k and ranks it again.
+// UpdateBest replaces the best candidate by updated and ranks it again.
 func (c *Candidates) UpdateBest(updated Candidate) {
 	c.list[0] = updated
 	heap.Fix(&c.list, 0)
@@ -98,8 +98,9 @@
 // ShapeOf returns the shape of a job's tasks.
 func ShapeOf(j *protocol.Job) Shape { return Shape{Needs(j), j.Zone, j.AllowSpot, j.MachineTypes} }
 
-// KnownNotToFit reports whether a shape that needs no more, with the same restrictions, is in
-// failed, that is, found no room earlier in the round. During a round, free capacity only decreases.
+// KnownNotToFit reports whether tasks of the shape can't fit because failed contains a shape with the
+// same restrictions that needs no more of any resource. failed holds the shapes that found no room
+// earlier in the placement round; during a round, free capacity only decreases.
 func (s *Shape) KnownNotToFit(failed []Shape) bool {
 	for i := range failed {
 		f := &failed[i]
--- a/internal/coordination/placement/images.go
+++ b/internal/coordination/placement/images.go
@@ -1,7 +1,7 @@
 package placement
 
-// ImageID is the number of an image, valid for one leader's term. Machines are scored for every
-// job, and comparing image names took most of the time for that.
+// ImageID is a number that identifies an image, valid for one leader's term. Machines are scored for
+// every job, and comparing image names took most of the time for that.
 type ImageID = int32
 
 // ImageCache models the image cache of a machine. Heartbeats don't list the cached images, so they
@@ -12,6 +12,7 @@
 	used   float64       // GB
 }
 
+// cachedImage is an image in a cache, with its size.
 type cachedImage struct {
 	id ImageID
 	gb float64
@@ -20,8 +21,8 @@
 // Reset removes all images.
 func (c *ImageCache) Reset() { c.images, c.used = c.images[:0], 0 }
 
-// Add records the use of an image of size gb in a cache of size space, and evicts the least
-// recently used images, but not this one, while the cache exceeds its size.
+// Add records the use of an image of size gb in a cache of size space, both in GB. It evicts the least
+// recently used images, but not the added one, while the cache exceeds its size.
 func (c *ImageCache) Add(id ImageID, gb, space float64) {
 	for i := range c.images {
 		if c.images[i].id == id {
@@ -39,7 +40,7 @@
 	}
 }
 
-// CachedGB returns how many GB of an image are cached.
+// CachedGB returns the size of an image if it is cached, and 0 if not.
 func (c *ImageCache) CachedGB(id ImageID) float64 {
 	for i := range c.images {
 		if c.images[i].id == id {
@@ -63,7 +64,7 @@
 
 type imageCount struct{ id, count int32 }
 
-// Add changes the count of an image by the given number, which may be negative.
+// Add adds by, which may be negative, to the count of an image.
 func (c *ImageCounts) Add(id ImageID, by int32) {
 	for i := range *c {
 		if k := &(*c)[i]; k.id == id {
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -40,15 +40,15 @@
 	Spec          *protocol.MachineType // nil for an unknown type
 	Consolidating bool                  // gets new tasks only if no other machine has capacity
 
-	Allocated   Resources // by all attempts that aren't proven terminated
-	Terminating Resources // the part of Allocated of attempts whose stop was requested
-	Reserved    Resources // for jobs that preempt or are starving, until the next round
+	Allocated   Resources // to all attempts that aren't proven terminated
+	Terminating Resources // the part of Allocated that belongs to attempts whose stop was requested
+	Reserved    Resources // for jobs that preempt or are starving, until the next placement round
 	Incoming    Resources // reserved for tasks that are being migrated to the machine
-	ReplicaCPUs float64   // the part of Allocated.CPUs of service replicas
-	ReportBytes int       // upper bound of the size of the tasks in the worker's heartbeat
+	ReplicaCPUs float64   // the part of Allocated.CPUs that belongs to service replicas
+	ReportBytes int       // upper bound of the size of the tasks' entries in the worker's heartbeat
 
 	Images       ImageCache
-	NeededImages ImageCounts // images of the attempts on it
+	NeededImages ImageCounts // images that the attempts on the machine need
 }
 
 // CacheGB returns the size of the image cache; 0 for an unknown machine type.
@@ -79,7 +79,7 @@
 }
 
 // fitsBesideReserved reports whether one more task of a job fits in addition to what is reserved for
-// other jobs, part of which terminating attempts still use.
+// other jobs. The resources of terminating attempts count as available for the reservations.
 func (m *Machine) fitsBesideReserved(j *protocol.Job) bool {
 	return m.Allocated.Plus(m.Incoming).Plus(Needs(j)).Plus(m.Reserved).Minus(m.Terminating).Within(Capacity(m.Spec))
 }
@@ -106,13 +106,13 @@
 	return j.AllowsType(m.Type) && (j.Zone == "" || j.Zone == m.Zone) && (j.AllowSpot || !m.Spot)
 }
 
-// FitsInReport reports whether the tasks of the machine and one more still fit into a heartbeat,
-// which lists all of them. Part of each heartbeat is left for exited tasks that the worker has to
-// keep reporting.
+// FitsInReport reports whether the entries of the machine's tasks and of one more task of a job fit
+// into a heartbeat. Part of each heartbeat is left for exited tasks that the worker has to keep
+// reporting.
 func (m *Machine) FitsInReport(j *protocol.Job) bool {
 	return m.ReportBytes+protocol.MaxTaskStatusBytes(j.ID) <= MaxTaskReportBytes
 }
 
-// MaxTaskReportBytes is the size that the tasks placed on a machine may have in its worker's
+// MaxTaskReportBytes is the maximum size of the entries of a machine's tasks in its worker's
 // heartbeat: three quarters of the maximum size of a heartbeat.
 const MaxTaskReportBytes = protocol.MaxBody * 3 / 4
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// The least recently used image is evicted.
 func TestImageCache(t *testing.T) {
 	var c ImageCache
 	const a, b, d, e = 1, 2, 3, 4
@@ -12,7 +13,7 @@
 	c.Add(e, 1, 3)
 	for image, want := range map[int32]float64{a: 1, b: 0, d: 1, e: 1} {
 		if got := c.CachedGB(image); got != want {
-			t.Errorf("image %d: %g GB, want %g", image, got, want)
+			t.Errorf("image %d: %g GB cached, want %g", image, got, want)
 		}
 	}
 }
--- a/internal/coordination/placement/score.go
+++ b/internal/coordination/placement/score.go
@@ -2,7 +2,7 @@
 
 import "brasskeel/internal/protocol"
 
-// Task is a task of a job, with the number of its image.
+// Task is a task of a job, with the ID of its image.
 type Task struct {
 	*protocol.Job
 	Image ImageID
@@ -23,9 +23,10 @@
 	return w.Image*m.ImageShare(t) + w.Room*room
 }
 
-// ImageShare returns the share of a task's image that is cached on a machine. An image that other
-// tasks there need already counts as cached: it is fetched once for all of them. Otherwise the
-// tasks of a new image would spread over many machines before the first one is known to have it.
+// ImageShare returns the share of a task's image that is cached on a machine; 1 for a task without an
+// image. An image that attempts on the machine need counts as cached, because it is fetched once for
+// all of them. If it didn't, the tasks of a new image would spread over many machines before the first
+// machine is known to have it.
 func (m *Machine) ImageShare(t Task) float64 {
 	if t.ImageGB <= 0 {
 		return 1
@@ -36,7 +37,8 @@
 	return min(1, m.Images.CachedGB(t.Image)/t.ImageGB)
 }
 
-// FreeShare returns the machine's free share, averaged over the resources that a job needs.
+// FreeShare returns the share of the machine that isn't allocated, averaged over the resources that a
+// job needs and the machine has; 1 if there are none.
 func (m *Machine) FreeShare(j *protocol.Job) float64 {
 	sum, n := 0.0, 0.0
 	if j.CPUs > 0 && m.Spec.CPUs > 0 {
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -12,7 +12,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestChoose(t *testing.T) {
+// The cost is the lost work of the victims, 10 each unless a case changes it, plus costPerVictim for
+// each of them.
+func TestChooseVictims(t *testing.T) {
 	work := func(name string, change func(*Candidate[string])) Candidate[string] {
 		w := Candidate[string]{Attempt: name, Priority: protocol.Low, JobSubmitted: start, LostWork: 10, Needs: placement.Resources{CPUs: 2, MemGB: 4}, JobID: name}
 		if change != nil {
@@ -40,15 +42,15 @@
 		{name: "memory counts", needs: placement.Resources{CPUs: 1, MemGB: 6}, work: []Candidate[string]{work("a", nil), work("b", nil)},
 			victims: []string{"a", "b"}, cost: 22, ok: true},
 		{name: "no candidate has a GPU", needs: placement.Resources{GPUs: 1}, work: []Candidate[string]{work("a", nil)}},
-		{name: "lowest priority first", needs: placement.Resources{CPUs: 2},
+		{name: "victim of the lowest priority", needs: placement.Resources{CPUs: 2},
 			work:    []Candidate[string]{work("a", func(w *Candidate[string]) { w.Priority = protocol.Standard }), work("b", func(w *Candidate[string]) { w.LostWork = 50 })},
 			victims: []string{"b"}, cost: 51, ok: true},
-		{name: "job submitted last first", needs: placement.Resources{CPUs: 2},
+		{name: "victim of the job that was submitted last", needs: placement.Resources{CPUs: 2},
 			work:    []Candidate[string]{work("a", func(w *Candidate[string]) { w.LostWork = 0 }), work("b", func(w *Candidate[string]) { w.JobSubmitted = start.Add(time.Second) })},
 			victims: []string{"b"}, cost: 11, ok: true},
-		{name: "least lost work within a job", needs: placement.Resources{CPUs: 2},
+		{name: "victim with the least lost work within a job", needs: placement.Resources{CPUs: 2},
 			work: []Candidate[string]{work("a", nil), work("b", func(w *Candidate[string]) { w.JobID, w.TaskIndex, w.LostWork = "a", 1, 5 })}, victims: []string{"b"}, cost: 6, ok: true},
-		{name: "lowest task index first", needs: placement.Resources{CPUs: 2},
+		{name: "victim with the lowest task index", needs: placement.Resources{CPUs: 2},
 			work: []Candidate[string]{work("a", func(w *Candidate[string]) { w.TaskIndex = 7 }), work("b", func(w *Candidate[string]) { w.JobID, w.TaskIndex = "a", 2 })}, victims: []string{"b"}, cost: 11, ok: true},
 	} {
 		victims, cost, ok := ChooseVictims(c.free, c.needs, c.work)
@@ -57,13 +59,13 @@
 			names = append(names, v.Attempt)
 		}
 		if !slices.Equal(names, c.victims) || cost != c.cost || ok != c.ok {
-			t.Errorf("%s: victims %q, cost %g, ok %t", c.name, names, cost, ok)
+			t.Errorf("%s: victims %q, cost %g, ok %t; want %q, %g, %t", c.name, names, cost, ok, c.victims, c.cost, c.ok)
 		}
 	}
 }
 
-// fakeMachines implements Machines with machines on which room for tasks of one size can be made, at
-// a cost for each further task.
+// fakeMachines implements Machines. Room for tasks of one size can be made on each machine, at a given
+// cost for each further task.
 type fakeMachines struct {
 	costs     map[string][]float64 // of the next tasks on each machine; empty: no more tasks
 	excluded  string
@@ -86,7 +88,8 @@
 	f.costs[machine] = f.costs[machine][1:]
 }
 
-// Tasks get the machine of the lowest cost; among machines of equal cost, the first one.
+// Each task gets the machine of the lowest cost; among machines of equal cost, the one with the lowest
+// order.
 func TestSearch(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -115,8 +118,8 @@
 	}
 }
 
-// Exhausted machines are examined again only for smaller tasks. Machines that an earlier job couldn't
-// use are examined again for each later job.
+// Exhausted machines are examined again only for tasks that need less of some resource. Machines that
+// an earlier job couldn't use are available to later jobs.
 func TestSearchOfSeveralJobs(t *testing.T) {
 	f := &fakeMachines{costs: map[string][]float64{}}
 	var s Search[string]
--- a/internal/coordination/preemption/search.go
+++ b/internal/coordination/preemption/search.go
@@ -8,7 +8,7 @@
 
 // Machines provides a search with the properties of machines, for the current job.
 type Machines[M any] interface {
-	// Excluded reports whether the current job can't use a machine, though other jobs may.
+	// Excluded reports whether the current job can't use a machine that other jobs may use.
 	Excluded(machine M) bool
 	// Cost returns the cost of making room for one more task of the job on a machine; ok is
 	// false if preempting all preemptible work there doesn't make enough room.
@@ -19,22 +19,24 @@
 }
 
 // Search finds, for one task after the other, the machine where making room costs least. Capacity
-// that is already being freed costs nothing and is therefore used first. All machines are examined
-// once for all jobs that may preempt the same work; these jobs share the search during a placement
-// round. After that, only the machine that was chosen last is examined again. Examining all of them
-// for every task, or for every job, kept the leader of a large fleet from renewing its lease for
-// seconds.
+// that is already being freed costs nothing and is therefore used first. Jobs that may preempt the
+// same work share a search during a placement round. To examine a machine is to call Machines.Cost for
+// it. The first job examines all machines; after that, PreemptNext examines only the option of the
+// lowest cost, and BeginJob the exhausted machines if the job needs less of some resource. Examining
+// all machines for every task, or for every job, kept the leader of a large fleet from renewing its
+// lease for seconds.
 //
-// Each machine that was added is in exactly one of three lists: options, which have room for the
-// job's tasks at a cost that may have increased since it was computed; skipped, which the current
-// job can't use; or exhausted, which have no room for the smallest task so far. During a round, free
-// capacity only decreases, so a machine that is exhausted for a task is also exhausted for larger
-// ones.
+// Each machine that was added is in exactly one of three lists: options, which had room at a cost that
+// may have increased since it was computed; skipped, which the current job can't use; or exhausted,
+// which weren't examined yet or had no room when they were examined last. During a round, free
+// capacity only decreases, so a machine without room for one task has none for larger ones. A machine
+// that was exhausted for a task larger than examinedNeeds may still have room for smaller tasks, but
+// isn't examined for them unless they need less of some resource than examinedNeeds.
 type Search[M any] struct {
 	options       optionHeap[M]
 	skipped       []option[M]
 	exhausted     []option[M]
-	examinedNeeds placement.Resources // needs of the smallest task so far
+	examinedNeeds placement.Resources // needs of the job for which BeginJob last examined the exhausted machines
 	started       bool                // examinedNeeds is set
 }
 
@@ -45,8 +47,9 @@
 	order   int32 // breaks ties between machines of equal cost, lower first
 }
 
-// Add adds a machine to a search that hasn't started. Among machines of equal cost, the one of the
-// lowest order is chosen. capacity is the expected number of machines.
+// Add adds a machine to a search that hasn't started. Among machines of equal cost, the one with the
+// lowest order is chosen. capacity is the expected number of machines. Added machines count as
+// exhausted until BeginJob examines them.
 func (s *Search[M]) Add(machine M, order, capacity int) {
 	if s.exhausted == nil {
 		s.exhausted = make([]option[M], 0, capacity)
@@ -57,7 +60,8 @@
 // Started reports whether BeginJob was called.
 func (s *Search[M]) Started() bool { return s.started }
 
-// BeginJob makes a job the current one. needs are the resources that each of its tasks needs.
+// BeginJob makes a job the current one. needs are the resources that each of its tasks needs. If that
+// is less of some resource than examinedNeeds, the exhausted machines are examined again.
 func (s *Search[M]) BeginJob(machines Machines[M], needs placement.Resources) {
 	s.options = append(s.options, s.skipped...)
 	s.skipped = s.skipped[:0]
@@ -68,8 +72,7 @@
 	heap.Init(&s.options)
 }
 
-// retryExhausted examines the exhausted machines again, for a task that needs less of some resource
-// than the smallest one before.
+// retryExhausted examines the exhausted machines, and makes those that have room options.
 func (s *Search[M]) retryExhausted(machines Machines[M]) {
 	left := s.exhausted[:0]
 	for _, o := range s.exhausted {
@@ -99,13 +102,13 @@
 			s.exhaust()
 			continue
 		}
-		if cost > o.cost { // computed for a smaller task, or an attempt to be preempted has ended
+		if cost > o.cost { // o.cost was for a smaller task, or an attempt to be preempted has ended
 			s.update(cost)
 			continue
 		}
 		machines.Preempt(o.machine)
-		// The next cost can't be lower than 0. It is computed when the machine is at the top of
-		// the heap again.
+		// The cost of the next task can't be lower than 0, so the machine may stay at the top of
+		// the heap. That cost is computed when PreemptNext examines the machine again.
 		if cost == 0 {
 			return true
 		}
@@ -119,13 +122,13 @@
 	return false
 }
 
-// update changes the cost of the best option.
+// update changes the cost of the option at the top of the heap.
 func (s *Search[M]) update(cost float64) {
 	s.options[0].cost = cost
 	heap.Fix(&s.options, 0)
 }
 
-// exhaust moves the best option to the exhausted machines.
+// exhaust moves the option at the top of the heap to the exhausted machines.
 func (s *Search[M]) exhaust() {
 	s.exhausted = append(s.exhausted, s.options[0])
 	heap.Pop(&s.options)
--- a/internal/coordination/preemption/victims.go
+++ b/internal/coordination/preemption/victims.go
@@ -25,13 +25,13 @@
 	TaskIndex    int
 }
 
-// before compares candidates: the result is negative if w is preempted before o.
+// before compares candidates: the result is negative if c is preempted before o.
 func (c *Candidate[A]) before(o *Candidate[A]) int {
 	if d := int(c.Priority) - int(o.Priority); d != 0 {
 		return d
 	}
-	// The job submitted last comes first. With the least lost work first, tasks that were just
-	// restarted would be preempted again and again.
+	// Attempts of the job that was submitted last are preempted first. If those with the least lost
+	// work were, tasks that were just restarted would be preempted again and again.
 	if d := o.JobSubmitted.Compare(c.JobSubmitted); d != 0 {
 		return d
 	}
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -2,9 +2,10 @@
 // job fails. It decides how long a failing job has to wait and whether a machine is faulty.
 //
 // A job that was submitted with a mistake fails on every machine; on a faulty machine every job
-// fails. The two cases are distinguished by jobs that are known to work, because a task of them is
-// done or has been running for some time. When failing jobs were merely counted, two faulty jobs on
-// the same machine were enough to have it released, and each new leader released a few machines.
+// fails. The two cases are distinguished by jobs that are known to work, because one of their tasks is
+// done or has been running for some time. An earlier rule merely counted the jobs that failed on a
+// machine: two faulty jobs on the same machine were enough to have it released, and each new leader
+// released a few machines.
 //
 // The package owns the history of a job's failures. It reads no clock, and never stops, places
 // or releases anything itself.
@@ -13,42 +14,49 @@
 import "time"
 
 const (
-	// MinRunTime is how long tasks of a job must have been running for the job to count as
-	// working.
+	// MinRunTime is how long at least one task of a job must have been running, without
+	// interruption, for the job to count as working although no task is done.
 	MinRunTime = 3 * time.Second
-	// MinTimeSinceFailure is how long, in addition, no running task of the job may have failed.
-	// With this limit a service, whose tasks are never done, counts as working again some time
-	// after one of its replicas failed on a faulty machine.
+	// MinTimeSinceFailure is the time since the last failure of a running task after which
+	// MinRunTime makes the job count as working. With this limit a service, whose tasks are
+	// never done, counts as working again some time after one of its replicas failed on a faulty
+	// machine.
 	MinTimeSinceFailure = 30 * time.Second
-	// failureThreshold is the number of failures without a success in between that, on at least
-	// MachineThreshold machines, put a job into quarantine.
+	// failureThreshold is the number of failures without a success in between that put a job into
+	// quarantine, if it failed on at least MachineThreshold machines or on all of a smaller fleet.
 	failureThreshold = 4
-	// MachineThreshold is the number of machines with failures of a job from which on the job,
-	// not the machines, is considered the cause.
+	// MachineThreshold is the number of machines with failures of a job at which the job is
+	// considered the cause, not the machines.
 	MachineThreshold = 3
 	// trialBackoff is the first pause of a job in quarantine. The job is tried with one task at
 	// a time, after pauses that double up to MaxTrialBackoff.
 	trialBackoff = 500 * time.Millisecond
 	// MaxTrialBackoff is the longest pause between two trials.
-	MaxTrialBackoff     = 30 * time.Second
+	MaxTrialBackoff = 30 * time.Second
+	// maxBackoffDoublings bounds the shift by which the pause is computed. MaxTrialBackoff is
+	// reached with fewer doublings.
 	maxBackoffDoublings = 8
 	// multiMachineBackoff is the pause after a failure of a job that isn't in quarantine but has
 	// failed on at least MachineThreshold machines.
 	multiMachineBackoff = 250 * time.Millisecond
 )
 
-// State is the assessment of a job, derived from its history and its progress.
+// State is the assessment of a job, derived from its History, its Progress and the size of the fleet.
 type State uint8
 
-// States of a job. A new one is Untested.
+// States of a job. A new job is Untested.
 //
-//	Untested    -> Working      a task is done, or has been running for MinRunTime without failures
+//	Untested    -> Working      a task is done, or tasks have been running for MinRunTime and none
+//	                            failed while running for MinTimeSinceFailure
 //	Untested    -> Quarantined  failureThreshold failures on MachineThreshold machines, or on all
 //	                            machines of a smaller fleet
-//	Quarantined -> Working      a trial succeeds
-//	Quarantined -> Untested     the fleet has grown beyond the machines with failures
-//	Working     -> Untested     no task is running any longer, or a running task failed, and no
-//	                            task is done
+//	Quarantined -> Working      as from Untested; the task is a trial
+//	Quarantined -> Untested     the fleet, smaller than MachineThreshold, has grown beyond the
+//	                            machines with failures
+//	Working     -> Untested     no task is done, and a running task failed or none is running
+//	                            any longer
+//	Working     -> Quarantined  no task is done and none is running any longer, but not because of a
+//	                            failure; the failures from before the job worked still count
 const (
 	Untested State = iota
 	Working
@@ -63,20 +71,22 @@
 
 // History is the history of a job's failures. The zero value is the history of a new job.
 type History struct {
-	failures       int                 // since the last success
+	failures       int                 // since the last success; a failure while the job is known to work restarts the count
 	trials         int                 // the part of failures that were trials in quarantine
 	lastRunFailure time.Time           // when a running task last failed; zero: never
-	runningSince   time.Time           // since when at least one task has been running
-	machines       map[string]struct{} // that ever had a failure
+	runningSince   time.Time           // since when at least one task has been running, if any is
+	machines       map[string]struct{} // machines that ever had a failure of the job
 }
 
-// Failures returns the number of failures since the last success.
+// Failures returns the number of failures since the last success. A failure while the job is known to
+// work restarts the count at 1.
 func (h *History) Failures() int { return h.failures }
 
 // Machines returns the number of machines that ever had a failure of the job.
 func (h *History) Machines() int { return len(h.machines) }
 
-// KnownWorking reports whether the job is known to work on some machine.
+// KnownWorking reports whether the job is known to work on some machine: a task is done, or tasks have
+// been running for MinRunTime and none failed while running within MinTimeSinceFailure.
 func (h *History) KnownWorking(now time.Time, p Progress) bool {
 	return p.DoneTasks > 0 || p.RunningTasks > 0 && now.Sub(h.runningSince) >= MinRunTime &&
 		(h.lastRunFailure.IsZero() || now.Sub(h.lastRunFailure) >= MinTimeSinceFailure)
@@ -102,8 +112,8 @@
 // Failure is an attempt that ended in an error.
 type Failure struct {
 	Machine      string
-	Ran          bool // it had its image and was running
-	LiveAttempts int  // attempts of the job that may still exist, including this one
+	Ran          bool // the attempt had its image and was running
+	LiveAttempts int  // attempts of the job that may still exist, including the failed one
 }
 
 // Verdict is the consequence of a failure.
@@ -113,7 +123,9 @@
 	Backoff           time.Duration // until a task of the job may be started again
 }
 
-// RecordFailure records a failure. fleet is the number of machines in the fleet.
+// RecordFailure records a failure. fleet is the number of machines in the fleet. Only a failure in
+// quarantine without other live attempts counts as a trial, so that attempts that were started together
+// lengthen the backoff only once.
 func (h *History) RecordFailure(now time.Time, f Failure, p Progress, fleet int) Verdict {
 	if h.KnownWorking(now, p) {
 		h.failures, h.trials = 0, 0
@@ -144,13 +156,14 @@
 // MachineEvidence is the evidence for a fault of a machine on which a task just failed.
 type MachineEvidence struct {
 	WorkingJobs int  // jobs that are known to work and failed on the machine since its last success
-	JobWorking  bool // the task's job is known to work
-	Failures    int  // of that job on the machine
+	JobWorking  bool // the failed task's job is known to work
+	Failures    int  // failures of that job on the machine since the machine's last success
 	Machines    int  // machines that ever had a failure of that job
 }
 
-// Faulty reports whether the machine is faulty: since its last success, two working jobs failed
-// on it, or one working job failed on it twice and on fewer than MachineThreshold machines in all.
+// Faulty reports whether the machine is faulty: since its last success, at least two jobs that are known
+// to work failed on it, or only the failed task's job, which is known to work, failed on it at least
+// twice, and on fewer than MachineThreshold machines in all.
 func (e MachineEvidence) Faulty() bool {
 	return e.WorkingJobs >= 2 || e.WorkingJobs == 1 && e.JobWorking && e.Failures >= 2 && e.Machines < MachineThreshold
 }
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -19,7 +19,7 @@
 func TestState(t *testing.T) {
 	for _, c := range []struct {
 		name            string
-		failures        int // each on another machine
+		failures        int // each on a different machine
 		running         time.Duration
 		sinceRunFailure time.Duration // since a running task failed; 0: never
 		progress        Progress
@@ -65,8 +65,8 @@
 func TestBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		earlier  int // failures, including the one that led to quarantine
-		attempts int // live attempts when the last one fails
+		earlier  int // earlier failures, including the one that led to quarantine
+		attempts int // live attempts at the last failure
 		progress Progress
 		want     time.Duration
 	}{
@@ -89,7 +89,7 @@
 }
 
 // A success ends quarantine and resets the count of failures, but not the machines that had them.
-func TestSucceeded(t *testing.T) {
+func TestRecordSuccess(t *testing.T) {
 	var h History
 	recordFailures(&h, start, 10, Progress{}, 100)
 	h.RecordSuccess()
@@ -97,7 +97,7 @@
 		t.Errorf("after a success: state %d, %d failures, %d machines; want Untested, 0, 10", h.State(start, Progress{}, 100), h.Failures(), h.Machines())
 	}
 	if v := recordFailures(&h, start, failureThreshold, Progress{}, 100); !v.EnteredQuarantine || v.Backoff != trialBackoff {
-		t.Errorf("after as many failures again: verdict %+v, want quarantine with trialBackoff", v)
+		t.Errorf("after failureThreshold further failures: verdict %+v, want quarantine with trialBackoff", v)
 	}
 }
 
@@ -112,10 +112,10 @@
 		{"working job, one failure", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 1, Machines: 1}, false},
 		{"working job, two failures", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 2, Machines: 2}, true},
 		{"working job that also fails elsewhere", MachineEvidence{WorkingJobs: 1, JobWorking: true, Failures: 2, Machines: MachineThreshold}, false},
-		{"another job works", MachineEvidence{WorkingJobs: 1, Failures: 2, Machines: 1}, false},
+		{"failed job not known to work, another one is", MachineEvidence{WorkingJobs: 1, Failures: 2, Machines: 1}, false},
 	} {
 		if got := c.evidence.Faulty(); got != c.want {
-			t.Errorf("%s: counts as faulty: %t", c.name, got)
+			t.Errorf("%s: counts as faulty: %t, want %t", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -23,12 +23,13 @@
 	BestEffort              // all other jobs
 )
 
-// StarvingAfter is how long a job may wait for its first task before it is served before all but
-// critical jobs. Otherwise a continuous stream of small jobs that fills the cluster would keep
-// large jobs from ever starting.
+// StarvingAfter is how long a job may wait for its first task to start. After that it is served before
+// all jobs except critical and other starving ones. A job that was within its team's quota on arrival
+// keeps the tier WithinQuota. Without this limit, a continuous stream of small jobs that fills the cluster would
+// keep large jobs from ever starting.
 const StarvingAfter = 170 * time.Second
 
-// AgeingStep is the waiting time that raises the priority of a pending job by one. Otherwise a
+// AgeingStep is the waiting time that raises the priority of a pending job by one. Without ageing, a
 // continuous stream of more urgent jobs would keep jobs of low priority from ever starting.
 const AgeingStep = 6 * time.Minute
 
@@ -38,11 +39,11 @@
 	Priority    protocol.Priority
 	WithinQuota bool
 	Started     bool          // a task is done, or an attempt may be running
-	Waited      time.Duration // since it was submitted; negative if clocks disagree
+	Waited      time.Duration // since the job was submitted; negative if clocks disagree
 }
 
-// Tier returns the job's tier without ageing. Preemption uses this one: what a job may preempt
-// doesn't depend on how long it has waited.
+// Tier returns the job's tier without ageing; it is never Starving. Preemption uses it, because what a
+// job may preempt doesn't depend on how long the job has waited.
 func (info JobInfo) Tier() Tier {
 	switch {
 	case info.Priority == protocol.Critical:
@@ -53,8 +54,8 @@
 	return BestEffort
 }
 
-// AgedTier returns the job's tier, which takes into account how long it has waited for its first
-// task.
+// AgedTier returns the job's tier with ageing: a job of the tier BestEffort becomes Starving if it has
+// waited too long for its first task.
 func (info JobInfo) AgedTier() Tier {
 	if t := info.Tier(); t < BestEffort || !info.Starving() {
 		return t
@@ -76,7 +77,7 @@
 
 // RemainingWork is the work of a job that isn't done yet.
 type RemainingWork struct {
-	Tasks   int           // not done
+	Tasks   int           // tasks that aren't done
 	Runtime time.Duration // of one task, by the corrected estimate
 	CPUs    float64       // of one task
 	Waited  time.Duration // since the job was submitted
@@ -90,13 +91,13 @@
 
 // Weight orders jobs of the same tier and priority: the job of the lowest weight is served first.
 // It is based on the remaining work, because the aim is to finish as many jobs as possible in time.
-// Ordered by deadline alone, every job of a backlog would be a little late. Deadlines that can no
-// longer be met increase the weight several times, so that other jobs come first, but not all of
-// them: the job's only remaining task may be small. Waiting reduces the weight, so that no job
-// waits forever.
+// If jobs were ordered by deadline alone, every job of a backlog would be a little late. Each deadline
+// that can no longer be met increases the weight several times, so that most other jobs come first,
+// but not all of them: the only remaining task of the late job may be small. Waiting reduces the
+// weight, so that no job waits forever.
 //
-// Users' estimates are often wrong by half, so a deadline counts as missed only if half of the
-// estimated run time is too long to meet it.
+// Users' estimates are often wrong by half, so a deadline counts as missed only if even half of the
+// estimated run time doesn't end before it.
 func (w *RemainingWork) Weight() float64 {
 	runtime := max(w.Runtime, time.Second)
 	waited := max(w.Waited, 0)
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -20,7 +20,7 @@
 		{"critical", JobInfo{Priority: protocol.Critical}, Critical, Critical, int(protocol.Critical)},
 		{"critical after an hour", JobInfo{Priority: protocol.Critical, Waited: time.Hour}, Critical, Critical, int(protocol.Critical)},
 		{"within quota", JobInfo{Priority: protocol.Low, WithinQuota: true}, WithinQuota, WithinQuota, int(protocol.Low)},
-		{"within quota, starving time over", JobInfo{Priority: protocol.Low, WithinQuota: true, Waited: StarvingAfter}, WithinQuota, WithinQuota, int(protocol.Low)},
+		{"within quota, after StarvingAfter", JobInfo{Priority: protocol.Low, WithinQuota: true, Waited: StarvingAfter}, WithinQuota, WithinQuota, int(protocol.Low)},
 		{"best effort", JobInfo{Priority: protocol.Standard}, BestEffort, BestEffort, int(protocol.Standard)},
 		{"just before starving", JobInfo{Priority: protocol.Standard, Waited: StarvingAfter - 1}, BestEffort, BestEffort, int(protocol.Standard)},
 		{"starving", JobInfo{Priority: protocol.Standard, Waited: StarvingAfter}, BestEffort, Starving, int(protocol.Standard)},
@@ -30,7 +30,7 @@
 		{"submitted in the future", JobInfo{Priority: protocol.Low, Waited: -time.Hour}, BestEffort, BestEffort, int(protocol.Low)},
 	} {
 		if s := c.info; s.Tier() != c.tier || s.AgedTier() != c.aged || s.AgedPriority() != c.priority {
-			t.Errorf("%s: tier %d, aged tier %d, aged priority %d, not all as expected", c.name, s.Tier(), s.AgedTier(), s.AgedPriority())
+			t.Errorf("%s: tier %d, aged tier %d, aged priority %d; want %d, %d, %d", c.name, s.Tier(), s.AgedTier(), s.AgedPriority(), c.tier, c.aged, c.priority)
 		}
 	}
 }
@@ -50,9 +50,9 @@
 		{"fewer tasks", base, with(func(b *RemainingWork) { b.Tasks = 20 })},
 		{"shorter tasks", base, with(func(b *RemainingWork) { b.Runtime = 20 * time.Second })},
 		{"smaller tasks", base, with(func(b *RemainingWork) { b.CPUs = 2 })},
-		{"deadline within reach", base, with(func(b *RemainingWork) { b.Waited = 50 * time.Second })},
+		{"no missed deadline rather than one", base, with(func(b *RemainingWork) { b.Waited = 50 * time.Second })},
 		{"one missed deadline rather than two", with(func(b *RemainingWork) { b.Waited = 50 * time.Second }), with(func(b *RemainingWork) { b.Waited = 58 * time.Second })},
-		{"last task of a late job", with(func(b *RemainingWork) { b.Tasks, b.Waited = 1, 50*time.Second }), base},
+		{"last task of a job that missed a deadline", with(func(b *RemainingWork) { b.Tasks, b.Waited = 1, 50*time.Second }), base},
 		{"hours of waiting", with(func(b *RemainingWork) { b.Tasks, b.Waited = 20, 5*time.Hour }), base},
 		{"run time of at least 1 s", with(func(b *RemainingWork) { b.Runtime = 0 }), with(func(b *RemainingWork) { b.Runtime = 1001 * time.Millisecond })},
 		{"at least 0.1 CPU", with(func(b *RemainingWork) { b.CPUs = 0 }), with(func(b *RemainingWork) { b.CPUs = 0.11 })},
@@ -80,7 +80,7 @@
 	}
 	want := []string{"critical", "starving", "within quota", "urgent", "small", "best effort", "equal to best effort"}
 	if !slices.Equal(order, want) {
-		t.Errorf("sorted as %q, not in the order of service", order)
+		t.Errorf("sorted as %q, want %q", order, want)
 	}
 }
 
--- a/internal/coordination/ratelog/ratelog_test.go
+++ b/internal/coordination/ratelog/ratelog_test.go
@@ -65,6 +65,8 @@
 	}
 }
 
+// A changed status is logged after ChangeInterval, an unchanged one after RepeatInterval, and an empty
+// one only once. MayLog is true whenever Allow is.
 func TestThrottle(t *testing.T) {
 	var throttle Throttle
 	for _, step := range []struct {
@@ -86,7 +88,7 @@
 		now := start.Add(step.after)
 		open := throttle.MayLog(now)
 		if allow := throttle.Allow(now, step.status); allow != step.allow || allow && !open {
-			t.Errorf("after %s, status %q: Allow returned %t, MayLog %t", step.after, step.status, allow, open)
+			t.Errorf("after %s, status %q: Allow returned %t, want %t; MayLog returned %t before", step.after, step.status, allow, step.allow, open)
 		}
 	}
 }
--- a/internal/coordination/ratelog/sampler.go
+++ b/internal/coordination/ratelog/sampler.go
@@ -29,7 +29,8 @@
 	suppressed int // lines at level debug that no info line has counted yet
 }
 
-// Info logs a line at level info, or at level debug if the message's limit is reached.
+// Info logs a line at level info, or at level debug if LinesPerSecond lines with the message were logged
+// within the current second.
 func (s *Sampler) Info(log *slog.Logger, now time.Time, message string, args ...any) {
 	w := s.windows[message]
 	if w == nil {
@@ -52,9 +53,9 @@
 	log.Log(context.Background(), level, message, args...)
 }
 
-// Flush logs how many lines were suppressed in windows that have ended. It must be called
-// regularly, because after a burst there may be no further line with the same message that would
-// cause the count to be logged.
+// Flush logs how many lines were suppressed in windows that have ended. It must be called regularly: the
+// next line with the same message also causes the count to be logged, but after a burst there may be
+// no such line.
 func (s *Sampler) Flush(log *slog.Logger, now time.Time) {
 	for message, w := range s.windows {
 		if now.Sub(w.start) >= time.Second {
--- a/internal/coordination/ratelog/throttle.go
+++ b/internal/coordination/ratelog/throttle.go
@@ -16,7 +16,7 @@
 }
 
 // Allow reports whether a status should be logged now, and records it as logged if so. An empty
-// status means that there is nothing to report; it is logged only once, after a non-empty one.
+// status means that there is nothing to report; it is logged only once after a non-empty one.
 func (t *Throttle) Allow(now time.Time, status string) bool {
 	since := now.Sub(t.loggedAt)
 	if status == t.status && since < RepeatInterval || status != t.status && since < ChangeInterval {
@@ -29,6 +29,6 @@
 	return true
 }
 
-// MayLog reports whether any status could be logged now. Callers whose status is expensive to
-// compute check it first.
+// MayLog reports whether a changed status would be logged now. Callers whose status is expensive to
+// compute call it first.
 func (t *Throttle) MayLog(now time.Time) bool { return now.Sub(t.loggedAt) >= ChangeInterval }
