--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -39,8 +39,8 @@
 
 	offers   []Offer
 	bins     []*Bin // all booting and planned machines
-	openBins []*Bin // those that may hold more pending tasks, in the same order
-	fullBins int    // number of openBins that are full: too small for any expected job
+	openBins []*Bin // bins without the full ones that dropFullBins removed, in the same order
+	fullBins int    // number of openBins that have become full: too small for any expected job
 	// searchFrom is the index in openBins where the search for capacity starts, by task shape.
 	// The bins before it can't hold another task of that shape.
 	searchFrom   map[placement.ShapeKey]int
@@ -59,8 +59,8 @@
 		countByOffer: map[OfferKey]int{}, unusedLimits: unusedLimits}
 }
 
-// Expect announces a job before its demand is added. Bins that are too small for all expected
-// jobs aren't searched.
+// Expect announces a job before its demand is added. A bin that has become too small for all expected
+// jobs counts as full, and is no longer searched once dropFullBins has removed it.
 func (p *Plan) Expect(j *protocol.Job) {
 	if !p.expectsAny {
 		p.expectsAny = true
--- a/internal/coordination/leadership/election_test.go
+++ b/internal/coordination/leadership/election_test.go
@@ -14,8 +14,8 @@
 	for _, test := range []struct {
 		name   string
 		keys   []protocol.KeyValue
-		before func(h *harness)
-		delay  time.Duration // -1: no campaign
+		before func(h *harness) // called before Follow
+		delay  time.Duration    // -1: no campaign
 	}{
 		{name: "no leader", delay: 0},
 		{name: "another controller leads", keys: []protocol.KeyValue{leaderItem("n1", 4, 1, 20, 9)}, delay: -1},
