--- a/cmd/brasskeel/control.go
+++ b/cmd/brasskeel/control.go
@@ -19,10 +19,11 @@
 	"brasskeel/internal/transport"
 )
 
-// Every message that the core sends to peers must fit in a line of a peer stream. This constant
-// doesn't compile otherwise.
+// Every message that the core sends to peers must fit in a line of a peer stream. If MaxMessage
+// exceeds MaxPeerLine, the difference is negative and this declaration doesn't compile.
 const _ = uint(transport.MaxPeerLine - peers.MaxMessage)
 
+// logLevel parses the value of the environment variable LOG_LEVEL; an empty one means info.
 func logLevel(name string) (slog.Level, error) {
 	switch name {
 	case "", "info":
@@ -48,6 +49,8 @@
 	ready   chan struct{} // closed once the core has started
 }
 
+// runController runs a controller until its event loop ends, and never returns nil. SIGTERM ends
+// the process without a return.
 func runController(cfg *config.Settings, op config.Operator, trace *tracer, level slog.Level) error {
 	// The process may use only a fraction of one core, so more threads would not run in
 	// parallel. The Go runtime's soft limit is 60% of the memory; the rest is for sockets and
@@ -90,7 +93,8 @@
 }
 
 // Times of a graceful shutdown. drainTimeout limits how long a controller keeps running after
-// the signal; what it has not handed over by then, other controllers take over as after a crash.
+// the signal. Shards and leadership that it has not handed over by then are taken over by other
+// controllers as after a crash.
 const (
 	drainTimeout      = 20 * time.Second
 	drainPollInterval = 100 * time.Millisecond
@@ -186,7 +190,7 @@
 		c.peers.Send(e.Unicasts[i].To, e.Unicasts[i].Body)
 	}
 	c.trace.record(e.Spans)
-	if len(e.Broadcasts) > 0 { // once a second
+	if len(e.Broadcasts) > 0 { // the core broadcasts once a second
 		c.core.ObserveProcessorTime(time.Now(), cpuTime())
 		c.core.CountLostPeerMessages(c.peers.TakeDropped())
 		k := c.loop.TakeCounts()
--- a/cmd/brasskeel/shards.go
+++ b/cmd/brasskeel/shards.go
@@ -32,8 +32,8 @@
 	return c
 }
 
-// readShards reads the shard records from the state service. It returns those that can be
-// decoded, and an error for each other.
+// readShards reads the shard records from the state service. It returns a table of those that can
+// be decoded, and an error for each of the others.
 func readShards(ctx context.Context, s *config.Settings) (table *shard.Table, unreadable []error, err error) {
 	table = shard.NewTable()
 	err = readKeys(ctx, s, records.PrefixShards, func(kv protocol.KeyValue) {
@@ -44,8 +44,8 @@
 	return table, unreadable, err
 }
 
-// showShards prints the owner of each shard, the controllers that may own shards, and the
-// errors about unreadable records.
+// showShards prints the owner of each shard, the controllers that may own shards with a note on
+// those that are draining, and the errors about unreadable records.
 func showShards(w io.Writer, table *shard.Table, unreadable []error) error {
 	out := &output{w: w}
 	if table.Empty() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,7 @@
 }
 
 // Team is a team with the resources that it is guaranteed and those that it may take at most.
-// The limits of a team without any, such as guests, are NoLimit.
+// Without a guarantee its resources are 0; without a limit, NoLimit.
 type Team struct {
 	Name                           string
 	GuaranteedCPUs, GuaranteedGPUs float64
@@ -43,10 +43,10 @@
 type Objective struct {
 	Kind            string
 	Class           string
-	Within          time.Duration
-	After           time.Duration
-	Share           float64 // of the class's jobs that must meet the objective, 0 to 1
-	RuntimeMultiple float64 // of the estimated runtime
+	Within          time.Duration // limit of the time that the objective is about
+	After           time.Duration // not used by the controller
+	Share           float64       // of the class's jobs that must meet the objective, 0 to 1
+	RuntimeMultiple float64       // of the estimated runtime
 }
 
 // Settings are the settings that the platform gives a controller. Addresses are an IP address
@@ -73,12 +73,14 @@
 	CancelDeadline time.Duration
 
 	StateRPS      float64 // limit of requests per second to the state service
-	StateWriteRPS float64 // limit of writes among them
+	StateWriteRPS float64 // limit of operations in transactions per second, of all controllers together
 	MaxValueBytes int     // of a key in the state service
 	MaxTxnOps     int     // operations in one transaction
 
-	CloudRPS   float64       // limit of requests per second to the cloud
-	MaxListLag time.Duration // by which the cloud's list of machines may be out of date
+	CloudRPS float64 // limit of requests per second to the cloud
+	// MaxListLag is how far the cloud's list of machines may be out of date according to the
+	// platform. Controllers allow for twice as much.
+	MaxListLag time.Duration
 
 	CPUShare    float64 // of one core
 	MemoryBytes int64
@@ -86,7 +88,6 @@
 }
 
 // settingsFile is the platform's settings file.
-
 type settingsFile struct {
 	Name       string      `toml:"host_name"`
 	Zone       string      `toml:"domain"`
@@ -160,8 +161,9 @@
 // settings from overflowing.
 const maxSettingValue = 1e9
 
-// minCancelMargin is how much longer than a worker's lease the cancel deadline must be: a leader
-// needs the time to learn of a cancellation before it renews another lease.
+// minCancelMargin is how much longer than a worker's lease the cancel deadline must be: a
+// controller needs the time to learn of a cancellation before it answers another heartbeat of the
+// worker, which renews the worker's lease.
 const minCancelMargin = 3 * time.Second
 
 // Load reads the platform's settings from a file and validates them. Its errors are those of
@@ -268,7 +270,7 @@
 }
 
 // checkAmounts rejects limits and durations that are not positive, too large, or below what a
-// controller can operate with.
+// controller can operate with. list_lag_s and time_bound_ms may also be 0, and have no maximum.
 func (f *settingsFile) checkAmounts(*Settings) error {
 	workers, state, cloud, quota := &f.Params.Workers, &f.Params.State, &f.Params.Cloud, &f.Params.Quota
 	for _, v := range [...]struct {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -3,8 +3,8 @@
 //
 // It owns the formats of both files, their defaults and their validation. Settings are returned
 // under the names used in the code, durations as time.Duration, sizes in bytes unless the name
-// says otherwise. An invalid file is rejected as a whole, with a SettingError or an OperatorError
-// that names the problem in one line.
+// says otherwise. An invalid file is rejected as a whole. A SettingError or an OperatorError names
+// the problem in one line; errors of the TOML decoder are wrapped.
 //
 // The package must never change a setting after it was read, access the network, or depend on
 // how settings are used. Only Load and LoadOperator read files.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -15,8 +15,8 @@
 
 // Operator holds the settings that operators may set in addition to the platform's.
 type Operator struct {
-	// ImageCacheWeight and FreeShareWeight are the weights in the placement score of the cached
-	// share of a task's image and of the machine's free share.
+	// ImageCacheWeight and FreeShareWeight are weights in the placement score: that of the cached
+	// share of a task's image, and that of the machine's free share.
 	ImageCacheWeight float64 `json:"imageWeight"`
 	FreeShareWeight  float64 `json:"roomWeight"`
 	// HeadroomShare is the free capacity to keep, as a share of the capacity in use.
@@ -27,7 +27,7 @@
 	// LeaderLeaseSeconds is the duration of the leader's lease: how long it stays leader after
 	// the last renewal.
 	LeaderLeaseSeconds float64 `json:"leaderLeaseSeconds"`
-	// AllowSpot allows renting spot machines for jobs that may use them.
+	// AllowSpot allows provisioning spot machines for jobs that may use them.
 	AllowSpot bool `json:"spot"`
 	// Sharding divides the machines among the controllers; nil: the leader serves all of them.
 	Sharding *Sharding `json:"sharding,omitempty"`
@@ -49,9 +49,10 @@
 	CeilingShare float64 `json:"ceilingShare"`
 	// MaxFetchBacklogSeconds is how many seconds of image fetching may queue on a machine.
 	MaxFetchBacklogSeconds float64 `json:"fetchQueueSeconds"`
-	// LoadPenaltySeconds is how many seconds of image fetching are accepted to place a task on a
-	// machine without tasks of the team, rather than on one that the team fills up to the
-	// ceiling.
+	// LoadPenaltySeconds is the weight of a team's load on a machine in placement, in seconds of
+	// image fetching: a machine that the team fills up to the ceiling scores as much lower than
+	// one without tasks of the team as this much additional fetch time would lower it. 0: the
+	// load doesn't affect the score.
 	LoadPenaltySeconds float64 `json:"tradeSeconds"`
 	// AllowMigrations allows migrating running tasks of surging teams off overloaded machines.
 	AllowMigrations bool `json:"moves"`
@@ -59,7 +60,8 @@
 	MigrationMargin float64 `json:"moveMargin"`
 }
 
-// defaultBalance limits a surging team to half of each machine.
+// defaultBalance holds the defaults of Balance: a surging team may use up to half of each machine,
+// and running tasks aren't migrated.
 var defaultBalance = Balance{CeilingShare: 0.5, MaxFetchBacklogSeconds: 20, LoadPenaltySeconds: 2, MigrationMargin: 1.5}
 
 // UnmarshalJSON implements json.Unmarshaler. Omitted fields have their defaults.
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -19,6 +19,8 @@
 	MachinesPageSize          = 500
 )
 
+// wireMachineType and wireMachine are entries of the cloud's lists. The cloud API fixes the names of
+// their fields and the state names.
 type wireMachineType struct {
 	Name             string   `json:"label"`
 	CPUs             float64  `json:"cpus"`
@@ -83,7 +85,7 @@
 	return Encode(ProvisionRequest{request, typ, zone, spot, count})
 }
 
-// ParseMachineNames parses the names of the machines that were provisioned.
+// ParseMachineNames parses the response to a request to provision machines: their names.
 func ParseMachineNames(body []byte) ([]string, error) {
 	var w struct {
 		Names []string `json:"decks"`
--- a/internal/protocol/model.go
+++ b/internal/protocol/model.go
@@ -36,17 +36,19 @@
 	MemoryGB     float64  `json:"mem"`
 	Image        string   `json:"image"`
 	ImageGB      float64  `json:"gb"`
-	MachineTypes []string `json:"types,omitempty"` // allowed machine types; any when empty
-	Zone         string   `json:"zone,omitempty"`  // the only allowed zone; any when empty
-	OneZone      bool     `json:"oneZone,omitempty"`
-	Spread       bool     `json:"spread,omitempty"` // at most half of the tasks in any one zone
-	AllowSpot    bool     `json:"spot,omitempty"`   // may use spot machines
+	MachineTypes []string `json:"types,omitempty"`   // allowed machine types; any when empty
+	Zone         string   `json:"zone,omitempty"`    // the only allowed zone; any when empty
+	OneZone      bool     `json:"oneZone,omitempty"` // all tasks in the same zone
+	Spread       bool     `json:"spread,omitempty"`  // at most half of the tasks, rounded up, in any one zone
+	AllowSpot    bool     `json:"spot,omitempty"`    // may use spot machines
 
 	EstimatedRuntime   time.Duration `json:"est,omitempty"`
 	CheckpointInterval time.Duration `json:"ckpt,omitempty"` // 0: the task takes no checkpoints
-	CheckpointDuration time.Duration `json:"save,omitempty"`
-	Deadline           time.Duration `json:"deadline,omitempty"`
-	HasDeadline        bool          `json:"hasDeadline,omitempty"`
+	CheckpointDuration time.Duration `json:"save,omitempty"` // time that writing a checkpoint takes
+	// Deadline is the time after the submission by which the user wants the job finished. It only
+	// influences the order of jobs and what they wait for; a job that misses it continues.
+	Deadline    time.Duration `json:"deadline,omitempty"`
+	HasDeadline bool          `json:"hasDeadline,omitempty"`
 }
 
 // AllowsType reports whether the job may run on machines of the named type.
@@ -69,9 +71,9 @@
 	GPUs             float64       `json:"gpus,omitempty"`
 	MemoryGB         float64       `json:"mem"`
 	CacheGB          float64       `json:"cache"` // for images
-	FetchGBPerSecond float64       `json:"fetch"` // GB per second
-	PricePerHour     float64       `json:"price"` // per hour
-	SpotPricePerHour float64       `json:"spot"`
+	FetchGBPerSecond float64       `json:"fetch"` // of images
+	PricePerHour     float64       `json:"price"` // on demand
+	SpotPricePerHour float64       `json:"spot"`  // 0: not offered as a spot machine
 	BootTime         time.Duration `json:"boot"`
 	Zones            []string      `json:"zones"`
 }
@@ -96,19 +98,19 @@
 	Exited
 )
 
-// ExitReason is the reason that a worker reports for the end of a task.
+// ExitReason is the reason that a worker reports for an attempt that ended or that it didn't start.
 type ExitReason uint8
 
-// Reasons of exited tasks.
+// Reasons of exited attempts.
 const (
-	ExitNone ExitReason = iota
-	ExitDone
-	ExitStopped
-	ExitError
-	ExitNoCapacity     // the machine's free resources don't suffice
-	ExitAlreadyRunning // the machine runs another attempt of the task
-	ExitUnknownTask    // the worker knows no such task
-	ExitGangFailed     // another task of its gang ended or did not start
+	ExitNone           ExitReason = iota // the attempt hasn't exited, or the reason is unknown
+	ExitDone                             // it completed
+	ExitStopped                          // it was stopped by an order
+	ExitError                            // it failed
+	ExitNoCapacity                       // the machine's free resources don't suffice
+	ExitAlreadyRunning                   // the machine runs another attempt of the task
+	ExitUnknownTask                      // the worker knows no such task
+	ExitGangFailed                       // another task of its gang ended or did not start
 )
 
 // TaskStatus is the status of one task in a heartbeat.
@@ -118,7 +120,7 @@
 	Attempt      uint64
 	State        TaskState
 	Reason       ExitReason
-	Checkpointed bool
+	Checkpointed bool // the attempt wrote a checkpoint when it was stopped
 }
 
 // Heartbeat is a worker's report of its machine and the tasks on it.
--- a/internal/protocol/simulator_codec.go
+++ b/internal/protocol/simulator_codec.go
@@ -10,7 +10,8 @@
 )
 
 // This file encodes and decodes for the other end of each connection: what users, workers, the
-// cloud and the state service send and receive. The simulator and tests use it.
+// cloud and the state service send and receive. The simulator and tests use it; controllers use
+// only a few of its declarations, such as Encode and ProvisionRequest.
 
 // wireName returns the wire name of a value; of several, the first in alphabetical order.
 func wireName[T comparable](names map[string]T, v T) string {
@@ -54,7 +55,7 @@
 type JobStatus struct {
 	ID            string
 	State         JobState
-	Done, Running int // numbers of tasks; 0 in the response to a submission, which has none
+	Done, Running int // numbers of tasks; 0 in responses to submissions and cancellations, which have none
 }
 
 // ParseJobStatus parses the status of a job.
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -24,7 +24,7 @@
 
 const jobIDPrefix = "run-"
 
-// ValidJobID reports whether id has the form of a job ID.
+// ValidJobID reports whether id has the form of a job ID: jobIDPrefix and 6 to 18 digits.
 func ValidJobID(id string) bool {
 	if !strings.HasPrefix(id, jobIDPrefix) {
 		return false
@@ -87,12 +87,15 @@
 	return RouteJob, rest
 }
 
+// Names of kinds, priorities and states of jobs on the wire. They are fixed by the user API.
 var kindNames = map[string]Kind{"batch": Batch, "daemon": Service, "gang": Gang}
 
 var priorityNames = map[string]Priority{"critical": Critical, "urgent": Urgent, "standard": Standard, "low": Low}
 
 var jobStateNames = [...]string{Queued: "queued", JobRunning: "running", Done: "done", Cancelled: "aborted"}
 
+// wireJob is a job submission. The user API fixes the names of its fields; ParseJob translates them
+// to those of Job.
 type wireJob struct {
 	ID                 *string  `json:"nameId"`
 	Class              *string  `json:"berth"`
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -12,8 +12,7 @@
 	PathWorkerStatus = "/show"
 )
 
-// MaxBody is the largest size of a request body, and of a line in a response to a worker or a
-// user.
+// MaxBody is the largest size of the body of a request, and of a response to a worker or a user.
 const MaxBody = 64 << 10
 
 // maxMessageOverhead is the largest size of a message to or from a worker without its orders or
@@ -58,6 +57,8 @@
 	return orders, false
 }
 
+// wireHeartbeat and wireTask are a heartbeat and an entry for a task in it. The workers' API fixes
+// the names of their fields, states and exit reasons.
 type wireHeartbeat struct {
 	Machine          string     `json:"deck"`
 	Addr             string     `json:"endpoint"`
@@ -89,7 +90,8 @@
 
 // ParseHeartbeat parses a worker's heartbeat, sent as a request or as a response to a
 // controller's call. A heartbeat with any invalid part is rejected as a whole: a task skipped
-// here would be considered gone.
+// here would be considered gone. But an unknown exit reason is parsed as ExitNone, and a
+// preemption notice of a time in the past as 0.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var w wireHeartbeat
 	if err := Decode(body, &w); err != nil {
@@ -197,8 +199,8 @@
 	return []byte(`{"flagship":` + strconv.Quote(leader) + `}`)
 }
 
-// EncodeDirectOrders encodes a request that sends orders to a worker: they are for one
-// incarnation of it.
+// EncodeDirectOrders encodes a request that sends orders to a worker. Only the given incarnation
+// of the worker carries them out.
 func EncodeDirectOrders(token, incarnation uint64, orders []Order) []byte {
 	b := make([]byte, 0, 64+96*len(orders))
 	b = append(b, `{"helm":`...)
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -29,23 +29,23 @@
 	for _, test := range []struct {
 		name        string
 		rate, burst float64
-		spent, want float64
+		spent, take float64       // tokens that Spend and Wait are called with
 		after       time.Duration // time between Spend and Wait
-		wait        time.Duration
+		wait        time.Duration // expected result of Wait
 	}{
-		{name: "enough tokens", rate: 10, burst: 5, spent: 4, want: 1},
-		{name: "one token short", rate: 10, burst: 5, spent: 5, want: 1, wait: 100 * time.Millisecond},
-		{name: "partly refilled", rate: 10, burst: 5, spent: 5, want: 1, after: 60 * time.Millisecond, wait: 40 * time.Millisecond},
-		{name: "overdrawn", rate: 10, burst: 5, spent: 8, want: 1, wait: 400 * time.Millisecond},
-		{name: "more than the bucket holds", rate: 10, burst: 5, spent: 5, want: 50, wait: 500 * time.Millisecond},
-		{name: "burst below one", rate: 2, burst: 0.5, spent: 1, want: 1, wait: 500 * time.Millisecond},
-		{name: "clock went backwards", rate: 10, burst: 5, spent: 5, want: 1, after: -time.Second, wait: 100 * time.Millisecond},
+		{name: "enough tokens", rate: 10, burst: 5, spent: 4, take: 1},
+		{name: "one token short", rate: 10, burst: 5, spent: 5, take: 1, wait: 100 * time.Millisecond},
+		{name: "partly refilled", rate: 10, burst: 5, spent: 5, take: 1, after: 60 * time.Millisecond, wait: 40 * time.Millisecond},
+		{name: "overdrawn", rate: 10, burst: 5, spent: 8, take: 1, wait: 400 * time.Millisecond},
+		{name: "more than the bucket holds", rate: 10, burst: 5, spent: 5, take: 50, wait: 500 * time.Millisecond},
+		{name: "burst below one", rate: 2, burst: 0.5, spent: 1, take: 1, wait: 500 * time.Millisecond},
+		{name: "clock went backwards", rate: 10, burst: 5, spent: 5, take: 1, after: -time.Second, wait: 100 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := NewTokenBucket(test.rate, test.burst, start)
 			b.Spend(start, test.spent)
-			if got := b.Wait(start.Add(test.after), test.want); got.Round(time.Microsecond) != test.wait {
-				t.Errorf("waits %s, want %s", got, test.wait)
+			if got := b.Wait(start.Add(test.after), test.take); got.Round(time.Microsecond) != test.wait {
+				t.Errorf("Wait returned %s, want %s", got, test.wait)
 			}
 		})
 	}
--- a/internal/records/election.go
+++ b/internal/records/election.go
@@ -8,7 +8,7 @@
 	Incarnation uint64 `json:"boot"` // distinguishes a process from an earlier one of the same name
 }
 
-// Term is the record of the highest term so far.
+// Term is the record of the highest term allocated so far.
 type Term struct {
 	Term uint64 `json:"term"`
 }
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -38,6 +38,8 @@
 	}
 }
 
+// Done tasks survive the encoding as a bit set, and the key of a task block is parsed into the job
+// and the block that it was made from.
 func TestDoneTasks(t *testing.T) {
 	done := []bool{true, false, false, true, false, false, false, false, false, true}
 	var block TaskBlock
@@ -74,6 +76,7 @@
 	}
 }
 
+// Final states survive encoding, and an unknown one is an error.
 func TestOutcome(t *testing.T) {
 	for _, s := range []protocol.JobState{protocol.Done, protocol.Cancelled} {
 		if got, done, err := DecodeOutcome(EncodeOutcome(s, 7)); err != nil || got != s || done != 7 {
--- a/internal/records/task_blocks.go
+++ b/internal/records/task_blocks.go
@@ -25,7 +25,8 @@
 // DoneTasks returns which tasks of a block of n tasks are done.
 func (b *TaskBlock) DoneTasks(n int) ([]bool, error) { return unpackBits(b.Done, n) }
 
-// SetMigrated records which tasks were migrated in a surge.
+// SetMigrated records which tasks were migrated in a surge. If there are none, the number of the
+// surge isn't recorded either.
 func (b *TaskBlock) SetMigrated(surge uint64, migrated []bool) {
 	if b.Migrated = packBits(migrated); b.Migrated != "" {
 		b.Surge = surge
