--- a/internal/coordination/sessions/delivery.go
+++ b/internal/coordination/sessions/delivery.go
@@ -7,16 +7,16 @@
 //
 // The zero value is a start that was never sent.
 type Delivery struct {
-	Inherited     bool // recorded before this epoch, so it may or may not have been sent
-	OwnerNotified bool // the owner of the machine's shard was notified of it
+	Inherited     bool // the attempt was recorded before this epoch, so its start may or may not have been sent
+	OwnerNotified bool // the owner of the machine's shard was notified of the attempt
 	Reported      bool // the worker reported the attempt
 
-	SentIncarnation uint64 // to which it was sent in a heartbeat response, or by a call that was answered
-	SentSequence    uint64 // of the heartbeat answered with it, or of the call response that confirmed it
+	SentIncarnation uint64 // incarnation to which the start was sent in a heartbeat response, or by a call that was answered
+	SentSequence    uint64 // sequence of the heartbeat answered with it, or of the call response that confirmed it
 
 	DirectPending     bool   // a direct start awaits its response
-	DirectToken       uint64 // of a direct start without a response; 0 if none
-	DirectIncarnation uint64 // that the direct start named
+	DirectToken       uint64 // token of a direct start without a response; 0 if there is none
+	DirectIncarnation uint64 // incarnation that the direct start named
 }
 
 // NeverSent reports whether no start of the attempt can have been sent.
@@ -30,10 +30,12 @@
 	d.DirectToken, d.DirectIncarnation = token, incarnation
 }
 
-// MarkDirectAnswered records that the call was answered or was certainly not carried out.
+// MarkDirectAnswered records that the call of a direct start was answered or was certainly not
+// carried out. The caller clears DirectPending at the end of each call, answered or not.
 func (d *Delivery) MarkDirectAnswered() { d.DirectToken = 0 }
 
-// MarkSent records that the worker has the start, or gets it before its next heartbeat if at all.
+// MarkSent records that the worker has the start, or that it receives it either before it sends its
+// next heartbeat or never.
 func (d *Delivery) MarkSent(incarnation, sequence uint64) {
 	d.SentIncarnation, d.SentSequence = incarnation, sequence
 }
@@ -79,6 +81,7 @@
 	case d.DirectToken != 0:
 		return d.absentAfterDirectStart(m)
 	case d.SentIncarnation != 0 && d.SentIncarnation != m.Incarnation:
+		// A worker ends all of its tasks before it begins another incarnation.
 		return Terminated, ReasonLeaseExpired
 	case d.SentIncarnation != 0 && (!m.Heartbeat || m.Sequence <= d.SentSequence):
 		// A response to a call may have been sent before the worker got the heartbeat response
@@ -89,7 +92,7 @@
 }
 
 // absentAfterDirectStart evaluates the absence of an attempt after a direct start without a
-// response.
+// response. It clears DirectToken once the worker has seen a higher token and so refuses the start.
 func (d *Delivery) absentAfterDirectStart(m Message) (verdict Absence, reason string) {
 	switch {
 	case m.Incarnation > d.DirectIncarnation:
--- a/internal/coordination/sessions/detector.go
+++ b/internal/coordination/sessions/detector.go
@@ -14,8 +14,8 @@
 	// LostHeartbeatDelay is the delay that an unanswered heartbeat causes: the worker waits for
 	// the response and then tries the next controller.
 	LostHeartbeatDelay = 5 * time.Second
-	// UnreachableProbeThreshold is the number of consecutive failed probes from which on a
-	// worker counts as unreachable by calls.
+	// UnreachableProbeThreshold is the number of consecutive failed probes that make a worker
+	// count as unreachable by calls.
 	UnreachableProbeThreshold = 2
 	// UnansweringProbeThreshold is the number of consecutive failed probes after which it is
 	// pointless to wait for the worker's heartbeat. unreachedReleaseProbes is the number after
@@ -48,9 +48,9 @@
 
 // ProbeAfter is the time without a message after which a worker is probed. It is no shorter than
 // the heartbeat interval: probing between heartbeats took as many calls as there were heartbeats,
-// and detects a dead worker only a second earlier. In a suspect zone, where a worker doesn't
-// answer probes, the others are probed as early as possible: otherwise the first machine would be
-// released before a partition is detected.
+// and detects a dead worker only a second earlier. In a suspect zone, where a worker didn't
+// answer its latest probe, the others are probed as early as possible. If they were probed later,
+// the first machine would be released before a partition is detected.
 func (t Timing) ProbeAfter(suspectZone bool) time.Duration {
 	if suspectZone {
 		return minProbeAfter
@@ -86,7 +86,9 @@
 	FailedProbes int           // consecutive
 }
 
-// PresumedDead reports whether a machine should be treated as dead and released.
+// PresumedDead reports whether a machine should be treated as dead and released: it has sent no
+// message for too long, with a shorter limit if probes fail as well; nothing is proven to reach it
+// and probes fail; or none of its heartbeats was answered for two worker leases.
 func (t Timing) PresumedDead(s ContactLoss) bool {
 	return s.Unseen > t.UnresponsiveAfter() ||
 		s.Unseen > failedProbesReleaseAfter && s.FailedProbes >= UnansweringProbeThreshold ||
@@ -109,8 +111,8 @@
 // ResetAt returns the time of the latest Reset.
 func (d *Detector) ResetAt() time.Time { return d.resetAt }
 
-// Scan records that a scan begins, and reports whether the process was stalled since the last
-// one, in which case unread messages may be waiting.
+// Scan records that a scan begins, and reports whether the process was stalled since the previous
+// scan, in which case unread messages may be waiting. The first scan counts as stalled.
 func (d *Detector) Scan(now time.Time) (stalled bool) {
 	stalled = now.Sub(d.scannedAt) > stalledAfter
 	d.scannedAt = now
@@ -121,7 +123,8 @@
 func (d *Detector) SetSuspectZones(zones map[string]bool) { d.suspectZones = zones }
 
 // Unanswered returns for how long no heartbeat of a worker has been answered: its heartbeats may
-// reach no controller although it answers calls. It is 0 for an unregistered worker.
+// reach no controller although it answers calls. The time counts from the registration or the
+// latest Reset at the earliest. It is 0 for an unregistered worker.
 func (d *Detector) Unanswered(s *Session, now time.Time) time.Duration {
 	if !s.Registered {
 		return 0
@@ -129,8 +132,9 @@
 	return now.Sub(Latest(s.LastAnswered, s.RegisteredAt, d.resetAt))
 }
 
-// Unreached returns for how long there has been no proof that anything sent reaches a worker. It is
-// 0 for an unregistered worker.
+// Unreached returns for how long there has been no proof that anything sent reaches a worker. The
+// time counts from the registration or the latest Reset at the earliest. It is 0 for an unregistered
+// worker.
 func (d *Detector) Unreached(s *Session, now time.Time) time.Duration {
 	if !s.Registered {
 		return 0
@@ -138,15 +142,16 @@
 	return now.Sub(Latest(s.LastReached, s.RegisteredAt, d.resetAt))
 }
 
-// NeedsProbe reports whether a worker in the given zone should be probed. unseen is the time since
-// its latest message.
+// NeedsProbe reports whether a worker in the given zone should be probed: no message has arrived
+// for a while, nothing is proven to reach the worker, or its latest probe failed. unseen is the time
+// since its latest message.
 func (d *Detector) NeedsProbe(t Timing, s *Session, zone string, unseen time.Duration, now time.Time) bool {
 	return unseen > t.ProbeAfter(d.suspectZones[zone]) || s.Registered && s.LastReached.IsZero() ||
 		d.Unreached(s, now) > t.UnreachedProbeAfter() || s.FailedProbes > 0
 }
 
-// ProbeRoundRobin calls probe for up to count workers, continuing after those of the last call,
-// until limit of them were probed.
+// ProbeRoundRobin calls probe for up to count workers, continuing after those of the previous call,
+// until limit of them were probed. probe reports whether it probed worker i.
 func (d *Detector) ProbeRoundRobin(count, limit int, probe func(i int) (probed bool)) {
 	for i := range count {
 		if limit == 0 {
@@ -166,8 +171,8 @@
 	Suspect  int // without a recent message, or with a failed probe
 }
 
-// Partitioned reports whether a partition is a more likely cause than dead machines, because most
-// machines are suspect at once. Heartbeats arrive at different times, so machines whose heartbeats
+// Partitioned reports whether a partition is a more likely cause than dead machines, because more
+// than 60% of the machines, and at least three, are suspect at once. Heartbeats arrive at different times, so machines whose heartbeats
 // are only slightly overdue count as suspect, too.
 func (h *DomainHealth) Partitioned() bool { return h.Suspect > 2 && h.Suspect*5 > h.Machines*3 }
 
@@ -180,13 +185,14 @@
 	Inherited, InheritedRegistered, InheritedUnanswering int
 }
 
-// MostUnreachable reports whether most registered workers don't answer probes.
+// MostUnreachable reports whether more than half of the registered workers don't answer probes. It
+// is false for fewer than three registered workers.
 func (f *FleetContact) MostUnreachable() bool {
 	return f.Registered > 2 && f.Unreachable*2 > f.Registered
 }
 
 // FewRegistered reports whether fewer than a third of the workers known from an earlier epoch
-// have registered.
+// have registered. It is false for fewer than three such workers.
 func (f *FleetContact) FewRegistered() bool {
 	return f.Inherited > 2 && f.InheritedRegistered*3 < f.Inherited
 }
--- a/internal/coordination/sessions/session.go
+++ b/internal/coordination/sessions/session.go
@@ -54,7 +54,7 @@
 // FencingState is the state of a worker's fencing token. A worker rejects orders and heartbeat
 // responses with a token below the highest it has seen.
 type FencingState struct {
-	// SeenToken is the highest token that the worker's latest message reports.
+	// SeenToken is the highest token that the worker had seen when it sent its latest message.
 	SeenToken uint64
 	// EpochSeenAt is when a message of the worker first reported a token of this epoch.
 	EpochSeenAt time.Time
@@ -63,7 +63,7 @@
 	DirectStartToken uint64
 
 	offset    uint16    // raises of the token, for this worker only
-	sentSince time.Time // since when heartbeat responses carry the current token; zero if none has yet
+	sentSince time.Time // since when heartbeat responses may have carried the current token; zero before the first response
 	confirmed bool      // a heartbeat has reported the current token
 }
 
@@ -124,7 +124,8 @@
 	Stale
 )
 
-// ClassifyHeartbeat classifies a heartbeat. It must be called before the heartbeat is applied.
+// ClassifyHeartbeat classifies a heartbeat. It must be called before the heartbeat is applied. Every
+// heartbeat of a worker that hasn't registered in this epoch is Newest.
 func (s *Session) ClassifyHeartbeat(heartbeat Message) Arrival {
 	switch sameIncarnation := heartbeat.Incarnation == s.Incarnation; {
 	case !s.Registered:
@@ -154,9 +155,9 @@
 		s.HeartbeatSequence = 0
 		// An incarnation has a full lease from its beginning, which was no later than now,
 		// whether or not any of its heartbeats is answered. A worker whose heartbeats reach no
-		// controller still gets tasks by direct starts, in each of its incarnations. When the
-		// lease was counted from its last answered heartbeat and contact with it was lost, its
-		// tasks were considered terminated long before they had ended.
+		// controller still gets tasks by direct starts, in each of its incarnations. If the
+		// lease were counted from its last answered heartbeat, its tasks would be considered
+		// terminated long before they have ended, once contact with it is lost.
 		s.IncarnationSince = now
 	}
 	return began
--- a/internal/coordination/sessions/sessions_test.go
+++ b/internal/coordination/sessions/sessions_test.go
@@ -13,7 +13,7 @@
 func TestClassifyHeartbeat(t *testing.T) {
 	s := servedSession(1)
 	if got := s.ClassifyHeartbeat(Message{Incarnation: 3, Sequence: 9}); got != Newest {
-		t.Errorf("the first heartbeat is classified as %d", got)
+		t.Errorf("first heartbeat of an unregistered worker: arrival %d, want Newest, %d", got, Newest)
 	}
 	s.Registered = true
 	s.Apply(Message{Incarnation: 3, Sequence: 9}, start)
@@ -24,15 +24,15 @@
 		incarnation, sequence uint64
 		want                  Arrival
 	}{
-		{"a duplicate", 3, 9, Stale},
-		{"an older one", 3, 4, Stale},
+		{"that is a duplicate", 3, 9, Stale},
+		{"older than the latest heartbeat", 3, 4, Stale},
 		{"of an earlier incarnation", 2, 40, Stale},
 		{"overtaken by the response", 3, 11, Overtaken},
 		{"newer than the response", 3, 13, Newest},
 		{"of the next incarnation", 4, 1, Newest},
 	} {
 		if got := s.ClassifyHeartbeat(Message{Incarnation: test.incarnation, Sequence: test.sequence, Heartbeat: true}); got != test.want {
-			t.Errorf("%s: %d, want %d", test.name, got, test.want)
+			t.Errorf("heartbeat %s: arrival %d, want %d (Newest is %d, Overtaken %d, Stale %d)", test.name, got, test.want, Newest, Overtaken, Stale)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 func TestTokensIncreaseAndNeverWrap(t *testing.T) {
 	s := servedSession(7)
 	if s.Token() != 7<<TokenBits || TermOf(s.Token()) != 7 {
-		t.Fatalf("the first token is %x", s.Token())
+		t.Fatalf("first token %x of term %d, want the lowest of term 7", s.Token(), TermOf(s.Token()))
 	}
 	if err := s.RaiseToken(s.Token()-1, start); err != nil || s.Token() != 7<<TokenBits {
 		t.Errorf("RaiseToken above a lower token: token %x, want no change; error %v", s.Token(), err)
@@ -107,7 +107,9 @@
 	}
 }
 
-func TestNewIncarnationGetsFullLease(t *testing.T) {
+// A message that begins an incarnation is detected. It sets IncarnationSince, from which
+// TerminationProofAt counts a full lease, and resets the heartbeat sequence.
+func TestApplyDetectsNewIncarnation(t *testing.T) {
 	s := servedSession(1)
 	if !s.Apply(Message{Incarnation: 1, Sequence: 5}, start) {
 		t.Error("first message not reported as the beginning of an incarnation")
@@ -147,7 +149,8 @@
 	} {
 		got, reason := test.delivery.EvaluateAbsence(test.message, base)
 		if got != test.want || reason != test.reason {
-			t.Errorf("%s: %d %q, want %d %q", test.name, got, reason, test.want, test.reason)
+			t.Errorf("%s: verdict %d, reason %q, want %d, %q (Undecided is %d, Terminated %d, Unfenced %d, NotStarted %d)",
+				test.name, got, reason, test.want, test.reason, Undecided, Terminated, Unfenced, NotStarted)
 		}
 	}
 }
@@ -189,7 +192,7 @@
 		{"its heartbeats aren't answered, for less", ContactLoss{Unanswered: 30 * time.Second}, false},
 	} {
 		if got := timing.PresumedDead(test.loss); got != test.want {
-			t.Errorf("%s: presumed dead: %t", test.name, got)
+			t.Errorf("%s: presumed dead: %t, want %t", test.name, got, test.want)
 		}
 	}
 }
@@ -201,12 +204,13 @@
 	}{{2, 2, false}, {3, 3, true}, {10, 6, false}, {10, 7, true}, {100, 3, false}} {
 		h := DomainHealth{Machines: test.machines, Suspect: test.suspect}
 		if got := h.Partitioned(); got != test.want {
-			t.Errorf("%d of %d machines suspect: partitioned: %t", test.suspect, test.machines, got)
+			t.Errorf("%d of %d machines suspect: partitioned: %t, want %t", test.suspect, test.machines, got, test.want)
 		}
 	}
 }
 
-func TestUnseenTimeCountsFromReset(t *testing.T) {
+// Unanswered and Unreached count from the registration, and from a later Reset.
+func TestContactLossCountsFromReset(t *testing.T) {
 	var d Detector
 	s := servedSession(1)
 	s.RegisteredAt = start
@@ -224,17 +228,20 @@
 	}
 }
 
+// A scan more than stalledAfter, one second, after the previous one reports a stall.
 func TestScanDetectsStalls(t *testing.T) {
 	var d Detector
 	d.Scan(start)
 	if d.Scan(start.Add(time.Second)) {
-		t.Error("scan a second after the last one reports a stall")
+		t.Error("scan a second after the previous one reports a stall")
 	}
 	if !d.Scan(start.Add(2*time.Second + 1)) {
-		t.Error("scan more than a second after the last one reports no stall")
+		t.Error("scan more than a second after the previous one reports no stall")
 	}
 }
 
+// Five rounds of four probes reach each of ten workers two or three times, but for the worker whose
+// probe is in flight.
 func TestProbeRoundRobin(t *testing.T) {
 	var d Detector
 	probed := make([]int, 10)
@@ -249,7 +256,7 @@
 	}
 	for i, count := range probed {
 		if i != 3 && (count < 2 || count > 3) {
-			t.Errorf("worker %d was probed %d times: %v", i, count, probed)
+			t.Errorf("worker %d was probed %d times, want 2 or 3: %v", i, count, probed)
 		}
 	}
 }
--- a/internal/coordination/statestore/client.go
+++ b/internal/coordination/statestore/client.go
@@ -11,8 +11,8 @@
 // several hundred milliseconds to answer.
 const requestTimeout = 1500 * time.Millisecond
 
-// Delays before a read, or the read of one page of a list, is retried: a fixed part and a random
-// part, so that controllers don't all retry at the same time after an outage.
+// Delays before a retry: fixed parts for a read of one key and for a page of a list, and a random
+// part for both, so that controllers don't all retry at the same time after an outage.
 const (
 	readRetryDelay  = 200 * time.Millisecond
 	listRetryDelay  = 250 * time.Millisecond
@@ -260,7 +260,7 @@
 	CommitApplied                          // all of its operations were executed
 	CommitConflict                         // a condition didn't hold; nothing was written
 	CommitRefused                          // it wasn't executed and never will be; it may be sent again
-	CommitLeaseExpired                     // it refers to a lease that has ended; nothing was written
+	CommitLeaseExpired                     // an operation names a lease that has ended; nothing was written
 )
 
 // CommitResult is the result of a transaction.
@@ -301,5 +301,6 @@
 }
 
 // MaxConditions returns how many conditions one transaction may have if it may hold maxOps
-// writes: the smaller of what the state service accepts and what fits into a request's body.
+// operations: the state service accepts four times as many conditions as operations, and the
+// conditions must fit into a request's body.
 func MaxConditions(maxOps int) int { return min(4*maxOps, protocol.MaxConditions) }
--- a/internal/coordination/statestore/client_test.go
+++ b/internal/coordination/statestore/client_test.go
@@ -152,6 +152,8 @@
 	}
 }
 
+// A lease is granted, renewed and revoked; a response of the given kind to each request has the
+// given result.
 func TestLeases(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -171,16 +173,16 @@
 			c.GrantLease(2*time.Second, func(gotID uint64, got bool) { id, granted = gotID, got })
 			h.answer(t, test.response)
 			if id != test.granted || granted != (test.granted != 0) {
-				t.Errorf("lease %d, granted %t", id, granted)
+				t.Errorf("lease %d, granted %t, want lease %d", id, granted, test.granted)
 			}
 			var status LeaseStatus
 			c.RenewLease(7, time.Second, func(got LeaseStatus) { status = got })
 			if r := h.answer(t, test.response); r.Target != protocol.RenewLeaseTarget(7) || r.Timeout != time.Second || status != test.renewed {
-				t.Errorf("renewal sent to %s with timeout %s, status %d", r.Target, r.Timeout, status)
+				t.Errorf("renewal sent to %s with timeout %s, status %d; want the target of lease 7, 1 s and status %d", r.Target, r.Timeout, status, test.renewed)
 			}
 			c.RevokeLease(7)
 			if r := h.answer(t, test.response); r.Method != "DELETE" || r.Target != protocol.LeaseTarget(7) {
-				t.Errorf("revocation sent as %s %s", r.Method, r.Target)
+				t.Errorf("revocation sent as %s %s, want DELETE of lease 7", r.Method, r.Target)
 			}
 		})
 	}
@@ -216,7 +218,7 @@
 			}
 			h.run(1300*time.Millisecond, func() {})
 			if c.Unavailable() != test.unavailable || c.Healthy() == test.unavailable {
-				t.Errorf("unavailable %t, healthy %t", c.Unavailable(), c.Healthy())
+				t.Errorf("unavailable %t, healthy %t; want unavailable %t, healthy %t", c.Unavailable(), c.Healthy(), test.unavailable, !test.unavailable)
 			}
 		})
 	}
--- a/internal/coordination/statestore/committer.go
+++ b/internal/coordination/statestore/committer.go
@@ -10,7 +10,8 @@
 )
 
 // maxTransactionBytes limits the size of a transaction, well below the limit on the size of a
-// request's body.
+// request's body: HasRoom compares the size before a record is added, so the last record may exceed
+// the limit.
 const maxTransactionBytes = 48 << 10
 
 // Maximum encoded size of a condition and of an operation, without keys and values.
@@ -28,8 +29,8 @@
 // minWakeDelay is the shortest time for which a committer sets a timer.
 const minWakeDelay = time.Millisecond
 
-// Shares of the state service's writes per second that a committer may use continuously, and in
-// one burst. The rest is left for users' submissions and cancellations.
+// Shares of the state service's operations per second that a committer may use continuously, and
+// in one burst. The rest is left for users' submissions and cancellations.
 const (
 	rateShare  = 0.75
 	burstShare = 0.6
@@ -131,8 +132,8 @@
 	budget *ratelimit.TokenBucket
 
 	stage       commitStage
-	pausedUntil time.Time
-	wakeTimer   Timer // nil if none is set
+	pausedUntil time.Time // no transaction is sent before
+	wakeTimer   Timer     // nil if none is set
 	wakeAt      time.Time
 	transaction Transaction // reused
 }
@@ -145,8 +146,8 @@
 		budget: ratelimit.NewTokenBucket(writesPerSecond*rateShare, writesPerSecond*burstShare, client.host.Now())}
 }
 
-// Spend charges the write budget for operations that other controllers wrote or that weren't written
-// by the committer.
+// Spend charges the write budget for operations that the committer didn't send: those of other
+// controllers, and those of other transactions of this controller.
 func (c *Committer) Spend(ops int) { c.budget.Spend(c.client.host.Now(), float64(ops)) }
 
 // Available returns how many operations the write budget allows now. It is negative while the
@@ -156,8 +157,8 @@
 // Pause delays further transactions by d.
 func (c *Committer) Pause(d time.Duration) { c.pausedUntil = c.client.host.Now().Add(d) }
 
-// Flush sends the next transaction if there is something to write, none is in flight, and the
-// write budget allows it. If it has to wait for the end of a pause, the due time of a record or
+// Flush sends the next transaction if there is something to write, no transaction is in flight, no
+// versions are being read, and the write budget allows it. If it has to wait for the end of a pause, the due time of a record or
 // the budget, it sets a timer. The host must call Flush after each step, including those that
 // run timers.
 func (c *Committer) Flush() {
@@ -211,6 +212,8 @@
 		c.Pause(refusedDelay + c.client.host.Jitter(refusedJitter))
 		batch.Refused()
 	default:
+		// CommitUnknown, or CommitLeaseExpired. The latter isn't expected, since the committer's
+		// operations name no lease, and so proves nothing about the writes.
 		c.log.Info("transaction unanswered", "count", ops)
 		batch.Unknown()
 	}
--- a/internal/coordination/statestore/committer_test.go
+++ b/internal/coordination/statestore/committer_test.go
@@ -52,7 +52,7 @@
 		{name: "no response", response: Response{}, history: "unknown [a b]"},
 		{name: "fault", response: answered(500, nil), history: "unknown [a b]"},
 		{name: "invalid response", response: answered(200, nil), history: "unknown [a b]"},
-		{name: "lease error without a lease", response: answered(400, nil), history: "unknown [a b]"},
+		{name: "status 400, which means an ended lease, although none is named", response: answered(400, nil), history: "unknown [a b]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, s, c := newTestCommitter()
@@ -72,7 +72,7 @@
 			}
 			c.Flush()
 			if paused := sentTxn(t, h) == nil; paused != test.pause {
-				t.Errorf("paused before the next transaction: %t", paused)
+				t.Errorf("paused before the next transaction: %t, want %t", paused, test.pause)
 			}
 			h.run(250*time.Millisecond, c.Flush)
 			if sentTxn(t, h) == nil {
@@ -118,6 +118,7 @@
 	}
 }
 
+// Without keys RereadVersions doesn't hold transactions back.
 func TestRereadWithoutKeys(t *testing.T) {
 	h, s, c := newTestCommitter()
 	c.RereadVersions(nil, func(int, uint64) { t.Error("version reported although no keys were given") })
@@ -151,7 +152,7 @@
 		t.Errorf("%d keys unwritten after %s", len(s.keys), h.now.Sub(start))
 	}
 	if c.Spend(20); c.Available() > -10 {
-		t.Errorf("%g operations available after others wrote twenty", c.Available())
+		t.Errorf("%g operations available after others wrote twenty, want at most -10", c.Available())
 	}
 }
 
@@ -196,7 +197,7 @@
 			txn.reset(2)
 			test.fill(&txn)
 			if txn.HasRoom() != test.room {
-				t.Errorf("has room: %t", txn.HasRoom())
+				t.Errorf("has room: %t, want %t", txn.HasRoom(), test.room)
 			}
 			if txn.reset(2); !txn.HasRoom() || len(txn.txn.Ops)+len(txn.txn.Conditions) != 0 {
 				t.Errorf("not empty after a reset: %+v", txn)
--- a/internal/coordination/statestore/health.go
+++ b/internal/coordination/statestore/health.go
@@ -5,16 +5,16 @@
 // Thresholds for assessing the service's health.
 const (
 	probeInterval        = 300 * time.Millisecond  // time between probes while the service fails
-	probeAfterIdle       = 1500 * time.Millisecond // time without an answer after which the service is probed
+	probeAfterIdle       = 1500 * time.Millisecond // time without a response after which a working service is probed
 	unavailableAfter     = 1200 * time.Millisecond // failures count as an outage once they last longer than this
 	recoveryLogThreshold = time.Second             // a recovery is logged if the failures lasted longer than this
-	healthyWithin        = 5 * time.Second         // time after an answer in which the service counts as healthy
+	healthyWithin        = 5 * time.Second         // time after a response in which the service counts as healthy
 )
 
 // health is the service's state for this controller, derived from its responses.
 type health struct {
-	answeredAt   time.Time // last answer that wasn't a failure
-	failingSince time.Time // first failure since then; zero while the service works
+	answeredAt   time.Time // latest response with a status below 500 other than 429
+	failingSince time.Time // first failure since that response; zero while the service works
 }
 
 // Start begins the assessment of the service's health: the service counts as healthy now.
@@ -25,7 +25,8 @@
 	h, now := &c.health, c.host.Now()
 	switch {
 	case r.Answered && r.Status == 429:
-		// The service works, but limits the rate of requests.
+		// The service works, but limits the rate of requests. Such a response neither begins nor
+		// ends a failure.
 	case r.Answered && r.Status < 500:
 		if failed := now.Sub(h.failingSince); !h.failingSince.IsZero() && failed > recoveryLogThreshold {
 			c.log.Info("state service recovered", "duration", failed)
@@ -40,8 +41,9 @@
 }
 
 // probeUntilRecovered probes the service until it answers again. While the service counts as
-// unavailable, users' requests are refused without a request to it, so nothing else might ever detect
-// the recovery: a follower that sent no other requests considered it unavailable forever.
+// unavailable, users' requests are refused without a request to the service, so nothing else might
+// ever detect the recovery: a follower that sends no other requests would consider the service
+// unavailable forever.
 func (c *Client) probeUntilRecovered() {
 	if c.health.failingSince.IsZero() {
 		return
--- a/internal/coordination/statestore/record.go
+++ b/internal/coordination/statestore/record.go
@@ -41,7 +41,7 @@
 func (r *RecordState) Version() uint64 { return r.version }
 
 // MarkUrgent marks the record to be written as soon as possible. It reports whether the caller
-// must queue the record; one that is already urgent is queued.
+// must queue the record: an urgent one is queued already, and a lazy one must be queued again.
 func (r *RecordState) MarkUrgent() bool {
 	if r.dirtiness == urgent {
 		return false
@@ -51,7 +51,7 @@
 }
 
 // MarkLazy marks a clean record to be written by due at the latest. It reports whether the
-// caller must queue the record; one that is already dirty is queued.
+// caller must queue the record: one that must be written already, lazily or urgently, is queued.
 func (r *RecordState) MarkLazy(due time.Time) bool {
 	if r.dirtiness != clean {
 		return false
--- a/internal/coordination/statestore/record_test.go
+++ b/internal/coordination/statestore/record_test.go
@@ -33,7 +33,7 @@
 				step(&r)
 			}
 			if queue := test.mark(&r); queue != test.queue || r.Lazy() != test.lazy {
-				t.Errorf("queued %t, lazy %t", queue, r.Lazy())
+				t.Errorf("to be queued %t, lazy %t; want %t, %t", queue, r.Lazy(), test.queue, test.lazy)
 			}
 			if r.Lazy() && !r.Due().Equal(due) {
 				t.Errorf("due at %s, want the time passed to MarkLazy", r.Due())
@@ -42,6 +42,8 @@
 	}
 }
 
+// After each step of a write it is known which version is in the store, whether a write may be in
+// flight, and whether the record may exist.
 func TestRecordStages(t *testing.T) {
 	for _, test := range []struct {
 		name               string
@@ -62,7 +64,7 @@
 			var r RecordState
 			test.steps(&r)
 			if r.Version() != test.version || r.InFlight() != test.inFlight || r.MayExist() != test.mayExist {
-				t.Errorf("version %d, in flight %t, may exist %t", r.Version(), r.InFlight(), r.MayExist())
+				t.Errorf("version %d, in flight %t, may exist %t; want %d, %t, %t", r.Version(), r.InFlight(), r.MayExist(), test.version, test.inFlight, test.mayExist)
 			}
 		})
 	}
