--- a/internal/coordination/shard/channel.go
+++ b/internal/coordination/shard/channel.go
@@ -7,7 +7,7 @@
 	// Epoch identifies the leader and the owner: messages of any other epoch are dropped.
 	Epoch        ChannelEpoch `json:"h"`
 	Sequence     uint64       `json:"q"` // of this message, from 1; 0 for one that only acknowledges
-	Acknowledged uint64       `json:"k"` // sequence of the last message accepted from the other side
+	Acknowledged uint64       `json:"k"` // sequence of the latest message accepted from the other side
 	// Snapshot marks the first message of a snapshot, which replaces everything sent before.
 	Snapshot bool `json:"b,omitempty"`
 	// SnapshotRequested requests a snapshot from the other side, because messages were lost.
@@ -23,8 +23,9 @@
 const (
 	// ackTimeout is how long a message may be unacknowledged before a snapshot is sent.
 	ackTimeout = 2 * time.Second
-	// minSnapshotInterval is the minimum time from the start of a snapshot to one that the other
-	// side requests.
+	// minSnapshotInterval is the minimum time from the start of a snapshot to the next one that the
+	// other side requests. The other side repeats its request in each message until the snapshot
+	// arrives.
 	minSnapshotInterval = 500 * time.Millisecond
 )
 
@@ -39,15 +40,15 @@
 // side. Single messages are never resent.
 type Channel struct {
 	epoch               ChannelEpoch
-	sent                uint64    // sequence of the last message sent
-	acknowledged        uint64    // sequence of the last message that the other side acknowledged
+	sent                uint64    // sequence of the latest message sent
+	acknowledged        uint64    // sequence of the latest message that the other side acknowledged
 	unacknowledgedSince time.Time // since when no acknowledgement has arrived for sent messages; zero after one
-	received            uint64    // sequence of the last message accepted from the other side
+	received            uint64    // sequence of the latest message accepted from the other side
 	inOrder             bool      // a snapshot has begun to arrive, and no message was lost since
 	snapshotDue         bool      // the next message sent begins a snapshot
-	snapshotAt          time.Time
-	snapshotRequested   bool // the other side requested a snapshot
-	ackDue              bool // an acknowledgement or a snapshot request is to be sent
+	snapshotAt          time.Time // when the latest snapshot was begun
+	snapshotRequested   bool      // the other side requested a snapshot
+	ackDue              bool      // an acknowledgement or a snapshot request is to be sent
 }
 
 // NewChannel returns the channel of an epoch. Its first message begins a snapshot.
@@ -65,7 +66,7 @@
 	return c.sent-c.acknowledged >= maxUnacknowledged && !c.snapshotDue
 }
 
-// Acknowledged is the sequence of the last message that the other side acknowledged.
+// Acknowledged is the sequence of the latest message that the other side acknowledged.
 func (c *Channel) Acknowledged() uint64 { return c.acknowledged }
 
 // AckDue reports whether a message must be sent to acknowledge others or to request a snapshot.
@@ -97,7 +98,7 @@
 	}
 	c.receiveAck(h)
 	if h.Sequence == 0 {
-		return false
+		return false // the message only acknowledges
 	}
 	if h.Sequence <= c.received {
 		return false // a duplicate: its content may be outdated, even if it begins a snapshot
--- a/internal/coordination/shard/encodings_test.go
+++ b/internal/coordination/shard/encodings_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// States and exit reasons have the same numbers in messages as in earlier versions.
+// Task states and exit reasons have the same numbers in messages as in earlier versions.
 func TestNumbersInMessages(t *testing.T) {
 	for _, number := range []struct{ got, want uint8 }{
 		{uint8(protocol.Fetching), 1}, {uint8(protocol.Running), 2}, {uint8(protocol.Checkpointing), 3}, {uint8(protocol.Exited), 4},
--- a/internal/coordination/shard/messages.go
+++ b/internal/coordination/shard/messages.go
@@ -14,7 +14,7 @@
 type Start struct {
 	Task
 	FirstNotice bool  `json:"f,omitempty"` // no owner was notified of it before
-	Stopping    bool  `json:"x,omitempty"` // its stop was requested
+	Stopping    bool  `json:"x,omitempty"` // its stop was requested already
 	GraceMillis int64 `json:"g,omitempty"` // time that it gets to save a checkpoint when it is stopped
 }
 
@@ -46,7 +46,7 @@
 	TerminatedMachines []string  `json:"x,omitempty"` // machines that are proven terminated
 	Starts             []Start   `json:"n,omitempty"`
 	Stops              []Stop    `json:"o,omitempty"`
-	Forgets            []Task    `json:"f,omitempty"` // exited tasks whose results are recorded
+	Forgets            []Task    `json:"f,omitempty"` // exited attempts whose results are recorded, so that workers need not report them any longer
 }
 
 // Worker is the state of a machine's worker as its owner knows it.
@@ -60,7 +60,7 @@
 	Spot             bool   `json:"p,omitempty"`
 	Reconciled       bool   `json:"c,omitempty"` // its tasks were compared with the leader's list
 	Reached          bool   `json:"r,omitempty"` // it is proven that something sent by the owner reached it
-	PreemptionMillis int64  `json:"n,omitempty"` // time until the cloud takes the machine; 0 without a notice
+	PreemptionMillis int64  `json:"n,omitempty"` // time until the cloud reclaims the machine; 0 without a preemption notice
 	IncarnationReset bool   `json:"b,omitempty"` // it lost its state and restarted its incarnation numbers
 }
 
@@ -108,7 +108,8 @@
 	Status *Status `json:"l,omitempty"`
 }
 
-// Status is an owner's load and its unhealthy workers. With many of them it is sent in parts.
+// Status is an owner's load and its unhealthy workers. If not all of these fit into one message, it
+// is sent in parts.
 type Status struct {
 	Load      Load              `json:"l"`
 	Unhealthy []UnhealthyWorker `json:"s,omitempty"`
--- a/internal/coordination/shard/moves.go
+++ b/internal/coordination/shard/moves.go
@@ -8,8 +8,8 @@
 	From, To   string // controllers, by name
 	Reason     Reason
 	Proposed   time.Time
-	HandedOver time.Time // when the next member became the owner
-	Served     time.Time // when the next owner announced that it serves the shard
+	HandedOver time.Time // when the leader learned that To became the owner
+	Served     time.Time // when To announced that it serves the shard
 }
 
 // Moves tracks the moves that this leader proposed, but not those of an earlier leader.
@@ -30,7 +30,7 @@
 	ms.byShard[d.ID] = &Move{ID: d.ID, From: owner.Name, To: d.To.Name, Reason: d.Reason, Proposed: now}
 }
 
-// Update records which shards were handed over, and drops moves that were canceled or that another
+// Update records which shards were handed over, and drops moves that were cancelled or that another
 // change of the owner has made obsolete.
 func (ms *Moves) Update(now time.Time, t *Table) {
 	for id, m := range ms.byShard {
@@ -43,7 +43,7 @@
 				m.HandedOver = now
 			}
 		case r.Next == nil && now.Sub(m.Proposed) > ms.abandonAfter || r.Owner.Name != m.From:
-			delete(ms.byShard, id) // canceled, or another controller became the owner
+			delete(ms.byShard, id) // cancelled, or another controller became the owner
 		}
 	}
 }
--- a/internal/coordination/shard/outbox.go
+++ b/internal/coordination/shard/outbox.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// messageInterval is the minimum time between messages to the same receiver. All changes within it
-// are sent in one message, since each message wakes up both sides several times.
+// messageInterval is the minimum time between flushes to the same receiver. All changes within it
+// are sent together, since each message wakes up both sides several times.
 const messageInterval = 25 * time.Millisecond
 
 // Outbox decides when one side of a channel sends its messages. Its user provides the content and
@@ -11,12 +11,12 @@
 type Outbox struct {
 	Channel   *Channel // to the other side; nil while none is open
 	scheduled bool
-	blocked   bool // the window is full and more is pending
-	sentAt    time.Time
+	blocked   bool      // the window is full and more is pending
+	sentAt    time.Time // when the latest message was sent
 }
 
-// Schedule arranges that flush is called at the end of the step, or once messageInterval has passed
-// since the last message. after runs a function after a duration.
+// Schedule arranges that flush is called at the end of the step, but not before messageInterval has
+// passed since the latest message. after runs a function after a duration.
 func (o *Outbox) Schedule(now time.Time, after func(time.Duration, func()), flush func()) {
 	if o.scheduled {
 		return
@@ -89,7 +89,7 @@
 // StatusParts reassembles a status that is sent in parts. The zero value has none.
 type StatusParts struct{ unhealthy map[string]*UnhealthyWorker }
 
-// Add adds the next part. After the last one it returns all unhealthy workers by machine, and
+// Add adds the next part. After the last part it returns all unhealthy workers by machine, and
 // complete is true: all other workers are healthy.
 func (p *StatusParts) Add(s *Status) (unhealthy map[string]*UnhealthyWorker, complete bool) {
 	if s.Part == 0 || p.unhealthy == nil {
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -23,18 +23,20 @@
 	Reachability *ReachabilityReport `json:"reach,omitempty"`
 }
 
-// ReachabilityReport is how many of its workers a member reaches, published in the state service.
+// ReachabilityReport is how many of its workers a member reaches, as its record in the state service
+// shows it.
 type ReachabilityReport struct {
 	Sequence    uint64 `json:"n"`              // of the report, from 1
 	Workers     int    `json:"w"`              // registered with it
-	Unreachable int    `json:"lost,omitempty"` // of them, those that it lost contact with
+	Unreachable int    `json:"lost,omitempty"` // registered workers that it lost contact with
 }
 
 // minWorkersForPartition is how many workers must be known before losing most of them counts as a
 // partition.
 const minWorkersForPartition = 3
 
-// Partitioned reports whether more than half of the workers are unreachable.
+// Partitioned reports whether more than half of the workers are unreachable, of at least
+// minWorkersForPartition.
 func Partitioned(workers, unreachable int) bool {
 	return workers >= minWorkersForPartition && unreachable*2 > workers
 }
@@ -54,7 +56,7 @@
 	// makes Next the owner.
 	Next *Ownership `json:"next,omitempty"`
 	// HandedOver reports whether all earlier owners had stopped serving when this one became the
-	// owner. Otherwise one of them may have continued to serve for its grace period.
+	// owner. If it is false, one of them may have continued to serve for its grace period.
 	HandedOver bool `json:"released,omitempty"`
 	// Generation counts the owners of the shard, this one included.
 	Generation uint64 `json:"gen"`
@@ -149,8 +151,8 @@
 }
 
 // ProposeMove returns a change that requests the owner of a shard to hand it over to a member. It
-// returns nil if the shard has no owner or its lease has ended, if the shard is moving already, or if
-// it belongs to that member.
+// returns nil if the shard has no owner or the owner's lease has ended, if the shard is moving
+// already, or if that member owns it.
 func (t *Table) ProposeMove(id ID, to Member, leader LeaderState) *Change {
 	current, ok := t.records[id]
 	if !ok || current.value.Next != nil || !t.Alive(current.value.Owner.Member) || current.value.Owner.Member == to {
@@ -180,8 +182,8 @@
 
 // HandOver returns a change that makes the member that a shard moves to its owner. Only the current
 // owner may commit it, once it has stopped serving; no leader is involved. exclusive says that no
-// earlier owner may still answer workers; otherwise the next owner must wait for the end of that
-// owner's grace period. It returns nil if from isn't the owner or no move is proposed.
+// earlier owner may still answer workers; if it is false, the next owner must wait for the end of
+// such an owner's grace period. It returns nil if from isn't the owner or no move is proposed.
 func (t *Table) HandOver(id ID, from Member, exclusive bool) *Change {
 	current, ok := t.records[id]
 	if !ok || current.value.Next == nil || current.value.Owner.Member != from {
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -8,7 +8,7 @@
 
 // Load is the load that an owner reports of itself.
 type Load struct {
-	CPUShare      float64       `json:"share"`         // used part of its configured processor share
+	CPUShare      float64       `json:"share"`         // used part of its configured processor share; 0 while unknown
 	Lag           time.Duration `json:"lag,omitempty"` // how late its timers fire
 	HeartbeatRate float64       `json:"reports"`       // heartbeats answered per second
 	Machines      int           `json:"machines"`
@@ -68,15 +68,15 @@
 const (
 	maxConcurrentMoves     = 2                // of shards with machines
 	rebalanceInterval      = 20 * time.Second // between moves for balance
-	moveCooldown           = 60 * time.Second // before a shard moves again for balance
-	reachFailureTTL        = 60 * time.Second // before a member that lost contact with a zone's workers gets another shard there
+	moveCooldown           = 60 * time.Second // after any move or assignment of a shard, before it moves for balance
+	reachFailureTTL        = 60 * time.Second // after a member lost contact with its workers, before it gets another shard of their zone
 	lastShardKeepTime      = 30 * time.Second // how long an unresponsive owner that reaches its workers keeps its last shard
-	maxTakeoverCPUShare    = 0.5              // processor share up to which a controller gets shards of an unresponsive owner
-	reasonHoldTime         = 15 * time.Second // how long a reason must persist before a served shard moves for it
+	maxTakeoverCPUShare    = 0.5              // processor share up to which a controller gets shards of an unresponsive owner that reaches its workers
+	reasonHoldTime         = 15 * time.Second // how long a difference of loads, or for a shard with machines a wrong zone, must persist before a move
 	unresponsiveAfter      = 6 * time.Second  // after how long without a message an owner's shards move
-	minCPUShareGap         = 0.25             // minimum difference of used shares between the busiest and the idlest controller, to move for balance
-	maxRemainingGap        = 0.75             // maximum part of that difference that may remain after a move
-	minMachineRatio        = 2.0              // minimum ratio of machine counts, to move for balance while loads are unknown
+	minCPUShareGap         = 0.25             // minimum difference of CPUShare between the busiest and the idlest controller, to move for balance
+	maxRemainingGap        = 0.75             // maximum part of the difference of loads that may remain after a move for balance
+	minMachineRatio        = 2.0              // minimum ratio of machine counts, to move for balance while a CPUShare is unknown
 	minMachinesToRebalance = 8                // minimum number of machines of the busiest controller, to move for balance
 )
 
@@ -84,7 +84,7 @@
 // been a reason for each move.
 type Planner struct {
 	movedAt        map[ID]time.Time
-	rebalancedAt   time.Time            // last move for balance
+	rebalancedAt   time.Time            // latest move for balance
 	pendingReasons map[ID]pendingReason // why a shard should move; key 0: since when loads have differed
 	reachFailures  reachFailures
 }
@@ -115,7 +115,7 @@
 	controllers []Controller
 	shards      []Shard
 	machines    map[Member]int
-	moving      int // shards with machines
+	moving      int // number of shards with machines that are moving
 }
 
 func newView(controllers []Controller, shards []Shard) *view {
@@ -156,7 +156,8 @@
 	return Decision{Assignment{s.ID, to}, why}
 }
 
-// bestController returns the best of the eligible controllers for a shard, or nil if there is none.
+// bestController returns the best of the eligible controllers for a shard, as compareControllers
+// orders them, or nil if there is none.
 func (v *view) bestController(s *Shard, eligible func(c *Controller) bool) *Controller {
 	var best *Controller
 	for i := range v.controllers {
@@ -172,7 +173,8 @@
 }
 
 // compareControllers compares two controllers as owners of a shard. The result is negative if a is
-// the better one.
+// the better one: one that isn't draining, is healthy, is in the shard's zone, or has fewer machines,
+// fewer shards or a lower processor share. Each of these decides only if the ones before are equal.
 func (v *view) compareControllers(s *Shard, a, b *Controller) int {
 	return cmp.Or(
 		compareBool(a.Draining, b.Draining),
@@ -222,7 +224,7 @@
 }
 
 // evacuate moves shards away from owners that are draining, partitioned, unresponsive, or in another
-// zone than the machines.
+// zone than the machines. A shard for which there is no suitable other controller stays.
 func (p *Planner) evacuate(now time.Time, v *view) []Decision {
 	var list []Decision
 	for i := range v.shards {
@@ -262,8 +264,9 @@
 	return 0
 }
 
-// heldLongEnough reports whether a reason has persisted for long enough to move a shard. It also
-// records when the reason was first seen.
+// heldLongEnough reports whether a reason has persisted for long enough to move a shard: a wrong
+// zone for reasonHoldTime if the shard has machines, any other reason not at all. It also records
+// when the reason was first seen.
 func (p *Planner) heldLongEnough(now time.Time, s *Shard, why Reason) bool {
 	held, ok := p.pendingReasons[s.ID]
 	if !ok || held.reason != why {
@@ -277,7 +280,8 @@
 }
 
 // rebalance moves one shard from the busiest controller to the idlest, if their loads have differed
-// for reasonHoldTime and the move reduces the difference.
+// for reasonHoldTime, the move reduces the difference, rebalanceInterval has passed since the
+// previous move for balance, and no shard with machines is moving.
 func (p *Planner) rebalance(now time.Time, v *view) []Decision {
 	busiest, idlest := v.busiestAndIdlest()
 	if busiest == nil || v.moving > 0 {
@@ -373,7 +377,8 @@
 	return best
 }
 
-// canRebalance reports whether a shard of the busiest controller may move to the idlest now.
+// canRebalance reports whether a shard of the busiest controller may move to the idlest now. A shard
+// whose owner is in the zone of its machines isn't moved to a controller of another zone.
 func (p *Planner) canRebalance(now time.Time, s *Shard, busiest, idlest *Controller) bool {
 	if s.Moving || s.Unowned || s.Machines == 0 || now.Sub(p.movedAt[s.ID]) < moveCooldown {
 		return false
--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -12,8 +12,9 @@
 // reachFailures are the latest times at which members were out of contact with most of their workers,
 // by zone. With them a shard can move at once to a member that hasn't recently failed in its zone,
 // but not back to one that has: if no controller reaches the machines, the shard doesn't move around
-// endlessly. A minimum time of a minute between moves of a shard was not a solution: an owner that
-// lost contact with its workers soon after it got shards kept them until the workers' leases ended.
+// endlessly. A minimum time of a minute between moves of a shard is not a solution: an owner that
+// loses contact with its workers soon after it got shards would keep them until the workers' leases
+// end.
 type reachFailures map[reachFailure]time.Time
 
 // recent reports whether a member lost contact with its workers in a zone within reachFailureTTL.
@@ -37,7 +38,9 @@
 	}
 }
 
-// canTake reports whether a controller may get a shard that is to move away from its owner. A shard
+// canTake reports whether a controller may get a shard that is to move away from its owner: it is
+// another one, it hasn't recently lost contact with workers of the shard's zone, and it is healthy. A
+// shard
 // of a partitioned owner may also move to a controller without contact to the leader, if the state
 // service shows that it reaches its workers: if controllers can't reach each other, the leader's own
 // controller may be the partitioned one.
@@ -91,8 +94,8 @@
 	return count
 }
 
-// projectedCPUShare estimates which share of its processor a controller would use with another shard.
-// If its load isn't known, it is the part of the fleet that it would serve.
+// projectedCPUShare estimates which part of its processor share a controller would use with another
+// shard. If its load isn't known, the estimate is the part of the fleet that it would serve.
 func (v *view) projectedCPUShare(c *Controller, s *Shard) float64 {
 	machines := float64(v.machines[c.Member] + s.Machines)
 	if c.Load.Machines > 0 && c.Load.CPUShare > 0 {
@@ -123,7 +126,8 @@
 // reachability into its member record. It costs one write each time, and none in normal operation.
 const ReachabilityInterval = 3 * time.Second
 
-// reachabilityValidity is how long the leader relies on a written report.
+// reachabilityValidity is how long the leader relies on a written report. It covers one missing
+// report.
 const reachabilityValidity = 2 * ReachabilityInterval
 
 // ReachabilityTracker follows the reachability reports in a member's record. The zero value has seen
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -44,7 +44,7 @@
 
 // Shards are assigned only if the membership of the previous owner has ended, and the change is
 // conditional on that.
-func TestAssignAfterTheOwnerEnded(t *testing.T) {
+func TestAssignAfterOwnerEnded(t *testing.T) {
 	table := newTestTable(t, "a", "a")
 	if c := table.Assign([]Assignment{{1, member("b")}}, leader); len(c.Records) != 0 {
 		t.Errorf("shard with a live owner assigned: %+v", c.Records)
@@ -183,7 +183,7 @@
 	moves := 0
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * time.Second)
-		for k := range controllers { // its owner doesn't reach its workers
+		for k := range controllers { // only the shard's owner doesn't reach its workers
 			controllers[k].Healthy, controllers[k].Reachability = true, ReachabilityUnknown
 			if controllers[k].Member == shards[0].Owner {
 				controllers[k].Healthy, controllers[k].Reachability = false, WorkersUnreachable
@@ -211,7 +211,7 @@
 // that already uses most of its processor share.
 func TestUnresponsiveOwnerThatServes(t *testing.T) {
 	for _, c := range []struct {
-		share            float64 // processor share used by the controller that would get them
+		share            float64 // processor share used by the controller that would get the shards
 		reportsReachable bool
 		sinceLastMessage time.Duration
 		want             int
@@ -232,7 +232,7 @@
 			}
 		}
 		if moved != c.want {
-			t.Errorf("%+v: %d shards moved", c, moved)
+			t.Errorf("%+v: %d shards moved, want %d", c, moved, c.want)
 		}
 	}
 }
@@ -299,7 +299,8 @@
 	}
 }
 
-// A channel detects a lost message and requests a snapshot; a duplicate changes nothing.
+// A channel detects a lost message and requests a snapshot, accepts no message twice and none of
+// another epoch, and can send again after a full window was acknowledged.
 func TestChannel(t *testing.T) {
 	e := ChannelEpoch{Term: 3, Member: member("a")}
 	from, to := NewChannel(e), NewChannel(e)
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -5,7 +5,8 @@
 // the order in which the other side applies them, so that no entry overtakes an earlier one of the
 // same task.
 
-// Maximum encoded bytes of an entry, without the names in it.
+// Maximum encoded bytes of an entry, without the strings in it. The sizes computed from them are upper
+// bounds as long as JSON doesn't escape any character of the strings.
 const (
 	taskBytes        = 80
 	startBytes       = taskBytes + 40
@@ -18,7 +19,7 @@
 	nameBytes        = 8
 )
 
-// StartSize estimates the encoded size of an attempt in a machine's entry.
+// StartSize returns the maximum encoded size of an attempt in a machine's entry.
 func StartSize(machine, job string) int { return len(machine) + len(job) + startBytes }
 
 func (t *Task) stringBytes() int     { return len(t.Machine) + len(t.Job) }
@@ -35,7 +36,7 @@
 	return len(w.Machine) + len(w.Addr) + len(w.Type) + len(w.Zone) + workerBytes
 }
 
-// Size estimates the encoded size of the machine's entry.
+// Size returns the maximum encoded size of the machine's entry.
 func (m *Machine) Size() int {
 	size := len(m.Name) + len(m.Addr) + len(m.Type) + len(m.Zone) + machineBytes
 	for i := range m.Starts {
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -15,7 +15,7 @@
 // it with errors.As.
 type RecordError struct {
 	Key    string // in the state service
-	Reason string // names the shard or member and quotes the value
+	Reason string // names the shard or member and quotes the value, or names the unknown key
 	Err    error  // of the decoder; nil if the value decodes but isn't a valid record, or the key is unknown
 }
 
@@ -35,7 +35,8 @@
 type Table struct {
 	records map[ID]versioned[OwnerRecord]
 	members map[string]versioned[MemberRecord]
-	// unreadable are the versions of records that can't be parsed. Their owners are unknown.
+	// unreadable holds the versions of owner records that can't be parsed. The owners of these
+	// shards are unknown.
 	unreadable map[ID]uint64
 }
 
@@ -45,7 +46,8 @@
 }
 
 // Put adds or replaces a record, unless a newer version of it is known. It returns an error if the
-// record can't be parsed. In this case the version known before is dropped.
+// record can't be parsed or the key is unknown. A record that can't be parsed replaces the version
+// known before.
 func (t *Table) Put(key string, value json.RawMessage, version uint64) error {
 	if controller, ok := strings.CutPrefix(key, records.PrefixMembers); ok {
 		return t.putMember(controller, value, version)
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// Remove drops a key that was deleted at a version, unless a newer version of it is known.
+// Remove drops a key that was deleted at a version, unless a newer readable version of it is known.
 func (t *Table) Remove(key string, version uint64) {
 	if controller, ok := strings.CutPrefix(key, records.PrefixMembers); ok && t.members[controller].version <= version {
 		delete(t.members, controller)
@@ -103,14 +105,14 @@
 	}
 }
 
-// Record returns a shard's record and its version.
+// Record returns a shard's record and its version. ok is false without a record that can be parsed.
 func (t *Table) Record(id ID) (r OwnerRecord, version uint64, ok bool) {
 	k, ok := t.records[id]
 	return k.value, k.version, ok
 }
 
-// Owner returns a shard's ownership. It is false if the record can't be parsed or the owner's lease
-// has ended.
+// Owner returns a shard's ownership, and whether it is in force: the shard has a record that can be
+// parsed, and the owner's lease hasn't ended.
 func (t *Table) Owner(id ID) (Ownership, bool) {
 	k, ok := t.records[id]
 	return k.value.Owner, ok && t.Alive(k.value.Owner.Member)
--- a/internal/transport/accepted.go
+++ b/internal/transport/accepted.go
@@ -11,7 +11,7 @@
 // acceptedConn is a connection that a client opened.
 type acceptedConn struct {
 	conn            gnet.Conn
-	requestID       uint64 // of the request being handled; 0: none
+	requestID       uint64 // ID of the request being handled; 0: none
 	closeAfterReply bool
 	requestBegan    time.Time     // when the first byte of an incomplete request arrived
 	element         *list.Element // in Loop.accepted; nil once the connection was shed or closed
@@ -28,8 +28,8 @@
 }
 
 // accept registers a connection that a client opened. Above the limit of open sockets it closes
-// another connection: an idle outbound one while more than minOutboundPercent are open, otherwise
-// an accepted one.
+// another connection: an idle outbound one if there is one and more than minOutboundPercent of the
+// sockets are outbound, or else the least recently active accepted one.
 func (l *Loop) accept(c gnet.Conn) {
 	s := &acceptedConn{conn: c}
 	c.SetContext(s)
@@ -42,6 +42,8 @@
 	}
 }
 
+// readRequest passes the next complete request of a connection to the handler, unless one of the
+// connection is being handled.
 func (l *Loop) readRequest(s *acceptedConn) gnet.Action {
 	now := time.Now()
 	if s.element != nil {
@@ -91,8 +93,9 @@
 	return gnet.None
 }
 
-// Reply sends the response to a request, and closes its connection after it if last is set. It
-// does nothing if the connection is already closed.
+// Reply sends the response to a request. It then closes the connection if last is set, if the client
+// asked for it, or under pressure (see underPressure). It does nothing if the connection is already
+// closed.
 func (l *Loop) Reply(id uint64, status, retryAfter int, body []byte, last bool) {
 	s := l.pending[id]
 	if s == nil {
--- a/internal/transport/calls.go
+++ b/internal/transport/calls.go
@@ -31,16 +31,17 @@
 	closed   bool
 
 	element *list.Element // in Loop.idle; nil while it serves a call
-	closing bool          // closed as idle, and not yet reported closed by gnet
+	closing bool          // closed by closeLongestIdle, and not yet reported closed by gnet
 }
 
+// call is a request that this process sends, from Call until done was called.
 type call struct {
 	addr, method, target string
 	body                 []byte
 	deadline             time.Time
-	timer                *time.Timer
-	conn                 *outboundConn
-	element              *list.Element // in its queue; nil once it left the queue
+	timer                *time.Timer   // ends the call at the deadline
+	conn                 *outboundConn // nil until there is a connection for the call
+	element              *list.Element // in stateQueue or queue; nil while the call isn't queued
 	dialing              bool
 	done                 func(status int, body []byte, err error) // nil once it was called
 }
@@ -85,7 +86,7 @@
 	go l.dial(c)
 }
 
-// dequeue removes a call from the queue for a socket.
+// dequeue removes a call from the queue in which it waits for a socket, if any.
 func (l *Loop) dequeue(c *call) {
 	if c.element == nil {
 		return
@@ -197,7 +198,7 @@
 		return
 	}
 	if c.conn != nil && c.conn.conn != nil {
-		// The other side may still execute the request. The connection can't be reused: the
+		// The other side may still execute the request. The connection can't be reused, since the
 		// late response would be taken for that of the next call.
 		o := c.conn
 		o.call = nil
@@ -216,6 +217,7 @@
 	l.finish(c, 0, nil, ErrNotSent)
 }
 
+// finish ends a call with its outcome, unless it has ended already.
 func (l *Loop) finish(c *call, status int, body []byte, err error) {
 	if c.done == nil {
 		return
@@ -226,7 +228,8 @@
 	done(status, body, err)
 }
 
-// onDialed registers a new outbound connection and sends the request that it was dialed for.
+// onDialed registers a new outbound connection and sends the request that it was dialed for. If that
+// call has ended, the connection becomes idle.
 func (l *Loop) onDialed(o *outboundConn, c gnet.Conn) {
 	o.conn = c
 	l.outbound++
--- a/internal/transport/http1.go
+++ b/internal/transport/http1.go
@@ -66,7 +66,8 @@
 // parseRequest parses one request at the start of buf and returns its length. The error is
 // errIncomplete if more input is needed; after any other error the connection must be closed.
 func parseRequest(buf []byte, m *message) (int, error) {
-	// A client may send empty lines ahead of a request (RFC 9112, section 2.2).
+	// A client may send empty lines ahead of a request (RFC 9112, section 2.2). At most two are
+	// skipped.
 	skipped := 0
 	for skipped < 4 && bytes.HasPrefix(buf[skipped:], []byte("\r\n")) {
 		skipped += 2
@@ -181,8 +182,8 @@
 	return status, nil
 }
 
-// nextLine returns the line that begins at from, without its CRLF, and the start of the next
-// line.
+// nextLine returns the line of a message head that begins at from, without its CRLF, and the start
+// of the next line.
 func nextLine(buf []byte, from int) ([]byte, int, error) {
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
--- a/internal/transport/http1_framing.go
+++ b/internal/transport/http1_framing.go
@@ -78,6 +78,7 @@
 	}
 }
 
+// parseLength parses a decimal number of at most 15 digits, which can't overflow.
 func parseLength(value []byte) (int64, bool) {
 	if len(value) == 0 || len(value) > 15 {
 		return 0, false
@@ -107,7 +108,7 @@
 	return end, nil
 }
 
-// maxChunkLine limits the length of a chunk's size line.
+// maxChunkLine limits the length of a chunk's size line, with its extensions.
 const maxChunkLine = 256
 
 func parseChunks(buf []byte, from, limit int, m *message) (int, error) {
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -16,9 +16,9 @@
 const (
 	dialTimeout         = 2 * time.Second
 	requestReadTimeout  = 10 * time.Second // from the first byte of a request to its last
-	outboundIdleTimeout = 45 * time.Second // an unused outbound connection is closed after it
-	minConcurrentDials  = 48
-	sweepInterval       = time.Second
+	outboundIdleTimeout = 45 * time.Second // time without a call after which an outbound connection is closed
+	minConcurrentDials  = 48               // concurrent dials allowed even if maxDialingPercent is less
+	sweepInterval       = time.Second      // between runs of closeExpired
 )
 
 // Handler handles the requests that a Loop receives. Its methods run on the event loop.
@@ -38,8 +38,8 @@
 	handler    Handler
 	log        *slog.Logger
 	engine     gnet.Engine
-	startMutex sync.Mutex
-	eventLoop  gnet.EventLoop
+	startMutex sync.Mutex     // guards eventLoop against bootstrapEventLoop, which runs on another goroutine
+	eventLoop  gnet.EventLoop // nil until the first connection
 
 	maxSockets      int
 	nextID          uint64
@@ -48,14 +48,14 @@
 	writeBuffer     []byte
 	idleByAddr      map[string][]*outboundConn
 	idle            *list.List // the connections of idleByAddr, least recently used first
-	outbound        int
-	outboundClosing int // outbound connections that are being closed
-	dialing         int
+	outbound        int        // outbound connections, including those that are being closed
+	outboundClosing int        // outbound connections that are being closed
+	dialing         int        // dials in progress
 
 	// Calls queued for a socket in order of arrival: to the state service, and to all others.
 	stateQueue, queue *list.List
 	counts            SocketCounts
-	pressureUntil     time.Time
+	pressureUntil     time.Time // see underPressure
 }
 
 // NewLoop returns a loop that will listen on addr and keep at most maxSockets sockets open.
@@ -88,8 +88,8 @@
 	return gnet.None
 }
 
-// bootstrapEventLoop opens the first connection: gnet hands out its event loop, which Post
-// needs, only with a connection.
+// bootstrapEventLoop opens the first connection, since gnet hands out its event loop, which Post
+// needs, only with a connection. It gives up once a client has connected first.
 func (l *Loop) bootstrapEventLoop() {
 	for {
 		c, err := net.DialTimeout("tcp", l.stateAddr, dialTimeout)
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// echo answers every request with its method, target and body.
+// echo answers every request with its method, target and body, except /hold, which it never
+// answers. It closes the connection after the response to /last.
 type echo struct {
 	loop  *Loop
 	ready chan struct{}
@@ -107,7 +108,7 @@
 		})
 		return <-out
 	}
-	for range 3 { // the later ones reuse the connection
+	for range 3 { // the second and third call reuse the connection of the first
 		if r := call(addr, "/c", 5*time.Second); r.err != nil || r.status != 200 || r.body != "POST /c x" {
 			t.Fatalf("got %+v", r)
 		}
@@ -129,7 +130,7 @@
 }
 
 // TestIdleOutboundClosedForNewHosts calls more hosts than the loop may keep connections to. Idle
-// connections must be closed for new ones: otherwise calls to further hosts time out in the
+// connections must be closed for new ones. If they stay open, calls to further hosts time out in the
 // queue, and a controller declares reachable machines dead.
 func TestIdleOutboundClosedForNewHosts(t *testing.T) {
 	e, _ := startLoop()
--- a/internal/transport/peer_streams.go
+++ b/internal/transport/peer_streams.go
@@ -16,11 +16,11 @@
 // Limits of the streams between controllers.
 const (
 	peerPath           = "/peer/v1/events"
-	peerRedialInterval = time.Second
-	peerReadTimeout    = 10 * time.Second
-	peerQueueLength    = 16
-	maxPeerConns       = 16
-	acceptRetryDelay   = 100 * time.Millisecond
+	peerRedialInterval = time.Second            // from the end of a peer's stream to the next request for it
+	peerReadTimeout    = 10 * time.Second       // time without a line after which a stream counts as broken
+	peerQueueLength    = 16                     // lines that wait for a slow peer
+	maxPeerConns       = 16                     // open connections from peers
+	acceptRetryDelay   = 100 * time.Millisecond // after a failed accept
 )
 
 // MaxPeerLine is the largest length of a line on a stream.
@@ -30,8 +30,8 @@
 const peerNameParam = "node"
 
 // PeerStreams exchanges lines with the other controllers: it reads an HTTP/2 stream from each of
-// them, and serves one to each that connects. Lines are hints: the next one makes up for a lost
-// one.
+// them, and serves one to each that connects. Lines are hints and may be lost: the next published
+// line makes up for a lost one. Whoever sends other lines must detect lost ones.
 type PeerStreams struct {
 	name    string
 	receive func(line []byte)
@@ -39,8 +39,8 @@
 
 	mu          sync.Mutex
 	subscribers map[*subscriber]struct{}
-	last        []byte // the line published last, sent first on a new stream
-	dropped     int    // lines since the last TakeDropped
+	last        []byte // the latest published line, sent first on a new stream
+	dropped     int    // lines dropped since the previous TakeDropped
 }
 
 // subscriber is a peer that reads a stream from this process, under the name that it gave.
@@ -98,7 +98,7 @@
 	}
 }
 
-// TakeDropped returns the number of lines dropped for full queues since the previous call.
+// TakeDropped returns the number of lines dropped because of full queues since the previous call.
 func (p *PeerStreams) TakeDropped() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -14,9 +14,9 @@
 	maxOutboundPercent       = 40 // of outbound connections
 	minOutboundPercent       = 12 // of outbound connections that are not closed for accepted ones
 	stateServiceExtraPercent = 4  // on top of maxOutboundPercent, for calls to the state service
-	maxDialingPercent        = 10 // of concurrent dials: those to unreachable machines hang
-	// Above this share of open connections, responses close theirs if connections had to be
-	// shed recently.
+	maxDialingPercent        = 10 // of concurrent dials, since those to unreachable machines hang
+	// highWatermarkPercent is the share of open connections above which responses close their
+	// connections if accepted connections had to be shed recently.
 	highWatermarkPercent = 72
 )
 
@@ -99,9 +99,9 @@
 }
 
 // ensureOutboundCapacity reports whether another outbound connection may be opened. At a limit
-// it closes the one that has been idle for longest. With more machines than sockets, idle
-// connections to some machines would otherwise make all others unreachable, and the controller
-// would declare them dead.
+// it first closes the outbound connection that has been idle for longest. If it didn't, idle
+// connections to some machines would make all others unreachable when there are more machines than
+// sockets, and the controller would declare those dead.
 func (l *Loop) ensureOutboundCapacity() bool {
 	full := func() bool {
 		return l.outboundSockets() >= l.socketShare(maxOutboundPercent) || l.openSockets() >= l.socketShare(maxOpenPercent)
@@ -110,7 +110,8 @@
 }
 
 // closeExpired closes connections whose request did not arrive in full within
-// requestReadTimeout, and outbound connections idle for longer than outboundIdleTimeout. It runs
+// requestReadTimeout, after a response with status 408, and outbound connections idle for longer
+// than outboundIdleTimeout. It runs
 // every sweepInterval.
 func (l *Loop) closeExpired() {
 	now := time.Now()
