--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -63,9 +63,9 @@
 	return false
 }
 
-// servesUnresponsive reports whether a shard would move away only because its owner's messages don't
+// ownerStillServes reports whether a shard would move away only because its owner's messages don't
 // reach the leader, while the state service shows that it reaches its workers.
-func (v *view) servesUnresponsive(s *Shard, why Reason) bool {
+func (v *view) ownerStillServes(s *Shard, why Reason) bool {
 	return why == ReasonUnresponsive && s.Machines > 0 && v.controller(s.Owner).Reachability == WorkersReachable
 }
 
@@ -73,14 +73,14 @@
 // owner that reaches its workers: lost contact between controllers is no reason to move the whole
 // fleet to one of them. For other shards the capacity isn't checked.
 func (v *view) hasCapacity(c *Controller, s *Shard, why Reason) bool {
-	return !v.servesUnresponsive(s, why) || v.projectedCPUShare(c, s) <= maxTakeoverCPUShare
+	return !v.ownerStillServes(s, why) || v.projectedCPUShare(c, s) <= maxTakeoverCPUShare
 }
 
 // keepsShard reports whether an unresponsive owner that reaches its workers keeps its last shard.
 // It does so only for lastShardKeepTime, since no results that its workers report during that time
 // are recorded.
 func (v *view) keepsShard(s *Shard, why Reason) bool {
-	return v.servesUnresponsive(s, why) && v.countStaying(s.Owner) <= 1 && v.controller(s.Owner).SinceLastMessage <= lastShardKeepTime
+	return v.ownerStillServes(s, why) && v.countStaying(s.Owner) <= 1 && v.controller(s.Owner).SinceLastMessage <= lastShardKeepTime
 }
 
 // countStaying counts a member's shards with machines that aren't moving away.
