--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,12 +39,15 @@
 }
 
 // Objective is a service-level objective of the platform for a class of jobs. Which of the
-// fields apply depends on the kind.
+// fields apply depends on the kind. Controllers use only Kind, Class and Within.
 type Objective struct {
+	// Kind is "wait" if jobs of the class are to start within the given time, "finished" if they
+	// are to finish within it, and "guarantee" if jobs within their team's quota are to start
+	// within it. Controllers ignore other kinds.
 	Kind            string
 	Class           string
-	Within          time.Duration // limit of the time that the objective is about
-	After           time.Duration // not used by the controller
+	Within          time.Duration
+	After           time.Duration
 	Share           float64       // of the class's jobs that must meet the objective, 0 to 1
 	RuntimeMultiple float64       // of the estimated runtime
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,9 +61,9 @@
 	if s.Teams[0].MaxCPUs != 2 || s.Teams[0].MaxGPUs != NoLimit {
 		t.Errorf("limits of the team: got %+v", s.Teams)
 	}
-	guest, err := Parse([]byte(strings.Replace(validSettings, "cpus = 1.0\ncpus_max = 2.0", "cpus = 0.0\ncpus_max = 0.0", 1)))
-	if err != nil || guest.Teams[0].GuaranteedCPUs != 0 || guest.Teams[0].MaxCPUs != NoLimit {
-		t.Errorf("a team without guarantee and limit: got %+v, %v", guest, err)
+	unlimited, err := Parse([]byte(strings.Replace(validSettings, "cpus = 1.0\ncpus_max = 2.0", "cpus = 0.0\ncpus_max = 0.0", 1)))
+	if err != nil || unlimited.Teams[0].GuaranteedCPUs != 0 || unlimited.Teams[0].MaxCPUs != NoLimit {
+		t.Errorf("a team without guarantee and limit: got %+v, %v", unlimited, err)
 	}
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -49,10 +49,10 @@
 	CeilingShare float64 `json:"ceilingShare"`
 	// MaxFetchBacklogSeconds is how many seconds of image fetching may queue on a machine.
 	MaxFetchBacklogSeconds float64 `json:"fetchQueueSeconds"`
-	// LoadPenaltySeconds is the weight of a team's load on a machine in placement, in seconds of
-	// image fetching: a machine that the team fills up to the ceiling scores as much lower than
-	// one without tasks of the team as this much additional fetch time would lower it. 0: the
-	// load doesn't affect the score.
+	// LoadPenaltySeconds is how strongly a team's load on a machine counts in placement, in
+	// seconds of image fetching: a machine that the team fills up to the ceiling is ranked like
+	// one without tasks of the team on which fetching the image takes this much longer. 0: the
+	// load doesn't count.
 	LoadPenaltySeconds float64 `json:"tradeSeconds"`
 	// AllowMigrations allows migrating running tasks of surging teams off overloaded machines.
 	AllowMigrations bool `json:"moves"`
--- a/internal/coordination/sessions/session.go
+++ b/internal/coordination/sessions/session.go
@@ -155,9 +155,9 @@
 		s.HeartbeatSequence = 0
 		// An incarnation has a full lease from its beginning, which was no later than now,
 		// whether or not any of its heartbeats is answered. A worker whose heartbeats reach no
-		// controller still gets tasks by direct starts, in each of its incarnations. If the
-		// lease were counted from its last answered heartbeat, its tasks would be considered
-		// terminated long before they have ended, once contact with it is lost.
+		// controller still gets tasks by direct starts, in each of its incarnations. An
+		// earlier version counted the lease from its last answered heartbeat and, once contact
+		// with it was lost, considered its tasks terminated long before they had ended.
 		s.IncarnationSince = now
 	}
 	return began
--- a/internal/coordination/shard/channel.go
+++ b/internal/coordination/shard/channel.go
@@ -46,7 +46,7 @@
 	received            uint64    // sequence of the latest message accepted from the other side
 	inOrder             bool      // a snapshot has begun to arrive, and no message was lost since
 	snapshotDue         bool      // the next message sent begins a snapshot
-	snapshotAt          time.Time // when the latest snapshot was begun
+	snapshotAt          time.Time // when the first message of the latest snapshot was sent
 	snapshotRequested   bool      // the other side requested a snapshot
 	ackDue              bool      // an acknowledgement or a snapshot request is to be sent
 }
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -28,15 +28,15 @@
 type ReachabilityReport struct {
 	Sequence    uint64 `json:"n"`              // of the report, from 1
 	Workers     int    `json:"w"`              // registered with it
-	Unreachable int    `json:"lost,omitempty"` // registered workers that it lost contact with
+	Unreachable int    `json:"lost,omitempty"` // those of Workers that it lost contact with
 }
 
 // minWorkersForPartition is how many workers must be known before losing most of them counts as a
 // partition.
 const minWorkersForPartition = 3
 
-// Partitioned reports whether more than half of the workers are unreachable, of at least
-// minWorkersForPartition.
+// Partitioned reports whether more than half of the workers are unreachable, if there are at least
+// minWorkersForPartition of them.
 func Partitioned(workers, unreachable int) bool {
 	return workers >= minWorkersForPartition && unreachable*2 > workers
 }
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -265,8 +265,8 @@
 }
 
 // heldLongEnough reports whether a reason has persisted for long enough to move a shard: a wrong
-// zone for reasonHoldTime if the shard has machines, any other reason not at all. It also records
-// when the reason was first seen.
+// zone must have persisted for reasonHoldTime if the shard has machines; other reasons count at once.
+// It also records when the reason was first seen.
 func (p *Planner) heldLongEnough(now time.Time, s *Shard, why Reason) bool {
 	held, ok := p.pendingReasons[s.ID]
 	if !ok || held.reason != why {
--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -12,9 +12,9 @@
 // reachFailures are the latest times at which members were out of contact with most of their workers,
 // by zone. With them a shard can move at once to a member that hasn't recently failed in its zone,
 // but not back to one that has: if no controller reaches the machines, the shard doesn't move around
-// endlessly. A minimum time of a minute between moves of a shard is not a solution: an owner that
-// loses contact with its workers soon after it got shards would keep them until the workers' leases
-// end.
+// endlessly. An earlier version instead had a minimum time of a minute between moves of a shard, so
+// that an owner that lost contact with its workers soon after it got shards kept them until the
+// workers' leases ended.
 type reachFailures map[reachFailure]time.Time
 
 // recent reports whether a member lost contact with its workers in a zone within reachFailureTTL.
@@ -39,11 +39,10 @@
 }
 
 // canTake reports whether a controller may get a shard that is to move away from its owner: it is
-// another one, it hasn't recently lost contact with workers of the shard's zone, and it is healthy. A
-// shard
-// of a partitioned owner may also move to a controller without contact to the leader, if the state
-// service shows that it reaches its workers: if controllers can't reach each other, the leader's own
-// controller may be the partitioned one.
+// another one, it hasn't recently lost contact with workers of the shard's zone, and it is healthy.
+// Only a shard of a partitioned owner may also move to a controller without contact to the leader, if
+// the state service shows that it reaches its workers: if controllers can't reach each other, the
+// leader's own controller may be the partitioned one.
 func (p *Planner) canTake(now time.Time, c *Controller, s *Shard, why Reason) bool {
 	if c.Member == s.Owner || p.reachFailures.recent(now, c.Member, s.Zone) {
 		return false
--- a/internal/coordination/shard/table.go
+++ b/internal/coordination/shard/table.go
@@ -46,8 +46,8 @@
 }
 
 // Put adds or replaces a record, unless a newer version of it is known. It returns an error if the
-// record can't be parsed or the key is unknown. A record that can't be parsed replaces the version
-// known before.
+// record can't be parsed or the key is unknown. If the record can't be parsed, the version known
+// before is dropped.
 func (t *Table) Put(key string, value json.RawMessage, version uint64) error {
 	if controller, ok := strings.CutPrefix(key, records.PrefixMembers); ok {
 		return t.putMember(controller, value, version)
--- a/internal/coordination/statestore/health.go
+++ b/internal/coordination/statestore/health.go
@@ -42,8 +42,8 @@
 
 // probeUntilRecovered probes the service until it answers again. While the service counts as
 // unavailable, users' requests are refused without a request to the service, so nothing else might
-// ever detect the recovery: a follower that sends no other requests would consider the service
-// unavailable forever.
+// ever detect the recovery: in an earlier version without these probes, a follower that sent no other
+// requests considered the service unavailable forever.
 func (c *Client) probeUntilRecovered() {
 	if c.health.failingSince.IsZero() {
 		return
--- a/internal/protocol/model.go
+++ b/internal/protocol/model.go
@@ -45,7 +45,7 @@
 	EstimatedRuntime   time.Duration `json:"est,omitempty"`
 	CheckpointInterval time.Duration `json:"ckpt,omitempty"` // 0: the task takes no checkpoints
 	CheckpointDuration time.Duration `json:"save,omitempty"` // time that writing a checkpoint takes
-	// Deadline is the time after the submission by which the user wants the job finished. It only
+	// Deadline is the time after the submission by which the job should be finished. It only
 	// influences the order of jobs and what they wait for; a job that misses it continues.
 	Deadline    time.Duration `json:"deadline,omitempty"`
 	HasDeadline bool          `json:"hasDeadline,omitempty"`
--- a/internal/transport/accepted.go
+++ b/internal/transport/accepted.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// readRequest passes the next complete request of a connection to the handler, unless one of the
-// connection is being handled.
+// readRequest passes the next complete request of a connection to the handler, unless one of its
+// requests is being handled.
 func (l *Loop) readRequest(s *acceptedConn) gnet.Action {
 	now := time.Now()
 	if s.element != nil {
@@ -94,7 +94,7 @@
 }
 
 // Reply sends the response to a request. It then closes the connection if last is set, if the client
-// asked for it, or under pressure (see underPressure). It does nothing if the connection is already
+// requested it, or under pressure (see underPressure). It does nothing if the connection is already
 // closed.
 func (l *Loop) Reply(id uint64, status, retryAfter int, body []byte, last bool) {
 	s := l.pending[id]
--- a/internal/transport/peer_streams.go
+++ b/internal/transport/peer_streams.go
@@ -31,7 +31,8 @@
 
 // PeerStreams exchanges lines with the other controllers: it reads an HTTP/2 stream from each of
 // them, and serves one to each that connects. Lines are hints and may be lost: the next published
-// line makes up for a lost one. Whoever sends other lines must detect lost ones.
+// line makes up for a lost one. Senders of other lines must detect the loss of a line
+// themselves.
 type PeerStreams struct {
 	name    string
 	receive func(line []byte)
