--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -50,8 +50,8 @@
 type fleetReport struct {
 	types          map[string]*protocol.MachineType
 	machines       map[string]*machineLoad
-	jobs           map[string]*records.Job
-	demand         map[string]float64 // CPUs of unfinished tasks, by team
+	jobs           map[string]*records.Job // unfinished
+	demand         map[string]float64      // CPUs of unfinished tasks, by team
 	surges         records.Surges
 	migrated       map[string]int // tasks recorded as migrated in the current surge, by team
 	unreadableKeys []string       // keys of records that can't be decoded
@@ -70,8 +70,9 @@
 		jobs: map[string]*records.Job{}, demand: map[string]float64{}, migrated: map[string]int{}}
 }
 
-// readFleet reads the records. The kinds of records are read one after the other while
-// controllers change them, so that a few tasks may be counted twice or not at all.
+// readFleet reads the records of machine types, surges, unfinished jobs, machine groups and task
+// blocks. These kinds are read one after the other while controllers change them, so a few tasks may
+// be counted twice or not at all.
 func readFleet(ctx context.Context, s *config.Settings) (*fleetReport, error) {
 	f := newFleetReport()
 	for _, part := range []struct {
@@ -147,7 +148,7 @@
 	}
 	var r records.TaskBlock
 	if err := protocol.Decode(kv.Value, &r); err != nil || job == nil {
-		return err // a job that is not listed as active has just ended
+		return err // nil if only the job is unknown: it ended after the active jobs were read
 	}
 	spec := job.Spec
 	done, err := r.DoneTasks(job.BlockSize)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,8 +48,8 @@
 	Class           string
 	Within          time.Duration
 	After           time.Duration
-	Share           float64       // of the class's jobs that must meet the objective, 0 to 1
-	RuntimeMultiple float64       // of the estimated runtime
+	Share           float64 // of the class's jobs that must meet the objective, 0 to 1
+	RuntimeMultiple float64 // of the estimated runtime
 }
 
 // Settings are the settings that the platform gives a controller. Addresses are an IP address
--- a/internal/coordination/sessions/session.go
+++ b/internal/coordination/sessions/session.go
@@ -103,7 +103,8 @@
 	return nil
 }
 
-// Message is the position of a message among a worker's messages.
+// Message is what a session needs to know of a worker's message: its position among the worker's
+// messages, its token and its kind.
 type Message struct {
 	Incarnation, Sequence uint64
 	Token                 uint64 // the highest token that the worker had seen
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -20,7 +20,7 @@
 		GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, OneZone: true, AllowSpot: true,
 		EstimatedRuntime: 4 * time.Minute, CheckpointInterval: 30 * time.Second, CheckpointDuration: 4 * time.Second, Deadline: 15 * time.Minute, HasDeadline: true}
 	if !reflect.DeepEqual(j, want) {
-		t.Errorf("got %+v", j)
+		t.Errorf("got %+v, want %+v", j, want)
 	}
 	if again, err := ParseJob(EncodeJob(j)); err != nil || !reflect.DeepEqual(again, j) {
 		t.Errorf("round trip: got %+v, %v", again, err)
@@ -62,7 +62,7 @@
 		{"/v2/runs/a/b", RouteNone, ""}, {"/up?x=1", RouteHealth, ""}, {"/v1/report", RouteHeartbeat, ""}, {"/", RouteNone, ""},
 	} {
 		if route, id := ParseTarget(c.target); route != c.route || id != c.id {
-			t.Errorf("%s: got route %d and id %q", c.target, route, id)
+			t.Errorf("%s: got route %d and id %q, want %d and %q", c.target, route, id, c.route, c.id)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 			{Job: "run-000398", TaskIndex: 0, Attempt: 1, State: Exited, Reason: ExitStopped, Checkpointed: true}}}
 	got, err := ParseHeartbeat(EncodeHeartbeat(r))
 	if err != nil || !reflect.DeepEqual(got, r) {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("round trip: got %+v, %v, want %+v", got, err, r)
 	}
 	for _, bad := range []string{`{}`, `[]`, `{"deck":"m","watch":0,"logSeq":1}`,
 		`{"deck":"m","watch":1,"logSeq":1,"oars":[{"oar":"run-000001","launch":1,"bearing":"running"}]}`,
@@ -91,7 +91,7 @@
 		{Kind: Forget, Job: "run-000003", TaskIndex: 0, Attempt: 9}}
 	token, incarnation, got, err := ParseOrders(EncodeDirectOrders(7<<16|3, 2, orders))
 	if err != nil || *token != 7<<16|3 || *incarnation != 2 || !reflect.DeepEqual(got, orders) {
-		t.Errorf("got %v, %v", got, err)
+		t.Errorf("round trip: got token %v, incarnation %v, orders %+v, error %v; want token %d, incarnation 2, orders %+v", token, incarnation, got, err, 7<<16|3, orders)
 	}
 	if token, incarnation, _, err = ParseOrders(EncodeHeartbeatResponse(5, nil)); err != nil || *token != 5 || incarnation != nil {
 		t.Errorf("a heartbeat response without orders: %v", err)
--- a/internal/transport/http1_test.go
+++ b/internal/transport/http1_test.go
@@ -64,7 +64,7 @@
 				return
 			}
 			if string(m.body) != c.body || c.in[n:] != c.rest || m.close != c.close {
-				t.Errorf("got body %q, rest %q, close %t", m.body, c.in[n:], m.close)
+				t.Errorf("got body %q, rest %q, close %t; want %q, %q, %t", m.body, c.in[n:], m.close, c.body, c.rest, c.close)
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 				t.Fatalf("error %v, want %v", err, c.err)
 			}
 			if err == nil && (m.status != c.status || string(m.body) != c.body) {
-				t.Errorf("got status %d, body %q", m.status, m.body)
+				t.Errorf("got status %d, body %q; want %d, %q", m.status, m.body, c.status, c.body)
 			}
 		})
 	}
@@ -152,6 +152,7 @@
 	})
 }
 
+// A request and a response are parsed as they were written.
 func TestAppendRoundTrip(t *testing.T) {
 	var m message
 	raw := appendRequest(nil, "POST", "10.0.0.1:80", "/a?b=c", []byte(`{"x":1}`))
@@ -160,7 +161,7 @@
 	}
 	raw = appendResponse(nil, 503, 2, []byte(`{}`), true)
 	if !bytes.Contains(raw, []byte("Retry-After: 2\r\n")) {
-		t.Error("no Retry-After")
+		t.Error("response without the header Retry-After: 2")
 	}
 	if n, err := parseResponse(raw, false, &m); err != nil || n != len(raw) || m.status != 503 || !m.close {
 		t.Fatalf("response: %v, %+v", err, m)
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -240,16 +240,16 @@
 		t.Fatal(err)
 	}
 	if line := <-got; line != "one" {
-		t.Errorf("line published before the peer connected: got %q", line)
+		t.Errorf("line published before the peer connected: got %q, want \"one\"", line)
 	}
 	first.Publish([]byte("two"))
 	if line := <-got; line != "two" {
-		t.Errorf("published line: got %q", line)
+		t.Errorf("published line: got %q, want \"two\"", line)
 	}
 	// The line to another peer must not arrive.
 	first.Send("three", []byte("for three"))
 	first.Send("two", []byte("for two"))
 	if line := <-got; line != "for two" {
-		t.Errorf("line to this peer: got %q", line)
+		t.Errorf("line to this peer: got %q, want \"for two\"", line)
 	}
 }
