--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,7 @@
 }
 
 // Team is a team with the resources that it is guaranteed and those that it may take at most.
-// Without a guarantee its resources are 0; without a limit, NoLimit.
+// A team may have no guarantee, which is 0, and no limit, which is NoLimit.
 type Team struct {
 	Name                           string
 	GuaranteedCPUs, GuaranteedGPUs float64
--- a/internal/coordination/sessions/detector.go
+++ b/internal/coordination/sessions/detector.go
@@ -172,8 +172,8 @@
 }
 
 // Partitioned reports whether a partition is a more likely cause than dead machines, because more
-// than 60% of the machines, and at least three, are suspect at once. Heartbeats arrive at different times, so machines whose heartbeats
-// are only slightly overdue count as suspect, too.
+// than 60% of the machines, and at least three, are suspect at once. Heartbeats arrive at different
+// times, so machines whose heartbeats are only slightly overdue count as suspect, too.
 func (h *DomainHealth) Partitioned() bool { return h.Suspect > 2 && h.Suspect*5 > h.Machines*3 }
 
 // FleetContact counts the workers of a fleet by their contact with the controller.
--- a/internal/coordination/statestore/committer.go
+++ b/internal/coordination/statestore/committer.go
@@ -158,9 +158,9 @@
 func (c *Committer) Pause(d time.Duration) { c.pausedUntil = c.client.host.Now().Add(d) }
 
 // Flush sends the next transaction if there is something to write, no transaction is in flight, no
-// versions are being read, and the write budget allows it. If it has to wait for the end of a pause, the due time of a record or
-// the budget, it sets a timer. The host must call Flush after each step, including those that
-// run timers.
+// versions are being read, and the write budget allows it. If it has to wait for the end of a pause,
+// the due time of a record or the budget, it sets a timer. The host must call Flush after each step,
+// including those that run timers.
 func (c *Committer) Flush() {
 	if c.stage != committerIdle || !c.source.Alive() {
 		return
