--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -28,12 +28,12 @@
 	lifecycle lifecycle
 
 	attempts           map[taskKey]*attempt
-	attemptList        []*attempt // the same attempts, unordered
-	replicaCount       int
+	attemptList        []*attempt                     // the same attempts, unordered
+	replicaCount       int                            // attempts of services
 	onDemandCPUs       float64                        // CPUs allocated to jobs that may not use spot machines
 	cpusByPriority     [protocol.Critical + 1]float64 // CPUs allocated, by priority
 	stopRequestedCount int                            // attempts whose stop was requested
-	emptySince         time.Time
+	emptySince         time.Time                      // when its last attempt was removed, or when it was added to the fleet
 
 	// Used with sharding only, except for incomingMigrations.
 	shard              shard.ID                  // 0 if the machine is in no shard
@@ -46,16 +46,16 @@
 	orphans            map[taskKey]uint64        // attempts unknown here that were reported to the leader
 	orphanStops        map[taskKey]uint64        // attempts among the orphans that the leader requested to stop
 
-	failuresByJob map[string]int // failed attempts by job since the last success
-	quarantined   bool
+	failuresByJob map[string]int // failed attempts by job since a task last completed on the machine
+	quarantined   bool           // considered the cause of its tasks' failures, and drained
 }
 
 // orderQueue tracks when orders for a worker may be sent by a call.
 type orderQueue struct {
-	due            bool // to be sent at the end of the current step
-	inFlight       bool // a call with orders awaits its response
-	startsDeferred bool // starts wait for a recent read of the job records
-	pausedUntil    time.Time
+	due            bool      // to be sent at the end of the current step
+	inFlight       bool      // a call with orders awaits its response
+	startsDeferred bool      // starts wait for a recent read of the job records
+	pausedUntil    time.Time // no call is made before this time: one got no valid response
 }
 
 // newMachine adds a machine to the fleet.
@@ -71,12 +71,13 @@
 	return m
 }
 
-// adoptMachine adds a machine that no record names. It was provisioned by a request whose response
-// was lost or that the cloud carried out late.
+// adoptMachine adds a machine that this leader doesn't know: either its record isn't loaded yet, or
+// it has none, because the response to the request that provisioned it was lost or the cloud carried
+// the request out late.
 func (l *leader) adoptMachine(name, typ, zone string, spot bool, age time.Duration) *machine {
 	m := l.newMachine(name, typ, zone, spot)
 	m.provisionedAt = l.controller.now.Add(-age)
-	if l.phase != phaseLoading { // otherwise its record may still be read
+	if l.phase != phaseLoading { // while loading, its record may still be read; startReconciling records the others
 		l.controller.logSampled("unrecorded machine adopted", "machine", name, "type", typ, "zone", zone, "spot", spot)
 		l.writer.recordMachine(m)
 	}
@@ -115,8 +116,8 @@
 	}
 }
 
-// machineForHeartbeat returns the machine of the worker that sent a heartbeat, adopting it if
-// no record names it. For a terminated machine it replies with an error and returns nil: machine
+// machineForHeartbeat returns the machine of the worker that sent a heartbeat, and adopts the
+// machine if this leader doesn't know it. For a terminated machine it replies with an error and returns nil: machine
 // names are never reused, so a delayed duplicate of a heartbeat must not add the machine again.
 func (l *leader) machineForHeartbeat(id uint64, r *protocol.Heartbeat) *machine {
 	if m := l.machines[r.Machine]; m != nil {
--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -42,7 +42,8 @@
 // addresses at once, without the cloud's inventory, which may not be available.
 const groupRewriteDelay = 5 * time.Second
 
-// recordMachine queues a machine to be recorded, in a new group if no queued one accepts it.
+// recordMachine queues a machine to be recorded: in a queued group that accepts it and has room, or
+// else in a new one.
 func (w *recordWriter) recordMachine(m *machine) {
 	for _, group := range w.newGroups {
 		if group.accepts(m) && len(group.machines) < w.machinesPerGroup() {
@@ -83,7 +84,8 @@
 	return limit
 }
 
-// maxMachinesPerShardGroup is the maximum number of machines of a shard that share a record.
+// maxMachinesPerShardGroup is the maximum number of machines that share a record with sharding. A
+// group belongs to one shard as a whole.
 const maxMachinesPerShardGroup = 12
 
 // removeMachineFromRecord removes a terminated machine from its group, and from the group's record
@@ -127,7 +129,7 @@
 		group := w.changedGroups[0]
 		w.changedGroups = w.changedGroups[1:]
 		group.rewriteQueued = false
-		if len(group.machines) > 0 { // otherwise its record is being deleted
+		if len(group.machines) > 0 { // the record of an empty group is deleted instead
 			return group
 		}
 	}
@@ -143,7 +145,8 @@
 	return records.Encode(r)
 }
 
-// groupRecorded handles a write of a group that was applied: its machines may now get tasks.
+// groupRecorded handles a write of a group that was applied: its machines may now get tasks, and
+// with sharding the owner of the group's shard is notified of them.
 func (l *leader) groupRecorded(group *machineGroup) {
 	first := group.stage != groupStored
 	group.stage = groupStored
@@ -182,7 +185,8 @@
 	}
 }
 
-// loadMachine loads a machine from its group's record.
+// loadMachine loads a machine from its group's record. The machine may be known already, from a
+// heartbeat or from another record.
 func (l *leader) loadMachine(group *records.MachineGroup, entry *records.MachineEntry) *machine {
 	m := l.machines[entry.Name]
 	if m == nil {
@@ -193,11 +197,11 @@
 		m.addr = entry.Addr
 	}
 	now := l.controller.now
-	rentedAt := time.UnixMilli(entry.RentedAt)
-	if rentedAt.After(now) {
-		rentedAt = now
+	provisionedAt := time.UnixMilli(entry.RentedAt)
+	if provisionedAt.After(now) { // the clocks of controllers differ
+		provisionedAt = now
 	}
 	// The age so far is measured by the wall clock, from here on by the monotonic clock.
-	m.provisionedAt = now.Add(-now.Round(0).Sub(rentedAt))
+	m.provisionedAt = now.Add(-now.Round(0).Sub(provisionedAt))
 	return m
 }
--- a/internal/coordination/machine_groups_test.go
+++ b/internal/coordination/machine_groups_test.go
@@ -41,7 +41,8 @@
 	return writes
 }
 
-// loadedMachineNames returns the names of the machines that the next leader would load.
+// loadedMachineNames returns the names of the machines that the next leader would load. It panics if
+// one of them isn't marked as loaded from a group's record.
 func loadedMachineNames(stored map[string]json.RawMessage) []string {
 	_, l := newTestLeader(phaseLoading)
 	for key, value := range stored {
@@ -50,7 +51,7 @@
 	var list []string
 	for name, m := range l.machines {
 		if !m.recorded || !m.inherited || m.group == nil {
-			panic(name)
+			panic(fmt.Sprintf("loaded %s: recorded %t, inherited %t, in a group %t; want all true", name, m.recorded, m.inherited, m.group != nil))
 		}
 		list = append(list, name)
 	}
@@ -69,7 +70,7 @@
 		l.writer.recordMachine(l.newMachine(fmt.Sprintf("vm-%03d", i), "small", "a", i%4 == 0))
 	}
 	writes := 0
-	for range 20 { // this test's write budget is small
+	for range 20 { // newTestLeader's write rate allows only a few writes at a time
 		c.now = c.now.Add(200 * time.Millisecond)
 		writes += applyMachineGroupWrites(c, stored)
 	}
--- a/internal/coordination/machine_lifecycle.go
+++ b/internal/coordination/machine_lifecycle.go
@@ -6,7 +6,7 @@
 	"brasskeel/internal/protocol"
 )
 
-// releaseState is the progress of returning a machine to the cloud.
+// releaseState is the progress of a machine's release, which returns the machine to the cloud.
 type releaseState uint8
 
 const (
@@ -19,14 +19,14 @@
 	releaseFinal
 )
 
-// lifecycle is the state of a machine from its start until it is proven to be terminated. A
-// draining machine gets no new tasks and is released once it is empty. A release returns the machine
-// to the cloud even if tasks run on it. The release of a draining machine is never revoked.
+// lifecycle is the state of a machine from when it is provisioned until it is proven terminated. A
+// draining machine gets no new tasks and is released once it is empty. A release is carried out even
+// if tasks run on the machine. The release of a draining machine is never revoked.
 type lifecycle struct {
 	draining        bool
 	release         releaseState
-	releaseInFlight bool      // the call awaits its response
-	releaseSentAt   time.Time // when the last call was made
+	releaseInFlight bool      // a release call awaits its response
+	releaseSentAt   time.Time // when the latest release call was made
 	preemptionAt    time.Time // when the cloud preempts the machine; zero without a notice
 	unlistedSince   time.Time // since when inventories that should list it don't; zero if they do
 }
@@ -99,7 +99,9 @@
 	}
 }
 
-// checkpointGrace is the time that a stopped attempt needs to save a checkpoint.
+// checkpointGrace is the time that an attempt gets to save a checkpoint when it is stopped: the
+// duration of a checkpoint and a margin of 100 ms. It is zero if the attempt isn't running or its job
+// saves no checkpoints.
 func (l *leader) checkpointGrace(a *attempt) time.Duration {
 	if a.job.CheckpointInterval == 0 || a.state != protocol.Running {
 		return 0
--- a/internal/coordination/machine_lifecycle_test.go
+++ b/internal/coordination/machine_lifecycle_test.go
@@ -20,7 +20,7 @@
 		revoked   bool
 	}{
 		{"not sent yet", true, func(*lifecycle) {}, true},
-		{"not only for unresponsiveness", false, func(*lifecycle) {}, false},
+		{"requested for another reason than unresponsiveness", false, func(*lifecycle) {}, false},
 		{"in flight", true, sent, false},
 		{"refused", true, answered(true), true},
 		{"without a clear outcome", true, answered(false), false},
@@ -36,7 +36,7 @@
 		}
 		test.change(&c)
 		if got := c.revoke(); got != test.revoked || c.releasing() == test.revoked {
-			t.Errorf("%s: revoked: %t; state %+v", test.name, got, c)
+			t.Errorf("%s: revoked: %t, want %t; state %+v", test.name, got, test.revoked, c)
 		}
 	}
 }
--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -35,7 +35,8 @@
 	return c, c.leader
 }
 
-// encodedHeartbeat returns a heartbeat of vm-1 that reports no tasks.
+// encodedHeartbeat returns a heartbeat of vm-1 that reports no tasks and has the base token of the
+// test leader's term, 1.
 func encodedHeartbeat(seq uint64) []byte {
 	return protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1 << 16})
 }
@@ -77,8 +78,8 @@
 	}
 }
 
-// The score prefers a machine that holds the image, then the one with more free capacity. A
-// machine that is being consolidated comes last.
+// The best machine is one that caches the image, then the one with more free capacity. A machine
+// that is being consolidated comes last.
 func TestBestMachine(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.operator.ImageCacheWeight, c.operator.FreeShareWeight = 1, 1
@@ -229,7 +230,7 @@
 		body := protocol.EncodeHeartbeat(&protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 60})
 		c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		if m.lifecycle.releasing() != lost || m.session.Incarnation != 2 {
-			t.Errorf("state lost: %t; releasing %t, incarnation %d", lost, m.lifecycle.releasing(), m.session.Incarnation)
+			t.Errorf("state lost: %t; releasing %t, want %t; incarnation %d, want 2", lost, m.lifecycle.releasing(), lost, m.session.Incarnation)
 		}
 	}
 }
@@ -263,7 +264,7 @@
 			c.Result(c.now, call.ID, Outcome{Answered: true, Status: 200, Body: body})
 		}
 		if m.lifecycle.releasing() == test.kept {
-			t.Errorf("%s: releasing %t after the worker answered", test.name, m.lifecycle.releasing())
+			t.Errorf("%s: releasing %t after the worker answered, want %t", test.name, m.lifecycle.releasing(), !test.kept)
 		}
 	}
 }
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -9,8 +9,9 @@
 	"brasskeel/internal/records"
 )
 
-// loadMachineTypes loads the machine types from the state service, where leaders store them,
-// or else from the cloud. Submissions can't be validated without them.
+// loadMachineTypes loads the machine types from the state service, where leaders store them, or from
+// the cloud if they aren't stored there or can't be read. If the cloud doesn't list them either, it
+// tries again after one to two seconds. Submissions can't be validated without machine types.
 func (c *Controller) loadMachineTypes() {
 	c.store.Get(records.KeyMachineTypes, func(r statestore.ReadResult) {
 		if r.Status == statestore.Found {
@@ -48,7 +49,7 @@
 	})
 }
 
-// setMachineTypes replaces the machine types and logs them.
+// setMachineTypes replaces all known machine types and logs the new ones.
 func (c *Controller) setMachineTypes(types []protocol.MachineType) {
 	c.types = make(map[string]*protocol.MachineType, len(types))
 	for i := range types {
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -22,6 +22,7 @@
 // Tests of problems that occur in operation: faulty jobs and machines, overdue boots, thousands of
 // status queries, teams without a guarantee, starvation, overload, and missing logs.
 
+// addTestJob adds a batch job of team red with ten tasks of one CPU, as modified by change.
 func addTestJob(l *leader, id string, change func(*protocol.Job)) *job {
 	spec := &protocol.Job{ID: id, Class: "c", Team: "red", Kind: protocol.Batch, Priority: protocol.Standard, Tasks: 10, CPUs: 1,
 		MemoryGB: 1, Image: "a", ImageGB: 1, AllowSpot: true, EstimatedRuntime: 30 * time.Second}
@@ -30,6 +31,8 @@
 	return l.jobs[id]
 }
 
+// addTestMachine adds a spot machine with four CPUs. If it is up, it is recorded and its worker is
+// registered and in contact; otherwise it is booting.
 func addTestMachine(l *leader, name string, up bool) *machine {
 	m := l.newMachine(name, "small", "a", true)
 	if up {
@@ -69,7 +72,7 @@
 			failTask(l, m, j)
 		}
 		if m.quarantined != works {
-			t.Errorf("after failures of two more jobs (working elsewhere: %t): quarantined %t", works, m.quarantined)
+			t.Errorf("after failures of two more jobs (working elsewhere: %t): quarantined %t, want %t", works, m.quarantined, works)
 		}
 	}
 }
@@ -157,7 +160,7 @@
 // machines are replaced, and none is released. A new leader doesn't count inherited machines as
 // overdue: they may have been up for a long time.
 func TestOverdueBoots(t *testing.T) {
-	count := func(lateBoots, completedBoots int, inherited bool) (*Controller, *leader) {
+	newLeaderWithBoots := func(lateBoots, completedBoots int, inherited bool) (*Controller, *leader) {
 		c, l := newTestLeader(phaseActive)
 		c.teams["red"].MaxCPUs = 1000
 		l.loadedAt = c.now
@@ -174,17 +177,17 @@
 		lateBoots, completedBoots int
 		inherited                 bool
 		booting                   int // machines counted as booting
-		released                  int // 45 s after provisioning; four times the usual boot time is 40 s
+		released                  int // 45 s after provisioning; the boot timeout is 40 s, four times the usual boot time
 	}{
 		{lateBoots: 2, completedBoots: 8, booting: 0, released: 2},
 		{lateBoots: 8, completedBoots: 2, booting: 6, released: 0},
 		{lateBoots: 2, completedBoots: 8, inherited: true, booting: 0, released: 0},
 		{lateBoots: 8, completedBoots: 2, inherited: true, booting: 0, released: 0},
 	} {
-		_, l := count(test.lateBoots, test.completedBoots, test.inherited)
+		_, l := newLeaderWithBoots(test.lateBoots, test.completedBoots, test.inherited)
 		l.autoscaler.unmetDemand = []demand{{job: addTestJob(l, "run-000001", func(*protocol.Job) {}), tasks: 1}}
 		if got := len(l.bootingBins()); got != test.booting {
-			t.Errorf("%+v: %d machines counted as booting", test, got)
+			t.Errorf("%+v: %d machines counted as booting, want %d", test, got, test.booting)
 		}
 		l.releaseOverdueBoots()
 		released := 0
@@ -194,13 +197,14 @@
 			}
 		}
 		if released != test.released {
-			t.Errorf("%+v: %d machines released", test, released)
+			t.Errorf("%+v: %d machines released, want %d", test, released, test.released)
 		}
 	}
 }
 
 // However many status queries arrive, a controller sends the state service a bounded number of
-// checks. For a job that a peer has announced as finished it sends none.
+// status checks, the transactions that look up the outcomes of the queried jobs. For a job that a
+// peer has announced as finished it sends none.
 func TestStatusQueriesShareChecks(t *testing.T) {
 	c, _ := newTestLeader(phaseActive)
 	c.election.StepDown("test")
@@ -225,7 +229,7 @@
 		}
 	}
 	if most := int(c.cfg.StateRPS*10/statusCheckDivisor) + 2; checks > most || checks == 0 {
-		t.Errorf("%d checks in 10 s, want at most %d", checks, most)
+		t.Errorf("%d status checks in 10 s, want 1 to %d", checks, most)
 	}
 	if answered < 1900 {
 		t.Errorf("%d of 2000 queries answered, want at least 1900", answered)
@@ -284,8 +288,8 @@
 	}
 }
 
-// No expensive machines are provisioned for teams without a guarantee, except a single one once a
-// job of theirs has waited for StarvingAfter.
+// No expensive machines are provisioned for opportunistic work, that is, for jobs of teams without a
+// guarantee, except a single one once such a job has waited for StarvingAfter.
 func TestOpportunisticPrice(t *testing.T) {
 	c, l := newTestLeader(phaseActive)
 	c.teams["guest"] = &config.Team{Name: "guest", MaxCPUs: config.NoLimit}
@@ -306,7 +310,7 @@
 		l.autoscaler.unmetDemand = []demand{{test.job, 4}}
 		l.scaleOut()
 		if requests := len(c.takeEffects().Calls) > 0; requests != test.requests {
-			t.Errorf("team %s: expensive machines requested: %t", test.job.Team, requests)
+			t.Errorf("team %s: expensive machines requested: %t, want %t", test.job.Team, requests, test.requests)
 		}
 	}
 	c.now = c.now.Add(queue.StarvingAfter)
@@ -320,9 +324,9 @@
 	}
 }
 
-// Tasks of teams without a guarantee that save checkpoints are stopped on an expensive machine that
-// is being consolidated, if nothing else runs on it, and aren't placed there again. Tasks of other
-// teams run until they complete.
+// Opportunistic tasks, those of teams without a guarantee, that save checkpoints are stopped on an
+// expensive machine that is being consolidated, if nothing else runs on it, and aren't placed there
+// again. Tasks of other teams run until they complete.
 func TestOpportunisticWorkLeavesExpensiveMachines(t *testing.T) {
 	for _, test := range []struct {
 		team  string
@@ -349,7 +353,7 @@
 		m.session.LastSeen, m.session.LastAnswered, m.Consolidating = c.now, c.now, true
 		l.scaleIn()
 		if a.stopRequested != test.stops {
-			t.Errorf("%+v: stop requested: %t", test, a.stopRequested)
+			t.Errorf("%+v: stop requested: %t, want %t", test, a.stopRequested, test.stops)
 		}
 		if test.stops {
 			l.detach(a, "test")
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -31,7 +31,7 @@
 		before := len(l.controller.effects.Calls)
 		l.probeBatch(l.fleetList)
 		if probed := len(l.controller.effects.Calls) - before; probed > overloadTestMachines/probeBatchDivisor {
-			t.Fatalf("batch %d: %d machines probed at once, more than one part of probeBatchDivisor", batch, probed)
+			t.Fatalf("batch %d: %d machines probed at once, want at most %d", batch, probed, overloadTestMachines/probeBatchDivisor)
 		}
 	}
 	for _, m := range l.fleetList {
@@ -72,7 +72,7 @@
 		}
 	}
 	if most := (j.liveAttempts+95)/96 + 1; made > most {
-		t.Errorf("%d task blocks in memory for %d live tasks, more than they need", made, j.liveAttempts)
+		t.Errorf("%d task blocks in memory for %d live tasks, want at most %d", made, j.liveAttempts, most)
 	}
 	for _, o := range l.jobsByAge {
 		if o != j && o.Priority >= j.Priority && o.liveAttempts == 0 {
