--- a/internal/coordination/peer_broadcast.go
+++ b/internal/coordination/peer_broadcast.go
@@ -9,9 +9,9 @@
 // Limits of one round of broadcasts. Peers buffer only a few messages, and a round with the progress
 // of every job of a very large fleet would use all of a small CPU share.
 const (
-	messageBudget            = 48 << 10 // bytes of job entries in one message
-	messagesPerRound         = 6
-	progressMessagesPerRound = 4 // messages of a round that may contain progress
+	messageBudget            = 48 << 10 // bytes of entries in one message, also of those between leader and shard owners
+	messagesPerRound         = 6        // maximum number of messages in one round
+	progressMessagesPerRound = 4        // messages of a round that may contain progress
 )
 
 // broadcastsPerOutcome is the number of times that a final state is broadcast, since a message
@@ -19,8 +19,9 @@
 const broadcastsPerOutcome = 2
 
 // broadcastStatus sends one round of messages to the peers: this controller's status, the final
-// states of jobs, and, from the leader, the progress of jobs. It also logs the limits that were
-// reached and the suppressed log lines.
+// states of jobs, and, from the leader, the progress of jobs. What doesn't fit into messagesPerRound
+// messages is left for the next round. It also logs the limits that were reached and the suppressed
+// log lines.
 func (c *Controller) broadcastStatus() {
 	c.limits.Log(c.log, c.now)
 	c.sampler.Flush(c.log, c.now)
@@ -53,6 +54,7 @@
 	return m
 }
 
+// broadcastMessage sends a message to all peers, unless it is too large for them to receive.
 func (c *Controller) broadcastMessage(m *peers.Message) {
 	body := m.Encode()
 	if len(body) > peers.MaxMessage {
@@ -63,7 +65,8 @@
 }
 
 // addOutcomes adds final states to a message until it is full, and returns the number of bytes that
-// are left in it. It appends the final states that must be broadcast once more to again.
+// are left in it. It appends the final states that have been sent less than broadcastsPerOutcome
+// times to again.
 func (c *Controller) addOutcomes(m *peers.Message, room int, again *[]outcomeAnnouncement) int {
 	a := &c.admission
 	m.Done, m.Cancelled = map[string]int{}, map[string]int{}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -10,7 +10,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// PeerMessage handles a message from another controller.
+// PeerMessage handles a message from another controller. A message that isn't about shards is ignored
+// if it can't be decoded or its sender isn't configured as a peer.
 func (c *Controller) PeerMessage(now time.Time, body []byte) Effects {
 	c.now = now
 	if shard.IsMessage(body) {
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -16,8 +16,9 @@
 const pendingLogAfter = 5 * time.Second
 
 // logAvailability logs when this controller can neither place tasks nor confirm anything to users,
-// with the reason: it knows no leader, is still loading records as the leader, may no longer hold
-// the leader lease, or can't reach the state service.
+// with the reason, and when it can again. The reasons are: it can't reach the state service; it knows
+// no leader; it leads, but has been loading records for longer than pendingLogAfter or may no longer
+// respond to workers (holdsLease). A reason is logged once it has lasted for two seconds.
 func (c *Controller) logAvailability() {
 	reason := ""
 	switch {
@@ -46,19 +47,19 @@
 	}
 }
 
-// pendingReason is the reason why tasks are pending.
+// pendingReason is the reason why tasks are pending. Its string is what operators see in the log.
 type pendingReason uint8
 
 const (
-	pendingRoomExpected  pendingReason = iota // machines that the job may use can be provisioned, or will have capacity soon
-	pendingTeamLimit                          // the team's limit is reached
+	pendingRoomExpected  pendingReason = iota // none of the other reasons applies: the cloud offers an instance that the job may use
+	pendingTeamLimit                          // one more task would exceed the team's limit
 	pendingQuarantine                         // the job is in quarantine: it seems to fail on every machine
 	pendingZoneRules                          // the job's zone rules allow no zone that has a suitable machine type
-	pendingRecordBacklog                      // the round ended early, e.g. because too many records wait to be written
+	pendingRecordBacklog                      // the last placement round ended early, e.g. because too many records wait to be written
 	pendingBoots                              // machines are booting
 	pendingCloudCapacity                      // the cloud offers no instance that the job may use
 	pendingPrice                              // the instances that the cloud offers are too expensive for the job
-	pendingHeartbeats                         // a new leader still waits for heartbeats
+	pendingHeartbeats                         // a new leader hasn't completed its recovery: it still waits for heartbeats
 	pendingSurgeCeiling                       // further tasks would put every machine with capacity above the surge ceiling of the team
 	pendingReasonCount
 )
@@ -106,7 +107,7 @@
 // pendingSummary counts the jobs and tasks that are pending, by reason.
 type pendingSummary struct {
 	jobs, tasks [pendingReasonCount]int
-	longest     *job // the oldest job without a live attempt or a completed task; nil: none
+	longest     *job // the job that has been pending for longest, of those without a live attempt or a completed task; nil: none
 }
 
 // summarizePending summarizes the jobs that have been pending for at least pendingLogAfter.
@@ -131,8 +132,8 @@
 	return sum
 }
 
-// describe returns the reasons that apply to any job, and the same with the counts of jobs and
-// tasks.
+// describe returns the reasons that apply to at least one job, and the same reasons with their counts
+// of jobs and tasks.
 func (sum *pendingSummary) describe() (reasons, counts []string) {
 	for r := range pendingReasonCount {
 		if sum.jobs[r] > 0 {
@@ -143,7 +144,8 @@
 	return reasons, counts
 }
 
-// logPendingReasons logs why tasks are pending, when the reasons have changed and at intervals.
+// logPendingReasons logs why tasks are pending, when the reasons have changed and at intervals. It
+// also logs that boots are overdue, and when no tasks are pending any longer.
 func (l *leader) logPendingReasons() {
 	c := l.controller
 	if !l.pendingLog.MayLog(c.now) {
--- a/internal/coordination/place_job.go
+++ b/internal/coordination/place_job.go
@@ -16,8 +16,9 @@
 	return len(j.retryQueue) + j.Tasks - j.firstUnstarted
 }
 
-// nextPendingTask returns the index of the next task to start, without removing it. Tasks to
-// retry come before those that were never started.
+// nextPendingTask returns the index of the next task to start, without removing it; j.Tasks if there
+// is none. Tasks to retry come before those that were never started. It drops from the retry queue
+// the tasks at its head that are done or live again.
 func (j *job) nextPendingTask() int {
 	for len(j.retryQueue) > 0 {
 		i := j.retryQueue[0]
@@ -48,8 +49,9 @@
 	return u.cpus+j.CPUs <= team.MaxCPUs+protocol.Epsilon && u.gpus+j.GPUs <= team.MaxGPUs+protocol.Epsilon
 }
 
-// zoneAllowed reports whether the job's OneZone and Spread rules allow another task in a zone.
-// Every attempt that may still exist counts in its zone.
+// zoneAllowed reports whether the job's OneZone and Spread rules allow another task in a zone: all
+// tasks in one zone, or at most half of them, rounded up, in any zone. Every attempt that isn't
+// proven terminated counts in its zone.
 func (j *job) zoneAllowed(zone string) bool {
 	if j.OneZone {
 		for z := range j.attemptsByZone {
@@ -64,16 +66,17 @@
 	return true
 }
 
-// anyZoneAllowed reports whether a job's zone rules allow any zone that has machines. Without
-// this check, every round would examine every machine for replicas that wait indefinitely for
-// another zone.
+// anyZoneAllowed reports whether the job may be placed in at least one zone that has machines
+// accepting tasks. Without this check, every round would examine every machine for replicas that wait
+// indefinitely for another zone.
 func (l *leader) anyZoneAllowed(j *job) bool {
 	return slices.ContainsFunc(l.round.zones, func(z string) bool { return (j.Zone == "" || j.Zone == z) && j.zoneAllowed(z) })
 }
 
-// provisionable reports whether one more task of the job could run on any machine that can be
-// provisioned. If machines are available in one zone only, a job that may have at most half of its
-// tasks there waits indefinitely. It must not count as unmet demand, which prevents consolidation.
+// provisionable reports whether one more task of the job could run on a machine of some type in some
+// zone of that type. If machines are available in one zone only, a job that may have at most half of
+// its tasks there (Spread) waits indefinitely. It must not count as unmet demand, which prevents
+// consolidation.
 func (l *leader) provisionable(j *job) bool {
 	for _, t := range l.controller.types {
 		if !j.AllowsType(t.Name) || !t.Fits(j.Job) {
@@ -88,8 +91,9 @@
 	return false
 }
 
-// placeJob places as many tasks of a job as possible and returns how many tasks are left that
-// more machines would help. tier is the tier in which the job is served in this round.
+// placeJob places as many tasks of a job as possible and returns how many of the remaining tasks more
+// machines would help to place; during the job's backoff all of them. tier is the tier in which the
+// job is served in this round.
 func (l *leader) placeJob(j *job, tier queue.Tier) int {
 	if l.controller.now.Before(j.backoffUntil) {
 		return j.pendingTasks()
@@ -104,8 +108,9 @@
 	candidates := l.findCandidates(j)
 	maxTasks := j.pendingTasks()
 	if tier < j.tier() {
-		// For a starving job a tenth of its tasks are placed in the higher tier; the others
-		// wait until its regular tier is served.
+		// Of a starving job only a tenth of the tasks are placed in the higher tier. Once one of
+		// them is live, the job isn't starving any longer, and the next round serves the others
+		// in its regular tier.
 		maxTasks = min(maxTasks, (j.Tasks+9)/10)
 	}
 	maxTasks = l.limitQuarantineTrials(j, maxTasks)
@@ -160,12 +165,12 @@
 }
 
 // placeGang places all tasks of a gang or none: the tasks of a partial gang would only occupy
-// resources until their workers time out waiting for the others. It returns how many tasks are left
-// that more machines would help.
+// resources until their workers time out waiting for the others. It returns how many of the remaining
+// tasks more machines would help to place.
 func (l *leader) placeGang(j *job) int {
 	need := j.pendingTasks()
 	if j.liveAttempts > 0 {
-		return 0 // attempts of the previous start have to terminate first
+		return 0 // the attempts of the gang's previous start have to terminate first
 	}
 	chosen := l.chooseForGang(j, need)
 	if len(chosen) < need {
@@ -177,7 +182,8 @@
 	return 0
 }
 
-// chooseForGang chooses a machine for each task of a gang, or for as many tasks as find one.
+// chooseForGang chooses a machine for each task of a gang, or for as many tasks as machines and the
+// team's limit allow.
 // Resources of the chosen machines are allocated while the next ones are chosen, and released
 // before it returns.
 func (l *leader) chooseForGang(j *job, need int) []*machine {
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -11,8 +11,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// baseExamineLimit is how many machines a round may examine, over all jobs. Between rounds the
-// leader renews its lease and answers workers and users.
+// baseExamineLimit is how many machines a round may examine, over all jobs. It keeps rounds short: the
+// leader renews its lease and answers workers and users only between rounds.
 const baseExamineLimit = 250_000
 
 // maxExamineLimitFactor bounds the examine limit, as a multiple of baseExamineLimit, when it
@@ -33,7 +33,7 @@
 	deadlines []time.Duration     // buffer for the job whose weight is computed
 
 	accepting []*machine // machines that accept tasks
-	withRoom  []*machine // those of them with room for the smallest pending task
+	withRoom  []*machine // those of them with room for the least CPUs and memory that any pending task needs
 	zones     []string   // zones of the machines in accepting
 
 	candidates    []placement.Candidate  // for the current job
@@ -43,7 +43,7 @@
 	victimSearches map[victimSearchKey]*victimSearch
 	victims        victimSelector
 
-	examined     int // machines examined so far, over all jobs
+	examined     int // machines examined so far, over all jobs; each job counts as one machine more
 	examineLimit int // bound of examined, after which the round ends
 }
 
@@ -51,8 +51,8 @@
 	return placementRound{victimSearches: map[victimSearchKey]*victimSearch{}, examineLimit: baseExamineLimit}
 }
 
-// begin starts a round for the given jobs: it collects the machines that accept tasks and those
-// with room for the smallest task.
+// begin starts a round for the given jobs: it collects the machines that accept tasks and those of
+// them with room, and clears the reservations of the previous round.
 func (r *placementRound) begin(l *leader, jobs []queue.Entry[*job]) {
 	r.unplaceable, r.examined = r.unplaceable[:0], len(l.fleetList)+len(jobs)
 	clear(r.victimSearches)
@@ -96,7 +96,7 @@
 func (l *leader) runPlacementRound() {
 	c := l.controller
 	if l.phase != phaseActive || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
-		return // new placements need the state service
+		return // placements need an active leader with a valid lease, and the state service to record them
 	}
 	l.checkQuotas()
 	l.rebalancer.beginRound()
@@ -126,8 +126,9 @@
 	interruptRound              // the remaining jobs are served in the next round
 )
 
-// serveJob serves a job in a round: it places tasks, preempts other work for the tasks that are
-// left, and adds the tasks for which that isn't possible to the unmet demand.
+// serveJob serves a job in a round: it places tasks and preempts other work for the tasks that are
+// left. The tasks for which that isn't possible are added to the unmet demand if machines for them
+// could be provisioned.
 func (l *leader) serveJob(j *job) roundOutcome {
 	now := l.controller.now
 	// The tier may differ from the one that the queue was sorted by: serving the jobs before
@@ -140,9 +141,9 @@
 	}
 	left := l.placeOrReserve(j, tier)
 	if left > 0 && (l.writer.saturated() || l.round.examineLimitReached()) {
-		// The remaining tasks wait for records or for the next round, not for capacity. Nothing
-		// is preempted for them, and they count as demand only if they lack nothing but
-		// capacity.
+		// The remaining tasks wait for records or for the next round. Whether they also lack
+		// capacity isn't known, so nothing is preempted for them and they aren't added to the
+		// unmet demand.
 		return interruptRound
 	}
 	if left > 0 && now.Before(j.backoffUntil) {
@@ -171,9 +172,9 @@
 	return left
 }
 
-// reserveMachine reserves the machine with the most free CPUs for one task of a starving job.
-// Otherwise small tasks use all capacity as soon as it becomes free, and a large task never finds
-// enough of it on one machine, although its job is served first.
+// reserveMachine reserves the machine with the most free CPUs for one task of a starving job. Without
+// a reservation, small tasks use all capacity as soon as it becomes free, and a large task never
+// finds enough of it on one machine, although its job is served first.
 func (l *leader) reserveMachine(j *job) {
 	var best *machine
 	for _, m := range l.round.accepting {
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -7,8 +7,9 @@
 	"brasskeel/internal/protocol"
 )
 
-// fetchMissesObjective reports whether fetching the image on a machine alone would take longer
-// than the start objective of a critical task's class.
+// fetchMissesObjective reports whether a task of a critical job would start too late on a machine:
+// fetching the part of its image that the machine lacks would alone take longer than an objective for
+// the start of its class.
 func (l *leader) fetchMissesObjective(j *job, m *machine) bool {
 	if j.Priority != protocol.Critical || m.Spec.FetchGBPerSecond <= 0 {
 		return false
@@ -23,7 +24,7 @@
 }
 
 // preemptionDelay is how long a job within its team's quota waits for capacity before it preempts
-// work of others: two fifths of the start objective. Tasks are short, so most of the capacity becomes
+// work of others: two fifths of quotaStartObjective. Tasks are short, so most of the capacity becomes
 // free without preemption, and preempted work has to run again.
 func (l *leader) preemptionDelay() time.Duration { return l.quotaStartObjective() * 2 / 5 }
 
@@ -33,9 +34,10 @@
 	return j.Priority == protocol.Critical || !j.submitted.Add(l.preemptionDelay()).After(l.controller.now.Round(0))
 }
 
-// mayPreempt reports whether a job may preempt other work now. Until the preemption delay of a
-// job within its team's quota is over, it may preempt only work that saves a checkpoint in time;
-// a timer requests a placement round at the end of the delay.
+// mayPreempt reports whether a job may preempt other work now. Only critical jobs and jobs within
+// their team's quota ever may. Until its preemption delay is over, a job within the quota may preempt
+// only work that saves a checkpoint in time (checkpointsInTime); a timer requests a placement round at
+// the end of the delay.
 func (l *leader) mayPreempt(j *job) bool {
 	if j.Priority == protocol.Critical {
 		return true
@@ -57,9 +59,9 @@
 // to start another one in its place.
 const checkpointMargin = time.Second
 
-// checkpointsInTime reports whether a job's tasks save checkpoints and end within the start
-// objective of a job within its team's quota if they are stopped at once, but not if they are
-// stopped only after that job's preemption delay. Little work is lost with such tasks.
+// checkpointsInTime reports whether a job's tasks save checkpoints and, as victims, end within
+// quotaStartObjective if they are stopped at once, but not if they are stopped only after
+// preemptionDelay. Little work is lost with such tasks, so there is no reason to wait.
 func (l *leader) checkpointsInTime(j *job) bool {
 	objective, duration := l.quotaStartObjective(), j.CheckpointDuration+checkpointMargin
 	return j.CheckpointInterval > 0 && duration <= objective && duration > objective-l.preemptionDelay()
@@ -83,9 +85,10 @@
 
 // preemptible reports whether an attempt may be preempted for a job. It may if its priority is
 // lower. A job within its team's quota may also preempt attempts of another team that uses more
-// than its quota, except those of services and of jobs within that quota.
+// than its own quota, except those of services and of jobs within that other quota. Attempts that are
+// already being stopped, and those of the job itself or of a higher tier, are never preempted.
 func (l *leader) preemptible(a *attempt, j *job) bool {
-	// The tasks of a job that is served before this one would only be placed there again.
+	// A job of a higher tier is served before this one, so its task would only be placed there again.
 	if a.stopRequested || a.job == j || a.job.tier() < j.tier() {
 		return false
 	}
@@ -122,8 +125,9 @@
 	return d.Seconds() * (a.job.CPUs + gpuCPUEquivalent*a.job.GPUs)
 }
 
-// preemptWithinTeamLimit preempts lower-priority work of the job's own team if the team's limit
-// keeps a critical job waiting.
+// preemptWithinTeamLimit preempts lower-priority work of the job's own team if the team's CPU limit
+// keeps a critical job waiting: attempts of the lowest priority first, and of the latest job among
+// equals.
 func (l *leader) preemptWithinTeamLimit(j *job) {
 	if j.Priority != protocol.Critical {
 		return
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -49,8 +49,8 @@
 	l.checkMachineFaulty(m, j)
 }
 
-// checkMachineFaulty quarantines and drains a machine that is the cause of its tasks' failures. j
-// is the job whose attempt just failed there.
+// checkMachineFaulty quarantines and drains a machine if its failures show that the machine is their
+// cause, not the jobs. j is the job whose attempt just failed there.
 func (l *leader) checkMachineFaulty(m *machine, j *job) {
 	if m.quarantined {
 		return
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -53,7 +53,9 @@
 }
 
 // remainingWork returns the work of a job that isn't done. Its Deadlines are valid until the next
-// call.
+// call: for a job with a deadline, the deadline and half as much time again, so that a job that will be
+// much too late weighs more than one that is a little late; for other jobs, the objectives for the
+// completion of their class.
 func (l *leader) remainingWork(j *job, wall time.Time) queue.RemainingWork {
 	l.round.deadlines = l.round.deadlines[:0]
 	if j.HasDeadline {
@@ -70,7 +72,8 @@
 }
 
 // observeRunTime updates the estimate correction of a completed task's class and the speed of its
-// machine with the task's run time.
+// machine with the task's run time. It skips attempts that were placed under an earlier leader: when
+// they started to run isn't known.
 func (l *leader) observeRunTime(a *attempt) {
 	if a.state != protocol.Running || a.delivery.Inherited || a.job.EstimatedRuntime <= 0 {
 		return
--- a/internal/coordination/rebalance_ceiling.go
+++ b/internal/coordination/rebalance_ceiling.go
@@ -10,13 +10,16 @@
 	"brasskeel/internal/protocol"
 )
 
+// While a team surges, its tasks are placed so that they use no more of a machine than a share, the
+// ceiling (balance.Settings.CeilingShare). If no machine below the ceiling has capacity, a job waits
+// for one that is booting, but only for a limited time.
 const (
-	// maxCeilingWait is the longest time that a job waits for a machine that stays below its
-	// team's ceiling. It is much shorter than the time that a job may wait although there is
-	// free capacity.
+	// maxCeilingWait is the longest time that a job waits for a machine below its team's
+	// ceiling. It is much shorter than the time for which the simulator lets a job wait
+	// although there is free capacity (maxWaitDespiteCapacity).
 	maxCeilingWait = 15 * time.Second
-	// ceilingWaitDivisor bounds the wait to a fraction of the time in which users want a job
-	// of the class started or finished: a quarter of it.
+	// ceilingWaitDivisor bounds the wait to a quarter of the time that the job's deadline or an
+	// objective of its class leaves (ceilingWaitLimit).
 	ceilingWaitDivisor = 4
 )
 
@@ -40,8 +43,8 @@
 type ceilingState uint8
 
 // A job changes from ceilingNotReached to ceilingWaiting when a task would put every machine with
-// capacity above the ceiling, and to ceilingExceeded when no other machine will be available in
-// time. In another surge it starts again.
+// capacity above the ceiling, and to ceilingExceeded when its wait is over or no other machine is
+// expected to boot in time. In another surge the job waits again.
 const (
 	ceilingNotReached ceilingState = iota
 	ceilingWaiting
@@ -56,8 +59,9 @@
 	timerSet bool      // a timer is set for the end of the wait
 }
 
-// mayExceedCeiling reports whether a job's tasks may be placed above the ceiling: its wait is
-// over, or no machine below the ceiling will boot before that. The job's team must be in a surge.
+// mayExceedCeiling reports whether a job's tasks may be placed above the ceiling: its wait is over, or
+// no machine that it may use is expected to boot before the wait ends. The first call in a surge
+// begins the wait. The job's team must be in a surge.
 func (b *rebalancer) mayExceedCeiling(j *job) bool {
 	c, wait, surge := b.leader.controller, &j.ceiling, b.surgeOf(j)
 	if wait.surge != surge {
@@ -80,8 +84,8 @@
 	return true
 }
 
-// taskCapacityAboveCeiling returns how many more tasks of a job fit on the remaining candidates, all
-// of which are above the ceiling.
+// taskCapacityAboveCeiling returns how many more tasks of a job fit on the remaining candidates, on
+// all of which one more task would exceed the ceiling.
 func (l *leader) taskCapacityAboveCeiling(c *placement.Candidates, j *job) int {
 	count := 0
 	for k := range c.All {
