--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -11,8 +11,8 @@
 	"brasskeel/internal/records"
 )
 
-// Running tasks of surging teams are migrated off overloaded machines. A migration has the steps
-// of a preemption, preceded by a record:
+// Tasks of surging teams that run, or fetch their image, are migrated off overloaded machines. A
+// migration has the steps of a preemption, preceded by a record:
 //
 //  1. a mark that the task was migrated in this surge is recorded, and capacity is reserved on the
 //     target machine;
@@ -20,8 +20,8 @@
 //  3. its termination is proven, as for any other attempt;
 //  4. the next placement round starts the task on the target before it places anything else.
 //
-// If the leader changes between these steps, the task still counts as migrated and waits to be placed
-// like any other.
+// If the leader changes after the first step, the task still counts as migrated. Once its attempt is
+// terminated, it waits to be placed like any other.
 
 const (
 	// stopDuration is the time for a stop and the proof of termination in addition to saving a
@@ -33,21 +33,21 @@
 	minActiveMigrations  = 2
 )
 
-// migrations are the migrations of one leader's term.
+// migrations are the migrations of one leader's term, with counts for the log.
 type migrations struct {
-	active    map[*attempt]*migration // the old attempt isn't proven terminated yet
+	active    map[*attempt]*migration // by old attempt, which isn't proven terminated yet
 	stopped   []*migration            // the old attempt is terminated; to be started on the target
 	started   int
 	completed int
 	abandoned int // not completed; the task is placed like any other
 }
 
-// migration moves a task from one machine to another.
+// migration is the migration of a task from the machine of its old attempt to another one.
 type migration struct {
-	attempt  *attempt
+	attempt  *attempt // the old attempt
 	target   *machine
 	needs    placement.Resources // reserved on the target
-	deadline time.Time           // when the reservation is released
+	deadline time.Time           // when the reservation is released if the old attempt isn't terminated before
 }
 
 // reconcileMigrations abandons migrations whose target is lost or whose deadline has passed, and
@@ -76,9 +76,10 @@
 	return list
 }
 
-// mayMigrate reports whether migrations may begin: the operator allows them, workers have had time
-// to reconnect to this leader, its lease is valid for at least half its TTL, the last placement
-// round served all jobs, and neither the leader nor the state service is overloaded.
+// mayMigrate reports whether migrations may begin: the operator allows them, the leader is active and
+// workers have had time to reconnect to it, its lease is valid for at least half its TTL, the last
+// placement round served all jobs, the leader isn't overloaded, the state service is available, and
+// the urgent record writes fit into one transaction.
 func (b *rebalancer) mayMigrate() bool {
 	l, c := b.leader, b.leader.controller
 	if l.controller.operator.Balance == nil || !l.controller.operator.Balance.AllowMigrations || l.phase != phaseActive || c.store.Unavailable() || l.autoscaler.demandIncomplete {
@@ -103,16 +104,16 @@
 	}
 	params := balance.MigrationParams{Settings: b.settings, Now: c.now, StopDuration: stopDuration, Margin: c.operator.Balance.MigrationMargin, MaxMigrations: slots,
 		WriteDuration: time.Duration(float64(time.Second) / c.cfg.StateWriteRPS)}
-	moves := l.newPlanner().Rebalance(params, sources)
-	if len(moves) == 0 {
+	planned := l.newPlanner().Rebalance(params, sources)
+	if len(planned) == 0 {
 		return
 	}
 	saving, cost := time.Duration(0), time.Duration(0)
-	for i := range moves {
-		saving, cost = saving+moves[i].Saving, cost+moves[i].Cost
-		b.startMigration(moves[i].Task.Owner.(*attempt), l.machines[moves[i].To.Name])
+	for i := range planned {
+		saving, cost = saving+planned[i].Saving, cost+planned[i].Cost
+		b.startMigration(planned[i].Task.Owner.(*attempt), l.machines[planned[i].To.Name])
 	}
-	c.log.Info("migrations started", "count", len(moves), "saving", saving.Round(time.Millisecond), "cost", cost.Round(time.Millisecond),
+	c.log.Info("migrations started", "count", len(planned), "saving", saving.Round(time.Millisecond), "cost", cost.Round(time.Millisecond),
 		"total", b.migrations.started, "completed", b.migrations.completed, "abandoned", b.migrations.abandoned)
 }
 
@@ -169,8 +170,8 @@
 	return w
 }
 
-// startMigration reserves capacity for a task on its target and queues the record of its migration
-// mark.
+// startMigration reserves capacity for an attempt's task on its target and queues the record of the
+// task's migration mark. migrationRecorded then stops the attempt.
 func (b *rebalancer) startMigration(a *attempt, to *machine) {
 	l := b.leader
 	t := a.job.task(a.taskIndex)
@@ -221,7 +222,8 @@
 }
 
 // abandonMigration releases the reservation on the target. If the stop of the attempt was already
-// requested, its task is placed like any other.
+// requested, its task is placed like any other once the attempt is terminated; if not, the attempt
+// continues to run.
 func (b *rebalancer) abandonMigration(mg *migration, reason string) {
 	delete(b.migrations.active, mg.attempt)
 	mg.target.releaseIncoming(mg.needs)
@@ -267,7 +269,8 @@
 	return true
 }
 
-// encodeMigrationMarks stores in a block's record which tasks were migrated in the latest surge.
+// encodeMigrationMarks stores in a block's record which tasks were migrated in the latest surge that
+// any task of the block was migrated in.
 func (b *taskBlock) encodeMigrationMarks(r *records.TaskBlock) {
 	surge := uint64(0)
 	for i := range b.tasks {
@@ -276,25 +279,25 @@
 	if surge == 0 {
 		return
 	}
-	moved := make([]bool, len(b.tasks))
+	migrated := make([]bool, len(b.tasks))
 	for i := range b.tasks {
-		moved[i] = b.tasks[i].migratedInSurge == surge
+		migrated[i] = b.tasks[i].migratedInSurge == surge
 	}
-	r.SetMigrated(surge, moved)
+	r.SetMigrated(surge, migrated)
 }
 
-// loadMigrationMarks restores the migration marks from a record. If they can't be decoded, all
-// tasks count as migrated.
+// loadMigrationMarks restores the migration marks from a record. If they can't be decoded, all tasks
+// count as migrated, so that none is migrated twice in the same surge.
 func (b *taskBlock) loadMigrationMarks(r *records.TaskBlock, log *slog.Logger) {
 	if r.Surge == 0 && r.Migrated == "" {
 		return
 	}
-	moved, err := r.MigratedTasks(len(b.tasks))
+	migrated, err := r.MigratedTasks(len(b.tasks))
 	if err != nil {
 		log.Error("migration marks unreadable", "job", b.job.ID, "block", b.index, "error", err)
 	}
 	for i := range b.tasks {
-		if err != nil || moved[i] {
+		if err != nil || migrated[i] {
 			b.tasks[i].migratedInSurge = r.Surge
 		}
 	}
--- a/internal/coordination/rebalance_migrations_test.go
+++ b/internal/coordination/rebalance_migrations_test.go
@@ -59,8 +59,9 @@
 	}
 }
 
-// A task whose old attempt is terminated starts on its target if it still may run there, and is
-// pending like any other task otherwise. In both cases the reservation is released.
+// A task whose old attempt is terminated starts on its target if it still may run there. If it may
+// not, but still has to run, it is pending like any other task. In every case the reservation is
+// released.
 func TestMigrationStartsOnTarget(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -92,10 +93,10 @@
 		l.rebalancer.completeMigrations()
 		live := a.job.task(a.taskIndex).live
 		if starts := live != nil && live.machine == to; starts != test.starts {
-			t.Errorf("%s: started on the target: %t", test.name, starts)
+			t.Errorf("%s: started on the target: %t, want %t", test.name, starts, test.starts)
 		}
 		if waits := len(a.job.retryQueue) == 1; waits != test.waits {
-			t.Errorf("%s: pending: %t", test.name, waits)
+			t.Errorf("%s: pending: %t, want %t", test.name, waits, test.waits)
 		}
 		if to.Incoming != (placement.Resources{}) {
 			t.Errorf("%s: %+v still reserved", test.name, to.Incoming)
@@ -132,7 +133,7 @@
 			test.change(l.controller, l)
 		}
 		if got := l.rebalancer.mayMigrate(); got != test.may {
-			t.Errorf("%s: may migrate: %t", test.name, got)
+			t.Errorf("%s: may migrate: %t, want %t", test.name, got, test.may)
 		}
 	}
 }
--- a/internal/coordination/rebalance_surges.go
+++ b/internal/coordination/rebalance_surges.go
@@ -11,20 +11,21 @@
 )
 
 // rebalancer connects the leader to the balance package: it keeps the loads of machines and the
-// surges of teams up to date, and enforces the ceiling for surging teams. It is nil if the
-// operator hasn't turned load balancing on; its methods then do nothing.
+// surges of teams up to date, enforces the ceiling for surging teams, and migrates their tasks off
+// overloaded machines. It is nil if the operator hasn't turned load balancing on: the methods that are
+// called on a nil rebalancer then do nothing.
 type rebalancer struct {
 	leader        *leader
 	settings      balance.Settings
 	teams         map[string]*teamSurge
 	classRunTimes map[classAndType]*balance.RunTimes
 	migrations    migrations
-	expectedBoots map[autoscaler.OfferKey]time.Time // expectedBootTimes of this round; nil: not computed yet
+	expectedBoots map[autoscaler.OfferKey]time.Time // result of expectedBootTimes in this round; nil: not computed yet
 }
 
 // teamSurge is the surge detection of a team.
 type teamSurge struct {
-	id    balance.Team
+	id    balance.Team // index of the team in the settings
 	surge balance.Surge
 }
 
@@ -63,13 +64,15 @@
 	if t := b.teams[a.job.Team]; t != nil {
 		m.load.AddAttempt(t.id, placement.Needs(a.job.Job))
 	}
-	// It isn't known whether attempts of an earlier leader still wait for their image.
+	// Whether an attempt of an earlier leader still waits for its image isn't known, so it adds
+	// nothing to the backlog of fetches.
 	if !a.delivery.Inherited && m.Spec != nil && a.job.ImageGB > 0 && m.Images.CachedGB(a.job.imageID) == 0 {
 		m.load.Fetches.Add(b.leader.controller.now, a.job.imageID, a.job.ImageGB, m.Spec.FetchGBPerSecond)
 	}
 }
 
-// attemptDetached removes an attempt that is proven terminated from its machine's load.
+// attemptDetached removes an attempt that is proven terminated from its machine's load. If the attempt
+// didn't get to run, it removes its image fetch too.
 func (b *rebalancer) attemptDetached(a *attempt) {
 	if b == nil {
 		return
@@ -144,7 +147,7 @@
 	}
 }
 
-// smallestMachineCPUs returns the number of CPUs of the smallest machine type.
+// smallestMachineCPUs returns the number of CPUs of the smallest machine type; 0 if no type is known.
 func (b *rebalancer) smallestMachineCPUs() float64 {
 	smallest := 0.0
 	for _, t := range b.leader.controller.types {
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/record_batch.go
@@ -44,7 +44,9 @@
 	}
 }
 
-// Conflict implements statestore.Batch.
+// Conflict implements statestore.Batch. If the leader key has changed, the controller steps down.
+// Otherwise everything in the batch is queued again, the blocks whose conditions failed only once their
+// versions have been read. The outcomes that exist are read, since their jobs have ended.
 func (b *recordBatch) Conflict(failed []string) {
 	w := b.writer
 	if slices.Contains(failed, records.KeyLeader) {
@@ -61,7 +63,7 @@
 	}
 }
 
-// Refused implements statestore.Batch.
+// Refused implements statestore.Batch. Nothing was written, so all versions are still known.
 func (b *recordBatch) Refused() { b.requeue(func(*taskBlock) bool { return false }) }
 
 // Unknown implements statestore.Batch. The versions of all blocks are read before the batch is
@@ -121,8 +123,8 @@
 	}
 }
 
-// completionRecorded marks a task's completion as recorded, and acknowledges its exit to the shard
-// owner that reported it.
+// completionRecorded marks a task's completion as recorded, and acknowledges the task's exit to the
+// shard owner if one reported it.
 func (l *leader) completionRecorded(t *task) {
 	t.doneRecorded = true
 	if t.unacknowledgedExit != nil && l.shards != nil {
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -19,12 +19,12 @@
 // sends one transaction at a time. Each is conditional on the leader key's version, so that it fails
 // if it is applied only after another leader was elected. A transaction is filled with outcomes
 // of jobs first, then with machine groups, because no task starts on a machine before the machine
-// is recorded, and then with blocks of tasks.
+// is recorded, then with blocks of tasks, and last with other writes and deletions.
 type recordWriter struct {
 	leader               *leader
 	committer            *statestore.Committer
-	urgentBlocks         []*taskBlock
-	lazyBlocks           []*taskBlock
+	urgentBlocks         []*taskBlock    // to be written as soon as possible
+	lazyBlocks           []*taskBlock    // whose write may be delayed by lazyWriteDelay, oldest first; some may have become urgent since
 	doneJobs             []*job          // whose outcome "done" is to be recorded
 	newGroups            []*machineGroup // not yet written
 	changedGroups        []*machineGroup // to be rewritten once due
@@ -32,7 +32,7 @@
 	otherPuts            []protocol.Op
 	keysToDelete         []string
 	jobDeletions         []jobDeletion
-	unrecordedPlacements int
+	unrecordedPlacements int // in the queued blocks
 	tasksPerBlock        int // for new jobs
 }
 
@@ -58,10 +58,10 @@
 }
 
 // saturated reports whether so many records are queued that no more tasks should be placed. A task
-// that is placed now would have to wait until its record is written. It is better to choose then
-// among the tasks that are pending. Each record holds the placements of one block of a job's tasks.
-// The bound is the number of records written in about half a second, and at least a few
-// transactions.
+// that is placed now would have to wait until its record is written. It is better to choose at that
+// later time, among the tasks that are pending by then. Each record holds the placements of one block
+// of a job's tasks. The bound of queued blocks is the number of records written in about half a
+// second, and at least four transactions. maxUnrecordedPlacements bounds the placements in them.
 func (w *recordWriter) saturated() bool {
 	settings := w.leader.controller.cfg
 	if w.unrecordedPlacements >= w.maxUnrecordedPlacements() {
@@ -272,8 +272,9 @@
 	block.migrating = append(block.migrating, write.migrating...)
 }
 
-// readOutcome reads the outcome of a job that another controller ended. Until the outcome is known,
-// every write of the job's blocks fails, because it is conditional on the absence of an outcome.
+// readOutcome reads the outcome of a job that another controller ended, and reads it again until it
+// is known. Until then every transaction with a block of the job fails, because it is conditional on
+// the absence of an outcome. So the committer pauses to give the read time.
 func (w *recordWriter) readOutcome(id string) {
 	l, c := w.leader, w.leader.controller
 	c.store.Get(records.KeyOutcome(id), func(r statestore.ReadResult) {
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -48,11 +48,11 @@
 	// heartbeats are still answered by an earlier leader without access to the state service
 	// contact the new one only after the earlier leader's grace period.
 	probeDelay = 50 * time.Millisecond
-	// maxProbeFailures is the number of failed probes after which a new leader no longer
-	// waits for a machine.
+	// maxProbeFailures is the number of consecutive failed probes after which a new leader no
+	// longer waits for a machine.
 	maxProbeFailures = 2
 	// maxMissingDivisor sets the fraction of machines that a new leader does not wait for:
-	// one in maxMissingDivisor.
+	// one in maxMissingDivisor (see enoughMachinesReconciled for the reason).
 	maxMissingDivisor = 5
 	// reconcileCheckDelay is the delay of a check, so that one check covers heartbeats that
 	// arrive together.
@@ -112,16 +112,16 @@
 	l.requestPlacement()
 }
 
-// enoughMachinesReconciled reports whether at most one in maxMissingDivisor of the machines that
-// should report their tasks and images is still awaited. A machine is not awaited if its worker
-// has reported, if it did not answer its probes, or if it cannot be probed because the cloud's
-// inventory does not contain it.
+// enoughMachinesReconciled reports whether the leader still awaits (awaitsTaskReport) at most one in
+// maxMissingDivisor of the machines whose workers should report their tasks and images
+// (expectsTaskReport). Without any machine it returns false.
 //
 // Among hundreds of machines some are always down, and part of a large fleet may be lost at
-// once. Placement doesn't depend on the missing machines: it skips them, and the tasks that they
-// ran still count. It also skips machines that no message of this leader has reached yet, but
-// those are not awaited: one heartbeat reports their tasks and images, and waiting for a second
-// one with this leader's fencing token took half a second longer on a small CPU share.
+// once. Placement doesn't depend on the missing machines: it skips them, and their recorded attempts
+// still count towards the limits of their teams and the zone rules of their jobs. Placement also
+// skips machines that no message of this leader has reached yet, but those are not awaited: one
+// heartbeat reports their tasks and images, and waiting for a second one with this leader's fencing
+// token took half a second longer on a small CPU share.
 func (l *leader) enoughMachinesReconciled() bool {
 	if len(l.fleetList) == 0 {
 		return false
@@ -139,14 +139,18 @@
 	return missing*maxMissingDivisor <= expected
 }
 
-// expectsTaskReport reports whether a machine's worker should be running. A machine that is known
-// only from the cloud's inventory, which may be out of date, may already be terminated.
+// expectsTaskReport reports whether a machine's worker should be running: attempts are recorded on the
+// machine, or an earlier leader recorded it and it has had time to boot. A machine that is known only
+// from the cloud's inventory, which may be out of date, may already be terminated.
 func (l *leader) expectsTaskReport(m *machine) bool {
 	booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.BootTime)
 	return len(m.attempts) > 0 || booted
 }
 
-// awaitsTaskReport reports whether a machine's worker may still report its tasks.
+// awaitsTaskReport reports whether the leader still waits for a machine's worker to report its tasks.
+// It doesn't if the worker has reported them, if maxProbeFailures consecutive probes failed, if the
+// owner of the machine's shard has timed out, or if the machine can't be probed because its address
+// isn't known although the cloud's inventory has been read in full.
 func (l *leader) awaitsTaskReport(m *machine) bool {
 	if m.session.Reconciled || m.session.FailedProbes >= maxProbeFailures || l.ownerTimedOut(m) {
 		return false
--- a/internal/coordination/release_deferral.go
+++ b/internal/coordination/release_deferral.go
@@ -14,9 +14,9 @@
 // until new machines have booted. New machines are provisioned while the releases are deferred.
 type releaseDeferral struct {
 	leader   *leader
-	claimed  map[*machine]usage          // capacity claimed by replicas of machines that are released
+	claimed  map[*machine]usage          // CPUs claimed for the replicas of machines that are released, by target
 	unplaced map[*job]int                // replicas without capacity elsewhere, by job
-	noRoom   map[victimSearchKey]float64 // least CPUs for which no machine was found, by kind of job
+	noRoom   map[victimSearchKey]float64 // least CPUs of a replica for which no machine was found, by kind of job
 }
 
 func (l *leader) newReleaseDeferral() *releaseDeferral {
@@ -24,8 +24,10 @@
 }
 
 // defers reports whether the release of an unresponsive machine is deferred, because fewer than half
-// of its replicas would find capacity elsewhere. If it isn't, capacity for the machine's replicas is
-// claimed. outOfContact is how long there has been no contact with the machine.
+// of its replicas would find capacity elsewhere. If it isn't, capacity for those that would is
+// claimed. The release of a machine without replicas, or one that has been out of contact for longer
+// than a worker lease, is never deferred. outOfContact is how long there has been no contact with the
+// machine.
 func (d *releaseDeferral) defers(m *machine, outOfContact time.Duration) bool {
 	if m.replicaCount == 0 || outOfContact > d.leader.controller.cfg.WorkerLease {
 		return false
@@ -64,8 +66,9 @@
 	return false
 }
 
-// machineWithRoom returns a machine with capacity for a replica, or nil. Capacity used by
-// lower-priority work counts as free, since that work can be preempted.
+// machineWithRoom returns a machine with enough CPUs for a replica, or nil. CPUs used by lower-priority
+// work count as free, since that work can be preempted. plan holds the CPUs planned for other replicas
+// of the same machine.
 func (d *releaseDeferral) machineWithRoom(j *job, plan map[*machine]usage) *machine {
 	k := victimSearchKeyOf(j)
 	if least, ok := d.noRoom[k]; ok && j.CPUs >= least {
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -9,10 +9,10 @@
 	"brasskeel/internal/protocol"
 )
 
-// scaleIn releases machines that aren't needed: empty ones beyond the headroom, and ones that
-// never booted. Tasks spread over all machines, so if it only waited until one became empty by
-// chance, it would keep all of them. Hence it marks machines for consolidation. These get new tasks
-// only when no other machine has capacity.
+// scaleIn releases machines that aren't needed: empty ones beyond the headroom, and ones that never
+// booted. Tasks are spread over all machines, so hardly any machine becomes empty by chance. So
+// scaleIn marks machines for consolidation; these get new tasks only when no other machine has
+// capacity, and are released once they are empty.
 func (l *leader) scaleIn() {
 	l.releaseOverdueBoots()
 	spare := l.spareCapacity()
@@ -28,8 +28,8 @@
 	}
 	sortByPriceDescending(candidates)
 	for _, m := range candidates {
-		// Replicas would keep the machine in use for a long time, unless they can move to other
-		// machines.
+		// Replicas would keep the machine in use for a long time, unless they use at most half of
+		// it and can move to other machines.
 		if !spare.canSpare(l, m) || m.ReplicaCPUs > 0 && (m.ReplicaCPUs > m.Spec.CPUs/2+protocol.Epsilon || !m.replicasFitElsewhere(planner.get(), false)) {
 			continue
 		}
@@ -39,9 +39,9 @@
 	}
 }
 
-// evaluateForScaleIn releases a machine that is empty and not needed, ends the consolidation of
-// one whose replicas can't move elsewhere, and reports whether the machine is a candidate for
-// consolidation.
+// evaluateForScaleIn releases a machine that is empty and not needed, evicts opportunistic tasks from
+// one that is being consolidated, ends the consolidation of one whose replicas can't move elsewhere,
+// and reports whether the machine is a candidate for consolidation.
 func (l *leader) evaluateForScaleIn(m *machine, planner *lazyPlanner) (candidate bool) {
 	if reason := l.releaseReason(m); reason != "" {
 		l.release(m, reason)
@@ -71,7 +71,7 @@
 		return "drained"
 	case m.Spec == nil && m.session.Registered:
 		return "unknown type"
-	case m.lifecycle.preemptionNoticed() && now.After(m.lifecycle.preemptionAt.Add(2*time.Second)):
+	case m.lifecycle.preemptionNoticed() && now.After(m.lifecycle.preemptionAt.Add(2*time.Second)): // the cloud should have preempted it
 		return "preempted"
 	case m.Consolidating && m.incomingMigrations == 0 && now.Sub(m.provisionedAt) > minimumBilledTime && now.Sub(m.emptySince) > l.controller.operator.IdleTimeout():
 		return "not needed"
@@ -106,8 +106,8 @@
 	return spare
 }
 
-// canSpare reports whether a machine can be consolidated: the remaining capacity must hold its
-// tasks and the headroom.
+// canSpare reports whether a machine can be consolidated: the remaining capacity must hold its tasks
+// and the headroom, and enough on-demand capacity must remain.
 func (r *spareCapacity) canSpare(l *leader, m *machine) bool {
 	onDemand := l.onDemandCapacity(m)
 	return r.free-(m.Spec.CPUs-m.Allocated.CPUs) >= r.headroom+m.Allocated.CPUs && (onDemand <= 0 || r.onDemand-onDemand >= r.onDemandReserve)
@@ -119,14 +119,14 @@
 	r.onDemand -= l.onDemandCapacity(m)
 }
 
-// minOpportunisticRuntime is how long an opportunistic task may run on an expensive machine
-// before it can be evicted.
+// minOpportunisticRuntime is how long an opportunistic task, that is, one of a team without a
+// guarantee, may run on an expensive machine before it can be evicted.
 const minOpportunisticRuntime = 40 * time.Second
 
-// evictOpportunistic stops the tasks on an expensive machine if all of them can save a
-// checkpoint and belong to teams without a guarantee, and reports whether it did. Without it,
-// tasks of several minutes that had started on idle capacity kept a fleet's on-demand machines
-// in use long after all other work was done.
+// evictOpportunistic stops the tasks on a machine if all of them are opportunistic, save checkpoints,
+// have run for minOpportunisticRuntime and find the machine too expensive (overpriced). It reports
+// whether it did. Without these evictions, tasks of several minutes that had started on idle capacity
+// kept a fleet's on-demand machines in use long after all other work was done.
 func (l *leader) evictOpportunistic(m *machine) bool {
 	if len(m.attemptList) == 0 {
 		return false
@@ -151,8 +151,9 @@
 	return 0
 }
 
-// onDemandCapacity is the CPUs of an on-demand machine that are available to jobs which may
-// not use spot machines. Other work on it can be preempted and doesn't count.
+// onDemandCapacity is the number of CPUs of a machine that are available to jobs which may not use
+// spot machines; 0 for a spot machine. Work of other jobs on the machine can be preempted and doesn't
+// count.
 func (l *leader) onDemandCapacity(m *machine) float64 {
 	if m.Spot {
 		return 0
@@ -191,8 +192,8 @@
 	}
 }
 
-// release returns a machine to the cloud. The cloud's response proves that the machine and all
-// of its tasks have ended.
+// release requests that the cloud terminate a machine, unless a release was requested before. A
+// successful response proves that the machine and all of its tasks have ended.
 func (l *leader) release(m *machine, reason string) {
 	if m.removed || !m.lifecycle.beginRelease(reason == reasonUnresponsive) {
 		return
@@ -227,7 +228,8 @@
 	})
 }
 
-// pendingReleases returns machines whose release must be sent or retried.
+// pendingReleases returns machines whose release must be sent or, after releaseRetryInterval, retried,
+// as many as fit into one call.
 func (l *leader) pendingReleases() (list []*machine) {
 	for _, m := range l.fleetList {
 		if m.lifecycle.releasing() && l.controller.now.Sub(m.lifecycle.releaseSentAt) > releaseRetryInterval && len(list) < protocol.MaxMachinesPerTermination {
@@ -237,7 +239,7 @@
 	return list
 }
 
-// releasesAnswered handles the outcome of a release call.
+// releasesAnswered handles the outcome of a release call. Machines whose release failed stay pending.
 func (l *leader) releasesAnswered(list []*machine, out Outcome) {
 	refused := out.Answered && (out.Status == 503 || out.Status == 429)
 	for _, m := range list {
