--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -9,7 +9,11 @@
 	"brasskeel/internal/protocol"
 )
 
-// mayScaleOut reports whether machines may be provisioned now.
+// mayScaleOut reports whether machines may be provisioned now: the leader is active with a valid lease,
+// the state service is available, the machine types and the whole unmet demand are known, and no
+// request for machines is in flight. A persistently overloaded controller provisions none. Beyond
+// forecastCapacity, none are provisioned if this controller or the owner of a shard was overloaded
+// recently.
 func (l *leader) mayScaleOut() bool {
 	c, scaler := l.controller, &l.autoscaler
 	if l.phase != phaseActive || c.store.Unavailable() || len(c.types) == 0 || !c.now.Before(l.lease.ValidUntil) || scaler.demandIncomplete {
@@ -21,7 +25,7 @@
 	}
 	for _, k := range scaler.requested {
 		if k > 0 {
-			return false // what else is needed depends on the response
+			return false // what else is needed depends on the responses to the requests in flight
 		}
 	}
 	return true
@@ -36,8 +40,8 @@
 	// heartbeatCost is the approximate CPU time that a controller needs for a heartbeat and all
 	// work it causes, on an ordinary core: 86 microseconds were measured (docs/MEASUREMENTS.md).
 	heartbeatCost        = 100 * time.Microsecond
-	scaleOutStepDivisor  = 8 // fraction of the fleet that may boot at once, as a divisor
-	recentOverloadWindow = 4 * time.Second
+	scaleOutStepDivisor  = 8               // beyond forecastCapacity, one in scaleOutStepDivisor of the machines may boot at once
+	recentOverloadWindow = 4 * time.Second // beyond forecastCapacity, the fleet doesn't grow within this time of an overload
 )
 
 // forecastCapacity is an estimate of how many machines this controller can serve with its CPU share.
@@ -58,7 +62,8 @@
 	return l.shards != nil && l.shards.ownerOverloaded()
 }
 
-// scaleOutLimit is how many machines one scale-out may provision while others boot.
+// scaleOutLimit is how many machines one scale-out may provision while the given number of machines
+// boots.
 func (l *leader) scaleOutLimit(booting int) int {
 	fleet := len(l.fleetList)
 	step := max(protocol.MaxMachinesPerProvision, fleet/scaleOutStepDivisor) - booting
@@ -110,7 +115,8 @@
 		Starving:     func() bool { return j.queueInfo(l.controller.now.Round(0)).Starving() }}
 }
 
-// planHeadroom adds machines to the plan until it provides the headroom for future jobs.
+// planHeadroom adds machines to the plan until it provides the headroom for future jobs, no offer is
+// left, or the plan and the booting machines reach a bound.
 func (l *leader) planHeadroom(plan *autoscaler.Plan) {
 	used, free := 0.0, 0.0
 	for _, m := range l.fleetList {
@@ -136,8 +142,8 @@
 }
 
 // requestPlannedMachines requests the planned machines from the cloud, in as many calls as the
-// budget allows. Some calls are left for releases, which are the fastest proof that tasks on
-// unresponsive machines have ended.
+// budget allows. It leaves reservedReleaseCalls for releases, which are the fastest proof that tasks
+// on unresponsive machines have ended.
 func (l *leader) requestPlannedMachines(plan *autoscaler.Plan) {
 	budget := l.autoscaler.callBudget
 	for _, request := range plan.Requests() {
@@ -150,7 +156,7 @@
 	}
 }
 
-// headroomFor is the free capacity to keep when used CPUs are allocated.
+// headroomFor is the free capacity to keep, in CPUs, while the given number of CPUs is allocated.
 func (l *leader) headroomFor(used float64) float64 {
 	if l.needsHeadroom() {
 		return l.controller.operator.HeadroomShare * used
@@ -188,8 +194,8 @@
 	})
 }
 
-// overpriced reports whether an offer is too expensive for a job. Teams without a guarantee get
-// only idle and cheap capacity, except for critical jobs.
+// overpriced reports whether an offer is too expensive for a job. Opportunistic work, the jobs of
+// teams without a guarantee, gets only idle and cheap capacity, unless it is critical.
 func (l *leader) overpriced(j *job, o autoscaler.Offer) bool {
 	t := l.controller.teams[j.Team]
 	if t == nil || t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0 || j.Priority == protocol.Critical {
@@ -203,7 +209,8 @@
 	return autoscaler.Offer{Spec: m.Spec, Zone: m.Zone, Spot: m.Spot}
 }
 
-// requestMachines requests machines from the cloud.
+// requestMachines requests a number of machines of one offer from the cloud. After a response that
+// shows a lack of capacity, or without a clear response, the offer isn't requested again for a while.
 func (l *leader) requestMachines(o autoscaler.Offer, count int) {
 	c, scaler := l.controller, &l.autoscaler
 	scaler.requestCount++
@@ -239,7 +246,7 @@
 			}
 			scaler.unavailableUntil[key] = c.now.Add(noCapacityBackoff)
 			l.scheduleScaleOut()
-		case out.Answered && out.Status == 429:
+		case out.Answered && out.Status == 429: // the cloud's rate limit: the offer stays available
 		default:
 			// The request may have been carried out. Then the machines will be in the cloud's
 			// inventory.
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -66,7 +66,8 @@
 	l.controller.election.StepDown("a worker has seen a later term")
 }
 
-// taskExitReported implements sessionListener.
+// taskExitReported implements sessionListener. An exit with the reason ExitDone completes the task, even
+// if the attempt isn't known any longer.
 func (l *leader) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) bool {
 	j := l.jobs[t.Job]
 	done := t.Reason == protocol.ExitDone && j != nil && t.TaskIndex < j.Tasks
@@ -87,14 +88,15 @@
 	return !done || j.finalState != 0 || j.task(t.TaskIndex).doneRecorded
 }
 
-// After a worker refused a start, tasks of the job aren't placed for refusedStartBackoff, and
-// placement runs again after refusedStartRetry.
+// After a worker refused a start, tasks of the job aren't placed for refusedStartBackoff. Placement
+// runs again after refusedStartRetry, which is a little longer.
 const (
 	refusedStartBackoff = 500 * time.Millisecond
 	refusedStartRetry   = 510 * time.Millisecond
 )
 
-// attemptExited ends an attempt whose worker reported the task's exit.
+// attemptExited detaches an attempt whose worker reported the task's exit. A failed attempt and a
+// refused start delay further placements of the job.
 func (l *leader) attemptExited(m *machine, a *attempt, t *protocol.TaskStatus) {
 	switch t.Reason {
 	case protocol.ExitError:
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -22,7 +22,7 @@
 	owner                *shardOwner
 	shard.Outbox         // to the leader; its Channel is nil while no leader is known
 	leader               string
-	pending              shard.Observations // not yet sent
+	pending              shard.Observations // not yet sent; the entries of changedWorkers are added to a message when it is sent
 	changedWorkers       map[*machine]bool  // with an entry to send
 	snapshotWorkers      map[*machine]bool  // of changedWorkers, those whose task states are sent as well
 	leaderLastReceivedAt time.Time          // when the last message of a leader was received
@@ -76,8 +76,8 @@
 	})
 }
 
-// flush sends what is pending, as far as the send window allows, and begins a snapshot if one is
-// due.
+// flush begins a snapshot if one is due, and sends a message, and further ones while anything is
+// pending, as far as the send window allows. While no leader is known, it discards what is pending.
 func (f *changeFeed) flush() {
 	if f.Channel == nil {
 		f.pending, f.changedWorkers = shard.Observations{}, map[*machine]bool{} // a new channel begins with a snapshot
@@ -96,7 +96,9 @@
 
 func (f *changeFeed) hasPending() bool { return !f.pending.Empty() || len(f.changedWorkers) > 0 }
 
-// beginSnapshot queues the entries of all workers and the states of all their tasks to be sent.
+// beginSnapshot queues what a snapshot consists of: the entries of all workers, the states of all their
+// tasks, and the terminations that the leader may not have received. Other pending observations are
+// dropped, except for a status of which no part was sent.
 func (f *changeFeed) beginSnapshot() {
 	terminations := f.pending.Terminations
 	f.pending, f.changedWorkers, f.snapshotWorkers = shard.Observations{Status: f.pending.Status}, map[*machine]bool{}, map[*machine]bool{}
@@ -182,7 +184,8 @@
 	if f.Channel != nil && f.Channel.Epoch() == epoch || f.Channel != nil && f.Channel.Epoch().Term > term {
 		return
 	}
-	// Unacknowledged terminations are dropped: the leader's snapshot lists the attempts that it knows of.
+	// Unacknowledged terminations are dropped: the snapshot of the new leader lists the attempts that
+	// it considers live.
 	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.UnacknowledgedTerminations{}
 	f.schedule()
 }
@@ -263,7 +266,8 @@
 	o.controller.resumeDeferred()
 }
 
-// applyStart adds a recorded attempt that no owner was notified of before.
+// applyStart adds a recorded attempt that no owner was notified of before. If the machine's attempts
+// aren't known here, or one at the same task is, it requests a snapshot instead.
 func (o *shardOwner) applyStart(r *shard.Start) {
 	m := o.machines[r.Machine]
 	if m == nil || !m.attemptsKnown || m.attempts[taskKey{r.Job, r.TaskIndex}] != nil {
@@ -306,7 +310,9 @@
 	}
 }
 
-// sendStatus sends the owner's load and its unhealthy workers to the leader.
+// sendStatus sends the owner's load and its unhealthy workers to the leader. It also writes the
+// owner's reachability if no leader sends messages, checks the channel for timeouts, and drops old
+// exits.
 func (o *shardOwner) sendStatus() {
 	o.writeReachability()
 	f := o.feed
@@ -322,7 +328,7 @@
 		}
 		o.sweepExits(m)
 	}
-	if f.pending.Status == nil || f.pending.Status.Part == 0 { // otherwise parts of the last status are still to be sent
+	if f.pending.Status == nil || f.pending.Status.Part == 0 { // a status of which a part was sent is sent completely first
 		f.pending.Status = s
 	}
 	f.flush()
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -79,7 +79,8 @@
 }
 
 // ownerContactSince returns since when the owner of a machine's shard has sent messages without a
-// gap. It returns false if the owner's reports can't be relied on: then missing messages of the
+// gap. It returns false if the owner's reports can't be relied on, or if another controller may reach
+// the worker that this owner doesn't reach (hasAlternativeOwner): then missing messages of the
 // machine's worker don't show that the machine failed.
 func (sc *shardCoordinator) ownerContactSince(m *machine) (time.Time, bool) {
 	since, ok := sc.ownerContactSinceByShard[m.shard]
@@ -96,7 +97,8 @@
 	return since, true
 }
 
-// redirectHeartbeat answers a heartbeat with the name of the worker's owner.
+// redirectHeartbeat answers a heartbeat with the name of the controller that owns the shard of the
+// worker's machine. It defers the heartbeat if there is no owner or the owner is this controller.
 func (sc *shardCoordinator) redirectHeartbeat(id uint64, r *protocol.Heartbeat, body []byte) {
 	c := sc.leader.controller
 	m := sc.leader.machineForHeartbeat(id, r)
@@ -128,7 +130,8 @@
 	return false
 }
 
-// checkChannelsAndPlan runs periodically: it checks the channels for timeouts and plans.
+// checkChannelsAndPlan runs periodically: it checks whether the recovery can end, checks the channels
+// for timeouts, and plans.
 func (sc *shardCoordinator) checkChannelsAndPlan() {
 	if !sc.sharding.tableLoaded || sc.leader.phase == phaseLoading {
 		return
@@ -197,9 +200,10 @@
 	return owner == nil || l.controller.now.Sub(owner.lastReceivedAt) > ownerTimeout
 }
 
-// resignIfDisconnected resigns leadership if this controller receives messages from no other owner,
-// doesn't reach the workers of its own shards either, and the state service shows that another owner
-// reaches its workers. It reports whether it resigned.
+// resignIfDisconnected resigns leadership if this controller has received no message from any other
+// owner for ownerUnresponsiveAfter (ownerTimeout if the other's member record shows whether it reaches
+// its workers), doesn't reach the workers of its own shards either, and the state service shows that
+// another owner reaches its workers. It reports whether it resigned.
 func (sc *shardCoordinator) resignIfDisconnected() bool {
 	l, c := sc.leader, sc.leader.controller
 	if c.now.Sub(l.reconciledAt) <= ownerTimeout {
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -18,9 +18,9 @@
 	lastReceivedAt      time.Time           // when the owner's last message was received
 	status              shard.Status
 	statusParts         shard.StatusParts
-	partitioned         bool                      // it lost contact with most of its workers
+	partitioned         bool                      // the owner lost contact with most of its workers, according to its status
 	alternatives        map[string]bool           // of a partitioned owner: whether another controller may reach the workers of a zone
-	reachabilityTracker shard.ReachabilityTracker // according to its member record
+	reachabilityTracker shard.ReachabilityTracker // whether the owner reaches its workers, according to its member record
 }
 
 // attemptChanged notifies the owner of an attempt's machine that the attempt is to be started or
@@ -28,7 +28,7 @@
 func (sc *shardCoordinator) attemptChanged(a *attempt) {
 	owner := sc.channelToOwner(a.machine.shard)
 	if owner == nil || owner.announcedTerms[a.machine.shard] == 0 || owner.pendingMachines[a.machine] {
-		return // the attempt will be sent in the machine's entry
+		return // the attempt will be sent in the machine's entry, if need be to a later owner
 	}
 	switch {
 	case a.stopRequested && (a.delivery.OwnerNotified || a.delivery.Inherited):
@@ -83,7 +83,8 @@
 	})
 }
 
-// flush sends what is pending for an owner, as far as the send window allows.
+// flush begins a snapshot if one is due, and sends an owner a message, and further ones while anything
+// is pending, as far as the send window allows. While the records are being loaded, nothing is sent.
 func (sc *shardCoordinator) flush(owner *ownerChannel) {
 	if sc.leader.phase == phaseLoading {
 		return
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -17,12 +17,12 @@
 	controller          *Controller
 	table               *shard.Table
 	tableLoaded         bool                      // the table was read and is watched
-	watchGeneration     int                       // of the watch; events of an older one are dropped
-	tableGeneration     int                       // the watch generation whose read built the table
+	watchGeneration     int                       // number of the current watch; events of an earlier one are dropped
+	tableGeneration     int                       // number of the watch whose initial read built the table
 	draining            bool                      // this controller is to own no shards
 	joining             bool                      // a lease or the first member record is being acquired
 	memberWriteInFlight bool                      // the member's record is being rewritten
-	reachability        *shard.ReachabilityReport // latest one written to its record
+	reachability        *shard.ReachabilityReport // the latest report written to the member record
 	member              shard.Member              // zero without a lease
 	owner               *shardOwner               // nil without a lease
 	redirector          redirector
@@ -37,7 +37,8 @@
 	c.every(time.Second, c.sharding.sendStatus)
 }
 
-// loadTable reads the records of owners and members, and watches them from that revision on.
+// loadTable reads the records of owners and members, and watches them from the revision of that read
+// on.
 func (s *sharding) loadTable() {
 	s.watchGeneration++
 	generation := s.watchGeneration
@@ -213,8 +214,9 @@
 	}
 }
 
-// writeReachability writes this owner's reachability into its member record if it receives no
-// messages from a leader and the last report is older than shard.ReachabilityInterval.
+// writeReachability writes into the member record whether this owner reaches its workers, if it has
+// received no message from a leader within ownerTimeout. Writes are at least
+// shard.ReachabilityInterval apart.
 func (o *shardOwner) writeReachability() {
 	c, s := o.controller, o.sharding
 	if s.member.Name == "" || s.memberWriteInFlight || c.store.Unavailable() || c.now.Sub(o.feed.leaderLastReceivedAt) <= ownerTimeout || c.now.Sub(o.reachabilityWrittenAt) < shard.ReachabilityInterval {
@@ -254,8 +256,8 @@
 // reach it again.
 const partitionedHold = 20 * time.Second
 
-// updatePartitioned restarts the period of partitionedHold while this controller doesn't reach most of
-// its workers.
+// updatePartitioned restarts the period of partitionedHold if this controller doesn't reach most of its
+// workers now.
 func (s *sharding) updatePartitioned() {
 	if reach := s.owner.currentReachability(); shard.Partitioned(reach.Workers, reach.Unreachable) {
 		s.partitionedUntil = s.controller.now.Add(partitionedHold)
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -45,7 +45,7 @@
 		if owner.announcedTerms[id] != 0 {
 			continue
 		}
-		// Times out of contact that a previous owner reported don't count for this one.
+		// Time without contact that a previous owner reported doesn't count for this one.
 		sc.ownerContactSinceByShard[id] = sc.leader.controller.now
 		owner.announcedTerms[id] = term
 		sc.reportMoveCompleted(sc.moves.Served(sc.leader.controller.now, id, owner.member.Name, sc.hasMachines))
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -19,8 +19,8 @@
 	workerSessions
 	sharding              *sharding
 	shards                map[shard.ID]*ownedShard
-	movedAway             map[string]shard.ID // machines of shards that another member owns now
-	feed                  *changeFeed         // to the leader
+	movedAway             map[string]shard.ID // by name, the shard of each machine that was served before and isn't now
+	feed                  *changeFeed         // the channel to the leader
 	loadingMachines       bool                // the machines' records are being read
 	reloadMachines        bool                // they must be read again: a shard was acquired during the read
 	heartbeatsSinceStatus int                 // answered since the last status
@@ -61,7 +61,8 @@
 	return o
 }
 
-// applyTable acquires, drops and moves shards according to the table.
+// applyTable acquires and drops shards according to the table, and applies the moves of the owned ones
+// (applyMove).
 func (o *shardOwner) applyTable() {
 	s := o.sharding
 	for id, owned := range o.shards {
@@ -127,7 +128,8 @@
 	o.fleetList = slices.DeleteFunc(o.fleetList, func(k *machine) bool { return k == m })
 }
 
-// applyMove stops serving a shard that is to move, and resumes if the move was canceled. The state
+// applyMove stops serving a shard that is to move to another member and begins the handover, or resumes
+// serving the shard if the move was canceled. The state
 // of its workers is kept until the state service shows another owner: if this owner resumes serving
 // them with the same fencing tokens, it must know what it sent to them.
 func (o *shardOwner) applyMove(id shard.ID, r shard.OwnerRecord) {
@@ -147,7 +149,7 @@
 	o.handOverShard(id)
 }
 
-// handOverShard records the member that a shard is to move to as its owner.
+// handOverShard makes the member that a shard is to move to its recorded owner.
 func (o *shardOwner) handOverShard(id shard.ID) {
 	s := o.sharding
 	owned := o.shards[id]
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -23,17 +23,19 @@
 	return m
 }
 
-// unseenFor returns the time since the latest message of a worker. Time before its shard was acquired
-// doesn't count.
+// unseenFor returns the time since the latest message of a worker. Time before its shard was acquired,
+// or before the detector was reset, doesn't count.
 func (o *shardOwner) unseenFor(m *machine) time.Duration {
 	return o.controller.now.Sub(sessions.Latest(m.session.LastSeen, m.session.Epoch.Since, o.detector.ResetAt()))
 }
 
-// detectUnresponsiveWorkers probes workers from which no messages arrive, and terminates the attempts
-// of those whose leases have certainly expired.
+// detectUnresponsiveWorkers probes workers from which no messages arrive, and reports the attempts of
+// those whose leases have certainly expired as terminated.
 func (o *shardOwner) detectUnresponsiveWorkers() {
 	if o.detector.Scan(o.controller.now) || o.controller.store.Unavailable() || !o.holdsLease() {
-		o.detector.Reset(o.controller.now) // workers whose heartbeats weren't answered try other controllers
+		// Workers whose heartbeats weren't answered here try other controllers, so their missing
+		// messages up to now show nothing.
+		o.detector.Reset(o.controller.now)
 		return
 	}
 	var toProbe []*machine
@@ -144,8 +146,9 @@
 	o.feed.attemptTerminated(a, why)
 }
 
-// orphanReported implements sessionListener. Only the leader knows whether a task without a known
-// attempt is to be stopped, unless its job has ended.
+// orphanReported implements sessionListener. A task without a known attempt is stopped if its job has
+// ended. If not, only the leader knows whether to stop it: the task is reported to the leader once, and
+// stopped when the leader has requested it.
 func (o *shardOwner) orphanReported(m *machine, t *protocol.TaskStatus) (stop bool) {
 	key := taskKey{t.Job, t.TaskIndex}
 	if j := o.jobs[t.Job]; j != nil && j.finalState != 0 {
@@ -160,7 +163,8 @@
 }
 
 // newerTokenSeen implements sessionListener. There may be a later owner of the machine's shard. The
-// shard isn't served until the table has been read again and shows whether there is.
+// shard isn't served until the table has been read again and shows that there is none (applyMove).
+// This is done once for each machine.
 func (o *shardOwner) newerTokenSeen(m *machine) {
 	o.controller.log.Info("worker has a later fencing token", "machine", m.Name, "shard", m.shard)
 	if owned := o.shards[m.shard]; owned != nil && !owned.superseded && !m.newerTokenSeen {
--- a/internal/coordination/shard_ownership_test.go
+++ b/internal/coordination/shard_ownership_test.go
@@ -113,18 +113,18 @@
 		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Starts: []shard.Start{start}}}}
 }
 
-// A machine's list for another ownership epoch of the shard isn't applied: it may lack attempts that
+// A machine's entry for another ownership epoch of the shard isn't applied: it may lack attempts that
 // an owner in between started.
 func TestMachineListsOfOtherTerms(t *testing.T) {
 	o := newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 5))
 	if m := o.machines["vm-1"]; m.attemptsKnown || len(m.attemptList) != 0 {
-		t.Error("machine list of an earlier ownership epoch was applied")
+		t.Error("machine entry of an earlier ownership epoch was applied")
 	}
 	o = newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 7))
 	if m := o.machines["vm-1"]; !m.attemptsKnown || len(m.attemptList) != 1 {
-		t.Error("machine list of the current ownership epoch was not applied")
+		t.Error("machine entry of the current ownership epoch was not applied")
 	}
 }
 
@@ -259,7 +259,7 @@
 	o.feed.connect("n2", 10)
 	o.feed.receive("n2", instructionsWithTask(o, 7))
 	if len(m.attemptList) != 1 {
-		t.Fatal("machine list of the next leader was not applied")
+		t.Fatal("machine entry of the next leader was not applied")
 	}
 	o.feed.flush()
 	o.controller.takeEffects()
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -13,7 +13,8 @@
 	"brasskeel/internal/records"
 )
 
-// plan decides which shards get another owner, and commits one change at a time.
+// plan decides which shards get another owner, and commits one change at a time: it cancels a move to
+// a member that no longer exists, or else assigns shards without an owner, or else proposes one move.
 func (sc *shardCoordinator) plan() {
 	l, c := sc.leader, sc.leader.controller
 	if sc.changeInFlight || !sc.sharding.tableLoaded || l.phase == phaseLoading || c.store.Unavailable() || !c.now.Before(l.lease.ValidUntil) {
@@ -88,7 +89,8 @@
 			c.election.StepDown("the leader key has changed")
 			return
 		}
-		// It may have been applied, or may still be: the term and the table are read again.
+		// The transaction may have been applied, or may still be applied later: the term and the
+		// table are read again.
 		c.after(200*time.Millisecond, sc.reloadTermAndTable)
 	})
 }
@@ -157,8 +159,8 @@
 	}
 }
 
-// previousOwnerEnded reports whether any owner of a shard whose record can't be parsed has certainly
-// stopped answering workers. An owner that reads such a record stops at once. An owner without access
+// previousOwnerEnded reports whether every previous owner of a shard whose record can't be parsed has
+// certainly stopped answering workers. An owner that reads such a record stops at once. An owner without access
 // to the state service stops when its knowledge of cancellations is too old (maxAnswerStaleness).
 func (sc *shardCoordinator) previousOwnerEnded(id shard.ID, version uint64) bool {
 	c := sc.leader.controller
@@ -200,7 +202,8 @@
 	return false
 }
 
-// reportMoveCompleted logs and traces a completed move. It does nothing if move is nil.
+// reportMoveCompleted logs a completed move and emits a trace span for it. It does nothing if move is
+// nil.
 func (sc *shardCoordinator) reportMoveCompleted(move *shard.Move) {
 	if move == nil {
 		return
--- a/internal/coordination/state_service.go
+++ b/internal/coordination/state_service.go
@@ -9,8 +9,9 @@
 // watchWait is how long a watch waits for events.
 const watchWait = 8 * time.Second
 
-// jobsWatchWait is how long a watch of jobs waits for events. A leader learns of cancellations
-// from this watch, and its knowledge is as old as the last watch that was answered.
+// jobsWatchWait is how long a watch of jobs waits for events. Leaders and shard owners learn of
+// cancellations from this watch, and their knowledge is as old as the latest watch that was answered.
+// So the wait is a quarter of maxAnswerStaleness, but between 250 ms and one second.
 func (c *Controller) jobsWatchWait() time.Duration {
 	return min(max(c.maxAnswerStaleness()/4, 250*time.Millisecond), time.Second)
 }
--- a/internal/coordination/state_service_test.go
+++ b/internal/coordination/state_service_test.go
@@ -8,8 +8,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// failStateServiceCalls makes the state service unavailable to a controller: its last request
-// failed a minute ago.
+// failStateServiceCalls makes the state service unavailable to a controller: a request that the
+// controller sent a minute ago failed, and none has succeeded since.
 func failStateServiceCalls(c *Controller) {
 	now := c.now
 	c.now = now.Add(-time.Minute)
--- a/internal/coordination/status_queries.go
+++ b/internal/coordination/status_queries.go
@@ -8,10 +8,10 @@
 	"brasskeel/internal/records"
 )
 
-// statusCheckDivisor is the maximum fraction of the state service's request rate that one
-// controller's status checks use, as a divisor. A check serves dozens of queries, and the more
-// queries arrive, the more of them share one. When each check was sent as soon as the last one was
-// answered, the checks of three controllers alone exceeded the service's rate limit, and
+// statusCheckDivisor bounds the status checks of one controller: they use at most one in
+// statusCheckDivisor of the state service's request rate. A check serves dozens of queries, and the
+// more queries arrive, the more of them share one. When each check was sent as soon as the previous
+// one was answered, the checks of three controllers alone exceeded the service's rate limit, and
 // submissions were refused.
 const statusCheckDivisor = 12
 
@@ -20,7 +20,8 @@
 	return max(10*time.Millisecond, time.Duration(statusCheckDivisor/c.cfg.StateRPS*float64(time.Second)))
 }
 
-// queryStatus handles a request for a job's status.
+// queryStatus handles a request for a job's status. A final state that is known here is reported at
+// once, any other only after a status check.
 func (c *Controller) queryStatus(id uint64, job string) {
 	if !protocol.ValidJobID(job) {
 		c.reply(id, 404, protocol.EncodeError("no such job"))
@@ -34,8 +35,8 @@
 		c.refuse(id, 503, "busy")
 		return
 	}
-	// Another controller may have changed a state that isn't final, so it is reported only
-	// after a fresh read; without one the query is refused.
+	// Another controller may have ended the job in the meantime, so a state that isn't final is
+	// reported only after a status check. Without the state service the query is refused.
 	if c.store.Unavailable() {
 		c.refuseStoreUnavailable(id)
 		return
@@ -56,8 +57,9 @@
 }
 
 // statusCheck is a read-only transaction. It checks for some jobs whether each has an outcome and,
-// for jobs that this controller doesn't know to be accepted, whether they exist. All results are as
-// of the same revision.
+// for jobs that this controller doesn't know to be accepted, whether they exist. It requires that
+// these keys don't exist, so the conditions that fail name those that do. All results are as of the
+// same revision.
 type statusCheck struct {
 	txn     *protocol.Txn
 	queries []statusQuery
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// maxSubmissionBytes limits the size of the records in one transaction of submissions.
+// maxSubmissionBytes limits the size of the records in one transaction of several submissions.
 const maxSubmissionBytes = 32 << 10
 
 // nextSubmissions moves pending submissions into a transaction. It uses at most half of the
@@ -83,7 +83,7 @@
 		if count == max(1, txnOps/2) || count > 0 && size+len(s.record) > maxSubmissionBytes {
 			break
 		}
-		// The job exists once this is applied, and the user gets a reply only then. The
+		// The job exists once the transaction is applied, and the user gets a reply only then. The
 		// condition that there is no outcome keeps a delayed duplicate from recreating a
 		// finished job whose record was already deleted.
 		t.Conditions = append(t.Conditions, protocol.Condition{Key: records.KeyActive(s.job.ID)}, protocol.Condition{Key: records.KeyOutcome(s.job.ID)})
@@ -95,8 +95,8 @@
 	return group, t
 }
 
-// writeSubmissions writes the records of the jobs that were submitted while the last transaction
-// was in flight.
+// writeSubmissions writes the records of pending submissions, unless a transaction of submissions is in
+// flight: then they share the next one, which is sent once that one is answered.
 func (c *Controller) writeSubmissions() {
 	a := &c.admission
 	if a.submissionInFlight || len(a.pendingSubmissions) == 0 {
@@ -132,7 +132,8 @@
 	}
 }
 
-// replyAccepted replies to the requests for a job whose record was written.
+// replyAccepted replies to the requests for a job whose record was written: 201 to the first, 200 to
+// the duplicates.
 func (c *Controller) replyAccepted(s *submission) {
 	c.admission.openRequests -= len(s.requests)
 	c.admission.cacheAccepted(s.job.ID)
--- a/internal/coordination/task_blocks.go
+++ b/internal/coordination/task_blocks.go
@@ -24,12 +24,12 @@
 // use: a job may have a hundred thousand tasks of which few run at a time.
 func (j *job) block(index int) *taskBlock {
 	i := index / j.blockSize
-	added := j.blocks[i]
-	if added == nil {
-		added = &taskBlock{job: j, index: i, tasks: make([]task, min(j.blockSize, j.Tasks-i*j.blockSize))}
-		j.blocks[i] = added
+	block := j.blocks[i]
+	if block == nil {
+		block = &taskBlock{job: j, index: i, tasks: make([]task, min(j.blockSize, j.Tasks-i*j.blockSize))}
+		j.blocks[i] = block
 	}
-	return added
+	return block
 }
 
 // task returns the task with the given index.
@@ -66,7 +66,7 @@
 	id, index, ok := records.ParseTaskBlockKey(item.Key)
 	j := l.jobs[id]
 	if !ok || j == nil || index >= len(j.blocks) {
-		// Left over from a finished job: the deletion of its records was interrupted.
+		// The record is left over from a finished job: the deletion of its records was interrupted.
 		l.writer.deleteKey(item.Key)
 		return
 	}
@@ -127,8 +127,8 @@
 }
 
 // requeueInactiveTasks queues the tasks up to the end of a loaded block that are not done and have no
-// live attempt, so that they are started again. Tasks are started in order, so all of these were
-// started before.
+// live attempt, so that they are started. Tasks are started in order, so most of them were started
+// before; at the end of the last block some may not have been.
 func (b *taskBlock) requeueInactiveTasks() {
 	j := b.job
 	end := min(j.Tasks, b.index*j.blockSize+len(b.tasks))
--- a/internal/coordination/victim_search.go
+++ b/internal/coordination/victim_search.go
@@ -138,8 +138,8 @@
 const attemptScanCost = 10
 
 // canFreeEnough reports whether a machine would have enough CPUs for the job if all work of lower
-// priority on it were preempted. It always does so for a job within its team's quota, which may
-// also preempt work that other teams run beyond their quota.
+// priority on it were preempted. For a job within its team's quota it always returns true: such a job
+// may also preempt work that other teams run beyond their quota.
 func (v *victimSelector) canFreeEnough(m *machine, cpus float64) bool {
 	if v.job.withinQuota() {
 		return true
--- a/internal/coordination/worker_orders.go
+++ b/internal/coordination/worker_orders.go
@@ -31,7 +31,8 @@
 	if !s.alive() || m.orders.inFlight || m.removed || !m.session.Registered || m.addr == "" || !s.loaded && !m.attemptsKnown || !s.serves(m) || !s.holdsLease() {
 		return false
 	}
-	// A worker that calls don't reach gets its orders with its next heartbeat response.
+	// A worker that calls don't reach, or whose heartbeats are overdue, gets its orders with its next
+	// heartbeat response.
 	return !s.controller.now.Before(m.orders.pausedUntil) && s.controller.now.Sub(m.session.LastSeen) <= s.controller.cfg.HeartbeatInterval*3/2
 }
 
@@ -61,7 +62,7 @@
 }
 
 // pendingOrders returns the unsent stops and starts for a worker, as many as one message
-// holds. The others are sent once that message was answered.
+// holds. The remaining ones are sent once that message is answered.
 func (s *workerSessions) pendingOrders(m *machine) (orders []protocol.Order, starts []*attempt) {
 	mayStart := s.startsAllowed()
 	budget := protocol.NewOrderBudget()
@@ -142,8 +143,9 @@
 }
 
 // ordersUnanswered handles a call with orders that got no valid response. The worker may carry the
-// orders out later. So the token of a direct start is kept until the worker has seen a higher one,
-// unless the orders were never sent or were refused.
+// orders out later. So the token of a direct start, one sent by such a call, is kept until the worker
+// has seen a higher one, unless the orders were never sent or were refused. No further call with
+// orders is made for a heartbeat interval.
 func (s *workerSessions) ordersUnanswered(m *machine, starts []*attempt, out Outcome) {
 	if out.NotSent || out.Answered && out.Status == 400 {
 		for _, a := range starts {
--- a/internal/coordination/worker_probes.go
+++ b/internal/coordination/worker_probes.go
@@ -42,7 +42,7 @@
 func (s *workerSessions) probeBatch(list []*machine) {
 	limit := max(minProbeBatch, len(s.fleetList)/probeBatchDivisor)
 	if s.controller.overload.ShouldDefer() {
-		limit /= 3
+		limit /= 3 // probes can wait while the controller is loaded
 	}
 	s.detector.ProbeRoundRobin(len(list), limit, func(i int) bool {
 		m := list[i]
@@ -54,8 +54,9 @@
 	})
 }
 
-// probe requests the status of a worker. The worker may be sending its heartbeats to another
-// controller, they may get lost, or nothing that is sent may reach it.
+// probe requests the status of a worker, to find out why it needs a probe: the worker may be sending
+// its heartbeats to another controller, its heartbeats may get lost, or nothing that is sent to the
+// worker may reach it.
 func (s *workerSessions) probe(m *machine) {
 	if m.session.ProbeInFlight || m.addr == "" || m.lifecycle.release == releaseFinal || m.removed || !s.serves(m) {
 		return
@@ -104,7 +105,7 @@
 
 // announceEpoch sends a worker a token of this epoch by a call if the worker's heartbeats go to
 // another controller. An earlier owner without access to the state service may still respond to
-// them, so that the worker would stay with it until its grace period ends.
+// them, so that the worker would stay with that owner until the owner's grace period ends.
 func (s *workerSessions) announceEpoch(m *machine) {
 	if !s.needsAnnouncement(m) {
 		return
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -13,11 +13,11 @@
 // workerSessions manages the workers of a leader's or a shard owner's machines: it responds to
 // their heartbeats, sends orders, probes workers from which no messages arrive, and determines
 // which attempts have terminated. It neither places tasks nor writes records. It reports events to its
-// listener, which does.
+// listener, which does. The leader or shard owner that it belongs to is called the owner below.
 type workerSessions struct {
 	controller *Controller
 	listener   sessionListener
-	ended      bool // it no longer serves any worker
+	ended      bool // the owner no longer serves any worker
 	loaded     bool // all attempts that may be on its machines are known
 	// probesNewWorkers: workers that register are probed to find out whether calls reach them.
 	probesNewWorkers bool
@@ -99,12 +99,14 @@
 // expired, so that an outage of the state service doesn't end every task. The next owner waits
 // for its end before it treats missing messages of a worker as proof that the tasks have ended. It is
 // short enough that lease, grace period and worker lease together fit into the time in which
-// a cancellation must take effect; maxAnswerStaleness bounds it further.
+// a cancellation must take effect (gracePeriodForLease). maxAnswerStaleness further bounds how long
+// heartbeats are answered.
 func (s *workerSessions) gracePeriod() time.Duration {
 	return s.controller.gracePeriodForLease(s.lease.TTL)
 }
 
-// gracePeriodForLease is the grace period of an owner whose lease has the given TTL.
+// gracePeriodForLease is the grace period of an owner whose lease has the given TTL: what the lease,
+// the worker lease, clock drift and a margin of two seconds leave of CancelDeadline.
 func (c *Controller) gracePeriodForLease(lease time.Duration) time.Duration {
 	settings := c.cfg
 	return max(0, settings.CancelDeadline-settings.WorkerLease-leadership.MaxClockDrift(2*settings.WorkerLease)-lease-2*time.Second)
@@ -176,7 +178,7 @@
 	}
 }
 
-// timing returns the settings that the failure detector's timeouts are derived from.
+// timing returns the settings from which the failure detector's timeouts are derived.
 func (c *Controller) timing() sessions.Timing {
 	return sessions.Timing{HeartbeatInterval: c.cfg.HeartbeatInterval, WorkerLease: c.cfg.WorkerLease}
 }
