--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -133,7 +133,7 @@
 		return
 	}
 	need := float64(j.pendingTasks()) * j.CPUs
-	need -= l.teamUsage[j.Team].headroom(l.controller.teams[j.Team].MaxCPUs)
+	need -= l.teamUsage[j.Team].cpusBelow(l.controller.teams[j.Team].MaxCPUs)
 	need -= l.stoppingUsage[j.Team].cpus
 	if need <= protocol.Epsilon {
 		return
@@ -162,5 +162,5 @@
 	}
 }
 
-// headroom returns how many CPUs are left below a limit.
-func (u *usage) headroom(cpus float64) float64 { return max(0, cpus-u.cpus) }
+// cpusBelow returns how many CPUs are left below a limit.
+func (u *usage) cpusBelow(cpus float64) float64 { return max(0, cpus-u.cpus) }
--- a/internal/coordination/shard_ownership_test.go
+++ b/internal/coordination/shard_ownership_test.go
@@ -115,7 +115,7 @@
 
 // A machine's entry for another ownership epoch of the shard isn't applied: it may lack attempts that
 // an owner in between started.
-func TestMachineListsOfOtherTerms(t *testing.T) {
+func TestMachineEntriesOfOtherTerms(t *testing.T) {
 	o := newTestShardOwner(t)
 	o.feed.receive("n1", instructionsWithTask(o, 5))
 	if m := o.machines["vm-1"]; m.attemptsKnown || len(m.attemptList) != 0 {
