--- a/internal/coordination/machine_test.go
+++ b/internal/coordination/machine_test.go
@@ -236,8 +236,8 @@
 }
 
 // The release of an unresponsive machine is revoked once its worker answers again, unless the
-// cloud may have carried it out. Otherwise, after an outage of the cloud API, every machine that
-// had been unreachable for a short time during the outage would be released.
+// cloud may have carried it out. If it were not revoked, every machine that had been unreachable for a
+// short time during an outage of the cloud API would be released after the outage.
 func TestReleaseRevokedWhenWorkerAnswersAgain(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/coordination/pending_reasons.go
+++ b/internal/coordination/pending_reasons.go
@@ -51,24 +51,24 @@
 type pendingReason uint8
 
 const (
-	pendingRoomExpected  pendingReason = iota // none of the other reasons applies: the cloud offers an instance that the job may use
-	pendingTeamLimit                          // one more task would exceed the team's limit
-	pendingQuarantine                         // the job is in quarantine: it seems to fail on every machine
-	pendingZoneRules                          // the job's zone rules allow no zone that has a suitable machine type
-	pendingRecordBacklog                      // the last placement round ended early, e.g. because too many records wait to be written
-	pendingBoots                              // machines are booting
-	pendingCloudCapacity                      // the cloud offers no instance that the job may use
-	pendingPrice                              // the instances that the cloud offers are too expensive for the job
-	pendingHeartbeats                         // a new leader hasn't completed its recovery: it still waits for heartbeats
-	pendingSurgeCeiling                       // further tasks would put every machine with capacity above the surge ceiling of the team
+	pendingRoomExpected    pendingReason = iota // none of the other reasons applies: the cloud offers an instance that the job may use
+	pendingTeamLimit                            // one more task would exceed the team's limit
+	pendingQuarantine                           // the job is in quarantine: it seems to fail on every machine
+	pendingZoneRules                            // the job's zone rules allow no zone that has a suitable machine type
+	pendingRoundIncomplete                      // the last placement round ended early, e.g. because too many records wait to be written
+	pendingBoots                                // machines are booting
+	pendingCloudCapacity                        // the cloud offers no instance that the job may use
+	pendingPrice                                // the instances that the cloud offers are too expensive for the job
+	pendingRecovery                             // a new leader is still recovering: it loads records or waits for heartbeats
+	pendingSurgeCeiling                         // further tasks would put every machine with capacity above the surge ceiling of the team
 	pendingReasonCount
 )
 
 func (r pendingReason) String() string {
 	return [...]string{
 		pendingRoomExpected: "room expected", pendingTeamLimit: "team limit", pendingQuarantine: "job quarantined",
-		pendingZoneRules: "zone rules", pendingRecordBacklog: "records behind", pendingBoots: "machines booting",
-		pendingCloudCapacity: "no cloud capacity", pendingPrice: "price too high", pendingHeartbeats: "heartbeats missing",
+		pendingZoneRules: "zone rules", pendingRoundIncomplete: "records behind", pendingBoots: "machines booting",
+		pendingCloudCapacity: "no cloud capacity", pendingPrice: "price too high", pendingRecovery: "heartbeats missing",
 		pendingSurgeCeiling: "surge ceiling",
 	}[r]
 }
@@ -78,7 +78,7 @@
 func (l *leader) pendingReasonOf(j *job, booting bool, offers []autoscaler.Offer) pendingReason {
 	switch {
 	case l.phase != phaseActive:
-		return pendingHeartbeats
+		return pendingRecovery
 	case l.quarantined(j):
 		return pendingQuarantine
 	case !l.withinTeamLimit(j):
@@ -86,7 +86,7 @@
 	case !l.provisionable(j):
 		return pendingZoneRules
 	case l.autoscaler.demandIncomplete:
-		return pendingRecordBacklog
+		return pendingRoundIncomplete
 	case l.rebalancer.waitsForCeiling(j):
 		return pendingSurgeCeiling
 	case booting:
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -208,7 +208,7 @@
 	for len(w.lazyBlocks) > 0 && t.HasRoom() {
 		block := w.lazyBlocks[0]
 		w.lazyBlocks = w.lazyBlocks[1:]
-		if block.record.Lazy() { // otherwise it has become urgent and was queued again
+		if block.record.Lazy() { // if not, it has become urgent and was queued again
 			w.fillBlock(t, b, block)
 		}
 	}
--- a/internal/coordination/release_deferral.go
+++ b/internal/coordination/release_deferral.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	plan := map[*machine]usage{}
-	without := map[*job]int{}
+	unplaced := map[*job]int{}
 	found := 0
 	for _, a := range m.sortedAttempts() {
 		if a.job.Kind != protocol.Service || a.stopRequested {
@@ -46,22 +46,22 @@
 			found++
 			continue
 		}
-		without[a.job]++
+		unplaced[a.job]++
 	}
 	missing := 0
-	for _, k := range without {
+	for _, k := range unplaced {
 		missing += k
 	}
 	if missing > found {
-		for j, k := range without {
+		for j, k := range unplaced {
 			d.unplaced[j] += k
 		}
 		return true
 	}
 	for o, u := range plan {
-		t := d.claimed[o]
-		t.cpus += u.cpus
-		d.claimed[o] = t
+		claimed := d.claimed[o]
+		claimed.cpus += u.cpus
+		d.claimed[o] = claimed
 	}
 	return false
 }
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -183,8 +183,8 @@
 const reasonUnresponsive = "unresponsive"
 
 // revokeRelease revokes the release of an unresponsive machine that was reached again, if the
-// cloud can't have carried it out. Otherwise, after an outage of the cloud API, all machines that had
-// been unreachable for a short time during the outage would be released.
+// cloud can't have carried it out. If it weren't revoked, every machine that had been unreachable for a
+// short time during an outage of the cloud API would be released after the outage.
 func (l *leader) revokeRelease(m *machine) {
 	if m.lifecycle.revoke() {
 		l.controller.logSampled("machine release revoked", "machine", m.Name)
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -25,7 +25,7 @@
 	pending              shard.Observations // not yet sent; the entries of changedWorkers are added to a message when it is sent
 	changedWorkers       map[*machine]bool  // with an entry to send
 	snapshotWorkers      map[*machine]bool  // of changedWorkers, those whose task states are sent as well
-	leaderLastReceivedAt time.Time          // when the last message of a leader was received
+	leaderLastReceivedAt time.Time          // when the latest message of any leader was received
 	// unacknowledged are the terminations that were sent and that the leader may not have received.
 	unacknowledged shard.UnacknowledgedTerminations
 }
@@ -42,13 +42,13 @@
 	f.schedule()
 }
 
-func (f *changeFeed) taskExited(k *reportedExit) {
-	f.pending.Exits = append(f.pending.Exits, k.exit)
+func (f *changeFeed) taskExited(exited *reportedExit) {
+	f.pending.Exits = append(f.pending.Exits, exited.exit)
 	f.schedule()
 }
 
-func (f *changeFeed) attemptTerminated(a *attempt, why string) {
-	f.pending.Terminations = append(f.pending.Terminations, shard.Termination{Task: attemptTask(a), Reason: why})
+func (f *changeFeed) attemptTerminated(a *attempt, reason string) {
+	f.pending.Terminations = append(f.pending.Terminations, shard.Termination{Task: attemptTask(a), Reason: reason})
 	f.schedule()
 }
 
@@ -228,38 +228,38 @@
 }
 
 // applyMachine applies the leader's entry of a machine, which lists all attempts that may be on it.
-func (o *shardOwner) applyMachine(k *shard.Machine) {
-	owned := o.shards[k.Shard]
-	if owned == nil || owned.epoch.Term != k.Term {
+func (o *shardOwner) applyMachine(entry *shard.Machine) {
+	owned := o.shards[entry.Shard]
+	if owned == nil || owned.epoch.Term != entry.Term {
 		return // the entry is for an earlier or a later ownership epoch
 	}
-	m := o.machines[k.Name]
+	m := o.machines[entry.Name]
 	if m == nil {
-		m = o.newMachine(*k, owned)
+		m = o.newMachine(*entry, owned)
 	}
 	if m.addr == "" {
-		m.addr = k.Addr
+		m.addr = entry.Addr
 	}
-	m.registeredBefore = m.registeredBefore || k.RegisteredBefore
+	m.registeredBefore = m.registeredBefore || entry.RegisteredBefore
 	starts := map[taskKey]*shard.Start{}
-	for i := range k.Starts {
-		r := &k.Starts[i]
-		starts[taskKey{r.Job, r.TaskIndex}] = r
+	for i := range entry.Starts {
+		start := &entry.Starts[i]
+		starts[taskKey{start.Job, start.TaskIndex}] = start
 	}
 	for _, a := range m.sortedAttempts() {
 		if r := starts[taskKey{a.job.ID, a.taskIndex}]; r == nil || r.Attempt != a.number {
 			o.removeAttempt(a) // the leader knows that it has terminated
 		}
 	}
-	for i := range k.Starts {
-		r := &k.Starts[i]
-		a := m.attempts[taskKey{r.Job, r.TaskIndex}]
+	for i := range entry.Starts {
+		start := &entry.Starts[i]
+		a := m.attempts[taskKey{start.Job, start.TaskIndex}]
 		switch {
 		case a == nil:
 			// An owner that was notified of the attempt before may have sent its start.
-			o.addAttempt(m, *r, !r.FirstNotice)
-		case r.Stopping:
-			o.stopAttempt(a, time.Duration(r.GraceMillis)*time.Millisecond)
+			o.addAttempt(m, *start, !start.FirstNotice)
+		case start.Stopping:
+			o.stopAttempt(a, time.Duration(start.GraceMillis)*time.Millisecond)
 		}
 	}
 	m.attemptsKnown = true
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -159,16 +159,16 @@
 // machineEntry returns a machine with all recorded attempts that may be on it, and marks the owner as
 // notified of them.
 func (sc *shardCoordinator) machineEntry(m *machine, term uint64) shard.Machine {
-	k := shard.Machine{Shard: m.shard, Term: term, Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+	entry := shard.Machine{Shard: m.shard, Term: term, Name: m.Name, Addr: m.addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		RegisteredBefore: m.session.Registered || m.inherited && !sc.leader.booting(m)}
 	for _, a := range m.sortedAttempts() {
 		if !a.recorded {
 			continue
 		}
-		k.Starts = append(k.Starts, shard.Start{Task: attemptTask(a), FirstNotice: !a.delivery.OwnerNotified && !a.delivery.Inherited, Stopping: a.stopRequested, GraceMillis: a.stopGrace.Milliseconds()})
+		entry.Starts = append(entry.Starts, shard.Start{Task: attemptTask(a), FirstNotice: !a.delivery.OwnerNotified && !a.delivery.Inherited, Stopping: a.stopRequested, GraceMillis: a.stopGrace.Milliseconds()})
 		a.delivery.OwnerNotified = true
 	}
-	return k
+	return entry
 }
 
 // sendShardMessage sends a message to another controller, or between the leader and the owner
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -139,19 +139,19 @@
 
 // writeFirstMemberRecord writes the record of a new member, conditional on the version of the
 // record that it replaces, so that a delayed write of an earlier incarnation fails.
-func (s *sharding) writeFirstMemberRecord(r leadership.Lease) {
+func (s *sharding) writeFirstMemberRecord(lease leadership.Lease) {
 	c := s.controller
-	member := shard.MemberRecord{Member: shard.Member{Name: c.cfg.Name, Incarnation: r.ID}, Zone: c.cfg.Zone, Draining: s.draining}
+	member := shard.MemberRecord{Member: shard.Member{Name: c.cfg.Name, Incarnation: lease.ID}, Zone: c.cfg.Zone, Draining: s.draining}
 	_, version := s.table.Member(c.cfg.Name)
 	key := records.KeyMember(c.cfg.Name)
 	value := records.Encode(member)
 	c.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
-		Ops:        []protocol.Op{{Put: key, Value: value, Lease: r.ID}},
+		Ops:        []protocol.Op{{Put: key, Value: value, Lease: lease.ID}},
 	}, func(result statestore.CommitResult) {
 		if result.Status != statestore.CommitApplied {
 			// Revoking the lease also removes the record if the transaction was applied after all.
-			c.store.RevokeLease(r.ID)
+			c.store.RevokeLease(lease.ID)
 			s.loadTable()
 			s.retryJoin()
 			return
@@ -159,16 +159,16 @@
 		s.joining = false
 		s.putRecord(key, protocol.KeyValue{Key: key, Value: value, Version: result.Revision})
 		s.member = member.Member
-		s.owner = newShardOwner(s, r)
-		c.log.Info("shard membership acquired", "incarnation", r.ID, "draining", s.draining)
+		s.owner = newShardOwner(s, lease)
+		c.log.Info("shard membership acquired", "incarnation", lease.ID, "draining", s.draining)
 		leadership.KeepLeaseAlive(electionHost{c}, electionHost{c}, &s.owner.lease, s.owner)
 		s.ownershipChanged()
 	})
 }
 
 // leave ends the membership and discards all state of the shards that the member owned.
-func (s *sharding) leave(why string) {
-	s.controller.log.Warn("shard membership lost", "incarnation", s.member.Incarnation, "reason", why)
+func (s *sharding) leave(reason string) {
+	s.controller.log.Warn("shard membership lost", "incarnation", s.member.Incarnation, "reason", reason)
 	s.owner.ended = true
 	s.owner, s.member, s.reachability = nil, shard.Member{}, nil
 }
@@ -271,7 +271,7 @@
 }
 
 // writeMemberRecord rewrites the member's record, bound to the same lease.
-func (s *sharding) writeMemberRecord(own *shardOwner, done func(applied bool)) {
+func (s *sharding) writeMemberRecord(owner *shardOwner, done func(applied bool)) {
 	c := s.controller
 	s.memberWriteInFlight = true
 	key := records.KeyMember(c.cfg.Name)
@@ -279,10 +279,10 @@
 	value := records.Encode(shard.MemberRecord{Member: s.member, Zone: c.cfg.Zone, Draining: s.draining, Reachability: s.reachability})
 	c.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
-		Ops:        []protocol.Op{{Put: key, Value: value, Lease: own.lease.ID}},
+		Ops:        []protocol.Op{{Put: key, Value: value, Lease: owner.lease.ID}},
 	}, func(result statestore.CommitResult) {
 		s.memberWriteInFlight = false
-		if s.owner != own {
+		if s.owner != owner {
 			return // the membership has ended since the write was sent
 		}
 		if result.Status == statestore.CommitApplied {
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -93,9 +93,9 @@
 		sc.applyExit(owner, &observations.Exits[i])
 	}
 	for i := range observations.Terminations {
-		g := &observations.Terminations[i]
-		if a := sc.reportedAttempt(owner, &g.Task); a != nil {
-			l.detach(a, g.Reason)
+		termination := &observations.Terminations[i]
+		if a := sc.reportedAttempt(owner, &termination.Task); a != nil {
+			l.detach(a, termination.Reason)
 		}
 	}
 	for i := range observations.Orphans {
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -52,8 +52,8 @@
 	owned.epoch.Paused = !owned.served()
 }
 
-func newShardOwner(s *sharding, r leadership.Lease) *shardOwner {
-	o := &shardOwner{workerSessions: newWorkerSessions(s.controller, r), sharding: s, shards: map[shard.ID]*ownedShard{}, movedAway: map[string]shard.ID{}}
+func newShardOwner(s *sharding, lease leadership.Lease) *shardOwner {
+	o := &shardOwner{workerSessions: newWorkerSessions(s.controller, lease), sharding: s, shards: map[shard.ID]*ownedShard{}, movedAway: map[string]shard.ID{}}
 	o.listener, o.probesNewWorkers = o, true
 	o.feed = newChangeFeed(o)
 	o.loadJobs(o.watchJobs)
@@ -89,14 +89,14 @@
 // acquireShard starts to serve a shard that the table shows as owned by this member.
 func (o *shardOwner) acquireShard(id shard.ID, r shard.OwnerRecord) {
 	c := o.controller
-	t := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
+	epoch := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
 	if !r.HandedOver {
 		// Without the state service, the previous owner may continue to answer workers for its
 		// grace period.
-		t.PredecessorUntil = c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))
+		epoch.PredecessorUntil = c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))
 	}
-	o.shards[id] = &ownedShard{epoch: t}
-	c.log.Info("shard ownership acquired", "shard", id, "term", t.Term, "handed_over", r.HandedOver)
+	o.shards[id] = &ownedShard{epoch: epoch}
+	c.log.Info("shard ownership acquired", "shard", id, "term", epoch.Term, "handed_over", r.HandedOver)
 }
 
 // dropShard removes a shard that this member no longer owns, with its machines.
@@ -129,7 +129,7 @@
 }
 
 // applyMove stops serving a shard that is to move to another member and begins the handover, or resumes
-// serving the shard if the move was canceled. The state
+// serving the shard if the move was cancelled. The state
 // of its workers is kept until the state service shows another owner: if this owner resumes serving
 // them with the same fencing tokens, it must know what it sent to them.
 func (o *shardOwner) applyMove(id shard.ID, r shard.OwnerRecord) {
@@ -157,7 +157,7 @@
 		return
 	}
 	// If the previous owner didn't hand over the shard and its grace period isn't over, it may
-	// still answer the workers. The record must show that: otherwise the next owner would treat
+	// still answer the workers. The record must show that. If it didn't, the next owner would treat
 	// missing messages of the workers as proof that their tasks have ended while the previous
 	// owner renews their leases.
 	change := s.table.HandOver(id, s.member, !o.controller.now.Before(owned.epoch.PredecessorUntil))
@@ -268,9 +268,9 @@
 		o.controller.log.Error("machine record unreadable", "key", it.Key, "error", err)
 		return
 	}
-	for _, k := range r.Machines {
-		if o.machines[k.Name] == nil {
-			o.newMachine(shard.Machine{Shard: id, Name: k.Name, Addr: k.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, owned)
+	for _, entry := range r.Machines {
+		if o.machines[entry.Name] == nil {
+			o.newMachine(shard.Machine{Shard: id, Name: entry.Name, Addr: entry.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, owned)
 		}
 	}
 }
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -14,12 +14,12 @@
 )
 
 // newMachine adds a machine of a shard that this owner serves.
-func (o *shardOwner) newMachine(k shard.Machine, owned *ownedShard) *machine {
-	m := &machine{Machine: placement.Machine{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot}, addr: k.Addr, shard: k.Shard, session: sessions.Session{Epoch: &owned.epoch},
+func (o *shardOwner) newMachine(entry shard.Machine, owned *ownedShard) *machine {
+	m := &machine{Machine: placement.Machine{Name: entry.Name, Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot}, addr: entry.Addr, shard: entry.Shard, session: sessions.Session{Epoch: &owned.epoch},
 		attempts: map[taskKey]*attempt{}, reportedExits: map[taskKey]*reportedExit{}, orphans: map[taskKey]uint64{}, orphanStops: map[taskKey]uint64{}}
-	o.machines[k.Name] = m
+	o.machines[entry.Name] = m
 	o.fleetList = append(o.fleetList, m)
-	delete(o.movedAway, k.Name)
+	delete(o.movedAway, entry.Name)
 	return m
 }
 
@@ -140,10 +140,10 @@
 }
 
 // attemptTerminated implements sessionListener.
-func (o *shardOwner) attemptTerminated(a *attempt, why string) {
-	o.controller.log.Debug("attempt terminated", "job", a.job.ID, "task", a.taskIndex, "attempt", a.number, "machine", a.machine.Name, "reason", why)
+func (o *shardOwner) attemptTerminated(a *attempt, reason string) {
+	o.controller.log.Debug("attempt terminated", "job", a.job.ID, "task", a.taskIndex, "attempt", a.number, "machine", a.machine.Name, "reason", reason)
 	o.removeAttempt(a)
-	o.feed.attemptTerminated(a, why)
+	o.feed.attemptTerminated(a, reason)
 }
 
 // orphanReported implements sessionListener. A task without a known attempt is stopped if its job has
@@ -208,15 +208,15 @@
 
 // addAttempt adds an attempt that the leader listed. An inherited one may have been started by an
 // earlier owner.
-func (o *shardOwner) addAttempt(m *machine, r shard.Start, inherited bool) {
-	a := &attempt{job: o.job(r.Job), taskIndex: r.TaskIndex, number: r.Attempt, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: inherited}, stateSince: o.controller.now}
+func (o *shardOwner) addAttempt(m *machine, start shard.Start, inherited bool) {
+	a := &attempt{job: o.job(start.Job), taskIndex: start.TaskIndex, number: start.Attempt, machine: m, recorded: true, delivery: sessions.Delivery{Inherited: inherited}, stateSince: o.controller.now}
 	o.track(a)
 	if a.job.heldAttempts == nil {
 		a.job.heldAttempts = map[*attempt]struct{}{}
 	}
 	a.job.heldAttempts[a] = struct{}{}
-	if r.Stopping || a.job.finalState != 0 {
-		o.stopAttempt(a, time.Duration(r.GraceMillis)*time.Millisecond)
+	if start.Stopping || a.job.finalState != 0 {
+		o.stopAttempt(a, time.Duration(start.GraceMillis)*time.Millisecond)
 		return
 	}
 	o.scheduleOrders(m)
--- a/internal/coordination/shard_ownership_test.go
+++ b/internal/coordination/shard_ownership_test.go
@@ -129,7 +129,7 @@
 }
 
 // An owner whose shard is to move to another member redirects its workers to that member, and
-// answers them again once the move is canceled.
+// answers them again once the move is cancelled.
 func TestOwnerHandingOverRedirectsWorkers(t *testing.T) {
 	o := newTestShardOwner(t)
 	putShardRecord(t, o.sharding.table, records.KeyMember("n0"), shard.MemberRecord{Member: o.sharding.member}, 3)
@@ -141,11 +141,11 @@
 	if len(e.Replies) != 1 || e.Replies[0].Status != 421 || protocol.ParseRedirect(e.Replies[0].Body) != "n2" {
 		t.Errorf("replies %+v to a heartbeat during the move, want a redirect to n2", e.Replies)
 	}
-	record.Next = nil // the move is canceled
+	record.Next = nil // the move is cancelled
 	putShardRecord(t, o.sharding.table, records.KeyOwner(1), record, 5)
 	o.applyTable()
 	if e := o.controller.Request(o.controller.now, 2, "POST", protocol.PathHeartbeat, encodedHeartbeat(5)); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
-		t.Errorf("replies %+v to a heartbeat after the move was canceled, want status 200", e.Replies)
+		t.Errorf("replies %+v to a heartbeat after the move was cancelled, want status 200", e.Replies)
 	}
 }
 
