--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -117,8 +117,9 @@
 }
 
 // machineForHeartbeat returns the machine of the worker that sent a heartbeat, and adopts the
-// machine if this leader doesn't know it. For a terminated machine it replies with an error and returns nil: machine
-// names are never reused, so a delayed duplicate of a heartbeat must not add the machine again.
+// machine if this leader doesn't know it. For a terminated machine it replies with an error and
+// returns nil: machine names are never reused, so a delayed duplicate of a heartbeat must not add the
+// machine again.
 func (l *leader) machineForHeartbeat(id uint64, r *protocol.Heartbeat) *machine {
 	if m := l.machines[r.Machine]; m != nil {
 		return m
--- a/internal/coordination/session_events.go
+++ b/internal/coordination/session_events.go
@@ -66,8 +66,8 @@
 	l.controller.election.StepDown("a worker has seen a later term")
 }
 
-// taskExitReported implements sessionListener. An exit with the reason ExitDone completes the task, even
-// if the attempt isn't known any longer.
+// taskExitReported implements sessionListener. An exit with the reason ExitDone completes the task,
+// even if the attempt isn't known any longer.
 func (l *leader) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) bool {
 	j := l.jobs[t.Job]
 	done := t.Reason == protocol.ExitDone && j != nil && t.TaskIndex < j.Tasks
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -98,7 +98,8 @@
 
 // beginSnapshot queues what a snapshot consists of: the entries of all workers, the states of all their
 // tasks, and the terminations that the leader may not have received. Other pending observations are
-// dropped, except for a status of which no part was sent.
+// dropped, except for a status of which no part was sent. Exits and orphans are sent again when their
+// workers next report them.
 func (f *changeFeed) beginSnapshot() {
 	terminations := f.pending.Terminations
 	f.pending, f.changedWorkers, f.snapshotWorkers = shard.Observations{Status: f.pending.Status}, map[*machine]bool{}, map[*machine]bool{}
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -89,14 +89,14 @@
 // acquireShard starts to serve a shard that the table shows as owned by this member.
 func (o *shardOwner) acquireShard(id shard.ID, r shard.OwnerRecord) {
 	c := o.controller
-	epoch := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
+	ownershipEpoch := sessions.Epoch{Term: r.Owner.Term, Since: c.now, PredecessorUntil: c.now}
 	if !r.HandedOver {
 		// Without the state service, the previous owner may continue to answer workers for its
 		// grace period.
-		epoch.PredecessorUntil = c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))
+		ownershipEpoch.PredecessorUntil = c.now.Add(c.gracePeriodForLease(c.operator.LeaderLease()))
 	}
-	o.shards[id] = &ownedShard{epoch: epoch}
-	c.log.Info("shard ownership acquired", "shard", id, "term", epoch.Term, "handed_over", r.HandedOver)
+	o.shards[id] = &ownedShard{epoch: ownershipEpoch}
+	c.log.Info("shard ownership acquired", "shard", id, "term", ownershipEpoch.Term, "handed_over", r.HandedOver)
 }
 
 // dropShard removes a shard that this member no longer owns, with its machines.
@@ -129,9 +129,9 @@
 }
 
 // applyMove stops serving a shard that is to move to another member and begins the handover, or resumes
-// serving the shard if the move was cancelled. The state
-// of its workers is kept until the state service shows another owner: if this owner resumes serving
-// them with the same fencing tokens, it must know what it sent to them.
+// serving the shard if the move was cancelled. The state of the shard's workers is kept until the state
+// service shows another owner: if this owner resumes serving them with the same fencing tokens, it must
+// know what it sent to them.
 func (o *shardOwner) applyMove(id shard.ID, r shard.OwnerRecord) {
 	owned := o.shards[id]
 	if owned.superseded && o.sharding.tableGeneration >= owned.recheckGeneration {
--- a/internal/coordination/shard_planning.go
+++ b/internal/coordination/shard_planning.go
@@ -160,8 +160,9 @@
 }
 
 // previousOwnerEnded reports whether every previous owner of a shard whose record can't be parsed has
-// certainly stopped answering workers. An owner that reads such a record stops at once. An owner without access
-// to the state service stops when its knowledge of cancellations is too old (maxAnswerStaleness).
+// certainly stopped answering workers. An owner that reads such a record stops at once. An owner
+// without access to the state service stops when its knowledge of cancellations is too old
+// (maxAnswerStaleness).
 func (sc *shardCoordinator) previousOwnerEnded(id shard.ID, version uint64) bool {
 	c := sc.leader.controller
 	return sc.unreadable.Age(c.now, id, version) > c.maxAnswerStaleness()+leadership.MaxClockDrift(c.cfg.CancelDeadline)+deadlineMargin
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -78,8 +78,8 @@
 func (s *workerSessions) serves(m *machine) bool { return m.session.Served() }
 
 // newWorkerSessions returns sessions without machines and jobs.
-func newWorkerSessions(c *Controller, lease leadership.Lease) workerSessions {
-	return workerSessions{controller: c, lease: lease, jobs: map[string]*job{}, machines: map[string]*machine{}}
+func newWorkerSessions(c *Controller, ownerLease leadership.Lease) workerSessions {
+	return workerSessions{controller: c, lease: ownerLease, jobs: map[string]*job{}, machines: map[string]*machine{}}
 }
 
 // alive reports whether the owner still serves workers.
