--- a/internal/simulator/ceiling_invariant.go
+++ b/internal/simulator/ceiling_invariant.go
@@ -86,7 +86,7 @@
 // controlPlaneHealthy reports whether there is a leader, no link has a fault, and the state service
 // is up and refuses no node.
 func (c *Cluster) controlPlaneHealthy() bool {
-	return len(c.linkFaults) == 0 && c.Leader() >= 0 && !c.state.outage && len(c.state.refusedNodes) == 0
+	return len(c.linkFaults) == 0 && c.Leader() >= 0 && !c.state.outage && len(c.state.refusedControllers) == 0
 }
 
 // schedulable reports whether a leader should consider the machine for placement: the agent is up
--- a/internal/simulator/chaos_faults_test.go
+++ b/internal/simulator/chaos_faults_test.go
@@ -36,7 +36,7 @@
 	(*chaosRun).delayedTransactions,
 	(*chaosRun).queryStorm,
 	(*chaosRun).manySmallJobs,
-	(*chaosRun).hugeArray,
+	(*chaosRun).hugeJob,
 	(*chaosRun).lostReplies,
 	(*chaosRun).staleHeartbeats,
 	(*chaosRun).machinesWithoutOutbound,
@@ -105,8 +105,8 @@
 	}
 }
 
-// hugeArray submits a huge array of small tasks.
-func (r *chaosRun) hugeArray(_ *controllerHost) {
+// hugeJob submits a huge array of small tasks.
+func (r *chaosRun) hugeJob(_ *controllerHost) {
 	r.submit(func(j *protocol.Job) {
 		j.Kind, j.Team, j.Tasks, j.CPUs, j.MemoryGB = protocol.Batch, "guest", 300*r.scale, 0.125, 0.1
 	})
@@ -194,7 +194,7 @@
 }
 
 func (r *chaosRun) refusedController(n *controllerHost) {
-	r.cluster.state.refusedNodes[n.name] = true
+	r.cluster.state.refusedControllers[n.name] = true
 	r.afterRandomDelay(25, func() { r.cluster.state.readmit(n.name) })
 }
 
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -19,7 +19,7 @@
 	requests            map[string][]string // names of the machines provisioned by each request ID
 	hasExternalMachines bool                // some machines are not simulated
 	outage              bool                // all requests get status 503
-	refusedNodes        map[string]bool     // nodes whose requests get status 503
+	refusedControllers  map[string]bool     // nodes whose requests get status 503
 	requestDelay        time.Duration       // if not 0, provision and terminate requests are carried out this much later and never answered
 	neverBoots          bool                // newly provisioned machines never boot
 	bootFailureShare    float64             // share of newly provisioned machines that never boot
@@ -41,7 +41,7 @@
 }
 
 func newCloud(c *Cluster, types []protocol.MachineType, capacity int) *cloud {
-	return &cloud{cluster: c, types: types, capacity: capacity, refusedNodes: map[string]bool{}, requests: map[string][]string{}}
+	return &cloud{cluster: c, types: types, capacity: capacity, refusedControllers: map[string]bool{}, requests: map[string][]string{}}
 }
 
 // machineType returns the machine type of that name, or nil.
@@ -134,7 +134,7 @@
 
 // serve handles a request of a node, unless there is an outage or the node is refused.
 func (cl *cloud) serve(from, method, target string, body []byte, respond respondFunc) {
-	if cl.outage || cl.refusedNodes[from] {
+	if cl.outage || cl.refusedControllers[from] {
 		respond(503, protocol.EncodeCloudError("trouble"))
 		return
 	}
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -38,9 +38,9 @@
 
 // processRun is one run of a controller's process.
 type processRun struct {
-	command *exec.Cmd
-	killed  atomic.Bool // its end was requested
-	exited  chan struct{}
+	command       *exec.Cmd
+	exitRequested atomic.Bool // its end was requested
+	exited        chan struct{}
 }
 
 // newControllerProcess prepares a controller: it reserves its ports and serves the state service
@@ -141,7 +141,7 @@
 	err := p.command.Wait()
 	close(p.exited)
 	cp.loopback.Do(func(c *Cluster) {
-		if !p.killed.Load() {
+		if !p.exitRequested.Load() {
 			c.reportViolation("ended", "process of %s exited unexpectedly: %v", cp.Name(), err)
 		}
 	})
@@ -164,7 +164,7 @@
 // Kill kills the process, if there is one, and waits until it has exited.
 func (cp *ControllerProcess) Kill() {
 	if p := cp.current.Load(); p != nil {
-		p.killed.Store(true)
+		p.exitRequested.Store(true)
 		_ = p.command.Process.Kill()
 		<-p.exited
 	}
@@ -176,7 +176,7 @@
 	if p == nil {
 		return os.ErrProcessDone
 	}
-	p.killed.Store(true)
+	p.exitRequested.Store(true)
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -155,8 +155,8 @@
 
 	Jobs             int                  `json:"jobs"`
 	Done             int                  `json:"done"`
-	Moves            int                  `json:"moves"`
-	MovesPerJob      float64              `json:"movesPerJob"`
+	Migrations       int                  `json:"moves"`
+	MigrationsPerJob float64              `json:"movesPerJob"`
 	WastedCPUSeconds float64              `json:"wastedCpuSeconds"` // CPU time of work whose result was lost
 	ImageHitRate     float64              `json:"placedOnHolders"`  // share of starts on machines that had the image
 	FetchedGB        float64              `json:"fetchedGb"`
@@ -297,7 +297,7 @@
 		_ = h.RecordValue(min(j.firstStartAt.Sub(j.submittedAt).Milliseconds(), 600_000)) // never fails: the value is within the histogram's range
 	}
 	o.AboveCeilingShare += above / float64(e.Seconds)
-	o.Moves += len(c.migrations.moves)
+	o.Migrations += len(c.migrations.markCounts)
 	o.WastedCPUSeconds += c.wastedCPUSeconds
 	o.ImageHitRate += c.placements.hitRate()
 	o.FetchedGB += c.fetchedGB
@@ -328,7 +328,7 @@
 				spec.CheckpointInterval, spec.CheckpointDuration = 5*time.Second, time.Duration(t.CheckpointSeconds*float64(time.Second))
 			}
 			c.after(time.Duration(at*float64(time.Second)), func() {
-				c.retryUntilAnswered(func(node int, done func(int, string)) { c.Submit(node, spec, run, false, done) })
+				c.retryUntilAnswered(func(controller int, done func(int, string)) { c.Submit(controller, spec, run, false, done) })
 			})
 		}
 	}
@@ -367,7 +367,7 @@
 	o.ImageHitRate /= seeds
 	o.FetchedGB /= seeds
 	o.StateWrites /= e.Seeds
-	o.MovesPerJob = float64(o.Moves) / float64(max(1, o.Jobs))
+	o.MigrationsPerJob = float64(o.Migrations) / float64(max(1, o.Jobs))
 	for team, h := range waits {
 		at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 		o.Waits[team] = WaitTimes{Median: at(50), P99: at(99)}
--- a/internal/simulator/experiment_test.go
+++ b/internal/simulator/experiment_test.go
@@ -74,8 +74,8 @@
 			t.Errorf("%+v", o)
 		}
 	}
-	if off, on := outcomes[0], outcomes[1]; off.Moves != 0 || on.AboveCeilingShare >= off.AboveCeilingShare {
-		t.Errorf("%d migrations with balancing off; share above the ceiling %.3f with it off and %.3f with it on", off.Moves, off.AboveCeilingShare, on.AboveCeilingShare)
+	if off, on := outcomes[0], outcomes[1]; off.Migrations != 0 || on.AboveCeilingShare >= off.AboveCeilingShare {
+		t.Errorf("%d migrations with balancing off; share above the ceiling %.3f with it off and %.3f with it on", off.Migrations, off.AboveCeilingShare, on.AboveCeilingShare)
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -12,7 +12,7 @@
 
 // retryUntilAnswered sends a user's request to random controllers, every second, until the reply is
 // final or a minute has passed.
-func (c *Cluster) retryUntilAnswered(send func(node int, done func(status int, state string))) {
+func (c *Cluster) retryUntilAnswered(send func(controller int, done func(status int, state string))) {
 	end := c.now.Add(time.Minute)
 	var try func()
 	try = func() {
@@ -31,7 +31,7 @@
 
 // retryCancel cancels a job, with retries.
 func (c *Cluster) retryCancel(id string) {
-	c.retryUntilAnswered(func(node int, done func(int, string)) { c.CancelJob(node, id, done) })
+	c.retryUntilAnswered(func(controller int, done func(int, string)) { c.CancelJob(controller, id, done) })
 }
 
 // jobsMatching returns the IDs of the jobs for which the condition holds, sorted.
@@ -142,27 +142,27 @@
 }
 
 // Resubmit submits a known job again.
-func (c *Cluster) Resubmit(node int, id string) {
+func (c *Cluster) Resubmit(controller int, id string) {
 	j := c.jobs[id]
-	c.Submit(node, j.spec, j.runTime, j.alwaysFails, func(int, string) {})
+	c.Submit(controller, j.spec, j.runTime, j.alwaysFails, func(int, string) {})
 }
 
 // SendInvalidRequests sends one of each kind of redundant or invalid user request: a repeated
 // submission of an unfinished job, cancellations of a job that is done and of an unknown job, jobs
 // that can never run, and a job that lacks a field.
 func (c *Cluster) SendInvalidRequests() {
-	node := func() int { return c.rng.IntN(len(c.controllers)) }
+	randomController := func() int { return c.rng.IntN(len(c.controllers)) }
 	pick := func(ids []string, f func(id string)) {
 		if len(ids) > 0 {
 			f(ids[c.rng.IntN(len(ids))])
 		}
 	}
-	pick(c.jobsMatching(func(j *userJob) bool { return j.accepted && j.reportedState == 0 }), func(id string) { c.Resubmit(node(), id) })
+	pick(c.jobsMatching(func(j *userJob) bool { return j.accepted && j.reportedState == 0 }), func(id string) { c.Resubmit(randomController(), id) })
 	pick(c.jobsMatching(func(j *userJob) bool { return j.reportedState == protocol.Done }), func(id string) {
-		c.CancelJob(node(), id, func(int, string) {})
+		c.CancelJob(randomController(), id, func(int, string) {})
 	})
 	c.invalidRequestCount++
-	c.CancelJob(node(), fmt.Sprintf("run-%06d", 990000+c.invalidRequestCount), func(int, string) {})
+	c.CancelJob(randomController(), fmt.Sprintf("run-%06d", 990000+c.invalidRequestCount), func(int, string) {})
 	invalidJob := func(change func(*protocol.Job)) protocol.Job {
 		c.invalidRequestCount++
 		j := protocol.Job{ID: fmt.Sprintf("run-%06d", 900000+c.invalidRequestCount), Class: "one", Team: "blue", Kind: protocol.Batch,
@@ -177,14 +177,14 @@
 		func(j *protocol.Job) { j.Team = "nobody" },
 		func(j *protocol.Job) { j.Kind, j.Tasks = protocol.Service, 10000 },
 	} {
-		c.Submit(node(), invalidJob(change), time.Second, false, ignore)
+		c.Submit(randomController(), invalidJob(change), time.Second, false, ignore)
 	}
-	c.submitWithoutField(node(), invalidJob(func(*protocol.Job) {}), c.rng.IntN(1000))
+	c.submitWithoutField(randomController(), invalidJob(func(*protocol.Job) {}), c.rng.IntN(1000))
 }
 
 // submitWithoutField submits a job that lacks one of its fields and checks that it is not accepted.
 // All fields that EncodeJob writes are required, except those that are null.
-func (c *Cluster) submitWithoutField(node int, spec protocol.Job, which int) {
+func (c *Cluster) submitWithoutField(controller int, spec protocol.Job, which int) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(protocol.EncodeJob(&spec), &fields); err != nil {
 		panic(err)
@@ -198,7 +198,7 @@
 	slices.Sort(names)
 	missing := names[which%len(names)]
 	delete(fields, missing)
-	c.userRequest(node, "POST", protocol.PathJobs, protocol.Encode(fields), func(status int, _ []byte) {
+	c.userRequest(controller, "POST", protocol.PathJobs, protocol.Encode(fields), func(status int, _ []byte) {
 		switch status {
 		case 400, 429, 503, 504, 0:
 		default:
--- a/internal/simulator/load.go
+++ b/internal/simulator/load.go
@@ -72,8 +72,8 @@
 func (c *Cluster) submitLoadJob(number int, run time.Duration, accepted map[string]time.Duration) {
 	spec := SampleJob(fmt.Sprintf("run-%06d", firstLoadJobNumber+number), run)
 	begin := c.now
-	c.retryUntilAnswered(func(node int, done func(int, string)) {
-		c.Submit(node, spec, run, false, func(status int, state string) {
+	c.retryUntilAnswered(func(controller int, done func(int, string)) {
+		c.Submit(controller, spec, run, false, func(status int, state string) {
 			if (status == 200 || status == 201) && accepted[spec.ID] == 0 {
 				accepted[spec.ID] = c.now.Sub(begin)
 				c.QueryUntilDone(spec.ID, loadQueryInterval)
--- a/internal/simulator/loopback.go
+++ b/internal/simulator/loopback.go
@@ -203,8 +203,8 @@
 func (l *Loopback) AwaitReady(ctx context.Context) error {
 	healthy := 0
 	l.Do(func(c *Cluster) {
-		for node := range c.controllers {
-			c.awaitHealth(node, func() { healthy++ })
+		for controller := range c.controllers {
+			c.awaitHealth(controller, func() { healthy++ })
 		}
 	})
 	return l.Await(ctx, "a leader and healthy controllers", func(c *Cluster) bool { return c.Leader() >= 0 && healthy == len(c.controllers) })
@@ -214,13 +214,13 @@
 const healthCheckInterval = 200 * time.Millisecond
 
 // awaitHealth repeats a controller's health check until it succeeds and then calls done.
-func (c *Cluster) awaitHealth(node int, done func()) {
-	c.userRequest(node, "GET", protocol.PathHealth, nil, func(status int, _ []byte) {
+func (c *Cluster) awaitHealth(controller int, done func()) {
+	c.userRequest(controller, "GET", protocol.PathHealth, nil, func(status int, _ []byte) {
 		if status == http.StatusOK {
 			done()
 			return
 		}
-		c.after(healthCheckInterval, func() { c.awaitHealth(node, done) })
+		c.after(healthCheckInterval, func() { c.awaitHealth(controller, done) })
 	})
 }
 
--- a/internal/simulator/loopback_services_test.go
+++ b/internal/simulator/loopback_services_test.go
@@ -70,13 +70,15 @@
 	checkServed(first)
 	checkServed(second)
 
-	l.Do(func(c *Cluster) { c.state.refusedNodes[first.Name()], c.cloud.refusedNodes[first.Name()] = true, true })
+	l.Do(func(c *Cluster) {
+		c.state.refusedControllers[first.Name()], c.cloud.refusedControllers[first.Name()] = true, true
+	})
 	wantStatus(t, first.StateAddr(), missing, 503)
 	wantStatus(t, first.CloudAddr(), protocol.PathMachineTypes, 503)
 	checkServed(second)
 	l.Do(func(c *Cluster) {
 		c.state.readmit()
-		clear(c.cloud.refusedNodes)
+		clear(c.cloud.refusedControllers)
 	})
 	checkServed(first)
 
--- a/internal/simulator/loopback_test.go
+++ b/internal/simulator/loopback_test.go
@@ -65,7 +65,7 @@
 func surgingTeam(t *loopbackTest) {
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
 	t.Do(func(c *Cluster) {
-		c.submitBatch(jobsBeforeFault, batchJobCount)
+		c.submitBatch(initialBatchJobs, batchJobCount)
 		c.SetCeilingCheck("red", 0.5)
 		for i := range surgeJobs {
 			c.submitAndPoll(surgeJobID(i), protocol.Batch, surgeTasks, surgeRun)
@@ -132,7 +132,7 @@
 // drainedOwners terminates and restarts all controllers, one after the other, while jobs run.
 func drainedOwners(t *loopbackTest) {
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
-	t.Do(func(c *Cluster) { c.submitBatch(jobsBeforeFault, batchJobCount) })
+	t.Do(func(c *Cluster) { c.submitBatch(initialBatchJobs, batchJobCount) })
 	for _, k := range t.Controllers() {
 		if err := k.Terminate(); err != nil {
 			t.Fatal(err)
@@ -188,7 +188,7 @@
 // refusedLeader makes the state service refuse only the leader.
 func refusedLeader(t *loopbackTest) {
 	leader, index := t.disruptLeader(func(leader *ControllerProcess, _ int) {
-		t.Do(func(c *Cluster) { c.state.refusedNodes[leader.Name()] = true })
+		t.Do(func(c *Cluster) { c.state.refusedControllers[leader.Name()] = true })
 	})
 	status := 0
 	t.Do(func(c *Cluster) { c.Query(index, unknownJob, func(s int, _ string) { status = s }) })
@@ -223,12 +223,12 @@
 const loopbackTestTimeout = 40 * time.Second
 
 const (
-	jobsBeforeFault = 4 // batch jobs that are submitted before the fault
-	batchJobCount   = 6 // all batch jobs; the others are submitted during the fault
-	tasksPerJob     = 4 // tasks of each batch job
-	serviceReplicas = 2
-	serviceID       = "run-000900"
-	unknownJob      = "run-000999" // never submitted
+	initialBatchJobs = 4 // batch jobs that are submitted before the fault
+	batchJobCount    = 6 // all batch jobs; the others are submitted during the fault
+	tasksPerJob      = 4 // tasks of each batch job
+	serviceReplicas  = 2
+	serviceID        = "run-000900"
+	unknownJob       = "run-000999" // never submitted
 )
 
 func batchJobID(i int) string { return fmt.Sprintf("run-%06d", i+1) }
@@ -251,7 +251,7 @@
 	}
 	lt.leader()
 	l.Do(func(c *Cluster) {
-		c.submitBatch(0, jobsBeforeFault)
+		c.submitBatch(0, initialBatchJobs)
 		c.submitAndPoll(serviceID, protocol.Service, serviceReplicas, 0)
 	})
 	return lt
@@ -294,7 +294,7 @@
 func (c *Cluster) submitAndPoll(id string, kind protocol.Kind, tasks int, run time.Duration) {
 	spec := protocol.Job{ID: id, Class: "live", Team: "red", Kind: kind, Priority: protocol.Standard, Tasks: tasks,
 		CPUs: 1, MemoryGB: 1, Image: "img-live", ImageGB: 0.2, EstimatedRuntime: run}
-	c.retryUntilAnswered(func(node int, done func(int, string)) { c.Submit(node, spec, run, false, done) })
+	c.retryUntilAnswered(func(controller int, done func(int, string)) { c.Submit(controller, spec, run, false, done) })
 	c.QueryUntilDone(id, 500*time.Millisecond)
 }
 
@@ -321,7 +321,7 @@
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
 	leader, index = t.leader()
 	fault(leader, index)
-	t.Do(func(c *Cluster) { c.submitBatch(jobsBeforeFault, batchJobCount) })
+	t.Do(func(c *Cluster) { c.submitBatch(initialBatchJobs, batchJobCount) })
 	t.await("another leader", func(c *Cluster) bool { return c.Leader() >= 0 && c.Leader() != index })
 	return leader, index
 }
--- a/internal/simulator/loopback_versions_test.go
+++ b/internal/simulator/loopback_versions_test.go
@@ -54,7 +54,7 @@
 		t.await("a job to be done with this mix of versions", func(c *Cluster) bool { return c.reportedState(job) == protocol.Done })
 		t.awaitAnswerFor(index, job)
 	}
-	t.Do(func(c *Cluster) { c.submitBatch(jobsBeforeFault, batchJobCount) })
+	t.Do(func(c *Cluster) { c.submitBatch(initialBatchJobs, batchJobCount) })
 	t.awaitAllDone()
 }
 
--- a/internal/simulator/migration_invariant.go
+++ b/internal/simulator/migration_invariant.go
@@ -11,7 +11,7 @@
 // marks in the records of the state service.
 type migrationInvariant struct {
 	marksByRecord map[string]map[migratedTask]bool // marks currently set, by record key
-	moves         map[migratedTask]int             // how often each mark was set
+	markCounts    map[migratedTask]int             // how often each mark was set
 	stops         int                              // stop orders for tasks that were fetching or running
 }
 
@@ -23,7 +23,7 @@
 }
 
 func newMigrationInvariant() *migrationInvariant {
-	return &migrationInvariant{marksByRecord: map[string]map[migratedTask]bool{}, moves: map[migratedTask]int{}}
+	return &migrationInvariant{marksByRecord: map[string]map[migratedTask]bool{}, markCounts: map[migratedTask]int{}}
 }
 
 // observe checks a write to the state service. If a mark is set a second time, a leader has moved a
@@ -54,7 +54,7 @@
 		if before[t] {
 			continue
 		}
-		if inv.moves[t]++; inv.moves[t] > 1 {
+		if inv.markCounts[t]++; inv.markCounts[t] > 1 {
 			c.reportViolation("moved_twice", "task %s/%d moved again in surge %d", t.job, t.task, t.surge)
 		}
 	}
@@ -64,5 +64,5 @@
 // Migrations describes how many tasks were moved according to the records, and how often tasks were
 // stopped.
 func (c *Cluster) Migrations() string {
-	return fmt.Sprintf("moved=%d stops=%d", len(c.migrations.moves), c.migrations.stops)
+	return fmt.Sprintf("moved=%d stops=%d", len(c.migrations.markCounts), c.migrations.stops)
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -85,7 +85,7 @@
 // IsolateRefused is like Isolate, except that the state service refuses the controller's requests
 // instead of being unreachable.
 func (c *Cluster) IsolateRefused(n *controllerHost) {
-	c.state.refusedNodes[n.name] = true
+	c.state.refusedControllers[n.name] = true
 	for _, p := range c.controllers {
 		if p != n {
 			c.Cut(n.name, p.name, false)
--- a/internal/simulator/ownership.go
+++ b/internal/simulator/ownership.go
@@ -113,8 +113,8 @@
 		}
 	}
 	var list []string
-	for node, count := range owned {
-		list = append(list, fmt.Sprintf("%s owns %d", node, count))
+	for name, count := range owned {
+		list = append(list, fmt.Sprintf("%s owns %d", name, count))
 	}
 	slices.Sort(list)
 	if moving > 0 {
--- a/internal/simulator/scenario_faults_test.go
+++ b/internal/simulator/scenario_faults_test.go
@@ -124,7 +124,7 @@
 		r.cluster.state.commitDelay, r.cluster.state.commitDelayJitter, r.cluster.state.delayedCommitShare = 0, 0, 0
 		r.cluster.state.lostReplyShare, r.cluster.state.slowRequestShare, r.cluster.state.watchDelay = 0, 0, 0
 	case "refuse":
-		r.cluster.state.refusedNodes[r.cluster.controllers[r.controllerIndex(t, d, arg(d, "node", "leader"))].name] = true
+		r.cluster.state.refusedControllers[r.cluster.controllers[r.controllerIndex(t, d, arg(d, "node", "leader"))].name] = true
 	case "late":
 		// late by=D [more=D] [share=S]: transactions are applied D to D+more later, without a
 		// response. Without a share this holds for all of them.
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -189,8 +189,8 @@
 		target = d.CmdArgs[2].Key
 	}
 	if point == onHeartbeat && target != "" {
-		node, machine, hasMachine := strings.Cut(target, "/")
-		if target = r.cluster.controllers[r.controllerIndex(t, d, node)].name; hasMachine {
+		name, machine, hasMachine := strings.Cut(target, "/")
+		if target = r.cluster.controllers[r.controllerIndex(t, d, name)].name; hasMachine {
 			target += "/" + machine
 		}
 	}
@@ -231,7 +231,7 @@
 		"invalid_requests":   (*scenarioRunner).runInvalidRequests,
 		"query_after_change": (*scenarioRunner).runQueryAfterChange,
 		"crash_leaders":      (*scenarioRunner).runCrashLeaders,
-		"quiesce":            (*scenarioRunner).runBeginQuiescence,
+		"quiesce":            (*scenarioRunner).runQuiesce,
 		"when":               (*scenarioRunner).runWhen,
 		"trigger_output":     (*scenarioRunner).runTriggerOutput,
 		"request":            (*scenarioRunner).runRequest,
@@ -307,9 +307,9 @@
 
 // runPoll handles "poll JOB [node=NODE] [short]": it queries a controller for a job.
 func (r *scenarioRunner) runPoll(t *testing.T, d *datadriven.TestData) string {
-	node := r.controllerIndex(t, d, arg(d, "node", "leader"))
+	controller := r.controllerIndex(t, d, arg(d, "node", "leader"))
 	return r.sendAndWait(d, func(done func(string)) {
-		r.cluster.Query(node, firstArg(t, d), func(status int, text string) {
+		r.cluster.Query(controller, firstArg(t, d), func(status int, text string) {
 			if arg(d, "short", "") != "" { // without the numbers of tasks
 				text, _, _ = strings.Cut(text, " ")
 			}
@@ -319,13 +319,13 @@
 }
 
 func (r *scenarioRunner) runCancel(t *testing.T, d *datadriven.TestData) string {
-	node := r.controllerIndex(t, d, arg(d, "node", "leader"))
+	controller := r.controllerIndex(t, d, arg(d, "node", "leader"))
 	return r.sendAndWait(d, func(done func(string)) {
-		r.cluster.CancelJob(node, firstArg(t, d), func(status int, state string) { done(fmt.Sprintf("%d %s", status, state)) })
+		r.cluster.CancelJob(controller, firstArg(t, d), func(status int, state string) { done(fmt.Sprintf("%d %s", status, state)) })
 	})
 }
 
-func (r *scenarioRunner) runBeginQuiescence(_ *testing.T, _ *datadriven.TestData) string {
+func (r *scenarioRunner) runQuiesce(_ *testing.T, _ *datadriven.TestData) string {
 	r.cluster.BeginQuiescence()
 	return ""
 }
@@ -335,9 +335,9 @@
 	if len(d.CmdArgs) < 2 {
 		d.Fatalf(t, "request needs a method and a target")
 	}
-	node := r.controllerIndex(t, d, arg(d, "node", "leader"))
+	controller := r.controllerIndex(t, d, arg(d, "node", "leader"))
 	return r.sendAndWait(d, func(done func(string)) {
-		r.cluster.userRequest(node, d.CmdArgs[0].Key, d.CmdArgs[1].Key, []byte(d.Input), func(status int, body []byte) {
+		r.cluster.userRequest(controller, d.CmdArgs[0].Key, d.CmdArgs[1].Key, []byte(d.Input), func(status int, body []byte) {
 			done(fmt.Sprintf("%d %s", status, body))
 		})
 	})
@@ -372,9 +372,9 @@
 // runSubmit handles "submit JOB [node=NODE] ..." with the job's properties as arguments.
 func (r *scenarioRunner) runSubmit(t *testing.T, d *datadriven.TestData) string {
 	spec, run := r.jobSpec(t, d, firstArg(t, d))
-	node := r.controllerIndex(t, d, arg(d, "node", "leader"))
+	controller := r.controllerIndex(t, d, arg(d, "node", "leader"))
 	return r.sendAndWait(d, func(done func(string)) {
-		r.cluster.Submit(node, spec, run, arg(d, "bad", "") != "", func(status int, state string) { done(fmt.Sprintf("%d %s", status, state)) })
+		r.cluster.Submit(controller, spec, run, arg(d, "bad", "") != "", func(status int, state string) { done(fmt.Sprintf("%d %s", status, state)) })
 	})
 }
 
@@ -393,9 +393,9 @@
 		spec, run := r.jobSpec(t, d, fmt.Sprintf("run-%06d", from+i))
 		r.cluster.after(time.Duration(i)*every, func() {
 			if insist {
-				r.cluster.retryUntilAnswered(func(node int, done func(int, string)) { r.cluster.Submit(node, spec, run, bad, done) })
-			} else if node := r.cluster.Leader(); node >= 0 {
-				r.cluster.Submit(node, spec, run, bad, func(int, string) {})
+				r.cluster.retryUntilAnswered(func(controller int, done func(int, string)) { r.cluster.Submit(controller, spec, run, bad, done) })
+			} else if controller := r.cluster.Leader(); controller >= 0 {
+				r.cluster.Submit(controller, spec, run, bad, func(int, string) {})
 			}
 			if cancel > 0 && i%cancel == 0 {
 				r.cluster.after(time.Duration(r.cluster.rng.Int64N(int64(run+time.Second))), func() { r.cluster.retryCancel(spec.ID) })
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -15,15 +15,15 @@
 
 // stateService simulates the state service: a key-value store with transactions, leases and watches.
 type stateService struct {
-	cluster      *Cluster
-	revision     uint64
-	keys         map[string]protocol.KeyValue
-	history      []historyEntry // all changes, in order
-	leases       map[uint64]*lease
-	lastLeaseID  uint64
-	watches      []*watch
-	outage       bool            // all requests get status 503
-	refusedNodes map[string]bool // nodes whose requests get status 503
+	cluster            *Cluster
+	revision           uint64
+	keys               map[string]protocol.KeyValue
+	history            []historyEntry // all changes, in order
+	leases             map[uint64]*lease
+	lastLeaseID        uint64
+	watches            []*watch
+	outage             bool            // all requests get status 503
+	refusedControllers map[string]bool // nodes whose requests get status 503
 	// If commitDelay is not 0, transactions are applied this much later, plus up to
 	// commitDelayJitter, and never answered: a share of them, or all if delayedCommitShare is 0.
 	commitDelay, commitDelayJitter time.Duration
@@ -76,7 +76,7 @@
 
 func newStateService(c *Cluster) *stateService {
 	rps, writeRPS := c.settings.StateRPS, c.settings.StateWriteRPS
-	return &stateService{cluster: c, keys: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, refusedNodes: map[string]bool{},
+	return &stateService{cluster: c, keys: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, refusedControllers: map[string]bool{},
 		requestBucket: ratelimit.NewTokenBucket(rps, rps, c.now), writeBucket: ratelimit.NewTokenBucket(writeRPS, writeRPS, c.now)}
 }
 
@@ -106,10 +106,10 @@
 // readmit stops refusing requests of the given nodes, or of all nodes if none is given.
 func (s *stateService) readmit(nodes ...string) {
 	for _, name := range nodes {
-		delete(s.refusedNodes, name)
+		delete(s.refusedControllers, name)
 	}
 	if len(nodes) == 0 {
-		clear(s.refusedNodes)
+		clear(s.refusedControllers)
 	}
 	s.notify()
 }
@@ -202,7 +202,7 @@
 		}
 		// Open watches of a refused node wait until it is readmitted, as all watches wait
 		// during an outage.
-		if len(s.eventsFor(w)) > 0 && !s.refusedNodes[w.from] {
+		if len(s.eventsFor(w)) > 0 && !s.refusedControllers[w.from] {
 			ready = append(ready, w)
 		} else {
 			keep = append(keep, w)
@@ -244,7 +244,7 @@
 // handle handles a request, unless there is an outage, the node is refused, or the rate limit is
 // exceeded.
 func (s *stateService) handle(from, method, target string, body []byte, respond respondFunc) {
-	if s.outage || s.refusedNodes[from] {
+	if s.outage || s.refusedControllers[from] {
 		respond(503, nil)
 		return
 	}
@@ -343,7 +343,7 @@
 	}
 	s.watches = append(s.watches, w)
 	s.cluster.after(wait, func() {
-		if !w.closed && !s.outage && !s.refusedNodes[w.from] {
+		if !w.closed && !s.outage && !s.refusedControllers[w.from] {
 			w.closed = true
 			respond(200, protocol.EncodeEvents(nil, s.revision))
 		}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -59,13 +59,13 @@
 }
 
 // Submit submits a job to a controller and checks the reply. done gets the status and the job's state.
-func (c *Cluster) Submit(node int, spec protocol.Job, runTime time.Duration, alwaysFails bool, done func(status int, state string)) {
+func (c *Cluster) Submit(controller int, spec protocol.Job, runTime time.Duration, alwaysFails bool, done func(status int, state string)) {
 	j := c.jobs[spec.ID]
 	if j == nil {
 		j = c.newJob(spec, runTime, alwaysFails)
 	}
 	previous, known := c.reportedState(spec.ID), j.accepted
-	c.userRequest(node, "POST", protocol.PathJobs, protocol.EncodeJob(&spec), func(status int, body []byte) {
+	c.userRequest(controller, "POST", protocol.PathJobs, protocol.EncodeJob(&spec), func(status int, body []byte) {
 		switch status {
 		case 200, 201:
 			if !c.isValidJob(&spec) {
@@ -94,10 +94,10 @@
 
 // Query queries a controller for a job and checks the reply. done gets the status and a summary of the
 // job's state.
-func (c *Cluster) Query(node int, id string, done func(status int, text string)) {
+func (c *Cluster) Query(controller int, id string, done func(status int, text string)) {
 	// The reply is checked only against what users were told before the request was sent.
 	known, previous := c.jobs[id] != nil && c.jobs[id].accepted, c.reportedState(id)
-	c.userRequest(node, "GET", protocol.PathJobs+"/"+id, nil, func(status int, body []byte) {
+	c.userRequest(controller, "GET", protocol.PathJobs+"/"+id, nil, func(status int, body []byte) {
 		j := c.jobs[id]
 		if j != nil && j.accepted && !j.cancelRequested {
 			j.queryAnswered(c.now, status == 200)
@@ -164,8 +164,8 @@
 	slices.Sort(ids)
 	for i := range count {
 		c.after(over*time.Duration(i)/time.Duration(count), func() {
-			if node := c.rng.IntN(len(c.controllers)); c.controllers[node].up() {
-				c.Query(node, ids[c.rng.IntN(len(ids))], func(int, string) {})
+			if controller := c.rng.IntN(len(c.controllers)); c.controllers[controller].up() {
+				c.Query(controller, ids[c.rng.IntN(len(ids))], func(int, string) {})
 			}
 		})
 	}
@@ -188,13 +188,13 @@
 
 // CancelJob asks a controller to cancel a job and checks the reply. done gets the status and the job's
 // state.
-func (c *Cluster) CancelJob(node int, id string, done func(status int, state string)) {
+func (c *Cluster) CancelJob(controller int, id string, done func(status int, state string)) {
 	j := c.jobs[id]
 	known, previous := j != nil && j.accepted, c.reportedState(id)
 	if j != nil && previous != protocol.Done { // a job that is done can no longer be cancelled
 		j.cancelRequested = true
 	}
-	c.userRequest(node, "POST", protocol.PathJobs+"/"+id+"/cancel", nil, func(status int, body []byte) {
+	c.userRequest(controller, "POST", protocol.PathJobs+"/"+id+"/cancel", nil, func(status int, body []byte) {
 		switch {
 		case status == 200 && j == nil:
 			c.reportViolation("invented", "%s was never submitted but its cancellation got status 200", id)
@@ -224,8 +224,8 @@
 
 // userRequest sends a user's request to a controller. Without a response within userTimeout, done gets
 // status 0.
-func (c *Cluster) userRequest(node int, method, target string, body []byte, done func(status int, body []byte)) {
-	n := c.controllers[node]
+func (c *Cluster) userRequest(controller int, method, target string, body []byte, done func(status int, body []byte)) {
+	n := c.controllers[controller]
 	finished := false
 	finish := func(status int, body []byte) {
 		if !finished {
