--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -15,8 +15,8 @@
 	name           string
 	machine        *machine
 	spec           *protocol.MachineType
-	dead           bool
-	hung           bool
+	dead           bool     // its machine was terminated or failed
+	hung           bool     // it does nothing, except that its lease can expire
 	queued         []func() // work deferred until the hang ends
 	failsAllTasks  bool
 	hasFailedTask  bool // controllers may have quarantined the machine for it
@@ -32,7 +32,7 @@
 	heartbeatInFlight bool
 	heartbeatSeq      uint64 // sequence number of the last heartbeat sent
 	lastSent          time.Time
-	leaseStart        time.Time // send time of the last accepted heartbeat
+	leaseStart        time.Time // send time of the last accepted heartbeat, or the start of this incarnation if that is later
 	lastReply         time.Time // arrival of the reply to that heartbeat
 	nextHeartbeat     *event
 	lease             *event // lease expiry
@@ -131,7 +131,7 @@
 }
 
 // statusChanged schedules a heartbeat for the changed status, at least 500 ms after the previous
-// heartbeat.
+// heartbeat. If a heartbeat is in flight, the next one is scheduled once that has been answered.
 func (a *agent) statusChanged() {
 	a.changed = true
 	if !a.heartbeatInFlight {
@@ -470,7 +470,7 @@
 			})
 		})
 		a.statusChanged()
-	case t.state == protocol.Checkpointing && grace > 0:
+	case t.state == protocol.Checkpointing && grace > 0: // it may complete its checkpoint
 	default:
 		a.exitAttempt(t, protocol.ExitStopped)
 	}
--- a/internal/simulator/ceiling_invariant.go
+++ b/internal/simulator/ceiling_invariant.go
@@ -14,7 +14,7 @@
 type ceilingInvariant struct {
 	team      string
 	share     float64
-	roomSince map[*agent]map[resources]time.Time // since when the machine has had room for such a task below the ceiling
+	roomSince map[*agent]map[resources]time.Time // by machine and size of a task, since when the machine has had room for it below the ceiling
 }
 
 // resources is an amount of CPUs and memory (GB).
@@ -84,13 +84,14 @@
 }
 
 // controlPlaneHealthy reports whether there is a leader, no link has a fault, and the state service
-// is up and refuses no node.
+// is up and refuses no controller.
 func (c *Cluster) controlPlaneHealthy() bool {
 	return len(c.linkFaults) == 0 && c.Leader() >= 0 && !c.state.outage && len(c.state.refusedControllers) == 0
 }
 
-// schedulable reports whether a leader should consider the machine for placement: the agent is up
-// and heard from, none of its tasks failed, and it has no preemption notice.
+// schedulable reports whether a leader should consider the machine for placement: the agent runs, it
+// got a reply to a heartbeat within the last two heartbeat intervals, no task failed on it because
+// of the machine, and it has no preemption notice.
 func (a *agent) schedulable() bool {
 	return !a.dead && !a.hung && !a.heartbeatsLost && !a.hasFailedTask && a.preemptionAt.IsZero() &&
 		a.cluster.now.Sub(a.lastReply) <= a.cluster.settings.HeartbeatInterval*2
@@ -146,8 +147,8 @@
 	shape := resources{j.spec.CPUs, j.spec.MemoryGB}
 	for o, since := range inv.roomSince {
 		if at := since[shape]; !at.IsZero() && o != a && c.now.Sub(at) > c.maxTimeWithRoomBelow() && o.machine.allowedFor(&j.spec) {
-			// The starts of one placement round arrive one by one: the room may be taken by
-			// another of them.
+			// The starts of one placement round arrive one by one: a start that is still on
+			// its way may take the room below the ceiling.
 			c.after(maxStartSpread, func() { inv.confirmViolation(c, a, o, shape, at) })
 			return
 		}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -14,12 +14,12 @@
 type cloud struct {
 	cluster             *Cluster
 	types               []protocol.MachineType
-	capacity            int                 // machines per type, zone, and on-demand or spot
+	capacity            int                 // machines that can run at once, per type, zone, and on-demand or spot
 	machines            []*machine          // in order of creation, including terminated ones
 	requests            map[string][]string // names of the machines provisioned by each request ID
 	hasExternalMachines bool                // some machines are not simulated
 	outage              bool                // all requests get status 503
-	refusedControllers  map[string]bool     // nodes whose requests get status 503
+	refusedControllers  map[string]bool     // names of controllers whose requests get status 503
 	requestDelay        time.Duration       // if not 0, provision and terminate requests are carried out this much later and never answered
 	neverBoots          bool                // newly provisioned machines never boot
 	bootFailureShare    float64             // share of newly provisioned machines that never boot
@@ -37,7 +37,7 @@
 	bootedAt                time.Time // zero until it has booted
 	failedAt                time.Time
 	terminatedAt            time.Time
-	agent                   *agent
+	agent                   *agent // nil until it has booted, and if it is external
 }
 
 func newCloud(c *Cluster, types []protocol.MachineType, capacity int) *cloud {
@@ -57,8 +57,8 @@
 // machinePrefix begins the names of simulated machines.
 const machinePrefix = "vm-"
 
-// startMachine creates a machine that is up after the given boot time, or never if boot failures
-// are simulated.
+// startMachine creates a machine that is up after the given boot time. It never boots while
+// neverBoots is set, or if it is drawn with probability bootFailureShare.
 func (cl *cloud) startMachine(typ, zone string, spot bool, boot time.Duration) *machine {
 	m := &machine{name: fmt.Sprintf("%s%06d", machinePrefix, len(cl.machines)), machineType: typ, zone: zone, spot: spot, provisionedAt: cl.cluster.now}
 	m.addr = cl.cluster.assignAddress(m)
@@ -132,7 +132,8 @@
 	return n
 }
 
-// serve handles a request of a node, unless there is an outage or the node is refused.
+// serve handles a request of a controller. During an outage, or if the controller is refused, it
+// replies with status 503.
 func (cl *cloud) serve(from, method, target string, body []byte, respond respondFunc) {
 	if cl.outage || cl.refusedControllers[from] {
 		respond(503, protocol.EncodeCloudError("trouble"))
@@ -218,6 +219,7 @@
 }
 
 // list replies with the machines as they were at a random time up to twice MaxListLag ago.
+// Controllers allow for lists of that age (see reconcileUnlisted in package coordination).
 func (cl *cloud) list(after string, respond respondFunc) {
 	lag := cl.cluster.settings.MaxListLag
 	at := cl.cluster.now.Add(-time.Duration(cl.cluster.rng.Int64N(int64(2 * lag))))
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -25,19 +25,20 @@
 type Options struct {
 	Seed                uint64
 	Controllers         int
-	Zones               []string        // assigned to controllers round-robin; every zone offers machines
+	Zones               []string        // assigned to controllers round-robin; every zone offers machines; empty: one zone "a"
 	Machines            int             // on-demand machines that run from the start, assigned to zones round-robin
 	Capacity            int             // machines that can be provisioned per type, zone, and on-demand or spot
 	LargeFleet          bool            // use limits, budgets and intervals of a fleet of a thousand machines
 	ShardsPerController int             // 0: no shards, the leader serves all machines
 	Balance             *config.Balance // nil: no balancing
-	Headroom            float64         // share of the fleet kept free; 0 means the default
+	Headroom            float64         // free capacity to keep, as a share of the capacity in use; 0 means the default
 	TeamCPULimit        float64         // CPU limit of each team that has one; 0 means the default
-	// EventCost is the processor time that a controller spends on each event. Events that
-	// arrive faster wait and timers fire late, as on a small share of a processor.
+	// EventCost is the processor time that a controller spends on each event. If events arrive
+	// faster than that, they wait and timers fire late, as for a controller that has only a
+	// small share of a processor.
 	EventCost time.Duration
 	Log       io.Writer
-	// Digest, if not nil, hashes everything that controllers do.
+	// Digest, if not nil, hashes the requests to controllers and everything that controllers do.
 	Digest hash.Hash
 }
 
@@ -58,7 +59,7 @@
 	controllers    []*controllerHost
 	state          *stateService
 	cloud          *cloud
-	agents         map[string]*agent // by machine name
+	agents         map[string]*agent // of the machines that run, by machine name
 	jobs           map[string]*userJob
 	linkFaults     map[link]*linkFault
 	linkChanges    int                   // number of changes to linkFaults
@@ -188,7 +189,8 @@
 	return s
 }
 
-// Leader returns the index of the controller that leads, or -1 if none does.
+// Leader returns the index of the controller that the leader record names, or -1 if there is no such
+// record or that controller is not running.
 func (c *Cluster) Leader() int {
 	name := c.state.leader()
 	for i, n := range c.controllers {
--- a/internal/simulator/controller_host.go
+++ b/internal/simulator/controller_host.go
@@ -56,8 +56,9 @@
 	}
 	n.pendingResponses = map[uint64]func(int, []byte){}
 	n.poweredOff = false
-	boot := uint64(slices.Index(c.controllers, n)+1)<<32 | n.starts
-	n.core = coordination.New(&s, c.operator, c.log.With("node", n.name), boot, c.now)
+	// No two starts of any controllers have the same incarnation.
+	incarnation := uint64(slices.Index(c.controllers, n)+1)<<32 | n.starts
+	n.core = coordination.New(&s, c.operator, c.log.With("node", n.name), incarnation, c.now)
 	n.applyEffects(n.core.Start(c.now))
 }
 
@@ -91,7 +92,7 @@
 }
 
 // runWhenIdle runs f as soon as the controller has handled the events before it, unless it has
-// crashed or restarted by then. It takes eventCost of the controller's time.
+// crashed or restarted by then. f takes eventCost of the controller's time.
 func (n *controllerHost) runWhenIdle(f func()) {
 	c, core := n.cluster, n.core
 	if c.eventCost == 0 {
@@ -191,14 +192,14 @@
 	}
 }
 
-// duplicateDelay is the delay of a duplicate command.
+// duplicateDelay is how long after the original a duplicate command is sent.
 const duplicateDelay = 30 * time.Second
 
 // callAgent sends a request to a machine's agent, and a duplicate later if it is a command and
 // commands are to be duplicated.
 func (n *controllerHost) callAgent(call coordination.Call, done respondFunc) {
 	c := n.cluster
-	a := c.agents[call.Addr]
+	a := c.agents[call.Addr] // in simulated time a worker's address is the name of its machine
 	if a == nil {
 		return
 	}
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -18,7 +18,7 @@
 	"brasskeel/internal/config"
 )
 
-// ErrAlreadyRunning is returned when a controller that is already running is to be started.
+// ErrAlreadyRunning is the cause of the error of Start if the controller is already running.
 var ErrAlreadyRunning = errors.New("controller is already running")
 
 // maxResponseBody limits how much of a controller's response body is read.
@@ -39,7 +39,7 @@
 // processRun is one run of a controller's process.
 type processRun struct {
 	command       *exec.Cmd
-	exitRequested atomic.Bool // its end was requested
+	exitRequested atomic.Bool // Kill or Terminate was called, so its exit is expected
 	exited        chan struct{}
 }
 
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -9,6 +9,7 @@
 
 // digest hashes all requests to controllers and all effects of their steps, with the simulated
 // times, so that the behaviour of two versions of the code can be compared. Logs are not included.
+// Without a hash it does nothing.
 type digest struct{ sum hash.Hash }
 
 // writeInt adds a number in a fixed size.
@@ -71,9 +72,11 @@
 	}
 }
 
-// writeHeader adds the time, the controller and the kind of an entry.
-func (d digest) writeHeader(n *controllerHost, what string) {
+// writeHeader adds the time, the controller and the kind of an entry. The kinds are hashed too, so
+// "publish" for a broadcast and "send" for a unicast keep these names: with others, the digests
+// could not be compared with those of earlier versions.
+func (d digest) writeHeader(n *controllerHost, kind string) {
 	d.writeInt(int64(n.cluster.now.Sub(n.cluster.startTime)))
 	d.writeString(n.name)
-	d.writeString(what)
+	d.writeString(kind)
 }
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -26,7 +26,7 @@
 	Seeds    int              `json:"seeds"`
 	Teams    []ExperimentTeam `json:"teams"`
 	Surges   []Surge          `json:"surges"`
-	Balance  json.RawMessage  `json:"balance"` // the operators' setting to compare with none
+	Balance  json.RawMessage  `json:"balance"` // the operators' balance setting; it is compared with no balancing
 }
 
 // ExperimentTeam is the load of one team: jobs arrive in a Poisson process, run times have a
@@ -38,7 +38,7 @@
 	CPUs              float64 `json:"cpus"`
 	RunSeconds        float64 `json:"runSeconds"`     // median
 	RunSpread         float64 `json:"runSpread"`      // standard deviation of the logarithm
-	EstimateSpread    float64 `json:"estimateSpread"` // of the estimate relative to the run time, like RunSpread
+	EstimateSpread    float64 `json:"estimateSpread"` // standard deviation of the logarithm of the estimate's ratio to the run time
 	CheckpointSeconds float64 `json:"saveSeconds"`    // duration of a checkpoint; 0: tasks write none
 	Images            int     `json:"images"`
 	ImageGB           float64 `json:"imageGb"`
@@ -97,7 +97,7 @@
 		case !known[s.Team]:
 			return fmt.Errorf("surges[%d].team %q is not one of the teams", i, s.Team)
 		case s.From < 0 || !(s.Until > s.From) || s.Until > float64(e.Seconds):
-			return fmt.Errorf("surges[%d].until must be after from, and within seconds", i)
+			return fmt.Errorf("surges[%d].until must be above from and at most the experiment's seconds, and from must not be negative", i)
 		case !(s.Factor > 0) || s.Factor > 1000:
 			return fmt.Errorf("surges[%d].times is %g, must be above 0 and at most 1000", i, s.Factor)
 		}
@@ -141,26 +141,31 @@
 	return o.Balance, nil
 }
 
-// Outcome is the result of an experiment with one setting, over all seeds.
+// Outcome is the result of an experiment with one setting, over all seeds. Jobs, Done and Migrations
+// are sums over the seeds, MigrationsPerJob is the quotient of such sums, Waits holds quantiles over
+// the jobs of all seeds, Violations lists those of all seeds, and the other figures are means of
+// the seeds.
 type Outcome struct {
 	Setting string `json:"setting"`
 	// MaxLoad, P99Load and MeanLoad are the maximum, 99th percentile and mean of the machines'
-	// loads in each second, averaged over the seeds. A load is the used share of a machine.
+	// loads in each second. A load is the used share of a machine.
 	MaxLoad  []float64 `json:"hottest"`
 	P99Load  []float64 `json:"high"`
 	MeanLoad []float64 `json:"mean"`
-	// AboveCeilingShare is the share of all machines' time in which a team that surges uses
-	// more of a machine than the ceiling.
+	// AboveCeilingShare is the share of all machines' time in which a team that surges at any
+	// time of the experiment uses more of a machine than the ceiling, with more than one task: a
+	// single task may exceed it. Without balancing, the ceiling of the experiment's setting is
+	// the measure too.
 	AboveCeilingShare float64 `json:"teamAboveCeiling"`
 
 	Jobs             int                  `json:"jobs"`
 	Done             int                  `json:"done"`
-	Migrations       int                  `json:"moves"`
+	Migrations       int                  `json:"moves"` // counted by the migration marks in the records
 	MigrationsPerJob float64              `json:"movesPerJob"`
 	WastedCPUSeconds float64              `json:"wastedCpuSeconds"` // CPU time of work whose result was lost
 	ImageHitRate     float64              `json:"placedOnHolders"`  // share of starts on machines that had the image
 	FetchedGB        float64              `json:"fetchedGb"`
-	StateWrites      int                  `json:"changes"` // changes sent to the state service
+	StateWrites      int                  `json:"changes"` // writes (puts and deletes) in transactions that the state service did not rate-limit
 	Waits            map[string]WaitTimes `json:"waits"`   // from submission to the first start of a task, by team
 	Violations       []string             `json:"broken,omitempty"`
 }
@@ -262,10 +267,11 @@
 	return outcomes, nil
 }
 
-// settleTime is how long the simulation continues after the last arrival of jobs.
+// settleTime is how long the simulation continues after the period in which jobs arrive.
 const settleTime = 2 * time.Minute
 
-// runSeed runs the experiment with one seed and adds its results to o and waits.
+// runSeed runs the experiment with one seed and adds its results to o and waits. The writes and
+// fetches of the first six seconds, in which a leader is elected, are not counted.
 func (e *Experiment) runSeed(seed uint64, b *config.Balance, ceiling float64, o *Outcome, waits map[string]*hdrhistogram.Histogram) {
 	c := New(Options{Seed: seed, Controllers: 3, Machines: e.Machines, Capacity: e.Machines, LargeFleet: true, Balance: b})
 	c.Advance(6 * time.Second)
@@ -354,7 +360,8 @@
 	return weights
 }
 
-// average turns sums over the seeds into means, and computes the moves per job and wait times.
+// average turns sums over the seeds into means, and computes the migrations per job and the wait
+// times.
 func (e *Experiment) average(o *Outcome, waits map[string]*hdrhistogram.Histogram) {
 	seeds := float64(e.Seeds)
 	for i := range o.MaxLoad {
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -10,8 +10,8 @@
 	"brasskeel/internal/records"
 )
 
-// retryUntilAnswered sends a user's request to random controllers, every second, until the reply is
-// final or a minute has passed.
+// retryUntilAnswered sends a user's request to random controllers, one second after each reply or
+// timeout, until the reply is final (accepted, known, invalid or not found) or a minute has passed.
 func (c *Cluster) retryUntilAnswered(send func(controller int, done func(status int, state string))) {
 	end := c.now.Add(time.Minute)
 	var try func()
@@ -125,8 +125,8 @@
 	c.queryAfterChange(j)
 }
 
-// queryAfterChange makes users query all controllers for a job within 8 ms, and submit it again,
-// if queriesAfterChange is set.
+// queryAfterChange makes users query every running controller for a job three times within 8 ms, and
+// submit the job once more, if queriesAfterChange is set.
 func (c *Cluster) queryAfterChange(j *userJob) {
 	if !c.queriesAfterChange {
 		return
@@ -235,7 +235,7 @@
 }
 
 // deliverStaleHeartbeats sends the kept heartbeats to every controller when a leader is elected, and
-// again within 3 seconds, when it may have received newer ones.
+// again within 3 seconds, when the leader may have received newer heartbeats of the machines.
 func (c *Cluster) deliverStaleHeartbeats() {
 	var names []string
 	for name := range c.staleHeartbeats {
--- a/internal/simulator/forwarder.go
+++ b/internal/simulator/forwarder.go
@@ -151,7 +151,7 @@
 }
 
 // copyBytes forwards the bytes of one direction. After the first lost byte everything is lost,
-// including the end of the connection.
+// including the end of the connection, since a TCP stream has no gaps.
 func (c *forwardedConn) copyBytes(from, to string, source, sink net.Conn) {
 	buffer := make([]byte, 32<<10)
 	lost := false
--- a/internal/simulator/load.go
+++ b/internal/simulator/load.go
@@ -16,8 +16,8 @@
 	RunTime time.Duration // of each task
 }
 
-// LoadSummary is the result of a load. Submit and Start are the times from the first attempt to
-// submit a job until it was accepted and until its task started.
+// LoadSummary is the result of a load. Submit and Start are quantiles of the times from the first
+// attempt to submit a job until it was accepted and until its task started, for accepted jobs.
 type LoadSummary struct {
 	Jobs, Accepted, Done int
 	Submit, Start        Quantiles
--- a/internal/simulator/migration_invariant.go
+++ b/internal/simulator/migration_invariant.go
@@ -7,7 +7,7 @@
 	"brasskeel/internal/records"
 )
 
-// migrationInvariant checks that no task is moved twice in one surge. It reads only the migration
+// migrationInvariant checks that no task is migrated twice in one surge. It reads only the migration
 // marks in the records of the state service.
 type migrationInvariant struct {
 	marksByRecord map[string]map[migratedTask]bool // marks currently set, by record key
@@ -15,7 +15,7 @@
 	stops         int                              // stop orders for tasks that were fetching or running
 }
 
-// migratedTask identifies a task that is recorded as moved in a surge.
+// migratedTask identifies a task that is recorded as migrated in a surge.
 type migratedTask struct {
 	job   string
 	task  int
@@ -26,8 +26,8 @@
 	return &migrationInvariant{marksByRecord: map[string]map[migratedTask]bool{}, markCounts: map[migratedTask]int{}}
 }
 
-// observe checks a write to the state service. If a mark is set a second time, a leader has moved a
-// task that was already moved in the same surge.
+// observe checks a write to the state service. If a mark is set a second time, a leader has migrated
+// a task that was already migrated in the same surge.
 func (inv *migrationInvariant) observe(c *Cluster, op protocol.Op) {
 	job, chunk, ok := records.ParseTaskBlockKey(op.Put)
 	j := c.jobs[job]
@@ -39,14 +39,14 @@
 		return
 	}
 	size := records.TasksPerBlock(c.settings.MaxValueBytes)
-	moved, err := r.MigratedTasks(size)
+	migrated, err := r.MigratedTasks(size)
 	if err != nil {
 		c.reportViolation("unreadable_mark", "migration marks of record %s cannot be decoded", op.Put)
 		return
 	}
 	before, now := inv.marksByRecord[op.Put], map[migratedTask]bool{}
-	for i, isMoved := range moved {
-		if !isMoved {
+	for i, isMigrated := range migrated {
+		if !isMigrated {
 			continue
 		}
 		t := migratedTask{job, chunk*size + i, r.Surge}
@@ -55,14 +55,14 @@
 			continue
 		}
 		if inv.markCounts[t]++; inv.markCounts[t] > 1 {
-			c.reportViolation("moved_twice", "task %s/%d moved again in surge %d", t.job, t.task, t.surge)
+			c.reportViolation("moved_twice", "task %s/%d migrated again in surge %d", t.job, t.task, t.surge)
 		}
 	}
 	inv.marksByRecord[op.Put] = now
 }
 
-// Migrations describes how many tasks were moved according to the records, and how often tasks were
-// stopped.
+// Migrations describes how many tasks were migrated according to the records, and how many stop
+// orders reached tasks that were fetching or running, for whatever reason.
 func (c *Cluster) Migrations() string {
 	return fmt.Sprintf("moved=%d stops=%d", len(c.migrations.markCounts), c.migrations.stops)
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -12,7 +12,7 @@
 	usersHost = "users"
 )
 
-// link is one direction between two hosts.
+// link is the network in one direction, from one host to another.
 type link struct{ from, to string }
 
 // linkFault is a fault of a link. Messages are lost unless holdMessages is set.
@@ -22,7 +22,8 @@
 	held             []func() // deliveries of held messages
 }
 
-// messageDelay returns a random network delay for a message.
+// messageDelay returns a random network delay for a message: 1 to 3 ms, and up to extraLinkDelay
+// more.
 func (c *Cluster) messageDelay() time.Duration {
 	d := time.Millisecond + time.Duration(c.rng.Int64N(int64(2*time.Millisecond)))
 	if c.extraLinkDelay > 0 {
@@ -58,14 +59,15 @@
 	}
 }
 
-// ResetOneWay makes connections fail when one host sends to another.
+// ResetOneWay makes connections fail on the link from one host to another, also if the link has
+// another fault already.
 func (c *Cluster) ResetOneWay(from, to string) {
 	c.CutOneWay(from, to, false)
 	c.linkFaults[link{from, to}].resetConnections = true
 	c.linkChanges++
 }
 
-// linkResets reports whether connections fail on the link between two hosts.
+// linkResets reports whether connections fail on the link from one host to another.
 func (c *Cluster) linkResets(from, to string) bool {
 	fault := c.linkFaults[link{from, to}]
 	return fault != nil && fault.resetConnections
@@ -103,7 +105,8 @@
 	c.heal(func(l link) bool { return l == link{a, b} || l == link{b, a} })
 }
 
-// heal ends the link faults that which selects, in the order of the links.
+// heal ends the link faults that which selects, sorted by their links, so that equal runs draw equal
+// delays.
 func (c *Cluster) heal(which func(link) bool) {
 	var list []link
 	for l := range c.linkFaults {
--- a/internal/simulator/quiescence.go
+++ b/internal/simulator/quiescence.go
@@ -15,7 +15,8 @@
 const queryInterval = 10 * time.Second
 
 // BeginQuiescence declares that all faults are over. From now on users query every unfinished job,
-// and it is checked that these queries are answered and that no job waits despite free capacity.
+// and it is checked that these queries are answered, that no job waits despite free capacity, that
+// no machine is recorded in two shards, and that reachable workers get replies.
 func (c *Cluster) BeginQuiescence() {
 	if !c.quiescentSince.IsZero() {
 		return
@@ -45,6 +46,7 @@
 			c.Query(c.rng.IntN(len(c.controllers)), id, func(int, string) {})
 		}
 		switch {
+		// Jobs with failed tasks don't count: their tasks may be held back on purpose.
 		case j.cancelRequested || j.alwaysFails || j.failures > 0 || !c.waitsDespiteCapacity(j, allocated):
 			j.waitsDespiteCapacitySince = time.Time{}
 		case j.waitsDespiteCapacitySince.IsZero() || j.firstStartAt.After(j.waitsDespiteCapacitySince):
--- a/internal/simulator/scenario_faults_test.go
+++ b/internal/simulator/scenario_faults_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// runCancelNow handles "cancel_now COUNT [hang=D]": it cancels running jobs that still have long
-// to run. With hang, some of their machines hang for that time.
+// runCancelNow handles "cancel_now COUNT [hang=D]": it cancels random running jobs whose tasks still
+// have long to run (see CancelRunningJobs). With hang, up to eight of their machines hang for D.
 func (r *scenarioRunner) runCancelNow(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
 	r.cluster.CancelRunningJobs(count, parseDuration(t, d, arg(d, "hang", "0s")))
@@ -55,6 +55,7 @@
 	return ""
 }
 
+// runCrash handles "crash NODE" and "crash all".
 func (r *scenarioRunner) runCrash(t *testing.T, d *datadriven.TestData) string {
 	if firstArg(t, d) == "all" {
 		for _, n := range r.cluster.controllers {
@@ -66,6 +67,7 @@
 	return ""
 }
 
+// runRestart handles "restart NAME" and "restart all": it starts controllers that are down.
 func (r *scenarioRunner) runRestart(t *testing.T, d *datadriven.TestData) string {
 	for _, n := range r.cluster.controllers {
 		if n.core == nil && (firstArg(t, d) == "all" || n.name == firstArg(t, d)) {
@@ -75,7 +77,8 @@
 	return ""
 }
 
-// runPowerOff handles "power_off NODE": the controller's host loses power, until "restart".
+// runPowerOff handles "power_off NODE": the controller's host loses power, until "restart". Unlike a
+// host whose controller has crashed, it does not even refuse connections.
 func (r *scenarioRunner) runPowerOff(t *testing.T, d *datadriven.TestData) string {
 	n := r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))]
 	n.crash()
@@ -98,6 +101,7 @@
 	return n.name
 }
 
+// runThaw handles "thaw": all frozen processes resume and handle what arrived meanwhile.
 func (r *scenarioRunner) runThaw(_ *testing.T, _ *datadriven.TestData) string {
 	for _, n := range r.cluster.controllers {
 		n.thaw()
@@ -105,7 +109,8 @@
 	return ""
 }
 
-// runQueryStorm handles "query_storm COUNT [over=D]": users send COUNT queries over a time.
+// runQueryStorm handles "query_storm COUNT [over=D]": users send COUNT queries for random jobs, spread
+// over D.
 func (r *scenarioRunner) runQueryStorm(t *testing.T, d *datadriven.TestData) string {
 	count, _ := strconv.Atoi(firstArg(t, d))
 	r.cluster.QueryStorm(count, parseDuration(t, d, arg(d, "over", "10s")))
@@ -113,7 +118,7 @@
 }
 
 // runState handles "state FAULT ..." for faults of the state service, "state up", which ends them,
-// and "state usage", which prints the changes and the requests refused by the rate limits.
+// and "state usage", which prints the writes and the requests refused by the rate limits.
 func (r *scenarioRunner) runState(t *testing.T, d *datadriven.TestData) string {
 	switch firstArg(t, d) {
 	case "down":
@@ -126,24 +131,24 @@
 	case "refuse":
 		r.cluster.state.refusedControllers[r.cluster.controllers[r.controllerIndex(t, d, arg(d, "node", "leader"))].name] = true
 	case "late":
-		// late by=D [more=D] [share=S]: transactions are applied D to D+more later, without a
-		// response. Without a share this holds for all of them.
+		// late [by=D] [more=E] [share=S]: this share of transactions, or all of them without
+		// share, is applied D to D+E later, without a response.
 		r.cluster.state.commitDelay = parseDuration(t, d, arg(d, "by", "2s"))
 		r.cluster.state.commitDelayJitter = parseDuration(t, d, arg(d, "more", "0s"))
 		r.cluster.state.delayedCommitShare = numberArg(t, d, "share", "0")
 	case "lost":
-		// lost share=S: this share of transactions is applied at once and gets no response.
+		// lost [share=S]: this share of transactions is applied at once and gets no response.
 		r.cluster.state.lostReplyShare = numberArg(t, d, "share", "0.33")
 	case "slow":
-		// slow by=D share=S: this share of requests takes up to D longer.
-		// slow by=D watches: responses to watches arrive D later.
+		// slow [by=D] [share=S]: this share of requests takes up to D longer.
+		// slow [by=D] watches: responses to watches arrive D later.
 		if arg(d, "watches", "") != "" {
 			r.cluster.state.watchDelay = parseDuration(t, d, arg(d, "by", "2s"))
 			return ""
 		}
 		r.cluster.state.maxRequestDelay, r.cluster.state.slowRequestShare = parseDuration(t, d, arg(d, "by", "2s")), numberArg(t, d, "share", "0.33")
 	case "usage":
-		// The counts since the start or the last such command.
+		// The counts since the start or the previous "state usage".
 		s := r.cluster.state
 		out := fmt.Sprintf("changes=%d limited=%d", s.writes, s.rateLimited)
 		s.writes, s.rateLimited = 0, 0
@@ -167,8 +172,8 @@
 	case "never":
 		k.neverBoots = true
 	case "boots":
-		// boots factor=F [dead=S] [answers=D]: a factor for boot times, the share of machines
-		// that never come up, and the delay of responses to requests for machines.
+		// boots [factor=F] [dead=S] [answers=D]: a factor for boot times, the share of new
+		// machines that never boot, and the delay of responses to requests for machines.
 		k.bootTimeFactor, k.bootFailureShare = numberArg(t, d, "factor", "1"), numberArg(t, d, "dead", "0")
 		k.replyDelay = parseDuration(t, d, arg(d, "answers", "0s"))
 	default:
@@ -177,7 +182,7 @@
 	return ""
 }
 
-// runMachine handles "machine FAULT NAME", or "machine FAULT machines:N" for the first N machines
+// runMachine handles "machine FAULT MACHINE", or "machine FAULT machines:N" for the first N machines
 // that run.
 func (r *scenarioRunner) runMachine(t *testing.T, d *datadriven.TestData) string {
 	if strings.HasPrefix(d.CmdArgs[1].Key, "machines:") {
@@ -191,9 +196,9 @@
 	return r.injectMachineFault(t, d, d.CmdArgs[1].Key)
 }
 
-// runCut handles "cut A B [hold] [oneway] [reset]". A and B are names as hostNames takes them. With
-// hold, messages are delivered when the cut ends; oneway drops only messages from A to B, and
-// reset does so by closing connections.
+// runCut handles "cut A B [hold] [oneway] [reset]". A and B are names as hostNames takes them. Messages
+// between A and B are lost; with hold, they are delivered when the cut ends. With oneway, this
+// applies only to messages from A to B. With reset, connections fail when A sends to B instead.
 func (r *scenarioRunner) runCut(t *testing.T, d *datadriven.TestData) string {
 	for _, a := range r.hostNames(t, d, d.CmdArgs[0].Key) {
 		for _, b := range r.hostNames(t, d, d.CmdArgs[1].Key) {
@@ -211,8 +216,8 @@
 	return ""
 }
 
-// runIsolate handles "isolate NODE [refused]": the controller loses the other controllers and gets
-// no responses from the state service, or 503 with refused.
+// runIsolate handles "isolate NODE [refused]": the controller is cut off from the other controllers
+// and from the state service. With refused, the state service replies with status 503 instead.
 func (r *scenarioRunner) runIsolate(t *testing.T, d *datadriven.TestData) string {
 	n := r.cluster.controllers[r.controllerIndex(t, d, firstArg(t, d))]
 	if arg(d, "refused", "") != "" {
@@ -243,9 +248,10 @@
 	return ""
 }
 
-// runDuplicates handles "duplicates [on|off] [reports=D] [next=SHARE]". While it is on, direct
-// commands are delivered a second time. With reports, copies of heartbeats arrive up to D late;
-// with next, copies of a share of the heartbeats are kept until the next leader takes over.
+// runDuplicates handles "duplicates on|off [reports=D] [next=SHARE]". While it is on, direct commands
+// are delivered a second time after duplicateDelay. With reports, heartbeats are delivered again one
+// second and up to D later. With next, copies of a share of the heartbeats are kept and delivered
+// to every controller when the next leader is elected.
 func (r *scenarioRunner) runDuplicates(t *testing.T, d *datadriven.TestData) string {
 	r.cluster.duplicateCommands = firstArg(t, d) == "on"
 	r.cluster.staleHeartbeatShare = numberArg(t, d, "next", "0")
--- a/internal/simulator/scenario_show_test.go
+++ b/internal/simulator/scenario_show_test.go
@@ -11,7 +11,7 @@
 )
 
 // runTriggerOutput handles "trigger_output": it prints the results of the commands that triggers
-// have run since the last such command.
+// have run since the previous "trigger_output".
 func (r *scenarioRunner) runTriggerOutput(_ *testing.T, _ *datadriven.TestData) string {
 	out := strings.Join(r.triggerOutput, "\n")
 	r.triggerOutput = nil
@@ -24,7 +24,7 @@
 }
 
 // runMigrations handles "migrations": how many tasks of all jobs are on record as migrated, and how
-// often tasks were told to stop.
+// many stop orders reached tasks that were fetching or running.
 func (r *scenarioRunner) runMigrations(_ *testing.T, _ *datadriven.TestData) string {
 	return r.cluster.Migrations()
 }
@@ -45,7 +45,7 @@
 }
 
 // runReplyIntervals handles "reply_intervals [reset]": the distribution of the times between two
-// responses to a worker. reset starts it anew.
+// responses to a worker. With reset it forgets the times so far instead.
 func (r *scenarioRunner) runReplyIntervals(_ *testing.T, d *datadriven.TestData) string {
 	if len(d.CmdArgs) > 0 && d.CmdArgs[0].Key == "reset" {
 		r.cluster.replyIntervals.Reset()
@@ -54,17 +54,20 @@
 	return r.cluster.ReplyIntervals()
 }
 
-// runLongUnanswered handles "long_unanswered": the jobs whose queries got no answer for too long.
+// runLongUnanswered handles "long_unanswered": the jobs whose queries got no answer for longer than
+// maxTimeUnanswered.
 func (r *scenarioRunner) runLongUnanswered(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.LongUnanswered(), "\n")
 }
 
-// runStarved handles "starved": the teams, classes and large jobs that got too little capacity.
+// runStarved handles "starved": the teams and classes of which fewer than half of the jobs have
+// started, and large jobs that waited longer than maxTimeToFirstStart (see Cluster.Starved).
 func (r *scenarioRunner) runStarved(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.Starved(), "\n")
 }
 
-// runUnanswered handles "unanswered": the accepted jobs that some controller doesn't answer for.
+// runUnanswered handles "unanswered": the accepted and not cancelled jobs for which a query to some
+// running controller fails.
 func (r *scenarioRunner) runUnanswered(_ *testing.T, _ *datadriven.TestData) string {
 	return strings.Join(r.cluster.Unanswered(), "\n")
 }
@@ -94,8 +97,8 @@
 	return r.countMachines()
 }
 
-// listRunningTasks lists for each job its running tasks by type and zone of their machines, with
-// spot machines apart.
+// listRunningTasks lists for each job its running tasks by type and zone of their machines, and
+// counts those on spot machines separately.
 func (r *scenarioRunner) listRunningTasks() string {
 	var b bytes.Buffer
 	var ids []string
@@ -147,8 +150,8 @@
 	return fmt.Sprintf("%s; %d tasks run", strings.Join(list, ", "), tasks)
 }
 
-// countMachines counts the machines that are neither terminated nor failed, by type and zone, with
-// spot machines apart.
+// countMachines counts the machines that are neither terminated nor failed, by type and zone, and
+// spot machines separately.
 func (r *scenarioRunner) countMachines() string {
 	count := map[string]int{}
 	for _, h := range r.cluster.cloud.machines {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -23,7 +23,7 @@
 	lastLeaseID        uint64
 	watches            []*watch
 	outage             bool            // all requests get status 503
-	refusedControllers map[string]bool // nodes whose requests get status 503
+	refusedControllers map[string]bool // names of controllers whose requests get status 503
 	// If commitDelay is not 0, transactions are applied this much later, plus up to
 	// commitDelayJitter, and never answered: a share of them, or all if delayedCommitShare is 0.
 	commitDelay, commitDelayJitter time.Duration
@@ -33,9 +33,9 @@
 	slowRequestShare               float64       // share of requests that are slow
 	watchDelay                     time.Duration // replies to watches are delayed this much
 
-	requestBucket, writeBucket *ratelimit.TokenBucket // enforce the limits of requests and changes per second
-	// writes counts the changes in all transactions that were not rate-limited, rateLimited the
-	// requests that got status 429.
+	requestBucket, writeBucket *ratelimit.TokenBucket // enforce the limits of requests and writes per second
+	// writes counts the puts and deletes in all transactions that were not rate-limited, also in
+	// those that were not applied; rateLimited counts the requests that got status 429.
 	writes, rateLimited int
 }
 
@@ -67,7 +67,7 @@
 
 // watch is a watch request that has not been answered yet.
 type watch struct {
-	from          string // the waiting node
+	from          string // name of the controller that waits
 	prefix        string
 	afterRevision uint64
 	respond       respondFunc
@@ -80,7 +80,7 @@
 		requestBucket: ratelimit.NewTokenBucket(rps, rps, c.now), writeBucket: ratelimit.NewTokenBucket(writeRPS, writeRPS, c.now)}
 }
 
-// leader returns the name of the node that the leader record names, or "".
+// leader returns the name of the controller that the leader record names, or "" if there is none.
 func (s *stateService) leader() string {
 	kv, ok := s.keys[records.KeyLeader]
 	if !ok {
@@ -103,12 +103,12 @@
 	}
 }
 
-// readmit stops refusing requests of the given nodes, or of all nodes if none is given.
-func (s *stateService) readmit(nodes ...string) {
-	for _, name := range nodes {
+// readmit stops refusing requests of the given controllers, or of all if none is given.
+func (s *stateService) readmit(controllers ...string) {
+	for _, name := range controllers {
 		delete(s.refusedControllers, name)
 	}
-	if len(nodes) == 0 {
+	if len(controllers) == 0 {
 		clear(s.refusedControllers)
 	}
 	s.notify()
@@ -200,8 +200,8 @@
 		if w.closed {
 			continue
 		}
-		// Open watches of a refused node wait until it is readmitted, as all watches wait
-		// during an outage.
+		// Open watches of a refused controller wait until it is readmitted, as all watches
+		// wait during an outage.
 		if len(s.eventsFor(w)) > 0 && !s.refusedControllers[w.from] {
 			ready = append(ready, w)
 		} else {
@@ -227,7 +227,7 @@
 	return list
 }
 
-// serve handles a request of a node, and delays a share of the requests (slowRequestShare).
+// serve handles a request of a controller, and delays a share of the requests (slowRequestShare).
 func (s *stateService) serve(from, method, target string, body []byte, respond respondFunc) {
 	if s.slowRequestShare > 0 && s.cluster.rng.Float64() < s.slowRequestShare {
 		wait := time.Duration(s.cluster.rng.Int64N(int64(s.maxRequestDelay)))
@@ -241,8 +241,8 @@
 	s.handle(from, method, target, body, respond)
 }
 
-// handle handles a request, unless there is an outage, the node is refused, or the rate limit is
-// exceeded.
+// handle handles a request of a controller. It replies with status 503 during an outage or if the
+// controller is refused, and with 429 if the rate limit is exceeded.
 func (s *stateService) handle(from, method, target string, body []byte, respond respondFunc) {
 	if s.outage || s.refusedControllers[from] {
 		respond(503, nil)
--- a/internal/simulator/triggers.go
+++ b/internal/simulator/triggers.go
@@ -12,13 +12,15 @@
 	// onWrite: a transaction that writes or deletes a key is applied. The target is a prefix of
 	// the key.
 	onWrite triggerPoint = iota + 1
-	// onLostReply: a transaction is applied whose reply gets lost.
+	// onLostReply: a transaction is applied at once and its reply is lost
+	// (stateService.lostReplyShare).
 	onLostReply
 	// onLeader: the leader key is written; the new leader learns of it some milliseconds later.
 	onLeader
 	// onHeartbeat: a heartbeat arrives at a controller. The target is NODE or NODE/MACHINE.
 	onHeartbeat
-	// onJobDone: the last task of a job completes. The target is the job's ID.
+	// onJobDone: the last task of a job completes. The target is the job's ID. There is nothing
+	// between the actions before and after it, which all run once the task has completed.
 	onJobDone
 )
 
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -20,7 +20,7 @@
 	progress      map[int]time.Duration   // checkpointed run time, by task index
 	runningOn     map[int]map[*agent]bool // by task index
 	runningByZone map[string]int          // number of running tasks
-	startCount    int
+	startCount    int                     // starts of all its tasks
 
 	submittedAt               time.Time
 	firstStartAt              time.Time // when its first task started to run
@@ -32,8 +32,8 @@
 	reportedState             protocol.JobState // final state that the user was told, 0 for none
 	failures                  int               // number of failed tasks
 
-	unansweredSince   time.Time     // first unanswered query after the last answered one; zero if the last was answered
-	longestUnanswered time.Duration // longest such period
+	unansweredSince   time.Time     // first unanswered query after the last answered one; zero if the last query was answered
+	longestUnanswered time.Duration // longest time from unansweredSince to a later unanswered query
 }
 
 // newJob creates a job and adds it to the cluster.
@@ -45,8 +45,8 @@
 }
 
 // learnFromRecord adds a job that an external user submitted, when a controller writes the record of
-// the job. The record replaces the description that users upload for workers; each task runs for
-// as long as its user estimates.
+// the job. Simulated workers take from it the description of the job, which its user uploads for
+// workers otherwise; each task runs for as long as its user estimates.
 func (c *Cluster) learnFromRecord(op protocol.Op) {
 	id, active := strings.CutPrefix(op.Put, records.PrefixActive)
 	if !active || c.jobs[id] != nil {
