--- a/cmd/standin/cluster.go
+++ b/cmd/standin/cluster.go
@@ -18,8 +18,8 @@
 	errRulesBroken    = errors.New("rules were violated, see \"rule broken\" in the log")
 )
 
-// cloudCapacity is the number of on-demand machines, and also of spot machines, that the simulated
-// cloud rents out per machine type and zone.
+// cloudCapacity is the number of on-demand machines, and also of spot machines, that can run at once
+// in the simulated cloud per machine type and zone.
 const cloudCapacity = 50
 
 // startTimeout is how long the controllers may take to become ready.
@@ -43,8 +43,8 @@
 	flags.StringArrayVar(&f.external, "external", nil, "a machine whose worker is a real process, as name=NAME,type=TYPE,zone=ZONE,endpoint=ADDRESS; may be repeated")
 }
 
-// run starts a cluster, calls action once it is ready, and shuts the cluster down. It returns
-// errRulesBroken if the cluster recorded any violation.
+// run starts a cluster, calls action once it is ready, and shuts the cluster down. If the cluster
+// recorded any violation of an invariant, the error includes errRulesBroken.
 func (f *clusterFlags) run(ctx context.Context, action func(*simulator.Loopback) error) error {
 	options, err := f.options()
 	if err != nil {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
 // Standin runs controllers on one machine in real time, against a simulated state service,
-// cloud and workers. It also runs load experiments in simulated time. It is meant for trying
-// out and developing the project.
+// cloud and workers. It also runs experiments with generated loads in simulated time. It is meant
+// for trying out and developing the project.
 package main
 
 import (
--- a/internal/simulator/chaos_faults_test.go
+++ b/internal/simulator/chaos_faults_test.go
@@ -9,7 +9,7 @@
 )
 
 // chaosFaults are the kinds of fault that are injected. Each gets a random controller, often the
-// leader. Those that are listed twice occur twice as often.
+// leader, and may ignore it. Those that are listed twice occur twice as often.
 var chaosFaults = []func(*chaosRun, *controllerHost){
 	(*chaosRun).controllerCrash,
 	(*chaosRun).controllerCrash,
@@ -53,7 +53,8 @@
 	(*chaosRun).allControllersDown,
 }
 
-// powerLoss cuts the power of a controller's host for up to 75.5 s.
+// powerLoss cuts the power of a controller's host for up to 75.5 s. Meanwhile the host does not even
+// refuse connections.
 func (r *chaosRun) powerLoss(n *controllerHost) {
 	if n.core != nil {
 		n.crash()
@@ -105,15 +106,15 @@
 	}
 }
 
-// hugeJob submits a huge array of small tasks.
+// hugeJob submits a job of 300 small tasks, or of 30,000 in a large fleet.
 func (r *chaosRun) hugeJob(_ *controllerHost) {
 	r.submit(func(j *protocol.Job) {
 		j.Kind, j.Team, j.Tasks, j.CPUs, j.MemoryGB = protocol.Batch, "guest", 300*r.scale, 0.125, 0.1
 	})
 }
 
-// machinesWithoutInbound cuts machines off from everything that controllers send, while their
-// heartbeats still arrive.
+// machinesWithoutInbound cuts machines off from everything that controllers send, including replies
+// to heartbeats, while the heartbeats still arrive.
 func (r *chaosRun) machinesWithoutInbound(_ *controllerHost) {
 	for _, h := range r.faultTargets() {
 		reset := r.rng.IntN(2) == 0
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// chaosOptions shape a chaos run.
+// chaosOptions are the options of a chaos run.
 type chaosOptions struct {
 	seed    uint64
 	fleet   bool // a thousand machines
@@ -109,7 +109,7 @@
 	failingJobOneIn int      // one job in so many fails on every machine
 	submitted       int      // number of submitted jobs
 	accepted        []string // IDs of accepted jobs
-	recurringFaults []int    // indexes of the few kinds of fault that occur mostly; nil if all do
+	recurringFaults []int    // indexes in chaosFaults of three kinds, of which most faults are; nil: all kinds are equally likely
 }
 
 func runChaos(t *testing.T, opts chaosOptions) {
@@ -191,7 +191,8 @@
 	})
 }
 
-// faultTargets draws the machines that a fault affects: one, or in a large fleet up to a third.
+// faultTargets draws the running machines that a fault affects: one, or in a large fleet up to a
+// third.
 func (r *chaosRun) faultTargets() []*machine {
 	var up []*machine
 	for _, h := range r.cluster.cloud.machines {
@@ -252,7 +253,7 @@
 }
 
 // startSurge submits at least twice as much work of a team as it has unfinished, and checks the
-// team's ceiling from 2 s to 8 s later if the leader is still the same at the beginning.
+// team's ceiling from 2 s to 8 s later if after the 2 s the leader is still the same.
 func (r *chaosRun) startSurge() {
 	c := r.cluster
 	team := []string{"red", "blue"}[r.rng.IntN(2)]
@@ -360,7 +361,8 @@
 }
 
 // cancelEndlessJobs cancels jobs that would not end by themselves: services, and jobs that fail on
-// every machine. A submission whose response was lost may still have been accepted.
+// every machine. It goes through all submitted jobs, as a job may have been accepted although the
+// response to its submission was lost.
 func (r *chaosRun) cancelEndlessJobs() {
 	for i := range r.submitted {
 		id := fmt.Sprintf("run-%06d", i+1)
--- a/internal/simulator/experiment_test.go
+++ b/internal/simulator/experiment_test.go
@@ -71,7 +71,7 @@
 	}
 	for _, o := range outcomes {
 		if len(o.Violations) > 0 || o.Jobs == 0 || o.Done != o.Jobs || !plausible(&o) {
-			t.Errorf("%+v", o)
+			t.Errorf("violations, unfinished jobs or implausible figures: %+v", o)
 		}
 	}
 	if off, on := outcomes[0], outcomes[1]; off.Migrations != 0 || on.AboveCeilingShare >= off.AboveCeilingShare {
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -9,8 +9,8 @@
 	"brasskeel/internal/records"
 )
 
-// expectViolations starts a cluster with an accepted job of four tasks, calls violate, and expects
-// that exactly the named invariants are reported as violated.
+// expectViolations starts a cluster with an accepted job of four tasks, calls violate, and checks that
+// exactly the named invariants are reported as violated.
 func expectViolations(t *testing.T, violate func(c *Cluster, j *userJob), rules ...string) {
 	t.Helper()
 	c := New(Options{Seed: 1, Controllers: 3, Machines: 2})
@@ -129,6 +129,6 @@
 		c.withTriggers(onWrite, []string{"e/term", "b/q/run-000001"}, record("write"))
 	}
 	if got := strings.Join(order, " "); got != "before write after write" {
-		t.Errorf("triggers ran as %q", got)
+		t.Errorf("order of triggers and writes is %q, want \"before write after write\"", got)
 	}
 }
--- a/internal/simulator/loopback_test.go
+++ b/internal/simulator/loopback_test.go
@@ -60,8 +60,9 @@
 func surgeJobID(i int) string { return fmt.Sprintf("run-%06d", 101+i) }
 
 // surgingTeam submits a team's work in a surge while the machines are unevenly loaded, and kills one
-// leader and suspends the next meanwhile. The cluster checks that a team takes no more of a machine
-// than the ceiling in the settings file while another machine has had free capacity for long.
+// leader and suspends the next meanwhile. The cluster checks that the team takes no more of a
+// machine than the ceiling in the settings file while another machine has had room below the ceiling
+// for longer than maxTimeWithRoomBelow.
 func surgingTeam(t *loopbackTest) {
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
 	t.Do(func(c *Cluster) {
@@ -223,8 +224,8 @@
 const loopbackTestTimeout = 40 * time.Second
 
 const (
-	initialBatchJobs = 4 // batch jobs that are submitted before the fault
-	batchJobCount    = 6 // all batch jobs; the others are submitted during the fault
+	initialBatchJobs = 4 // batch jobs that newLoopbackTest submits
+	batchJobCount    = 6 // all batch jobs; each test submits the others, mostly during a fault
 	tasksPerJob      = 4 // tasks of each batch job
 	serviceReplicas  = 2
 	serviceID        = "run-000900"
@@ -298,7 +299,7 @@
 	c.QueryUntilDone(id, 500*time.Millisecond)
 }
 
-// submitBatch submits the batch jobs with indexes from from to before to. Their tasks take 1 to 3.5 s.
+// submitBatch submits the batch jobs with indexes i, from <= i < to. Their tasks take 1 to 3.5 s.
 func (c *Cluster) submitBatch(from, to int) {
 	for i := from; i < to; i++ {
 		c.submitAndPoll(batchJobID(i), protocol.Batch, tasksPerJob, time.Duration(i+2)*500*time.Millisecond)
@@ -315,7 +316,7 @@
 }
 
 // disruptLeader waits until some tasks have completed, injects a fault into the leader, and submits
-// the other jobs. It returns the former leader once another controller leads.
+// the rest of the batch jobs. It returns the former leader once another controller leads.
 func (t *loopbackTest) disruptLeader(fault func(leader *ControllerProcess, index int)) (leader *ControllerProcess, index int) {
 	t.Helper()
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
--- a/internal/simulator/loopback_versions_test.go
+++ b/internal/simulator/loopback_versions_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// mixedVersions replaces each controller in turn, and completes a job after each replacement.
+// mixedVersions replaces each controller in turn, and completes a job of short tasks (0.5 s) after each
+// replacement. At the end it also completes the batch jobs that every loopback test runs.
 func mixedVersions(t *loopbackTest, binary, other string) {
 	versions := []string{binary, binary, binary}
 	t.await("some tasks to complete", func(c *Cluster) bool { return completedTasks(c) >= tasksPerJob })
