--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -31,7 +31,7 @@
 // none within five seconds, and what the response says. A fault lasts until a command ends it, unless
 // stated otherwise below.
 //
-// D stands for a duration such as 500ms, SHARE for a part of 1 such as 0.5, and [X=Y] for an option
+// D stands for a duration such as 500ms, SHARE for a fraction from 0 to 1, and [X=Y] for an option
 // with its default Y. JOB is an ID such as run-000001. NODE is a controller: node-0, node-1 and so on,
 // "leader", or "follower" for the first running controller that doesn't lead. MACHINE is a machine:
 // vm-000000, vm-000001 and so on in the order of creation, or JOB/TASK for one that runs this task.
@@ -49,7 +49,8 @@
 //	fleet           settings for a fleet of a thousand machines: heartbeats every 4 s, worker leases
 //	                of 28 s, cancelled jobs end within 48 s; otherwise 2 s, 15 s and 40 s
 //	limit=CPUS      CPU limit of the teams red and blue: 64 and 32 without this option, 6000 each with
-//	                fleet; the team guest has no limit and no guarantee
+//	                fleet. Each has a guarantee of 16 CPUs, or 2000 with fleet; the team guest has
+//	                neither limit nor guarantee
 //	cost=0s         processor time that a controller needs for each event
 //	shards=0        shards per controller; 0: the leader serves all machines
 //	headroom=0      free capacity to keep, as a share of the capacity in use; 0: the default
@@ -70,9 +71,12 @@
 //
 // The trigger points, with the targets that they can be limited to:
 //
-//	write KEYPREFIX           a transaction that writes or deletes such a key is applied
+//	write KEYPREFIX           a transaction that writes or deletes such a key is applied: b/q/JOB is
+//	                          the record of an unfinished job, b/f/JOB its final state, c/JOB/ its
+//	                          tasks, m/ groups of machines, s/o/ owners of shards (package records)
 //	answer-lost               a transaction is applied and its response lost (state lost)
-//	leader                    a leader is elected, which learns of it some milliseconds later
+//	leader                    the leader key is written; the new leader learns of its election some
+//	                          milliseconds later
 //	heartbeat NODE[/MACHINE]  a heartbeat arrives at the controller, of the machine with that name
 //	done JOB                  the last task of the job completes
 //
