--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -81,9 +81,9 @@
 	MaxTxnOps     int     // operations in one transaction
 
 	CloudRPS float64 // limit of requests per second to the cloud
-	// MaxListLag is how far the cloud's list of machines may be out of date according to the
+	// ListLag is how far the cloud's list of machines may be out of date according to the
 	// platform. Controllers allow for twice as much.
-	MaxListLag time.Duration
+	ListLag time.Duration
 
 	CPUShare    float64 // of one core
 	MemoryBytes int64
@@ -324,7 +324,7 @@
 	s.MaxClockSkew = seconds(f.Params.TimeBoundMS / 1000)
 	s.StateRPS, s.StateWriteRPS, s.MaxTxnOps = state.RPS, state.WriteRPS, state.TxnOps
 	s.MaxValueBytes = int(state.ValueKB * 1024)
-	s.CloudRPS, s.MaxListLag = cloud.RPS, seconds(cloud.ListLagS)
+	s.CloudRPS, s.ListLag = cloud.RPS, seconds(cloud.ListLagS)
 	s.CPUShare, s.MemoryBytes, s.MaxSockets = quota.CPU, int64(quota.RAMMB*(1<<20)), quota.Sockets
 }
 
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -24,7 +24,7 @@
 	w.ReportS, w.LeaseS, w.CancelS = s.HeartbeatInterval.Seconds(), s.WorkerLease.Seconds(), s.CancelDeadline.Seconds()
 	st.RPS, st.WriteRPS, st.TxnOps = s.StateRPS, s.StateWriteRPS, s.MaxTxnOps
 	st.ValueKB = float64(s.MaxValueBytes) / 1024
-	cl.RPS, cl.ListLagS = s.CloudRPS, s.MaxListLag.Seconds()
+	cl.RPS, cl.ListLagS = s.CloudRPS, s.ListLag.Seconds()
 	q.CPU, q.RAMMB, q.Sockets = s.CPUShare, float64(s.MemoryBytes)/(1<<20), s.MaxSockets
 	return toml.Marshal(f)
 }
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -225,9 +225,9 @@
 	lastAttemptNumber  uint64 // the highest number used so far; 0: never started
 	live               *attempt
 	done               bool
-	doneRecorded       bool        // its completion is in the state service
-	unacknowledgedExit *shard.Task // acknowledged to the shard's owner once the completion is recorded
-	migratedInSurge    uint64      // number of the surge in which it was migrated; 0: none
+	doneRecorded       bool             // its completion is in the state service
+	unacknowledgedExit *shard.AttemptID // acknowledged to the shard's owner once the completion is recorded
+	migratedInSurge    uint64           // number of the surge in which it was migrated; 0: none
 }
 
 // attempt is one attempt to run a task on a machine. It is live until it is proven terminated.
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -36,22 +36,22 @@
 
 // autoscalerState is a leader's state for provisioning and releasing machines.
 type autoscalerState struct {
-	callBudget              *ratelimit.TokenBucket
-	unmetDemand             []demand
-	displacedReplicas       map[*job]int // by service: replicas on unresponsive machines whose release waits for capacity elsewhere
-	demandIncomplete        bool         // the latest placement round ended early, so unmetDemand is incomplete
-	scaleOutScheduled       bool
-	requestCount            uint64
-	unavailableUntil        map[autoscaler.OfferKey]time.Time // when offers without capacity may be requested again
-	requested               map[autoscaler.OfferKey]int       // machines in requests in flight, by offer
-	releaseInFlight         bool
-	inventoryInFlight       bool
-	inventoryRequestedAt    time.Time // when the latest read of the inventory began
-	inventoryComplete       bool      // the inventory was read in full at least once in this term
-	machineTypesRequestedAt time.Time
-	consolidatedAt          time.Time
-	utilizationLoggedAt     time.Time
-	largestOnDemandCPUs     float64 // CPUs of the largest service seen that may not use spot machines, all of its replicas together
+	callBudget                 *ratelimit.TokenBucket
+	unmetDemand                []demand
+	displacedReplicas          map[*job]int // by service: replicas on unresponsive machines whose release waits for capacity elsewhere
+	demandIncomplete           bool         // the latest placement round ended early, so unmetDemand is incomplete
+	scaleOutScheduled          bool
+	requestCount               uint64
+	unavailableUntil           map[autoscaler.OfferKey]time.Time // when offers without capacity may be requested again
+	requested                  map[autoscaler.OfferKey]int       // machines in requests in flight, by offer
+	releaseInFlight            bool
+	inventoryInFlight          bool
+	inventoryRequestedAt       time.Time // when the latest read of the inventory began
+	inventoryComplete          bool      // the inventory was read in full at least once in this term
+	machineTypesRequestedAt    time.Time
+	consolidatedAt             time.Time
+	utilizationLoggedAt        time.Time
+	largestOnDemandServiceCPUs float64 // CPUs of the largest service seen that may not use spot machines, all of its replicas together
 }
 
 func (scaler *autoscalerState) init(l *leader) {
--- a/internal/coordination/autoscaler/autoscaler_test.go
+++ b/internal/coordination/autoscaler/autoscaler_test.go
@@ -28,7 +28,7 @@
 }
 
 func testPlan(limit int, booting ...*Bin) *Plan {
-	p := NewPlan(testCatalog().Offers(anyOffer), booting, map[string]*Quota{"red": {CPUs: 100, GPUs: 100}})
+	p := NewPlan(testCatalog().Offers(anyOffer), booting, map[string]*UnusedLimit{"red": {CPUs: 100, GPUs: 100}})
 	p.Limit = limit
 	return p
 }
@@ -104,7 +104,7 @@
 	if free, taken := p.CountCapacity(0, 0); free != 0 || taken != 8 {
 		t.Errorf("%g CPUs free and %g allocated on booting and planned machines, want 0 and 8", free, taken)
 	}
-	if cpus, ok := p.AddCheapest(); !ok || cpus != 4 || plannedCount(p) != 2 || p.Booting() != 3 {
+	if cpus, ok := p.AddCheapest(); !ok || cpus != 4 || plannedCount(p) != 2 || p.BootingOrPlanned() != 3 {
 		t.Errorf("AddCheapest added %g CPUs, %d machines planned; want 4 and 2, with 3 booting or planned", cpus, plannedCount(p))
 	}
 }
--- a/internal/coordination/autoscaler/bins.go
+++ b/internal/coordination/autoscaler/bins.go
@@ -22,7 +22,7 @@
 // place puts a task of a job into the bin if it fits, and reports whether it did.
 func (b *Bin) place(j *protocol.Job) bool {
 	if !b.Offer.Allows(j) || j.CPUs > b.cpus+protocol.Epsilon || j.GPUs > b.gpus+protocol.Epsilon || j.MemoryGB > b.memoryGB+protocol.Epsilon ||
-		b.heartbeatBytes+protocol.MaxTaskStatusBytes(j.ID) > placement.MaxTaskReportBytes {
+		b.heartbeatBytes+protocol.MaxTaskStatusBytes(j.ID) > placement.MaxTaskHeartbeatBytes {
 		return false
 	}
 	b.heartbeatBytes += protocol.MaxTaskStatusBytes(j.ID)
--- a/internal/coordination/autoscaler/offers.go
+++ b/internal/coordination/autoscaler/offers.go
@@ -43,7 +43,7 @@
 // tasksPerMachine returns how many tasks of a job an empty machine of the offer holds. They must also
 // fit into a heartbeat.
 func (o Offer) tasksPerMachine(j *protocol.Job) float64 {
-	fit := float64(placement.MaxTaskReportBytes / protocol.MaxTaskStatusBytes(j.ID))
+	fit := float64(placement.MaxTaskHeartbeatBytes / protocol.MaxTaskStatusBytes(j.ID))
 	if j.CPUs > 0 {
 		fit = min(fit, float64(int(o.Spec.CPUs/j.CPUs+protocol.Epsilon)))
 	}
--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -7,8 +7,8 @@
 	"brasskeel/internal/protocol"
 )
 
-// Quota is the part of a team's limit that isn't used yet, over all its jobs.
-type Quota struct{ CPUs, GPUs float64 }
+// UnusedLimit is the part of a team's limit that isn't used yet, over all its jobs.
+type UnusedLimit struct{ CPUs, GPUs float64 }
 
 // Demand is a number of a job's tasks that wait for a machine.
 type Demand struct {
@@ -44,17 +44,17 @@
 	// searchFrom is the index in openBins where the search for capacity starts, by task shape.
 	// The bins before it can't hold another task of that shape.
 	searchFrom   map[placement.ShapeKey]int
-	minNeeds     placement.Resources // minimum of CPUs and of memory over the expected jobs; GPUs aren't compared
-	expectsAny   bool                // minNeeds is set
-	countByOffer map[OfferKey]int    // planned machines
-	offerOrder   []Offer             // the offers in countByOffer, in the order in which they were first planned
-	planned      int                 // planned machines, without the booting ones
-	unusedLimits map[string]*Quota   // by team
+	minNeeds     placement.Resources     // minimum of CPUs and of memory over the expected jobs; GPUs aren't compared
+	expectsAny   bool                    // minNeeds is set
+	countByOffer map[OfferKey]int        // planned machines
+	offerOrder   []Offer                 // the offers in countByOffer, in the order in which they were first planned
+	planned      int                     // planned machines, without the booting ones
+	unusedLimits map[string]*UnusedLimit // by team
 }
 
 // NewPlan returns an empty plan. offers are ordered by price per CPU, lowest first. unusedLimits are
 // the unused parts of the teams' limits; the plan reduces them by the tasks that it assigns.
-func NewPlan(offers []Offer, booting []*Bin, unusedLimits map[string]*Quota) *Plan {
+func NewPlan(offers []Offer, booting []*Bin, unusedLimits map[string]*UnusedLimit) *Plan {
 	return &Plan{offers: offers, bins: booting, openBins: slices.Clone(booting), searchFrom: map[placement.ShapeKey]int{},
 		countByOffer: map[OfferKey]int{}, unusedLimits: unusedLimits}
 }
@@ -72,8 +72,8 @@
 // Full reports whether as many machines are planned as Limit allows.
 func (p *Plan) Full() bool { return p.planned >= p.Limit }
 
-// Booting returns the number of booting and planned machines.
-func (p *Plan) Booting() int { return len(p.bins) }
+// BootingOrPlanned returns the number of booting and planned machines.
+func (p *Plan) BootingOrPlanned() int { return len(p.bins) }
 
 // AddDemand assigns a job's tasks to booting and planned machines, and plans the further machines
 // that they need, within the team's limit and the limit of machines.
--- a/internal/coordination/balance/planned_usage.go
+++ b/internal/coordination/balance/planned_usage.go
@@ -17,15 +17,15 @@
 // NewPlannedUsage returns a PlannedUsage without moves.
 func NewPlannedUsage() PlannedUsage { return PlannedUsage{iradix.New[placement.Resources]()} }
 
-// Allocated returns the resources that planned moves will use on a machine.
-func (u PlannedUsage) Allocated(machine string) placement.Resources {
+// UsageOn returns the resources that planned moves will use on a machine.
+func (u PlannedUsage) UsageOn(machine string) placement.Resources {
 	r, _ := u.usage.Get([]byte(machine))
 	return r
 }
 
 // With returns a copy of u with one more move, to a machine on which it will use r.
 func (u PlannedUsage) With(machine string, r placement.Resources) PlannedUsage {
-	usage, _, _ := u.usage.Insert([]byte(machine), u.Allocated(machine).Plus(r))
+	usage, _, _ := u.usage.Insert([]byte(machine), u.UsageOn(machine).Plus(r))
 	return PlannedUsage{usage}
 }
 
@@ -35,6 +35,6 @@
 // fits reports whether one more task of a job may move to a machine, in addition to the planned
 // moves.
 func (u PlannedUsage) fits(m *placement.Machine, j *protocol.Job) bool {
-	return m.Allows(j) && m.FitsInReport(j) &&
-		m.Allocated.Plus(m.Incoming).Plus(u.Allocated(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
+	return m.Allows(j) && m.FitsInHeartbeat(j) &&
+		m.Allocated.Plus(m.Incoming).Plus(u.UsageOn(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
 }
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -200,7 +200,7 @@
 func (sp *sourcePlanner) evaluate(task *MigratableTask, target *LoadedMachine, moved placement.Resources) (Migration, bool) {
 	params, src := &sp.params, sp.source
 	migration := Migration{Task: task, From: src.Machine, To: target.Machine}
-	planned := sp.planned.Allocated(target.Name)
+	planned := sp.planned.UsageOn(target.Name)
 	there, tasks := target.Load.TeamUsage(task.Team)
 	needs := placement.Needs(task.Job)
 	after := DominantShare(there.Plus(planned).Plus(needs), placement.Capacity(target.Spec))
--- a/internal/coordination/balance/rebalance_test.go
+++ b/internal/coordination/balance/rebalance_test.go
@@ -222,8 +222,8 @@
 	s := NewPlannedUsage()
 	one := s.With("vm-1", placement.Resources{CPUs: 1})
 	two := one.With("vm-1", placement.Resources{CPUs: 2}).With("vm-2", placement.Resources{MemGB: 1})
-	if s.TargetCount() != 0 || one.Allocated("vm-1").CPUs != 1 || two.Allocated("vm-1").CPUs != 3 || one.TargetCount() != 1 || two.TargetCount() != 2 {
-		t.Errorf("original has %v targets, first copy plans %v, second copy plans %v on vm-1; want 0, 1 CPU, 3 CPUs", s.TargetCount(), one.Allocated("vm-1"), two.Allocated("vm-1"))
+	if s.TargetCount() != 0 || one.UsageOn("vm-1").CPUs != 1 || two.UsageOn("vm-1").CPUs != 3 || one.TargetCount() != 1 || two.TargetCount() != 2 {
+		t.Errorf("original has %v targets, first copy plans %v, second copy plans %v on vm-1; want 0, 1 CPU, 3 CPUs", s.TargetCount(), one.UsageOn("vm-1"), two.UsageOn("vm-1"))
 	}
 }
 
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -81,7 +81,7 @@
 // canTakeTask reports whether a machine that accepts tasks may take one more task of a job. It
 // doesn't check the job's zone rules.
 func (l *leader) canTakeTask(m *machine, j *job) bool {
-	if !m.FitsInReport(j.Job) {
+	if !m.FitsInHeartbeat(j.Job) {
 		l.controller.limits.Reached(limits.TasksPerMachine)
 	}
 	return m.HasRoom(j.Job) && m.Allows(j.Job) && !l.avoidsMachine(j, m)
@@ -120,7 +120,7 @@
 
 // scoreCandidate ranks a machine for a job. index is the machine's index in round.withRoom.
 func (l *leader) scoreCandidate(m *machine, j *job, index int32) placement.Candidate {
-	k := placement.Candidate{Machine: index, LastResort: m.Consolidating, Score: l.scoreWeights().Score(&m.Machine, j.placementTask()),
+	k := placement.Candidate{Machine: index, Consolidating: m.Consolidating, Score: l.scoreWeights().Score(&m.Machine, j.placementTask()),
 		FreeCPUs: m.Spec.CPUs - m.Allocated.CPUs}
 	if l.round.ceilingPolicy != nil {
 		l.rebalancer.applyCeilingPolicy(l.round.ceilingPolicy, m, &k)
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -26,7 +26,7 @@
 		if left == 0 {
 			return
 		}
-		if planner.get().PlannedUsage().Allocated(m.Name) != (placement.Resources{}) {
+		if planner.get().PlannedUsage().UsageOn(m.Name) != (placement.Resources{}) {
 			continue // replicas are planned to move here
 		}
 		if capacity := l.onDemandCapacity(m); !m.Consolidating && capacity > 0 && onDemandCapacity-m.Spec.CPUs < l.onDemandReserve() {
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -89,9 +89,9 @@
 	h.controller.leader = nil
 }
 
-// LeaderUpdated implements leadership.Host. It handles the heartbeats that were deferred until a
+// ElectionKeysChanged implements leadership.Host. It handles the heartbeats that were deferred until a
 // leader is known.
-func (h electionHost) LeaderUpdated() { h.controller.resumeDeferred() }
+func (h electionHost) ElectionKeysChanged() { h.controller.resumeDeferred() }
 
 // LostToOverload implements leadership.Host.
 func (h electionHost) LostToOverload() bool {
--- a/internal/coordination/encodings_test.go
+++ b/internal/coordination/encodings_test.go
@@ -15,7 +15,7 @@
 			Progress: map[string]peers.JobProgress{"run-000001": {3, 4}, "run-000002": {}}, Done: map[string]int{"run-000003": 5}, Cancelled: map[string]int{"run-000004": 6}}},
 		{File: "peer_least.json", Value: &peers.Message{}},
 		{File: "shard_instructions.json", Value: &shard.Message{From: "n1", Instructions: &shard.Instructions{TerminatedMachines: []string{"vm-1"}}}},
-		{File: "shard_observations.json", Value: &shard.Message{From: "n1", Observations: &shard.Observations{Orphans: []shard.Task{{Machine: "vm-1"}}}}},
+		{File: "shard_observations.json", Value: &shard.Message{From: "n1", Observations: &shard.Observations{Orphans: []shard.AttemptID{{Machine: "vm-1"}}}}},
 		{File: "shard_least.json", Value: &shard.Message{}},
 	})
 }
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -29,7 +29,7 @@
 func (l *leader) inventoryInterval() time.Duration {
 	pages := 1 + len(l.fleetList)/protocol.MachinesPageSize
 	calls := time.Duration(float64(pages*inventoryCallDivisor) / l.controller.cfg.CloudRPS * float64(time.Second))
-	return max(l.controller.cfg.MaxListLag/2, 3*time.Second, calls)
+	return max(l.controller.cfg.ListLag/2, 3*time.Second, calls)
 }
 
 // inventoryRead is one read of the cloud's inventory, page by page.
@@ -165,19 +165,19 @@
 }
 
 // reconcileUnlisted releases a machine that should be in the inventory and isn't. An inventory may
-// be up to twice as old as MaxListLag, so a machine counts as terminated only once inventories
+// be up to twice as old as ListLag, so a machine counts as terminated only once inventories
 // haven't listed it for longer than that. A machine whose worker was recently heard from is kept.
 func (l *leader) reconcileUnlisted(m *machine) {
 	c := l.controller
 	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.maxInventoryStaleness() {
 		return
 	}
-	if m.session.Registered && c.now.Sub(m.session.LastSeen) < 3*c.cfg.MaxListLag {
+	if m.session.Registered && c.now.Sub(m.session.LastSeen) < 3*c.cfg.ListLag {
 		return
 	}
 	if m.lifecycle.unlistedSince.IsZero() {
 		m.lifecycle.unlistedSince = c.now
-	} else if c.now.Sub(m.lifecycle.unlistedSince) > 2*c.cfg.MaxListLag+5*time.Second {
+	} else if c.now.Sub(m.lifecycle.unlistedSince) > 2*c.cfg.ListLag+5*time.Second {
 		l.release(m, "not in the inventory")
 	}
 }
@@ -185,7 +185,7 @@
 // maxInventoryStaleness is the time after which a change of the fleet is visible in every inventory
 // that is read.
 func (c *Controller) maxInventoryStaleness() time.Duration {
-	return 3*c.cfg.MaxListLag + 10*time.Second
+	return 3*c.cfg.ListLag + 10*time.Second
 }
 
 // releaseUnknownFailed releases a failed machine that no record names, which removes it from the
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -94,7 +94,7 @@
 	j.blocks = make([]*taskBlock, (j.Tasks+j.blockSize-1)/j.blockSize)
 	l.jobs[j.ID] = j
 	if !j.AllowSpot && j.Kind == protocol.Service {
-		l.autoscaler.largestOnDemandCPUs = max(l.autoscaler.largestOnDemandCPUs, j.CPUs*float64(j.Tasks))
+		l.autoscaler.largestOnDemandServiceCPUs = max(l.autoscaler.largestOnDemandServiceCPUs, j.CPUs*float64(j.Tasks))
 	}
 	at := len(l.jobsByAge)
 	for at > 0 && l.jobsByAge[at-1].submitted.After(j.submitted) {
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -151,7 +151,7 @@
 	if e.role == Leader && e.view.leaderVersion > e.leaderTerm.KeyVersion {
 		e.StepDown("another leader was elected")
 	}
-	e.host.LeaderUpdated()
+	e.host.ElectionKeysChanged()
 	if e.role == Leader {
 		return
 	}
@@ -159,7 +159,7 @@
 		e.scheduleCampaign()
 		return
 	}
-	if leader := e.view.leader; leader.Node == e.settings.Name && leader.Incarnation != e.settings.BootID && e.view.leaderLease != 0 {
+	if leader := e.view.leader; leader.Controller == e.settings.Name && leader.Incarnation != e.settings.BootID && e.view.leaderLease != 0 {
 		// The previous process no longer runs. Its writes may still be in flight, but they are
 		// conditional on the leader key, which is deleted with this lease.
 		e.log.Info("revoking lease of previous process", "term", leader.Term)
@@ -217,7 +217,7 @@
 // claim commits the transaction that makes this controller the leader of the next term.
 func (e *Election) claim(lease Lease) {
 	term := e.view.term + 1
-	leader := records.Leader{Node: e.settings.Name, Zone: e.settings.Zone, Term: term, Incarnation: e.settings.BootID}
+	leader := records.Leader{Controller: e.settings.Name, Zone: e.settings.Zone, Term: term, Incarnation: e.settings.BootID}
 	e.store.Commit(&protocol.Txn{
 		Conditions: []protocol.Condition{{Key: records.KeyLeader}, {Key: records.KeyTerm, Version: e.view.termVersion}},
 		Ops: []protocol.Op{
@@ -319,15 +319,15 @@
 
 // LeaderName returns the name of the leader, which may be this controller; empty if no leader
 // is known.
-func (e *Election) LeaderName() string { return e.view.leader.Node }
+func (e *Election) LeaderName() string { return e.view.leader.Controller }
 
 // OtherLeader returns the name of the leader if it is another controller; empty if this controller
 // leads or no leader is known.
 func (e *Election) OtherLeader() string {
-	if e.view.leaderVersion == 0 || e.view.leader.Node == e.settings.Name {
+	if e.view.leaderVersion == 0 || e.view.leader.Controller == e.settings.Name {
 		return ""
 	}
-	return e.view.leader.Node
+	return e.view.leader.Controller
 }
 
 // PreferredZone returns the zone that the store records as preferred for leaders; empty if
--- a/internal/coordination/leadership/harness_test.go
+++ b/internal/coordination/leadership/harness_test.go
@@ -32,7 +32,7 @@
 
 	leaderTerms       []LeaderTerm
 	leadershipsEnded  int
-	updates           int // calls of LeaderUpdated
+	updates           int // calls of ElectionKeysChanged
 	overloaded        bool
 	peersUnresponsive bool
 }
@@ -78,7 +78,7 @@
 
 func (h *harness) Elected(t LeaderTerm)    { h.leaderTerms = append(h.leaderTerms, t) }
 func (h *harness) LeadershipEnded()        { h.leadershipsEnded++ }
-func (h *harness) LeaderUpdated()          { h.updates++ }
+func (h *harness) ElectionKeysChanged()    { h.updates++ }
 func (h *harness) LostToOverload() bool    { return h.overloaded }
 func (h *harness) PeersUnresponsive() bool { return h.peersUnresponsive }
 
@@ -109,7 +109,7 @@
 
 func leaderItem(controller string, term, incarnation, version, lease uint64) protocol.KeyValue {
 	return protocol.KeyValue{Key: records.KeyLeader, Version: version, Lease: lease,
-		Value: records.Encode(records.Leader{Node: controller, Zone: "a", Term: term, Incarnation: incarnation})}
+		Value: records.Encode(records.Leader{Controller: controller, Zone: "a", Term: term, Incarnation: incarnation})}
 }
 
 func termItem(term, version uint64) protocol.KeyValue {
--- a/internal/coordination/leadership/host.go
+++ b/internal/coordination/leadership/host.go
@@ -71,9 +71,9 @@
 	Elected(t LeaderTerm)
 	// LeadershipEnded is called when the controller has stepped down.
 	LeadershipEnded()
-	// LeaderUpdated is called after the election keys were read or have changed: the leader, the
+	// ElectionKeysChanged is called after the election keys were read or have changed: the leader, the
 	// term, the preferred zone, or whether machines are divided into shards.
-	LeaderUpdated()
+	ElectionKeysChanged()
 	// LostToOverload reports whether the leadership that is about to end was most likely lost
 	// because the controller was too busy to renew its lease in time.
 	LostToOverload() bool
--- a/internal/coordination/leadership/policy_test.go
+++ b/internal/coordination/leadership/policy_test.go
@@ -89,7 +89,7 @@
 	}{
 		{"nothing", nil, false, view{}},
 		{"a leader", []protocol.KeyValue{leaderItem("n1", 4, 1, 20, 9), termItem(4, 20), zoneItem("b"), {Key: records.KeySharded}}, true,
-			view{leader: records.Leader{Node: "n1", Zone: "a", Term: 4, Incarnation: 1}, leaderVersion: 20, leaderLease: 9, term: 4, termVersion: 20, preferredZone: "b", sharded: true}},
+			view{leader: records.Leader{Controller: "n1", Zone: "a", Term: 4, Incarnation: 1}, leaderVersion: 20, leaderLease: 9, term: 4, termVersion: 20, preferredZone: "b", sharded: true}},
 		{"undecodable values", []protocol.KeyValue{{Key: records.KeyLeader, Value: []byte(`"?"`), Version: 30}, {Key: records.KeyTerm, Value: []byte("{"), Version: 30}}, false,
 			view{preferredZone: "b"}},
 		{"no leader", []protocol.KeyValue{termItem(4, 20)}, false, view{term: 4, termVersion: 20, preferredZone: "b"}},
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -27,7 +27,7 @@
 	cfg.Peers = append(cfg.Peers[:0:0], cfg.Peers...)
 	cfg.Peers = append(cfg.Peers, config.Peer{Name: c.cfg.Name, Zone: c.cfg.Zone})
 	f := New(&cfg, c.operator, slog.New(slog.DiscardHandler), 2, c.now)
-	setElectionKeys(f, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: c.cfg.Name, Term: 1}), Version: 1})
+	setElectionKeys(f, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Controller: c.cfg.Name, Term: 1}), Version: 1})
 	return f
 }
 
@@ -162,13 +162,13 @@
 // two calls a second.
 func TestInventoryReadsLeaveCallBudget(t *testing.T) {
 	_, l := largeLeader(4000, 0)
-	l.controller.cfg.CloudRPS, l.controller.cfg.MaxListLag = 2, 12*time.Second
+	l.controller.cfg.CloudRPS, l.controller.cfg.ListLag = 2, 12*time.Second
 	pages := float64(1 + 4000/protocol.MachinesPageSize)
 	if share := pages / l.inventoryInterval().Seconds() / l.controller.cfg.CloudRPS; share > 0.26 {
 		t.Errorf("reading the inventory takes %.2f of the call budget, want at most 0.26", share)
 	}
 	_, small := largeLeader(250, 0)
-	small.controller.cfg.CloudRPS, small.controller.cfg.MaxListLag = 2, 12*time.Second
+	small.controller.cfg.CloudRPS, small.controller.cfg.ListLag = 2, 12*time.Second
 	if i := small.inventoryInterval(); i != 6*time.Second {
 		t.Errorf("inventory of a small fleet read every %s, want 6s", i)
 	}
--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -140,7 +140,7 @@
 func (g *machineGroup) encode() json.RawMessage {
 	r := records.MachineGroup{Type: g.machineType, Zone: g.zone, Spot: g.spot}
 	for _, m := range g.machines {
-		r.Machines = append(r.Machines, records.MachineEntry{Name: m.Name, RentedAt: records.UnixMillis(m.provisionedAt), Addr: m.addr})
+		r.Machines = append(r.Machines, records.MachineEntry{Name: m.Name, ProvisionedAt: records.UnixMillis(m.provisionedAt), Addr: m.addr})
 	}
 	return records.Encode(r)
 }
@@ -171,7 +171,7 @@
 	if name, ok := cutPrefix(item.Key, records.PrefixMachineGroups); ok && len(r.Machines) == 0 {
 		// A record of a single machine, as earlier versions wrote it: the key ends with the
 		// machine's name.
-		r.Machines = []records.MachineEntry{{Name: name, RentedAt: r.LegacyRentedAt}}
+		r.Machines = []records.MachineEntry{{Name: name, ProvisionedAt: r.LegacyProvisionedAt}}
 	}
 	group := &machineGroup{key: item.Key, shard: shard.ID(records.ShardOfGroupKey(item.Key)), stage: groupStored,
 		machineType: r.Type, zone: r.Zone, spot: r.Spot}
@@ -197,7 +197,7 @@
 		m.addr = entry.Addr
 	}
 	now := l.controller.now
-	provisionedAt := time.UnixMilli(entry.RentedAt)
+	provisionedAt := time.UnixMilli(entry.ProvisionedAt)
 	if provisionedAt.After(now) { // the clocks of controllers differ
 		provisionedAt = now
 	}
--- a/internal/coordination/placement/candidates.go
+++ b/internal/coordination/placement/candidates.go
@@ -10,11 +10,11 @@
 
 // Candidate is a machine with room for a task, with the values by which it is ranked.
 type Candidate struct {
-	Machine      int32 // index in the list of machines with room; breaks ties, lower first
-	AboveCeiling bool  // the task would put the machine above a surge ceiling; ranks after all others
-	LastResort   bool  // the machine is being consolidated; ranks after those that aren't
-	Score        float64
-	FreeCPUs     float64 // ranks machines of equal score, higher first
+	Machine       int32 // index in the list of machines with room; breaks ties, lower first
+	AboveCeiling  bool  // the task would put the machine above a surge ceiling; ranks after all others
+	Consolidating bool  // the machine is being consolidated; ranks after those that aren't
+	Score         float64
+	FreeCPUs      float64 // ranks machines of equal score, higher first
 }
 
 // before reports whether c ranks before o.
@@ -22,8 +22,8 @@
 	switch {
 	case c.AboveCeiling != o.AboveCeiling:
 		return o.AboveCeiling
-	case c.LastResort != o.LastResort:
-		return o.LastResort
+	case c.Consolidating != o.Consolidating:
+		return o.Consolidating
 	case c.Score != o.Score:
 		return c.Score > o.Score
 	case c.FreeCPUs != o.FreeCPUs:
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -40,12 +40,12 @@
 	Spec          *protocol.MachineType // nil for an unknown type
 	Consolidating bool                  // gets new tasks only if no other machine has capacity
 
-	Allocated   Resources // to all attempts that aren't proven terminated
-	Terminating Resources // the part of Allocated that belongs to attempts whose stop was requested
-	Reserved    Resources // for jobs that preempt or are starving, until the next placement round
-	Incoming    Resources // reserved for tasks that are being migrated to the machine
-	ReplicaCPUs float64   // the part of Allocated.CPUs that belongs to service replicas
-	ReportBytes int       // upper bound of the size of the tasks' entries in the worker's heartbeat
+	Allocated      Resources // to all attempts that aren't proven terminated
+	Terminating    Resources // the part of Allocated that belongs to attempts whose stop was requested
+	Reserved       Resources // for jobs that preempt or are starving, until the next placement round
+	Incoming       Resources // reserved for tasks that are being migrated to the machine
+	ReplicaCPUs    float64   // the part of Allocated.CPUs that belongs to service replicas
+	HeartbeatBytes int       // upper bound of the size of the tasks' entries in the worker's heartbeat
 
 	Images       ImageCache
 	NeededImages ImageCounts // images that the attempts on the machine need
@@ -72,7 +72,7 @@
 // HasRoom reports whether one more task of a job fits on the machine and into the worker's heartbeat,
 // without using the resources that are reserved for other jobs.
 func (m *Machine) HasRoom(j *protocol.Job) bool {
-	if !m.Fits(j) || !m.FitsInReport(j) {
+	if !m.Fits(j) || !m.FitsInHeartbeat(j) {
 		return false
 	}
 	return m.Reserved == (Resources{}) || m.fitsBesideReserved(j)
@@ -106,13 +106,13 @@
 	return j.AllowsType(m.Type) && (j.Zone == "" || j.Zone == m.Zone) && (j.AllowSpot || !m.Spot)
 }
 
-// FitsInReport reports whether the entries of the machine's tasks and of one more task of a job fit
+// FitsInHeartbeat reports whether the entries of the machine's tasks and of one more task of a job fit
 // into a heartbeat. Part of each heartbeat is left for exited tasks that the worker has to keep
 // reporting.
-func (m *Machine) FitsInReport(j *protocol.Job) bool {
-	return m.ReportBytes+protocol.MaxTaskStatusBytes(j.ID) <= MaxTaskReportBytes
+func (m *Machine) FitsInHeartbeat(j *protocol.Job) bool {
+	return m.HeartbeatBytes+protocol.MaxTaskStatusBytes(j.ID) <= MaxTaskHeartbeatBytes
 }
 
-// MaxTaskReportBytes is the maximum size of the entries of a machine's tasks in its worker's
+// MaxTaskHeartbeatBytes is the maximum size of the entries of a machine's tasks in its worker's
 // heartbeat: three quarters of the maximum size of a heartbeat.
-const MaxTaskReportBytes = protocol.MaxBody * 3 / 4
+const MaxTaskHeartbeatBytes = protocol.MaxBody * 3 / 4
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -146,7 +146,7 @@
 // onDemandReserve is the on-demand capacity to keep for the next service, in CPUs.
 func (l *leader) onDemandReserve() float64 {
 	if l.needsHeadroom() {
-		return l.autoscaler.largestOnDemandCPUs
+		return l.autoscaler.largestOnDemandServiceCPUs
 	}
 	return 0
 }
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -77,7 +77,7 @@
 		return
 	}
 	plan := l.newScaleOutPlan()
-	plan.Limit = l.scaleOutLimit(plan.Booting())
+	plan.Limit = l.scaleOutLimit(plan.BootingOrPlanned())
 	for _, d := range l.autoscaler.unmetDemand {
 		if plan.Full() {
 			break
@@ -95,10 +95,10 @@
 
 // newScaleOutPlan returns a plan for the current fleet, without any demand.
 func (l *leader) newScaleOutPlan() *autoscaler.Plan {
-	quotas := map[string]*autoscaler.Quota{}
+	quotas := map[string]*autoscaler.UnusedLimit{}
 	for name, t := range l.controller.teams {
 		u := l.teamUsage[name]
-		quotas[name] = &autoscaler.Quota{CPUs: t.MaxCPUs - u.cpus, GPUs: t.MaxGPUs - u.gpus}
+		quotas[name] = &autoscaler.UnusedLimit{CPUs: t.MaxCPUs - u.cpus, GPUs: t.MaxGPUs - u.gpus}
 	}
 	plan := autoscaler.NewPlan(l.offers(), l.bootingBins(), quotas)
 	for _, d := range l.autoscaler.unmetDemand {
@@ -130,7 +130,7 @@
 	}
 	free, used = plan.CountCapacity(free, used)
 	for want := l.headroomFor(used); free < want-protocol.Epsilon; {
-		if plan.Booting() > max(maxPlannedMachines, len(l.fleetList)) || plan.Full() && len(l.fleetList) > l.forecastCapacity() {
+		if plan.BootingOrPlanned() > max(maxPlannedMachines, len(l.fleetList)) || plan.Full() && len(l.fleetList) > l.forecastCapacity() {
 			return
 		}
 		cpus, ok := plan.AddCheapest()
--- a/internal/coordination/shard/messages.go
+++ b/internal/coordination/shard/messages.go
@@ -2,8 +2,8 @@
 
 import "brasskeel/internal/protocol"
 
-// Task identifies an attempt at a task on a machine.
-type Task struct {
+// AttemptID identifies an attempt at a task on a machine.
+type AttemptID struct {
 	Machine   string `json:"m"`
 	Job       string `json:"j"`
 	TaskIndex int    `json:"i"`
@@ -12,7 +12,7 @@
 
 // Start is a recorded attempt that may be started.
 type Start struct {
-	Task
+	AttemptID
 	FirstNotice bool  `json:"f,omitempty"` // no owner was notified of it before
 	Stopping    bool  `json:"x,omitempty"` // its stop was requested already
 	GraceMillis int64 `json:"g,omitempty"` // time that it gets to save a checkpoint when it is stopped
@@ -20,7 +20,7 @@
 
 // Stop is an attempt that is to be stopped.
 type Stop struct {
-	Task
+	AttemptID
 	GraceMillis int64 `json:"g,omitempty"`
 }
 
@@ -42,11 +42,11 @@
 // owns the shard, and attempts are recorded before the message lists them.
 type Instructions struct {
 	Header
-	Machines           []Machine `json:"m,omitempty"`
-	TerminatedMachines []string  `json:"x,omitempty"` // machines that are proven terminated
-	Starts             []Start   `json:"n,omitempty"`
-	Stops              []Stop    `json:"o,omitempty"`
-	Forgets            []Task    `json:"f,omitempty"` // exited attempts whose results are recorded, so that workers need not report them any longer
+	Machines           []Machine   `json:"m,omitempty"`
+	TerminatedMachines []string    `json:"x,omitempty"` // machines that are proven terminated
+	Starts             []Start     `json:"n,omitempty"`
+	Stops              []Stop      `json:"o,omitempty"`
+	Forgets            []AttemptID `json:"f,omitempty"` // exited attempts whose results are recorded, so that workers need not report them any longer
 }
 
 // Worker is the state of a machine's worker as its owner knows it.
@@ -66,13 +66,13 @@
 
 // TaskState is the state of an attempt as its worker reported it.
 type TaskState struct {
-	Task
+	AttemptID
 	State protocol.TaskState `json:"s"`
 }
 
 // Exit is an attempt that exited.
 type Exit struct {
-	Task
+	AttemptID
 	Reason       protocol.ExitReason `json:"w"`
 	Checkpointed bool                `json:"k,omitempty"`
 }
@@ -80,7 +80,7 @@
 // Termination reports that an attempt has certainly ended and can no longer be started. It is never
 // withdrawn. The leader accepts it only from the shard's owner under the term that the message names.
 type Termination struct {
-	Task
+	AttemptID
 	Reason string `json:"w"`
 }
 
@@ -103,7 +103,7 @@
 	TaskStates   []TaskState   `json:"u,omitempty"`
 	Exits        []Exit        `json:"e,omitempty"`
 	Terminations []Termination `json:"d,omitempty"`
-	Orphans      []Task        `json:"y,omitempty"` // reported attempts that the leader didn't list
+	Orphans      []AttemptID   `json:"y,omitempty"` // reported attempts that the leader didn't list
 	// Status is sent every second. Workers that it doesn't list are healthy.
 	Status *Status `json:"l,omitempty"`
 }
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -245,12 +245,12 @@
 func oversizedMessages() (*Instructions, *Observations) {
 	in, observed := &Instructions{}, &Observations{Status: &Status{}}
 	for i := range entries {
-		k := Task{Machine: fmt.Sprintf("vm-%06d", i), Job: "run-000001", TaskIndex: i, Attempt: 1}
-		in.Machines = append(in.Machines, Machine{Name: k.Machine, Type: "t", Zone: "z", Starts: []Start{{Task: k}, {Task: k}}})
-		in.Starts = append(in.Starts, Start{Task: k})
+		k := AttemptID{Machine: fmt.Sprintf("vm-%06d", i), Job: "run-000001", TaskIndex: i, Attempt: 1}
+		in.Machines = append(in.Machines, Machine{Name: k.Machine, Type: "t", Zone: "z", Starts: []Start{{AttemptID: k}, {AttemptID: k}}})
+		in.Starts = append(in.Starts, Start{AttemptID: k})
 		in.TerminatedMachines = append(in.TerminatedMachines, k.Machine)
-		observed.TaskStates = append(observed.TaskStates, TaskState{Task: k})
-		observed.Terminations = append(observed.Terminations, Termination{Task: k, Reason: "no longer reported"})
+		observed.TaskStates = append(observed.TaskStates, TaskState{AttemptID: k})
+		observed.Terminations = append(observed.Terminations, Termination{AttemptID: k, Reason: "no longer reported"})
 		observed.Status.Unhealthy = append(observed.Status.Unhealthy, UnhealthyWorker{Machine: k.Machine, UnseenMillis: 5000})
 	}
 	return in, observed
--- a/internal/coordination/shard/sizes.go
+++ b/internal/coordination/shard/sizes.go
@@ -22,15 +22,15 @@
 // StartSize returns the maximum encoded size of an attempt in a machine's entry.
 func StartSize(machine, job string) int { return len(machine) + len(job) + startBytes }
 
-func (t *Task) stringBytes() int     { return len(t.Machine) + len(t.Job) }
-func (t *Task) size() int            { return t.stringBytes() + taskBytes }
-func (s *Start) size() int           { return s.stringBytes() + startBytes }
-func (s *Stop) size() int            { return s.stringBytes() + startBytes }
-func (s *TaskState) size() int       { return s.stringBytes() + stateBytes }
-func (e *Exit) size() int            { return e.stringBytes() + exitBytes }
-func (t *Termination) size() int     { return t.stringBytes() + len(t.Reason) + terminationBytes }
-func (w *UnhealthyWorker) size() int { return len(w.Machine) + unhealthyBytes }
-func nameSize(n *string) int         { return len(*n) + nameBytes }
+func (t *AttemptID) stringBytes() int { return len(t.Machine) + len(t.Job) }
+func (t *AttemptID) size() int        { return t.stringBytes() + taskBytes }
+func (s *Start) size() int            { return s.stringBytes() + startBytes }
+func (s *Stop) size() int             { return s.stringBytes() + startBytes }
+func (s *TaskState) size() int        { return s.stringBytes() + stateBytes }
+func (e *Exit) size() int             { return e.stringBytes() + exitBytes }
+func (t *Termination) size() int      { return t.stringBytes() + len(t.Reason) + terminationBytes }
+func (w *UnhealthyWorker) size() int  { return len(w.Machine) + unhealthyBytes }
+func nameSize(n *string) int          { return len(*n) + nameBytes }
 
 func (w *Worker) size() int {
 	return len(w.Machine) + len(w.Addr) + len(w.Type) + len(w.Zone) + workerBytes
@@ -85,7 +85,7 @@
 	if f.full {
 		return message, f.remaining
 	}
-	message.Forgets = takeFront(f, &in.Forgets, (*Task).size)
+	message.Forgets = takeFront(f, &in.Forgets, (*AttemptID).size)
 	f.full = false // the order between terminated machines and forgets doesn't matter
 	message.TerminatedMachines = takeFront(f, &in.TerminatedMachines, nameSize)
 	return message, f.remaining
@@ -104,7 +104,7 @@
 	message.TaskStates = takeFront(f, &o.TaskStates, (*TaskState).size)
 	message.Exits = takeFront(f, &o.Exits, (*Exit).size)
 	message.Terminations = takeFront(f, &o.Terminations, (*Termination).size)
-	message.Orphans = takeFront(f, &o.Orphans, (*Task).size)
+	message.Orphans = takeFront(f, &o.Orphans, (*AttemptID).size)
 	if o.Status != nil && !f.full {
 		message.Status = o.Status.takeFitting(f)
 		if !message.Status.More {
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -38,7 +38,7 @@
 func (f *changeFeed) workerChanged(m *machine) { f.changedWorkers[m] = true; f.schedule() }
 
 func (f *changeFeed) taskStateChanged(a *attempt) {
-	f.pending.TaskStates = append(f.pending.TaskStates, shard.TaskState{Task: attemptTask(a), State: a.state})
+	f.pending.TaskStates = append(f.pending.TaskStates, shard.TaskState{AttemptID: attemptTask(a), State: a.state})
 	f.schedule()
 }
 
@@ -48,11 +48,11 @@
 }
 
 func (f *changeFeed) attemptTerminated(a *attempt, reason string) {
-	f.pending.Terminations = append(f.pending.Terminations, shard.Termination{Task: attemptTask(a), Reason: reason})
+	f.pending.Terminations = append(f.pending.Terminations, shard.Termination{AttemptID: attemptTask(a), Reason: reason})
 	f.schedule()
 }
 
-func (f *changeFeed) orphanReported(t shard.Task) {
+func (f *changeFeed) orphanReported(t shard.AttemptID) {
 	f.pending.Orphans = append(f.pending.Orphans, t)
 	f.schedule()
 }
@@ -61,8 +61,8 @@
 // their machines.
 func (f *changeFeed) announceOwnership() { f.flush() }
 
-func attemptTask(a *attempt) shard.Task {
-	return shard.Task{Machine: a.machine.Name, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number}
+func attemptTask(a *attempt) shard.AttemptID {
+	return shard.AttemptID{Machine: a.machine.Name, Job: a.job.ID, TaskIndex: a.taskIndex, Attempt: a.number}
 }
 
 // schedule arranges that a message is sent at the end of the step, or once the minimum interval
@@ -150,7 +150,7 @@
 func (f *changeFeed) appendTaskStates(m *machine) (count int) {
 	for _, a := range m.sortedAttempts() {
 		if a.state != 0 {
-			f.pending.TaskStates = append(f.pending.TaskStates, shard.TaskState{Task: attemptTask(a), State: a.state})
+			f.pending.TaskStates = append(f.pending.TaskStates, shard.TaskState{AttemptID: attemptTask(a), State: a.state})
 			count++
 		}
 	}
@@ -294,7 +294,7 @@
 }
 
 // applyForget allows a worker to forget an exited task, whose result is recorded.
-func (o *shardOwner) applyForget(t *shard.Task) {
+func (o *shardOwner) applyForget(t *shard.AttemptID) {
 	m := o.machines[t.Machine]
 	if m == nil {
 		return
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -32,10 +32,10 @@
 	}
 	switch {
 	case a.stopRequested && (a.delivery.OwnerNotified || a.delivery.Inherited):
-		owner.pending.Stops = append(owner.pending.Stops, shard.Stop{Task: attemptTask(a), GraceMillis: a.stopGrace.Milliseconds()})
+		owner.pending.Stops = append(owner.pending.Stops, shard.Stop{AttemptID: attemptTask(a), GraceMillis: a.stopGrace.Milliseconds()})
 	case a.recorded && !a.delivery.OwnerNotified && !a.delivery.Inherited:
 		a.delivery.OwnerNotified = true
-		owner.pending.Starts = append(owner.pending.Starts, shard.Start{Task: attemptTask(a)})
+		owner.pending.Starts = append(owner.pending.Starts, shard.Start{AttemptID: attemptTask(a)})
 	default:
 		return
 	}
@@ -61,7 +61,7 @@
 
 // forgetExit notifies a machine's owner that the result of an exited task is recorded, so that the
 // worker may forget the task.
-func (sc *shardCoordinator) forgetExit(t shard.Task) {
+func (sc *shardCoordinator) forgetExit(t shard.AttemptID) {
 	m := sc.leader.machines[t.Machine]
 	if m == nil {
 		return
@@ -165,7 +165,7 @@
 		if !a.recorded {
 			continue
 		}
-		entry.Starts = append(entry.Starts, shard.Start{Task: attemptTask(a), FirstNotice: !a.delivery.OwnerNotified && !a.delivery.Inherited, Stopping: a.stopRequested, GraceMillis: a.stopGrace.Milliseconds()})
+		entry.Starts = append(entry.Starts, shard.Start{AttemptID: attemptTask(a), FirstNotice: !a.delivery.OwnerNotified && !a.delivery.Inherited, Stopping: a.stopRequested, GraceMillis: a.stopGrace.Milliseconds()})
 		a.delivery.OwnerNotified = true
 	}
 	return entry
--- a/internal/coordination/shard_observations.go
+++ b/internal/coordination/shard_observations.go
@@ -84,7 +84,7 @@
 	}
 	for i := range observations.TaskStates {
 		s := &observations.TaskStates[i]
-		if a := sc.reportedAttempt(owner, &s.Task); a != nil {
+		if a := sc.reportedAttempt(owner, &s.AttemptID); a != nil {
 			a.delivery.Reported = true
 			l.taskStateReported(a, s.State)
 		}
@@ -94,14 +94,14 @@
 	}
 	for i := range observations.Terminations {
 		termination := &observations.Terminations[i]
-		if a := sc.reportedAttempt(owner, &termination.Task); a != nil {
+		if a := sc.reportedAttempt(owner, &termination.AttemptID); a != nil {
 			l.detach(a, termination.Reason)
 		}
 	}
 	for i := range observations.Orphans {
 		t := &observations.Orphans[i]
 		if m := sc.servedMachine(owner, t.Machine); m != nil && sc.reportedAttempt(owner, t) == nil {
-			owner.pending.Stops = append(owner.pending.Stops, shard.Stop{Task: *t})
+			owner.pending.Stops = append(owner.pending.Stops, shard.Stop{AttemptID: *t})
 			sc.schedule(owner)
 		}
 	}
@@ -112,7 +112,7 @@
 
 // reportedAttempt returns the attempt that an owner reports on, or nil if the leader has no such
 // attempt on that machine or the owner doesn't serve the machine.
-func (sc *shardCoordinator) reportedAttempt(owner *ownerChannel, t *shard.Task) *attempt {
+func (sc *shardCoordinator) reportedAttempt(owner *ownerChannel, t *shard.AttemptID) *attempt {
 	m := sc.servedMachine(owner, t.Machine)
 	if m == nil {
 		return nil
@@ -177,11 +177,11 @@
 		return
 	}
 	t := protocol.TaskStatus{Job: e.Job, TaskIndex: e.TaskIndex, Attempt: e.Attempt, State: protocol.Exited, Reason: e.Reason, Checkpointed: e.Checkpointed}
-	if sc.leader.taskExitReported(m, sc.reportedAttempt(owner, &e.Task), &t) {
-		sc.forgetExit(e.Task)
+	if sc.leader.taskExitReported(m, sc.reportedAttempt(owner, &e.AttemptID), &t) {
+		sc.forgetExit(e.AttemptID)
 		return
 	}
-	sc.leader.jobs[e.Job].task(e.TaskIndex).unacknowledgedExit = &e.Task // acknowledged once the result is recorded
+	sc.leader.jobs[e.Job].task(e.TaskIndex).unacknowledgedExit = &e.AttemptID // acknowledged once the result is recorded
 }
 
 // applyStatus applies an owner's status. Workers that it doesn't list are healthy.
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -122,7 +122,7 @@
 	key := taskKey{t.Job, t.TaskIndex}
 	k := m.reportedExits[key]
 	if k == nil || k.exit.Attempt != t.Attempt {
-		k = &reportedExit{exit: shard.Exit{Task: taskOf(m, t), Reason: t.Reason, Checkpointed: t.Checkpointed}}
+		k = &reportedExit{exit: shard.Exit{AttemptID: taskOf(m, t), Reason: t.Reason, Checkpointed: t.Checkpointed}}
 		m.reportedExits[key] = k
 	}
 	if a != nil {
@@ -249,6 +249,6 @@
 	o.scheduleOrders(a.machine)
 }
 
-func taskOf(m *machine, t *protocol.TaskStatus) shard.Task {
-	return shard.Task{Machine: m.Name, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt}
+func taskOf(m *machine, t *protocol.TaskStatus) shard.AttemptID {
+	return shard.AttemptID{Machine: m.Name, Job: t.Job, TaskIndex: t.TaskIndex, Attempt: t.Attempt}
 }
--- a/internal/coordination/shard_ownership_test.go
+++ b/internal/coordination/shard_ownership_test.go
@@ -58,7 +58,7 @@
 	putShardRecord(t, l.controller.sharding.table, records.KeyOwner(1), shard.OwnerRecord{Owner: shard.Ownership{Member: shard.Member{Name: "n2", Incarnation: 1}, Term: 7}}, 6)
 	l.shards.ownershipChanged()
 	outdated := observationsFrom(l, "n1", 5, 2)
-	outdated.Terminations = []shard.Termination{{Task: attemptTask(a), Reason: "never sent"}}
+	outdated.Terminations = []shard.Termination{{AttemptID: attemptTask(a), Reason: "never sent"}}
 	l.shards.receive("n1", outdated)
 	if l.jobsByAge[0].task(0).live != a {
 		t.Fatal("termination from the previous owner of the shard was applied")
@@ -108,7 +108,7 @@
 // instructionsWithTask returns a leader's snapshot that lists the owner's machine under a term of
 // the shard's ownership, with a task to start.
 func instructionsWithTask(o *shardOwner, term uint64) *shard.Instructions {
-	start := shard.Start{Task: shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1}, FirstNotice: true}
+	start := shard.Start{AttemptID: shard.AttemptID{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1}, FirstNotice: true}
 	return &shard.Instructions{Header: shard.Header{Epoch: o.feed.Channel.Epoch(), Sequence: 1, Snapshot: true},
 		Machines: []shard.Machine{{Shard: 1, Term: term, Name: "vm-1", Type: "small", Zone: "a", Starts: []shard.Start{start}}}}
 }
@@ -180,7 +180,7 @@
 	o := newTestShardOwner(t)
 	c, s := o.controller, &o.sharding.redirector
 	*s = newRedirector(c)
-	setElectionKeys(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Node: "n1", Term: 9}), Version: 1})
+	setElectionKeys(c, protocol.KeyValue{Key: records.KeyLeader, Value: records.Encode(records.Leader{Controller: "n1", Term: 9}), Version: 1})
 	c.peers["n1"] = &peers.Status{LastReceivedAt: c.now}
 	if got := s.target("vm-7"); got != "n1" {
 		t.Fatalf("redirected to %q, want the leader n1", got)
@@ -250,7 +250,7 @@
 	m := o.machines["vm-1"]
 	exit := protocol.TaskStatus{Job: "run-000001", TaskIndex: 0, Attempt: 1, State: protocol.Exited, Reason: protocol.ExitStopped}
 	o.taskExitReported(m, m.attemptList[0], &exit)
-	o.applyForget(&shard.Task{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1})
+	o.applyForget(&shard.AttemptID{Machine: "vm-1", Job: "run-000001", TaskIndex: 0, Attempt: 1})
 	if !o.taskExitReported(m, nil, &exit) {
 		t.Fatal("worker may not forget the exit although the leader allowed it")
 	}
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -217,13 +217,13 @@
 	m.attempts[taskKey{a.job.ID, a.taskIndex}] = a
 	a.listIndex = len(m.attemptList)
 	m.attemptList = append(m.attemptList, a)
-	m.ReportBytes += protocol.MaxTaskStatusBytes(a.job.ID)
+	m.HeartbeatBytes += protocol.MaxTaskStatusBytes(a.job.ID)
 }
 
 // untrack removes an attempt from its machine.
 func (s *workerSessions) untrack(a *attempt) {
 	m := a.machine
-	m.ReportBytes -= protocol.MaxTaskStatusBytes(a.job.ID)
+	m.HeartbeatBytes -= protocol.MaxTaskStatusBytes(a.job.ID)
 	delete(m.attempts, taskKey{a.job.ID, a.taskIndex})
 	last := m.attemptList[len(m.attemptList)-1]
 	m.attemptList[a.listIndex], last.listIndex = last, a.listIndex
--- a/internal/records/election.go
+++ b/internal/records/election.go
@@ -2,7 +2,7 @@
 
 // Leader is the record of the current leader. It exists as long as the leader's lease.
 type Leader struct {
-	Node        string `json:"node"` // the controller's name
+	Controller  string `json:"node"` // the controller's name
 	Zone        string `json:"zone"`
 	Term        uint64 `json:"term"`
 	Incarnation uint64 `json:"boot"` // distinguishes a process from an earlier one of the same name
--- a/internal/records/encodings_test.go
+++ b/internal/records/encodings_test.go
@@ -13,7 +13,7 @@
 func TestRecordEncodings(t *testing.T) {
 	sharded := true
 	golden.Check(t, []golden.Case{
-		{File: "leader_full.json", Value: &Leader{Node: "n1", Zone: "a", Term: 41, Incarnation: 1<<64 - 1}},
+		{File: "leader_full.json", Value: &Leader{Controller: "n1", Zone: "a", Term: 41, Incarnation: 1<<64 - 1}},
 		{File: "leader_least.json", Value: &Leader{}},
 		{File: "term.json", Value: &Term{Term: 41}},
 		{File: "preferred_zone.json", Value: &PreferredZone{Zone: "b"}},
@@ -29,7 +29,7 @@
 			Migrated: "AQ", Surge: 6}},
 		{File: "task_block_least.json", Value: &TaskBlock{}},
 		{File: "machine_group_full.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true,
-			Machines: []MachineEntry{{Name: "vm-1", RentedAt: 1790000000123, Addr: "10.0.0.1:1"}, {Name: "vm-2"}}, LegacyRentedAt: 5}},
+			Machines: []MachineEntry{{Name: "vm-1", ProvisionedAt: 1790000000123, Addr: "10.0.0.1:1"}, {Name: "vm-2"}}, LegacyProvisionedAt: 5}},
 		{File: "machine_group_least.json", Value: &MachineGroup{}},
 		{File: "machine_types_full.json", Value: &[]protocol.MachineType{{Name: "small", CPUs: 16, GPUs: 0.5, MemoryGB: 64, CacheGB: 200, FetchGBPerSecond: 1.25,
 			PricePerHour: 3, SpotPricePerHour: 1, BootTime: 45 * time.Second, Zones: []string{"a", "b"}}}},
@@ -42,7 +42,7 @@
 // Records in encodings that are no longer written are still decoded.
 func TestLegacyRecordEncodings(t *testing.T) {
 	golden.CheckDecode(t, []golden.Case{
-		{File: "machine_old.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true, LegacyRentedAt: 1790000000123}},
+		{File: "machine_old.json", Value: &MachineGroup{Type: "small", Zone: "a", Spot: true, LegacyProvisionedAt: 1790000000123}},
 		{File: "task_block_unknown_field.json", Value: &TaskBlock{Done: "iQI"}},
 	})
 }
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -8,10 +8,10 @@
 	Spot     bool           `json:"spot,omitempty"`
 	Machines []MachineEntry `json:"m"`
 
-	// LegacyRentedAt is set in records of a single machine, as earlier versions wrote them: when
+	// LegacyProvisionedAt is set in records of a single machine, as earlier versions wrote them: when
 	// the machine was provisioned, in Unix milliseconds. The key of such a record ends with the
 	// machine's name.
-	LegacyRentedAt int64 `json:"at,omitempty"`
+	LegacyProvisionedAt int64 `json:"at,omitempty"`
 }
 
 // Size limits of a group: the bytes of its record besides the machines, and the maximum number of
@@ -31,7 +31,7 @@
 
 // MachineEntry is one machine of a group.
 type MachineEntry struct {
-	Name     string `json:"n"`
-	RentedAt int64  `json:"at"`          // when it was provisioned, in Unix milliseconds
-	Addr     string `json:"a,omitempty"` // address of its worker, once it is known
+	Name          string `json:"n"`
+	ProvisionedAt int64  `json:"at"`          // when it was provisioned, in Unix milliseconds
+	Addr          string `json:"a,omitempty"` // address of its worker, once it is known
 }
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -30,7 +30,7 @@
 	for _, valueBytes := range []int{1 << 10, 4 << 10, 8 << 10, 64 << 10} {
 		r := MachineGroup{Type: strings.Repeat("t", 40), Zone: strings.Repeat("z", 40), Spot: true}
 		for range MachinesPerGroup(valueBytes) {
-			r.Machines = append(r.Machines, MachineEntry{Name: strings.Repeat("m", 24), RentedAt: math.MaxInt32 * 1000, Addr: "255.255.255.255:65535"})
+			r.Machines = append(r.Machines, MachineEntry{Name: strings.Repeat("m", 24), ProvisionedAt: math.MaxInt32 * 1000, Addr: "255.255.255.255:65535"})
 		}
 		if n := len(Encode(r)); n > valueBytes {
 			t.Errorf("group of %d machines takes %d bytes, more than %d", len(r.Machines), n, valueBytes)
@@ -66,7 +66,7 @@
 	for _, want := range []any{
 		&Job{SubmittedAt: math.MaxInt64, BlockSize: 96, Spec: job},
 		&TaskBlock{Done: "iQI", Tasks: []TaskEntry{{Offset: 3, Attempt: math.MaxUint64, Machine: "vm-1"}}},
-		&MachineGroup{Type: "t", Zone: "z", Spot: true, Machines: []MachineEntry{{Name: "vm-1", RentedAt: 1, Addr: "10.0.0.1:1"}}},
+		&MachineGroup{Type: "t", Zone: "z", Spot: true, Machines: []MachineEntry{{Name: "vm-1", ProvisionedAt: 1, Addr: "10.0.0.1:1"}}},
 		&Outcome{State: outcomeDone, Done: 4},
 	} {
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -94,7 +94,7 @@
 	if _, err := netip.ParseAddrPort(e.Endpoint); err != nil {
 		return fmt.Errorf("external machine %q: %w", e.Name, err)
 	}
-	provisioned := cl.cluster.now.Add(-2 * cl.cluster.settings.MaxListLag) // so that even the oldest list contains it
+	provisioned := cl.cluster.now.Add(-2 * cl.cluster.settings.ListLag) // so that even the oldest list contains it
 	cl.machines = append(cl.machines, &machine{name: e.Name, machineType: e.Type, zone: e.Zone, addr: e.Endpoint, external: true, provisionedAt: provisioned, bootedAt: provisioned})
 	cl.hasExternalMachines = true
 	return nil
@@ -218,10 +218,10 @@
 	return names
 }
 
-// list replies with the machines as they were at a random time up to twice MaxListLag ago.
+// list replies with the machines as they were at a random time up to twice ListLag ago.
 // Controllers allow for lists of that age (see reconcileUnlisted in package coordination).
 func (cl *cloud) list(after string, respond respondFunc) {
-	lag := cl.cluster.settings.MaxListLag
+	lag := cl.cluster.settings.ListLag
 	at := cl.cluster.now.Add(-time.Duration(cl.cluster.rng.Int64N(int64(2 * lag))))
 	var list []protocol.ListedMachine
 	for _, m := range cl.machines {
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -169,7 +169,7 @@
 		Objectives:        []config.Objective{{Kind: "guarantee", Within: 5 * time.Second, Share: 0.9}},
 		HeartbeatInterval: 2 * time.Second, WorkerLease: 15 * time.Second, CancelDeadline: 40 * time.Second,
 		StateRPS: 200, StateWriteRPS: 80, MaxValueBytes: 8 << 10, MaxTxnOps: 12,
-		CloudRPS: 4, MaxListLag: 5 * time.Second,
+		CloudRPS: 4, ListLag: 5 * time.Second,
 		CPUShare: 0.1, MemoryBytes: 98 << 20, MaxSockets: 900,
 	}
 	limited := s.Teams[:2]
@@ -178,7 +178,7 @@
 			limited[i].GuaranteedCPUs, limited[i].MaxCPUs = 2000, 6000
 		}
 		s.HeartbeatInterval, s.WorkerLease, s.CancelDeadline = 4*time.Second, 28*time.Second, 48*time.Second
-		s.StateRPS, s.StateWriteRPS, s.MaxTxnOps, s.MaxListLag = 400, 150, 16, 12*time.Second
+		s.StateRPS, s.StateWriteRPS, s.MaxTxnOps, s.ListLag = 400, 150, 16, 12*time.Second
 		s.CPUShare, s.MemoryBytes, s.MaxSockets = 0.3, 322<<20, 2900
 	}
 	for i := range limited {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -88,7 +88,7 @@
 	}
 	var l records.Leader
 	_ = json.Unmarshal(kv.Value, &l)
-	return l.Node
+	return l.Controller
 }
 
 // setOutage begins or ends an outage. Leases do not expire during an outage and have their full TTL
