--- a/cmd/brasskeel/balance.go
+++ b/cmd/brasskeel/balance.go
@@ -62,7 +62,7 @@
 	name, machineType, zone string
 	reservedByTeam          map[string]placement.Resources
 	reserved                placement.Resources
-	dominantShare           float64 // the largest share of any resource that is reserved
+	dominantShare           float64 // the highest reserved share among the machine's resources
 }
 
 func newFleetReport() *fleetReport {
@@ -226,7 +226,8 @@
 	})
 }
 
-// teamShares returns the share of a machine that each team takes, the largest first.
+// teamShares lists the teams with attempts on a machine, each with its dominant share of the machine,
+// the largest first.
 func (f *fleetReport) teamShares(m *machineLoad) string {
 	capacity := placement.Resources{}
 	if t := f.types[m.machineType]; t != nil {
--- a/cmd/standin/experiment.go
+++ b/cmd/standin/experiment.go
@@ -51,7 +51,7 @@
 	return c
 }
 
-// violationError returns an error if a rule was broken under any setting.
+// violationError returns an error if an invariant was violated under any setting.
 func violationError(outcomes []simulator.Outcome) error {
 	for _, o := range outcomes {
 		if len(o.Violations) > 0 {
--- a/internal/coordination/autoscaler/offers.go
+++ b/internal/coordination/autoscaler/offers.go
@@ -40,8 +40,8 @@
 	return j.AllowsType(o.Spec.Name) && o.Spec.Fits(j) && (j.Zone == "" || j.Zone == o.Zone) && (j.AllowSpot || !o.Spot)
 }
 
-// tasksPerMachine returns how many tasks of a job an empty machine of the offer holds. They must also
-// fit into a heartbeat.
+// tasksPerMachine returns how many tasks of a job an empty machine of the offer holds. Their statuses
+// must also fit into one heartbeat.
 func (o Offer) tasksPerMachine(j *protocol.Job) float64 {
 	fit := float64(placement.MaxTaskHeartbeatBytes / protocol.MaxTaskStatusBytes(j.ID))
 	if j.CPUs > 0 {
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -127,9 +127,9 @@
 // that hasn't read the jobs yet doesn't answer workers either, but that is part of its recovery and
 // isn't logged.
 //
-// The leader keeps its state because the state service, during its own outage, possibly doesn't end
-// the lease. If a renewal succeeds after the outage, the lease has never ended in the service, so no
-// other controller can have led in the meantime.
+// The leader keeps its state because the state service may not end leases during its own outage. If a
+// renewal succeeds after the outage, the lease has never ended in the service, so no other controller
+// can have led in the meantime.
 func (l *leader) RenewalSent() {
 	if l.fencingLogged || l.holdsLease() || l.jobsKnownAt.IsZero() {
 		return
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -205,6 +205,7 @@
 	case verdict == sessions.Terminated:
 		s.listener.attemptTerminated(a, reason)
 	case verdict == sessions.Unfenced:
+		// A direct start may still arrive. A worker that has seen the raised token refuses it.
 		s.raiseFencingToken(m, a.delivery.DirectToken)
 	case verdict == sessions.NotStarted && a.stopRequested:
 		s.listener.attemptTerminated(a, "never started")
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -96,8 +96,8 @@
 // but not all of them: the only remaining task of the late job may be small. Waiting reduces the
 // weight, so that no job waits forever.
 //
-// Users' estimates are often wrong by half, so a deadline counts as missed only if even half of the
-// estimated run time doesn't end before it.
+// Users' estimates are often wrong by half, so a deadline counts as missed only if a task that started
+// now and ran for half of the estimated run time would not end before it.
 func (w *RemainingWork) Weight() float64 {
 	runtime := max(w.Runtime, time.Second)
 	waited := max(w.Waited, 0)
--- a/internal/coordination/rebalance_surges_test.go
+++ b/internal/coordination/rebalance_surges_test.go
@@ -64,8 +64,7 @@
 	}
 }
 
-// A surges record that can't be decoded is logged and counts as no surge. Surges of unknown teams
-// are ignored.
+// A surges record that can't be decoded counts as no surge. Surges of unknown teams are ignored.
 func TestUnreadableSurges(t *testing.T) {
 	_, l, a := leaderWithBalancing(t)
 	l.rebalancer.restoreSurges([]protocol.KeyValue{{Key: records.KeySurges, Value: []byte(`{"red": "soon"}`)}})
--- a/internal/coordination/shard/outbox.go
+++ b/internal/coordination/shard/outbox.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// messageInterval is the minimum time between flushes to the same receiver. All changes within it
-// are sent together, since each message wakes up both sides several times.
+// messageInterval is the minimum time from the latest message to a scheduled flush to the same
+// receiver. Changes within it are sent together, since each message wakes up both sides several times.
 const messageInterval = 25 * time.Millisecond
 
 // Outbox decides when one side of a channel sends its messages. Its user provides the content and
@@ -28,7 +28,8 @@
 	})
 }
 
-// Flush calls send once, and again while pending reports more, until the send window is full.
+// Flush calls send once, and again while pending reports more. It stops, or doesn't begin, when the
+// send window is full.
 func (o *Outbox) Flush(pending func() bool, send func()) {
 	first := true
 	for ; !o.Channel.WindowFull() && (first || pending()); first = false {
--- a/internal/coordination/shard/shard_test.go
+++ b/internal/coordination/shard/shard_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// fleetWithLoads returns three healthy controllers that use the given shares of a processor, and six
-// shards of a hundred machines each, two per controller.
+// fleetWithLoads returns three healthy controllers that use the given parts of their processor shares,
+// and six shards of a hundred machines each, two per controller.
 func fleetWithLoads(shares ...float64) ([]Controller, []Shard) {
 	var controllers []Controller
 	for i, controller := range []string{"a", "b", "c"} {
@@ -207,8 +207,8 @@
 }
 
 // An owner whose messages don't reach the leader, while the state service shows that it reaches its
-// workers, keeps its last shard for lastShardKeepTime. Its other shards don't move to a controller
-// that already uses most of its processor share.
+// workers, keeps its last shard for lastShardKeepTime. None of its shards moves to a controller that
+// would then use more than maxTakeoverCPUShare.
 func TestUnresponsiveOwnerThatServes(t *testing.T) {
 	for _, c := range []struct {
 		share            float64 // processor share used by the controller that would get the shards
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -145,7 +145,7 @@
 	clear(f.snapshotWorkers)
 }
 
-// appendTaskStates moves the states of a machine's tasks into the pending message, and returns their
+// appendTaskStates adds the states of a machine's tasks to the pending message, and returns their
 // number.
 func (f *changeFeed) appendTaskStates(m *machine) (count int) {
 	for _, a := range m.sortedAttempts() {
@@ -268,7 +268,7 @@
 }
 
 // applyStart adds a recorded attempt that no owner was notified of before. If the machine's attempts
-// aren't known here, or one at the same task is, it requests a snapshot instead.
+// aren't known here, or an attempt of the same task is already known, it requests a snapshot instead.
 func (o *shardOwner) applyStart(r *shard.Start) {
 	m := o.machines[r.Machine]
 	if m == nil || !m.attemptsKnown || m.attempts[taskKey{r.Job, r.TaskIndex}] != nil {
--- a/internal/protocol/errors_test.go
+++ b/internal/protocol/errors_test.go
@@ -44,7 +44,7 @@
 		var field *FieldError
 		wantField := !errors.Is(err, ErrNotObject) && !strings.HasPrefix(test.want, "bad JSON")
 		if errors.As(err, &field) != wantField || wantField && field.Error() != test.want {
-			t.Errorf("%.60s: error of type %T, with FieldError %+v", test.to, err, field)
+			t.Errorf("%.60s: error of type %T with FieldError %+v; want a FieldError: %t", test.to, err, field, wantField)
 		}
 	}
 }
--- a/internal/transport/peer_streams.go
+++ b/internal/transport/peer_streams.go
@@ -23,16 +23,16 @@
 	acceptRetryDelay   = 100 * time.Millisecond // after a failed accept
 )
 
-// MaxPeerLine is the largest length of a line on a stream.
+// MaxPeerLine is the maximum length of a line on a stream, in bytes.
 const MaxPeerLine = 64 << 10
 
 // peerNameParam is the query parameter with the name of the controller that requests a stream.
 const peerNameParam = "node"
 
 // PeerStreams exchanges lines with the other controllers: it reads an HTTP/2 stream from each of
-// them, and serves one to each that connects. Lines are hints and may be lost: the next published
-// line makes up for a lost one. Senders of other lines must detect the loss of a line
-// themselves.
+// them, and serves one to each that connects. Lines may be lost. A lost line of Publish needs no
+// repetition, since the next published line replaces it. Users of Send must detect the loss of a
+// line themselves.
 type PeerStreams struct {
 	name    string
 	receive func(line []byte)
