--- a/internal/coordination/sessions/delivery.go
+++ b/internal/coordination/sessions/delivery.go
@@ -97,8 +97,8 @@
 	switch {
 	case m.Incarnation > d.DirectIncarnation:
 		// The worker refuses the start from now on, however late it arrives, since it names an
-		// earlier incarnation. If heartbeat responses don't reach the worker, this is the only
-		// proof.
+		// earlier incarnation. If heartbeat responses don't reach the worker, it sees no higher
+		// token, so nothing else proves that the start can't be carried out.
 		return Terminated, ReasonLeaseExpired
 	case m.Token <= d.DirectToken:
 		return Unfenced, ""
--- a/internal/coordination/sessions/detector.go
+++ b/internal/coordination/sessions/detector.go
@@ -9,7 +9,7 @@
 	// milliseconds.
 	minProbeAfter = 2 * time.Second
 	// failedProbesReleaseAfter is the time without a message after which a worker is presumed
-	// dead if it doesn't answer probes either.
+	// dead if at least UnansweringProbeThreshold probes in a row failed as well.
 	failedProbesReleaseAfter = 3500 * time.Millisecond
 	// LostHeartbeatDelay is the delay that an unanswered heartbeat causes: the worker waits for
 	// the response and then tries the next controller.
@@ -19,7 +19,8 @@
 	UnreachableProbeThreshold = 2
 	// UnansweringProbeThreshold is the number of consecutive failed probes after which it is
 	// pointless to wait for the worker's heartbeat. unreachedReleaseProbes is the number after
-	// which a worker is presumed dead although its heartbeats arrive.
+	// which a worker is presumed dead although its heartbeats arrive, if nothing has been proven
+	// to reach it for unreachedReleaseAfter.
 	UnansweringProbeThreshold = 3
 	unreachedReleaseProbes    = 4
 	// stalledAfter is the gap between two scans above which messages of the workers may have
@@ -151,7 +152,8 @@
 }
 
 // ProbeRoundRobin calls probe for up to count workers, continuing after those of the previous call,
-// until limit of them were probed. probe reports whether it probed worker i.
+// until limit of them were probed. probe reports whether it probed worker i. After a call that went
+// through all workers, the next one begins with the same worker again.
 func (d *Detector) ProbeRoundRobin(count, limit int, probe func(i int) (probed bool)) {
 	for i := range count {
 		if limit == 0 {
--- a/internal/coordination/sessions/session.go
+++ b/internal/coordination/sessions/session.go
@@ -46,7 +46,7 @@
 // incarnations, and within each of them all its messages: heartbeats and responses to calls.
 type MessageOrder struct {
 	Incarnation       uint64
-	IncarnationSince  time.Time // when its first message arrived; it began no later
+	IncarnationSince  time.Time // when the incarnation's first message arrived; the incarnation began no later
 	Sequence          uint64    // of the latest message
 	HeartbeatSequence uint64    // of the latest heartbeat
 }
@@ -165,8 +165,9 @@
 }
 
 // ProvesReached reports whether an applied message proves that something sent has reached the
-// worker, and the earliest time at which it can have: a response proves it for a call, and a
-// heartbeat that reports a raised token for a heartbeat response.
+// worker, and the time from which the worker counts as reached. For a response to a call this is now.
+// A heartbeat proves it if it is the first to report the current token, or a higher one, once heartbeat
+// responses may have carried the current token; the time is then the earliest at which one can have.
 func (s *Session) ProvesReached(m Message, now time.Time) (at time.Time, proven bool) {
 	switch {
 	case !m.Heartbeat:
--- a/internal/coordination/shard/channel.go
+++ b/internal/coordination/shard/channel.go
@@ -6,7 +6,7 @@
 type Header struct {
 	// Epoch identifies the leader and the owner: messages of any other epoch are dropped.
 	Epoch        ChannelEpoch `json:"h"`
-	Sequence     uint64       `json:"q"` // of this message, from 1; 0 for one that only acknowledges
+	Sequence     uint64       `json:"q"` // of this message, from 1; 0 for a message without content, which only acknowledges or requests a snapshot
 	Acknowledged uint64       `json:"k"` // sequence of the latest message accepted from the other side
 	// Snapshot marks the first message of a snapshot, which replaces everything sent before.
 	Snapshot bool `json:"b,omitempty"`
@@ -42,7 +42,7 @@
 	epoch               ChannelEpoch
 	sent                uint64    // sequence of the latest message sent
 	acknowledged        uint64    // sequence of the latest message that the other side acknowledged
-	unacknowledgedSince time.Time // since when no acknowledgement has arrived for sent messages; zero after one
+	unacknowledgedSince time.Time // start of the wait for the next acknowledgement; zero from its arrival until the next wait begins
 	received            uint64    // sequence of the latest message accepted from the other side
 	inOrder             bool      // a snapshot has begun to arrive, and no message was lost since
 	snapshotDue         bool      // the next message sent begins a snapshot
@@ -72,7 +72,8 @@
 // AckDue reports whether a message must be sent to acknowledge others or to request a snapshot.
 func (c *Channel) AckDue() bool { return c.ackDue }
 
-// NextHeader creates the header of the next message. Without content the message only acknowledges.
+// NextHeader creates the header of the next message. A message without content only
+// acknowledges, or requests a snapshot.
 func (c *Channel) NextHeader(now time.Time, content bool) Header {
 	h := Header{Epoch: c.epoch, Acknowledged: c.received, SnapshotRequested: !c.inOrder}
 	c.ackDue = false
@@ -125,8 +126,8 @@
 	c.snapshotRequested = h.SnapshotRequested
 }
 
-// CheckTimeouts makes a snapshot due if the other side requested one, or if it hasn't acknowledged
-// messages within ackTimeout.
+// CheckTimeouts makes a snapshot due if the other side requested one and the latest began more than
+// minSnapshotInterval ago, or if the other side hasn't acknowledged messages within ackTimeout.
 func (c *Channel) CheckTimeouts(now time.Time) {
 	if c.snapshotRequested && now.Sub(c.snapshotAt) > minSnapshotInterval {
 		c.snapshotDue = true
--- a/internal/coordination/shard/fleet.go
+++ b/internal/coordination/shard/fleet.go
@@ -36,8 +36,8 @@
 }
 
 // PlannerShards returns the shards that have a record, and those from 1 to count, as input of the
-// planner. A shard whose record can't be parsed is omitted until ended reports that any owner of it
-// has stopped serving.
+// planner. A shard whose record can't be parsed is omitted until ended reports that any owner of
+// the shard has stopped serving.
 func (t *Table) PlannerShards(count int, fleet Fleet, ended func(id ID, version uint64) bool) []Shard {
 	zones := map[ID]map[string]int{}
 	for id, zone := range fleet {
--- a/internal/coordination/shard/moves.go
+++ b/internal/coordination/shard/moves.go
@@ -49,7 +49,8 @@
 }
 
 // Served records that a controller announced that it serves a shard. It returns the move if that
-// completes it, which is the case for a shard without machines: it gets no heartbeats.
+// completes it, which is the case only for a shard without machines, since its owner gets no
+// heartbeats. A move of any other shard is completed by HeartbeatReceived.
 func (ms *Moves) Served(now time.Time, id ID, controller string, hasMachines func(ID) bool) *Move {
 	m := ms.byShard[id]
 	if m == nil || m.To != controller || m.HandedOver.IsZero() {
@@ -64,7 +65,8 @@
 }
 
 // HeartbeatReceived records that the owner of a shard received a heartbeat from one of its workers.
-// It returns the move that this completes, nil if there is none.
+// It returns the move that this completes, or nil: a heartbeat completes a move only after the new
+// owner announced that it serves the shard.
 func (ms *Moves) HeartbeatReceived(id ID) *Move {
 	m := ms.byShard[id]
 	if m == nil || m.Served.IsZero() {
--- a/internal/coordination/shard/outbox.go
+++ b/internal/coordination/shard/outbox.go
@@ -49,8 +49,8 @@
 func (o *Outbox) Ready() bool { return o.Channel.AckDue() || o.blocked && !o.Channel.WindowFull() }
 
 // UnacknowledgedTerminations keeps terminations until the message that carried them is acknowledged.
-// The owner drops terminated attempts, so no snapshot contains them: if the only message about one
-// were lost, the leader would keep the attempt forever. The zero value keeps none.
+// The owner drops terminated attempts, so no snapshot contains them: if the only message about a
+// termination were lost, the leader would keep the attempt forever. The zero value keeps none.
 type UnacknowledgedTerminations struct{ sent []sentTermination }
 
 type sentTermination struct {
--- a/internal/coordination/shard/ownership.go
+++ b/internal/coordination/shard/ownership.go
@@ -124,8 +124,8 @@
 // owner's lease has ended. The change is conditional on the member key of the previous owner being
 // as the table has it: absent, or of a later incarnation. So the previous ownership has certainly
 // ended in the state service. Shards whose owner's lease hasn't ended are skipped. A shard whose
-// record can't be parsed is assigned too: the caller must have waited until any owner of it has
-// stopped serving.
+// record can't be parsed is assigned too: the caller must have waited until any owner of the shard
+// has stopped serving.
 func (t *Table) Assign(list []Assignment, leader LeaderState) *Change {
 	c := newChange(leader)
 	owners := map[string]bool{}
@@ -183,7 +183,7 @@
 // HandOver returns a change that makes the member that a shard moves to its owner. Only the current
 // owner may commit it, once it has stopped serving; no leader is involved. exclusive says that no
 // earlier owner may still answer workers; if it is false, the next owner must wait for the end of
-// such an owner's grace period. It returns nil if from isn't the owner or no move is proposed.
+// such an owner's grace period. HandOver returns nil if from isn't the owner or no move is proposed.
 func (t *Table) HandOver(id ID, from Member, exclusive bool) *Change {
 	current, ok := t.records[id]
 	if !ok || current.value.Next == nil || current.value.Owner.Member != from {
--- a/internal/coordination/shard/planner.go
+++ b/internal/coordination/shard/planner.go
@@ -20,7 +20,7 @@
 	Zone     string
 	Draining bool
 	// Healthy reports whether it may get more shards: its messages arrive, its timers run on
-	// time, and it reaches most of its workers.
+	// time, and it isn't known to have lost contact with most of its workers.
 	Healthy bool
 	// Reachability is whether it reaches its workers, as far as known.
 	Reachability Reachability
@@ -224,7 +224,9 @@
 }
 
 // evacuate moves shards away from owners that are draining, partitioned, unresponsive, or in another
-// zone than the machines. A shard for which there is no suitable other controller stays.
+// zone than most of the shard's machines. A shard for which there is no suitable other controller
+// stays, and so does one that keepsShard leaves to its owner. At most maxConcurrentMoves shards with
+// machines move at a time; shards without machines aren't limited.
 func (p *Planner) evacuate(now time.Time, v *view) []Decision {
 	var list []Decision
 	for i := range v.shards {
@@ -255,7 +257,8 @@
 		return ReasonDraining
 	case c.Reachability == WorkersUnreachable:
 		return ReasonPartitioned
-	// An owner writes its reachability only while it receives no messages from a leader.
+	// An owner writes its reachability only while it receives no messages from a leader, so a
+	// recent report shows that the two are out of contact.
 	case c.SinceLastMessage > unresponsiveAfter || c.Reachability == WorkersReachable:
 		return ReasonUnresponsive
 	case s.Zone != "" && c.Zone != s.Zone:
@@ -280,8 +283,9 @@
 }
 
 // rebalance moves one shard from the busiest controller to the idlest, if their loads have differed
-// for reasonHoldTime, the move reduces the difference, rebalanceInterval has passed since the
-// previous move for balance, and no shard with machines is moving.
+// for reasonHoldTime, the move reduces the difference enough (see rebalanceCandidate),
+// rebalanceInterval has passed since the previous move for balance, and no shard with machines is
+// moving.
 func (p *Planner) rebalance(now time.Time, v *view) []Decision {
 	busiest, idlest := v.busiestAndIdlest()
 	if busiest == nil || v.moving > 0 {
@@ -309,7 +313,8 @@
 }
 
 // busiestAndIdlest returns the most loaded controller, and the least loaded of the healthy ones.
-// Draining and unresponsive controllers are excluded. Both results are nil if there is no such pair.
+// Draining and unresponsive controllers are excluded. Both results are nil if no controller is
+// healthy or if both would be the same controller.
 func (v *view) busiestAndIdlest() (busiest, idlest *Controller) {
 	for i := range v.controllers {
 		c := &v.controllers[i]
@@ -329,8 +334,8 @@
 	return busiest, idlest
 }
 
-// load returns a controller's used processor share, or its number of machines while the shares
-// aren't known.
+// load returns a controller's used processor share, or its number of machines while the share of any
+// controller is unknown.
 func (v *view) load(c *Controller) float64 {
 	if v.loadsKnown() {
 		return c.Load.CPUShare
@@ -343,7 +348,8 @@
 }
 
 // rebalanceCandidate returns the shard whose move leaves the smallest difference between the loads of
-// two controllers, or nil if no move reduces the difference enough.
+// two controllers. It returns nil if the busiest has too few machines, if the loads differ too little,
+// or if more than maxRemainingGap of the difference would remain after any move.
 func (p *Planner) rebalanceCandidate(now time.Time, v *view, busiest, idlest *Controller) *Shard {
 	machines := float64(v.machines[busiest.Member])
 	if machines < minMachinesToRebalance {
@@ -377,8 +383,10 @@
 	return best
 }
 
-// canRebalance reports whether a shard of the busiest controller may move to the idlest now. A shard
-// whose owner is in the zone of its machines isn't moved to a controller of another zone.
+// canRebalance reports whether a shard of the busiest controller may move to the idlest now: it has
+// machines, isn't moving and hasn't moved within moveCooldown, and the idlest hasn't recently lost
+// contact with workers of the shard's zone. A shard whose owner is in the zone of most of its machines
+// isn't moved to a controller of another zone.
 func (p *Planner) canRebalance(now time.Time, s *Shard, busiest, idlest *Controller) bool {
 	if s.Moving || s.Unowned || s.Machines == 0 || now.Sub(p.movedAt[s.ID]) < moveCooldown {
 		return false
--- a/internal/coordination/shard/reachability.go
+++ b/internal/coordination/shard/reachability.go
@@ -62,8 +62,8 @@
 	return false
 }
 
-// ownerStillServes reports whether a shard would move away only because its owner's messages don't
-// reach the leader, while the state service shows that it reaches its workers.
+// ownerStillServes reports whether a shard with machines would move away only because its owner and
+// the leader are out of contact, while the state service shows that the owner reaches its workers.
 func (v *view) ownerStillServes(s *Shard, why Reason) bool {
 	return why == ReasonUnresponsive && s.Machines > 0 && v.controller(s.Owner).Reachability == WorkersReachable
 }
@@ -75,9 +75,9 @@
 	return !v.ownerStillServes(s, why) || v.projectedCPUShare(c, s) <= maxTakeoverCPUShare
 }
 
-// keepsShard reports whether an unresponsive owner that reaches its workers keeps its last shard.
-// It does so only for lastShardKeepTime, since no results that its workers report during that time
-// are recorded.
+// keepsShard reports whether an unresponsive owner that reaches its workers keeps a shard: only its
+// last shard with machines, and only until the leader has received no message from it for
+// lastShardKeepTime, since no results that its workers report during that time are recorded.
 func (v *view) keepsShard(s *Shard, why Reason) bool {
 	return v.ownerStillServes(s, why) && v.countStaying(s.Owner) <= 1 && v.controller(s.Owner).SinceLastMessage <= lastShardKeepTime
 }
@@ -114,8 +114,8 @@
 const (
 	// ReachabilityUnknown: there is no evidence of either.
 	ReachabilityUnknown Reachability = iota
-	// WorkersReachable: its member record recently showed that it reaches most of them, although
-	// its messages don't reach the leader.
+	// WorkersReachable: its member record recently showed that it isn't partitioned from its
+	// workers, although it receives no messages from the leader.
 	WorkersReachable
 	// WorkersUnreachable: it doesn't reach most of them.
 	WorkersUnreachable
--- a/internal/coordination/statestore/client.go
+++ b/internal/coordination/statestore/client.go
@@ -144,9 +144,10 @@
 // ListResult holds all keys with a prefix.
 type ListResult struct {
 	Items []protocol.KeyValue
-	// Revision is the revision of the first page. A watch from it misses no change.
+	// Revision is the revision of the first page. A watch from this revision misses no change.
 	Revision uint64
-	// RequestedAt is when the first page was requested. Everything written before is listed.
+	// RequestedAt is when the first page was requested, in the attempt that was answered. Keys
+	// written before that time are listed, unless they were deleted since.
 	RequestedAt time.Time
 }
 
--- a/internal/coordination/statestore/committer.go
+++ b/internal/coordination/statestore/committer.go
@@ -97,8 +97,8 @@
 	Delay time.Duration // until it is due; 0 if it is due now
 }
 
-// Batch is what one transaction writes. Exactly one of its methods is called, once, unless the
-// source has ended by then.
+// Batch is what one transaction writes. Once the result of the transaction is known, exactly one of
+// its methods is called, once, unless the source has ended by then.
 type Batch interface {
 	// Applied reports that the batch was written, at this revision.
 	Applied(revision uint64)
--- a/internal/coordination/statestore/health.go
+++ b/internal/coordination/statestore/health.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// Unavailable reports whether the service has refused or not answered this controller's requests
-// for longer than unavailableAfter.
+// Unavailable reports whether this controller's requests have failed for longer than
+// unavailableAfter: they were answered with a status from 500 on, or not at all. Responses with
+// status 429 and watches without a response don't count.
 func (c *Client) Unavailable() bool {
 	h := &c.health
 	return !h.failingSince.IsZero() && c.host.Now().Sub(h.failingSince) > unavailableAfter
--- a/internal/coordination/statestore/record.go
+++ b/internal/coordination/statestore/record.go
@@ -24,7 +24,7 @@
 // the store. Each write is conditional on that version, so that a delayed write can't overwrite a
 // newer one. The zero value is a clean record that isn't in the store.
 //
-//	clean --MarkLazy--> lazy --MarkUrgent--> urgent        (any) --MarkClean--> clean
+//	clean --MarkLazy--> lazy        clean or lazy --MarkUrgent--> urgent        (any) --MarkClean--> clean
 //	idle --BeginWrite--> writing --Written or NotWritten--> idle
 //	                     writing --BeginVerify--> verifying --Verified--> idle
 type RecordState struct {
--- a/internal/protocol/simulator_codec.go
+++ b/internal/protocol/simulator_codec.go
@@ -13,7 +13,8 @@
 // cloud and the state service send and receive. The simulator and tests use it; controllers use
 // only a few of its declarations, such as Encode and ProvisionRequest.
 
-// wireName returns the wire name of a value; of several, the first in alphabetical order.
+// wireName returns the wire name of a value. If the value has several names, it returns the first in
+// alphabetical order.
 func wireName[T comparable](names map[string]T, v T) string {
 	best := ""
 	for name, x := range names {
@@ -55,7 +56,7 @@
 type JobStatus struct {
 	ID            string
 	State         JobState
-	Done, Running int // numbers of tasks; 0 in responses to submissions and cancellations, which have none
+	Done, Running int // numbers of tasks; 0 if the response is to a submission or a cancellation, since such a response doesn't contain them
 }
 
 // ParseJobStatus parses the status of a job.
@@ -164,7 +165,8 @@
 	return r, err
 }
 
-// EncodeMachineNames encodes the response to a request to provision machines.
+// EncodeMachineNames encodes a list of machine names: the response to a request to provision machines,
+// or a request to terminate machines.
 func EncodeMachineNames(names []string) []byte { return Encode(map[string]any{"decks": names}) }
 
 // EncodeMachines encodes one page of the cloud's machine list.
--- a/internal/protocol/state_service.go
+++ b/internal/protocol/state_service.go
@@ -39,7 +39,7 @@
 	Lease  uint64          `json:"warrant,omitempty"`
 }
 
-// Txn is a transaction: its operations are applied if all its conditions hold.
+// Txn is a transaction: all of its operations are applied if all its conditions hold, otherwise none.
 type Txn struct {
 	Conditions []Condition `json:"when"`
 	Ops        []Op        `json:"then"`
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -191,7 +191,8 @@
 	return append(b, '}')
 }
 
-// EncodeRedirect encodes the body of a 421 response: the leader's name, or none.
+// EncodeRedirect encodes the body of a 421 response: the leader's name, or an empty object if leader is
+// empty.
 func EncodeRedirect(leader string) []byte {
 	if leader == "" {
 		return []byte(`{}`)
--- a/internal/transport/accepted.go
+++ b/internal/transport/accepted.go
@@ -29,7 +29,8 @@
 
 // accept registers a connection that a client opened. Above the limit of open sockets it closes
 // another connection: an idle outbound one if there is one and more than minOutboundPercent of the
-// sockets are outbound, or else the least recently active accepted one.
+// sockets are outbound, or else the least recently active accepted one without a request being handled,
+// which may be the new one.
 func (l *Loop) accept(c gnet.Conn) {
 	s := &acceptedConn{conn: c}
 	c.SetContext(s)
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -89,7 +89,7 @@
 }
 
 // bootstrapEventLoop opens the first connection, since gnet hands out its event loop, which Post
-// needs, only with a connection. It stops once a client has connected first.
+// needs, only with a connection. It also stops if a connection from a client has come first.
 func (l *Loop) bootstrapEventLoop() {
 	for {
 		c, err := net.DialTimeout("tcp", l.stateAddr, dialTimeout)
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -109,10 +109,9 @@
 	return !full() || l.closeLongestIdle() && !full()
 }
 
-// closeExpired closes connections whose request did not arrive in full within
-// requestReadTimeout, after a response with status 408, and outbound connections idle for longer
-// than outboundIdleTimeout. It runs
-// every sweepInterval.
+// closeExpired runs every sweepInterval. It closes accepted connections whose request did not arrive
+// in full within requestReadTimeout, once it has sent a response with status 408. It also closes
+// outbound connections that were idle for longer than outboundIdleTimeout.
 func (l *Loop) closeExpired() {
 	now := time.Now()
 	for e := l.accepted.Front(); e != nil; e = e.Next() {
