--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// writeCancellation records that a job is cancelled, unless the job already has an outcome.
-// version is the version of the job's record.
+// writeCancellation records that a job is cancelled, unless the job already has an outcome or its
+// record no longer has the given version.
 func (c *Controller) writeCancellation(job string, version uint64, finish func(jobRead)) {
 	_, done, _ := c.knownProgress(job)
 	// The outcome is created at most once, by this transaction or by the leader's write of "done".
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -48,13 +48,14 @@
 	return placement.Weights{Image: l.controller.operator.ImageCacheWeight, Room: l.controller.operator.FreeShareWeight}
 }
 
-// findCandidates returns the machines that a job's tasks may be placed on now.
+// findCandidates returns the machines that a job's tasks may be placed on now, except that it doesn't
+// check the job's zone rules; bestMachine does.
 func (l *leader) findCandidates(j *job) placement.Candidates {
 	l.round.candidates = l.round.candidates[:0]
 	l.round.ceilingPolicy = l.rebalancer.ceilingPolicy(j)
 	s := placement.ShapeOf(j.Job)
-	// A shape that is at least as large as one that found no room won't find any either. No
-	// task is placed while too many records wait to be written.
+	// A shape that is at least as large as one with the same restrictions that found no room
+	// won't find any either. No task is placed while too many records wait to be written.
 	if l.writer.saturated() || s.KnownNotToFit(l.round.unplaceable) {
 		return placement.Candidates{}
 	}
@@ -93,8 +94,8 @@
 	return m.failuresByJob[j.ID] > 0 && j.history.Machines() < quarantine.MachineThreshold
 }
 
-// bestMachine returns the machine with the highest score that a job's zone rules allow, or nil.
-// Machines that are being consolidated come after all others.
+// bestMachine returns the best candidate that a job's zone rules allow, or nil, and drops the better
+// ones that they don't allow. Machines that are being consolidated come after all others.
 func (l *leader) bestMachine(c *placement.Candidates, j *job) *machine {
 	for k := c.Best(); k != nil; k = c.Best() {
 		if m := l.round.withRoom[k.Machine]; j.zoneAllowed(m.Zone) {
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -13,7 +13,9 @@
 // consolidate moves all replicas off underused machines, if they fit on other machines that cache
 // their images, so that the underused ones can be released. Services run for a long time: without
 // consolidation, their replicas would keep all machines in use over which they were spread while the
-// cluster was busy. A move is fast because the target already caches the image.
+// cluster was busy. A move is fast because the target already caches the image. Nothing is moved while
+// tasks wait for capacity, while the state service is unavailable, or within consolidationInterval of
+// the latest move.
 func (l *leader) consolidate() {
 	c, scaler := l.controller, &l.autoscaler
 	if len(scaler.unmetDemand) > 0 || scaler.demandIncomplete || c.store.Unavailable() || c.now.Sub(scaler.consolidatedAt) < consolidationInterval {
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -9,8 +9,8 @@
 	"brasskeel/internal/records"
 )
 
-// overloadLossWindow is how long before a loss of leadership this controller's latest overload may
-// have been to count as the cause of the loss.
+// overloadLossWindow: an overload of this controller counts as the cause of a loss of leadership if
+// it occurred within this time before the loss.
 const overloadLossWindow = 3 * time.Second
 
 func (c *Controller) newElection() *leadership.Election {
@@ -89,8 +89,8 @@
 	h.controller.leader = nil
 }
 
-// ElectionKeysChanged implements leadership.Host. It handles the heartbeats that were deferred until a
-// leader is known.
+// ElectionKeysChanged implements leadership.Host. It handles the deferred heartbeats if a leader is
+// known now.
 func (h electionHost) ElectionKeysChanged() { h.controller.resumeDeferred() }
 
 // LostToOverload implements leadership.Host.
@@ -121,11 +121,11 @@
 // NeedsLease implements leadership.LeaseHolder.
 func (l *leader) NeedsLease() bool { return l.alive() }
 
-// RenewalSent implements leadership.LeaseHolder. It logs, once until the lease is renewed, that the
-// leader is fenced, which means that it answers no workers, but keeps its state: its lease and
-// grace period have ended, or it may not know of all recent cancellations (holdsLease). A leader
-// that hasn't read the jobs yet doesn't answer workers either, but that is part of its recovery and
-// isn't logged.
+// RenewalSent implements leadership.LeaseHolder. It logs that the leader is fenced, at most once until
+// the lease is renewed. A fenced leader answers no workers, but keeps its state. It is fenced when its
+// lease and grace period have ended, or when it may not know of all recent cancellations (holdsLease).
+// A leader that hasn't read the jobs yet doesn't answer workers either, but that is part of its
+// recovery and isn't logged.
 //
 // The leader keeps its state because the state service may not end leases during its own outage. If a
 // renewal succeeds after the outage, the lease has never ended in the service, so no other controller
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -11,7 +11,9 @@
 
 // detectFailures probes machines from which no messages arrive, resigns if this controller seems to
 // be disconnected, and otherwise releases unresponsive machines. Missing messages don't prove that
-// a machine's tasks have ended. Its release proves it, and the cloud confirms a release quickly.
+// a machine's tasks have ended. A release that the cloud has confirmed proves it, and the cloud
+// confirms releases quickly. While a leader without shards reconciles, it only probes the workers
+// that nothing has reached yet.
 func (l *leader) detectFailures() {
 	c := l.controller
 	stalled := l.detector.Scan(c.now)
@@ -24,7 +26,7 @@
 	if stalled || c.store.Unavailable() || !l.holdsLease() {
 		// After a stall, messages may have arrived that aren't read yet. Without the state
 		// service or the lease, no task could be moved, and workers that get no response from
-		// this controller try another one. Times out of contact are counted from now.
+		// this controller try another one. Times without contact are counted anew from now.
 		l.detector.Reset(c.now)
 		return
 	}
@@ -37,15 +39,17 @@
 	l.releaseUnresponsive(s)
 }
 
-// probeUnreached probes the workers that nothing sent is known to have reached yet.
+// probeUnreached probes the workers that, as far as is known, no message of this controller has
+// reached yet. It leaves out machines that this leader provisioned and whose workers haven't
+// registered, since they may still be booting.
 func (l *leader) probeUnreached() {
 	var unreached []*machine
 	for _, m := range l.fleetList {
 		if !m.session.LastReached.IsZero() {
 			continue
 		}
-		// A worker that has registered shows a token of this epoch in its next heartbeat, which
-		// follows soon.
+		// The next heartbeat of a registered worker shows a token of this epoch, which proves that
+		// the response to its first one arrived. It is probed only if that heartbeat is overdue.
 		if !m.session.Registered && m.inherited || m.session.Registered && l.controller.now.Sub(m.session.RegisteredAt) > tokenEchoTimeout {
 			unreached = append(unreached, m)
 		}
@@ -67,7 +71,7 @@
 	s := &fleetReachability{domains: map[failureDomain]*sessions.DomainHealth{}, suspectZones: map[string]bool{}}
 	for _, m := range l.fleetList {
 		since, expected := l.unresponsiveSince(m)
-		if m.inherited && expected { // others may still be booting
+		if m.inherited && expected { // machines that aren't inherited may still be booting
 			s.countInherited(m)
 		}
 		if expected {
@@ -78,15 +82,18 @@
 }
 
 // unresponsiveSince returns the time since which no message of a machine's worker has arrived, and
-// whether its worker is expected to be running.
+// whether its worker is expected to be running. Periods in which messages couldn't arrive, or were
+// weren't read, don't count: for an expected worker, the time is never before the latest reset of the
+// detector or, with shards, before contact with the owner of the machine's shard was resumed.
 func (l *leader) unresponsiveSince(m *machine) (since time.Time, expected bool) {
 	since = m.session.LastSeen
 	if !m.session.Registered {
 		if len(m.attempts) == 0 {
 			return since, false
 		}
-		// It ran tasks under an earlier leader. The time counts from when the records were
-		// loaded if it was probed without an answer, else from the reconciliation.
+		// The machine ran tasks under an earlier leader. The time counts from when the records
+		// were loaded if its worker failed to answer UnansweringProbeThreshold probes, else from
+		// the end of the reconciliation.
 		since = l.reconciledAt
 		if m.session.FailedProbes >= sessions.UnansweringProbeThreshold {
 			since = l.loadedAt
@@ -168,9 +175,11 @@
 }
 
 // releaseUnresponsive releases machines that are presumed dead, except for those that are more
-// likely partitioned from their controller, and those kept for the replicas they run. Both are
-// kept for at most the length of a worker's lease without contact, after which their tasks have ended
-// anyway.
+// likely partitioned from their controller, and those kept because their replicas would find no
+// capacity elsewhere. Both are kept until contact has been missing for the length of a worker's lease,
+// after which their tasks have ended anyway. On machines that this leader serves itself, attempts
+// count as terminated once the worker's lease has certainly expired, whether or not the machine is
+// released.
 func (l *leader) releaseUnresponsive(s *fleetReachability) {
 	c := l.controller
 	deferral := l.newReleaseDeferral()
@@ -197,8 +206,9 @@
 func (l *leader) presumedDead(m *machine, unseen time.Duration) bool {
 	loss := sessions.ContactLoss{Unseen: unseen, Unreached: l.unreachedFor(m), Unanswered: l.unansweredFor(m), FailedProbes: m.session.FailedProbes}
 	if l.shards != nil {
-		// The owner of the machine's shard reports all of these times. Without contact to an
-		// owner nothing is known, and the times count only from when contact was resumed.
+		// The owner of the machine's shard reports all of these times. While there is no contact
+		// with the owner, nothing is known of the worker. After that, the times count only from
+		// when contact was resumed; unresponsiveSince has limited Unseen in this way already.
 		since, inContact := l.shards.ownerContactSince(m)
 		if !inContact {
 			return false
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -46,8 +46,10 @@
 // deferredHeartbeats is a queue of heartbeats in order of arrival. Since all are deferred for
 // at most the same time, the first one expires first.
 type deferredHeartbeats struct {
-	queue       []deferredHeartbeat
-	expiryTimer *timer // for the first heartbeat; nil while the queue is empty
+	queue []deferredHeartbeat
+	// expiryTimer fires at the deadline of the heartbeat that was first in the queue when the timer
+	// was set. It stays set when takeAll empties the queue, and is nil if no timer is set.
+	expiryTimer *timer
 	// requeueDeadline is the deadline of the deferred heartbeat that is being handled again,
 	// in case it has to be deferred once more. It is zero while none is being handled again.
 	requeueDeadline time.Time
@@ -78,7 +80,8 @@
 	c.armDeferralTimer()
 }
 
-// armDeferralTimer sets the expiry timer for the first heartbeat in the queue.
+// armDeferralTimer sets the expiry timer for the first heartbeat in the queue, unless the timer is
+// already set or the queue is empty.
 func (c *Controller) armDeferralTimer() {
 	if c.deferred.expiryTimer != nil || len(c.deferred.queue) == 0 {
 		return
@@ -116,8 +119,8 @@
 // redirector chooses the target when a controller that neither leads nor serves a worker
 // redirects it. The target is the leader, which knows the controller that serves the worker. A worker
 // that can't reach the leader contacts this controller again after a timeout. It is then redirected
-// without a target, and tries all controllers in turn. Workers that were redirected to the leader
-// again did not try the controller that serves them before their leases expired.
+// without a target, and tries all controllers in turn. When such workers were redirected to the
+// leader again instead, their leases expired before they tried the controller that serves them.
 type redirector struct {
 	controller   *Controller
 	redirectedAt map[string]time.Time // when a worker was last redirected to the leader, by machine
@@ -141,8 +144,9 @@
 }
 
 // target returns the controller that a machine's worker should try: the leader, or "" for the next
-// one in turn. It is "" if the leader doesn't reach its workers, if its last message is too old, if
-// no leader is known, or if the worker came back from the leader.
+// one in turn. It is "" if the leader reported that it doesn't reach its workers, if the leader's last
+// message is too old, if no leader is known, or if the worker was redirected to the leader a short
+// time ago and has come back.
 func (r *redirector) target(machine string) string {
 	c := r.controller
 	leader := c.election.OtherLeader()
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -19,8 +19,10 @@
 	return sessions.Message{Incarnation: r.Incarnation, Sequence: r.Sequence, Token: r.FencingToken}
 }
 
-// answerHeartbeat responds to a heartbeat of a machine that this owner serves. A stale heartbeat is
-// refused, and an overtaken one gets no orders but the stops for tasks of ended jobs.
+// answerHeartbeat responds to a heartbeat of a machine that this owner serves. A stale heartbeat (a
+// duplicate, or one that the worker has abandoned) is refused. An overtaken heartbeat, which arrived
+// after a newer response of the worker to a call, gets no orders but the stops for tasks of ended
+// jobs.
 func (s *workerSessions) answerHeartbeat(m *machine, id uint64, r *protocol.Heartbeat) {
 	c := s.controller
 	arrival := m.session.ClassifyHeartbeat(heartbeatMessage(r))
@@ -117,8 +119,9 @@
 	}
 }
 
-// updateReachability records whether a message proves that something sent has reached the
-// worker, and probes a worker that nothing has reached yet.
+// updateReachability records it if a worker's message proves that a message of this controller has
+// reached the worker. When a heartbeat comes from a worker that nothing has reached yet, it probes the
+// worker, unless new workers are not probed yet (probesNewWorkers).
 func (s *workerSessions) updateReachability(m *machine, message sessions.Message) {
 	if at, proven := m.session.ProvesReached(message, s.controller.now); proven {
 		s.recordReached(m, at)
@@ -132,7 +135,8 @@
 	}
 }
 
-// recordReached records that something sent reached the worker, at the given time or later.
+// recordReached records that a message of this controller reached the worker at the given time or
+// later.
 func (s *workerSessions) recordReached(m *machine, at time.Time) {
 	m.session.FailedProbes = 0
 	s.listener.workerReached(m)
@@ -174,7 +178,8 @@
 }
 
 // reconcileAbsentAttempts handles the known attempts that a message doesn't report, in a fixed
-// order, and returns the starts to send with a heartbeat response. Stops have precedence: space for
+// order, and returns the starts to send with a heartbeat response. Attempts whose placement isn't
+// recorded yet are skipped. Stops have precedence: space for
 // them in the message is reserved before that for starts.
 func (s *workerSessions) reconcileAbsentAttempts(m *machine, message sessions.Message, budget protocol.OrderBudget) []protocol.Order {
 	for _, a := range m.attemptList {
@@ -252,7 +257,8 @@
 // forgetOrders returns the orders to forget exited tasks once that is safe. A worker no longer
 // knows a forgotten attempt, so a delayed duplicate of its direct start would start it again.
 // Workers refuse orders below the highest token they have seen: the token is raised first, and
-// the orders are sent once a message shows that the worker has seen the raised token.
+// the orders are sent once a message shows that the worker has seen the raised token. If no direct
+// start was sent to the machine, the orders are safe at once.
 func (s *workerSessions) forgetOrders(m *machine, r *protocol.Heartbeat, forgets []protocol.Order) []protocol.Order {
 	if len(forgets) == 0 || m.session.DirectStartToken == 0 || r.FencingToken > m.session.DirectStartToken {
 		return forgets
--- a/internal/coordination/inventory.go
+++ b/internal/coordination/inventory.go
@@ -61,7 +61,8 @@
 }
 
 // handlePage handles the outcome of a page request. A failed request is retried. After the last page
-// the known machines are reconciled with the inventory.
+// the known machines are reconciled with the inventory. A read that gets an invalid page or reaches
+// maxInventory is abandoned.
 func (r *inventoryRead) handlePage(out Outcome) {
 	l := r.leader
 	if !out.Answered || out.Status != 200 {
@@ -165,8 +166,9 @@
 }
 
 // reconcileUnlisted releases a machine that should be in the inventory and isn't. An inventory may
-// be up to twice as old as ListLag, so a machine counts as terminated only once inventories
-// haven't listed it for longer than that. A machine whose worker was recently heard from is kept.
+// be up to twice as old as ListLag, so a machine is released only once inventories haven't listed
+// it for longer than that. A machine that was provisioned recently, or whose worker recently sent a
+// message, is kept.
 func (l *leader) reconcileUnlisted(m *machine) {
 	c := l.controller
 	if m.lifecycle.releasing() || c.now.Sub(m.provisionedAt) < c.maxInventoryStaleness() {
--- a/internal/coordination/load_jobs.go
+++ b/internal/coordination/load_jobs.go
@@ -43,7 +43,8 @@
 	return ids
 }
 
-// checkOutcomes finds out which of the jobs have an outcome, and applies those outcomes.
+// checkOutcomes finds out which of the jobs have an outcome, and applies those outcomes. It calls
+// done when all jobs are checked.
 func (s *workerSessions) checkOutcomes(ids []string, done func()) {
 	batches := slices.Collect(slices.Chunk(ids, s.controller.maxConditions()))
 	remaining := len(batches)
