--- a/internal/coordination/machine_groups.go
+++ b/internal/coordination/machine_groups.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// scheduleGroupRewrite queues a group's record to be rewritten after groupRewriteDelay.
+// scheduleGroupRewrite queues a group's record to be rewritten after groupRewriteDelay, unless it is
+// already queued. The first write of an open group will contain the change anyway.
 func (w *recordWriter) scheduleGroupRewrite(group *machineGroup) {
 	if group != nil && group.stage != groupOpen && !group.rewriteQueued {
 		group.rewriteQueued, group.rewriteDue = true, w.leader.controller.now.Add(groupRewriteDelay)
--- a/internal/coordination/machine_lifecycle.go
+++ b/internal/coordination/machine_lifecycle.go
@@ -87,8 +87,8 @@
 }
 
 // drainForPreemption stops the tasks that can save a checkpoint, and service replicas, on a
-// machine that the cloud will preempt. Tasks without checkpoints continue to run: they may complete
-// before the preemption.
+// machine that the cloud will preempt. Batch and gang tasks without checkpoints continue to run: they
+// may complete before the preemption.
 func (l *leader) drainForPreemption(m *machine) {
 	for _, a := range m.sortedAttempts() {
 		if a.job.CheckpointInterval > 0 {
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -11,7 +11,8 @@
 
 // loadMachineTypes loads the machine types from the state service, where leaders store them, or from
 // the cloud if they aren't stored there or can't be read. If the cloud doesn't list them either, it
-// tries again after one to two seconds. Submissions can't be validated without machine types.
+// tries again after one to two seconds. If machine types are known by the time that the state service
+// answers, they are kept. Submissions can't be validated without machine types.
 func (c *Controller) loadMachineTypes() {
 	c.store.Get(records.KeyMachineTypes, func(r statestore.ReadResult) {
 		if r.Status == statestore.Found {
--- a/internal/coordination/place_job.go
+++ b/internal/coordination/place_job.go
@@ -146,7 +146,7 @@
 }
 
 // preemptOnImageHolder makes room for one task on a machine that caches its image, by preempting
-// attempts that end at once. *search is created on first use.
+// attempts that end at once, and reports whether that was possible. *search is created on first use.
 func (l *leader) preemptOnImageHolder(search **victimSearch, j *job) bool {
 	if *search == nil {
 		*search = &victimSearch{rules: immediateVictims}
--- a/internal/coordination/placement_round.go
+++ b/internal/coordination/placement_round.go
@@ -43,7 +43,7 @@
 	victimSearches map[victimSearchKey]*victimSearch
 	victims        victimSelector
 
-	examined     int // machines examined so far, over all jobs; each job counts as one machine more
+	examined     int // machines examined so far; begin counts the whole fleet once, and each job as one machine
 	examineLimit int // bound of examined, after which the round ends
 }
 
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -83,12 +83,13 @@
 	return 5 * time.Second
 }
 
-// preemptible reports whether an attempt may be preempted for a job. It may if its priority is
-// lower. A job within its team's quota may also preempt attempts of another team that uses more
-// than its own quota, except those of services and of jobs within that other quota. Attempts that are
-// already being stopped, and those of the job itself or of a higher tier, are never preempted.
+// preemptible reports whether an attempt may be preempted for job j. It may if the attempt's job has a
+// lower priority than j. A job within its team's quota may also preempt attempts of another team that
+// uses more than its own quota, except those of services and of jobs within that other quota. Attempts
+// that are already being stopped, and those of j itself or of a higher tier, are never preempted.
 func (l *leader) preemptible(a *attempt, j *job) bool {
-	// A job of a higher tier is served before this one, so its task would only be placed there again.
+	// A job of a higher tier is served before j, so the preempted task would only be placed on the
+	// freed capacity again.
 	if a.stopRequested || a.job == j || a.job.tier() < j.tier() {
 		return false
 	}
--- a/internal/coordination/rebalance_migrations.go
+++ b/internal/coordination/rebalance_migrations.go
@@ -39,7 +39,7 @@
 	stopped   []*migration            // the old attempt is terminated; to be started on the target
 	started   int
 	completed int
-	abandoned int // not completed; the task is placed like any other
+	abandoned int // not completed: the attempt continues to run, or the task is placed like any other
 }
 
 // migration is the migration of a task from the machine of its old attempt to another one.
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -59,9 +59,10 @@
 
 // saturated reports whether so many records are queued that no more tasks should be placed. A task
 // that is placed now would have to wait until its record is written. It is better to choose at that
-// later time, among the tasks that are pending by then. Each record holds the placements of one block
-// of a job's tasks. The bound of queued blocks is the number of records written in about half a
-// second, and at least four transactions. maxUnrecordedPlacements bounds the placements in them.
+// later time which tasks to place, among those that are pending by then. Each record holds the
+// placements of one block of a job's tasks. The bound of queued blocks is the number of records written
+// in about half a second, and at least four transactions. maxUnrecordedPlacements bounds the
+// placements in them.
 func (w *recordWriter) saturated() bool {
 	settings := w.leader.controller.cfg
 	if w.unrecordedPlacements >= w.maxUnrecordedPlacements() {
--- a/internal/coordination/recovery.go
+++ b/internal/coordination/recovery.go
@@ -140,8 +140,9 @@
 }
 
 // expectsTaskReport reports whether a machine's worker should be running: attempts are recorded on the
-// machine, or an earlier leader recorded it and it has had time to boot. A machine that is known only
-// from the cloud's inventory, which may be out of date, may already be terminated.
+// machine, or an earlier leader recorded it and it has had time to boot (if its type isn't known, it
+// counts as booted). A machine that is known only from the cloud's inventory, which may be out of
+// date, may already be terminated.
 func (l *leader) expectsTaskReport(m *machine) bool {
 	booted := m.inherited && (m.Spec == nil || l.controller.now.Sub(m.provisionedAt) > 2*m.Spec.BootTime)
 	return len(m.attempts) > 0 || booted
--- a/internal/coordination/release_deferral.go
+++ b/internal/coordination/release_deferral.go
@@ -67,8 +67,8 @@
 }
 
 // machineWithRoom returns a machine with enough CPUs for a replica, or nil. CPUs used by lower-priority
-// work count as free, since that work can be preempted. plan holds the CPUs planned for other replicas
-// of the same machine.
+// work count as free, since that work can be preempted. plan holds the CPUs on each
+// target that are planned for other replicas of the same unresponsive machine.
 func (d *releaseDeferral) machineWithRoom(j *job, plan map[*machine]usage) *machine {
 	k := victimSearchKeyOf(j)
 	if least, ok := d.noRoom[k]; ok && j.CPUs >= least {
@@ -86,7 +86,9 @@
 			return o
 		}
 	}
-	if len(plan) == 0 { // for the rest of the scan, capacity is only claimed, never returned
+	// A plan may still be dropped. Without one, the result holds for the rest of the scan, in which
+	// capacity is only claimed, never returned.
+	if len(plan) == 0 {
 		d.noRoom[k] = j.CPUs
 	}
 	return nil
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -204,7 +204,8 @@
 	l.sendReleases()
 }
 
-// sendReleases sends the pending releases to the cloud, as many as fit into one call.
+// sendReleases sends the pending releases to the cloud, as many as fit into one call, if no such call
+// is in flight and the call budget allows it.
 func (l *leader) sendReleases() {
 	c, scaler := l.controller, &l.autoscaler
 	if scaler.releaseInFlight {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -116,7 +116,8 @@
 }
 
 // planHeadroom adds machines to the plan until it provides the headroom for future jobs, no offer is
-// left, or the plan and the booting machines reach a bound.
+// left, or the booting and planned machines exceed the larger of maxPlannedMachines and the size of the
+// fleet. It also ends when the plan's limit is reached if the fleet is beyond forecastCapacity.
 func (l *leader) planHeadroom(plan *autoscaler.Plan) {
 	used, free := 0.0, 0.0
 	for _, m := range l.fleetList {
--- a/internal/coordination/shard_change_feed.go
+++ b/internal/coordination/shard_change_feed.go
@@ -186,7 +186,7 @@
 		return
 	}
 	// Unacknowledged terminations are dropped: the snapshot of the new leader lists the attempts that
-	// it considers live.
+	// it considers live. Those that have terminated are added here again, and proven terminated again.
 	f.Channel, f.leader, f.unacknowledged = shard.NewChannel(epoch), leader, shard.UnacknowledgedTerminations{}
 	f.schedule()
 }
@@ -293,7 +293,8 @@
 	m.orphanStops[key] = s.Attempt
 }
 
-// applyForget allows a worker to forget an exited task, whose result is recorded.
+// applyForget allows a worker to forget an exited task: the leader has recorded its result or has
+// nothing to record.
 func (o *shardOwner) applyForget(t *shard.AttemptID) {
 	m := o.machines[t.Machine]
 	if m == nil {
--- a/internal/coordination/shard_coordinator.go
+++ b/internal/coordination/shard_coordinator.go
@@ -191,7 +191,8 @@
 
 // ownerTimedOut reports whether a machine's owner has sent no message within ownerTimeout, so that
 // a new leader need not wait for a report of the machine's tasks: if the controllers refuse each
-// other's connections, it would wait the maximum time for two thirds of the fleet.
+// other's connections, a new leader among three would wait the maximum time for two thirds of the
+// fleet.
 func (l *leader) ownerTimedOut(m *machine) bool {
 	if l.shards == nil {
 		return false
@@ -203,7 +204,8 @@
 // resignIfDisconnected resigns leadership if this controller has received no message from any other
 // owner for ownerUnresponsiveAfter (ownerTimeout if the other's member record shows whether it reaches
 // its workers), doesn't reach the workers of its own shards either, and the state service shows that
-// another owner reaches its workers. It reports whether it resigned.
+// another owner reaches its workers. It doesn't within ownerTimeout after the end of the recovery. It
+// reports whether it resigned.
 func (sc *shardCoordinator) resignIfDisconnected() bool {
 	l, c := sc.leader, sc.leader.controller
 	if c.now.Sub(l.reconciledAt) <= ownerTimeout {
--- a/internal/coordination/shard_instructions.go
+++ b/internal/coordination/shard_instructions.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// forgetExit notifies a machine's owner that the result of an exited task is recorded, so that the
-// worker may forget the task.
+// forgetExit notifies a machine's owner that the worker may forget an exited task: its result is
+// recorded, or there is none to record.
 func (sc *shardCoordinator) forgetExit(t shard.AttemptID) {
 	m := sc.leader.machines[t.Machine]
 	if m == nil {
--- a/internal/coordination/shard_membership.go
+++ b/internal/coordination/shard_membership.go
@@ -247,8 +247,8 @@
 }
 
 // maxUnanswered is how long a worker's heartbeats may go unanswered before its owner counts as
-// having lost contact with it, even if it answers calls: over links that fail and recover every
-// few seconds some calls get through, while the less frequent heartbeats don't.
+// having lost contact with the worker, even if the worker answers calls: over links that fail
+// and recover every few seconds some calls get through, while the less frequent heartbeats don't.
 func (c *Controller) maxUnanswered() time.Duration { return c.cfg.WorkerLease / 3 }
 
 // partitionedHold is how long a controller that lost contact with most of its workers reports to the
--- a/internal/coordination/shard_owner.go
+++ b/internal/coordination/shard_owner.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// removeMachine drops the state of a machine that is no longer served.
+// removeMachine drops the state of a machine that is no longer served, and removes it from fleetList.
 func (o *shardOwner) removeMachine(m *machine) {
 	o.forgetMachine(m)
 	o.fleetList = slices.DeleteFunc(o.fleetList, func(k *machine) bool { return k == m })
@@ -157,9 +157,9 @@
 		return
 	}
 	// If the previous owner didn't hand over the shard and its grace period isn't over, it may
-	// still answer the workers. The record must show that. If it didn't, the next owner would treat
-	// missing messages of the workers as proof that their tasks have ended while the previous
-	// owner renews their leases.
+	// still answer the workers. The record must show that. If the record didn't, the next owner
+	// would treat missing messages of the workers as proof that their tasks have ended while the
+	// previous owner renews their leases.
 	change := s.table.HandOver(id, s.member, !o.controller.now.Before(owned.epoch.PredecessorUntil))
 	if change == nil {
 		owned.handingOver = false
@@ -176,7 +176,8 @@
 			s.ownershipChanged()
 			return
 		}
-		// It may have been applied: the table is read again, and the handover retried if needed.
+		// The handover may have been applied or not: the table is read again, and the handover
+		// retried if needed.
 		s.loadTable()
 	})
 }
--- a/internal/coordination/shard_owner_workers.go
+++ b/internal/coordination/shard_owner_workers.go
@@ -108,8 +108,8 @@
 // reportedExit is an exited task that is reported to the leader.
 type reportedExit struct {
 	exit   shard.Exit
-	sentAt time.Time
-	forget bool // the leader has recorded its result, so the worker may forget it
+	sentAt time.Time // when the exit was last sent to the leader or, if forget is set, when forget was set
+	forget bool      // the worker may forget the task (applyForget)
 }
 
 // exitResendInterval is after how long an exit is sent to the leader again if the worker still
@@ -117,7 +117,7 @@
 const exitResendInterval = 3 * time.Second
 
 // taskExitReported implements sessionListener. The exit proves that the attempt has ended. The worker
-// may forget it once the leader has recorded the result.
+// may forget the task once the leader allows it (applyForget).
 func (o *shardOwner) taskExitReported(m *machine, a *attempt, t *protocol.TaskStatus) (forget bool) {
 	key := taskKey{t.Job, t.TaskIndex}
 	k := m.reportedExits[key]
@@ -164,7 +164,8 @@
 
 // newerTokenSeen implements sessionListener. There may be a later owner of the machine's shard. The
 // shard isn't served until the table has been read again and shows that there is none (applyMove).
-// This is done once for each machine.
+// This is done at most once for each machine: if the table shows no later owner, further
+// heartbeats with such a token must not interrupt the service of the whole shard again.
 func (o *shardOwner) newerTokenSeen(m *machine) {
 	o.controller.log.Info("worker has a later fencing token", "machine", m.Name, "shard", m.shard)
 	if owned := o.shards[m.shard]; owned != nil && !owned.superseded && !m.newerTokenSeen {
--- a/internal/coordination/worker_sessions.go
+++ b/internal/coordination/worker_sessions.go
@@ -29,7 +29,7 @@
 	lease       leadership.Lease
 
 	detector       sessions.Detector
-	statusCount    uint64     // statuses applied, including those in call responses; marks the attempts that the latest one lists
+	statusCount    uint64     // statuses applied, including those in call responses; listed attempts are marked with it
 	ordersDue      []*machine // machines with orders to send at the end of the step
 	deferredStarts []*machine // machines whose starts wait for a recent read of the job records
 }
@@ -141,7 +141,8 @@
 // started at all.
 const maxStartStaleness = 2500 * time.Millisecond
 
-// startsAllowed reports whether the job records are known recently enough to send starts.
+// startsAllowed reports whether starts may be sent: every cancellation was known within
+// maxStartStaleness, and the state service is available.
 func (s *workerSessions) startsAllowed() bool {
 	return !s.jobsKnownAt.IsZero() && s.controller.now.Sub(s.jobsKnownAt) <= maxStartStaleness && !s.controller.store.Unavailable()
 }
