--- a/internal/coordination/autoscaler/bins.go
+++ b/internal/coordination/autoscaler/bins.go
@@ -19,7 +19,8 @@
 	return &Bin{Offer: o, cpus: o.Spec.CPUs, gpus: o.Spec.GPUs, memoryGB: o.Spec.MemoryGB}
 }
 
-// place puts a task of a job into the bin if it fits, and reports whether it did.
+// place puts a task of a job into the bin and reports whether it did. It doesn't if the job can't use
+// machines of the offer, or if the task, or its entry in the heartbeat, doesn't fit.
 func (b *Bin) place(j *protocol.Job) bool {
 	if !b.Offer.Allows(j) || j.CPUs > b.cpus+protocol.Epsilon || j.GPUs > b.gpus+protocol.Epsilon || j.MemoryGB > b.memoryGB+protocol.Epsilon ||
 		b.heartbeatBytes+protocol.MaxTaskStatusBytes(j.ID) > placement.MaxTaskHeartbeatBytes {
--- a/internal/coordination/autoscaler/offers.go
+++ b/internal/coordination/autoscaler/offers.go
@@ -118,9 +118,9 @@
 }
 
 // BestOffer returns the offer with the lowest price per task, for the given number of a job's tasks.
-// The price of a machine is divided by the number of tasks that it holds, but by no more than the
-// given number, or two if that is one. Among equal offers the first is chosen. found is false if no
-// offer is suitable.
+// The price of a machine is divided by the number of tasks that it holds, but by no more than tasks,
+// or than two if tasks is less. Among offers with the same price per task the first is chosen. found is
+// false if no offer is suitable.
 func BestOffer(offers []Offer, j *protocol.Job, tasks int, zoneAllowed func(zone string) bool) (best Offer, found bool) {
 	bestCost := 0.0
 	for _, o := range offers {
--- a/internal/coordination/autoscaler/plan.go
+++ b/internal/coordination/autoscaler/plan.go
@@ -17,8 +17,8 @@
 	Zones map[string]int     // number of the job's live attempts in each zone
 	Tasks int
 	// TooExpensive reports whether an offer costs too much for the job, and Starving whether
-	// the job has waited for so long that it gets a single machine in spite of the price, if none
-	// of its waiting tasks finds capacity otherwise.
+	// the job has waited for so long that it gets a single machine in spite of the price, if the
+	// team's limit allows all of its waiting tasks and none of them finds capacity otherwise.
 	TooExpensive func(Offer) bool
 	Starving     func() bool
 }
@@ -119,8 +119,8 @@
 	}
 }
 
-// CountCapacity returns the given numbers of free and taken CPUs, increased by the CPUs of the booting
-// and planned machines that are free and that are assigned to tasks.
+// CountCapacity adds the CPUs of the booting and planned machines to the given numbers of CPUs: those
+// that aren't assigned to tasks to free, the others to taken. It returns the sums.
 func (p *Plan) CountCapacity(free, taken float64) (allFree, allTaken float64) {
 	for _, b := range p.bins {
 		free += b.cpus
@@ -167,7 +167,7 @@
 		p.BinsVisited++
 		found += p.pack(p.openBins[i], j, zones, limit-found)
 	}
-	if !j.OneZone && !j.Spread { // with these, bins that have room may have been passed over
+	if !j.OneZone && !j.Spread { // a zone constraint may have passed over bins that have room
 		if found == limit && i > 0 {
 			i-- // the bin that took the last task may hold further ones
 		}
--- a/internal/coordination/balance/ceiling.go
+++ b/internal/coordination/balance/ceiling.go
@@ -16,7 +16,8 @@
 
 // Exceeds reports whether one more task would put a machine above the ceiling: the team would use more
 // than CeilingShare of it, or the task's image isn't cached and the fetch backlog is longer than
-// MaxFetchBacklog. CeilingShare doesn't apply to the team's first task on a machine.
+// MaxFetchBacklog. CeilingShare doesn't apply to the team's first task on a machine: a task that needs
+// more than that share would count as above the ceiling even on an empty machine.
 func (p *CeilingPolicy) Exceeds(m *placement.Machine, l *Load) bool {
 	r, tasks := l.TeamUsage(p.Team)
 	r = r.Plus(m.Incoming) // tasks of any surging team that are being migrated to the machine
@@ -37,7 +38,7 @@
 
 // Penalty returns by how much the score of a machine is reduced: for the share of it that the team's
 // tasks use, relative to the ceiling, for its slowdown, and for its fetch backlog if the image isn't
-// cached. imageWeight is the weight of the image term of the score.
+// cached. It is 0 if LoadPenalty is 0. imageWeight is the weight of the image term of the score.
 func (p *CeilingPolicy) Penalty(m *placement.Machine, l *Load, imageWeight float64) float64 {
 	if p.LoadPenalty <= 0 {
 		return 0
--- a/internal/coordination/balance/planned_usage.go
+++ b/internal/coordination/balance/planned_usage.go
@@ -32,8 +32,8 @@
 // TargetCount returns the number of machines to which moves are planned.
 func (u PlannedUsage) TargetCount() int { return u.usage.Len() }
 
-// fits reports whether one more task of a job may move to a machine, in addition to the planned
-// moves.
+// fits reports whether one more task of a job may move to a machine and fits there in addition to the
+// planned moves. Of the heartbeat, only the entries of tasks already on the machine are counted.
 func (u PlannedUsage) fits(m *placement.Machine, j *protocol.Job) bool {
 	return m.Allows(j) && m.FitsInHeartbeat(j) &&
 		m.Allocated.Plus(m.Incoming).Plus(u.UsageOn(m.Name)).Plus(placement.Needs(j)).Within(placement.Capacity(m.Spec))
--- a/internal/coordination/balance/planner.go
+++ b/internal/coordination/balance/planner.go
@@ -122,9 +122,9 @@
 		s = searchState{reopened: p.reopened[key.image]}
 	}
 	list := p.holders[key.image]
-	// noneFits is true while no machine examined so far could take such a replica, whichever
-	// machine is evacuated next. A machine without room only because this evacuation moves replicas
-	// there could, if the plan is discarded; the evacuated machine itself could if it has room.
+	// noneFits is true while later searches can skip all machines examined so far. They can't skip
+	// a target of this evacuation, which has room again if the plan is discarded, nor the evacuated
+	// machine if it has room, because it may be a target when another machine is evacuated.
 	noneFits := true
 	defer func() { p.searches[key] = s }()
 	for i := s.next; i < len(list); i++ {
--- a/internal/coordination/balance/rebalance.go
+++ b/internal/coordination/balance/rebalance.go
@@ -29,8 +29,8 @@
 	Tasks []MigratableTask
 }
 
-// Migration is the planned move of a task, with its expected saving and cost, both in time of the
-// task. The difference is its gain.
+// Migration is the planned move of a task, with its expected saving and cost, both as times. Saving
+// includes the reduction of the load, converted to time by LoadPenalty. Saving minus Cost is the gain.
 type Migration struct {
 	Task         *MigratableTask
 	From, To     *placement.Machine
@@ -52,11 +52,11 @@
 const (
 	maxSources         = 16 // most loaded machines that are examined as sources
 	maxTargets         = 48 // least loaded machines that are examined per task, and as many that cache its image
-	writesPerMigration = 2  // writes to the state service: the mark and the new start
+	writesPerMigration = 2  // writes to the state service: the mark that the task was migrated, and the start of its new attempt
 	// A running task without checkpoints loses its work. It is migrated only if the saving exceeds
 	// the cost by a multiple of the margin, and only early in its run.
 	noCheckpointMargin  = 2
-	noCheckpointDivisor = 4 // it may have run for at most its remaining run time divided by this
+	noCheckpointDivisor = 4 // the task may have run for at most its remaining run time divided by this
 )
 
 // Rebalance plans migrations off overloaded sources: those where a team is above its ceiling, where
@@ -83,8 +83,9 @@
 	return migrations
 }
 
-// overload ranks sources: it returns the largest load by a team's tasks, as a fraction of the
-// ceiling, plus the machine's slowdown above 1.
+// overload ranks sources: it returns the largest load by the attempts of a team that has migratable
+// tasks on the source, as a fraction of the ceiling, plus the machine's slowdown minus 1. It is 0 for a
+// source without migratable tasks.
 func (params *MigrationParams) overload(s *Source) float64 {
 	highest := 0.0
 	for i := range s.Tasks {
@@ -94,8 +95,8 @@
 	return highest
 }
 
-// leastLoaded returns the least loaded machines that accept tasks, at most maxTargets. Unlike in
-// overload, the load is that of all teams.
+// leastLoaded returns the least loaded machines that accept tasks and aren't being consolidated, at
+// most maxTargets. Unlike in overload, the load is that of all teams.
 func (p *Planner) leastLoaded() []*LoadedMachine {
 	var list []*LoadedMachine
 	for i := range p.machines {
@@ -155,7 +156,8 @@
 
 // overloaded reports whether there is a reason to migrate a task off the source: its team is above the
 // ceiling, with more than one task; the task waits for its image behind a fetch backlog longer than
-// MaxFetchBacklog; or the source is slow. moved is the resources of the tasks already planned to leave.
+// MaxFetchBacklog; or the source is slow. moved is the resources of the tasks, of all teams, that are
+// already planned to leave the source.
 func (sp *sourcePlanner) overloaded(task *MigratableTask, moved placement.Resources) bool {
 	l := sp.source.Load
 	r, tasks := l.TeamUsage(task.Team)
@@ -226,9 +228,10 @@
 	return migration, sp.worthwhile(task, &migration)
 }
 
-// worthwhile adds the work that is lost to the cost of a migration, and reports whether the
-// migration saves enough. A task that is expected to end within the time that its migration costs
-// isn't migrated.
+// worthwhile completes the cost of the migration of a running task, and reports whether the migration
+// saves enough. The cost increases by the time to save a checkpoint, or by the run time that is lost if
+// the task saves none; see noCheckpointMargin and noCheckpointDivisor. A task that is expected to end
+// within the time that its migration costs isn't migrated.
 func (sp *sourcePlanner) worthwhile(task *MigratableTask, m *Migration) bool {
 	margin := sp.params.Margin
 	if task.Running && task.Checkpoints {
--- a/internal/coordination/leadership/election.go
+++ b/internal/coordination/leadership/election.go
@@ -108,7 +108,8 @@
 	})
 }
 
-// watch watches the election keys from a revision on, as long as generation is the current one.
+// watch watches the election keys for changes after the given revision, until Follow starts another
+// generation. If the watch fails or the store no longer has all changes, the keys are read again.
 func (e *Election) watch(after uint64, generation int) {
 	e.store.Watch(records.PrefixElection, after, func(response WatchResponse) {
 		if e.generation != generation {
@@ -145,8 +146,8 @@
 }
 
 // viewChanged reacts to a change of the view. It steps down if there is a later leader, and informs the
-// host. A controller that doesn't lead schedules a campaign if there is no leader, and revokes the
-// lease of its own previous process if that one was the leader.
+// host. A controller that doesn't lead schedules a campaign if there is no leader. If the leader is an
+// earlier process of the same controller, it revokes that process's lease, if the lease is known.
 func (e *Election) viewChanged() {
 	if e.role == Leader && e.view.leaderVersion > e.leaderTerm.KeyVersion {
 		e.StepDown("another leader was elected")
@@ -290,7 +291,7 @@
 // MarkDisconnected marks this controller as disconnected from its workers and reports whether
 // it should resign because of that. It should not, and is not marked, if there are no other
 // controllers or all of them are disconnected too, as a change of leader would not help. A controller
-// that is already marked resigns again only if another one is known to be eligible.
+// that is already marked resigns again only if another controller is known to be eligible.
 func (e *Election) MarkDisconnected(peers PeerCounts) (resign bool) {
 	if peers.Disconnected == peers.Configured || e.Disconnected() && peers.Eligible == 0 {
 		return false
--- a/internal/coordination/leadership/host.go
+++ b/internal/coordination/leadership/host.go
@@ -28,7 +28,8 @@
 	// GrantLease requests a lease; granted is false unless the store confirmed the grant.
 	GrantLease(ttl time.Duration, done func(lease uint64, granted bool))
 	// RenewLease extends a lease to its full time to live. The renewal is RenewalUnknown if no
-	// response arrives within timeout.
+	// response arrives within timeout, or a response that says neither that the lease was extended
+	// nor that it no longer exists.
 	RenewLease(lease uint64, timeout time.Duration, done func(Renewal))
 	// RevokeLease ends a lease, which deletes the keys bound to it. The outcome is not
 	// reported: a lease that is not revoked expires.
@@ -62,7 +63,7 @@
 const (
 	RenewalSucceeded Renewal = iota + 1
 	RenewalExpired           // the lease no longer exists
-	RenewalUnknown           // no response
+	RenewalUnknown           // no response, or one that doesn't say whether the lease exists
 )
 
 // Host is the controller that takes part in the election.
--- a/internal/coordination/leadership/lease.go
+++ b/internal/coordination/leadership/lease.go
@@ -45,12 +45,13 @@
 	holder LeaseHolder
 }
 
-// renewalRetryDelay is the pause after a renewal without a response. It is much shorter than the shortest
-// lease, so that several attempts fit into the lease's remaining time.
+// renewalRetryDelay is the pause after a renewal of unknown outcome. It is much shorter than the shortest
+// lease, so that several attempts that fail at once fit into the lease's remaining time. An attempt
+// without a response takes up to half of the time to live.
 const renewalRetryDelay = 200 * time.Millisecond
 
 // KeepLeaseAlive renews a lease as long as its holder needs it: first at once, then three tenths of its
-// time to live after each success, and renewalRetryDelay after each renewal without a response.
+// time to live after each success, and renewalRetryDelay after each renewal of unknown outcome.
 func KeepLeaseAlive(clock Clock, store Store, lease *Lease, holder LeaseHolder) {
 	lr := &LeaseRenewer{clock: clock, store: store, lease: lease, holder: holder}
 	lr.renew()
--- a/internal/coordination/leadership/view.go
+++ b/internal/coordination/leadership/view.go
@@ -32,8 +32,8 @@
 	return newLeader
 }
 
-// put updates the view with the value of one key, and reports whether it names a leader of a
-// later term than the view. A value that cannot be decoded is ignored.
+// put updates the view with the value of one key. It reports whether the value is a leader whose
+// term is higher than that of the leader in the view, if any. A value that cannot be decoded is ignored.
 func (v *view) put(key string, value json.RawMessage, version uint64) (newLeader bool) {
 	switch key {
 	case records.KeyLeader:
@@ -58,7 +58,8 @@
 	return newLeader
 }
 
-// remove updates the view after the deletion of a key. It keeps the term and the preferred zone.
+// remove updates the view after the deletion of a key. It ignores deletions of the term and of the
+// preferred zone, whose last known values remain.
 func (v *view) remove(key string) {
 	switch key {
 	case records.KeyLeader:
--- a/internal/coordination/peers/message.go
+++ b/internal/coordination/peers/message.go
@@ -12,7 +12,8 @@
 
 // Message is the content of one broadcast. The final states of jobs come from the controller
 // that recorded them. The record of a final state is created once and never overwritten, so a
-// receiver may report it to users like one that it recorded itself, however late the message arrives.
+// receiver may report a final state from a message to users like one that it recorded itself, however
+// late the message arrives.
 type Message struct {
 	Sender             string                 `json:"node"`
 	StoreReachable     bool                   `json:"storeOK"`
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -60,7 +60,7 @@
 }
 
 // Fits reports whether one more task of a job fits into the resources that are neither allocated nor
-// reserved for incoming migrations.
+// reserved for incoming migrations. Unlike HasRoom, it ignores Reserved.
 func (m *Machine) Fits(j *protocol.Job) bool {
 	// This is called for every machine and job. Written out, it takes half of the time that it
 	// takes with Plus and Within.
@@ -85,7 +85,7 @@
 }
 
 // TaskCapacity returns how many more tasks of a job fit into the resources that are neither allocated
-// nor reserved for incoming migrations.
+// nor reserved for incoming migrations. It ignores Reserved and the size of the heartbeat.
 func (m *Machine) TaskCapacity(j *protocol.Job) int {
 	free := Capacity(m.Spec).Minus(m.Allocated).Minus(m.Incoming)
 	count := protocol.MaxTasks
--- a/internal/coordination/preemption/search.go
+++ b/internal/coordination/preemption/search.go
@@ -22,9 +22,10 @@
 // that is already being freed costs nothing and is therefore used first. Jobs that may preempt the
 // same work share a search during a placement round. To examine a machine is to call Machines.Cost for
 // it. The first job examines all machines; after that, PreemptNext examines only the option of the
-// lowest cost, and BeginJob the exhausted machines if the job needs less of some resource. Examining
-// all machines for every task, or for every job, kept the leader of a large fleet from renewing its
-// lease for seconds.
+// lowest cost, and the next ones only if that one can't be used or costs more by now. BeginJob examines
+// the exhausted machines again if the job needs less of some resource than examinedNeeds. Examining all
+// machines for every task, or for every job, kept the leader of a large fleet from renewing its lease
+// for seconds.
 //
 // Each machine that was added is in exactly one of three lists: options, which had room at a cost that
 // may have increased since it was computed; skipped, which the current job can't use; or exhausted,
--- a/internal/coordination/preemption/victims.go
+++ b/internal/coordination/preemption/victims.go
@@ -50,8 +50,9 @@
 
 // ChooseVictims chooses the attempts to preempt on a machine with the given free resources so that
 // a task with the given needs fits. It returns the victims and the cost of preempting them, in CPU
-// seconds. It sorts candidates; victims is a prefix of it. ok is false if preempting all of them
-// doesn't make enough room.
+// seconds: their lost work and costPerVictim for each. The task must not fit without preemption: the
+// first candidate is always a victim. ChooseVictims sorts candidates; victims is a prefix of it. ok is
+// false if preempting all candidates doesn't make enough room.
 func ChooseVictims[A any](free, needs placement.Resources, candidates []Candidate[A]) (victims []Candidate[A], cost float64, ok bool) {
 	slices.SortFunc(candidates, func(a, b Candidate[A]) int { return a.before(&b) })
 	for i := range candidates {
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -17,9 +17,9 @@
 	// MinRunTime is how long at least one task of a job must have been running, without
 	// interruption, for the job to count as working although no task is done.
 	MinRunTime = 3 * time.Second
-	// MinTimeSinceFailure is the time since the last failure of a running task after which
-	// MinRunTime makes the job count as working. With this limit a service, whose tasks are
-	// never done, counts as working again some time after one of its replicas failed on a faulty
+	// MinTimeSinceFailure is the minimum time since a running task of the job last failed for the job
+	// to count as working because of MinRunTime. Since the limit is a time, a service, whose tasks
+	// are never done, counts as working again some time after one of its replicas failed on a faulty
 	// machine.
 	MinTimeSinceFailure = 30 * time.Second
 	// failureThreshold is the number of failures without a success in between that put a job into
@@ -162,8 +162,8 @@
 }
 
 // Faulty reports whether the machine is faulty: since its last success, at least two jobs that are known
-// to work failed on it, or only the failed task's job, which is known to work, failed on it at least
-// twice, and on fewer than MachineThreshold machines in all.
+// to work failed on it; or the failed task's job is the only such job, failed on it at least twice, and
+// has ever failed on fewer than MachineThreshold machines.
 func (e MachineEvidence) Faulty() bool {
 	return e.WorkingJobs >= 2 || e.WorkingJobs == 1 && e.JobWorking && e.Failures >= 2 && e.Machines < MachineThreshold
 }
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -23,10 +23,10 @@
 	BestEffort              // all other jobs
 )
 
-// StarvingAfter is how long a job may wait for its first task to start. After that it is served before
-// all jobs except critical and other starving ones. A job that was within its team's quota on arrival
-// keeps the tier WithinQuota. Without this limit, a continuous stream of small jobs that fills the cluster would
-// keep large jobs from ever starting.
+// StarvingAfter is how long a job may wait for its first task to start. After that, a job of the tier
+// BestEffort is served before all jobs except critical and other starving ones; a job of another tier
+// keeps it. Without StarvingAfter, a continuous stream of small jobs that fills the cluster would keep
+// large jobs from ever starting.
 const StarvingAfter = 170 * time.Second
 
 // AgeingStep is the waiting time that raises the priority of a pending job by one. Without ageing, a
